--- a/internal/datagram/reader.go
+++ b/internal/datagram/reader.go
@@ -1,17 +1,17 @@
-// Package datagram takes datagrams of members apart. It owns no form: only that what is cut short fails, and
-// gives zeroes until whoever reads looks.
+// Package datagram decodes the datagrams that members exchange. It defines no message format, only the
+// handling of truncated input: reads past the end return zeroes and set an error flag that the caller checks.
 package datagram
 
 import "encoding/binary"
 
-// Reader reads a datagram from its begin. Numbers are little-endian. Past the end it is Bad, and gives
-// zeroes.
+// Reader reads a datagram from its start. Integers are little-endian. A read past the end sets Bad and
+// returns zeroes.
 type Reader struct {
-	B   []byte // what is left
+	B   []byte // unread bytes
 	Bad bool
 }
 
-// Take is the next n bytes.
+// Bytes returns the next n bytes.
 func (r *Reader) Take(n int) []byte {
 	if n > len(r.B) {
 		r.Bad, r.B = true, nil
@@ -22,19 +22,19 @@
 	return x
 }
 
-// U8 is one byte.
+// U8 reads one byte.
 func (r *Reader) U8() byte { return r.Take(1)[0] }
 
-// U16 is a number of two bytes.
+// U16 reads a two-byte integer.
 func (r *Reader) U16() uint16 { return binary.LittleEndian.Uint16(r.Take(2)) }
 
-// U32 is one of four.
+// U32 reads a four-byte integer.
 func (r *Reader) U32() uint32 { return binary.LittleEndian.Uint32(r.Take(4)) }
 
-// U64 is one of eight.
+// U64 reads an eight-byte integer.
 func (r *Reader) U64() uint64 { return binary.LittleEndian.Uint64(r.Take(8)) }
 
-// Text is a text with a byte of length before it; a longer one than most is Bad.
+// Text reads a string that follows its length in one byte. A length above most sets Bad.
 func (r *Reader) Text(most int) string {
 	n := int(r.U8())
 	if n > most {
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -1,22 +1,23 @@
 package membership
 
-// Two processes of one name: a restart goes behind its predecessor, and of two strangers the later one gives
-// way.
+// Resolution of two processes with the same name: a restarted process supersedes its predecessor; of two
+// running processes the one that started later has to stop.
 
 import (
 	"encoding/binary"
 	"net/netip"
 )
 
-// rivalsMost is how often one goes behind a process that comes forward again before it is held to run.
+// maxRivalReturns is how often a process may supersede the same rival that keeps reappearing before the rival
+// is considered to be running.
 const rivalsMost = 3
 
-// rival hears of another process of our name.
+// handleRival handles the record of another process with this member's name.
 func (v *View) rival(r record) {
 	switch {
 	case v.left || r.birth == v.self.birth || !v.joining && !r.above(&v.self):
 		return
-	case r.state != Alive || r.addr == v.self.addr: // it is gone, or could not be where we are
+	case r.state != Alive || r.addr == v.self.addr: // it has ended, or had this process's own address
 		v.goBehind(r)
 	case v.claim == nil || v.claim.rival.birth != r.birth:
 		v.claim = &claim{rival: r, since: v.now}
@@ -26,7 +27,7 @@
 	}
 }
 
-// goBehind takes the incarnation after another process's.
+// supersede takes the incarnation following another process's.
 func (v *View) goBehind(r record) {
 	v.claim = nil
 	if v.joining {
@@ -36,8 +37,8 @@
 	v.setSelf(max(v.self.inc, r.inc+1))
 }
 
-// callClaim calls for the other process of our name, directly and through others. One that does not answer
-// in time is gone.
+// advanceClaim contacts the other process with this member's name, directly and through other members. A
+// process that does not answer within claimPeriods is considered gone.
 func (v *View) callClaim() {
 	c := v.claim
 	if c == nil {
@@ -70,7 +71,7 @@
 	}
 }
 
-// age is for how many periods this process has run.
+// agePeriods returns the number of periods that this process has run.
 func (v *View) age() Micros { return (v.now - v.begun) / v.cfg.Period }
 
 func appendAddr(b []byte, a netip.AddrPort) []byte {
@@ -79,14 +80,15 @@
 	return binary.LittleEndian.AppendUint16(b, a.Port())
 }
 
-// claimed hears that a process of our name runs elsewhere; or passes that on.
+// handleClaim handles the claim of another process with this member's name, or forwards it to the member that
+// it is meant for.
 func (v *View) claimed(from *member, msg message) {
 	if len(msg.entries) == 0 || !msg.entries[0].full {
 		return
 	}
 	r := msg.entries[0].record
 	if r.name != v.self.name || msg.addr != v.self.addr {
-		if msg.hops > 0 && v.spend() { // of a stranger too: nobody else may take its word to the other one
+		if msg.hops > 0 && v.spend() { // also from unknown processes: maybe nobody else can forward it
 			b := binary.LittleEndian.AppendUint32(appendAddr(v.begin(kindClaim), msg.addr), msg.inc)
 			b, _ = put(append(b, 0), msg.entries[0])
 			v.send(v.to(r.name, msg.addr), b, false)
@@ -99,7 +101,7 @@
 	if v.conflict == nil {
 		v.conflict = &Conflict{Addr: r.addr, Birth: r.birth}
 	}
-	if v.self.birth > r.birth { // the other one decides
+	if v.self.birth > r.birth { // the process with the lower birth decides
 		v.sendClaim(r.addr)
 		return
 	}
@@ -128,7 +130,8 @@
 	}
 }
 
-// judged hears which of two processes of our name has to give way; or passes that on.
+// handleClaimResult handles the decision which of two processes with this member's name has to stop, or
+// forwards it to the member that it is meant for.
 func (v *View) judged(msg message) {
 	if msg.other != v.self.birth {
 		if msg.hops > 0 && v.spend() {
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -1,7 +1,7 @@
 package membership
 
-// An exhaustive check of small fleets: three members, every choice of a bounded number of faults, and for a
-// shorter time every order of delivery. States that differ in numbers drawn at random only count as one.
+// Exhaustive check of small fleets: three members, every combination of a bounded number of faults, and for a
+// shorter time every order of delivery. States that differ only in randomly drawn numbers are treated as one.
 
 import (
 	"encoding/binary"
@@ -20,7 +20,7 @@
 	checkSlot   = checkPeriod / slots
 )
 
-// clone copies a view, so that two futures can be tried.
+// clone copies a view, so that the search can branch.
 func (v *View) clone() *View {
 	c := *v
 	rng := *v.rng
@@ -46,19 +46,19 @@
 	return &c
 }
 
-// flight is a datagram on its way.
+// inFlightDatagram is a datagram that has not been delivered yet.
 type flight struct {
 	from, to int
 	data     []byte
 }
 
-// world is one state of the fleet that is checked.
+// world is one state of the simulated fleet.
 type world struct {
 	now                                        Micros
 	views                                      []*View // nil: not running
 	flying                                     []flight
 	births                                     map[uint64]int
-	gone                                       map[uint64]bool // processes that ended
+	gone                                       map[uint64]bool // births of processes that ended
 	losses, crashes, starts, swaps, cuts, left int
 	path                                       []string
 }
@@ -93,7 +93,7 @@
 	w.views[i] = v
 }
 
-// take puts on their way what a member sends.
+// collect adds a member's outgoing datagrams to those in flight.
 func (w *world) take(i int) {
 	sends, _, _ := w.views[i].Take()
 	for _, s := range sends {
@@ -102,7 +102,7 @@
 	}
 }
 
-// tick lets one slot go by.
+// tick advances time by one slot.
 func (w *world) tick() {
 	w.now += checkSlot
 	for i, v := range w.views {
@@ -122,7 +122,7 @@
 	}
 }
 
-// print stands for a state: everything that tells in the future, but for numbers drawn at random.
+// fingerprint hashes everything in a state that affects its future, except for randomly drawn numbers.
 func (w *world) print() uint64 {
 	var b []byte
 	put := func(n ...uint64) {
@@ -179,7 +179,7 @@
 	return xxhash.Sum64(b)
 }
 
-// shownAs is a view as its digest counts it.
+// digestedView describes a view by what its digest covers.
 func shownAs(v *View) string {
 	s := ""
 	for _, m := range v.Members() {
@@ -192,7 +192,7 @@
 	return s
 }
 
-// invariants names what must not be in a state that followed another.
+// invariants describes a violated invariant in a state that followed another one.
 func (w *world) invariants(before *world) string {
 	digests := map[uint64]string{}
 	for i, v := range w.views {
@@ -206,10 +206,10 @@
 		for _, m := range v.list {
 			if b := before.views[i]; w.gone[m.birth] && m.state == Alive && b != nil && b.births[m.birth] != nil &&
 				b.births[m.birth].state == Dead {
-				return fmt.Sprintf("%s is over, was dead at %s, and is back", m.name, v.self.name)
+				return fmt.Sprintf("process %s has ended, was dead at %s, and is alive there again", m.name, v.self.name)
 			}
 			if m.state == Dead && w.crashes == 0 && w.cuts == 0 {
-				return fmt.Sprintf("%s holds %s dead, which runs and is in reach", v.self.name, m.name)
+				return fmt.Sprintf("%s considers %s dead, which is running and reachable", v.self.name, m.name)
 			}
 		}
 		if b := before.views[i]; b != nil && b.self.birth == v.self.birth {
@@ -226,7 +226,7 @@
 	return ""
 }
 
-// returns tells that without further faults all who run see one another again.
+// recovers checks that without further faults all running members see one another again.
 func (w *world) returns() string {
 	c := w.clone()
 	for range 60 * slots {
@@ -244,7 +244,7 @@
 			s += fmt.Sprintf("%s sees %v; ", v.self.name, v.Members())
 		}
 	}
-	return "no return: " + s
+	return "no recovery: " + s
 }
 
 func (w *world) agree() bool {
@@ -267,15 +267,15 @@
 	return true
 }
 
-// bounds of one search.
+// search holds the bounds of one search.
 type search struct {
 	slots, losses, crashes, starts, swaps, cuts int
-	anyOrder                                    bool // of delivery
+	anyOrder                                    bool // tries every order of delivery
 	states                                      int
 	equal                                       bool
 }
 
-// settled is some members that see one another.
+// convergedWorld returns a world whose members all see one another.
 func settled(t testing.TB, members int, equal bool) *world {
 	w := &world{now: 1_000_000, views: make([]*View, members), births: map[uint64]int{}, gone: map[uint64]bool{}}
 	for i := range w.views {
@@ -288,15 +288,15 @@
 		}
 	}
 	if !w.agree() {
-		t.Fatal("the members never saw one another")
+		t.Fatal("the members did not converge")
 	}
 	return w
 }
 
-// run searches all states within the bounds, depth first, and returns the first fault with the way to it.
+// run searches all states within the bounds, depth first, and returns the first fault and the path to it.
 func (s search) run(t testing.TB) (fault string, path []string, states, ends int) {
 	first := settled(t, 3, s.equal)
-	seen := map[uint64]int8{} // the most slots left with which a state was met
+	seen := map[uint64]int8{} // most remaining slots with which a state was visited
 	stack := []*world{first}
 	first.left = s.slots
 	for len(stack) > 0 && states < s.states {
@@ -344,7 +344,7 @@
 				}
 			}
 			step("slot", func(c *world) bool { c.left--; c.tick(); return true })
-			for i := range w.views { // pushed last, and so looked at first
+			for i := range w.views { // pushed last, and so explored first
 				if w.cuts < s.cuts {
 					step(fmt.Sprint("slot without ", i), func(c *world) bool {
 						c.left--
@@ -386,7 +386,7 @@
 	return fault, path, states, ends
 }
 
-// bound is how far a search goes in CI, and with LAPISLEVER_LONG set.
+// bound returns a search bound: the value for CI, or the long one if LAPISLEVER_LONG is set.
 func bound(ci, long int) int {
 	if os.Getenv("LAPISLEVER_LONG") != "" {
 		return long
@@ -420,7 +420,7 @@
 	}
 }
 
-// A refutation that bears the incarnation which it refutes brings nobody back, and the search finds that.
+// A refutation that reuses the refuted incarnation brings no member back; the search must find this fault.
 func TestThePlantedFaultIsFound(t *testing.T) {
 	s := search{slots: 45, cuts: 12, states: 100_000, equal: true}
 	fault, path, states, _ := s.run(t)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,7 +1,7 @@
 package membership
 
-// What happens by itself as time goes on: the round of probes, watches over those who have fallen silent,
-// votes, and the calls on those who are dead or not known yet.
+// Time-driven work: the probe schedule, watches on silent members, votes, and attempts to reach members that
+// are dead or not known yet.
 
 import (
 	"encoding/binary"
@@ -9,16 +9,16 @@
 	"slices"
 )
 
-// keepProbes is for how many periods an answer to a probe still counts as one.
+// probeRetention is the number of periods for which an answer to a probe is accepted.
 const keepProbes = 10
 
-// triesLeast is how many probes a watcher must have sent for each period of silence.
+// minProbesPerPeriod is the number of probes a watcher must have sent per period of silence.
 const triesLeast = 2
 
-// mostProbes bounds the probes that are kept.
+// maxProbes bounds the number of outstanding probes.
 const mostProbes = 1024
 
-// Tick does what is due. Called late it does it once: what was missed is not made up for.
+// Tick performs the work that is due. After a stall of over a period, missed slots are skipped.
 func (v *View) Tick(now Micros) {
 	step := v.cfg.Period / slots
 	v.now = max(v.now, now)
@@ -36,8 +36,8 @@
 	}
 }
 
-// stalled takes back what this process thinks of others' silence: it was the one that was away. Suspicions
-// that it has told stand for the others to judge.
+// handleStall discards the silence observed so far, because this process itself was stopped. Suspicions that
+// it has already sent stand; the other members evaluate them.
 func (v *View) stalled(gap Micros) {
 	v.figures.Stalls++
 	if v.cfg.Ablate.Health {
@@ -50,13 +50,13 @@
 	for i := range v.probes {
 		v.probes[i].round = false
 	}
-	if gap > ForgetLeft/2*v.cfg.Period { // the others may have forgotten what is known here
+	if gap > ForgetLeft/2*v.cfg.Period { // the others may have forgotten members that are still known here
 		v.rejoin()
 	}
 }
 
-// lagged gives back what this process was late by: it could not have heard others meanwhile. One that is late
-// by more than a slot holds itself to be less sound.
+// handleLag extends the deadlines of watches and probes by the time this process was late, during which it
+// could not receive answers. A lag of more than one slot also worsens the local health score.
 func (v *View) lagged(late Micros) {
 	for i := range v.watches {
 		w := &v.watches[i]
@@ -74,7 +74,7 @@
 	}
 }
 
-// rejoin forgets everybody and asks anew, those that were known too.
+// rejoin removes all members and joins again, also through the addresses of the members known so far.
 func (v *View) rejoin() {
 	v.figures.Rejoins++
 	for len(v.list) > 0 {
@@ -88,7 +88,7 @@
 	v.counted, v.joining, v.joinAt = false, true, v.now
 }
 
-// factor stretches silence by what this member thinks of its own health: Lifeguard, IV.A.
+// scaleByHealth converts periods to time, extended by the local health score: Lifeguard, IV.A.
 func (v *View) factor(periods Micros) Micros {
 	return periods * v.cfg.Period * Micros(4+v.health) / 4
 }
@@ -99,7 +99,7 @@
 	}
 }
 
-// act does what belongs to one slot.
+// runSlot performs the work of one slot.
 func (v *View) act() {
 	first := v.slot == 0
 	if first {
@@ -139,14 +139,14 @@
 		}
 	}
 	if n := len(v.watches); n > 0 {
-		first := v.rand(n) // so that where the budget is short each has its turn
+		first := v.rand(n) // a random start, so that no watch is always left out when the budget is short
 		for i := range n {
 			v.lookAt(&v.watches[(first+i)%n])
 		}
 	}
 }
 
-// judge looks at the probes that nobody has answered, and at the watches.
+// evaluate checks unanswered probes and all watches.
 func (v *View) judge() {
 	for i := 0; i < len(v.probes); i++ {
 		p := &v.probes[i]
@@ -166,7 +166,7 @@
 			v.weigh(w, m)
 		}
 	}
-	for _, m := range v.list { // those that found no room, or whose quorum has come down
+	for _, m := range v.list { // accused members that had no room for a watch, or whose quorum has decreased
 		if m.state == Alive && len(m.votes) > 0 && v.watching(m.birth) == nil {
 			v.count(m)
 		}
@@ -181,14 +181,14 @@
 	return out
 }
 
-// failed books a probe of the round that nobody answered.
+// probeFailed handles a scheduled probe that was not answered.
 func (v *View) failed(p probe) {
 	v.figures.Failed++
 	m := v.births[p.birth]
 	if m == nil || m.state != Alive || m.acked > p.sent {
 		return
 	}
-	if p.asked > 0 && p.nacked < p.asked { // not even the helpers were heard: Lifeguard, IV.A
+	if p.asked > 0 && p.nacked < p.asked { // some helpers did not answer either: Lifeguard, IV.A
 		v.fare(+1)
 	}
 	if v.cfg.Ablate.Suspicion {
@@ -199,7 +199,7 @@
 	v.watch(m, p.sent, false)
 }
 
-// watching is the watch over a member, or nil.
+// findWatch returns the watch on a member, or nil.
 func (v *View) watching(birth uint64) *watch {
 	for i := range v.watches {
 		if v.watches[i].birth == birth {
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// watch begins to watch a member that has been silent since some time.
+// startWatch starts to watch a member that has been silent since the given time.
 func (v *View) watch(m *member, since Micros, agree bool) {
 	if w := v.watching(m.birth); w != nil {
 		w.agree = w.agree && agree
@@ -223,13 +223,13 @@
 	v.lookAt(&v.watches[len(v.watches)-1])
 }
 
-// unwatch ends a watch.
+// endWatch ends the watch on a member.
 func (v *View) unwatch(birth uint64) {
 	v.counted = false
 	v.watches = slices.DeleteFunc(v.watches, func(w watch) bool { return w.birth == birth })
 }
 
-// lookAt sends a watch's probes of this slot.
+// sendWatchProbes sends the probes of a watch for this slot.
 func (v *View) lookAt(w *watch) {
 	m := v.births[w.birth]
 	if m == nil || v.extra <= 0 {
@@ -245,7 +245,7 @@
 	}
 }
 
-// weigh finds whether a watched member's silence has lasted for long enough to say something.
+// evaluateWatch suspects, votes against or declares dead a watched member, by the length of its silence.
 func (v *View) weigh(w *watch, m *member) {
 	silent := v.now - max(w.since, m.acked)
 	_, trusted := v.alive()
@@ -265,7 +265,7 @@
 				v.push(v.watchersOf(m), e)
 				v.push(v.others(helpersMost, m.birth), e)
 			}
-			return // counted by vote; the watch may be gone
+			return // addVote has counted the votes; the watch may have ended
 		}
 		if v.slot == 0 && m.suspect && !w.voted {
 			v.tellWatchers(m)
@@ -276,11 +276,11 @@
 	}
 }
 
-// count looks whether a member's votes suffice, and if so whether it is so.
+// countVotes starts to verify a member's death once its votes reach the quorum, or declares it dead.
 func (v *View) count(m *member) {
 	_, trusted := v.alive()
 	if v.watching(m.birth) == nil && !m.suspect {
-		trusted-- // the accused is no judge of it
+		trusted-- // the accused member does not count
 	}
 	if len(m.votes) < Quorum(trusted) {
 		return
@@ -292,7 +292,7 @@
 	}
 }
 
-// vote takes in that a member which counts has seen a silence. It returns false where that is nothing new.
+// addVote records a vote of a known alive member. It returns false if the vote is not new or does not count.
 func (v *View) vote(m *member, by uint32) bool {
 	if m.state != Alive || slices.Contains(m.votes, by) || len(m.votes) >= votesMost {
 		return false
@@ -310,9 +310,9 @@
 	return true
 }
 
-// declare holds a member to be dead. Whoever does has looked for itself, and says so: it votes no more once
-// the member is dead here, and one whose quorum is higher, as it has more members in sight, would else lack
-// its vote.
+// declareDead marks a member as dead and announces it. The announcement includes this member's own vote: it
+// has verified the death itself, and casts no vote once the member is dead here. A member with a higher
+// quorum, because it sees more members, would otherwise lack that vote.
 func (v *View) declare(m *member) {
 	votes, r := m.votes, m.record
 	if by := uint32(v.self.birth & lowBits); !slices.Contains(votes, by) && len(votes) < votesMost {
@@ -328,7 +328,8 @@
 	v.push(v.others(helpersMost, m.birth), e)
 }
 
-// pushBacklog sends news that has piled up: at a mass start the probes alone could not carry it.
+// pushBacklog sends additional datagrams while unsent updates pile up: when many members start at once, the
+// probes alone cannot carry all updates.
 func (v *View) pushBacklog() {
 	for range pushMost {
 		if len(v.news.levels) == 0 || len(v.news.levels[0]) < backlog {
@@ -340,7 +341,7 @@
 	}
 }
 
-// push sends news to some members at once.
+// sendUpdate sends an update to some members immediately.
 func (v *View) push(to []*member, e entry) {
 	for _, m := range to {
 		b, _ := put(v.begin(kindNews), e)
@@ -348,7 +349,7 @@
 	}
 }
 
-// others are so many members drawn at random that are neither dead nor in doubt.
+// randomMembers returns up to n random members that are alive, not suspect and not watched.
 func (v *View) others(n int, but uint64) []*member {
 	var all []*member
 	for _, m := range v.list {
@@ -363,7 +364,7 @@
 	return all[:min(n, len(all))]
 }
 
-// watchersOf are the members that stand first for a subject.
+// watchersOf returns the members that rank first for a subject.
 func (v *View) watchersOf(s *member) []*member {
 	var best []*member
 	for _, m := range v.list {
@@ -384,7 +385,7 @@
 	return best
 }
 
-// tellWatchers has those who stand first for a subject watch it too.
+// notifyWatchers asks the members that rank first for a subject to watch it too.
 func (v *View) tellWatchers(m *member) {
 	for _, w := range v.watchersOf(m) {
 		if v.extra <= 0 {
@@ -396,7 +397,7 @@
 	}
 }
 
-// probeNext probes the next member of the round.
+// probeNext probes the next member in the probe order, which is shuffled after each round.
 func (v *View) probeNext() {
 	for range 2 * (len(v.round) + 1) {
 		if v.turn >= len(v.round) {
@@ -423,7 +424,8 @@
 	}
 }
 
-// ping probes a member. One that is accused is told so, and one that may not know us is told who we are.
+// ping probes a member. An accused member is sent the accusation, and a member that may not know this one is
+// sent this member's record.
 func (v *View) ping(m *member, round bool) uint32 {
 	id := uint32(v.rng.Uint64())
 	v.track(probe{id: id, birth: m.birth, sent: v.now, round: round})
@@ -431,8 +433,9 @@
 	return id
 }
 
-// accused tells that something is held against a member. Being watched is not yet that: where many datagrams
-// are lost each would else go behind itself all the time, for an answer says as much.
+// isAccused reports whether a member is suspect, voted against, dead or has left. A watch alone is no
+// accusation: under heavy datagram loss members would keep raising their incarnations, although an answer to
+// the probe refutes the silence just as well.
 func (v *View) accused(m *member) bool {
 	return m.suspect || m.state != Alive || len(m.votes) > 0
 }
@@ -452,7 +455,7 @@
 	return b
 }
 
-// track keeps a probe for as long as an answer counts.
+// trackProbe stores an outstanding probe. If there are too many, the oldest is dropped.
 func (v *View) track(p probe) {
 	if len(v.probes) >= mostProbes {
 		v.probes = slices.Delete(v.probes, 0, 1)
@@ -460,8 +463,8 @@
 	v.probes = append(v.probes, p)
 }
 
-// askHelpers has some members probe another one, and returns how many: first the one that last reached it,
-// then in turn, so that in time each is asked.
+// askHelpers asks some members to probe another one, and returns how many it asked: first the helper that
+// last reached it, then others in rotation, so that eventually every member is asked.
 func (v *View) askHelpers(id uint32, m *member, turn int) int {
 	var can []*member
 	for _, x := range v.list {
@@ -492,7 +495,7 @@
 	return asked
 }
 
-// housekeep forgets what is old.
+// expire drops old probes, candidates, and members that died or left long ago.
 func (v *View) housekeep() {
 	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return v.now-p.sent > keepProbes*v.cfg.Period })
 	v.knocks = slices.DeleteFunc(v.knocks, func(k newcomer) bool { return v.now-k.at > 2*v.cfg.Period })
@@ -504,7 +507,7 @@
 	}
 }
 
-// keep is for how long one that is dead or has left is remembered.
+// retention returns how long a member that is dead or has left is remembered.
 func (v *View) keep(s State) Micros {
 	if s == Left {
 		return ForgetLeft * v.cfg.Period
@@ -512,7 +515,7 @@
 	return ForgetDead * v.cfg.Period
 }
 
-// callTheDead calls on one that is dead, or on an address of join that nobody alive has, now and then.
+// reconnect contacts, with some probability, a dead member or a join address that belongs to no known member.
 func (v *View) callTheDead() {
 	var dead []*member
 	join := slices.DeleteFunc(slices.Clone(v.cfg.Join), func(a netip.AddrPort) bool { return a == v.self.addr })
@@ -536,13 +539,13 @@
 	}
 }
 
-// knock calls at an address where one of the fleet may be.
+// sendJoin sends a join request to an address at which a member may be.
 func (v *View) knock(a netip.AddrPort) {
 	b, _ := put(v.numbered(kindJoin, v.joinIDs[0]), v.me())
 	v.send(a, b, false)
 }
 
-// callToJoin asks to be let in. One that nobody answers goes on alone.
+// requestJoin sends join requests. A member that gets no answer within joinPeriods starts alone.
 func (v *View) callToJoin() {
 	v.joinIDs = [2]uint32{uint32(v.rng.Uint64()), v.joinIDs[0]}
 	var to []netip.AddrPort
@@ -562,7 +565,7 @@
 	}
 }
 
-// become takes an incarnation: from now on this member is one.
+// completeJoin takes an incarnation, which makes this process a member.
 func (v *View) become(inc uint32) {
 	v.joining = false
 	if v.joinIDs[0] == 0 {
@@ -571,7 +574,7 @@
 	v.setSelf(max(inc, v.self.inc, 1))
 }
 
-// Leave tells the others that this member goes.
+// Leave announces that this member leaves.
 func (v *View) Leave(now Micros) {
 	v.Tick(now)
 	if v.left || v.joining {
@@ -583,7 +586,7 @@
 	v.tellLeft()
 }
 
-// leaveTo is how many members are told at a time.
+// leaveFanout returns the number of members that are notified of a leave at a time.
 func (v *View) leaveTo() int {
 	_, trusted := v.alive()
 	return 3 * log2up(trusted+1)
@@ -600,7 +603,7 @@
 	}
 }
 
-// LeaveKnown tells that enough members have answered to the word that this one leaves.
+// LeaveAcknowledged reports whether enough members have acknowledged that this one leaves.
 func (v *View) LeaveKnown() bool {
 	if !v.left {
 		return v.joining
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -1,6 +1,6 @@
 package membership
 
-// What datagrams bring: who is believed, what is taken from them and what is answered.
+// Handling of received datagrams: which senders are trusted, what is merged and what is answered.
 
 import (
 	"encoding/binary"
@@ -10,12 +10,12 @@
 
 const (
 	mostKnocks = 512
-	incMost    = 1 << 31 // no incarnation comes near it in earnest
+	incMost    = 1 << 31 // far above any incarnation that occurs in practice
 )
 
 func (v *View) drop(why Reason) { v.figures.Dropped[why]++ }
 
-// Receive takes in a datagram that has been opened.
+// Receive handles a datagram that has been unsealed.
 func (v *View) Receive(now Micros, data []byte) {
 	v.Tick(now)
 	v.figures.Received++
@@ -41,7 +41,7 @@
 	}
 }
 
-// message is a datagram taken apart; which fields count its kind tells.
+// message is a decoded datagram; its kind determines which fields are set.
 type message struct {
 	id      uint32
 	birth   uint64
@@ -94,7 +94,7 @@
 	return m
 }
 
-// introduced is the sender's own line, if it says who it is.
+// senderRecord returns the sender's own record, if the datagram starts with it.
 func (m *message) introduced(h head) (record, bool) {
 	if len(m.entries) > 0 && m.entries[0].full && m.entries[0].birth == h.birth && m.entries[0].what == isAlive {
 		r := m.entries[0].record
@@ -104,14 +104,14 @@
 	return record{}, false
 }
 
-// fromKnown takes in what a process says that is in the view.
+// receiveFromMember handles a datagram of a process that is in the view.
 func (v *View) fromKnown(m *member, h head, msg message) {
 	if !m.window.fresh(h.seq) {
 		v.drop(Replayed)
 		return
 	}
 	m.stamp, m.app = h.stamp, h.app
-	if h.inc > m.inc && h.kind != kindClaim && h.kind != kindVerdict { // it has heard of an accusation
+	if h.inc > m.inc && h.kind != kindClaim && h.kind != kindVerdict { // it has refuted an accusation
 		if m = v.revive(m, h.inc); m == nil {
 			return
 		}
@@ -120,7 +120,7 @@
 		v.fromGone(m, h, msg)
 		return
 	}
-	if msg.birth != v.self.birth || h.kind != kindPing { // of a ping: before the answer, which may be to it
+	if msg.birth != v.self.birth || h.kind != kindPing { // pings to this process: below, after the ack
 		defer v.compare(m, h)
 	}
 	v.mergeAll(m, msg.entries)
@@ -175,7 +175,7 @@
 	}
 }
 
-// revive takes in that a member is alive in a later incarnation, and passes that on.
+// raiseIncarnation records that a member is alive in a later incarnation, and queues the update.
 func (v *View) revive(m *member, inc uint32) *member {
 	r := m.record
 	r.inc, r.state = inc, Alive
@@ -185,9 +185,9 @@
 	return m
 }
 
-// fromGone answers one that is dead here, or has left. What it says of others is not taken in: it may be
-// deaf, and know nothing of what it is accused of. What it says of this member counts: where each holds the
-// other to be dead, one of the two has to begin.
+// receiveFromGone handles a datagram of a process that is dead here or has left. Its entries on other members
+// are ignored: it may receive nothing, and so know nothing of the accusations against itself. Its entries on
+// this member count: if two members each consider the other dead, one of them has to refute first.
 func (v *View) fromGone(m *member, h head, msg message) {
 	for _, e := range msg.entries {
 		if e.birth == v.self.birth {
@@ -201,7 +201,7 @@
 		b, _ = put(b, v.entryOf(m, false))
 		v.sendTo(m, b, false)
 	case kindAck:
-		if m.state == Dead && v.syncLeft > 0 { // it has not understood yet
+		if m.state == Dead && v.syncLeft > 0 { // it has not received the accusation yet
 			v.syncLeft--
 			v.ping(m, false)
 		}
@@ -212,8 +212,8 @@
 	}
 }
 
-// fromStranger answers a process that is in no view of ours. It is let in once it has answered a probe of the
-// address that it claims: anybody may send us its old datagrams.
+// receiveFromUnknown handles a datagram of a process that is not in the view. The process is admitted once it
+// has answered a probe of the address that it claims, because anyone could replay its old datagrams.
 func (v *View) fromStranger(h head, msg message) {
 	switch h.kind {
 	case kindPing, kindJoin:
@@ -223,7 +223,7 @@
 			v.drop(Unknown)
 			return
 		case r.name == v.self.name:
-			if h.kind == kindJoin { // one of our name: it is told of us, and claims
+			if h.kind == kindJoin { // it has this member's name: it is sent our record, and then sends a claim
 				v.greet(r.addr, r.name, msg.id)
 			}
 			return
@@ -243,7 +243,7 @@
 		v.admit(h, msg.id)
 	case kindWelcome:
 		v.welcomed(h, msg)
-	case kindNews: // only what concerns our own name: see greet and examine
+	case kindNews: // only entries on this member's own name: see sendWelcome and verifyCandidate
 		for i := range msg.entries {
 			if e := &msg.entries[i]; e.full && e.name == v.self.name && e.birth != v.self.birth {
 				v.rival(e.record)
@@ -260,7 +260,7 @@
 	}
 }
 
-// greet answers one that asks to be let in: who we are, and what is known of its name.
+// sendWelcome answers a join request with this member's record and the record known for the sender's name.
 func (v *View) greet(to netip.AddrPort, name string, id uint32) {
 	b, _ := put(v.numbered(kindWelcome, id), v.me())
 	if m := v.find(name); m != nil {
@@ -269,8 +269,9 @@
 	v.send(to, b, false)
 }
 
-// examine probes a stranger at the address that it claims. One that bears no incarnation yet, or one that
-// stands behind another process of its name, is told what to go behind.
+// verifyCandidate probes an unknown process at the address that it claims. A process whose record does not
+// supersede the known record of its name is sent that record instead. A process that has no incarnation yet
+// is not probed.
 func (v *View) examine(r record, h head) {
 	if m := v.find(r.name); m != nil && !r.above(&m.record) && m.birth != r.birth {
 		b, _ := put(v.begin(kindNews), v.entryOf(m, true))
@@ -288,7 +289,7 @@
 	v.send(v.to(r.name, r.addr), b, false)
 }
 
-// admit lets in one that has answered the probe of its address.
+// candidateAcked admits a candidate that has answered the probe of its address.
 func (v *View) admit(h head, id uint32) {
 	i := slices.IndexFunc(v.knocks, func(k newcomer) bool { return k.id == id && k.birth == h.birth })
 	if i < 0 {
@@ -301,7 +302,7 @@
 	v.enter(k.record, h.seq)
 }
 
-// enter puts a process into the view that has proved to be there.
+// admit adds a process whose address has been verified to the view.
 func (v *View) enter(r record, seq uint64) {
 	if !v.welcome(r.name) || r.name == v.self.name {
 		return
@@ -310,7 +311,7 @@
 		return
 	}
 	m := v.set(r, 0)
-	if m == nil { // there is no room: it must not count on being one of us
+	if m == nil { // the view is full: the process must learn that it is not a member
 		v.send(v.to(r.name, r.addr), v.begin(kindTurned), false)
 	} else {
 		m.window.fresh(seq)
@@ -319,8 +320,8 @@
 	}
 }
 
-// otherAt hears that another process answers at the address of a member: a restart. It is told of the one
-// that was there, to go behind it.
+// addressReused handles an answer of another process at a member's address, which is a restart. The process
+// is sent the record of its predecessor, so that it can supersede it.
 func (v *View) otherAt(h head, id uint32) {
 	for i := range v.probes {
 		if p := &v.probes[i]; p.id == id && p.origin == 0 {
@@ -332,7 +333,7 @@
 	}
 }
 
-// welcomed hears from one that we have called.
+// handleWelcome handles the answer to a join request of this process.
 func (v *View) welcomed(h head, msg message) {
 	if msg.id != v.joinIDs[0] && msg.id != v.joinIDs[1] || msg.id == 0 {
 		return
@@ -354,7 +355,7 @@
 	}
 }
 
-// acked takes in the answer to a probe.
+// handleAck handles the answer to a probe.
 func (v *View) acked(h head, id uint32) {
 	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == id })
 	if i < 0 {
@@ -376,7 +377,7 @@
 	v.evidence(v.births[h.birth], p)
 }
 
-// evidence books that a member has answered a probe of ours.
+// probeAnswered records that a member has answered a probe of this process.
 func (v *View) evidence(m *member, p probe) {
 	if m == nil {
 		return
@@ -385,14 +386,14 @@
 		v.fare(-1)
 	}
 	m.acked, m.met = max(m.acked, p.sent), true
-	// The answer to the very probe that began the watch counts too, however late it is.
+	// A late answer to the probe that started the watch counts too.
 	if w := v.watching(m.birth); w != nil && m.acked >= w.since {
 		v.unwatch(m.birth)
-		m.votes = nil // a member believes what it sees
+		m.votes = nil // a member's own observation outweighs others' votes
 	}
 }
 
-// probeFor probes a member for another.
+// probeOnBehalf probes a member at the request of another one.
 func (v *View) probeFor(m *member, msg message) {
 	s := v.births[msg.birth]
 	if s == nil {
@@ -410,7 +411,7 @@
 	v.sendTo(s, b, true)
 }
 
-// reached hears that a helper's probe was answered.
+// handleIndirectAck handles a helper's report that its probe was answered.
 func (v *View) reached(by *member, msg message) {
 	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == msg.id && p.origin == 0 })
 	s := v.births[msg.birth]
@@ -427,10 +428,10 @@
 	}
 	met := s.met
 	v.evidence(s, p)
-	s.met = met // it has answered the helper, and may not know us
+	s.met = met // it has answered the helper and may not know this process
 }
 
-// mergeAll takes in what a member says.
+// mergeAll merges a member's entries and asks for the records of unknown processes among them.
 func (v *View) mergeAll(from *member, list []entry) {
 	var want []uint64
 	for _, e := range list {
@@ -448,7 +449,7 @@
 	}
 }
 
-// merge takes in one entry. It returns true where the process is not known, and who it is has to be asked.
+// merge merges one entry. It returns true if the process is unknown and its record has to be requested.
 func (v *View) merge(e entry) (unknown bool) {
 	if e.birth == v.self.birth {
 		v.aboutMe(e)
@@ -490,7 +491,8 @@
 	return false
 }
 
-// mergeDead takes in that others hold a member to be dead: not on their word alone, but it is told.
+// mergeDead merges the entry that others declared a member dead. The member is not declared dead on their
+// word alone: their votes are counted, and the member is sent the accusation.
 func (v *View) mergeDead(m *member, e entry) {
 	if e.inc < m.inc || m.state == Left || m.state == Dead && e.inc == m.inc {
 		return
@@ -523,7 +525,7 @@
 	}
 }
 
-// mergeNew takes in an entry of a process that is not known.
+// mergeNew merges an entry of an unknown process.
 func (v *View) mergeNew(e entry) (unknown bool) {
 	if !e.full {
 		return e.what == isAlive || e.what == isDead || e.what == isLeft
@@ -546,14 +548,14 @@
 				m.votes = e.votes
 			}
 		}
-	case e.above(&old.record): // one that is gone stands before one that runs: that one has to go behind it
+	case e.above(&old.record): // the ended process supersedes the running one, which must supersede it in turn
 		b, _ := put(v.begin(kindNews), e)
 		v.sendTo(old, b, false)
 	}
 	return false
 }
 
-// aboutMe answers an accusation by going behind it: SWIM, 4.2.
+// refute refutes an accusation of this member by taking a later incarnation: SWIM, 4.2.
 func (v *View) aboutMe(e entry) {
 	if v.left || v.joining || e.what == isAlive || e.inc < v.self.inc {
 		return
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Snapshot is what one process hands to the next one of the same member, which goes on as the same process:
-// no other member notices.
+// Snapshot is the state that a process hands over to its successor. The successor continues with the same
+// identity, so other members do not notice the change.
 type Snapshot struct {
 	Birth   uint64     `json:"birth"`
 	Inc     uint32     `json:"inc"`
@@ -16,7 +16,7 @@
 	Members []Handover `json:"members"`
 }
 
-// Handover is one member of a snapshot. Times are spans before it was taken.
+// MemberSnapshot is one member in a snapshot. Times are durations before the snapshot was taken.
 type Handover struct {
 	Name  string         `json:"name"`
 	Zone  string         `json:"zone"`
@@ -31,11 +31,11 @@
 	Stamp uint32         `json:"stamp"`
 }
 
-// seqJump is what a process that goes on leaves out of the numbers, for what the other one may have sent
-// meanwhile.
+// seqJump is the number of sequence numbers that a successor skips, for datagrams that its predecessor may
+// still have sent after the snapshot.
 const seqJump = 1 << 24
 
-// Snapshot is what the next process needs.
+// Snapshot returns the state that the successor needs.
 func (v *View) Snapshot() Snapshot {
 	s := Snapshot{Birth: v.self.birth, Inc: v.self.inc, Seq: v.seq, Age: v.now - v.begun, Joined: !v.joining}
 	for _, m := range v.list {
@@ -46,8 +46,8 @@
 	return s
 }
 
-// Resume returns a view that goes on where another process of this member has stopped. Config.Birth does not
-// count.
+// Resume returns a view that continues from the snapshot of another process of this member. Config.Birth is
+// ignored.
 func Resume(cfg Config, s Snapshot, now Micros) (*View, error) {
 	cfg.Birth = s.Birth
 	v, err := New(cfg, now)
@@ -71,15 +71,15 @@
 			}
 		}
 	}
-	v.changes = nil // the process before has told
+	v.changes = nil // the predecessor has already reported them
 	return v, nil
 }
 
-// Again goes on after another process of this member has had its place for a while and is gone.
+// Reclaim continues this process's membership after a successor that had taken it over has ended.
 func (v *View) Again(now Micros) {
 	v.Tick(now)
 	v.seq += 2 * seqJump
 	if !v.joining && !v.left {
-		v.setSelf(v.self.inc + 1) // the other one may have borne a later one; it is learnt like any accusation
+		v.setSelf(v.self.inc + 1) // a later one of the successor is learned like any accusation
 	}
 }
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -5,23 +5,22 @@
 	"testing"
 )
 
-// The search for suspicions that do not end: six members, two of which hear nothing of the others from some
-// moment on but are heard, and each way in which up to two members are held up for a while in the first
-// slots.
+// Search for suspicions that never end: of six members, two stop receiving datagrams of the others but are
+// still heard by them. Every combination of up to two pauses of members within the first slots is tried.
 const (
 	cutMembers  = 6
-	cutDeaf     = 2 // of them, the first ones
+	cutDeaf     = 2 // the first members, which receive nothing
 	cutBound    = 30 * slots
-	holdSlots   = 5 * slots // in which a hold may begin
+	holdSlots   = 5 * slots // slots in which a pause may begin
 	holdLongest = slots
 )
 
-// heldUp is a member that is held up: it does nothing meanwhile, and what comes to it waits.
+// pause stops a member for some slots: it does nothing meanwhile, and datagrams to it wait.
 type heldUp struct{ member, from, slots int }
 
 func (h heldUp) at(slot int) bool { return slot >= h.from && slot < h.from+h.slots }
 
-// play goes on up to the bound, and names a suspicion that has not ended by then.
+// runPaused runs up to the bound and describes a suspicion that has not ended by then.
 func (w *world) play(holds []heldUp) string {
 	held := func(i, slot int) bool {
 		for _, h := range holds {
@@ -57,14 +56,14 @@
 	for _, v := range w.views[cutDeaf:] {
 		for _, m := range v.list {
 			if m.suspect {
-				return fmt.Sprintf("%s suspects %s still, with votes %x", v.self.name, m.name, m.votes)
+				return fmt.Sprintf("%s still suspects %s, with votes %x", v.self.name, m.name, m.votes)
 			}
 		}
 	}
 	return ""
 }
 
-// No suspicion outlives its bound, whoever of those that are well is held up meanwhile.
+// Every suspicion ends within its bound, whichever healthy members are paused meanwhile.
 func TestNoSuspicionOutlivesItsBound(t *testing.T) {
 	first := settled(t, cutMembers, false)
 	var holds []heldUp
@@ -83,10 +82,10 @@
 			}
 			if fault := first.clone().play([]heldUp{one, two}); fault != "" {
 				if faults++; faults <= 3 {
-					t.Errorf("held %+v and %+v: %s", one, two, fault)
+					t.Errorf("pauses %+v and %+v: %s", one, two, fault)
 				}
 			}
 		}
 	}
-	t.Logf("%d plays, %d faults", plays, faults)
+	t.Logf("%d runs, %d faults", plays, faults)
 }
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -1,17 +1,17 @@
 package membership
 
-// Anti-entropy: finding and mending what news has missed (Demers et al., PODC 1987, 1.3), by a tree of sums
-// over the hashes of the names, in datagrams that each stand alone.
+// Anti-entropy: finds and repairs differences that updates have missed (Demers et al., PODC 1987, 1.3).
+// Members compare a tree of sums over the hashes of member names; each datagram is self-contained.
 
 import "encoding/binary"
 
 const (
-	treeDepth = 8  // nibbles of a key
-	fewLines  = 8  // records of a node of the tree that are sent without looking deeper
-	bulk      = 12 // of the 16 sums at the root: if so many differ, all records are sent in brief
+	treeDepth = 8  // nibbles of a tree key
+	fewLines  = 8  // a tree node with at most this many records is sent without descending further
+	bulk      = 12 // if at least this many of the 16 sums at the root differ, all records are sent in short form
 )
 
-// compare begins a sync with a member whose digest differs, unless news is on its way anyhow.
+// compareDigest starts a sync with a member whose digest differs, unless updates are still being spread.
 func (v *View) compare(m *member, h head) {
 	if h.digest == v.digest || v.cfg.Ablate.Sync || m.state != Alive || v.joining || v.now < v.syncAt {
 		return
@@ -23,7 +23,7 @@
 	v.openSync(m)
 }
 
-// openSync sends a member the first sums.
+// startSync sends a member the sums at the root of the tree.
 func (v *View) openSync(m *member) {
 	if v.cfg.Ablate.Sync || v.joining {
 		return
@@ -32,7 +32,7 @@
 	v.sendSums(m, 0, 0)
 }
 
-// spend takes one datagram out of the period's budget.
+// takeSyncBudget takes one datagram from the period's sync budget.
 func (v *View) spend() bool {
 	if v.syncLeft <= 0 {
 		return false
@@ -41,12 +41,12 @@
 	return true
 }
 
-// inNode tells whether a key lies under a node of the tree.
+// inNode reports whether a key lies under a node of the tree.
 func inNode(key uint32, depth int, prefix uint32) bool {
 	return depth == 0 || (key^prefix)>>(32-4*depth) == 0
 }
 
-// sums are the sums of a node's children, and how many records each has.
+// sums returns the sums of a node's children and the number of records under each.
 func (v *View) sums(depth int, prefix uint32) (sums [16]uint32, counts [16]int) {
 	add := func(key uint32, sum uint64) {
 		if inNode(key, depth, prefix) {
@@ -75,7 +75,7 @@
 	v.sendTo(m, b, true)
 }
 
-// compareSums looks where the other's records differ, and sends what lies there, or goes deeper.
+// compareSums finds the children whose sums differ, and sends their records or descends.
 func (v *View) compareSums(m *member, msg message) {
 	if msg.depth >= treeDepth || v.joining {
 		return
@@ -92,7 +92,7 @@
 		v.sendRecords(m, 0, 0, false, true)
 		return
 	}
-	first := uint32(v.rand(16)) // so that what the budget leaves out is not always the same
+	first := uint32(v.rand(16)) // a random start, so that the budget does not always skip the same children
 	for i := range uint32(16) {
 		c := (first + i) & 15
 		if sums[c] == msg.sums[c] {
@@ -100,7 +100,7 @@
 		}
 		depth, prefix := msg.depth+1, msg.prefix|c<<(28-4*msg.depth)
 		switch {
-		case msg.sums[c] == 0: // it has nothing there
+		case msg.sums[c] == 0: // the other member has no records there
 			v.sendRecords(m, depth, prefix, true, false)
 		case counts[c] <= fewLines || depth == treeDepth:
 			v.sendRecords(m, depth, prefix, false, true)
@@ -110,7 +110,7 @@
 	}
 }
 
-// sendRecords sends what lies under a node, whole or in brief; back asks for the other's.
+// sendRecords sends the records under a node in full or short form. wantReply asks for the other's records.
 func (v *View) sendRecords(m *member, depth int, prefix uint32, full, back bool) {
 	var b []byte
 	begin := func() {
@@ -135,7 +135,7 @@
 	}
 	first := 0
 	if len(v.list) > 0 {
-		first = v.rand(len(v.list)) // so that what the budget leaves out is not always the same
+		first = v.rand(len(v.list)) // a random start, so that the budget does not always skip the same records
 	}
 	for i := range v.list {
 		if x := v.list[(first+i)%len(v.list)]; x != m && inNode(x.key, depth, prefix) {
@@ -156,14 +156,14 @@
 	flush(true)
 }
 
-// takeRecords sends back what the other asks for; the entries are merged already.
+// handleRecords replies with this member's records if asked to. The received entries are already merged.
 func (v *View) takeRecords(m *member, msg message) {
 	if msg.back {
 		v.sendRecords(m, msg.depth, msg.prefix, false, false)
 	}
 }
 
-// introduce tells a member who some processes are.
+// sendIdentities sends a member the full records of some processes.
 func (v *View) introduce(m *member, births []uint64) {
 	b := append(binary.LittleEndian.AppendUint32(append(v.begin(kindRecords), treeDepth), 0), 0)
 	for _, x := range births {
@@ -191,8 +191,8 @@
 	}
 }
 
-// Say queues a message of the layer above for a member that is alive, as a datagram of its own. It returns
-// false where the member is not, or the message is too long: MostApp bytes at most.
+// SendApp queues an application message to an alive member as a separate datagram. It returns false if the
+// member is not alive, this member has not joined or has left, or data is longer than MaxAppMessage.
 func (v *View) Say(name string, kind byte, data []byte) bool {
 	m := v.find(name)
 	if m == nil || m.state != Alive || len(data) > MostApp || v.joining || v.left {
@@ -202,5 +202,5 @@
 	return true
 }
 
-// MostApp is the longest message of the layer above, in bytes.
+// MaxAppMessage is the maximum length of an application message, in bytes.
 const MostApp = MaxPlain - headSize - 1
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -1,10 +1,10 @@
-// Package membership keeps one member's view of the fleet: who is there, who is silent, dead or gone. It owns
-// every rule on that. It does no input or output, reads no clock and starts no goroutine: datagrams and the
-// time go in, and what is to be sent, what has changed and what was heard come out. A run with the same
-// inputs and the same seed gives the same outputs to the byte.
+// Package membership implements one member's view of the fleet: which members are alive, suspect, dead or
+// have left. All membership rules live here. The package is deterministic: it performs no I/O, reads no clock
+// and starts no goroutine. Datagrams and the current time are passed in; datagrams to send, state changes and
+// received application messages are returned. The same inputs and seed produce byte-identical outputs.
 //
-// The ground is SWIM (Das, Gupta, Motivala: DSN 2002) with local health as in Lifeguard (Dadgar, Phillips,
-// Currey: DSN-W 2018). docs/FLEET.md says what departs from them and why.
+// The protocol is based on SWIM (Das, Gupta, Motivala: DSN 2002) with local health as in Lifeguard (Dadgar,
+// Phillips, Currey: DSN-W 2018). docs/FLEET.md lists the differences and the reasons for them.
 package membership
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Micros is a time or a span in microseconds, of a clock that only goes forward.
+// Micros is a time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
-// State is what is known of a member.
+// State is the known state of a member.
 type State uint8
 
-// The states of a member. Suspect is alive in doubt: it is shown and no part of the digest.
+// The states of a member. Suspect is a form of Alive: it is reported but not part of the digest.
 const (
 	Alive State = iota
 	Suspect
@@ -36,151 +36,151 @@
 
 func (s State) String() string { return [...]string{"alive", "suspect", "dead", "left"}[s] }
 
-// Bounds of the protocol, in periods and members. docs/FLEET.md derives what follows from them.
+// Protocol limits. docs/FLEET.md derives the resulting time and traffic bounds.
 const (
-	slots       = 3  // of a period
-	helpersMost = 3  // asked at a time to probe somebody
-	watchers    = 5  // that are told of a silent member, by rendezvous hashing
-	votesMost   = 3  // that a death may take
-	watchMost   = 8  // watched at a time on own evidence,
-	agreeMost   = 24 // and with those that others' votes are looked after
-	extraMost   = 72 // datagrams a period for all watches together: doubt must not become a load of its own
+	slots       = 3  // per period
+	helpersMost = 3  // members asked to probe another member indirectly
+	watchers    = 5  // members notified of a suspect, chosen by rendezvous hashing
+	votesMost   = 3  // upper bound of the quorum for a death
+	watchMost   = 8  // concurrent watches started by this member's own failed probes
+	agreeMost   = 24 // concurrent watches including those that verify others' votes
+	extraMost   = 72 // datagrams per period for all watches, so that suspicion does not become a load of its own
 	healthMost  = 8
-	newsFactor  = 3  // each news goes out so many times log2(n+1) times
-	syncMost    = 32 // datagrams a period
-	pushMost    = 4  // datagrams a period beyond, while news waits that was never sent
-	joinCalls   = 3  // addresses called a period while nobody is known
-	claimFor    = 6  // periods that one of our name is called for
-	joinFor     = 5  // periods until one that nobody answers goes on alone
-	closeAge    = 2  // periods; of two of one name that began so close the births tell
-
-	// ForgetLeft and ForgetDead are the periods after which those who left, or died, are forgotten.
+	newsFactor  = 3  // each update is sent this many times log2(n+1) times
+	syncMost    = 32 // anti-entropy datagrams per period
+	pushMost    = 4  // additional datagrams per period while unsent updates pile up
+	joinCalls   = 3  // addresses contacted per period while joining
+	claimFor    = 6  // periods to wait for another process with this member's name to answer
+	joinFor     = 5  // periods after which a member that gets no answer starts alone
+	closeAge    = 2  // periods; if two processes with one name started this close together, the births decide
+
+	// ForgetLeft and ForgetDead are the periods after which members that left or died are forgotten.
 	ForgetLeft = 1_500
 	ForgetDead = 18_000
 
-	// MaxName and MaxZone are the longest names, in bytes.
+	// MaxName and MaxZone are the maximum lengths of member and zone names, in bytes.
 	MaxName = 40
 	MaxZone = 24
 )
 
-// silence is for how many periods a member must have been silent before its watcher votes, by the number of
-// votes that its death takes: fewer eyes have to look longer.
+// silencePeriods is the number of periods a member must have been silent before its watcher votes for its
+// death, indexed by the quorum: with fewer voters each has to observe the silence for longer.
 var silence = [votesMost + 1]Micros{0, 8, 5, 3}
 
-// Config is what a view is made of.
+// Config is the configuration of a View.
 type Config struct {
 	Name, Zone string
-	Addr       netip.AddrPort // where this member is reached
-	Birth      uint64         // drawn at random for each process, not 0
+	Addr       netip.AddrPort // address at which other members reach this one
+	Birth      uint64         // random identity of this process, not 0
 	Seed       uint64
 	Period     Micros
 	Settings
 	Ablate Ablation
 }
 
-// Settings may change while the view is in use.
+// Settings are the parts of the configuration that can change at run time.
 type Settings struct {
-	Join   []netip.AddrPort          // of any members
-	Route  map[string]netip.AddrPort // members that are reached elsewhere from here
-	Roster []string                  // all names there may be; empty: any, up to Most
-	Most   int                       // members at a time, this one among them
-	Stamp  uint32                    // of what has to be equal at all: told to the others
+	Join   []netip.AddrPort          // addresses of other members to contact
+	Route  map[string]netip.AddrPort // addresses that override a member's own, by name
+	Roster []string                  // allowed member names; empty: any name, up to Most members
+	Most   int                       // maximum number of members including this one
+	Stamp  uint32                    // hash of the settings that must be equal on all members; sent to them
 }
 
-// Ablation switches parts off, for comparisons only.
+// Ablation disables parts of the protocol, for comparison runs only.
 type Ablation struct {
-	Suspicion bool // a failed probe is a death
-	Health    bool // one's own slowness and stops count for nothing
-	Sync      bool // no anti-entropy
-	Equal     bool // a planted fault for checkers: a refutation bears the incarnation that it refutes
+	Suspicion bool // a failed probe declares the member dead at once
+	Health    bool // ignores this process's own slowness and stalls
+	Sync      bool // disables anti-entropy
+	Equal     bool // deliberate fault for the model checker: a refutation reuses the incarnation it refutes
 }
 
-// Member is one line of the view.
+// Member is one member as this view sees it.
 type Member struct {
 	Name, Zone string
 	Addr       netip.AddrPort
 	State      State
 	Birth      uint64
-	Inc        uint32 // the incarnation
-	Since      Micros // in this state
-	Stamp      uint32 // its Settings.Stamp, as far as heard; 0: not yet
-	App        uint32 // what it last told by Tell; 0: nothing yet
+	Inc        uint32
+	Since      Micros // start of the current state
+	Stamp      uint32 // its Settings.Stamp; 0: not received yet
+	App        uint32 // value it last set with SetAppTag; 0: none received yet
 }
 
-// Send is a datagram that is to go out. Its content is not sealed.
+// Datagram is an outgoing datagram. Data is not sealed yet.
 type Send struct {
 	To   netip.AddrPort
 	Data []byte
 }
 
-// Change tells that a member is in another state than before. First: it was not known.
+// Change reports a state change of a member.
 type Change struct {
 	Member Member
 	Was    State
-	First  bool
-	Gone   bool // it is forgotten
+	First  bool // the member was not known before
+	Gone   bool // the member was removed from the view
 }
 
-// Heard is a message of another's layer above: see Say.
+// AppMessage is a message that another member sent with SendApp.
 type Heard struct {
 	From string
 	Kind byte
 	Data []byte
 }
 
-// Conflict tells that another process that runs bears this one's name.
+// Conflict describes another running process with this member's name.
 type Conflict struct {
 	Addr    netip.AddrPort
 	Birth   uint64
-	Refused bool // this process is the later one, and must not serve
+	Refused bool // this process started later and must not serve
 }
 
-// Reason is why a datagram was dropped.
+// DropReason is the reason for which a datagram was dropped.
 type Reason uint8
 
-// The reasons to drop a datagram. Those of the seal are counted by whoever opens it.
+// The reasons for dropping a datagram. Failures to unseal a datagram are counted by the caller.
 const (
-	Malformed Reason = iota // no message of this protocol
-	Replayed                // seen before, or too old to tell
-	Unknown                 // of a process that is no member, and does not say who it is
-	Stranger                // not in the roster, or no room
-	Echo                    // our own
+	Malformed Reason = iota // not a message of this protocol
+	Replayed                // already received, or too old for the replay window
+	Unknown                 // from a process that is not a member and does not identify itself
+	Stranger                // not in the roster, or the view is full
+	Echo                    // sent by this process itself
 	reasons
 )
 
-// ReasonNames are the reasons in words.
+// DropReasonNames are the names of the reasons, as shown to operators.
 var ReasonNames = [reasons]string{"malformed", "replayed", "unknown", "stranger", "echo"}
 
-// Figures count since the start.
+// Stats are counters since the start.
 type Figures struct {
 	Sent, Received  int64
 	SentBytes       int64
 	Dropped         [reasons]int64
-	Probes, Failed  int64 // probes of the round, and those that nobody answered within their period
-	Votes           int64 // cast here
-	Refuted         int64 // accusations of this member
-	Syncs           int64 // times that digests were found to differ
-	Health          int   // 0: sound; up to 8
-	TurnedDown      int64 // times that another turned this member down
-	Stalls, Rejoins int64 // times that this process was stopped, and that it began anew for it
+	Probes, Failed  int64 // scheduled probes, and those that got no answer within a period
+	Votes           int64 // cast by this member
+	Refuted         int64 // accusations of this member that it refuted
+	Syncs           int64 // anti-entropy rounds started because digests differed
+	Health          int   // local health score; 0 is healthy, 8 the worst
+	TurnedDown      int64 // times that another member rejected this one
+	Stalls, Rejoins int64 // times that this process was stalled, and that it had to rejoin
 }
 
-// member is another member as it is known here.
+// member is the state kept for another member.
 type member struct {
 	record
-	key     uint32 // place in the digest tree
-	sum     uint64 // its part of the digest
+	key     uint32 // position in the digest tree
+	sum     uint64 // its contribution to the digest
 	since   Micros
-	ended   Micros // of one that is dead or has left: when
+	ended   Micros // when the member died or left
 	suspect bool
-	votes   []uint32 // voters for the death of this birth and incarnation, by the low half of their births
-	acked   Micros   // when we sent the last probe that it answered; 0: none
-	met     bool     // it has answered us, so it knows us
-	told    bool     // of the accusation of this incarnation
+	votes   []uint32 // who voted this birth and incarnation dead, by the lower 32 bits of their births
+	acked   Micros   // send time of the last probe that it answered; 0: none
+	met     bool     // it has answered this process, and so has its record
+	told    bool     // it was sent the accusation of its current incarnation
 	stamp   uint32
 	app     uint32
 	window  window
-	helper  uint64 // whose indirect probe reached it last
+	helper  uint64 // birth of the helper whose indirect probe last reached it
 }
 
 func (m *member) shown() Member {
@@ -192,13 +192,14 @@
 		Since: m.since, Stamp: m.stamp, App: m.app}
 }
 
-// window drops datagrams that come again: the highest number so far and which of the 64 before it were seen.
+// replayWindow rejects repeated datagrams. It keeps the highest sequence number received and a bitmap of the
+// last 64 numbers.
 type window struct {
 	top  uint64
 	seen uint64
 }
 
-// fresh tells whether a number is new, and marks it.
+// accept reports whether a sequence number is new, and records it.
 func (w *window) fresh(n uint64) bool {
 	switch {
 	case n > w.top:
@@ -216,82 +217,82 @@
 	return true
 }
 
-// probe is one that is out.
+// probe is an outstanding probe.
 type probe struct {
 	id     uint32
 	birth  uint64
 	sent   Micros
-	round  bool   // of the round: its failure counts
-	grace  Micros // by which this process was late since
-	asked  int    // helpers
-	nacked int    // of them, those that could not reach it either
-	origin uint64 // who asked us to, if not we
-	forID  uint32 // and by which number
+	round  bool   // scheduled probe: its failure counts
+	grace  Micros // time by which this process itself has been late since
+	asked  int    // helpers asked
+	nacked int    // helpers that could not reach the member either
+	origin uint64 // member that requested this probe; 0: this one
+	forID  uint32 // ID of that request
 }
 
-// watch is a member that has fallen silent here.
+// watch monitors a member that stopped answering this one.
 type watch struct {
 	birth  uint64
-	since  Micros // silence counts from here
-	agree  bool   // others have voted: this only looks whether it is so
+	since  Micros // start of the silence
+	agree  bool   // started by others' votes: it only verifies them
 	voted  bool
-	tries  int // probes sent
-	helper int // turn of the helpers
+	tries  int // probes sent so far
+	helper int // position in the rotation over helpers
 }
 
-// claim is the call for another process of our name.
+// claim is the attempt to contact another process with this member's name.
 type claim struct {
 	rival record
 	since Micros
 }
 
-// newcomer is a process that has yet to answer before it is let in.
+// candidate is a process that must answer a probe of its address before it is admitted.
 type newcomer struct {
 	record
 	id  uint32
 	at  Micros
-	num uint64 // of its datagram: what is older is not taken later
+	num uint64 // sequence number of its datagram: older ones are rejected after admission
 }
 
-// View is one member's view.
+// View is one member's view of the fleet.
 type View struct {
 	cfg     Config
 	rng     *rand.PCG
 	self    record
 	begun   Micros
 	now     Micros
-	slotAt  Micros // the next slot
+	slotAt  Micros // start of the next slot
 	slot    int
 	seq     uint64
-	list    []*member // by name
+	list    []*member // sorted by name
 	births  map[uint64]*member
-	round   []uint64 // whom to probe, in this order
+	round   []uint64 // births in probe order
 	probes  []probe
 	watches []watch
 	news    news
 	digest  uint64
 	health  int
 
-	counted  bool // alive, trusted hold
+	counted  bool // aliveCount and trustedCount are up to date
 	alives   int
 	trusteds int
 
-	changed  Micros // when the digest last changed
+	changed  Micros // time of the last digest change
 	syncAt   Micros
 	syncFrom Micros
 	syncLeft int
 	extra    int // datagrams that watches may still send in this period
 	joining  bool
-	joinIDs  [2]uint32 // numbers of the calls of this period and the one before
+	joinIDs  [2]uint32 // IDs of the join requests of this and the previous period
 	joinAt   Micros
-	turn     int // of the round
+	turn     int // position in probeOrder
 	leftAt   Micros
-	rivals   int    // times that we went behind one that runs, it seems
-	rivalOf  uint64 // which
+	rivals   int    // times that this process superseded the same rival, which seems to be running
+	rivalOf  uint64 // birth of that rival
 	claim    *claim
 	conflict *Conflict
 	left     bool
-	app      uint32 // told with each datagram
+	app      uint32 // sent with each datagram
 	knocks   []newcomer
 
 	out     []Send
@@ -300,28 +301,28 @@
 	figures Figures
 }
 
-// check names what a configuration lacks.
+// validate returns the first error in the configuration.
 func (c *Config) check() error {
 	switch {
 	case c.Name == "" || len(c.Name) > MaxName:
-		return fmt.Errorf("membership: the name has to have 1 to %d bytes", MaxName)
+		return fmt.Errorf("membership: name must have 1 to %d bytes", MaxName)
 	case len(c.Zone) > MaxZone:
-		return fmt.Errorf("membership: the zone has to have %d bytes at most", MaxZone)
+		return fmt.Errorf("membership: zone must have at most %d bytes", MaxZone)
 	case c.Birth == 0:
-		return errors.New("membership: a birth of 0")
+		return errors.New("membership: birth must not be 0")
 	case c.Period < 3_000:
-		return errors.New("membership: a period under 3 ms")
+		return errors.New("membership: period must be at least 3 ms")
 	case !c.Addr.IsValid():
-		return errors.New("membership: no address")
+		return errors.New("membership: address is missing")
 	case len(c.Roster) > 0 && !slices.Contains(c.Roster, c.Name):
-		return errors.New("membership: the roster lacks this member")
+		return errors.New("membership: roster does not contain this member")
 	case len(c.Roster) == 0 && c.Most < 1:
-		return errors.New("membership: no room")
+		return errors.New("membership: no room for any member: neither roster nor maximum set")
 	}
 	return nil
 }
 
-// New returns the view of a member that knows nobody yet.
+// New returns the view of a member that knows no other member yet.
 func New(cfg Config, now Micros) (*View, error) {
 	if err := cfg.check(); err != nil {
 		return nil, err
@@ -334,7 +335,7 @@
 	return v, nil
 }
 
-// Configure takes in new settings. Members that the roster does not name any more are forgotten.
+// Configure applies new settings. Members that are no longer in the roster are removed.
 func (v *View) Configure(s Settings) {
 	v.cfg.Settings = s
 	for i := len(v.list) - 1; i >= 0; i-- {
@@ -344,12 +345,12 @@
 	}
 }
 
-// welcome tells that a name may be in the view at all.
+// allowsName reports whether a name may be in the view.
 func (v *View) welcome(name string) bool {
 	return len(v.cfg.Roster) == 0 || slices.Contains(v.cfg.Roster, name)
 }
 
-// most is how many members there may be.
+// maxMembers is the maximum number of members including this one.
 func (v *View) most() int {
 	if n := len(v.cfg.Roster); n > 0 {
 		return n
@@ -357,19 +358,19 @@
 	return v.cfg.Most
 }
 
-// rand is a random number under n.
+// randN returns a random number below n.
 func (v *View) rand(n int) int { return int(v.rng.Uint64() % uint64(n)) }
 
-// Next is when Tick has something to do.
+// NextTick returns the time at which Tick next has work to do.
 func (v *View) Next() Micros { return v.slotAt }
 
-// Joined tells that this member bears an incarnation: it has been let in, or goes on alone.
+// Joined reports whether this member has an incarnation: it was admitted, or started alone.
 func (v *View) Joined() bool { return !v.joining }
 
-// Refused is the other process of this name, if there is one.
+// Conflict returns the other process with this member's name, or nil.
 func (v *View) Refused() *Conflict { return v.conflict }
 
-// Self is this member.
+// Self returns this member.
 func (v *View) Self() Member {
 	s := Alive
 	if v.left {
@@ -379,7 +380,7 @@
 		Inc: v.self.inc, Since: v.begun, Stamp: v.cfg.Stamp}
 }
 
-// Members are all that are known, this one among them, by name.
+// Members returns all known members including this one, sorted by name.
 func (v *View) Members() []Member {
 	out := make([]Member, 0, len(v.list)+1)
 	for _, m := range v.list {
@@ -391,28 +392,29 @@
 	return slices.Insert(out, at, v.Self())
 }
 
-// Tell has a number of the layer above go with each datagram from now on: Member.App at the others.
+// SetAppTag sets a value of the application that is sent with each datagram. Other members see it as
+// Member.AppTag.
 func (v *View) Tell(app uint32) { v.app = app }
 
-// Digest is equal at two members whose views are.
+// Digest returns a hash of the view: members with equal views have equal digests.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Figures are the counts so far.
+// Stats returns the counters so far.
 func (v *View) Figures() Figures {
 	f := v.figures
 	f.Health = v.health
 	return f
 }
 
-// Take hands over what is to be sent, what has changed and what was heard since the last call. The slices
-// are the caller's.
+// TakeOutput returns the datagrams to send, the state changes and the application messages received since the
+// last call. The caller owns the slices.
 func (v *View) Take() ([]Send, []Change, []Heard) {
 	s, c, h := v.out, v.changes, v.heard
 	v.out, v.changes, v.heard = nil, nil, nil
 	return s, c, h
 }
 
-// find is a member by its name, or nil.
+// find returns a member by name, or nil.
 func (v *View) find(name string) *member {
 	i, ok := v.place(name)
 	if !ok {
@@ -427,8 +429,8 @@
 	})
 }
 
-// alive counts the members that are not dead and have not left, this one among them; trusted those of them
-// that are not suspect either.
+// liveCounts returns the number of members that are neither dead nor have left, including this one, and how
+// many of them are neither suspect nor being watched.
 func (v *View) alive() (alive, trusted int) {
 	if !v.counted {
 		v.counted, v.alives, v.trusteds = true, 1, 1
@@ -444,13 +446,14 @@
 	return v.alives, v.trusteds
 }
 
-// Quorum is how many votes a death takes where so many members are in sight beside the accused.
+// Quorum returns the number of votes needed to declare a member dead, given the number of trusted members
+// besides the accused.
 func Quorum(trusted int) int { return min(votesMost, trusted/2+1) }
 
-// Silence is for how many periods a watcher must have seen silence before it votes.
+// SilencePeriods returns the number of periods of silence that a watcher must observe before it votes.
 func Silence(quorum int) Micros { return silence[quorum] }
 
-// set makes a record what is known of a name, and tells of the change.
+// setRecord stores a record as the current one for its name and reports the change.
 func (v *View) set(r record, ended Micros) *member {
 	m := v.find(r.name)
 	first := m == nil
@@ -494,14 +497,14 @@
 		v.changes = append(v.changes, Change{Member: m.shown(), Was: was.State, First: first})
 	}
 	if r.state == Alive {
-		if i := slices.Index(v.round, r.birth); i < 0 { // at a random place of the round: SWIM, 4.3
+		if i := slices.Index(v.round, r.birth); i < 0 { // inserted at a random position: SWIM, 4.3
 			v.round = slices.Insert(v.round, v.rand(len(v.round)+1), r.birth)
 		}
 	}
 	return m
 }
 
-// doubt marks a member as suspect, or not any more.
+// setSuspect marks a member as suspect or clears the mark.
 func (v *View) doubt(m *member, on bool) {
 	if m.suspect == on || m.state != Alive {
 		return
@@ -512,7 +515,8 @@
 	v.changes = append(v.changes, Change{Member: m.shown(), Was: was})
 }
 
-// room tells whether one more member can be kept. If need be the one goes that has been dead for longest.
+// makeRoom reports whether one more member can be stored. If the view is full, it evicts the member that died
+// or left first.
 func (v *View) room() bool {
 	if len(v.list)+1 < v.most() {
 		return true
@@ -530,7 +534,7 @@
 	return true
 }
 
-// forget drops a member.
+// forget removes a member from the view.
 func (v *View) forget(m *member) {
 	v.digest -= m.sum
 	v.changed, v.counted = v.now, false
@@ -542,7 +546,7 @@
 	v.changes = append(v.changes, Change{Member: m.shown(), Was: m.shown().State, Gone: true})
 }
 
-// setSelf makes this member's incarnation another one, and tells everybody.
+// setOwnIncarnation changes this member's incarnation and announces it.
 func (v *View) setSelf(inc uint32) {
 	v.digest -= v.self.sum()
 	v.self.inc = inc
@@ -556,10 +560,10 @@
 	}
 }
 
-// treeKey is a name's place in the digest tree.
+// treeKey returns a name's position in the digest tree.
 func treeKey(name string) uint32 { return uint32(xxhash.Sum64String(name) >> 32) }
 
-// sum is a record's part of the digest.
+// sum returns a record's contribution to the digest.
 func (r *record) sum() uint64 {
 	var b [16 + MaxName]byte
 	binary.LittleEndian.PutUint64(b[:], r.birth)
@@ -569,7 +573,7 @@
 	return xxhash.Sum64(b[:n])
 }
 
-// rank orders the members for a subject: Rendezvous hashing (Thaler, Ravishankar: IEEE/ACM ToN 1998).
+// rendezvousRank orders members for a subject by rendezvous hashing (Thaler, Ravishankar: IEEE/ACM ToN 1998).
 func rank(subject, by uint64) uint64 {
 	x := subject ^ bits.RotateLeft64(by, 32)*0x9e3779b97f4a7c15
 	x ^= x >> 31
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -11,7 +11,7 @@
 
 const testPeriod = 200_000
 
-// lab is a few views that hear one another at once, on one clock.
+// testFleet connects several views that share a clock; datagrams are delivered at once.
 type lab struct {
 	t     testing.TB
 	now   Micros
@@ -66,11 +66,11 @@
 	}
 }
 
-// flush delivers until nothing is on its way.
+// flush delivers datagrams until none is in flight.
 func (l *lab) flush() {
 	for n, more := 0, true; more; n++ {
 		if n > 10_000 {
-			l.t.Fatal("datagrams without end")
+			l.t.Fatal("datagrams never stop")
 		}
 		more = false
 		for _, v := range l.order {
@@ -107,7 +107,7 @@
 	for _, v := range l.order {
 		l.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Figures())
 	}
-	l.t.Fatalf("%s: not within %d periods", what, most)
+	l.t.Fatalf("%s: not reached within %d periods", what, most)
 	return 0
 }
 
@@ -152,8 +152,8 @@
 	}
 }
 
-// A new process of a member's name goes behind its predecessor, whatever the members remember of that one,
-// and although it starts from nothing each time.
+// A restarted process supersedes its predecessor, whether the members know it as alive or dead, although the
+// new process starts without any state.
 func TestARestartGoesBehindItsPredecessor(t *testing.T) {
 	l := newLab(t)
 	a := l.add("a", 1)
@@ -169,15 +169,15 @@
 		c = l.add("c", 3)
 		l.until("return", 20, l.agree)
 		if m := a.find("c"); m.birth != c.self.birth || m.inc <= was || a.births[c.self.birth] != m {
-			t.Fatalf("a holds c for %+v", m)
+			t.Fatalf("a sees c as %+v", m)
 		}
 	}
 	if c.conflict != nil || a.conflict != nil {
-		t.Fatal("a restart was taken for a stranger")
+		t.Fatal("a restart was reported as a name conflict")
 	}
 }
 
-// At another address too, where the predecessor does not answer any more.
+// A restart at another address supersedes the predecessor too, since the predecessor no longer answers.
 func TestARestartElsewhere(t *testing.T) {
 	l := newLab(t)
 	a, c := l.add("a", 1), l.add("c", 3)
@@ -190,8 +190,8 @@
 	}
 }
 
-// Of two that run under one name the later one has to give way, at once where it joins, and after a cut as
-// well; the elder one stays what it was to everybody.
+// Of two running processes with one name the later one has to stop: when it joins, after a partition, and
+// when the two reach each other only through other members. The older one keeps its membership.
 func TestTwoOfOneName(t *testing.T) {
 	for _, later := range []string{"joins", "was cut off", "is heard of through others only"} {
 		l := newLab(t)
@@ -213,19 +213,19 @@
 		}
 		l.until("verdict: "+later, 60, func() bool { return d.conflict != nil && d.conflict.Refused })
 		if c.conflict == nil || c.conflict.Refused {
-			t.Fatalf("%s: the elder one: %+v", later, c.conflict)
+			t.Fatalf("%s: the older process: %+v", later, c.conflict)
 		}
 		l.remove(d) // its process ends
-		l.until("calm: "+later, 60, l.agree)
+		l.until("agreement: "+later, 60, l.agree)
 		for _, v := range []*View{a, b} {
 			if m := v.find("c"); m.birth != c.self.birth || m.addr != addr(3) {
-				t.Fatalf("%s: %s holds c for %+v", later, v.self.name, m)
+				t.Fatalf("%s: %s sees c as %+v", later, v.self.name, m)
 			}
 		}
 	}
 }
 
-// Who leaves is no dead one, is not called on, and comes back as a new process.
+// A member that left is not dead, is not contacted any more, and can return as a new process.
 func TestLeaving(t *testing.T) {
 	l := newLab(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
@@ -233,13 +233,13 @@
 	c.Leave(l.now)
 	l.flush()
 	if !c.LeaveKnown() {
-		t.Fatal("nobody heard")
+		t.Fatal("no member acknowledged the leave")
 	}
 	l.remove(c)
 	l.run(30)
 	for _, v := range []*View{a, b} {
 		if s := state(v, "c"); s != "left1" {
-			t.Fatalf("%s holds c for %s", v.self.name, s)
+			t.Fatalf("%s sees c as %s", v.self.name, s)
 		}
 	}
 	calls := 0
@@ -250,14 +250,14 @@
 	}
 	l.run(20)
 	if calls > 0 {
-		t.Fatalf("%d calls on one that has left", calls)
+		t.Fatalf("%d datagrams to a member that has left", calls)
 	}
 	l.add("c", 3)
 	l.until("return", 30, l.agree)
 }
 
-// What has been forgotten does not come back: not by all the datagrams that it ever sent, nor by a member's
-// that were late, nor by one that was stopped while the others forgot.
+// A forgotten member does not reappear: not when all datagrams ever sent are replayed, nor when a member that
+// was stopped while the others forgot it resumes and still knows it as alive.
 func TestTheForgottenStayAway(t *testing.T) {
 	l := newLab(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
@@ -267,7 +267,7 @@
 	l.run(5)
 	d := l.add("d", 4)
 	l.until("d", 30, l.agree)
-	l.remove(d) // stopped
+	l.remove(d) // simulates a stopped process
 	l.remove(c)
 	l.tap = func(*View, Send) {}
 	l.until("death", 40, func() bool { return state(a, "c") == "dead1" && state(b, "c") == "dead1" })
@@ -279,7 +279,7 @@
 		t.Helper()
 		for _, v := range l.order {
 			if s := state(v, "c"); s != "unknown" {
-				t.Fatalf("%s: %s holds c for %s", when, v.self.name, s)
+				t.Fatalf("%s: %s sees c as %s", when, v.self.name, s)
 			}
 		}
 	}
@@ -290,15 +290,15 @@
 		}
 	}
 	back("after the replay")
-	l.put(d) // thaws, and knows c alive
+	l.put(d) // resumes, and still knows c as alive
 	l.until("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
-	back("after the thaw")
+	back("after d resumed")
 	if f := d.Figures(); f.Rejoins != 1 || a.Figures().Dropped[Replayed]+a.Figures().Dropped[Unknown] == 0 {
 		t.Fatalf("%+v, %+v", f, a.Figures())
 	}
 }
 
-// A member that hears nobody is not believed by anybody: none is dead but for itself.
+// A member that receives nothing is not trusted: no other member is declared dead, only the deaf one.
 func TestTheDeafAreNotBelieved(t *testing.T) {
 	l := newLab(t)
 	var all []*View
@@ -318,13 +318,13 @@
 		}
 	}
 	if died || !strings.HasPrefix(state(all[0], "f"), "dead") {
-		t.Fatalf("a sound member died: %v; the deaf one is %s", died, state(all[0], "f"))
+		t.Fatalf("a healthy member was declared dead: %v; the deaf one is %s", died, state(all[0], "f"))
 	}
 	l.cut = func(_, _ *View) bool { return false }
 	l.until("return", 30, l.agree)
 }
 
-// The roster and its size bound what is kept, whatever arrives.
+// The roster and the maximum size bound the view.
 func TestTheRosterBoundsTheView(t *testing.T) {
 	l := newLab(t)
 	names := func(c *Config) { c.Roster, c.Most = []string{"a", "b"}, 0 }
@@ -336,7 +336,7 @@
 		t.Fatalf("%s, %+v, %+v", state(a, "x"), a.Figures(), x.Figures())
 	}
 	if state(a, "b") != "alive1" || state(x, "b") == "" {
-		t.Fatal("the roster's own are not there")
+		t.Fatal("members of the roster are missing")
 	}
 
 	l = newLab(t)
@@ -345,17 +345,17 @@
 		v := l.add(fmt.Sprint("p", i), 10+i)
 		l.run(6)
 		if n := len(a.list) + 1; n > 4 {
-			t.Fatalf("%d members, where 4 have room", n)
+			t.Fatalf("%d members, maximum is 4", n)
 		}
 		l.remove(v)
 		l.run(20)
 	}
 	if state(a, "p11") == "unknown" {
-		t.Fatal("the oldest dead ones did not make way")
+		t.Fatal("the members that died first were not evicted")
 	}
 }
 
-// A process that takes over goes on as the same member; if it fails, the old one goes on.
+// A successor continues as the same member without others noticing; if it fails, the old process continues.
 func TestTakingOver(t *testing.T) {
 	l := newLab(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
@@ -377,18 +377,18 @@
 		}
 	}
 	if !l.agree() {
-		t.Fatal("no one view")
+		t.Fatal("the views differ")
 	}
 	l.remove(next)
 	l.put(b)
 	b.Again(l.now)
 	l.until("the old one is back", 30, l.agree)
 	if a.find("b").birth != birth {
-		t.Fatal("taken for another process")
+		t.Fatal("the old process has another identity")
 	}
 }
 
-// Whatever arrives: no panic, and no more kept than there is room for.
+// No input causes a panic, an oversized datagram or a view above its maximum size.
 func FuzzReceive(f *testing.F) {
 	l := newLab(f)
 	l.add("a", 1)
@@ -420,7 +420,7 @@
 	})
 }
 
-// What is written is read back the same, and cut anywhere it is turned down whole or read as less.
+// Encoded entries decode to the same values; a truncated entry is rejected.
 func TestEntriesReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := entry{record: record{birth: rapid.Uint64Range(1, 1<<63).Draw(t, "birth"),
@@ -442,21 +442,21 @@
 		}
 		b := e.append(nil)
 		if len(b) != e.size() {
-			t.Fatalf("%d bytes, said to be %d", len(b), e.size())
+			t.Fatalf("%d bytes, size() is %d", len(b), e.size())
 		}
 		r := read(b)
 		got := r.entry()
 		if r.Bad || len(r.B) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
-			t.Fatalf("%+v became %+v", e, got)
+			t.Fatalf("%+v was decoded as %+v", e, got)
 		}
 		r = read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
 		if list := r.entries(); len(list) > 0 {
-			t.Fatalf("a cut entry was read: %+v", list)
+			t.Fatalf("a truncated entry was decoded: %+v", list)
 		}
 	})
 }
 
-// A number is taken once, in whatever order and however often it comes, unless it is too old to tell.
+// Each sequence number is accepted once, in any order, unless it is too old for the window.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w window
@@ -472,7 +472,7 @@
 	})
 }
 
-// The same inputs and seed give the same datagrams to the byte.
+// The same inputs and seed produce byte-identical datagrams.
 func TestARunReplays(t *testing.T) {
 	run := func() (log string) {
 		l := newLab(t)
@@ -504,7 +504,7 @@
 	return v
 }
 
-// BenchmarkProbeRound is one period of a member of 300: its probe and what keeps house.
+// BenchmarkProbeRound measures one period of a member in a fleet of 300: its probe and its housekeeping.
 func BenchmarkProbeRound(b *testing.B) {
 	v := fullView(b, 300)
 	now := Micros(0)
@@ -524,7 +524,7 @@
 	}
 }
 
-// BenchmarkMerge is one datagram's worth of entries taken in by a member of 300.
+// BenchmarkMerge measures merging one datagram's worth of entries in a fleet of 300.
 func BenchmarkMerge(b *testing.B) {
 	v := fullView(b, 300)
 	var list []entry
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -1,7 +1,7 @@
 package membership
 
-// The form of a datagram, before it is sealed: a head, what its kind needs, then entries up to the end.
-// Numbers are little-endian.
+// Encoding of a datagram before it is sealed: a header, fixed fields that depend on the kind, then entries up
+// to the end. Integers are little-endian.
 
 import (
 	"encoding/binary"
@@ -10,28 +10,28 @@
 	"lapislever/internal/datagram"
 )
 
-// MaxPlain is the most that a datagram holds before it is sealed, so that 256 bytes are never passed: the
-// seal takes 30.
+// MaxPlain is the maximum size of a datagram before it is sealed. The seal adds 30 bytes; a sealed datagram
+// never exceeds 256 bytes.
 const MaxPlain = 226
 
 // The kinds of datagram.
 const (
-	kindPing    = 1 + iota // id, birth meant: answered by an ack, whoever is there
+	kindPing    = 1 + iota // id, target's birth: the process at the address sends an ack, whatever its birth
 	kindAck                // id
-	kindAsk                // id, birth: probe that member for us
-	kindReached            // id, birth and incarnation of the one that answered the helper
-	kindNack               // id: it did not answer the helper
-	kindAccuse             // entries: watch these too
+	kindAsk                // id, birth and incarnation: request to probe that member
+	kindReached            // id, birth and incarnation of the member that answered the helper
+	kindNack               // id: the member did not answer the helper
+	kindAccuse             // entries: request to watch these members too
 	kindNews               // entries
-	kindJoin               // id; the first entry is the sender, whole
+	kindJoin               // id; the first entry is the sender's full record
 	kindWelcome            // id
 	kindSums               // depth, prefix, 16 sums
 	kindRecords            // depth, prefix, flags, entries
-	kindWant               // births: tell us who they are
-	kindClaim              // address meant, age in periods, hops; an entry: the sender, whole
-	kindVerdict            // address meant, hops, birth of the one that must not serve, and of the one meant
-	kindTurned             // turned down: not in the roster
-	kindApp                // of the layer above: a byte and data
+	kindWant               // births: request for the full records of these processes
+	kindClaim              // target address, age in periods, hops; one entry: the sender's full record
+	kindVerdict            // target address, hops, birth of the process that has to stop, target's birth
+	kindTurned             // the sender does not admit the receiver: not in its roster, or its view is full
+	kindApp                // application message: kind byte, data
 	kinds
 )
 
@@ -41,10 +41,10 @@
 	fullBit  = 0x80
 	typeBits = 0x07
 	ageMost  = 1<<16 - 1
-	backlog  = 8 // pieces of news never sent: more than the probes of a period carry
+	backlog  = 8 // number of unsent updates above which probes of one period cannot carry them
 )
 
-// What an entry tells.
+// The types of an entry.
 const (
 	isAlive   = byte(Alive)
 	isSuspect = byte(Suspect)
@@ -53,7 +53,7 @@
 	isVote    = 4
 )
 
-// record is what is said of one process.
+// record is the state of one process as it is exchanged between members.
 type record struct {
 	name, zone string
 	addr       netip.AddrPort
@@ -62,18 +62,18 @@
 	state      State // Alive, Dead or Left
 }
 
-// above tells that a record is later than another of its name, states apart.
+// newerThan reports whether a record supersedes another one of the same name, regardless of their states.
 func (r *record) above(o *record) bool {
 	return r.inc > o.inc || r.inc == o.inc && r.birth > o.birth
 }
 
-// entry is one line of a datagram.
+// entry is one statement about a process in a datagram.
 type entry struct {
 	record
-	full  bool // name, zone and address are there
+	full  bool // name, zone and address are included
 	what  byte
-	age   Micros   // periods since one died or left
-	votes []uint32 // of a death or a vote: by whom
+	age   Micros   // periods since the member died or left
+	votes []uint32 // for deaths and votes: the voters
 }
 
 func (e *entry) size() int {
@@ -119,7 +119,7 @@
 	return b
 }
 
-// reader takes a datagram apart.
+// reader decodes a datagram.
 type reader struct{ datagram.Reader }
 
 func read(b []byte) reader { return reader{datagram.Reader{B: b}} }
@@ -165,7 +165,7 @@
 	return e
 }
 
-// entries reads up to the end; none where any is bad, as a datagram is taken whole or not at all.
+// entries reads entries up to the end. If any is malformed it returns none: a datagram is never used in part.
 func (r *reader) entries() (list []entry) {
 	for len(r.B) > 0 && !r.Bad {
 		list = append(list, r.entry())
@@ -176,7 +176,7 @@
 	return list
 }
 
-// head is what every datagram begins with.
+// header is the start of every datagram.
 type head struct {
 	kind   byte
 	birth  uint64
@@ -195,7 +195,7 @@
 	return h
 }
 
-// begin starts a datagram.
+// newMessage returns a datagram with its header.
 func (v *View) begin(kind byte) []byte {
 	b := make([]byte, 0, MaxPlain)
 	b = append(b, kind)
@@ -209,12 +209,12 @@
 	return binary.LittleEndian.AppendUint32(b, v.app)
 }
 
-// numbered begins a datagram that bears a number.
+// newNumbered returns a datagram with its header and a request ID.
 func (v *View) numbered(kind byte, id uint32) []byte {
 	return binary.LittleEndian.AppendUint32(v.begin(kind), id)
 }
 
-// me is this member's own entry.
+// selfEntry returns this member's own entry with its full record.
 func (v *View) me() entry {
 	e := entry{record: v.self, full: true}
 	if v.left {
@@ -223,7 +223,7 @@
 	return e
 }
 
-// entryOf is what is known of a member, as an entry.
+// entryOf returns the entry for a member's current state.
 func (v *View) entryOf(m *member, full bool) entry {
 	e := entry{record: m.record, full: full, what: byte(m.state)}
 	if m.state != Alive {
@@ -235,7 +235,7 @@
 	return e
 }
 
-// put appends an entry where it fits.
+// appendEntry appends an entry if it fits into the datagram.
 func put(b []byte, e entry) ([]byte, bool) {
 	if len(b)+e.size() > MaxPlain {
 		return b, false
@@ -243,7 +243,7 @@
 	return e.append(b), true
 }
 
-// to is where a member is reached from here.
+// route returns the address at which this process reaches a member.
 func (v *View) to(name string, addr netip.AddrPort) netip.AddrPort {
 	if a, ok := v.cfg.Route[name]; ok {
 		return a
@@ -251,7 +251,7 @@
 	return addr
 }
 
-// send fills a datagram up with news, where it may carry entries, and sends it.
+// send queues a datagram. If fill is set, the remaining space is filled with updates.
 func (v *View) send(to netip.AddrPort, b []byte, fill bool) {
 	if !to.IsValid() {
 		return
@@ -265,22 +265,22 @@
 	v.out = append(v.out, Send{To: to, Data: b})
 }
 
-// sendTo sends to a member.
+// sendTo queues a datagram to a member.
 func (v *View) sendTo(m *member, b []byte, fill bool) { v.send(v.to(m.name, m.addr), b, fill) }
 
-// item is a piece of news with how often it went out.
+// queuedUpdate is an update and the number of times it was sent.
 type item struct {
 	entry
 	sent int
 }
 
-// news is what is to be passed on, least sent first.
+// updateQueue holds the updates to gossip, least often sent first.
 type news struct {
-	levels [][]item // by how often they were sent
+	levels [][]item // indexed by the number of times sent
 	count  int
 }
 
-// supersedes tells that one piece of news makes another needless.
+// supersedes reports whether one update makes another redundant.
 func (e *entry) supersedes(o *entry) bool {
 	if e.birth != o.birth {
 		return false
@@ -295,7 +295,7 @@
 	return e.what >= o.what
 }
 
-// add queues news. What it makes needless goes.
+// add queues an update and removes those that it supersedes.
 func (n *news) add(e entry) {
 	for l, level := range n.levels {
 		kept := level[:0]
@@ -318,7 +318,7 @@
 	n.count++
 }
 
-// fill appends news to a datagram. Each goes out newsFactor*log2(n+1) times (SWIM, 4.1).
+// fill appends updates to a datagram. Each is sent retransmitFactor*log2(n+1) times (SWIM, 4.1).
 func (n *news) fill(b []byte, members int) []byte {
 	if n.count == 0 {
 		return b
@@ -346,7 +346,7 @@
 	return b
 }
 
-// log2up is the logarithm to base 2, rounded up.
+// ceilLog2 returns the base-2 logarithm, rounded up.
 func log2up(n int) int {
 	l := 0
 	for 1<<l < n {
