--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,5 +1,5 @@
-// Package fleet owns the fleet's socket: its file, the keys that seal its datagrams, and the one goroutine
-// that holds a membership.View. It must never decide who is a member.
+// Package fleet connects a coordinator to its fleet: it owns the settings file, the UDP socket, the keys that
+// seal datagrams, and the goroutine that owns the membership.View. It makes no decisions on membership.
 package fleet
 
 import (
@@ -26,7 +26,7 @@
 	mostMembers   = 10_000
 )
 
-// Config is the file.
+// Config is the content of the fleet's settings file.
 type Config struct {
 	Fleet struct {
 		Name   string            `toml:"name"`
@@ -41,10 +41,10 @@
 			Period int `toml:"period_ms,omitempty"`
 		} `toml:"detect,omitempty"`
 		Overload struct {
-			Off bool `toml:"off,omitempty"` // each member turns away by itself alone
+			Off bool `toml:"off,omitempty"` // each member sheds load on its own only
 		} `toml:"overload,omitempty"`
 		Evidence struct {
-			Share *float64 `toml:"share,omitempty"` // of all nodes, that may be out by evidence; 0: none is
+			Share *float64 `toml:"share,omitempty"` // maximum share of all nodes that evidence may take out; 0: none
 		} `toml:"evidence,omitempty"`
 	} `toml:"fleet"`
 	Limits []Limit `toml:"limit,omitempty"`
@@ -54,7 +54,7 @@
 	view   membership.Settings
 }
 
-// Load reads the file and the keys that it names. All faults are told at once.
+// Load reads the settings file and the key file that it names. The error lists all faults.
 func Load(path string) (*Config, error) {
 	c := &Config{}
 	f, err := settings.Load(path, c)
@@ -66,7 +66,7 @@
 
 var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
 
-// check notes all that is wrong and makes of the texts what is needed.
+// validate records all faults and converts the texts to addresses and keys.
 func (c *Config) check(f *settings.File, dir string) error {
 	x := &c.Fleet
 	name := func(key, s string, most int) {
@@ -145,12 +145,12 @@
 	return f.Err()
 }
 
-// Period is the time that all of the fleet's are stated in.
+// Period is the protocol period, the unit of all other times of the fleet.
 func (c *Config) Period() time.Duration {
 	return time.Duration(c.Fleet.Detect.Period) * time.Millisecond
 }
 
-// Size is how many members there may be.
+// MaxMembers is the maximum number of members.
 func (c *Config) Size() int {
 	if n := len(c.Fleet.Roster); n > 0 {
 		return n
@@ -158,15 +158,15 @@
 	return c.Fleet.Most
 }
 
-// Place is this member's among the roster, by name, or 0.
+// RosterIndex is this member's index in the sorted roster, or 0 without a roster.
 func (c *Config) Place() int { return max(0, c.place()) }
 
-// place is the same, or -1 where there is no roster.
+// rosterIndexOrNone is this member's index in the sorted roster, or -1 without a roster.
 func (c *Config) place() int {
 	return slices.Index(slices.Sorted(slices.Values(c.Fleet.Roster)), c.Fleet.Name)
 }
 
-// stamp sums up what has to be equal at all members. It is never 0.
+// stamp returns a hash of the settings that must be equal on all members. It is never 0.
 func (c *Config) stamp() uint32 {
 	h := xxhash.New()
 	for _, name := range slices.Sorted(slices.Values(c.Fleet.Roster)) {
@@ -179,7 +179,7 @@
 	return uint32(h.Sum64()) | 1
 }
 
-// loadKeys reads a file with a key a line.
+// loadKeys reads a file with one key per line.
 func loadKeys(path string) (*keyring, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -198,7 +198,7 @@
 		if err == nil {
 			err = k.add(key)
 		}
-		if err != nil { // a key's text is no matter for a log
+		if err != nil { // without the key's text, which must not reach a log
 			return nil, fmt.Errorf("%s:%d: no base64 key of %d bytes", path, i+1, keySize)
 		}
 	}
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -1,7 +1,7 @@
 package fleet
 
-// What this member sees of data nodes, on its way to those who judge them. Who is sick is the jury's to say:
-// internal/verdict.
+// Evidence on data nodes: passes this member's observations to the judges. The jury of internal/verdict
+// decides which nodes are sick.
 
 import (
 	"fmt"
@@ -13,49 +13,49 @@
 	"lapislever/internal/verdict"
 )
 
-// defaultShare is how many of all nodes may be out by evidence at a time.
+// defaultEvidenceShare is the default maximum share of all nodes that evidence may take out at a time.
 const defaultShare = 0.25
 
-// soundHealth is the greatest local health at which a member's word on nodes counts: one that gets too little
-// processor time sees all of them late.
+// maxObserverHealth is the highest local health score at which a member's observations of nodes count: a
+// process that gets too little CPU time sees late answers from all nodes.
 const soundHealth = 1
 
-// Host is what the fleet's part needs of the process around it. Functions that are nil are not called.
+// Host is the set of callbacks into the process that a Fleet runs in. Nil functions are not called.
 type Host struct {
-	// Carry carries verdicts out here.
+	// Apply enforces verdicts in this process.
 	Carry Apply
-	// Name is the name of a data node by its number; false: it is not known here.
+	// NodeName returns the name of a data node by its ID; false: it is not known here.
 	Name func(node uint64) (string, bool)
-	// Nodes is how many data nodes are listed.
+	// NodeCount returns the number of listed data nodes.
 	Nodes func() int
 }
 
-// jurors is the part of the fleet that judges.
+// evidenceState is this member's jury and its counters.
 type jurors struct {
-	mu    sync.Mutex // guards jury: the core tells what it sees from its own goroutine
+	mu    sync.Mutex // guards jury: the core reports attempts from its own goroutine
 	jury  *verdict.Jury
-	zones map[string]string // the view's owner's: of members that are alive
-	given int64             // judgements given here
-	held  int64             // and held back, as too many were out
+	zones map[string]string // owner goroutine only: zones of alive members, by name
+	given int64             // verdicts issued by this member
+	held  int64             // judgements withheld because too many nodes were out
 }
 
-// ServerNumber is the number of a data node by its name: the module's, as peers name nodes by it.
+// ServerID returns the ID of a data node by its name. It is the module's ID, which peers use in messages.
 func ServerNumber(name string) uint64 { return uint64(core.ServerID(name)) }
 
-// Judges tells that evidence counts at this member.
+// EvidenceEnabled reports whether this member takes part in judging nodes by evidence.
 func (c *Config) Judges() bool { return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0 }
 
-// SickShare is how many of all nodes may be out by evidence at a time, as a share.
+// EvidenceShare is the maximum share of all nodes that evidence may take out at a time.
 func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
 
-// Saw takes in how an attempt at a node ended that took so long. It does not wait.
+// ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
 func (f *Fleet) Saw(node uint64, class int, e verdict.Ending, took time.Duration) {
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
 	f.jurors.jury.See(f.now(), node, class, e, took.Microseconds())
 }
 
-// tendJury has the jury its turn, once a period.
+// tickJury runs the jury's periodic work and issues verdicts on its judgements.
 func (f *Fleet) tendJury(v *membership.View, now membership.Micros) {
 	if !f.cfg.Judges() {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// judge gives the verdict that a judgement is, if it may be given and there is room for it.
+// issueSick issues the verdict for a judgement, unless it is barred or too many nodes are out already.
 func (f *Fleet) judge(now membership.Micros, x verdict.Judgement, alive, size int) {
 	host := f.host.Load()
 	if host.Name == nil || host.Nodes == nil {
@@ -105,20 +105,20 @@
 		return
 	}
 	if _, err := f.keep.Say(now, time.Now().UnixMilli(), said); err != nil {
-		f.log.Warn("a sick node stays in", "node", name, "err", err)
+		f.log.Warn("no verdict issued on a sick node", "node", name, "err", err)
 		return
 	}
 	f.jurors.given++
 }
 
-// hearEvidence takes in another member's message on what it has seen.
+// receiveEvidence handles another member's evidence message.
 func (f *Fleet) hearEvidence(v *membership.View, h membership.Heard) {
 	if !f.cfg.Judges() {
 		return
 	}
 	zone, ok := f.jurors.zones[h.From]
 	if !ok {
-		return // it has come up since the last period
+		return // it joined after the last period's update of zones
 	}
 	f.jurors.mu.Lock()
 	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
@@ -131,7 +131,7 @@
 	}
 }
 
-// acquit drops the evidence against a node that is back: it has to be found sick anew.
+// clearEvidence drops the evidence against a node that is back in use, so that only new evidence counts.
 func (f *Fleet) acquit(c verdict.Change) {
 	if c.Holds || c.Verdict.Kind != verdict.Sick && c.Verdict.Kind != verdict.Path {
 		return
@@ -142,7 +142,7 @@
 	f.jurors.jury.Acquit(ServerNumber(name))
 }
 
-// seen is what this member has seen of nodes that may be sick, for the door.
+// evidenceStatus returns this member's observations of nodes that may be sick, for the admin endpoint.
 func (f *Fleet) seen() []SeenStatus {
 	out := []SeenStatus{}
 	now := f.now()
@@ -162,7 +162,7 @@
 	return out
 }
 
-// concerns tells that a verdict is to be carried out at this member.
+// appliesHere reports whether a verdict has to be enforced at this member.
 func (f *Fleet) concerns(x *verdict.Verdict) bool {
 	_, zone := x.Node()
 	return x.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	// Sockets is how many descriptors the fleet's part may take.
+	// MaxSockets is the maximum number of file descriptors that a Fleet uses.
 	Sockets = 3
-	// queueSize is how many datagrams wait for the goroutine that holds the view; more are dropped.
+	// queueSize is the number of datagrams that may wait for the owner goroutine; more are dropped.
 	queueSize = 1024
 	heardSize = 256
-	// MostMessage is the longest message of the decision module, in bytes.
+	// MaxMessage is the maximum length of a message of the decision module, in bytes.
 	MostMessage = membership.MostApp
 	showEvery   = 100 * time.Millisecond
 )
 
-// What a message of the layer above is for.
+// The kinds of application messages.
 const (
-	toModule  byte = 1 // between the decision modules
-	toVerdict byte = 2 // between the tables of verdicts
-	toQuota   byte = 3 // between the shares of limits
+	toModule  byte = 1 // between decision modules
+	toVerdict byte = 2 // between verdict tables
+	toQuota   byte = 3 // between limit shares
 
-	toEvidence byte = 4 // between juries
-	toOverload byte = 5 // between guards
+	toEvidence byte = 4 // between evidence juries
+	toOverload byte = 5 // between overload guards
 )
 
-// Status is what the door shows: the form of GET /admin/fleet.
+// Status is the body of GET /admin/fleet.
 type Status struct {
 	Self        string         `json:"self"`
 	Incarnation uint32         `json:"incarnation"`
@@ -51,17 +51,17 @@
 	Figures     Figures        `json:"figures"`
 }
 
-// MemberStatus is one member as the door shows it.
+// MemberStatus is one member in Status.
 type MemberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Addr        string `json:"addr"`
 	State       string `json:"state"`
 	Incarnation uint32 `json:"incarnation"`
-	SinceMS     int64  `json:"since_ms"` // how long it has been in this state
+	SinceMS     int64  `json:"since_ms"` // time in the current state
 }
 
-// Figures are counts since this process's start, and the bounds that hold now, in milliseconds.
+// Stats are counters since this process's start, and the current protocol bounds in milliseconds.
 type Figures struct {
 	PeriodMS     int64            `json:"period_ms"`
 	Health       int              `json:"health"`
@@ -79,71 +79,71 @@
 	TurnedDown   int64            `json:"turned_down"`
 	Told         int64            `json:"module_messages_sent"`
 	ToldUs       int64            `json:"module_messages_received"`
-	SickGiven    int64            `json:"sick_given"`      // verdicts by evidence that this member gave
-	SickHeld     int64            `json:"sick_held_back"`  // and did not, as enough were out (each period)
-	Differ       []string         `json:"settings_differ"` // alive members whose roster differs from this one's
+	SickGiven    int64            `json:"sick_given"`      // verdicts by evidence that this member issued
+	SickHeld     int64            `json:"sick_held_back"`  // withheld as enough were out (per period)
+	Differ       []string         `json:"settings_differ"` // alive members with another settings stamp
 	Conflict     string           `json:"conflict,omitempty"`
 	CrashKnownMS int64            `json:"crash_known_within_ms"`
 	SettledMS    int64            `json:"settled_within_ms"`
 	ForgottenMS  map[string]int64 `json:"forgotten_after_ms"`
 }
 
-// Bounds that docs/FLEET.md derives, in periods.
+// Protocol bounds in periods, derived in docs/FLEET.md.
 const settlePeriods = 20
 
 func crashPeriods(members int) int { return 12 + bits.Len(uint(max(1, members)-1)) }
 
-// Fleet is this process's part in the fleet.
+// Fleet is this process's membership in the fleet.
 type Fleet struct {
-	cfg    *Config // of the start: what a reload can't change
+	cfg    *Config // as of the start, for settings that a reload cannot change
 	log    *slog.Logger
 	conn   *net.UDPConn
 	epoch  time.Time
 	keys   atomic.Pointer[keyring]
 	show   atomic.Pointer[Status]
-	alive  atomic.Pointer[[]string] // others that are alive, by name
+	alive  atomic.Pointer[[]string] // names of the other alive members
 	in     chan []byte
 	calls  chan func(*membership.View)
 	heard  chan membership.Heard
 	closed chan struct{}
 	once   sync.Once
-	drops  [9]atomic.Int64 // by openErrors
-	told   atomic.Int64    // messages of the module sent
-	toldUs atomic.Int64    // and received
+	drops  [9]atomic.Int64 // indexed as dropErrors
+	told   atomic.Int64    // module messages sent
+	toldUs atomic.Int64    // module messages received
 
 	mu      sync.Mutex // guards what follows
-	running *run       // nil: another process of this member has the socket
+	running *run       // nil: another process of this member reads the socket
 	kept    *membership.View
 
-	keep     keeper // the view's owner's
+	keep     keeper // used by the owner goroutine only
 	jurors   jurors
 	shed     shedder
-	host     atomic.Pointer[Host] // of Begin; empty before
+	host     atomic.Pointer[Host] // set by Start; empty before
 	toApply  chan verdict.Change
 	verdicts atomic.Pointer[Verdicts]
-	limits   []*limiter    // as the file's order is; fixed
-	tenure   *quota.Tenure // the view's owner's; nil: nobody votes
+	limits   []*limiter    // in the order of the settings file; fixed after Open
+	tenure   *quota.Tenure // used by the owner goroutine only; nil: there is no voting
 	holds    atomic.Pointer[[]string]
 
-	conf       atomic.Pointer[Config] // in force
-	turnedDown int64                  // the view's owner's: times that others turned us down
-	turnedAt   membership.Micros      // and when that last grew
+	conf       atomic.Pointer[Config] // current settings
+	turnedDown int64                  // owner goroutine only: times that others rejected this member
+	turnedAt   membership.Micros      // owner goroutine only: time of the last rejection
 
-	joined  chan struct{} // closed once this member is one
-	refused chan error    // hears once if this process must not serve
+	joined  chan struct{} // closed once this process has joined
+	refused chan error    // receives one error if this process must not serve
 }
 
-// run is the time in which this process is the one that reads the socket.
+// session is a time span in which this process reads the socket and owns the view.
 type run struct {
 	stop chan struct{}
 	done sync.WaitGroup
-	view *membership.View // once done
+	view *membership.View // to be used once done
 }
 
-// ErrTaken is the end of a process whose name another one bears.
+// ErrNameTaken reports that another process with this member's name is running.
 var ErrTaken = errors.New("another process bears this member's name and has run for longer")
 
-// Open binds the socket, or takes one that is handed over. Nothing is read before Begin.
+// Open binds the socket, or uses one that is handed over. Nothing is read before Start.
 func Open(cfg *Config, log *slog.Logger, given *net.UDPConn) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), in: make(chan []byte, queueSize),
 		calls: make(chan func(*membership.View)), heard: make(chan membership.Heard, heardSize),
@@ -164,7 +164,7 @@
 	f.openLimits(given != nil)
 	f.show.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
 	if given == nil {
-		// Without SO_REUSEPORT: a second process of this address is an error, at once.
+		// Without SO_REUSEPORT, so that a second process on this address fails immediately.
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(cfg.listen))
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
@@ -174,10 +174,10 @@
 	return f, nil
 }
 
-// Conn is the socket, to hand it over.
+// Conn returns the socket, for a handover to another process.
 func (f *Fleet) Conn() *net.UDPConn { return f.conn }
 
-// now is the view's time.
+// now returns the current time on the view's clock.
 func (f *Fleet) now() membership.Micros { return 1 + time.Since(f.epoch).Microseconds() }
 
 func (f *Fleet) viewConfig() membership.Config {
@@ -188,7 +188,7 @@
 		Period: f.cfg.Period().Microseconds(), Settings: f.cfg.view}
 }
 
-// Begin starts to take part: as a new process, or from where another process of this member has stopped.
+// Start joins the fleet as a new process, or continues from the state that another process handed over.
 func (f *Fleet) Begin(from *Handover, host Host) error {
 	var v *membership.View
 	var err error
@@ -229,7 +229,7 @@
 	go f.own(r)
 }
 
-// halt ends the run, if there is one, and returns its view.
+// stopSession ends the current session and returns its view, or nil if there is none.
 func (f *Fleet) halt() *membership.View {
 	f.mu.Lock()
 	r := f.running
@@ -239,13 +239,13 @@
 		return nil
 	}
 	close(r.stop)
-	_ = f.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader; the socket stays
+	_ = f.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader; the socket stays open
 	r.done.Wait()
 	return r.view
 }
 
-// Release stops to read, for the process that goes on in this one's place; the socket stays open, so that
-// Again can take it back. Nil: this process has no part to give.
+// HandOver stops reading and returns the state for the successor. The socket stays open, so that Reclaim can
+// continue. It returns nil if this process has no session.
 func (f *Fleet) Release() *Handover {
 	v := f.halt()
 	if v == nil {
@@ -259,7 +259,7 @@
 	return h
 }
 
-// Again goes on after the process that had taken over is gone.
+// Reclaim continues this process's membership after the successor has ended.
 func (f *Fleet) Again() {
 	f.mu.Lock()
 	v := f.kept
@@ -272,16 +272,16 @@
 	}
 }
 
-// Joined is closed once this member has been let in, or goes on alone.
+// Joined returns a channel that is closed once this member was admitted, or has started alone.
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
-// Refused hears once if this process must not serve.
+// NameTaken returns a channel that receives one error if this process must not serve.
 func (f *Fleet) Refused() <-chan error { return f.refused }
 
-// Heard are messages for the decision module.
+// Messages returns the channel of messages for the decision module.
 func (f *Fleet) Heard() <-chan membership.Heard { return f.heard }
 
-// Close ends this process's part, without a word to the others.
+// Close ends this process's membership without notifying the others.
 func (f *Fleet) Close() {
 	f.once.Do(func() {
 		close(f.closed)
@@ -290,8 +290,8 @@
 	})
 }
 
-// Leave tells the others that this member goes, and waits until enough of them have heard, or for the time
-// given. It returns whether they have.
+// Leave announces that this member leaves and waits until enough members have acknowledged it, for at most
+// the given time. It returns whether they have.
 func (f *Fleet) Leave(most time.Duration) bool {
 	end := time.Now().Add(most)
 	known := f.ask(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveKnown() }, most)
@@ -302,7 +302,7 @@
 	return known
 }
 
-// ask has the view's owner call a function, and waits for what it returns.
+// callOwner runs a function on the owner goroutine and returns its result, or false after a time-out.
 func (f *Fleet) ask(call func(*membership.View) bool, most time.Duration) bool {
 	done := make(chan bool, 1)
 	late := time.NewTimer(most)
@@ -316,7 +316,7 @@
 	return false
 }
 
-// Configure takes in a file that was read anew, and names what of it takes a restart.
+// Configure applies a reloaded settings file and returns the changed settings that require a restart.
 func (f *Fleet) Configure(fresh *Config) (kept []string) {
 	was, is := &f.cfg.Fleet, &fresh.Fleet
 	for name, differs := range map[string]bool{"fleet.name": was.Name != is.Name,
@@ -335,8 +335,8 @@
 	return kept
 }
 
-// Tell takes a message of the decision module to another member that is alive, by a number that the module
-// draws: core.Peers. It does not wait.
+// Tell sends a message of the decision module to another alive member, selected by a number that the module
+// draws, or to all of them: see core.Peers. It does not block.
 func (f *Fleet) Tell(to uint32, text string) {
 	alive := *f.alive.Load()
 	if len(alive) == 0 {
@@ -355,14 +355,14 @@
 	}
 	select {
 	case f.calls <- call:
-	default: // the owner is busy: it is lost, as any datagram may be
+	default: // the owner is busy: the message is lost, as any datagram may be
 	}
 }
 
-// Status is what the door shows.
+// Status returns the status that the admin endpoint shows.
 func (f *Fleet) Status() *Status { return f.show.Load() }
 
-// read opens datagrams and queues them.
+// readLoop unseals datagrams and queues them.
 func (f *Fleet) read(r *run) {
 	defer r.done.Done()
 	buf := make([]byte, maxDatagram+1)
@@ -392,10 +392,10 @@
 	}
 }
 
-// drop counts a datagram that is dropped, by the reason.
+// countDrop counts a dropped datagram by its reason.
 func (f *Fleet) drop(why error) { f.drops[slices.Index(openErrors, why)].Add(1) }
 
-// own holds the view until the run's end.
+// ownerLoop runs the goroutine that owns the view until the session ends.
 func (f *Fleet) own(r *run) {
 	defer r.done.Done()
 	v := r.view
@@ -410,7 +410,7 @@
 			v.Tick(f.now())
 		case b := <-f.in:
 			v.Receive(f.now(), b)
-			for more := true; more; { // what has queued up meanwhile, before anything is sent
+			for more := true; more; { // drain the queue before anything is sent
 				select {
 				case b = <-f.in:
 					v.Receive(f.now(), b)
@@ -431,13 +431,13 @@
 	}
 }
 
-// carryOut sends, logs and passes on what the view has to say.
+// processOutput sends the view's datagrams, logs its state changes and dispatches application messages.
 func (f *Fleet) carryOut(v *membership.View) (changed bool) {
 	sends, changes, heard := v.Take()
 	for _, h := range heard {
 		f.hear(v, h)
 	}
-	f.tend(v) // what it says goes out with the rest
+	f.tend(v) // its messages are sent together with the others
 	more, later, _ := v.Take()
 	changes = append(changes, later...)
 	keys := f.keys.Load()
@@ -460,7 +460,7 @@
 	return len(changes) > 0
 }
 
-// hear passes on what another member's layer above has to say.
+// dispatch passes an application message to its receiver.
 func (f *Fleet) hear(v *membership.View, h membership.Heard) {
 	switch h.Kind {
 	case toVerdict:
@@ -488,7 +488,7 @@
 	}
 }
 
-// tell logs a change, once.
+// logChange logs a membership change.
 func (f *Fleet) tell(c membership.Change) {
 	m := c.Member
 	switch {
@@ -509,7 +509,7 @@
 	}
 }
 
-// publish makes the view's state what the door shows.
+// publish stores the view's state for the admin endpoint.
 func (f *Fleet) publish(v *membership.View) {
 	now := f.now()
 	self, g := v.Self(), v.Figures()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -56,10 +56,10 @@
 	}
 	other, err := Load(write(t, dir, "other.toml", strings.Replace(sound, `"b1"]`, `"b1", "c1"]`, 1)))
 	if err != nil || other.view.Stamp == c.view.Stamp {
-		t.Fatal("another roster has the same stamp", err)
+		t.Fatal("different rosters have the same stamp", err)
 	}
 	write(t, dir, "short.keys", "AAAA\n")
-	// Every fault is told, with its line, and all of one file at once.
+	// All faults of a file are reported at once, each with its line.
 	bad := `[fleet]
 name = "a 1"
 zone = "` + strings.Repeat("z", 99) + `"
@@ -78,7 +78,7 @@
 `
 	_, err = Load(write(t, dir, "bad.toml", bad))
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid file was accepted")
 	}
 	for _, want := range []string{"bad.toml:2: fleet.name", "bad.toml:3: fleet.zone", "bad.toml:4: fleet.listen",
 		"bad.toml:5: fleet.join: 10.0.0.1:7946 is there twice", "bad.toml:6: fleet.keys", "short.keys:1",
@@ -86,11 +86,11 @@
 		"bad.toml:8: fleet.most", "bad.toml:9: unknown key fleet.colour", "bad.toml:11: fleet.route.b1",
 		"bad.toml:13: fleet.detect.period_ms", "bad.toml:15: fleet.evidence.share"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s", want)
+			t.Errorf("not reported: %s", want)
 		}
 	}
 	if strings.Contains(err.Error(), "AAAA") {
-		t.Error("a key's text is told")
+		t.Error("the error contains a key's text")
 	}
 	for what, edit := range map[string][2]string{
 		"without it loopback addresses only": {"127.0.0.2", "10.0.0.2"},
@@ -115,7 +115,7 @@
 	return k
 }
 
-// Each datagram that can't be opened is told apart by why.
+// Each datagram that cannot be unsealed is rejected with the matching error.
 func TestSeal(t *testing.T) {
 	k1, k2 := newKey(), newKey()
 	first, both, second, plain := ring(t, k1), ring(t, k2, k1), ring(t, k2), ring(t)
@@ -154,7 +154,7 @@
 		}
 	}
 	if again := first.seal(content); bytes.Equal(again, sealed) {
-		t.Error("two seals of one content are the same")
+		t.Error("sealing the same content twice gave the same datagram")
 	}
 }
 
@@ -165,13 +165,13 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		for _, x := range []*keyring{k, plain} {
 			if got, err := x.open(b); err == nil && len(got) == 0 {
-				t.Fatal("nothing was opened")
+				t.Fatal("a datagram without content was accepted")
 			}
 		}
 	})
 }
 
-// What is dropped is counted by its reason where operators look, and does no harm.
+// Dropped datagrams are counted by reason in the admin status and have no other effect.
 func TestBadDatagramsAreCounted(t *testing.T) {
 	c, err := Load(write(t, t.TempDir(), "f.toml", strings.NewReplacer("127.0.0.1:7946", "127.0.0.1:17999",
 		`"127.0.0.2:7946", `, "").Replace(sound)))
@@ -187,7 +187,7 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(c, standin.Quiet(), nil); err == nil {
-		t.Fatal("two processes have one address")
+		t.Fatal("two processes could bind the same address")
 	}
 	<-f.Joined()
 	s, err := net.Dial("udp", "127.0.0.1:17999")
@@ -208,7 +208,7 @@
 	}
 }
 
-// What a limit's table may say, and what is told of one that may not.
+// Valid and invalid [[limit]] tables, with the error reported for each invalid one.
 func TestLimitsOfTheFile(t *testing.T) {
 	const head = "[fleet]\nname = \"a\"\nzone = \"z\"\nlisten = \"127.0.0.1:7946\"\n" +
 		"roster = [\"a\", \"b\", \"c\"]\n[[limit]]\nname = \"l\"\n"
@@ -235,18 +235,19 @@
 		case want == "" && err != nil, want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%q: %v, not %q", text, err, want)
 		case err == nil && c.Limits[0].Floor == 0:
-			t.Errorf("%q: no floor", text)
+			t.Errorf("%q: floor was not set to a default", text)
 		}
 	}
 	const most = "[fleet]\nname = \"a\"\nzone = \"z\"\nlisten = \"127.0.0.1:7946\"\nmost = 3\n[[limit]]\n" +
 		"name = \"l\"\nclass = \"c\"\nrate = 9\nburst = 3\nfloor = 0.5\n"
 	_, err := Load(write(t, t.TempDir(), "f.toml", most))
 	if err == nil || !strings.Contains(err.Error(), "roster") {
-		t.Errorf("a rest without a roster that votes: %v", err)
+		t.Errorf("a floor below 1 without a voting roster: %v", err)
 	}
 }
 
-// Several limits may bind one request: what one has let in and another turns away is used by neither.
+// Several limits can apply to one request. If one limit refuses it, the units granted by the others are
+// returned.
 func TestSeveralLimitsBindOneRequest(t *testing.T) {
 	c, err := Load(write(t, t.TempDir(), "f.toml", `[fleet]
 name = "a"
@@ -275,7 +276,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	f.beginLimits(&Handover{}) // as one that need not wait for loans of a predecessor
+	f.beginLimits(&Handover{}) // with a handover there is no wait for loans of a predecessor
 	ends := time.Now().Add(time.Second)
 	var tickets []Ticket
 	for i := range 4 {
@@ -287,28 +288,28 @@
 	}
 	last, ok, _, _ := f.Allow("post", "", ends)
 	if !ok {
-		t.Fatal("units of those that were turned away are not free")
+		t.Fatal("units of refused requests were not returned")
 	}
 	if _, ok, _, limit := f.Allow("post", "u", ends); ok || limit != "posts" {
-		t.Fatalf("a fourth one is open: %v %q", ok, limit)
+		t.Fatalf("a fourth concurrent request: %v, refused by %q", ok, limit)
 	}
 	f.Done(last)
 	if _, ok, _, _ := f.Allow("post", "u", ends); !ok {
-		t.Fatal("what has ended still counts")
+		t.Fatal("a finished request still holds its slot")
 	}
 	if _, ok, _, _ := f.Allow("other", "v", ends); !ok {
-		t.Fatal("a limit binds another class")
+		t.Fatal("a limit applies to another class")
 	}
 	one, ok := f.AllowSend(ServerNumber("n0"), ends)
 	if _, again := f.AllowSend(ServerNumber("n0"), ends); !ok || again {
-		t.Fatal("not one at a time at n0")
+		t.Fatal("n0 does not have exactly one slot")
 	}
 	if _, ok := f.AllowSend(ServerNumber("n1"), ends); !ok {
-		t.Fatal("the limit binds another node")
+		t.Fatal("the limit applies to another node")
 	}
 	f.Done(one)
 	if _, ok := f.AllowSend(ServerNumber("n0"), ends); !ok {
-		t.Fatal("an attempt that has ended still counts")
+		t.Fatal("a finished attempt still holds its slot")
 	}
 	for _, x := range tickets {
 		f.Done(x)
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Limits on the way between members, fronts and operators. What may be let in is the share's to say:
-// internal/quota.
+// Limits: connects members, fronts and operators to the shares of internal/quota, which decide what is
+// admitted.
 
 import (
 	"fmt"
@@ -18,16 +18,16 @@
 	"lapislever/internal/verdict"
 )
 
-// Each is what a limit's tenant or server may be instead of a name: the limit holds for each on its own.
+// Each may stand for the name of a limit's tenant or server: the limit then applies to each one separately.
 const Each = "*"
 
 const (
 	defaultLongest = 5 * time.Second
-	defaultFloor   = 0.5 // of a share, where there is a roster that votes
+	defaultFloor   = 0.5 // of a share, if the roster votes
 	leastFloor     = 0.1
 )
 
-// Limit is a limit of the file.
+// Limit is a limit in the settings file.
 type Limit struct {
 	Name       string  `toml:"name"`
 	Class      string  `toml:"class,omitempty"`
@@ -36,11 +36,11 @@
 	Rate       float64 `toml:"rate,omitempty"`
 	Burst      float64 `toml:"burst,omitempty"`
 	Concurrent float64 `toml:"concurrent,omitempty"`
-	LongestMS  int     `toml:"longest_ms,omitempty"` // what lasts longer never counts on another's unit
-	Floor      float64 `toml:"floor,omitempty"`      // of a member's share, that nobody else ever has
+	LongestMS  int     `toml:"longest_ms,omitempty"` // requests that last longer never use a borrowed unit
+	Floor      float64 `toml:"floor,omitempty"`      // part of a member's share that no other member ever uses
 }
 
-// check notes what is wrong with a limit, and fills in what is left out.
+// validate records the faults of a limit and sets defaults.
 func (l *Limit) check(f *settings.File, at string, members, roster int) {
 	f.Check(nameForm.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
@@ -82,34 +82,34 @@
 	f.Check(l.Floor == 1 || !l.each(), at+".floor", "is 1 where the limit is for each")
 }
 
-// each tells that the limit holds for each tenant or server on its own.
+// each reports whether the limit applies to each tenant or server separately.
 func (l *Limit) each() bool { return l.Tenant == Each || l.Server == Each }
 
-// amount is what is limited, a second or at a time.
+// amount returns the limit: requests per second, or concurrent requests.
 func (l *Limit) amount() float64 { return max(l.Rate, l.Concurrent) }
 
-// id is the limit's number at all members. Those whose files differ in what must be the same do not lend to
-// one another.
+// id returns the limit's ID, which is the same on all members. Members whose files differ in settings that
+// must be equal get different IDs and so do not lend to one another.
 func (l *Limit) id() uint64 {
 	return quota.LimitID(fmt.Sprintf("%s/%t/%d/%g", l.Name, l.Concurrent > 0, l.LongestMS, l.Floor))
 }
 
-// LimitStatus is one limit as the door shows it. Rates are a second.
+// LimitStatus is one limit in Limits. Rates are per second.
 type LimitStatus struct {
 	Name       string  `json:"name"`
 	Limit      float64 `json:"limit"`
-	Share      float64 `json:"share"`        // that this member may use now
-	Used       float64 `json:"used"`         // that it let in during the last second, or has open
-	InDoubt    float64 `json:"in_doubt"`     // of its own share: lent, or may have been before its start
-	OverAtMost float64 `json:"over_at_most"` // by which all together may be over the limit
-	StaleMS    int64   `json:"stale_ms"`     // since the oldest loan here was granted anew
+	Share      float64 `json:"share"`        // what this member may use now
+	Used       float64 `json:"used"`         // admitted by this member during the last second, or in flight
+	InDoubt    float64 `json:"in_doubt"`     // of its own share: lent, or possibly lent before its start
+	OverAtMost float64 `json:"over_at_most"` // by how much all members together may exceed the limit
+	StaleMS    int64   `json:"stale_ms"`     // time since the renewal of the oldest loan to this member
 	Granted    int64   `json:"granted"`
 	Refused    int64   `json:"refused"`
 	Kind       string  `json:"kind"`           // rate, concurrent or each
-	Keys       int     `json:"keys,omitempty"` // of a limit for each: those with a share of their own
+	Keys       int     `json:"keys,omitempty"` // limits for each: number of keys that have a share
 }
 
-// part is a member's part in a limit of any kind.
+// limitState is this member's state of a limit of any kind.
 type part interface {
 	Tick(now quota.Micros, peers []string) []quota.Send
 	Receive(now quota.Micros, from string, data []byte) []quota.Send
@@ -120,31 +120,31 @@
 	Void(now quota.Micros, on bool)
 }
 
-// limiter is one limit with its lock: fronts ask from their goroutines. One of share, slots and keys is
-// there.
+// limiter is one limit with its lock, as fronts use it from their own goroutines. Exactly one of share, slots
+// and keys is set.
 type limiter struct {
-	mu     sync.Mutex // guards the part
+	mu     sync.Mutex // guards state
 	part   part
 	share  *quota.Share
 	slots  *quota.Slots
 	keys   *quota.Keys
-	conf   Limit // of the start
+	conf   Limit // as of the start
 	id     uint64
-	server uint64 // the number of the one that is limited
+	server uint64 // ID of the limited server
 
-	saidAt membership.Micros // the view's owner's: when this member last told what its file says
+	saidAt membership.Micros // owner goroutine only: when this member last announced its settings
 }
 
-// Handed is what of one limit the next process has to know.
+// LimitHandover is the state of one limit that the successor needs.
 type Handed struct {
 	Lent []quota.Lend            `json:"lent,omitempty"`
 	Keys map[uint64][]quota.Lend `json:"keys,omitempty"`
 }
 
-// Ticket is what a request that was let in holds until it ends. The zero Ticket holds nothing.
+// Ticket holds the concurrency slots of an admitted request or attempt. The zero Ticket holds none.
 type Ticket struct{ held []hold }
 
-// Empty tells that it holds nothing.
+// Empty reports whether the ticket holds no slot.
 func (t Ticket) Empty() bool { return len(t.held) == 0 }
 
 type hold struct {
@@ -152,7 +152,7 @@
 	at quota.Place
 }
 
-// openLimits makes the parts. Those of a process that takes over are nothing until it has been told.
+// createLimits creates the limits. A process that takes over may use none before it has received their state.
 func (f *Fleet) openLimits(takesOver bool) {
 	period, now, seed := f.cfg.Period().Microseconds(), f.now(), f.viewConfig().Seed
 	f.tenure = f.newTenure()
@@ -182,7 +182,7 @@
 	}
 }
 
-// take asks for one more, of a key where the limit is for each.
+// take requests one unit, of the given key if the limit is for each.
 func (l *limiter) take(now, ends quota.Micros, key uint64) (at quota.Place, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -197,7 +197,7 @@
 	return at, ok, wait
 }
 
-// give takes back what was let in by this limit and turned away by another.
+// giveBack returns a unit that was taken from this limit.
 func (l *limiter) give(now quota.Micros, key uint64, at quota.Place) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// binds tells whether a limit binds a request of a class and a tenant, and under which key.
+// matches reports whether the limit applies to a request, and under which key.
 func (l *limiter) binds(class, tenant string) (key uint64, ok bool) {
 	switch {
 	case l.conf.Class != "":
@@ -222,8 +222,9 @@
 	return 0, l.conf.Tenant != "" && l.conf.Tenant == tenant
 }
 
-// Allow asks whether one more request of a class and a tenant that ends by the time given may be let in now.
-// If not, it names the limit and tells after how long it may be. It never waits for a message.
+// AllowRequest reports whether a request of a class and a tenant that ends by the given time may be admitted
+// now. If not, it returns the limit that refused it and the time after which to retry. It never waits for a
+// message.
 func (f *Fleet) Allow(class, tenant string, ends time.Time) (t Ticket, ok bool, after time.Duration,
 	limit string) {
 	now := f.now()
@@ -240,7 +241,7 @@
 			}
 			continue
 		}
-		for _, before := range f.limits[:i] { // what others that bind it have let in is not used
+		for _, before := range f.limits[:i] { // return the units that the preceding limits have granted
 			if key, binds := before.binds(class, tenant); binds && before.slots == nil {
 				before.give(now, key, quota.Place{})
 			}
@@ -251,7 +252,7 @@
 	return t, true, 0, ""
 }
 
-// AllowSend asks whether an attempt at a server that ends by the time given may be sent now.
+// AllowAttempt reports whether an attempt to a server that ends by the given time may be sent now.
 func (f *Fleet) AllowSend(server uint64, ends time.Time) (t Ticket, ok bool) {
 	now := f.now()
 	until := now + time.Until(ends).Microseconds()
@@ -277,17 +278,17 @@
 	return t, true
 }
 
-// serves tells that a limit binds attempts at a server.
+// matchesServer reports whether the limit applies to attempts to a server.
 func (l *limiter) serves(server uint64) bool {
 	return l.conf.Server == Each || l.conf.Server != "" && l.server == server
 }
 
-// LimitsServers tells that attempts are limited, and not just requests.
+// HasServerLimits reports whether any limit applies to attempts and not only to requests.
 func (f *Fleet) LimitsServers() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Server != "" })
 }
 
-// Done gives back what a request or an attempt that has ended held.
+// ReleaseTicket releases the slots of a request or an attempt that has ended.
 func (f *Fleet) Done(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
@@ -295,7 +296,7 @@
 	}
 }
 
-// each calls a function for every limit, under its lock.
+// forEachLimit calls a function for every limit, with the limit's lock held.
 func (f *Fleet) each(do func(l *limiter)) {
 	for _, l := range f.limits {
 		l.mu.Lock()
@@ -304,7 +305,8 @@
 	}
 }
 
-// handLimits gives this process's limits up, and returns what the next one has to know.
+// handOverLimits reduces this process's limits to the part that it keeps for requests still in flight here,
+// and adds the state that the successor needs to the handover.
 func (f *Fleet) handLimits(h *Handover) {
 	now := f.now()
 	h.Lent = map[string]Handed{}
@@ -324,7 +326,7 @@
 	}
 }
 
-// beginLimits takes over what another process of this member has handed over; nil: there was none.
+// startLimits restores the limits from a handover; nil: there was none.
 func (f *Fleet) beginLimits(from *Handover) {
 	now := f.now()
 	f.each(func(l *limiter) {
@@ -346,16 +348,16 @@
 	}
 }
 
-// againLimits goes on in this process's own place after the next one has failed: nobody knows what that one
-// has lent or voted.
+// reclaimLimits continues with this process's limits after the successor has failed. What the successor has
+// lent or voted is unknown.
 func (f *Fleet) againLimits() {
 	now := f.now()
 	f.each(func(l *limiter) { l.part.Alone(now, true) })
 	f.tenure = f.newTenure()
 }
 
-// newTenure is one of a process that knows of no votes. Members whose floors differ do not vote with one
-// another.
+// newTenure returns the voting state of a process that knows of no votes. Members whose floors differ do not
+// count one another's votes.
 func (f *Fleet) newTenure() *quota.Tenure {
 	h := xxhash.New()
 	for _, l := range f.cfg.Limits {
@@ -365,14 +367,15 @@
 		f.cfg.Period().Microseconds(), f.now())
 }
 
-// mostDiffer is for how many periods being turned down by somebody counts.
+// rejectionPeriods is the number of periods for which a rejection by another member voids the limits.
 const mostDiffer = 10
 
-// sayAgain is after how long a member tells its settings anew; they end after twice that, as it may be gone.
+// reannounceInterval is how often a member announces its settings. They expire after twice that, because the
+// member may be gone.
 const sayAgain = time.Hour
 
-// agree has the strictest of what the members that are alive say of each limit hold here, and tells them what
-// is said here.
+// reconcileLimits applies the strictest of the settings that the alive members announce for each limit, and
+// announces this member's own.
 func (f *Fleet) agree(v *membership.View, now membership.Micros, peers []string) {
 	if n := v.Figures().TurnedDown; n != f.turnedDown {
 		f.turnedDown, f.turnedAt = n, now
@@ -382,7 +385,7 @@
 	for _, l := range f.limits {
 		own, ok := conf.limit(l.conf.Name)
 		if !ok {
-			continue // its last word holds until a restart
+			continue // the last announced settings hold until a restart
 		}
 		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
 		key := "limit." + l.conf.Name
@@ -392,7 +395,7 @@
 			what := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: text,
 				Span: 2 * sayAgain.Microseconds()}
 			if _, err := f.keep.Say(now, time.Now().UnixMilli(), what); err != nil {
-				f.log.Warn("the others are not told of a limit", "limit", l.conf.Name, "err", err)
+				f.log.Warn("cannot announce the settings of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
 		amount, burst, members := own.amount(), own.Burst, conf.Size()
@@ -417,7 +420,7 @@
 	}
 }
 
-// limit is a limit of the file by its name.
+// limit returns a limit of the settings file by name.
 func (c *Config) limit(name string) (Limit, bool) {
 	for _, l := range c.Limits {
 		if l.Name == name {
@@ -427,14 +430,14 @@
 	return Limit{}, false
 }
 
-// sameLimits tells that two files have the same limits, whatever their figures.
+// sameLimits reports whether two files have the same limits, regardless of rate, burst and concurrency.
 func sameLimits(a, b []Limit) bool {
 	return slices.EqualFunc(a, b, func(x, y Limit) bool {
 		return x.id() == y.id() && x.Class == y.Class && x.Tenant == y.Tenant && x.Server == y.Server
 	})
 }
 
-// tendLimits has the parts look once a period whom to ask.
+// tickLimits runs the periodic work of the limits: votes, loan requests and renewals.
 func (f *Fleet) tendLimits(v *membership.View, now membership.Micros, peers []string) {
 	if len(f.limits) == 0 {
 		return
@@ -457,13 +460,13 @@
 	})
 }
 
-// votes tells that any limit has a rest that is voted on.
+// usesVotes reports whether any limit has a floor below 1, so that the rest of the shares is voted on.
 func (f *Fleet) votes() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Floor < 1 })
 }
 
-// hearLimit takes in another member's message on a limit. One that this member does not have is no fault:
-// settings change at different times.
+// receiveLimit handles another member's message on a limit. A limit that this member does not have is no
+// fault, because members change their settings at different times.
 func (f *Fleet) hearLimit(v *membership.View, h membership.Heard) {
 	now := f.now()
 	if quota.IsTenure(h.Data) {
@@ -489,14 +492,15 @@
 	})
 }
 
-// Limits is the form of GET /admin/limits.
+// Limits is the body of GET /admin/limits.
 type Limits struct {
 	Limits []LimitStatus `json:"limits"`
-	// Holds are the members whose rest of all shares this one has by a majority's votes, itself among them.
+	// Holds names the members whose shares above the floor this member uses by a majority vote, possibly
+	// including itself.
 	Holds []string `json:"holds"`
 }
 
-// Limits are this member's shares.
+// Limits returns the state of this member's shares.
 func (f *Fleet) Limits() Limits {
 	out := Limits{Limits: []LimitStatus{}, Holds: []string{}}
 	if h := f.holds.Load(); h != nil {
@@ -517,7 +521,7 @@
 			s.Kind, s.Limit, s.Granted, s.Refused = "each", l.keys.Rate, l.keys.Granted, l.keys.Refused
 			s.Keys = l.keys.Len()
 		}
-		if differ { // rosters or floors may differ, and with them who votes on what
+		if differ { // rosters or floors may differ between members, and so the voters of the rests
 			s.OverAtMost = (1 - l.conf.Floor) * s.Limit
 		}
 		out.Limits = append(out.Limits, s)
@@ -525,7 +529,7 @@
 	return out
 }
 
-// Alone tells that the process that this one took over from is over.
+// PredecessorGone reports that the process from which this one took over has ended.
 func (f *Fleet) Alone() {
 	now := f.now()
 	f.each(func(l *limiter) { l.part.Alone(now, false) })
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,7 +1,7 @@
 package fleet
 
-// What the fleet turns away as one, on its way between members, fronts and operators. Who sheds what is the
-// guard's to say: internal/overload.
+// Fleet-wide load shedding: connects members, fronts and operators to the guard of internal/overload, which
+// decides what is shed.
 
 import (
 	"sync"
@@ -13,25 +13,26 @@
 	"lapislever/internal/overload"
 )
 
-// mostNamed is how many classes and tenants are counted by name, and longestNamed how much of a tenant's name
-// is kept: anybody may claim any.
+// maxShedNames bounds the number of classes and tenants that are counted by name, and maxTenantLen the length
+// of a tenant's name, because clients can send arbitrary tenant names.
 const (
 	mostNamed    = 256
 	longestNamed = 64
 )
 
-// shedder is a guard with its lock: fronts and the core ask from their goroutines.
+// overloadState is the guard with its lock, as fronts and the core use it from their own goroutines.
 type shedder struct {
 	mu    sync.Mutex // guards what follows
 	guard *overload.Guard
-	by    map[string]int64 // turned away, by class and by class/tenant
+	by    map[string]int64 // requests shed, by class and by class/tenant
 }
 
-// Sheds tells that the fleet turns away as one.
+// OverloadEnabled reports whether the fleet sheds load by a common level.
 func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
 
-// LetIn asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
-// its tries have in common. If not, it returns after how long it may come back.
+// Admit reports whether a request of a class of the given rank may be admitted at the fleet's overload level.
+// who is a string that all tries of the request share. If it is not admitted, Admit returns the time after
+// which to retry.
 func (f *Fleet) LetIn(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
 	if !f.cfg.Sheds() {
 		return true, 0
@@ -52,14 +53,14 @@
 	return false, time.Duration(wait) * time.Microsecond
 }
 
-// HasEnded books how a request that was let in ended. well: answered in time.
+// RequestFinished records the end of an admitted request. well: it was answered in time.
 func (f *Fleet) HasEnded(well bool) {
 	f.shed.mu.Lock()
 	f.shed.guard.Ended(well)
 	f.shed.mu.Unlock()
 }
 
-// MaySend asks whether an attempt may be sent by the budget for what is sent again.
+// AllowByRetryBudget reports whether the retry budget permits an attempt. It always permits first attempts.
 func (f *Fleet) MaySend(first bool) bool {
 	if !f.cfg.Sheds() {
 		return true
@@ -69,7 +70,7 @@
 	return f.shed.guard.Send(first)
 }
 
-// tendOverload has the guard its turn, once a period.
+// tickOverload runs the guard's periodic work.
 func (f *Fleet) tendOverload(v *membership.View, now membership.Micros, peers []string) {
 	if !f.cfg.Sheds() {
 		return
@@ -87,7 +88,7 @@
 	}
 }
 
-// hearOverload takes in another member's message.
+// receiveOverload handles another member's overload message.
 func (f *Fleet) hearOverload(v *membership.View, h membership.Heard) {
 	if !f.cfg.Sheds() {
 		return
@@ -103,27 +104,27 @@
 	}
 }
 
-// Overload is the form of GET /admin/overload.
+// Overload is the body of GET /admin/overload.
 type Overload struct {
-	Level   int              `json:"level"` // all below is turned away; of 64
+	Level   int              `json:"level"` // requests with a lower priority are shed; 64 priorities
 	HeardMS int64            `json:"heard_ms"`
-	Shed    map[string]int64 `json:"shed"` // by class, and by class/tenant
+	Shed    map[string]int64 `json:"shed"` // requests shed, by class and by class/tenant
 	Retries struct {
 		Spent   int64 `json:"spent"`
-		Allowed int64 `json:"allowed"` // a tenth of what was sent for the first time, and some to begin with
+		Allowed int64 `json:"allowed"` // a tenth of the first attempts plus an initial budget
 		Denied  int64 `json:"denied"`
 	} `json:"retries"`
 	Duties []Duty `json:"duties"`
 }
 
-// Duty is what one member does for all.
+// Duty is a task that one member performs for the fleet.
 type Duty struct {
 	What    string `json:"what"`
 	Owner   string `json:"owner"`
 	SinceMS int64  `json:"since_ms"`
 }
 
-// Overload is what the door shows.
+// Overload returns the overload state that the admin endpoint shows.
 func (f *Fleet) Overload() Overload {
 	now := f.now()
 	f.shed.mu.Lock()
--- a/internal/fleet/seal.go
+++ b/internal/fleet/seal.go
@@ -1,10 +1,11 @@
 package fleet
 
-// The seal of a datagram. Without keys it bears a sum, against damage; with keys it is sealed by AES-256-GCM
-// with a random nonce (NIST SP 800-38D, 8.2.2), and two clear bytes before it that are bound too.
+// Sealing of datagrams. Without keys a datagram carries a checksum against corruption. With keys it is sealed
+// by AES-256-GCM with a random nonce (NIST SP 800-38D, 8.2.2); the two clear bytes at its start are
+// authenticated too.
 //
-//	plain:  0xF1, sum (8), content
-//	sealed: 0xF2, print of the key, nonce (12), content, tag (16)
+//	plain:  0xF1, checksum (8), content
+//	sealed: 0xF2, key fingerprint, nonce (12), content, tag (16)
 
 import (
 	"crypto/aes"
@@ -20,7 +21,7 @@
 
 const (
 	keySize     = 32
-	family      = 0xF0 // of the first byte, the upper half: this protocol; the lower its version
+	family      = 0xF0 // upper half of the first byte: this protocol; the lower half is its version
 	plainForm   = 0xF1
 	sealedForm  = 0xF2
 	plainHead   = 1 + 8
@@ -29,10 +30,10 @@
 	maxDatagram = 256
 )
 
-// The compiler holds that what is sealed never passes 256 bytes.
+// Compile-time check that a sealed datagram never exceeds 256 bytes.
 const _ = uint(maxDatagram - sealedRest - membership.MaxPlain)
 
-// Why a datagram could not be opened.
+// The reasons for dropping a datagram.
 var (
 	errCut      = errors.New("cut")
 	errLong     = errors.New("long")
@@ -42,19 +43,19 @@
 	errKey      = errors.New("key")
 	errUnsealed = errors.New("unsealed")
 	errFull     = errors.New("queue_full")
-	errMessage  = errors.New("message") // of a layer above, and not readable
+	errMessage  = errors.New("message") // malformed message of the layer above membership
 )
 
 var openErrors = []error{errCut, errLong, errForeign, errVersion, errDamaged, errKey, errUnsealed, errFull,
 	errMessage}
 
-// key is one that seals and opens.
+// key is a key for sealing and opening.
 type key struct {
-	print byte // tells keys apart before the work of opening; two may share one
+	print byte // selects keys before the costly decryption; two keys may share a fingerprint
 	gcm   cipher.AEAD
 }
 
-// keyring is the keys in use. Empty: no seal.
+// keyring holds the keys in use. If it is empty, datagrams are not sealed.
 type keyring struct{ keys []key }
 
 func (k *keyring) add(secret []byte) error {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// seal makes a datagram of a content.
+// seal returns the sealed datagram for a content.
 func (k *keyring) seal(content []byte) []byte {
 	if len(k.keys) == 0 {
 		b := make([]byte, plainHead, plainHead+len(content))
@@ -81,11 +82,11 @@
 	first := &k.keys[0]
 	b := make([]byte, sealedHead, sealedRest+len(content))
 	b[0], b[1] = sealedForm, first.print
-	_, _ = rand.Read(b[2:sealedHead]) // it never fails: crypto/rand
+	_, _ = rand.Read(b[2:sealedHead]) // crypto/rand's Read never fails
 	return first.gcm.Seal(b, b[2:sealedHead], content, b[:2])
 }
 
-// open is a datagram's content.
+// open verifies a datagram and returns its content.
 func (k *keyring) open(b []byte) ([]byte, error) {
 	switch {
 	case len(b) == 0:
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Verdicts on the way between members, the core and operators. What holds is the table's to say:
-// internal/verdict.
+// Verdicts: connects members, the core and operators to the verdict table of internal/verdict, which decides
+// which verdicts are in force.
 
 import (
 	"errors"
@@ -13,63 +13,63 @@
 	"lapislever/internal/verdict"
 )
 
-// ErrLate tells that an operator's call was not carried out in time; it may still be.
+// ErrTimeout reports that an operator's call was not completed in time; it may still take effect.
 var ErrLate = errors.New("not done in time, and may still be: call again")
 
-// ErrNothing tells that there is nothing to take back.
+// ErrNoVerdict reports that there is no verdict to revoke.
 var ErrNothing = errors.New("the fleet has no such verdict")
 
-// Apply carries out at this member that something holds, or does not any more. It returns once that is done,
-// or false if this process ends before.
+// ApplyFunc enforces a verdict in this process, or stops enforcing it. It returns once that is done, or false
+// if the process ends first.
 type Apply func(verdict.Change) bool
 
-// Handover is what the next process of this member needs.
+// Handover is the state that the successor process of this member needs.
 type Handover struct {
 	View     membership.Snapshot `json:"view"`
 	Verdicts []verdict.Saved     `json:"verdicts"`
-	Lent     map[string]Handed   `json:"lent"` // of each limit
+	Lent     map[string]Handed   `json:"lent"` // by limit name
 	Tenure   *quota.Held         `json:"tenure,omitempty"`
 }
 
-// Verdicts is the form of GET /admin/verdicts.
+// Verdicts is the body of GET /admin/verdicts.
 type Verdicts struct {
 	Verdicts []VerdictStatus `json:"verdicts"`
-	Told     bool            `json:"told"` // this process has taken in what another one knew
-	Seen     []SeenStatus    `json:"seen"` // what this member itself has seen of nodes that may be sick
+	Told     bool            `json:"told"` // this process has received the verdicts that other members knew
+	Seen     []SeenStatus    `json:"seen"` // this member's own observations of nodes that may be sick
 }
 
-// SeenStatus is what this member has seen of one data node.
+// EvidenceStatus is this member's observations of one data node.
 type SeenStatus struct {
 	Node    string `json:"node"`
-	Good    int    `json:"good"` // attempts that were served in time since the first bad one
-	Bad     int    `json:"bad"`  // that came to nothing
-	Late    int    `json:"late"` // that took far longer than is usual
+	Good    int    `json:"good"` // attempts served in time since the first bad one
+	Bad     int    `json:"bad"`  // attempts that failed
+	Late    int    `json:"late"` // attempts that took far longer than usual
 	SinceMS int64  `json:"since_ms"`
 }
 
-// VerdictStatus is one verdict as the door shows it. Times are in Unix milliseconds by the clock here.
+// VerdictStatus is one verdict in Verdicts. Times are Unix milliseconds by this process's clock.
 type VerdictStatus struct {
 	Kind    string   `json:"kind"`
 	What    string   `json:"what"`
 	By      string   `json:"by"`
 	Reason  string   `json:"reason"`
 	AtMS    int64    `json:"at_ms"`
-	EndsMS  int64    `json:"ends_ms"` // 0: when it is taken back
+	EndsMS  int64    `json:"ends_ms"` // 0: in force until it is revoked
 	Held    []string `json:"held"`
 	Missing []string `json:"missing"`
 }
 
-// keeper is the part of the goroutine that holds the view which holds the table.
+// verdictStore is the verdict table with its exchange between members. Only the owner goroutine uses it.
 type keeper struct {
 	*verdict.Spreader
 	tickAt  membership.Micros
 	pending []verdict.Change
 }
 
-// mostPending is how many changes may wait for the core beside those that the keeper holds back.
+// maxPending is the capacity of the queue of changes to the core; further ones wait in verdictStore.pending.
 const mostPending = 64
 
-// apply carries changes out one after the other.
+// applyLoop enforces changes one after the other.
 func (f *Fleet) apply() {
 	for {
 		select {
@@ -86,8 +86,8 @@
 	}
 }
 
-// call has the view's owner call a function, and waits until it takes it. False: there is no owner any more,
-// or none that takes it within the time.
+// postToOwner hands a function to the owner goroutine and waits until it is accepted. It returns false if the
+// fleet is closed or the function is not accepted within the given time.
 func (f *Fleet) call(do func(*membership.View), within time.Duration) bool {
 	late := time.NewTimer(within)
 	defer late.Stop()
@@ -100,7 +100,7 @@
 	return false
 }
 
-// tend lets the table have its turn: once a period it looks whom to tell.
+// tick runs the periodic work of verdicts, limits, evidence and overload, and sends verdict messages.
 func (f *Fleet) tend(v *membership.View) {
 	k := &f.keep
 	if now := f.now(); v.Joined() && now >= k.tickAt {
@@ -122,7 +122,7 @@
 	sends, changes := k.Take()
 	for _, c := range changes {
 		f.acquit(c)
-		if !f.concerns(&c.Verdict) { // there is nothing to carry out
+		if !f.concerns(&c.Verdict) { // there is nothing to enforce
 			k.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
@@ -152,14 +152,14 @@
 	v.Tell(k.Announce())
 }
 
-// hearVerdict takes in another member's message on verdicts.
+// receiveVerdict handles another member's verdict message.
 func (f *Fleet) hearVerdict(h membership.Heard) {
 	if !f.keep.Receive(f.now(), h.From, h.Data) {
 		f.drop(errMessage)
 	}
 }
 
-// showVerdicts makes the table what the door shows.
+// publishVerdicts stores the verdicts for the admin endpoint.
 func (f *Fleet) showVerdicts(alive []string) {
 	now, wall := f.now(), time.Now().UnixMilli()
 	out := &Verdicts{Verdicts: []VerdictStatus{}, Told: f.keep.Told()}
@@ -190,18 +190,18 @@
 	return s
 }
 
-// Verdicts is what the door shows.
+// Verdicts returns the verdicts that the admin endpoint shows.
 func (f *Fleet) Verdicts() *Verdicts {
 	v := *f.verdicts.Load()
 	v.Seen = f.seen()
 	return &v
 }
 
-// Told tells that this process has taken in what other members knew.
+// VerdictsSynced reports whether this process has received the verdicts that other members knew.
 func (f *Fleet) Told() bool { return f.verdicts.Load().Told }
 
-// Say gives a verdict for the fleet. It returns once that holds here and, for as long as wait says, at all
-// others that are alive.
+// IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
+// alive members, for which it waits no longer than wait.
 func (f *Fleet) Say(v verdict.Verdict, within, wait time.Duration) (VerdictStatus, error) {
 	begun := time.Now()
 	var given verdict.Verdict
@@ -215,7 +215,7 @@
 				ill = f.pardon(&v)
 			}
 			if l, ok := f.keep.Line(f.now(), v.Kind, v.What); !ok || !l.On {
-				if err = ErrNothing; len(ill) > 0 { // by evidence alone, and that is taken back
+				if err = ErrNothing; len(ill) > 0 { // there were only verdicts by evidence, now revoked
 					given, err = ill[0], nil
 				}
 				return
@@ -237,7 +237,7 @@
 			l, ok := f.keep.Line(f.now(), given.Kind, given.What)
 			if ok && l.Stamp == given.Stamp && l.Member == given.Member {
 				s = f.status(l, *f.alive.Load(), time.Now().UnixMilli())
-			} else { // another has said otherwise since
+			} else { // a newer verdict has replaced it
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
 		}, within) {
@@ -256,7 +256,7 @@
 	}
 }
 
-// pardon takes back what holds of a node by evidence, with an operator's word, and returns that.
+// liftEvidence revokes a node's verdicts by evidence on an operator's call, and returns the revocations.
 func (f *Fleet) pardon(v *verdict.Verdict) (given []verdict.Verdict) {
 	for _, x := range f.keep.Evidence(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
