--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -79,7 +79,7 @@
 	judged := j.jury.Judge(now)
 	j.mu.Unlock()
 	for _, s := range sends {
-		v.Say(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, toEvidence, s.Data)
 	}
 	for _, x := range judged {
 		f.judge(now, x, len(others)+1, size)
@@ -112,7 +112,7 @@
 }
 
 // receiveEvidence handles another member's evidence message.
-func (f *Fleet) hearEvidence(v *membership.View, h membership.Heard) {
+func (f *Fleet) hearEvidence(v *membership.View, h membership.AppMessage) {
 	if !f.cfg.Judges() {
 		return
 	}
@@ -127,7 +127,7 @@
 		f.drop(errMessage)
 	}
 	for _, s := range sends {
-		v.Say(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, toEvidence, s.Data)
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -27,7 +27,7 @@
 	queueSize = 1024
 	heardSize = 256
 	// MaxMessage is the maximum length of a message of the decision module, in bytes.
-	MostMessage = membership.MostApp
+	MostMessage = membership.MaxAppMessage
 	showEvery   = 100 * time.Millisecond
 )
 
@@ -104,7 +104,7 @@
 	alive  atomic.Pointer[[]string] // names of the other alive members
 	in     chan []byte
 	calls  chan func(*membership.View)
-	heard  chan membership.Heard
+	heard  chan membership.AppMessage
 	closed chan struct{}
 	once   sync.Once
 	drops  [9]atomic.Int64 // indexed as dropErrors
@@ -146,7 +146,7 @@
 // Open binds the socket, or uses one that is handed over. Nothing is read before Start.
 func Open(cfg *Config, log *slog.Logger, given *net.UDPConn) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), in: make(chan []byte, queueSize),
-		calls: make(chan func(*membership.View)), heard: make(chan membership.Heard, heardSize),
+		calls: make(chan func(*membership.View)), heard: make(chan membership.AppMessage, heardSize),
 		closed: make(chan struct{}), joined: make(chan struct{}), refused: make(chan error, 1)}
 	f.keys.Store(cfg.keys)
 	f.conf.Store(cfg)
@@ -154,9 +154,9 @@
 	f.toApply = make(chan verdict.Change, mostPending)
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
 	f.keep.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
-		membership.MostApp)
+		membership.MaxAppMessage)
 	f.jurors.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
-		cfg.Period().Microseconds(), membership.MostApp)
+		cfg.Period().Microseconds(), membership.MaxAppMessage)
 	f.jurors.zones = map[string]string{}
 	f.host.Store(&Host{})
 	f.shed.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
@@ -267,7 +267,7 @@
 	f.mu.Unlock()
 	if v != nil {
 		f.againLimits()
-		v.Again(f.now())
+		v.Reclaim(f.now())
 		f.start(v)
 	}
 }
@@ -279,7 +279,7 @@
 func (f *Fleet) Refused() <-chan error { return f.refused }
 
 // Messages returns the channel of messages for the decision module.
-func (f *Fleet) Heard() <-chan membership.Heard { return f.heard }
+func (f *Fleet) Heard() <-chan membership.AppMessage { return f.heard }
 
 // Close ends this process's membership without notifying the others.
 func (f *Fleet) Close() {
@@ -294,10 +294,10 @@
 // the given time. It returns whether they have.
 func (f *Fleet) Leave(most time.Duration) bool {
 	end := time.Now().Add(most)
-	known := f.ask(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveKnown() }, most)
+	known := f.ask(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveAcknowledged() }, most)
 	for !known && time.Now().Before(end) {
 		time.Sleep(min(5*time.Millisecond, most))
-		known = f.ask((*membership.View).LeaveKnown, time.Until(end))
+		known = f.ask((*membership.View).LeaveAcknowledged, time.Until(end))
 	}
 	return known
 }
@@ -348,7 +348,7 @@
 	}
 	call := func(v *membership.View) {
 		for _, name := range names {
-			if v.Say(name, toModule, []byte(text)) {
+			if v.SendApp(name, toModule, []byte(text)) {
 				f.told.Add(1)
 			}
 		}
@@ -451,7 +451,7 @@
 	if v.Joined() {
 		f.mark(f.joined)
 	}
-	if c := v.Refused(); c != nil && c.Refused {
+	if c := v.Conflict(); c != nil && c.MustStop {
 		select {
 		case f.refused <- fmt.Errorf("fleet: %w: %s, at %v", ErrTaken, f.cfg.Fleet.Name, c.Addr):
 		default:
@@ -461,7 +461,7 @@
 }
 
 // dispatch passes an application message to its receiver.
-func (f *Fleet) hear(v *membership.View, h membership.Heard) {
+func (f *Fleet) hear(v *membership.View, h membership.AppMessage) {
 	switch h.Kind {
 	case toVerdict:
 		f.hearVerdict(h)
@@ -492,12 +492,12 @@
 func (f *Fleet) tell(c membership.Change) {
 	m := c.Member
 	switch {
-	case c.Gone:
+	case c.Forgotten:
 		f.log.Info("fleet member forgotten", "member", m.Name, "was", m.State.String())
-	case c.First:
+	case c.Discovered:
 		f.log.Info("fleet member found", "member", m.Name, "zone", m.Zone, "addr", m.Addr,
 			"state", m.State.String(), "incarnation", m.Inc)
-	case c.Was == m.State:
+	case c.Previous == m.State:
 		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Inc)
 	default:
 		level := slog.LevelInfo
@@ -505,7 +505,7 @@
 			level = slog.LevelWarn
 		}
 		f.log.Log(context.Background(), level, "fleet member changed", "member", m.Name, "state", m.State.String(),
-			"was", c.Was.String(), "incarnation", m.Inc)
+			"was", c.Previous.String(), "incarnation", m.Inc)
 	}
 }
 
@@ -533,17 +533,17 @@
 	}
 	period := f.cfg.Period().Milliseconds()
 	s.Figures = Figures{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
-		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.Failed, Votes: g.Votes,
-		Refuted: g.Refuted, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, TurnedDown: g.TurnedDown,
+		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.ProbesFailed, Votes: g.Votes,
+		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, TurnedDown: g.Rejections,
 		Told: f.told.Load(), ToldUs: f.toldUs.Load(), SickGiven: f.jurors.given, SickHeld: f.jurors.held,
 		Differ: differ, CrashKnownMS: int64(crashPeriods(s.Alive)) * period,
 		SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
 			"left": membership.ForgetLeft * period, "dead": membership.ForgetDead * period}}
-	if c := v.Refused(); c != nil {
+	if c := v.Conflict(); c != nil {
 		s.Figures.Conflict = c.Addr.String()
 		if old := f.show.Load(); old.Figures.Conflict == "" {
 			f.log.Error("another process bears this member's name", "member", self.Name, "addr", c.Addr,
-				"refused", c.Refused)
+				"refused", c.MustStop)
 		}
 	}
 	f.alive.Store(&alive)
@@ -551,10 +551,10 @@
 	f.show.Store(s)
 }
 
-func (f *Fleet) dropped(g membership.Figures) map[string]int64 {
+func (f *Fleet) dropped(g membership.Stats) map[string]int64 {
 	out := map[string]int64{}
 	for i, n := range g.Dropped {
-		out[membership.ReasonNames[i]] = n
+		out[membership.DropReasonNames[i]] = n
 	}
 	for i, err := range openErrors {
 		out[err.Error()] = f.drops[i].Load()
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -377,7 +377,7 @@
 // reconcileLimits applies the strictest of the settings that the alive members announce for each limit, and
 // announces this member's own.
 func (f *Fleet) agree(v *membership.View, now membership.Micros, peers []string) {
-	if n := v.Figures().TurnedDown; n != f.turnedDown {
+	if n := v.Figures().Rejections; n != f.turnedDown {
 		f.turnedDown, f.turnedAt = n, now
 	}
 	void := f.turnedDown > 0 && now-f.turnedAt < mostDiffer*f.cfg.Period().Microseconds()
@@ -446,7 +446,7 @@
 	var e quota.Entitlement
 	if f.tenure != nil && f.votes() {
 		for _, m := range f.tenure.Tick(now, append([]string{f.cfg.Fleet.Name}, peers...)) {
-			v.Say(m.To, toQuota, m.Data)
+			v.SendApp(m.To, toQuota, m.Data)
 		}
 		e = f.tenure.Entitlement(now)
 		holds := f.tenure.Holds(now)
@@ -455,7 +455,7 @@
 	f.each(func(l *limiter) {
 		l.part.Entitle(now, e)
 		for _, m := range l.part.Tick(now, peers) {
-			v.Say(m.To, toQuota, m.Data)
+			v.SendApp(m.To, toQuota, m.Data)
 		}
 	})
 }
@@ -467,12 +467,12 @@
 
 // receiveLimit handles another member's message on a limit. A limit that this member does not have is no
 // fault, because members change their settings at different times.
-func (f *Fleet) hearLimit(v *membership.View, h membership.Heard) {
+func (f *Fleet) hearLimit(v *membership.View, h membership.AppMessage) {
 	now := f.now()
 	if quota.IsTenure(h.Data) {
 		if f.tenure != nil {
 			for _, m := range f.tenure.Receive(now, h.From, h.Data) {
-				v.Say(m.To, toQuota, m.Data)
+				v.SendApp(m.To, toQuota, m.Data)
 			}
 		}
 		return
@@ -487,7 +487,7 @@
 			return
 		}
 		for _, m := range l.part.Receive(now, h.From, h.Data) {
-			v.Say(m.To, toQuota, m.Data)
+			v.SendApp(m.To, toQuota, m.Data)
 		}
 	})
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -81,7 +81,7 @@
 	is := f.shed.guard.Level()
 	f.shed.mu.Unlock()
 	for _, s := range sends {
-		v.Say(s.To, toOverload, s.Data)
+		v.SendApp(s.To, toOverload, s.Data)
 	}
 	if (was == 0) != (is == 0) {
 		f.log.Info("fleet overload", "level", is, "was", was)
@@ -89,7 +89,7 @@
 }
 
 // receiveOverload handles another member's overload message.
-func (f *Fleet) hearOverload(v *membership.View, h membership.Heard) {
+func (f *Fleet) hearOverload(v *membership.View, h membership.AppMessage) {
 	if !f.cfg.Sheds() {
 		return
 	}
@@ -100,7 +100,7 @@
 		f.drop(errMessage)
 	}
 	for _, s := range sends {
-		v.Say(s.To, toOverload, s.Data)
+		v.SendApp(s.To, toOverload, s.Data)
 	}
 }
 
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -110,7 +110,7 @@
 		self := v.Self().Name
 		for _, m := range v.Members() {
 			if m.State <= membership.Suspect && m.Name != self {
-				peers = append(peers, verdict.Peer{Name: m.Name, Sum: m.App})
+				peers = append(peers, verdict.Peer{Name: m.Name, Sum: m.AppTag})
 				names = append(names, m.Name)
 			}
 		}
@@ -133,7 +133,7 @@
 	}
 	more, _ := k.Take()
 	for _, s := range append(sends, more...) {
-		v.Say(s.To, toVerdict, s.Data)
+		v.SendApp(s.To, toVerdict, s.Data)
 	}
 	for _, c := range changes {
 		if f.concerns(&c.Verdict) {
@@ -149,11 +149,11 @@
 		}
 		break
 	}
-	v.Tell(k.Announce())
+	v.SetAppTag(k.Announce())
 }
 
 // receiveVerdict handles another member's verdict message.
-func (f *Fleet) hearVerdict(h membership.Heard) {
+func (f *Fleet) hearVerdict(h membership.AppMessage) {
 	if !f.keep.Receive(f.now(), h.From, h.Data) {
 		f.drop(errMessage)
 	}
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -10,49 +10,49 @@
 
 // maxRivalReturns is how often a process may supersede the same rival that keeps reappearing before the rival
 // is considered to be running.
-const rivalsMost = 3
+const maxRivalReturns = 3
 
 // handleRival handles the record of another process with this member's name.
-func (v *View) rival(r record) {
+func (v *View) handleRival(r record) {
 	switch {
-	case v.left || r.birth == v.self.birth || !v.joining && !r.above(&v.self):
+	case v.left || r.birth == v.self.birth || !v.joining && !r.newerThan(&v.self):
 		return
 	case r.state != Alive || r.addr == v.self.addr: // it has ended, or had this process's own address
-		v.goBehind(r)
+		v.supersede(r)
 	case v.claim == nil || v.claim.rival.birth != r.birth:
 		v.claim = &claim{rival: r, since: v.now}
-		v.callClaim()
+		v.advanceClaim()
 	case r.inc > v.claim.rival.inc:
 		v.claim.rival.inc = r.inc
 	}
 }
 
 // supersede takes the incarnation following another process's.
-func (v *View) goBehind(r record) {
+func (v *View) supersede(r record) {
 	v.claim = nil
 	if v.joining {
-		v.become(r.inc + 1)
+		v.completeJoin(r.inc + 1)
 		return
 	}
-	v.setSelf(max(v.self.inc, r.inc+1))
+	v.setOwnIncarnation(max(v.self.inc, r.inc+1))
 }
 
 // advanceClaim contacts the other process with this member's name, directly and through other members. A
 // process that does not answer within claimPeriods is considered gone.
-func (v *View) callClaim() {
+func (v *View) advanceClaim() {
 	c := v.claim
 	if c == nil {
 		return
 	}
-	if v.now-c.since >= claimFor*v.cfg.Period {
-		if v.rivalOf != c.rival.birth {
-			v.rivalOf, v.rivals = c.rival.birth, 0
+	if v.now-c.since >= claimPeriods*v.cfg.Period {
+		if v.rivalBirth != c.rival.birth {
+			v.rivalBirth, v.rivalReturns = c.rival.birth, 0
 		}
-		if v.rivals++; v.rivals > rivalsMost && c.rival.birth < v.self.birth {
-			v.conflict = &Conflict{Addr: c.rival.addr, Birth: c.rival.birth, Refused: true}
+		if v.rivalReturns++; v.rivalReturns > maxRivalReturns && c.rival.birth < v.self.birth {
+			v.conflict = &Conflict{Addr: c.rival.addr, Birth: c.rival.birth, MustStop: true}
 			return
 		}
-		v.goBehind(c.rival)
+		v.supersede(c.rival)
 		return
 	}
 	v.sendClaim(c.rival.addr)
@@ -60,19 +60,19 @@
 
 func (v *View) sendClaim(to netip.AddrPort) {
 	body := func(hops byte) []byte {
-		b := appendAddr(v.begin(kindClaim), to)
-		b = binary.LittleEndian.AppendUint32(b, uint32(v.age()))
-		b, _ = put(append(b, hops), v.me())
+		b := appendAddr(v.newMessage(kindClaim), to)
+		b = binary.LittleEndian.AppendUint32(b, uint32(v.agePeriods()))
+		b, _ = appendEntry(append(b, hops), v.selfEntry())
 		return b
 	}
 	v.send(to, body(0), false)
-	for _, m := range v.others(2, 0) {
+	for _, m := range v.randomMembers(2, 0) {
 		v.sendTo(m, body(1), false)
 	}
 }
 
 // agePeriods returns the number of periods that this process has run.
-func (v *View) age() Micros { return (v.now - v.begun) / v.cfg.Period }
+func (v *View) agePeriods() Micros { return (v.now - v.startedAt) / v.cfg.Period }
 
 func appendAddr(b []byte, a netip.AddrPort) []byte {
 	ip := a.Addr().AsSlice()
@@ -82,16 +82,16 @@
 
 // handleClaim handles the claim of another process with this member's name, or forwards it to the member that
 // it is meant for.
-func (v *View) claimed(from *member, msg message) {
+func (v *View) handleClaim(from *member, msg message) {
 	if len(msg.entries) == 0 || !msg.entries[0].full {
 		return
 	}
 	r := msg.entries[0].record
 	if r.name != v.self.name || msg.addr != v.self.addr {
-		if msg.hops > 0 && v.spend() { // also from unknown processes: maybe nobody else can forward it
-			b := binary.LittleEndian.AppendUint32(appendAddr(v.begin(kindClaim), msg.addr), msg.inc)
-			b, _ = put(append(b, 0), msg.entries[0])
-			v.send(v.to(r.name, msg.addr), b, false)
+		if msg.hops > 0 && v.takeSyncBudget() { // also from unknown processes: maybe nobody else can forward it
+			b := binary.LittleEndian.AppendUint32(appendAddr(v.newMessage(kindClaim), msg.addr), msg.inc)
+			b, _ = appendEntry(append(b, 0), msg.entries[0])
+			v.send(v.route(r.name, msg.addr), b, false)
 		}
 		return
 	}
@@ -105,22 +105,22 @@
 		v.sendClaim(r.addr)
 		return
 	}
-	mine, theirs := v.age(), Micros(msg.inc)
+	mine, theirs := v.agePeriods(), Micros(msg.inc)
 	loser := r.birth
-	if theirs-mine >= closeAge {
+	if theirs-mine >= ageTolerance {
 		loser = v.self.birth
-		v.conflict.Refused = true
+		v.conflict.MustStop = true
 	} else if v.claim != nil {
-		v.goBehind(v.claim.rival)
-	} else if r.above(&v.self) {
-		v.goBehind(r)
+		v.supersede(v.claim.rival)
+	} else if r.newerThan(&v.self) {
+		v.supersede(r)
 	}
 	to := []*member{}
 	if from != nil {
 		to = append(to, from)
 	}
 	body := func(hops byte) []byte {
-		b := append(appendAddr(v.begin(kindVerdict), r.addr), hops)
+		b := append(appendAddr(v.newMessage(kindClaimResult), r.addr), hops)
 		b = binary.LittleEndian.AppendUint64(b, loser)
 		return binary.LittleEndian.AppendUint64(b, r.birth)
 	}
@@ -132,12 +132,12 @@
 
 // handleClaimResult handles the decision which of two processes with this member's name has to stop, or
 // forwards it to the member that it is meant for.
-func (v *View) judged(msg message) {
-	if msg.other != v.self.birth {
-		if msg.hops > 0 && v.spend() {
-			b := append(appendAddr(v.begin(kindVerdict), msg.addr), 0)
+func (v *View) handleClaimResult(msg message) {
+	if msg.recipient != v.self.birth {
+		if msg.hops > 0 && v.takeSyncBudget() {
+			b := append(appendAddr(v.newMessage(kindClaimResult), msg.addr), 0)
 			b = binary.LittleEndian.AppendUint64(b, msg.birth)
-			v.send(msg.addr, binary.LittleEndian.AppendUint64(b, msg.other), false)
+			v.send(msg.addr, binary.LittleEndian.AppendUint64(b, msg.recipient), false)
 		}
 		return
 	}
@@ -149,9 +149,9 @@
 	}
 	switch {
 	case msg.birth == v.self.birth:
-		v.conflict.Refused = true
+		v.conflict.MustStop = true
 		v.claim = nil
 	case v.claim != nil:
-		v.goBehind(v.claim.rival)
+		v.supersede(v.claim.rival)
 	}
 }
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -17,7 +17,7 @@
 
 const (
 	checkPeriod = 3_000
-	checkSlot   = checkPeriod / slots
+	checkSlot   = checkPeriod / slotsPerPeriod
 )
 
 // clone copies a view, so that the search can branch.
@@ -25,42 +25,42 @@
 	c := *v
 	rng := *v.rng
 	c.rng = &rng
-	c.list, c.births = nil, map[uint64]*member{}
-	for _, m := range v.list {
+	c.members, c.byBirth = nil, map[uint64]*member{}
+	for _, m := range v.members {
 		x := *m
 		x.votes = slices.Clone(m.votes)
-		c.list = append(c.list, &x)
-		c.births[x.birth] = &x
+		c.members = append(c.members, &x)
+		c.byBirth[x.birth] = &x
 	}
-	c.round, c.probes, c.watches = slices.Clone(v.round), slices.Clone(v.probes), slices.Clone(v.watches)
-	c.knocks = slices.Clone(v.knocks)
-	c.news.levels = make([][]item, len(v.news.levels))
-	for i := range v.news.levels {
-		c.news.levels[i] = slices.Clone(v.news.levels[i])
+	c.probeOrder, c.probes, c.watches = slices.Clone(v.probeOrder), slices.Clone(v.probes), slices.Clone(v.watches)
+	c.candidates = slices.Clone(v.candidates)
+	c.updates.bySends = make([][]queuedUpdate, len(v.updates.bySends))
+	for i := range v.updates.bySends {
+		c.updates.bySends[i] = slices.Clone(v.updates.bySends[i])
 	}
 	if v.claim != nil {
 		x := *v.claim
 		c.claim = &x
 	}
-	c.out, c.changes, c.heard = nil, nil, nil
+	c.outgoing, c.changes, c.appMessages = nil, nil, nil
 	return &c
 }
 
 // inFlightDatagram is a datagram that has not been delivered yet.
-type flight struct {
+type inFlightDatagram struct {
 	from, to int
 	data     []byte
 }
 
 // world is one state of the simulated fleet.
 type world struct {
-	now                                        Micros
-	views                                      []*View // nil: not running
-	flying                                     []flight
-	births                                     map[uint64]int
-	gone                                       map[uint64]bool // births of processes that ended
-	losses, crashes, starts, swaps, cuts, left int
-	path                                       []string
+	now                                                         Micros
+	views                                                       []*View // nil: not running
+	inFlight                                                    []inFlightDatagram
+	birthIndex                                                  map[uint64]int
+	ended                                                       map[uint64]bool // births of processes that ended
+	losses, crashes, starts, reorderings, isolations, slotsLeft int
+	path                                                        []string
 }
 
 func (w *world) clone() *world {
@@ -71,8 +71,8 @@
 			c.views[i] = v.clone()
 		}
 	}
-	c.flying = slices.Clone(w.flying)
-	c.births, c.gone = maps.Clone(w.births), maps.Clone(w.gone)
+	c.inFlight = slices.Clone(w.inFlight)
+	c.birthIndex, c.ended = maps.Clone(w.birthIndex), maps.Clone(w.ended)
 	c.path = slices.Clip(w.path)
 	return &c
 }
@@ -82,11 +82,11 @@
 }
 
 func (w *world) start(t testing.TB, i int, equal bool) {
-	birth := uint64(len(w.births)+1) * 0x1111
-	w.births[birth] = len(w.births)
+	birth := uint64(len(w.birthIndex)+1) * 0x1111
+	w.birthIndex[birth] = len(w.birthIndex)
 	v, err := New(Config{Name: string(rune('a' + i)), Zone: "z", Addr: checkAddr(i), Birth: birth, Seed: birth,
 		Period: checkPeriod, Settings: Settings{Most: 8, Join: []netip.AddrPort{checkAddr(0), checkAddr(1),
-			checkAddr(2)}}, Ablate: Ablation{Equal: equal}}, w.now)
+			checkAddr(2)}}, Ablate: Ablation{ReuseIncarnation: equal}}, w.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,11 +94,11 @@
 }
 
 // collect adds a member's outgoing datagrams to those in flight.
-func (w *world) take(i int) {
+func (w *world) collect(i int) {
 	sends, _, _ := w.views[i].Take()
 	for _, s := range sends {
 		to := int(s.To.Addr().As4()[3]) - 1
-		w.flying = append(w.flying, flight{from: i, to: to, data: s.Data})
+		w.inFlight = append(w.inFlight, inFlightDatagram{from: i, to: to, data: s.Data})
 	}
 }
 
@@ -108,22 +108,22 @@
 	for i, v := range w.views {
 		if v != nil {
 			v.Tick(w.now)
-			w.take(i)
+			w.collect(i)
 		}
 	}
 }
 
 func (w *world) deliver(k int) {
-	f := w.flying[k]
-	w.flying = slices.Delete(w.flying, k, k+1)
+	f := w.inFlight[k]
+	w.inFlight = slices.Delete(w.inFlight, k, k+1)
 	if v := w.views[f.to]; v != nil {
 		v.Receive(w.now, f.data)
-		w.take(f.to)
+		w.collect(f.to)
 	}
 }
 
 // fingerprint hashes everything in a state that affects its future, except for randomly drawn numbers.
-func (w *world) print() uint64 {
+func (w *world) fingerprint() uint64 {
 	var b []byte
 	put := func(n ...uint64) {
 		for _, x := range n {
@@ -136,43 +136,43 @@
 		}
 		return 0
 	}
-	put(uint64(w.losses), uint64(w.crashes), uint64(w.starts), uint64(w.swaps), uint64(w.cuts))
+	put(uint64(w.losses), uint64(w.crashes), uint64(w.starts), uint64(w.reorderings), uint64(w.isolations))
 	for _, v := range w.views {
 		if v == nil {
 			put(1<<63 + 1)
 			continue
 		}
 		put(v.self.birth, uint64(v.self.inc), uint64(v.slot), bit(v.joining), bit(v.left), uint64(v.health),
-			uint64(min(v.now-v.changed, 4*checkPeriod)), uint64(max(v.syncAt-v.now, 0)), uint64(v.syncLeft),
+			uint64(min(v.now-v.digestChangedAt, 4*checkPeriod)), uint64(max(v.nextSyncAt-v.now, 0)), uint64(v.syncBudget),
 			bit(v.claim != nil))
-		for _, m := range v.list {
-			put(m.birth, uint64(m.inc), uint64(m.state), bit(m.suspect), bit(m.met), bit(m.told), uint64(len(m.votes)),
-				bit(v.now-m.acked < checkPeriod))
+		for _, m := range v.members {
+			put(m.birth, uint64(m.inc), uint64(m.state), bit(m.suspect), bit(m.knowsUs), bit(m.notified), uint64(len(m.votes)),
+				bit(v.now-m.lastAckedProbe < checkPeriod))
 			for _, x := range m.votes {
 				put(uint64(x))
 			}
 		}
 		for _, x := range v.watches {
-			put(x.birth, uint64(v.now-x.since), bit(x.agree), bit(x.voted))
+			put(x.birth, uint64(v.now-x.since), bit(x.verifyOnly), bit(x.voted))
 		}
 		for _, p := range v.probes {
-			if p.round || p.origin != 0 {
-				put(p.birth, uint64(v.now-p.sent), uint64(p.asked), uint64(p.nacked), p.origin)
+			if p.scheduled || p.requester != 0 {
+				put(p.birth, uint64(v.now-p.sentAt), uint64(p.helpersAsked), uint64(p.nacks), p.requester)
 			}
 		}
-		for l, level := range v.news.levels {
+		for l, level := range v.updates.bySends {
 			for _, x := range level {
-				put(uint64(l), x.birth, uint64(x.inc), uint64(x.what))
+				put(uint64(l), x.birth, uint64(x.inc), uint64(x.typ))
 			}
 		}
-		for _, x := range v.round[min(v.turn, len(v.round)):] {
+		for _, x := range v.probeOrder[min(v.probeIndex, len(v.probeOrder)):] {
 			put(x)
 		}
 	}
-	for _, f := range w.flying {
+	for _, f := range w.inFlight {
 		put(uint64(f.from), uint64(f.to), uint64(f.data[0]), uint64(len(f.data)))
-		r := read(f.data)
-		if h := r.head(); h.kind == kindPing || h.kind == kindNews || h.kind == kindAccuse {
+		r := newReader(f.data)
+		if h := r.header(); h.kind == kindPing || h.kind == kindUpdates || h.kind == kindWatch {
 			put(xxhash.Sum64(r.B[min(4, len(r.B)):]))
 		}
 	}
@@ -180,7 +180,7 @@
 }
 
 // digestedView describes a view by what its digest covers.
-func shownAs(v *View) string {
+func digestedView(v *View) string {
 	s := ""
 	for _, m := range v.Members() {
 		state := m.State
@@ -199,16 +199,16 @@
 		if v == nil {
 			continue
 		}
-		if was, ok := digests[v.digest]; ok && was != shownAs(v) {
-			return fmt.Sprintf("one digest stands for %s and %s", was, shownAs(v))
+		if was, ok := digests[v.digest]; ok && was != digestedView(v) {
+			return fmt.Sprintf("one digest stands for %s and %s", was, digestedView(v))
 		}
-		digests[v.digest] = shownAs(v)
-		for _, m := range v.list {
-			if b := before.views[i]; w.gone[m.birth] && m.state == Alive && b != nil && b.births[m.birth] != nil &&
-				b.births[m.birth].state == Dead {
+		digests[v.digest] = digestedView(v)
+		for _, m := range v.members {
+			if b := before.views[i]; w.ended[m.birth] && m.state == Alive && b != nil && b.byBirth[m.birth] != nil &&
+				b.byBirth[m.birth].state == Dead {
 				return fmt.Sprintf("process %s has ended, was dead at %s, and is alive there again", m.name, v.self.name)
 			}
-			if m.state == Dead && w.crashes == 0 && w.cuts == 0 {
+			if m.state == Dead && w.crashes == 0 && w.isolations == 0 {
 				return fmt.Sprintf("%s considers %s dead, which is running and reachable", v.self.name, m.name)
 			}
 		}
@@ -216,8 +216,8 @@
 			if v.self.inc < b.self.inc {
 				return fmt.Sprintf("%s's own incarnation went back", v.self.name)
 			}
-			for _, m := range b.list {
-				if x := v.births[m.birth]; x != nil && x.inc < m.inc {
+			for _, m := range b.members {
+				if x := v.byBirth[m.birth]; x != nil && x.inc < m.inc {
 					return fmt.Sprintf("the incarnation of %s went back at %s", m.name, v.self.name)
 				}
 			}
@@ -227,14 +227,14 @@
 }
 
 // recovers checks that without further faults all running members see one another again.
-func (w *world) returns() string {
+func (w *world) recovers() string {
 	c := w.clone()
-	for range 60 * slots {
+	for range 60 * slotsPerPeriod {
 		c.tick()
-		for n := 0; len(c.flying) > 0 && n < 10_000; n++ {
+		for n := 0; len(c.inFlight) > 0 && n < 10_000; n++ {
 			c.deliver(0)
 		}
-		if c.agree() {
+		if c.converged() {
 			return ""
 		}
 	}
@@ -247,7 +247,7 @@
 	return "no recovery: " + s
 }
 
-func (w *world) agree() bool {
+func (w *world) converged() bool {
 	up, digest := 0, uint64(0)
 	for _, v := range w.views {
 		if v != nil {
@@ -259,7 +259,7 @@
 		if v == nil {
 			continue
 		}
-		alive, trusted := v.alive()
+		alive, trusted := v.liveCounts()
 		if v.digest != digest || alive != up || trusted != up {
 			return false
 		}
@@ -269,25 +269,25 @@
 
 // search holds the bounds of one search.
 type search struct {
-	slots, losses, crashes, starts, swaps, cuts int
-	anyOrder                                    bool // tries every order of delivery
-	states                                      int
-	equal                                       bool
+	slots, losses, crashes, starts, reorderings, isolations int
+	anyOrder                                                bool // tries every order of delivery
+	states                                                  int
+	reuseIncarnation                                        bool
 }
 
 // convergedWorld returns a world whose members all see one another.
-func settled(t testing.TB, members int, equal bool) *world {
-	w := &world{now: 1_000_000, views: make([]*View, members), births: map[uint64]int{}, gone: map[uint64]bool{}}
+func convergedWorld(t testing.TB, members int, equal bool) *world {
+	w := &world{now: 1_000_000, views: make([]*View, members), birthIndex: map[uint64]int{}, ended: map[uint64]bool{}}
 	for i := range w.views {
 		w.start(t, i, equal)
 	}
-	for range 40 * slots {
+	for range 40 * slotsPerPeriod {
 		w.tick()
-		for len(w.flying) > 0 {
+		for len(w.inFlight) > 0 {
 			w.deliver(0)
 		}
 	}
-	if !w.agree() {
+	if !w.converged() {
 		t.Fatal("the members did not converge")
 	}
 	return w
@@ -295,18 +295,18 @@
 
 // run searches all states within the bounds, depth first, and returns the first fault and the path to it.
 func (s search) run(t testing.TB) (fault string, path []string, states, ends int) {
-	first := settled(t, 3, s.equal)
+	first := convergedWorld(t, 3, s.reuseIncarnation)
 	seen := map[uint64]int8{} // most remaining slots with which a state was visited
 	stack := []*world{first}
-	first.left = s.slots
+	first.slotsLeft = s.slots
 	for len(stack) > 0 && states < s.states {
 		w := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		p := w.print()
-		if left, ok := seen[p]; ok && int(left) >= w.left {
+		p := w.fingerprint()
+		if left, ok := seen[p]; ok && int(left) >= w.slotsLeft {
 			continue
 		}
-		seen[p] = int8(w.left)
+		seen[p] = int8(w.slotsLeft)
 		states++
 		step := func(what string, act func(*world) bool) {
 			c := w.clone()
@@ -319,10 +319,10 @@
 			}
 			stack = append(stack, c)
 		}
-		if len(w.flying) == 0 {
-			if w.left == 0 {
+		if len(w.inFlight) == 0 {
+			if w.slotsLeft == 0 {
 				ends++
-				if f := w.returns(); f != "" {
+				if f := w.recovers(); f != "" {
 					return f, w.path, states, ends
 				}
 				continue
@@ -330,27 +330,27 @@
 			for i := range w.views {
 				if w.crashes < s.crashes && w.views[i] != nil {
 					step(fmt.Sprint("crash ", i), func(c *world) bool {
-						c.gone[c.views[i].self.birth] = true
+						c.ended[c.views[i].self.birth] = true
 						c.views[i], c.crashes = nil, c.crashes+1
 						return true
 					})
 				}
 				if w.starts < s.starts && w.views[i] == nil {
 					step(fmt.Sprint("start ", i), func(c *world) bool {
-						c.start(t, i, s.equal)
+						c.start(t, i, s.reuseIncarnation)
 						c.starts++
 						return true
 					})
 				}
 			}
-			step("slot", func(c *world) bool { c.left--; c.tick(); return true })
+			step("slot", func(c *world) bool { c.slotsLeft--; c.tick(); return true })
 			for i := range w.views { // pushed last, and so explored first
-				if w.cuts < s.cuts {
+				if w.isolations < s.isolations {
 					step(fmt.Sprint("slot without ", i), func(c *world) bool {
-						c.left--
-						c.cuts++
+						c.slotsLeft--
+						c.isolations++
 						c.tick()
-						c.flying = slices.DeleteFunc(c.flying, func(f flight) bool { return f.from == i || f.to == i })
+						c.inFlight = slices.DeleteFunc(c.inFlight, func(f inFlightDatagram) bool { return f.from == i || f.to == i })
 						return true
 					})
 				}
@@ -358,21 +358,21 @@
 		} else {
 			choices := 1
 			if s.anyOrder {
-				choices = len(w.flying)
-			} else if w.swaps < s.swaps {
-				choices = min(2, len(w.flying))
+				choices = len(w.inFlight)
+			} else if w.reorderings < s.reorderings {
+				choices = min(2, len(w.inFlight))
 			}
 			for k := range choices {
-				what := fmt.Sprint(w.flying[k].from, ">", w.flying[k].to, " kind ", w.flying[k].data[0])
+				what := fmt.Sprint(w.inFlight[k].from, ">", w.inFlight[k].to, " kind ", w.inFlight[k].data[0])
 				if w.losses < s.losses {
 					step("lose "+what, func(c *world) bool {
-						c.flying, c.losses = slices.Delete(c.flying, k, k+1), c.losses+1
+						c.inFlight, c.losses = slices.Delete(c.inFlight, k, k+1), c.losses+1
 						return true
 					})
 				}
 				step("deliver "+what, func(c *world) bool {
 					if !s.anyOrder && k > 0 {
-						c.swaps++
+						c.reorderings++
 					}
 					c.deliver(k)
 					return true
@@ -394,7 +394,7 @@
 	return ci
 }
 
-func TestEveryFewFaults(t *testing.T) {
+func TestExhaustiveFaultCombinations(t *testing.T) {
 	for _, s := range []struct {
 		name string
 		search
@@ -406,8 +406,8 @@
 			states: bound(20_000, 3_000_000)}},
 		{"every order", search{slots: bound(2, 4), anyOrder: true, losses: 1, crashes: 1, starts: 1,
 			states: bound(20_000, 3_000_000)}},
-		{"a member cut off", search{slots: bound(14, 45), cuts: bound(6, 24), states: bound(12_000, 2_000_000)}},
-		{"swaps", search{slots: bound(18, 45), swaps: 2, losses: bound(1, 2), states: bound(20_000, 2_000_000)}},
+		{"a member cut off", search{slots: bound(14, 45), isolations: bound(6, 24), states: bound(12_000, 2_000_000)}},
+		{"swaps", search{slots: bound(18, 45), reorderings: 2, losses: bound(1, 2), states: bound(20_000, 2_000_000)}},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
@@ -421,8 +421,8 @@
 }
 
 // A refutation that reuses the refuted incarnation brings no member back; the search must find this fault.
-func TestThePlantedFaultIsFound(t *testing.T) {
-	s := search{slots: 45, cuts: 12, states: 100_000, equal: true}
+func TestDeliberateFaultIsFound(t *testing.T) {
+	s := search{slots: 45, isolations: 12, states: 100_000, reuseIncarnation: true}
 	fault, path, states, _ := s.run(t)
 	if fault == "" {
 		t.Fatalf("not found in %d states", states)
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -10,45 +10,45 @@
 )
 
 // probeRetention is the number of periods for which an answer to a probe is accepted.
-const keepProbes = 10
+const probeRetention = 10
 
 // minProbesPerPeriod is the number of probes a watcher must have sent per period of silence.
-const triesLeast = 2
+const minProbesPerPeriod = 2
 
 // maxProbes bounds the number of outstanding probes.
-const mostProbes = 1024
+const maxProbes = 1024
 
 // Tick performs the work that is due. After a stall of over a period, missed slots are skipped.
 func (v *View) Tick(now Micros) {
-	step := v.cfg.Period / slots
+	step := v.cfg.Period / slotsPerPeriod
 	v.now = max(v.now, now)
-	switch late := v.now - v.slotAt; {
+	switch late := v.now - v.nextSlotAt; {
 	case late > v.cfg.Period:
-		v.stalled(late)
-		v.slotAt = v.now
+		v.handleStall(late)
+		v.nextSlotAt = v.now
 	case late > step/2 && !v.cfg.Ablate.Health:
-		v.lagged(late)
+		v.handleLag(late)
 	}
-	for v.slotAt <= v.now {
-		v.slotAt += step
-		v.act()
-		v.slot = (v.slot + 1) % slots
+	for v.nextSlotAt <= v.now {
+		v.nextSlotAt += step
+		v.runSlot()
+		v.slot = (v.slot + 1) % slotsPerPeriod
 	}
 }
 
 // handleStall discards the silence observed so far, because this process itself was stopped. Suspicions that
 // it has already sent stand; the other members evaluate them.
-func (v *View) stalled(gap Micros) {
-	v.figures.Stalls++
+func (v *View) handleStall(gap Micros) {
+	v.stats.Stalls++
 	if v.cfg.Ablate.Health {
 		return
 	}
-	v.health = min(healthMost, v.health+int(gap/v.cfg.Period))
+	v.health = min(maxHealth, v.health+int(gap/v.cfg.Period))
 	for i := range v.watches {
 		v.watches[i].since = v.now
 	}
 	for i := range v.probes {
-		v.probes[i].round = false
+		v.probes[i].scheduled = false
 	}
 	if gap > ForgetLeft/2*v.cfg.Period { // the others may have forgotten members that are still known here
 		v.rejoin()
@@ -57,118 +57,118 @@
 
 // handleLag extends the deadlines of watches and probes by the time this process was late, during which it
 // could not receive answers. A lag of more than one slot also worsens the local health score.
-func (v *View) lagged(late Micros) {
+func (v *View) handleLag(late Micros) {
 	for i := range v.watches {
 		w := &v.watches[i]
-		if m := v.births[w.birth]; m != nil {
-			w.since = max(w.since, m.acked) + late
+		if m := v.byBirth[w.birth]; m != nil {
+			w.since = max(w.since, m.lastAckedProbe) + late
 		}
 	}
 	for i := range v.probes {
-		if v.probes[i].round {
+		if v.probes[i].scheduled {
 			v.probes[i].grace += late
 		}
 	}
-	if late > v.cfg.Period/slots {
-		v.fare(+1)
+	if late > v.cfg.Period/slotsPerPeriod {
+		v.adjustHealth(+1)
 	}
 }
 
 // rejoin removes all members and joins again, also through the addresses of the members known so far.
 func (v *View) rejoin() {
-	v.figures.Rejoins++
-	for len(v.list) > 0 {
-		m := v.list[len(v.list)-1]
+	v.stats.Rejoins++
+	for len(v.members) > 0 {
+		m := v.members[len(v.members)-1]
 		if m.state == Alive && len(v.cfg.Join) < 16 {
-			v.cfg.Join = append(slices.Clip(v.cfg.Join), v.to(m.name, m.addr))
+			v.cfg.Join = append(slices.Clip(v.cfg.Join), v.route(m.name, m.addr))
 		}
 		v.forget(m)
 	}
-	v.watches, v.probes, v.round, v.knocks, v.news = nil, nil, nil, nil, news{}
-	v.counted, v.joining, v.joinAt = false, true, v.now
+	v.watches, v.probes, v.probeOrder, v.candidates, v.updates = nil, nil, nil, nil, updateQueue{}
+	v.countsValid, v.joining, v.joinStartedAt = false, true, v.now
 }
 
 // scaleByHealth converts periods to time, extended by the local health score: Lifeguard, IV.A.
-func (v *View) factor(periods Micros) Micros {
+func (v *View) scaleByHealth(periods Micros) Micros {
 	return periods * v.cfg.Period * Micros(4+v.health) / 4
 }
 
-func (v *View) fare(by int) {
+func (v *View) adjustHealth(by int) {
 	if !v.cfg.Ablate.Health {
-		v.health = max(0, min(healthMost, v.health+by))
+		v.health = max(0, min(maxHealth, v.health+by))
 	}
 }
 
 // runSlot performs the work of one slot.
-func (v *View) act() {
+func (v *View) runSlot() {
 	first := v.slot == 0
 	if first {
-		v.syncLeft, v.extra = syncMost, extraMost
-		v.callClaim()
+		v.syncBudget, v.watchBudget = maxSyncDatagrams, maxWatchDatagrams
+		v.advanceClaim()
 	}
 	if v.joining {
 		if first {
-			v.callToJoin()
+			v.requestJoin()
 		}
 		return
 	}
 	if v.left {
 		if first {
-			v.tellLeft()
+			v.announceLeave()
 		}
 		return
 	}
-	v.judge()
+	v.evaluate()
 	if first {
-		v.housekeep()
-		v.callTheDead()
+		v.expire()
+		v.reconnect()
 		v.pushBacklog()
 	}
 	busy := slices.ContainsFunc(v.watches, func(w watch) bool {
-		m := v.births[w.birth]
-		return !w.agree && m != nil && m.suspect
+		m := v.byBirth[w.birth]
+		return !w.verifyOnly && m != nil && m.suspect
 	})
 	if first || busy {
 		v.probeNext()
 	}
 	for i := 0; i < len(v.probes); i++ {
-		if p := &v.probes[i]; p.round && p.asked == 0 && v.now > p.sent {
-			if m := v.births[p.birth]; m != nil {
-				p.asked = v.askHelpers(p.id, m, v.rand(1<<16))
+		if p := &v.probes[i]; p.scheduled && p.helpersAsked == 0 && v.now > p.sentAt {
+			if m := v.byBirth[p.birth]; m != nil {
+				p.helpersAsked = v.askHelpers(p.id, m, v.randN(1<<16))
 			}
 		}
 	}
 	if n := len(v.watches); n > 0 {
-		first := v.rand(n) // a random start, so that no watch is always left out when the budget is short
+		first := v.randN(n) // a random start, so that no watch is always left out when the budget is short
 		for i := range n {
-			v.lookAt(&v.watches[(first+i)%n])
+			v.sendWatchProbes(&v.watches[(first+i)%n])
 		}
 	}
 }
 
 // evaluate checks unanswered probes and all watches.
-func (v *View) judge() {
+func (v *View) evaluate() {
 	for i := 0; i < len(v.probes); i++ {
 		p := &v.probes[i]
-		if p.round && v.now-p.sent >= v.cfg.Period+p.grace {
-			p.round = false
-			v.failed(*p)
-		}
-		if p.origin != 0 && p.nacked == 0 && v.now-p.sent >= v.cfg.Period*2/slots {
-			p.nacked = 1
-			if o := v.births[p.origin]; o != nil {
-				v.sendTo(o, v.numbered(kindNack, p.forID), true)
+		if p.scheduled && v.now-p.sentAt >= v.cfg.Period+p.grace {
+			p.scheduled = false
+			v.probeFailed(*p)
+		}
+		if p.requester != 0 && p.nacks == 0 && v.now-p.sentAt >= v.cfg.Period*2/slotsPerPeriod {
+			p.nacks = 1
+			if o := v.byBirth[p.requester]; o != nil {
+				v.sendTo(o, v.newNumbered(kindNack, p.requestID), true)
 			}
 		}
 	}
 	for _, birth := range v.watchedBirths() {
-		if w, m := v.watching(birth), v.births[birth]; w != nil && m != nil {
-			v.weigh(w, m)
+		if w, m := v.findWatch(birth), v.byBirth[birth]; w != nil && m != nil {
+			v.evaluateWatch(w, m)
 		}
 	}
-	for _, m := range v.list { // accused members that had no room for a watch, or whose quorum has decreased
-		if m.state == Alive && len(m.votes) > 0 && v.watching(m.birth) == nil {
-			v.count(m)
+	for _, m := range v.members { // accused members that had no room for a watch, or whose quorum has decreased
+		if m.state == Alive && len(m.votes) > 0 && v.findWatch(m.birth) == nil {
+			v.countVotes(m)
 		}
 	}
 }
@@ -182,25 +182,25 @@
 }
 
 // probeFailed handles a scheduled probe that was not answered.
-func (v *View) failed(p probe) {
-	v.figures.Failed++
-	m := v.births[p.birth]
-	if m == nil || m.state != Alive || m.acked > p.sent {
+func (v *View) probeFailed(p probe) {
+	v.stats.ProbesFailed++
+	m := v.byBirth[p.birth]
+	if m == nil || m.state != Alive || m.lastAckedProbe > p.sentAt {
 		return
 	}
-	if p.asked > 0 && p.nacked < p.asked { // some helpers did not answer either: Lifeguard, IV.A
-		v.fare(+1)
+	if p.helpersAsked > 0 && p.nacks < p.helpersAsked { // some helpers did not answer either: Lifeguard, IV.A
+		v.adjustHealth(+1)
 	}
 	if v.cfg.Ablate.Suspicion {
-		m.votes = []uint32{uint32(v.self.birth & lowBits)}
-		v.declare(m)
+		m.votes = []uint32{uint32(v.self.birth & voterMask)}
+		v.declareDead(m)
 		return
 	}
-	v.watch(m, p.sent, false)
+	v.startWatch(m, p.sentAt, false)
 }
 
 // findWatch returns the watch on a member, or nil.
-func (v *View) watching(birth uint64) *watch {
+func (v *View) findWatch(birth uint64) *watch {
 	for i := range v.watches {
 		if v.watches[i].birth == birth {
 			return &v.watches[i]
@@ -210,155 +210,155 @@
 }
 
 // startWatch starts to watch a member that has been silent since the given time.
-func (v *View) watch(m *member, since Micros, agree bool) {
-	if w := v.watching(m.birth); w != nil {
-		w.agree = w.agree && agree
+func (v *View) startWatch(m *member, since Micros, agree bool) {
+	if w := v.findWatch(m.birth); w != nil {
+		w.verifyOnly = w.verifyOnly && agree
 		return
 	}
-	if m.state != Alive || len(v.watches) >= agreeMost || !agree && len(v.watches) >= watchMost {
+	if m.state != Alive || len(v.watches) >= maxWatches || !agree && len(v.watches) >= maxOwnWatches {
 		return
 	}
-	v.counted = false
-	v.watches = append(v.watches, watch{birth: m.birth, since: since, agree: agree, helper: v.rand(1 << 16)})
-	v.lookAt(&v.watches[len(v.watches)-1])
+	v.countsValid = false
+	v.watches = append(v.watches, watch{birth: m.birth, since: since, verifyOnly: agree, helperTurn: v.randN(1 << 16)})
+	v.sendWatchProbes(&v.watches[len(v.watches)-1])
 }
 
 // endWatch ends the watch on a member.
-func (v *View) unwatch(birth uint64) {
-	v.counted = false
+func (v *View) endWatch(birth uint64) {
+	v.countsValid = false
 	v.watches = slices.DeleteFunc(v.watches, func(w watch) bool { return w.birth == birth })
 }
 
 // sendWatchProbes sends the probes of a watch for this slot.
-func (v *View) lookAt(w *watch) {
-	m := v.births[w.birth]
-	if m == nil || v.extra <= 0 {
+func (v *View) sendWatchProbes(w *watch) {
+	m := v.byBirth[w.birth]
+	if m == nil || v.watchBudget <= 0 {
 		return
 	}
-	w.tries++
-	v.extra--
+	w.probesSent++
+	v.watchBudget--
 	id := v.ping(m, false)
-	if v.slot != 0 && !(w.agree && v.slot > 1) && v.extra > 0 {
-		n := v.askHelpers(id, m, w.helper)
-		w.helper += n
-		v.extra -= n
+	if v.slot != 0 && !(w.verifyOnly && v.slot > 1) && v.watchBudget > 0 {
+		n := v.askHelpers(id, m, w.helperTurn)
+		w.helperTurn += n
+		v.watchBudget -= n
 	}
 }
 
 // evaluateWatch suspects, votes against or declares dead a watched member, by the length of its silence.
-func (v *View) weigh(w *watch, m *member) {
-	silent := v.now - max(w.since, m.acked)
-	_, trusted := v.alive()
+func (v *View) evaluateWatch(w *watch, m *member) {
+	silent := v.now - max(w.since, m.lastAckedProbe)
+	_, trusted := v.liveCounts()
 	quorum := Quorum(trusted)
-	if !w.agree {
-		if silent >= v.factor(2) && !m.suspect {
-			v.doubt(m, true)
-			v.news.add(entry{record: m.record, what: isSuspect})
-			v.tellWatchers(m)
+	if !w.verifyOnly {
+		if silent >= v.scaleByHealth(2) && !m.suspect {
+			v.setSuspect(m, true)
+			v.updates.add(entry{record: m.record, typ: typeSuspect})
+			v.notifyWatchers(m)
 		}
-		if !w.voted && silent >= v.factor(Silence(quorum)) && w.tries >= triesLeast*int(Silence(quorum)) {
+		if !w.voted && silent >= v.scaleByHealth(SilencePeriods(quorum)) && w.probesSent >= minProbesPerPeriod*int(SilencePeriods(quorum)) {
 			w.voted = true
-			v.figures.Votes++
-			e := entry{record: m.record, what: isVote, votes: []uint32{uint32(v.self.birth & lowBits)}}
-			if v.vote(m, e.votes[0]) {
-				v.news.add(e)
-				v.push(v.watchersOf(m), e)
-				v.push(v.others(helpersMost, m.birth), e)
+			v.stats.Votes++
+			e := entry{record: m.record, typ: typeVote, votes: []uint32{uint32(v.self.birth & voterMask)}}
+			if v.addVote(m, e.votes[0]) {
+				v.updates.add(e)
+				v.sendUpdate(v.watchersOf(m), e)
+				v.sendUpdate(v.randomMembers(maxHelpers, m.birth), e)
 			}
 			return // addVote has counted the votes; the watch may have ended
 		}
 		if v.slot == 0 && m.suspect && !w.voted {
-			v.tellWatchers(m)
+			v.notifyWatchers(m)
 		}
 	}
-	if len(m.votes) >= quorum && (w.voted || silent >= v.factor(1) && w.tries >= triesLeast) {
-		v.declare(m)
+	if len(m.votes) >= quorum && (w.voted || silent >= v.scaleByHealth(1) && w.probesSent >= minProbesPerPeriod) {
+		v.declareDead(m)
 	}
 }
 
 // countVotes starts to verify a member's death once its votes reach the quorum, or declares it dead.
-func (v *View) count(m *member) {
-	_, trusted := v.alive()
-	if v.watching(m.birth) == nil && !m.suspect {
+func (v *View) countVotes(m *member) {
+	_, trusted := v.liveCounts()
+	if v.findWatch(m.birth) == nil && !m.suspect {
 		trusted-- // the accused member does not count
 	}
 	if len(m.votes) < Quorum(trusted) {
 		return
 	}
-	if w := v.watching(m.birth); w == nil {
-		v.watch(m, v.now, true)
+	if w := v.findWatch(m.birth); w == nil {
+		v.startWatch(m, v.now, true)
 	} else if w.voted {
-		v.declare(m)
+		v.declareDead(m)
 	}
 }
 
 // addVote records a vote of a known alive member. It returns false if the vote is not new or does not count.
-func (v *View) vote(m *member, by uint32) bool {
-	if m.state != Alive || slices.Contains(m.votes, by) || len(m.votes) >= votesMost {
+func (v *View) addVote(m *member, by uint32) bool {
+	if m.state != Alive || slices.Contains(m.votes, by) || len(m.votes) >= maxVotes {
 		return false
 	}
-	known := by == uint32(v.self.birth&lowBits)
-	for _, x := range v.list {
-		known = known || x.state == Alive && uint32(x.birth&lowBits) == by && x != m
+	known := by == uint32(v.self.birth&voterMask)
+	for _, x := range v.members {
+		known = known || x.state == Alive && uint32(x.birth&voterMask) == by && x != m
 	}
 	if !known {
 		return false
 	}
 	m.votes = append(m.votes, by)
-	v.doubt(m, true)
-	v.count(m)
+	v.setSuspect(m, true)
+	v.countVotes(m)
 	return true
 }
 
 // declareDead marks a member as dead and announces it. The announcement includes this member's own vote: it
 // has verified the death itself, and casts no vote once the member is dead here. A member with a higher
 // quorum, because it sees more members, would otherwise lack that vote.
-func (v *View) declare(m *member) {
+func (v *View) declareDead(m *member) {
 	votes, r := m.votes, m.record
-	if by := uint32(v.self.birth & lowBits); !slices.Contains(votes, by) && len(votes) < votesMost {
+	if by := uint32(v.self.birth & voterMask); !slices.Contains(votes, by) && len(votes) < maxVotes {
 		votes = append(slices.Clip(votes), by)
 	}
 	r.state = Dead
-	if m = v.set(r, v.now); m == nil {
+	if m = v.setRecord(r, v.now); m == nil {
 		return
 	}
 	m.votes = votes
 	e := v.entryOf(m, false)
-	v.news.add(e)
-	v.push(v.others(helpersMost, m.birth), e)
+	v.updates.add(e)
+	v.sendUpdate(v.randomMembers(maxHelpers, m.birth), e)
 }
 
 // pushBacklog sends additional datagrams while unsent updates pile up: when many members start at once, the
 // probes alone cannot carry all updates.
 func (v *View) pushBacklog() {
-	for range pushMost {
-		if len(v.news.levels) == 0 || len(v.news.levels[0]) < backlog {
+	for range maxBacklogPushes {
+		if len(v.updates.bySends) == 0 || len(v.updates.bySends[0]) < backlogThreshold {
 			return
 		}
-		for _, m := range v.others(1, 0) {
-			v.sendTo(m, v.begin(kindNews), true)
+		for _, m := range v.randomMembers(1, 0) {
+			v.sendTo(m, v.newMessage(kindUpdates), true)
 		}
 	}
 }
 
 // sendUpdate sends an update to some members immediately.
-func (v *View) push(to []*member, e entry) {
+func (v *View) sendUpdate(to []*member, e entry) {
 	for _, m := range to {
-		b, _ := put(v.begin(kindNews), e)
+		b, _ := appendEntry(v.newMessage(kindUpdates), e)
 		v.sendTo(m, b, true)
 	}
 }
 
 // randomMembers returns up to n random members that are alive, not suspect and not watched.
-func (v *View) others(n int, but uint64) []*member {
+func (v *View) randomMembers(n int, but uint64) []*member {
 	var all []*member
-	for _, m := range v.list {
-		if m.state == Alive && !m.suspect && m.birth != but && v.watching(m.birth) == nil {
+	for _, m := range v.members {
+		if m.state == Alive && !m.suspect && m.birth != but && v.findWatch(m.birth) == nil {
 			all = append(all, m)
 		}
 	}
 	for i := 0; i < min(n, len(all)); i++ {
-		j := i + v.rand(len(all)-i)
+		j := i + v.randN(len(all)-i)
 		all[i], all[j] = all[j], all[i]
 	}
 	return all[:min(n, len(all))]
@@ -367,57 +367,57 @@
 // watchersOf returns the members that rank first for a subject.
 func (v *View) watchersOf(s *member) []*member {
 	var best []*member
-	for _, m := range v.list {
-		if m.state != Alive || m.suspect || m == s || v.watching(m.birth) != nil {
+	for _, m := range v.members {
+		if m.state != Alive || m.suspect || m == s || v.findWatch(m.birth) != nil {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, rank(s.birth, m.birth), func(x *member, r uint64) int {
-			if rank(s.birth, x.birth) > r {
+		at, _ := slices.BinarySearchFunc(best, rendezvousRank(s.birth, m.birth), func(x *member, r uint64) int {
+			if rendezvousRank(s.birth, x.birth) > r {
 				return -1
 			}
 			return 1
 		})
-		if at < watchers {
+		if at < watchersPerMember {
 			best = slices.Insert(best, at, m)
-			best = best[:min(len(best), watchers)]
+			best = best[:min(len(best), watchersPerMember)]
 		}
 	}
 	return best
 }
 
 // notifyWatchers asks the members that rank first for a subject to watch it too.
-func (v *View) tellWatchers(m *member) {
+func (v *View) notifyWatchers(m *member) {
 	for _, w := range v.watchersOf(m) {
-		if v.extra <= 0 {
+		if v.watchBudget <= 0 {
 			return
 		}
-		v.extra--
-		b, _ := put(v.begin(kindAccuse), entry{record: m.record, what: isSuspect})
+		v.watchBudget--
+		b, _ := appendEntry(v.newMessage(kindWatch), entry{record: m.record, typ: typeSuspect})
 		v.sendTo(w, b, true)
 	}
 }
 
 // probeNext probes the next member in the probe order, which is shuffled after each round.
 func (v *View) probeNext() {
-	for range 2 * (len(v.round) + 1) {
-		if v.turn >= len(v.round) {
-			v.round = slices.DeleteFunc(v.round, func(b uint64) bool {
-				m := v.births[b]
+	for range 2 * (len(v.probeOrder) + 1) {
+		if v.probeIndex >= len(v.probeOrder) {
+			v.probeOrder = slices.DeleteFunc(v.probeOrder, func(b uint64) bool {
+				m := v.byBirth[b]
 				return m == nil || m.state != Alive
 			})
-			for i := len(v.round) - 1; i > 0; i-- {
-				j := v.rand(i + 1)
-				v.round[i], v.round[j] = v.round[j], v.round[i]
+			for i := len(v.probeOrder) - 1; i > 0; i-- {
+				j := v.randN(i + 1)
+				v.probeOrder[i], v.probeOrder[j] = v.probeOrder[j], v.probeOrder[i]
 			}
-			v.turn = 0
+			v.probeIndex = 0
 		}
-		if v.turn >= len(v.round) {
+		if v.probeIndex >= len(v.probeOrder) {
 			return
 		}
-		m := v.births[v.round[v.turn]]
-		v.turn++
-		if m != nil && m.state == Alive && v.watching(m.birth) == nil {
-			v.figures.Probes++
+		m := v.byBirth[v.probeOrder[v.probeIndex]]
+		v.probeIndex++
+		if m != nil && m.state == Alive && v.findWatch(m.birth) == nil {
+			v.stats.Probes++
 			v.ping(m, true)
 			return
 		}
@@ -428,36 +428,36 @@
 // sent this member's record.
 func (v *View) ping(m *member, round bool) uint32 {
 	id := uint32(v.rng.Uint64())
-	v.track(probe{id: id, birth: m.birth, sent: v.now, round: round})
-	v.sendTo(m, v.pingFor(id, m, v.accused(m)), true)
+	v.trackProbe(probe{id: id, birth: m.birth, sentAt: v.now, scheduled: round})
+	v.sendTo(m, v.pingMessage(id, m, v.isAccused(m)), true)
 	return id
 }
 
 // isAccused reports whether a member is suspect, voted against, dead or has left. A watch alone is no
 // accusation: under heavy datagram loss members would keep raising their incarnations, although an answer to
 // the probe refutes the silence just as well.
-func (v *View) accused(m *member) bool {
+func (v *View) isAccused(m *member) bool {
 	return m.suspect || m.state != Alive || len(m.votes) > 0
 }
 
-func (v *View) pingFor(id uint32, m *member, accused bool) []byte {
-	b := binary.LittleEndian.AppendUint64(v.numbered(kindPing, id), m.birth)
-	if !m.met || accused || v.watching(m.birth) != nil {
-		b, _ = put(b, v.me())
+func (v *View) pingMessage(id uint32, m *member, accused bool) []byte {
+	b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPing, id), m.birth)
+	if !m.knowsUs || accused || v.findWatch(m.birth) != nil {
+		b, _ = appendEntry(b, v.selfEntry())
 	}
 	if accused {
-		e := entry{record: m.record, what: isSuspect}
+		e := entry{record: m.record, typ: typeSuspect}
 		if m.state != Alive {
 			e = v.entryOf(m, false)
 		}
-		b, _ = put(b, e)
+		b, _ = appendEntry(b, e)
 	}
 	return b
 }
 
 // trackProbe stores an outstanding probe. If there are too many, the oldest is dropped.
-func (v *View) track(p probe) {
-	if len(v.probes) >= mostProbes {
+func (v *View) trackProbe(p probe) {
+	if len(v.probes) >= maxProbes {
 		v.probes = slices.Delete(v.probes, 0, 1)
 	}
 	v.probes = append(v.probes, p)
@@ -467,27 +467,27 @@
 // last reached it, then others in rotation, so that eventually every member is asked.
 func (v *View) askHelpers(id uint32, m *member, turn int) int {
 	var can []*member
-	for _, x := range v.list {
-		if x.state == Alive && !x.suspect && x != m && v.watching(x.birth) == nil {
+	for _, x := range v.members {
+		if x.state == Alive && !x.suspect && x != m && v.findWatch(x.birth) == nil {
 			can = append(can, x)
 		}
 	}
-	n := min(helpersMost, len(can))
+	n := min(maxHelpers, len(can))
 	ask := func(x *member) {
-		b := binary.LittleEndian.AppendUint64(v.numbered(kindAsk, id), m.birth)
+		b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPingReq, id), m.birth)
 		inc := uint32(0)
-		if v.accused(m) {
+		if v.isAccused(m) {
 			inc = m.inc
 		}
 		v.sendTo(x, binary.LittleEndian.AppendUint32(b, inc), true)
 	}
 	asked := 0
-	if x := v.births[m.helper]; x != nil && slices.Contains(can, x) {
+	if x := v.byBirth[m.lastHelper]; x != nil && slices.Contains(can, x) {
 		ask(x)
 		asked++
 	}
 	for i := 0; asked < n && i < len(can); i++ {
-		if x := can[(turn+i)%len(can)]; x.birth != m.helper {
+		if x := can[(turn+i)%len(can)]; x.birth != m.lastHelper {
 			ask(x)
 			asked++
 		}
@@ -496,19 +496,19 @@
 }
 
 // expire drops old probes, candidates, and members that died or left long ago.
-func (v *View) housekeep() {
-	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return v.now-p.sent > keepProbes*v.cfg.Period })
-	v.knocks = slices.DeleteFunc(v.knocks, func(k newcomer) bool { return v.now-k.at > 2*v.cfg.Period })
-	for i := len(v.list) - 1; i >= 0; i-- {
-		m := v.list[i]
-		if m.state != Alive && v.now-m.ended >= v.keep(m.state) {
+func (v *View) expire() {
+	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return v.now-p.sentAt > probeRetention*v.cfg.Period })
+	v.candidates = slices.DeleteFunc(v.candidates, func(k candidate) bool { return v.now-k.at > 2*v.cfg.Period })
+	for i := len(v.members) - 1; i >= 0; i-- {
+		m := v.members[i]
+		if m.state != Alive && v.now-m.endedAt >= v.retention(m.state) {
 			v.forget(m)
 		}
 	}
 }
 
 // retention returns how long a member that is dead or has left is remembered.
-func (v *View) keep(s State) Micros {
+func (v *View) retention(s State) Micros {
 	if s == Left {
 		return ForgetLeft * v.cfg.Period
 	}
@@ -516,37 +516,37 @@
 }
 
 // reconnect contacts, with some probability, a dead member or a join address that belongs to no known member.
-func (v *View) callTheDead() {
+func (v *View) reconnect() {
 	var dead []*member
 	join := slices.DeleteFunc(slices.Clone(v.cfg.Join), func(a netip.AddrPort) bool { return a == v.self.addr })
-	for _, m := range v.list {
+	for _, m := range v.members {
 		if m.state == Dead {
 			dead = append(dead, m)
 		}
 		join = slices.DeleteFunc(join, func(a netip.AddrPort) bool {
-			return a == m.addr || a == v.to(m.name, m.addr)
+			return a == m.addr || a == v.route(m.name, m.addr)
 		})
 	}
 	n := len(dead) + len(join)
-	alive, _ := v.alive()
-	if n == 0 || float64(v.rand(1<<20))/(1<<20) >= min(0.5, float64(n)/float64(alive)) {
+	alive, _ := v.liveCounts()
+	if n == 0 || float64(v.randN(1<<20))/(1<<20) >= min(0.5, float64(n)/float64(alive)) {
 		return
 	}
-	if i := v.rand(n); i < len(dead) {
+	if i := v.randN(n); i < len(dead) {
 		v.ping(dead[i], false)
 	} else {
-		v.knock(join[i-len(dead)])
+		v.sendJoin(join[i-len(dead)])
 	}
 }
 
 // sendJoin sends a join request to an address at which a member may be.
-func (v *View) knock(a netip.AddrPort) {
-	b, _ := put(v.numbered(kindJoin, v.joinIDs[0]), v.me())
+func (v *View) sendJoin(a netip.AddrPort) {
+	b, _ := appendEntry(v.newNumbered(kindJoin, v.joinIDs[0]), v.selfEntry())
 	v.send(a, b, false)
 }
 
 // requestJoin sends join requests. A member that gets no answer within joinPeriods starts alone.
-func (v *View) callToJoin() {
+func (v *View) requestJoin() {
 	v.joinIDs = [2]uint32{uint32(v.rng.Uint64()), v.joinIDs[0]}
 	var to []netip.AddrPort
 	for _, a := range v.cfg.Join {
@@ -554,24 +554,24 @@
 			to = append(to, a)
 		}
 	}
-	if v.claim == nil && (len(to) == 0 || v.now-v.joinAt >= joinFor*v.cfg.Period) {
-		v.become(1)
+	if v.claim == nil && (len(to) == 0 || v.now-v.joinStartedAt >= joinPeriods*v.cfg.Period) {
+		v.completeJoin(1)
 		return
 	}
-	for i := range min(joinCalls, len(to)) {
-		j := i + v.rand(len(to)-i)
+	for i := range min(joinFanout, len(to)) {
+		j := i + v.randN(len(to)-i)
 		to[i], to[j] = to[j], to[i]
-		v.knock(to[i])
+		v.sendJoin(to[i])
 	}
 }
 
 // completeJoin takes an incarnation, which makes this process a member.
-func (v *View) become(inc uint32) {
+func (v *View) completeJoin(inc uint32) {
 	v.joining = false
 	if v.joinIDs[0] == 0 {
 		v.joinIDs[0] = uint32(v.rng.Uint64())
 	}
-	v.setSelf(max(inc, v.self.inc, 1))
+	v.setOwnIncarnation(max(inc, v.self.inc, 1))
 }
 
 // Leave announces that this member leaves.
@@ -583,36 +583,36 @@
 	v.digest -= v.self.sum()
 	v.left, v.leftAt, v.self.state = true, v.now, Left
 	v.digest += v.self.sum()
-	v.tellLeft()
+	v.announceLeave()
 }
 
 // leaveFanout returns the number of members that are notified of a leave at a time.
-func (v *View) leaveTo() int {
-	_, trusted := v.alive()
-	return 3 * log2up(trusted+1)
+func (v *View) leaveFanout() int {
+	_, trusted := v.liveCounts()
+	return 3 * ceilLog2(trusted+1)
 }
 
-func (v *View) tellLeft() {
-	for _, m := range v.others(v.leaveTo(), 0) {
-		if m.acked < v.leftAt {
+func (v *View) announceLeave() {
+	for _, m := range v.randomMembers(v.leaveFanout(), 0) {
+		if m.lastAckedProbe < v.leftAt {
 			id := uint32(v.rng.Uint64())
-			v.track(probe{id: id, birth: m.birth, sent: v.now})
-			b, _ := put(v.pingFor(id, m, false), v.me())
+			v.trackProbe(probe{id: id, birth: m.birth, sentAt: v.now})
+			b, _ := appendEntry(v.pingMessage(id, m, false), v.selfEntry())
 			v.sendTo(m, b, false)
 		}
 	}
 }
 
 // LeaveAcknowledged reports whether enough members have acknowledged that this one leaves.
-func (v *View) LeaveKnown() bool {
+func (v *View) LeaveAcknowledged() bool {
 	if !v.left {
 		return v.joining
 	}
 	heard, all := 0, 0
-	for _, m := range v.list {
+	for _, m := range v.members {
 		if m.state == Alive {
 			all++
-			if m.acked >= v.leftAt {
+			if m.lastAckedProbe >= v.leftAt {
 				heard++
 			}
 		}
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	mostKnocks = 512
-	incMost    = 1 << 31 // far above any incarnation that occurs in practice
+	maxCandidates  = 512
+	maxIncarnation = 1 << 31 // far above any incarnation that occurs in practice
 )
 
-func (v *View) drop(why Reason) { v.figures.Dropped[why]++ }
+func (v *View) drop(why DropReason) { v.stats.Dropped[why]++ }
 
 // Receive handles a datagram that has been unsealed.
 func (v *View) Receive(now Micros, data []byte) {
 	v.Tick(now)
-	v.figures.Received++
-	r := read(data)
-	h := r.head()
+	v.stats.Received++
+	r := newReader(data)
+	h := r.header()
 	switch {
-	case r.Bad || h.inc > incMost:
+	case r.Bad || h.inc > maxIncarnation:
 		v.drop(Malformed)
 		return
 	case h.birth == v.self.birth:
@@ -34,38 +34,38 @@
 		v.drop(Malformed)
 		return
 	}
-	if m := v.births[h.birth]; m != nil {
-		v.fromKnown(m, h, msg)
+	if m := v.byBirth[h.birth]; m != nil {
+		v.receiveFromMember(m, h, msg)
 	} else {
-		v.fromStranger(h, msg)
+		v.receiveFromUnknown(h, msg)
 	}
 }
 
 // message is a decoded datagram; its kind determines which fields are set.
 type message struct {
-	id      uint32
-	birth   uint64
-	other   uint64
-	inc     uint32
-	addr    netip.AddrPort
-	hops    byte
-	depth   int
-	prefix  uint32
-	sums    [16]uint32
-	back    bool
-	births  []uint64
-	entries []entry
-	app     byte
-	data    []byte
+	id        uint32
+	birth     uint64
+	recipient uint64
+	inc       uint32
+	addr      netip.AddrPort
+	hops      byte
+	depth     int
+	prefix    uint32
+	sums      [16]uint32
+	wantReply bool
+	births    []uint64
+	entries   []entry
+	appKind   byte
+	data      []byte
 }
 
-func (v *View) parse(h head, r *reader) (m message) {
+func (v *View) parse(h header, r *reader) (m message) {
 	switch h.kind {
 	case kindPing:
 		m.id, m.birth = r.U32(), r.U64()
 	case kindAck, kindNack, kindJoin, kindWelcome:
 		m.id = r.U32()
-	case kindAsk, kindReached:
+	case kindPingReq, kindIndirectAck:
 		m.id, m.birth, m.inc = r.U32(), r.U64(), r.U32()
 	case kindSums:
 		m.depth, m.prefix = int(r.U8()), r.U32()
@@ -73,30 +73,30 @@
 			m.sums[i] = r.U32()
 		}
 	case kindRecords:
-		m.depth, m.prefix, m.back = int(r.U8()), r.U32(), r.U8() == 1
-	case kindWant:
+		m.depth, m.prefix, m.wantReply = int(r.U8()), r.U32(), r.U8() == 1
+	case kindWhoIs:
 		for len(r.B) > 0 && !r.Bad {
 			m.births = append(m.births, r.U64())
 		}
 	case kindClaim:
 		m.addr, m.inc, m.hops = r.addr(), r.U32(), r.U8()
-	case kindVerdict:
-		m.addr, m.hops, m.birth, m.other = r.addr(), r.U8(), r.U64(), r.U64()
+	case kindClaimResult:
+		m.addr, m.hops, m.birth, m.recipient = r.addr(), r.U8(), r.U64(), r.U64()
 	case kindApp:
-		m.app = r.U8()
+		m.appKind = r.U8()
 		m.data, r.B = r.B, nil
 	}
-	r.Bad = r.Bad || m.depth > treeDepth || m.inc > incMost
+	r.Bad = r.Bad || m.depth > treeDepth || m.inc > maxIncarnation
 	m.entries = r.entries()
 	for i := range m.entries {
-		r.Bad = r.Bad || m.entries[i].inc > incMost
+		r.Bad = r.Bad || m.entries[i].inc > maxIncarnation
 	}
 	return m
 }
 
 // senderRecord returns the sender's own record, if the datagram starts with it.
-func (m *message) introduced(h head) (record, bool) {
-	if len(m.entries) > 0 && m.entries[0].full && m.entries[0].birth == h.birth && m.entries[0].what == isAlive {
+func (m *message) senderRecord(h header) (record, bool) {
+	if len(m.entries) > 0 && m.entries[0].full && m.entries[0].birth == h.birth && m.entries[0].typ == typeAlive {
 		r := m.entries[0].record
 		r.inc = h.inc
 		return r, true
@@ -105,82 +105,82 @@
 }
 
 // receiveFromMember handles a datagram of a process that is in the view.
-func (v *View) fromKnown(m *member, h head, msg message) {
-	if !m.window.fresh(h.seq) {
+func (v *View) receiveFromMember(m *member, h header, msg message) {
+	if !m.replay.accept(h.seq) {
 		v.drop(Replayed)
 		return
 	}
-	m.stamp, m.app = h.stamp, h.app
-	if h.inc > m.inc && h.kind != kindClaim && h.kind != kindVerdict { // it has refuted an accusation
-		if m = v.revive(m, h.inc); m == nil {
+	m.stamp, m.appTag = h.stamp, h.appTag
+	if h.inc > m.inc && h.kind != kindClaim && h.kind != kindClaimResult { // it has refuted an accusation
+		if m = v.raiseIncarnation(m, h.inc); m == nil {
 			return
 		}
 	}
 	if m.state != Alive {
-		v.fromGone(m, h, msg)
+		v.receiveFromGone(m, h, msg)
 		return
 	}
 	if msg.birth != v.self.birth || h.kind != kindPing { // pings to this process: below, after the ack
-		defer v.compare(m, h)
+		defer v.compareDigest(m, h)
 	}
 	v.mergeAll(m, msg.entries)
-	if m = v.births[h.birth]; m == nil {
+	if m = v.byBirth[h.birth]; m == nil {
 		return
 	}
 	switch h.kind {
 	case kindPing:
-		v.sendTo(m, v.numbered(kindAck, msg.id), true)
-		v.compare(m, h)
+		v.sendTo(m, v.newNumbered(kindAck, msg.id), true)
+		v.compareDigest(m, h)
 	case kindAck:
-		v.acked(h, msg.id)
-	case kindAsk:
-		v.probeFor(m, msg)
-	case kindReached:
-		v.reached(m, msg)
+		v.handleAck(h, msg.id)
+	case kindPingReq:
+		v.probeOnBehalf(m, msg)
+	case kindIndirectAck:
+		v.handleIndirectAck(m, msg)
 	case kindNack:
 		for i := range v.probes {
-			if p := &v.probes[i]; p.id == msg.id && p.origin == 0 && p.asked > 0 {
-				p.nacked++
+			if p := &v.probes[i]; p.id == msg.id && p.requester == 0 && p.helpersAsked > 0 {
+				p.nacks++
 			}
 		}
-	case kindAccuse:
+	case kindWatch:
 		for i := range msg.entries {
 			e := &msg.entries[i]
-			if s := v.births[e.birth]; s != nil && s.state == Alive && e.what == isSuspect {
+			if s := v.byBirth[e.birth]; s != nil && s.state == Alive && e.typ == typeSuspect {
 				if e.inc == s.inc {
-					v.watch(s, v.now, false)
+					v.startWatch(s, v.now, false)
 				} else if e.inc < s.inc {
-					v.push([]*member{m}, v.entryOf(s, false))
+					v.sendUpdate([]*member{m}, v.entryOf(s, false))
 				}
 			}
 		}
 	case kindJoin:
-		v.greet(v.to(m.name, m.addr), m.name, msg.id)
+		v.sendWelcome(v.route(m.name, m.addr), m.name, msg.id)
 	case kindWelcome:
-		v.welcomed(h, msg)
+		v.handleWelcome(h, msg)
 	case kindSums:
 		v.compareSums(m, msg)
 	case kindRecords:
-		v.takeRecords(m, msg)
-	case kindWant:
-		v.introduce(m, msg.births)
+		v.handleRecords(m, msg)
+	case kindWhoIs:
+		v.sendIdentities(m, msg.births)
 	case kindClaim:
-		v.claimed(m, msg)
-	case kindVerdict:
-		v.judged(msg)
-	case kindTurned:
-		v.figures.TurnedDown++
+		v.handleClaim(m, msg)
+	case kindClaimResult:
+		v.handleClaimResult(msg)
+	case kindRejected:
+		v.stats.Rejections++
 	case kindApp:
-		v.heard = append(v.heard, Heard{From: m.name, Kind: msg.app, Data: slices.Clone(msg.data)})
+		v.appMessages = append(v.appMessages, AppMessage{From: m.name, Kind: msg.appKind, Data: slices.Clone(msg.data)})
 	}
 }
 
 // raiseIncarnation records that a member is alive in a later incarnation, and queues the update.
-func (v *View) revive(m *member, inc uint32) *member {
+func (v *View) raiseIncarnation(m *member, inc uint32) *member {
 	r := m.record
 	r.inc, r.state = inc, Alive
-	if m = v.set(r, 0); m != nil {
-		v.news.add(entry{record: r, full: true})
+	if m = v.setRecord(r, 0); m != nil {
+		v.updates.add(entry{record: r, full: true})
 	}
 	return m
 }
@@ -188,83 +188,83 @@
 // receiveFromGone handles a datagram of a process that is dead here or has left. Its entries on other members
 // are ignored: it may receive nothing, and so know nothing of the accusations against itself. Its entries on
 // this member count: if two members each consider the other dead, one of them has to refute first.
-func (v *View) fromGone(m *member, h head, msg message) {
+func (v *View) receiveFromGone(m *member, h header, msg message) {
 	for _, e := range msg.entries {
 		if e.birth == v.self.birth {
-			v.aboutMe(e)
+			v.refute(e)
 		}
 	}
 	switch h.kind {
 	case kindPing, kindJoin:
-		b := v.numbered(kindAck, msg.id)
-		b, _ = put(b, v.me())
-		b, _ = put(b, v.entryOf(m, false))
+		b := v.newNumbered(kindAck, msg.id)
+		b, _ = appendEntry(b, v.selfEntry())
+		b, _ = appendEntry(b, v.entryOf(m, false))
 		v.sendTo(m, b, false)
 	case kindAck:
-		if m.state == Dead && v.syncLeft > 0 { // it has not received the accusation yet
-			v.syncLeft--
+		if m.state == Dead && v.syncBudget > 0 { // it has not received the accusation yet
+			v.syncBudget--
 			v.ping(m, false)
 		}
 	case kindClaim:
-		v.claimed(nil, msg)
-	case kindVerdict:
-		v.judged(msg)
+		v.handleClaim(nil, msg)
+	case kindClaimResult:
+		v.handleClaimResult(msg)
 	}
 }
 
 // receiveFromUnknown handles a datagram of a process that is not in the view. The process is admitted once it
 // has answered a probe of the address that it claims, because anyone could replay its old datagrams.
-func (v *View) fromStranger(h head, msg message) {
+func (v *View) receiveFromUnknown(h header, msg message) {
 	switch h.kind {
 	case kindPing, kindJoin:
-		r, ok := msg.introduced(h)
+		r, ok := msg.senderRecord(h)
 		switch {
 		case !ok:
 			v.drop(Unknown)
 			return
 		case r.name == v.self.name:
 			if h.kind == kindJoin { // it has this member's name: it is sent our record, and then sends a claim
-				v.greet(r.addr, r.name, msg.id)
+				v.sendWelcome(r.addr, r.name, msg.id)
 			}
 			return
-		case !v.welcome(r.name):
-			v.drop(Stranger)
-			v.send(v.to(r.name, r.addr), v.begin(kindTurned), false)
+		case !v.allowsName(r.name):
+			v.drop(NotAdmitted)
+			v.send(v.route(r.name, r.addr), v.newMessage(kindRejected), false)
 			return
 		}
-		to := v.to(r.name, r.addr)
+		to := v.route(r.name, r.addr)
 		if h.kind == kindPing {
-			v.send(to, v.numbered(kindAck, msg.id), false)
+			v.send(to, v.newNumbered(kindAck, msg.id), false)
 		} else {
-			v.greet(to, r.name, msg.id)
+			v.sendWelcome(to, r.name, msg.id)
 		}
-		v.examine(r, h)
+		v.verifyCandidate(r, h)
 	case kindAck:
-		v.admit(h, msg.id)
+		v.candidateAcked(h, msg.id)
 	case kindWelcome:
-		v.welcomed(h, msg)
-	case kindNews: // only entries on this member's own name: see sendWelcome and verifyCandidate
+		v.handleWelcome(h, msg)
+	case kindUpdates: // only entries on this member's own name: see sendWelcome and verifyCandidate
 		for i := range msg.entries {
 			if e := &msg.entries[i]; e.full && e.name == v.self.name && e.birth != v.self.birth {
-				v.rival(e.record)
+				v.handleRival(e.record)
 			}
 		}
 	case kindClaim:
-		v.claimed(nil, msg)
-	case kindVerdict:
-		v.judged(msg)
-	case kindTurned:
-		v.figures.TurnedDown++
+		v.handleClaim(nil, msg)
+	case kindClaimResult:
+		v.handleClaimResult(msg)
+	case kindRejected:
+		v.stats.Rejections++
 	default:
 		v.drop(Unknown)
 	}
 }
 
 // sendWelcome answers a join request with this member's record and the record known for the sender's name.
-func (v *View) greet(to netip.AddrPort, name string, id uint32) {
-	b, _ := put(v.numbered(kindWelcome, id), v.me())
+func (v *View) sendWelcome(to netip.AddrPort, name string, id uint32) {
+	b, _ := appendEntry(v.newNumbered(kindWelcome, id), v.selfEntry())
 	if m := v.find(name); m != nil {
-		b, _ = put(b, v.entryOf(m, true))
+		b, _ = appendEntry(b, v.entryOf(m, true))
 	}
 	v.send(to, b, false)
 }
@@ -272,61 +272,61 @@
 // verifyCandidate probes an unknown process at the address that it claims. A process whose record does not
 // supersede the known record of its name is sent that record instead. A process that has no incarnation yet
 // is not probed.
-func (v *View) examine(r record, h head) {
-	if m := v.find(r.name); m != nil && !r.above(&m.record) && m.birth != r.birth {
-		b, _ := put(v.begin(kindNews), v.entryOf(m, true))
-		v.send(v.to(r.name, r.addr), b, false)
+func (v *View) verifyCandidate(r record, h header) {
+	if m := v.find(r.name); m != nil && !r.newerThan(&m.record) && m.birth != r.birth {
+		b, _ := appendEntry(v.newMessage(kindUpdates), v.entryOf(m, true))
+		v.send(v.route(r.name, r.addr), b, false)
 		return
 	}
-	if r.inc == 0 || len(v.knocks) >= mostKnocks || v.joining ||
-		slices.ContainsFunc(v.knocks, func(k newcomer) bool { return k.birth == r.birth && k.inc == r.inc }) {
+	if r.inc == 0 || len(v.candidates) >= maxCandidates || v.joining ||
+		slices.ContainsFunc(v.candidates, func(k candidate) bool { return k.birth == r.birth && k.inc == r.inc }) {
 		return
 	}
-	k := newcomer{record: r, id: uint32(v.rng.Uint64()), at: v.now, num: h.seq}
-	v.knocks = append(v.knocks, k)
-	b := binary.LittleEndian.AppendUint64(v.numbered(kindPing, k.id), r.birth)
-	b, _ = put(b, v.me())
-	v.send(v.to(r.name, r.addr), b, false)
+	k := candidate{record: r, probeID: uint32(v.rng.Uint64()), at: v.now, seq: h.seq}
+	v.candidates = append(v.candidates, k)
+	b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPing, k.probeID), r.birth)
+	b, _ = appendEntry(b, v.selfEntry())
+	v.send(v.route(r.name, r.addr), b, false)
 }
 
 // candidateAcked admits a candidate that has answered the probe of its address.
-func (v *View) admit(h head, id uint32) {
-	i := slices.IndexFunc(v.knocks, func(k newcomer) bool { return k.id == id && k.birth == h.birth })
+func (v *View) candidateAcked(h header, id uint32) {
+	i := slices.IndexFunc(v.candidates, func(k candidate) bool { return k.probeID == id && k.birth == h.birth })
 	if i < 0 {
-		v.otherAt(h, id)
+		v.addressReused(h, id)
 		return
 	}
-	k := v.knocks[i]
-	v.knocks = slices.Delete(v.knocks, i, i+1)
+	k := v.candidates[i]
+	v.candidates = slices.Delete(v.candidates, i, i+1)
 	k.inc = max(k.inc, h.inc)
-	v.enter(k.record, h.seq)
+	v.admit(k.record, h.seq)
 }
 
 // admit adds a process whose address has been verified to the view.
-func (v *View) enter(r record, seq uint64) {
-	if !v.welcome(r.name) || r.name == v.self.name {
+func (v *View) admit(r record, seq uint64) {
+	if !v.allowsName(r.name) || r.name == v.self.name {
 		return
 	}
-	if old := v.find(r.name); old != nil && !r.above(&old.record) {
+	if old := v.find(r.name); old != nil && !r.newerThan(&old.record) {
 		return
 	}
-	m := v.set(r, 0)
+	m := v.setRecord(r, 0)
 	if m == nil { // the view is full: the process must learn that it is not a member
-		v.send(v.to(r.name, r.addr), v.begin(kindTurned), false)
+		v.send(v.route(r.name, r.addr), v.newMessage(kindRejected), false)
 	} else {
-		m.window.fresh(seq)
-		v.news.add(entry{record: r, full: true})
-		v.openSync(m)
+		m.replay.accept(seq)
+		v.updates.add(entry{record: r, full: true})
+		v.startSync(m)
 	}
 }
 
 // addressReused handles an answer of another process at a member's address, which is a restart. The process
 // is sent the record of its predecessor, so that it can supersede it.
-func (v *View) otherAt(h head, id uint32) {
+func (v *View) addressReused(h header, id uint32) {
 	for i := range v.probes {
-		if p := &v.probes[i]; p.id == id && p.origin == 0 {
-			if m := v.births[p.birth]; m != nil {
-				b, _ := put(v.begin(kindNews), v.entryOf(m, true))
+		if p := &v.probes[i]; p.id == id && p.requester == 0 {
+			if m := v.byBirth[p.birth]; m != nil {
+				b, _ := appendEntry(v.newMessage(kindUpdates), v.entryOf(m, true))
 				v.sendTo(m, b, false)
 			}
 		}
@@ -334,101 +334,101 @@
 }
 
 // handleWelcome handles the answer to a join request of this process.
-func (v *View) welcomed(h head, msg message) {
+func (v *View) handleWelcome(h header, msg message) {
 	if msg.id != v.joinIDs[0] && msg.id != v.joinIDs[1] || msg.id == 0 {
 		return
 	}
-	r, ok := msg.introduced(h)
-	if ok && r.name != v.self.name && h.inc > 0 && v.births[h.birth] == nil {
-		v.enter(r, h.seq)
+	r, ok := msg.senderRecord(h)
+	if ok && r.name != v.self.name && h.inc > 0 && v.byBirth[h.birth] == nil {
+		v.admit(r, h.seq)
 	}
 	for i := range msg.entries {
 		if e := &msg.entries[i]; e.full && e.name == v.self.name && e.birth != v.self.birth {
-			v.rival(e.record)
+			v.handleRival(e.record)
 		}
 	}
 	if v.joining && v.claim == nil {
-		v.become(1)
+		v.completeJoin(1)
 	}
-	if m := v.births[h.birth]; m != nil && !v.joining {
+	if m := v.byBirth[h.birth]; m != nil && !v.joining {
 		v.ping(m, false)
 	}
 }
 
 // handleAck handles the answer to a probe.
-func (v *View) acked(h head, id uint32) {
+func (v *View) handleAck(h header, id uint32) {
 	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == id })
 	if i < 0 {
 		return
 	}
 	p := v.probes[i]
 	if p.birth != h.birth {
-		v.otherAt(h, id)
+		v.addressReused(h, id)
 		return
 	}
 	v.probes = slices.Delete(v.probes, i, i+1)
-	if p.origin != 0 {
-		if o := v.births[p.origin]; o != nil {
-			b := binary.LittleEndian.AppendUint64(v.numbered(kindReached, p.forID), h.birth)
+	if p.requester != 0 {
+		if o := v.byBirth[p.requester]; o != nil {
+			b := binary.LittleEndian.AppendUint64(v.newNumbered(kindIndirectAck, p.requestID), h.birth)
 			v.sendTo(o, binary.LittleEndian.AppendUint32(b, h.inc), true)
 		}
 		return
 	}
-	v.evidence(v.births[h.birth], p)
+	v.probeAnswered(v.byBirth[h.birth], p)
 }
 
 // probeAnswered records that a member has answered a probe of this process.
-func (v *View) evidence(m *member, p probe) {
+func (v *View) probeAnswered(m *member, p probe) {
 	if m == nil {
 		return
 	}
-	if p.round {
-		v.fare(-1)
+	if p.scheduled {
+		v.adjustHealth(-1)
 	}
-	m.acked, m.met = max(m.acked, p.sent), true
+	m.lastAckedProbe, m.knowsUs = max(m.lastAckedProbe, p.sentAt), true
 	// A late answer to the probe that started the watch counts too.
-	if w := v.watching(m.birth); w != nil && m.acked >= w.since {
-		v.unwatch(m.birth)
+	if w := v.findWatch(m.birth); w != nil && m.lastAckedProbe >= w.since {
+		v.endWatch(m.birth)
 		m.votes = nil // a member's own observation outweighs others' votes
 	}
 }
 
 // probeOnBehalf probes a member at the request of another one.
-func (v *View) probeFor(m *member, msg message) {
-	s := v.births[msg.birth]
+func (v *View) probeOnBehalf(m *member, msg message) {
+	s := v.byBirth[msg.birth]
 	if s == nil {
-		v.sendTo(m, v.numbered(kindNack, msg.id), true)
+		v.sendTo(m, v.newNumbered(kindNack, msg.id), true)
 		return
 	}
-	p := probe{id: uint32(v.rng.Uint64()), birth: s.birth, sent: v.now, origin: m.birth, forID: msg.id}
-	v.track(p)
-	b := v.pingFor(p.id, s, v.accused(s))
-	if msg.inc > 0 && !v.accused(s) {
-		e := entry{record: s.record, what: isSuspect}
+	p := probe{id: uint32(v.rng.Uint64()), birth: s.birth, sentAt: v.now, requester: m.birth, requestID: msg.id}
+	v.trackProbe(p)
+	b := v.pingMessage(p.id, s, v.isAccused(s))
+	if msg.inc > 0 && !v.isAccused(s) {
+		e := entry{record: s.record, typ: typeSuspect}
 		e.inc = msg.inc
-		b, _ = put(b, e)
+		b, _ = appendEntry(b, e)
 	}
 	v.sendTo(s, b, true)
 }
 
 // handleIndirectAck handles a helper's report that its probe was answered.
-func (v *View) reached(by *member, msg message) {
-	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == msg.id && p.origin == 0 })
-	s := v.births[msg.birth]
+func (v *View) handleIndirectAck(by *member, msg message) {
+	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == msg.id && p.requester == 0 })
+	s := v.byBirth[msg.birth]
 	if i < 0 || s == nil || v.probes[i].birth != msg.birth {
 		return
 	}
 	p := v.probes[i]
 	v.probes = slices.Delete(v.probes, i, i+1)
-	s.helper = by.birth
+	s.lastHelper = by.birth
 	if msg.inc > s.inc {
-		if s = v.revive(s, msg.inc); s == nil {
+		if s = v.raiseIncarnation(s, msg.inc); s == nil {
 			return
 		}
 	}
-	met := s.met
-	v.evidence(s, p)
-	s.met = met // it has answered the helper and may not know this process
+	met := s.knowsUs
+	v.probeAnswered(s, p)
+	s.knowsUs = met // it has answered the helper and may not know this process
 }
 
 // mergeAll merges a member's entries and asks for the records of unknown processes among them.
@@ -439,9 +439,9 @@
 			want = append(want, e.birth)
 		}
 	}
-	if len(want) > 0 && v.syncLeft > 0 {
-		v.syncLeft--
-		b := v.begin(kindWant)
+	if len(want) > 0 && v.syncBudget > 0 {
+		v.syncBudget--
+		b := v.newMessage(kindWhoIs)
 		for _, x := range want {
 			b = binary.LittleEndian.AppendUint64(b, x)
 		}
@@ -452,40 +452,40 @@
 // merge merges one entry. It returns true if the process is unknown and its record has to be requested.
 func (v *View) merge(e entry) (unknown bool) {
 	if e.birth == v.self.birth {
-		v.aboutMe(e)
+		v.refute(e)
 		return false
 	}
 	if e.full && e.name == v.self.name {
-		v.rival(e.record)
+		v.handleRival(e.record)
 		return false
 	}
-	m := v.births[e.birth]
+	m := v.byBirth[e.birth]
 	if m == nil {
 		return v.mergeNew(e)
 	}
-	switch e.what {
-	case isAlive:
+	switch e.typ {
+	case typeAlive:
 		if e.inc > m.inc {
-			v.revive(m, e.inc)
+			v.raiseIncarnation(m, e.inc)
 		}
-	case isSuspect:
+	case typeSuspect:
 		if e.inc == m.inc && m.state == Alive && !m.suspect {
-			v.doubt(m, true)
-			v.news.add(e)
+			v.setSuspect(m, true)
+			v.updates.add(e)
 		}
-	case isVote:
-		if e.inc == m.inc && v.vote(m, e.votes[0]) {
-			v.news.add(e)
+	case typeVote:
+		if e.inc == m.inc && v.addVote(m, e.votes[0]) {
+			v.updates.add(e)
 		}
-	case isLeft:
+	case typeLeft:
 		if e.inc >= m.inc && m.state != Left {
 			r := m.record
 			r.inc, r.state = e.inc, Left
-			if m = v.set(r, v.now-e.age*v.cfg.Period); m != nil {
-				v.news.add(v.entryOf(m, false))
+			if m = v.setRecord(r, v.now-e.age*v.cfg.Period); m != nil {
+				v.updates.add(v.entryOf(m, false))
 			}
 		}
-	case isDead:
+	case typeDead:
 		v.mergeDead(m, e)
 	}
 	return false
@@ -500,27 +500,27 @@
 	if e.inc > m.inc {
 		r := m.record
 		r.inc = e.inc
-		if m = v.set(r, m.ended); m == nil || m.state == Dead {
+		if m = v.setRecord(r, m.endedAt); m == nil || m.state == Dead {
 			return
 		}
 	}
 	if v.cfg.Ablate.Suspicion {
 		m.votes = e.votes
-		v.declare(m)
+		v.declareDead(m)
 		return
 	}
 	birth, inc := m.birth, m.inc
 	for _, by := range e.votes {
-		if v.vote(m, by) {
-			v.news.add(entry{record: m.record, what: isVote, votes: []uint32{by}})
+		if v.addVote(m, by) {
+			v.updates.add(entry{record: m.record, typ: typeVote, votes: []uint32{by}})
 		}
 	}
-	if m = v.births[birth]; m == nil || m.inc != inc || m.state != Alive {
+	if m = v.byBirth[birth]; m == nil || m.inc != inc || m.state != Alive {
 		return
 	}
-	v.doubt(m, true)
-	if !m.told {
-		m.told = true
+	v.setSuspect(m, true)
+	if !m.notified {
+		m.notified = true
 		v.ping(m, false)
 	}
 }
@@ -528,45 +528,45 @@
 // mergeNew merges an entry of an unknown process.
 func (v *View) mergeNew(e entry) (unknown bool) {
 	if !e.full {
-		return e.what == isAlive || e.what == isDead || e.what == isLeft
+		return e.typ == typeAlive || e.typ == typeDead || e.typ == typeLeft
 	}
-	if !v.welcome(e.name) || e.inc == 0 {
+	if !v.allowsName(e.name) || e.inc == 0 {
 		return false
 	}
 	old := v.find(e.name)
-	gone := e.what == isDead || e.what == isLeft
+	gone := e.typ == typeDead || e.typ == typeLeft
 	ended := v.now - e.age*v.cfg.Period
-	if e.what == isSuspect || e.what == isVote || gone && v.now-ended >= v.keep(e.state) {
+	if e.typ == typeSuspect || e.typ == typeVote || gone && v.now-ended >= v.retention(e.state) {
 		return false
 	}
 	switch {
-	case old == nil, e.above(&old.record) && (!gone || old.state != Alive):
-		if m := v.set(e.record, ended); m != nil {
+	case old == nil, e.newerThan(&old.record) && (!gone || old.state != Alive):
+		if m := v.setRecord(e.record, ended); m != nil {
 			if !gone {
-				v.news.add(entry{record: e.record, full: true})
-			} else if e.what == isDead {
+				v.updates.add(entry{record: e.record, full: true})
+			} else if e.typ == typeDead {
 				m.votes = e.votes
 			}
 		}
-	case e.above(&old.record): // the ended process supersedes the running one, which must supersede it in turn
-		b, _ := put(v.begin(kindNews), e)
+	case e.newerThan(&old.record): // the ended process supersedes the running one, which must supersede it in turn
+		b, _ := appendEntry(v.newMessage(kindUpdates), e)
 		v.sendTo(old, b, false)
 	}
 	return false
 }
 
 // refute refutes an accusation of this member by taking a later incarnation: SWIM, 4.2.
-func (v *View) aboutMe(e entry) {
-	if v.left || v.joining || e.what == isAlive || e.inc < v.self.inc {
+func (v *View) refute(e entry) {
+	if v.left || v.joining || e.typ == typeAlive || e.inc < v.self.inc {
 		return
 	}
-	v.figures.Refuted++
-	if e.what == isSuspect || e.what == isVote {
-		v.fare(+1)
+	v.stats.Refutations++
+	if e.typ == typeSuspect || e.typ == typeVote {
+		v.adjustHealth(+1)
 	}
 	inc := e.inc + 1
-	if v.cfg.Ablate.Equal {
+	if v.cfg.Ablate.ReuseIncarnation {
 		inc = e.inc
 	}
-	v.setSelf(inc)
+	v.setOwnIncarnation(inc)
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -37,10 +37,10 @@
 
 // Snapshot returns the state that the successor needs.
 func (v *View) Snapshot() Snapshot {
-	s := Snapshot{Birth: v.self.birth, Inc: v.self.inc, Seq: v.seq, Age: v.now - v.begun, Joined: !v.joining}
-	for _, m := range v.list {
+	s := Snapshot{Birth: v.self.birth, Inc: v.self.inc, Seq: v.seq, Age: v.now - v.startedAt, Joined: !v.joining}
+	for _, m := range v.members {
 		s.Members = append(s.Members, Handover{Name: m.name, Zone: m.zone, Addr: m.addr, Birth: m.birth,
-			Inc: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.ended, Top: m.window.top,
+			Inc: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.endedAt, Top: m.replay.highest,
 			Votes: slices.Clone(m.votes), Stamp: m.stamp})
 	}
 	return s
@@ -54,18 +54,18 @@
 	if err != nil {
 		return nil, err
 	}
-	v.begun, v.seq, v.joining = now-s.Age, s.Seq+seqJump, !s.Joined
+	v.startedAt, v.seq, v.joining = now-s.Age, s.Seq+seqJump, !s.Joined
 	v.joinIDs[0] = uint32(v.rng.Uint64())
 	v.digest -= v.self.sum()
 	v.self.inc = s.Inc
 	v.digest += v.self.sum()
 	for _, h := range s.Members {
-		if h.Birth == 0 || h.Name == "" || h.State == Suspect || h.State > Left || !v.welcome(h.Name) {
+		if h.Birth == 0 || h.Name == "" || h.State == Suspect || h.State > Left || !v.allowsName(h.Name) {
 			continue
 		}
 		r := record{name: h.Name, zone: h.Zone, addr: h.Addr, birth: h.Birth, inc: h.Inc, state: h.State}
-		if m := v.set(r, now-h.Ended); m != nil {
-			m.since, m.window, m.stamp = now-h.Since, window{top: h.Top, seen: 1<<64 - 1}, h.Stamp
+		if m := v.setRecord(r, now-h.Ended); m != nil {
+			m.since, m.replay, m.stamp = now-h.Since, replayWindow{highest: h.Top, seen: 1<<64 - 1}, h.Stamp
 			if h.State == Dead {
 				m.votes = h.Votes
 			}
@@ -76,10 +76,10 @@
 }
 
 // Reclaim continues this process's membership after a successor that had taken it over has ended.
-func (v *View) Again(now Micros) {
+func (v *View) Reclaim(now Micros) {
 	v.Tick(now)
 	v.seq += 2 * seqJump
 	if !v.joining && !v.left {
-		v.setSelf(v.self.inc + 1) // a later one of the successor is learned like any accusation
+		v.setOwnIncarnation(v.self.inc + 1) // a later one of the successor is learned like any accusation
 	}
 }
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -8,53 +8,53 @@
 // Search for suspicions that never end: of six members, two stop receiving datagrams of the others but are
 // still heard by them. Every combination of up to two pauses of members within the first slots is tried.
 const (
-	cutMembers  = 6
-	cutDeaf     = 2 // the first members, which receive nothing
-	cutBound    = 30 * slots
-	holdSlots   = 5 * slots // slots in which a pause may begin
-	holdLongest = slots
+	pauseMembers    = 6
+	deafMembers     = 2 // the first members, which receive nothing
+	suspicionBound  = 30 * slotsPerPeriod
+	pauseStartSlots = 5 * slotsPerPeriod // slots in which a pause may begin
+	maxPauseSlots   = slotsPerPeriod
 )
 
 // pause stops a member for some slots: it does nothing meanwhile, and datagrams to it wait.
-type heldUp struct{ member, from, slots int }
+type pause struct{ member, from, slots int }
 
-func (h heldUp) at(slot int) bool { return slot >= h.from && slot < h.from+h.slots }
+func (h pause) covers(slot int) bool { return slot >= h.from && slot < h.from+h.slots }
 
 // runPaused runs up to the bound and describes a suspicion that has not ended by then.
-func (w *world) play(holds []heldUp) string {
+func (w *world) runPaused(holds []pause) string {
 	held := func(i, slot int) bool {
 		for _, h := range holds {
-			if h.member == i && h.at(slot) {
+			if h.member == i && h.covers(slot) {
 				return true
 			}
 		}
 		return false
 	}
-	var waiting []flight
-	for slot := range cutBound {
+	var waiting []inFlightDatagram
+	for slot := range suspicionBound {
 		w.now += checkSlot
-		w.flying, waiting = append(w.flying, waiting...), nil
+		w.inFlight, waiting = append(w.inFlight, waiting...), nil
 		for i, v := range w.views {
 			if !held(i, slot) {
 				v.Tick(w.now)
-				w.take(i)
+				w.collect(i)
 			}
 		}
-		for len(w.flying) > 0 {
-			f := w.flying[0]
+		for len(w.inFlight) > 0 {
+			f := w.inFlight[0]
 			switch {
-			case f.from >= cutDeaf && f.to < cutDeaf:
-				w.flying = w.flying[1:]
+			case f.from >= deafMembers && f.to < deafMembers:
+				w.inFlight = w.inFlight[1:]
 			case held(f.to, slot):
 				waiting = append(waiting, f)
-				w.flying = w.flying[1:]
+				w.inFlight = w.inFlight[1:]
 			default:
 				w.deliver(0)
 			}
 		}
 	}
-	for _, v := range w.views[cutDeaf:] {
-		for _, m := range v.list {
+	for _, v := range w.views[deafMembers:] {
+		for _, m := range v.members {
 			if m.suspect {
 				return fmt.Sprintf("%s still suspects %s, with votes %x", v.self.name, m.name, m.votes)
 			}
@@ -64,13 +64,13 @@
 }
 
 // Every suspicion ends within its bound, whichever healthy members are paused meanwhile.
-func TestNoSuspicionOutlivesItsBound(t *testing.T) {
-	first := settled(t, cutMembers, false)
-	var holds []heldUp
-	for member := cutDeaf; member < cutMembers; member++ {
-		for from := 0; from < holdSlots; from += bound(3, 1) {
-			for length := 2; length <= holdLongest; length += bound(2, 1) {
-				holds = append(holds, heldUp{member, from, length})
+func TestSuspicionsEndWithinBound(t *testing.T) {
+	first := convergedWorld(t, pauseMembers, false)
+	var holds []pause
+	for member := deafMembers; member < pauseMembers; member++ {
+		for from := 0; from < pauseStartSlots; from += bound(3, 1) {
+			for length := 2; length <= maxPauseSlots; length += bound(2, 1) {
+				holds = append(holds, pause{member, from, length})
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 			if plays++; one.member == two.member && one != two {
 				continue
 			}
-			if fault := first.clone().play([]heldUp{one, two}); fault != "" {
+			if fault := first.clone().runPaused([]pause{one, two}); fault != "" {
 				if faults++; faults <= 3 {
 					t.Errorf("pauses %+v and %+v: %s", one, two, fault)
 				}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -6,38 +6,38 @@
 import "encoding/binary"
 
 const (
-	treeDepth = 8  // nibbles of a tree key
-	fewLines  = 8  // a tree node with at most this many records is sent without descending further
-	bulk      = 12 // if at least this many of the 16 sums at the root differ, all records are sent in short form
+	treeDepth         = 8  // nibbles of a tree key
+	maxLeafRecords    = 8  // a tree node with at most this many records is sent without descending further
+	fullSyncThreshold = 12 // if at least this many of the 16 sums at the root differ, all records are sent in short form
 )
 
 // compareDigest starts a sync with a member whose digest differs, unless updates are still being spread.
-func (v *View) compare(m *member, h head) {
-	if h.digest == v.digest || v.cfg.Ablate.Sync || m.state != Alive || v.joining || v.now < v.syncAt {
+func (v *View) compareDigest(m *member, h header) {
+	if h.digest == v.digest || v.cfg.Ablate.Sync || m.state != Alive || v.joining || v.now < v.nextSyncAt {
 		return
 	}
-	if v.now-v.changed < v.cfg.Period && v.now-v.syncFrom < 3*v.cfg.Period {
+	if v.now-v.digestChangedAt < v.cfg.Period && v.now-v.lastSyncAt < 3*v.cfg.Period {
 		return
 	}
-	v.figures.Syncs++
-	v.openSync(m)
+	v.stats.Syncs++
+	v.startSync(m)
 }
 
 // startSync sends a member the sums at the root of the tree.
-func (v *View) openSync(m *member) {
+func (v *View) startSync(m *member) {
 	if v.cfg.Ablate.Sync || v.joining {
 		return
 	}
-	v.syncAt, v.syncFrom = v.now+v.cfg.Period, v.now
+	v.nextSyncAt, v.lastSyncAt = v.now+v.cfg.Period, v.now
 	v.sendSums(m, 0, 0)
 }
 
 // takeSyncBudget takes one datagram from the period's sync budget.
-func (v *View) spend() bool {
-	if v.syncLeft <= 0 {
+func (v *View) takeSyncBudget() bool {
+	if v.syncBudget <= 0 {
 		return false
 	}
-	v.syncLeft--
+	v.syncBudget--
 	return true
 }
 
@@ -55,19 +55,19 @@
 			counts[c]++
 		}
 	}
-	for _, m := range v.list {
-		add(m.key, m.sum)
+	for _, m := range v.members {
+		add(m.treeKey, m.sum)
 	}
 	add(treeKey(v.self.name), v.self.sum())
 	return sums, counts
 }
 
 func (v *View) sendSums(m *member, depth int, prefix uint32) {
-	if !v.spend() {
+	if !v.takeSyncBudget() {
 		return
 	}
 	sums, _ := v.sums(depth, prefix)
-	b := append(v.begin(kindSums), byte(depth))
+	b := append(v.newMessage(kindSums), byte(depth))
 	b = binary.LittleEndian.AppendUint32(b, prefix)
 	for _, s := range sums {
 		b = binary.LittleEndian.AppendUint32(b, s)
@@ -80,7 +80,7 @@
 	if msg.depth >= treeDepth || v.joining {
 		return
 	}
-	v.syncAt = max(v.syncAt, v.now+v.cfg.Period)
+	v.nextSyncAt = max(v.nextSyncAt, v.now+v.cfg.Period)
 	sums, counts := v.sums(msg.depth, msg.prefix)
 	differ := 0
 	for c := range sums {
@@ -88,11 +88,11 @@
 			differ++
 		}
 	}
-	if msg.depth == 0 && differ >= bulk {
+	if msg.depth == 0 && differ >= fullSyncThreshold {
 		v.sendRecords(m, 0, 0, false, true)
 		return
 	}
-	first := uint32(v.rand(16)) // a random start, so that the budget does not always skip the same children
+	first := uint32(v.randN(16)) // a random start, so that the budget does not always skip the same children
 	for i := range uint32(16) {
 		c := (first + i) & 15
 		if sums[c] == msg.sums[c] {
@@ -102,7 +102,7 @@
 		switch {
 		case msg.sums[c] == 0: // the other member has no records there
 			v.sendRecords(m, depth, prefix, true, false)
-		case counts[c] <= fewLines || depth == treeDepth:
+		case counts[c] <= maxLeafRecords || depth == treeDepth:
 			v.sendRecords(m, depth, prefix, false, true)
 		default:
 			v.sendSums(m, depth, prefix)
@@ -114,42 +114,42 @@
 func (v *View) sendRecords(m *member, depth int, prefix uint32, full, back bool) {
 	var b []byte
 	begin := func() {
-		b = append(v.begin(kindRecords), byte(depth))
+		b = append(v.newMessage(kindRecords), byte(depth))
 		b = binary.LittleEndian.AppendUint32(b, prefix)
 		b = append(b, 0)
 	}
 	flush := func(last bool) bool {
-		if !v.spend() {
+		if !v.takeSyncBudget() {
 			return false
 		}
 		if last && back {
-			b[headSize+5] = 1
+			b[headerSize+5] = 1
 		}
 		v.sendTo(m, b, false)
 		return true
 	}
 	begin()
-	lines := make([]entry, 0, fewLines)
+	lines := make([]entry, 0, maxLeafRecords)
 	if inNode(treeKey(v.self.name), depth, prefix) {
-		lines = append(lines, v.me())
+		lines = append(lines, v.selfEntry())
 	}
 	first := 0
-	if len(v.list) > 0 {
-		first = v.rand(len(v.list)) // a random start, so that the budget does not always skip the same records
+	if len(v.members) > 0 {
+		first = v.randN(len(v.members)) // a random start, so that the budget does not always skip the same records
 	}
-	for i := range v.list {
-		if x := v.list[(first+i)%len(v.list)]; x != m && inNode(x.key, depth, prefix) {
+	for i := range v.members {
+		if x := v.members[(first+i)%len(v.members)]; x != m && inNode(x.treeKey, depth, prefix) {
 			lines = append(lines, v.entryOf(x, full))
 		}
 	}
 	for _, e := range lines {
-		grown, ok := put(b, e)
+		grown, ok := appendEntry(b, e)
 		if !ok {
 			if !flush(false) {
 				return
 			}
 			begin()
-			grown, _ = put(b, e)
+			grown, _ = appendEntry(b, e)
 		}
 		b = grown
 	}
@@ -157,50 +157,50 @@
 }
 
 // handleRecords replies with this member's records if asked to. The received entries are already merged.
-func (v *View) takeRecords(m *member, msg message) {
-	if msg.back {
+func (v *View) handleRecords(m *member, msg message) {
+	if msg.wantReply {
 		v.sendRecords(m, msg.depth, msg.prefix, false, false)
 	}
 }
 
 // sendIdentities sends a member the full records of some processes.
-func (v *View) introduce(m *member, births []uint64) {
-	b := append(binary.LittleEndian.AppendUint32(append(v.begin(kindRecords), treeDepth), 0), 0)
+func (v *View) sendIdentities(m *member, births []uint64) {
+	b := append(binary.LittleEndian.AppendUint32(append(v.newMessage(kindRecords), treeDepth), 0), 0)
 	for _, x := range births {
-		s := v.births[x]
-		e := v.me()
+		s := v.byBirth[x]
+		e := v.selfEntry()
 		switch {
 		case s != nil:
 			e = v.entryOf(s, true)
 		case x != v.self.birth:
 			continue
 		}
-		grown, ok := put(b, e)
+		grown, ok := appendEntry(b, e)
 		if !ok {
-			if !v.spend() {
+			if !v.takeSyncBudget() {
 				return
 			}
 			v.sendTo(m, b, false)
-			b = append(binary.LittleEndian.AppendUint32(append(v.begin(kindRecords), treeDepth), 0), 0)
-			grown, _ = put(b, e)
+			b = append(binary.LittleEndian.AppendUint32(append(v.newMessage(kindRecords), treeDepth), 0), 0)
+			grown, _ = appendEntry(b, e)
 		}
 		b = grown
 	}
-	if v.spend() {
+	if v.takeSyncBudget() {
 		v.sendTo(m, b, false)
 	}
 }
 
 // SendApp queues an application message to an alive member as a separate datagram. It returns false if the
 // member is not alive, this member has not joined or has left, or data is longer than MaxAppMessage.
-func (v *View) Say(name string, kind byte, data []byte) bool {
+func (v *View) SendApp(name string, kind byte, data []byte) bool {
 	m := v.find(name)
-	if m == nil || m.state != Alive || len(data) > MostApp || v.joining || v.left {
+	if m == nil || m.state != Alive || len(data) > MaxAppMessage || v.joining || v.left {
 		return false
 	}
-	v.sendTo(m, append(append(v.begin(kindApp), kind), data...), false)
+	v.sendTo(m, append(append(v.newMessage(kindApp), kind), data...), false)
 	return true
 }
 
 // MaxAppMessage is the maximum length of an application message, in bytes.
-const MostApp = MaxPlain - headSize - 1
+const MaxAppMessage = MaxPlain - headerSize - 1
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -12,32 +12,32 @@
 const testPeriod = 200_000
 
 // testFleet connects several views that share a clock; datagrams are delivered at once.
-type lab struct {
-	t     testing.TB
-	now   Micros
-	views map[netip.AddrPort]*View
-	order []*View
-	born  uint64
-	cut   func(from, to *View) bool
-	tap   func(from *View, s Send)
+type testFleet struct {
+	t         testing.TB
+	now       Micros
+	views     map[netip.AddrPort]*View
+	order     []*View
+	lastBirth uint64
+	blocked   func(from, to *View) bool
+	onSend    func(from *View, s Send)
 }
 
-func newLab(t testing.TB) *lab {
-	return &lab{t: t, now: 1_000_000, views: map[netip.AddrPort]*View{}, cut: func(_,
+func newTestFleet(t testing.TB) *testFleet {
+	return &testFleet{t: t, now: 1_000_000, views: map[netip.AddrPort]*View{}, blocked: func(_,
 		_ *View) bool {
 		return false
 	},
-		tap: func(*View, Send) {}}
+		onSend: func(*View, Send) {}}
 }
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-func (l *lab) add(name string, at int, edit ...func(*Config)) *View {
+func (l *testFleet) add(name string, at int, edit ...func(*Config)) *View {
 	l.t.Helper()
-	l.born += 0x1_0000_0001
-	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: l.born, Seed: uint64(at),
+	l.lastBirth += 0x1_0000_0001
+	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: l.lastBirth, Seed: uint64(at),
 		Period: testPeriod, Settings: Settings{Most: 16, Join: []netip.AddrPort{addr(1), addr(2)}, Stamp: 7}}
 	for _, e := range edit {
 		e(&c)
@@ -46,16 +46,16 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	l.put(v)
+	l.attach(v)
 	return v
 }
 
-func (l *lab) put(v *View) {
+func (l *testFleet) attach(v *View) {
 	l.views[v.self.addr] = v
 	l.order = append(l.order, v)
 }
 
-func (l *lab) remove(v *View) {
+func (l *testFleet) remove(v *View) {
 	if l.views[v.self.addr] == v {
 		delete(l.views, v.self.addr)
 	}
@@ -67,7 +67,7 @@
 }
 
 // flush delivers datagrams until none is in flight.
-func (l *lab) flush() {
+func (l *testFleet) flush() {
 	for n, more := 0, true; more; n++ {
 		if n > 10_000 {
 			l.t.Fatal("datagrams never stop")
@@ -77,8 +77,8 @@
 			sends, _, _ := v.Take()
 			for _, s := range sends {
 				more = true
-				l.tap(v, s)
-				if to := l.views[s.To]; to != nil && !l.cut(v, to) {
+				l.onSend(v, s)
+				if to := l.views[s.To]; to != nil && !l.blocked(v, to) {
 					to.Receive(l.now, s.Data)
 				}
 			}
@@ -86,9 +86,9 @@
 	}
 }
 
-func (l *lab) run(periods int) {
-	for range periods * slots {
-		l.now += testPeriod / slots
+func (l *testFleet) run(periods int) {
+	for range periods * slotsPerPeriod {
+		l.now += testPeriod / slotsPerPeriod
 		for _, v := range append([]*View(nil), l.order...) {
 			v.Tick(l.now)
 			l.flush()
@@ -96,7 +96,7 @@
 	}
 }
 
-func (l *lab) until(what string, most int, ok func() bool) int {
+func (l *testFleet) waitFor(what string, most int, ok func() bool) int {
 	l.t.Helper()
 	for n := range most {
 		if ok() {
@@ -111,9 +111,9 @@
 	return 0
 }
 
-func (l *lab) agree() bool {
+func (l *testFleet) converged() bool {
 	for _, v := range l.order {
-		if alive, trusted := v.alive(); v.digest != l.order[0].digest || alive != len(l.order) ||
+		if alive, trusted := v.liveCounts(); v.digest != l.order[0].digest || alive != len(l.order) ||
 			trusted != alive ||
 			v.joining {
 			return false
@@ -122,9 +122,9 @@
 	return true
 }
 
-func state(v *View, name string) string {
+func stateOf(v *View, name string) string {
 	if m := v.find(name); m != nil {
-		return fmt.Sprintf("%v%d", m.shown().State, m.inc)
+		return fmt.Sprintf("%v%d", m.export().State, m.inc)
 	}
 	return "unknown"
 }
@@ -154,21 +154,21 @@
 
 // A restarted process supersedes its predecessor, whether the members know it as alive or dead, although the
 // new process starts without any state.
-func TestARestartGoesBehindItsPredecessor(t *testing.T) {
-	l := newLab(t)
+func TestRestartSupersedesPredecessor(t *testing.T) {
+	l := newTestFleet(t)
 	a := l.add("a", 1)
 	l.add("b", 2)
 	c := l.add("c", 3)
-	l.until("start", 30, l.agree)
+	l.waitFor("start", 30, l.converged)
 	for round := range 3 {
 		l.remove(c)
 		if round == 1 { // known to be dead before it is back
-			l.until("death", 20, func() bool { return strings.HasPrefix(state(a, "c"), "dead") })
+			l.waitFor("death", 20, func() bool { return strings.HasPrefix(stateOf(a, "c"), "dead") })
 		}
 		was := a.find("c").inc
 		c = l.add("c", 3)
-		l.until("return", 20, l.agree)
-		if m := a.find("c"); m.birth != c.self.birth || m.inc <= was || a.births[c.self.birth] != m {
+		l.waitFor("return", 20, l.converged)
+		if m := a.find("c"); m.birth != c.self.birth || m.inc <= was || a.byBirth[c.self.birth] != m {
 			t.Fatalf("a sees c as %+v", m)
 		}
 	}
@@ -178,13 +178,13 @@
 }
 
 // A restart at another address supersedes the predecessor too, since the predecessor no longer answers.
-func TestARestartElsewhere(t *testing.T) {
-	l := newLab(t)
+func TestRestartAtAnotherAddress(t *testing.T) {
+	l := newTestFleet(t)
 	a, c := l.add("a", 1), l.add("c", 3)
-	l.until("start", 30, l.agree)
+	l.waitFor("start", 30, l.converged)
 	l.remove(c)
 	c = l.add("c", 9)
-	l.until("return", 30, l.agree)
+	l.waitFor("return", 30, l.converged)
 	if m := a.find("c"); m.addr != addr(9) || c.conflict != nil {
 		t.Fatalf("%+v, %+v", m, c.conflict)
 	}
@@ -192,31 +192,31 @@
 
 // Of two running processes with one name the later one has to stop: when it joins, after a partition, and
 // when the two reach each other only through other members. The older one keeps its membership.
-func TestTwoOfOneName(t *testing.T) {
+func TestTwoProcessesWithOneName(t *testing.T) {
 	for _, later := range []string{"joins", "was cut off", "is heard of through others only"} {
-		l := newLab(t)
+		l := newTestFleet(t)
 		a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-		l.until("start", 30, l.agree)
+		l.waitFor("start", 30, l.converged)
 		var d *View
 		side := func(v *View) bool { return v == d }
 		if later == "was cut off" {
-			l.cut = func(x, y *View) bool { return side(x) != side(y) }
+			l.blocked = func(x, y *View) bool { return side(x) != side(y) }
 		}
 		d = l.add("c", 9)
 		if later == "is heard of through others only" {
-			l.cut = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
+			l.blocked = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
 		}
 		if later == "was cut off" {
-			l.until("d alone", 30, func() bool { return !d.joining })
+			l.waitFor("d alone", 30, func() bool { return !d.joining })
 			l.run(10)
-			l.cut = func(_, _ *View) bool { return false }
+			l.blocked = func(_, _ *View) bool { return false }
 		}
-		l.until("verdict: "+later, 60, func() bool { return d.conflict != nil && d.conflict.Refused })
-		if c.conflict == nil || c.conflict.Refused {
+		l.waitFor("verdict: "+later, 60, func() bool { return d.conflict != nil && d.conflict.MustStop })
+		if c.conflict == nil || c.conflict.MustStop {
 			t.Fatalf("%s: the older process: %+v", later, c.conflict)
 		}
 		l.remove(d) // its process ends
-		l.until("agreement: "+later, 60, l.agree)
+		l.waitFor("agreement: "+later, 60, l.converged)
 		for _, v := range []*View{a, b} {
 			if m := v.find("c"); m.birth != c.self.birth || m.addr != addr(3) {
 				t.Fatalf("%s: %s sees c as %+v", later, v.self.name, m)
@@ -227,23 +227,23 @@
 
 // A member that left is not dead, is not contacted any more, and can return as a new process.
 func TestLeaving(t *testing.T) {
-	l := newLab(t)
+	l := newTestFleet(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.until("start", 30, l.agree)
+	l.waitFor("start", 30, l.converged)
 	c.Leave(l.now)
 	l.flush()
-	if !c.LeaveKnown() {
+	if !c.LeaveAcknowledged() {
 		t.Fatal("no member acknowledged the leave")
 	}
 	l.remove(c)
 	l.run(30)
 	for _, v := range []*View{a, b} {
-		if s := state(v, "c"); s != "left1" {
+		if s := stateOf(v, "c"); s != "left1" {
 			t.Fatalf("%s sees c as %s", v.self.name, s)
 		}
 	}
 	calls := 0
-	l.tap = func(_ *View, s Send) {
+	l.onSend = func(_ *View, s Send) {
 		if s.To == addr(3) {
 			calls++
 		}
@@ -253,32 +253,32 @@
 		t.Fatalf("%d datagrams to a member that has left", calls)
 	}
 	l.add("c", 3)
-	l.until("return", 30, l.agree)
+	l.waitFor("return", 30, l.converged)
 }
 
 // A forgotten member does not reappear: not when all datagrams ever sent are replayed, nor when a member that
 // was stopped while the others forgot it resumes and still knows it as alive.
-func TestTheForgottenStayAway(t *testing.T) {
-	l := newLab(t)
+func TestForgottenMembersDoNotReturn(t *testing.T) {
+	l := newTestFleet(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
 	var tape []Send
-	l.tap = func(_ *View, s Send) { tape = append(tape, s) }
-	l.until("start", 30, l.agree)
+	l.onSend = func(_ *View, s Send) { tape = append(tape, s) }
+	l.waitFor("start", 30, l.converged)
 	l.run(5)
 	d := l.add("d", 4)
-	l.until("d", 30, l.agree)
+	l.waitFor("d", 30, l.converged)
 	l.remove(d) // simulates a stopped process
 	l.remove(c)
-	l.tap = func(*View, Send) {}
-	l.until("death", 40, func() bool { return state(a, "c") == "dead1" && state(b, "c") == "dead1" })
+	l.onSend = func(*View, Send) {}
+	l.waitFor("death", 40, func() bool { return stateOf(a, "c") == "dead1" && stateOf(b, "c") == "dead1" })
 	l.run(ForgetDead + 10)
-	if s := state(a, "c") + state(b, "c"); s != "unknownunknown" {
+	if s := stateOf(a, "c") + stateOf(b, "c"); s != "unknownunknown" {
 		t.Fatalf("not forgotten: %s", s)
 	}
 	back := func(when string) {
 		t.Helper()
 		for _, v := range l.order {
-			if s := state(v, "c"); s != "unknown" {
+			if s := stateOf(v, "c"); s != "unknown" {
 				t.Fatalf("%s: %s sees c as %s", when, v.self.name, s)
 			}
 		}
@@ -290,8 +290,8 @@
 		}
 	}
 	back("after the replay")
-	l.put(d) // resumes, and still knows c as alive
-	l.until("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
+	l.attach(d) // resumes, and still knows c as alive
+	l.waitFor("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
 	back("after d resumed")
 	if f := d.Figures(); f.Rejoins != 1 || a.Figures().Dropped[Replayed]+a.Figures().Dropped[Unknown] == 0 {
 		t.Fatalf("%+v, %+v", f, a.Figures())
@@ -299,67 +299,67 @@
 }
 
 // A member that receives nothing is not trusted: no other member is declared dead, only the deaf one.
-func TestTheDeafAreNotBelieved(t *testing.T) {
-	l := newLab(t)
+func TestDeafMemberIsNotTrusted(t *testing.T) {
+	l := newTestFleet(t)
 	var all []*View
 	for i := range 6 {
 		all = append(all, l.add(string(rune('a'+i)), i+1))
 	}
-	l.until("start", 40, l.agree)
+	l.waitFor("start", 40, l.converged)
 	deaf := all[5]
-	l.cut = func(_, to *View) bool { return to == deaf }
+	l.blocked = func(_, to *View) bool { return to == deaf }
 	died := false
 	for range 60 {
 		l.run(1)
 		for _, v := range all[:5] {
 			for _, w := range all[:5] {
-				died = died || v != w && strings.HasPrefix(state(v, w.self.name), "dead")
+				died = died || v != w && strings.HasPrefix(stateOf(v, w.self.name), "dead")
 			}
 		}
 	}
-	if died || !strings.HasPrefix(state(all[0], "f"), "dead") {
-		t.Fatalf("a healthy member was declared dead: %v; the deaf one is %s", died, state(all[0], "f"))
+	if died || !strings.HasPrefix(stateOf(all[0], "f"), "dead") {
+		t.Fatalf("a healthy member was declared dead: %v; the deaf one is %s", died, stateOf(all[0], "f"))
 	}
-	l.cut = func(_, _ *View) bool { return false }
-	l.until("return", 30, l.agree)
+	l.blocked = func(_, _ *View) bool { return false }
+	l.waitFor("return", 30, l.converged)
 }
 
 // The roster and the maximum size bound the view.
-func TestTheRosterBoundsTheView(t *testing.T) {
-	l := newLab(t)
+func TestRosterBoundsView(t *testing.T) {
+	l := newTestFleet(t)
 	names := func(c *Config) { c.Roster, c.Most = []string{"a", "b"}, 0 }
 	a := l.add("a", 1, names)
 	l.add("b", 2, names)
 	x := l.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
 	l.run(30)
-	if state(a, "x") != "unknown" || a.Figures().Dropped[Stranger] == 0 || x.Figures().TurnedDown == 0 {
-		t.Fatalf("%s, %+v, %+v", state(a, "x"), a.Figures(), x.Figures())
+	if stateOf(a, "x") != "unknown" || a.Figures().Dropped[NotAdmitted] == 0 || x.Figures().Rejections == 0 {
+		t.Fatalf("%s, %+v, %+v", stateOf(a, "x"), a.Figures(), x.Figures())
 	}
-	if state(a, "b") != "alive1" || state(x, "b") == "" {
+	if stateOf(a, "b") != "alive1" || stateOf(x, "b") == "" {
 		t.Fatal("members of the roster are missing")
 	}
 
-	l = newLab(t)
+	l = newTestFleet(t)
 	a = l.add("a", 1, func(c *Config) { c.Most = 4 })
 	for i := range 12 {
 		v := l.add(fmt.Sprint("p", i), 10+i)
 		l.run(6)
-		if n := len(a.list) + 1; n > 4 {
+		if n := len(a.members) + 1; n > 4 {
 			t.Fatalf("%d members, maximum is 4", n)
 		}
 		l.remove(v)
 		l.run(20)
 	}
-	if state(a, "p11") == "unknown" {
+	if stateOf(a, "p11") == "unknown" {
 		t.Fatal("the members that died first were not evicted")
 	}
 }
 
 // A successor continues as the same member without others noticing; if it fails, the old process continues.
-func TestTakingOver(t *testing.T) {
-	l := newLab(t)
+func TestHandover(t *testing.T) {
+	l := newTestFleet(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.until("start", 30, l.agree)
+	l.waitFor("start", 30, l.converged)
 	l.run(20)
 	inc, birth := b.self.inc, b.self.birth
 	next, err := Resume(b.cfg, b.Snapshot(), l.now)
@@ -367,7 +367,7 @@
 		t.Fatal(err)
 	}
 	l.remove(b)
-	l.put(next)
+	l.attach(next)
 	for range 30 {
 		l.run(1)
 		for _, v := range []*View{a, c} {
@@ -376,13 +376,13 @@
 			}
 		}
 	}
-	if !l.agree() {
+	if !l.converged() {
 		t.Fatal("the views differ")
 	}
 	l.remove(next)
-	l.put(b)
-	b.Again(l.now)
-	l.until("the old one is back", 30, l.agree)
+	l.attach(b)
+	b.Reclaim(l.now)
+	l.waitFor("the old one is back", 30, l.converged)
 	if a.find("b").birth != birth {
 		t.Fatal("the old process has another identity")
 	}
@@ -390,20 +390,20 @@
 
 // No input causes a panic, an oversized datagram or a view above its maximum size.
 func FuzzReceive(f *testing.F) {
-	l := newLab(f)
+	l := newTestFleet(f)
 	l.add("a", 1)
 	l.add("b", 2)
-	l.tap = func(_ *View, s Send) { f.Add(s.Data) }
-	l.until("start", 30, l.agree)
+	l.onSend = func(_ *View, s Send) { f.Add(s.Data) }
+	l.waitFor("start", 30, l.converged)
 	c := l.add("c", 3)
 	l.run(3)
 	c.Leave(l.now)
 	l.run(3)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := newLab(t)
+		l := newTestFleet(t)
 		v := l.add("a", 1, func(c *Config) { c.Most = 4 })
 		l.add("b", 2)
-		l.until("start", 30, l.agree)
+		l.waitFor("start", 30, l.converged)
 		for range 2 {
 			v.Receive(l.now, data)
 			sends, _, _ := v.Take()
@@ -413,8 +413,8 @@
 				}
 			}
 		}
-		if len(v.list)+1 > 4 {
-			t.Fatalf("%d members", len(v.list)+1)
+		if len(v.members)+1 > 4 {
+			t.Fatalf("%d members", len(v.members)+1)
 		}
 		l.run(2)
 	})
@@ -424,14 +424,14 @@
 func TestEntriesReadBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := entry{record: record{birth: rapid.Uint64Range(1, 1<<63).Draw(t, "birth"),
-			inc: rapid.Uint32Range(0, incMost).Draw(t, "inc")}, what: rapid.ByteMax(isVote).Draw(t, "what")}
-		switch e.what {
-		case isVote:
+			inc: rapid.Uint32Range(0, maxIncarnation).Draw(t, "inc")}, typ: rapid.ByteMax(typeVote).Draw(t, "what")}
+		switch e.typ {
+		case typeVote:
 			e.votes = []uint32{rapid.Uint32().Draw(t, "vote")}
-		case isDead:
+		case typeDead:
 			e.state, e.age = Dead, Micros(rapid.Uint16().Draw(t, "age"))
-			e.votes = rapid.SliceOfN(rapid.Uint32(), 0, votesMost).Draw(t, "votes")
-		case isLeft:
+			e.votes = rapid.SliceOfN(rapid.Uint32(), 0, maxVotes).Draw(t, "votes")
+		case typeLeft:
 			e.state, e.age = Left, Micros(rapid.Uint16().Draw(t, "age"))
 		}
 		if rapid.Bool().Draw(t, "full") {
@@ -444,12 +444,12 @@
 		if len(b) != e.size() {
 			t.Fatalf("%d bytes, size() is %d", len(b), e.size())
 		}
-		r := read(b)
+		r := newReader(b)
 		got := r.entry()
 		if r.Bad || len(r.B) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
 			t.Fatalf("%+v was decoded as %+v", e, got)
 		}
-		r = read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
+		r = newReader(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
 		if list := r.entries(); len(list) > 0 {
 			t.Fatalf("a truncated entry was decoded: %+v", list)
 		}
@@ -459,11 +459,11 @@
 // Each sequence number is accepted once, in any order, unless it is too old for the window.
 func TestWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w window
+		var w replayWindow
 		taken, top := map[uint64]bool{}, uint64(0)
 		for _, n := range rapid.SliceOf(rapid.Uint64Range(1, 300)).Draw(t, "numbers") {
 			want := !taken[n] && (n > top || top-n < 64)
-			if got := w.fresh(n); got != want {
+			if got := w.accept(n); got != want {
 				t.Fatalf("%d after %d: %v", n, top, got)
 			}
 			taken[n] = taken[n] || want
@@ -473,10 +473,10 @@
 }
 
 // The same inputs and seed produce byte-identical datagrams.
-func TestARunReplays(t *testing.T) {
+func TestRunIsDeterministic(t *testing.T) {
 	run := func() (log string) {
-		l := newLab(t)
-		l.tap = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
+		l := newTestFleet(t)
+		l.onSend = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
 		for i := range 5 {
 			l.add(fmt.Sprint("m", i), i+1)
 		}
@@ -499,7 +499,7 @@
 	}
 	v.Tick(0)
 	for i := range n - 1 {
-		v.set(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2), inc: 1}, 0)
+		v.setRecord(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2), inc: 1}, 0)
 	}
 	return v
 }
@@ -510,13 +510,13 @@
 	now := Micros(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		for range slots {
-			now += testPeriod / slots
+		for range slotsPerPeriod {
+			now += testPeriod / slotsPerPeriod
 			v.Tick(now)
 		}
 		for i := range v.probes { // all are answered
-			if m := v.births[v.probes[i].birth]; m != nil {
-				v.evidence(m, v.probes[i])
+			if m := v.byBirth[v.probes[i].birth]; m != nil {
+				v.probeAnswered(m, v.probes[i])
 			}
 		}
 		v.probes = v.probes[:0]
@@ -529,7 +529,7 @@
 	v := fullView(b, 300)
 	var list []entry
 	for i := range 14 {
-		e := v.entryOf(v.list[i*20], false)
+		e := v.entryOf(v.members[i*20], false)
 		list = append(list, e)
 	}
 	b.ReportAllocs()
@@ -538,6 +538,6 @@
 			list[i].inc++
 			v.merge(list[i])
 		}
-		v.news = news{}
+		v.updates = updateQueue{}
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -16,41 +16,41 @@
 
 // The kinds of datagram.
 const (
-	kindPing    = 1 + iota // id, target's birth: the process at the address sends an ack, whatever its birth
-	kindAck                // id
-	kindAsk                // id, birth and incarnation: request to probe that member
-	kindReached            // id, birth and incarnation of the member that answered the helper
-	kindNack               // id: the member did not answer the helper
-	kindAccuse             // entries: request to watch these members too
-	kindNews               // entries
-	kindJoin               // id; the first entry is the sender's full record
-	kindWelcome            // id
-	kindSums               // depth, prefix, 16 sums
-	kindRecords            // depth, prefix, flags, entries
-	kindWant               // births: request for the full records of these processes
-	kindClaim              // target address, age in periods, hops; one entry: the sender's full record
-	kindVerdict            // target address, hops, birth of the process that has to stop, target's birth
-	kindTurned             // the sender does not admit the receiver: not in its roster, or its view is full
-	kindApp                // application message: kind byte, data
-	kinds
+	kindPing        = 1 + iota // id, target's birth: the process at the address sends an ack, whatever its birth
+	kindAck                    // id
+	kindPingReq                // id, birth and incarnation: request to probe that member
+	kindIndirectAck            // id, birth and incarnation of the member that answered the helper
+	kindNack                   // id: the member did not answer the helper
+	kindWatch                  // entries: request to watch these members too
+	kindUpdates                // entries
+	kindJoin                   // id; the first entry is the sender's full record
+	kindWelcome                // id
+	kindSums                   // depth, prefix, 16 sums
+	kindRecords                // depth, prefix, flags, entries
+	kindWhoIs                  // births: request for the full records of these processes
+	kindClaim                  // target address, age in periods, hops; one entry: the sender's full record
+	kindClaimResult            // target address, hops, birth of the process that has to stop, target's birth
+	kindRejected               // the sender does not admit the receiver: not in its roster, or its view is full
+	kindApp                    // application message: kind byte, data
+	kindEnd
 )
 
 const (
-	headSize = 1 + 8 + 4 + 6 + 8 + 4 + 4
-	lowBits  = 1<<32 - 1
-	fullBit  = 0x80
-	typeBits = 0x07
-	ageMost  = 1<<16 - 1
-	backlog  = 8 // number of unsent updates above which probes of one period cannot carry them
+	headerSize       = 1 + 8 + 4 + 6 + 8 + 4 + 4
+	voterMask        = 1<<32 - 1
+	fullBit          = 0x80
+	typeMask         = 0x07
+	maxAge           = 1<<16 - 1
+	backlogThreshold = 8 // number of unsent updates above which probes of one period cannot carry them
 )
 
 // The types of an entry.
 const (
-	isAlive   = byte(Alive)
-	isSuspect = byte(Suspect)
-	isDead    = byte(Dead)
-	isLeft    = byte(Left)
-	isVote    = 4
+	typeAlive   = byte(Alive)
+	typeSuspect = byte(Suspect)
+	typeDead    = byte(Dead)
+	typeLeft    = byte(Left)
+	typeVote    = 4
 )
 
 // record is the state of one process as it is exchanged between members.
@@ -63,7 +63,7 @@
 }
 
 // newerThan reports whether a record supersedes another one of the same name, regardless of their states.
-func (r *record) above(o *record) bool {
+func (r *record) newerThan(o *record) bool {
 	return r.inc > o.inc || r.inc == o.inc && r.birth > o.birth
 }
 
@@ -71,19 +71,19 @@
 type entry struct {
 	record
 	full  bool // name, zone and address are included
-	what  byte
+	typ   byte
 	age   Micros   // periods since the member died or left
 	votes []uint32 // for deaths and votes: the voters
 }
 
 func (e *entry) size() int {
 	n := 1 + 8 + 4
-	switch e.what {
-	case isVote:
+	switch e.typ {
+	case typeVote:
 		n += 4
-	case isDead:
+	case typeDead:
 		n += 3 + 4*len(e.votes)
-	case isLeft:
+	case typeLeft:
 		n += 2
 	}
 	if e.full {
@@ -93,17 +93,17 @@
 }
 
 func (e *entry) append(b []byte) []byte {
-	flag := e.what
+	flag := e.typ
 	if e.full {
 		flag |= fullBit
 	}
 	b = append(b, flag)
 	b = binary.LittleEndian.AppendUint64(b, e.birth)
 	b = binary.LittleEndian.AppendUint32(b, e.inc)
-	if e.what == isDead || e.what == isLeft {
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(ageMost, max(0, e.age))))
+	if e.typ == typeDead || e.typ == typeLeft {
+		b = binary.LittleEndian.AppendUint16(b, uint16(min(maxAge, max(0, e.age))))
 	}
-	if e.what == isDead {
+	if e.typ == typeDead {
 		b = append(b, byte(len(e.votes)))
 	}
 	for _, v := range e.votes {
@@ -122,7 +122,7 @@
 // reader decodes a datagram.
 type reader struct{ datagram.Reader }
 
-func read(b []byte) reader { return reader{datagram.Reader{B: b}} }
+func newReader(b []byte) reader { return reader{datagram.Reader{B: b}} }
 
 func (r *reader) addr() netip.AddrPort {
 	n := int(r.U8())
@@ -136,21 +136,21 @@
 
 func (r *reader) entry() (e entry) {
 	flag := r.U8()
-	e.full, e.what = flag&fullBit != 0, flag&typeBits
-	if flag&^(fullBit|typeBits) != 0 || e.what > isVote {
+	e.full, e.typ = flag&fullBit != 0, flag&typeMask
+	if flag&^(fullBit|typeMask) != 0 || e.typ > typeVote {
 		r.Bad = true
 	}
 	e.birth, e.inc = r.U64(), r.U32()
 	votes := 0
-	switch e.what {
-	case isDead:
+	switch e.typ {
+	case typeDead:
 		e.state, e.age, votes = Dead, Micros(r.U16()), int(r.U8())
-	case isLeft:
+	case typeLeft:
 		e.state, e.age = Left, Micros(r.U16())
-	case isVote:
+	case typeVote:
 		votes = 1
 	}
-	if votes > votesMost {
+	if votes > maxVotes {
 		r.Bad = true
 		return e
 	}
@@ -177,26 +177,26 @@
 }
 
 // header is the start of every datagram.
-type head struct {
+type header struct {
 	kind   byte
 	birth  uint64
 	inc    uint32
 	seq    uint64
 	digest uint64
 	stamp  uint32
-	app    uint32
+	appTag uint32
 }
 
-func (r *reader) head() (h head) {
+func (r *reader) header() (h header) {
 	h.kind, h.birth, h.inc = r.U8(), r.U64(), r.U32()
 	h.seq = uint64(r.U32()) | uint64(r.U16())<<32
-	h.digest, h.stamp, h.app = r.U64(), r.U32(), r.U32()
-	r.Bad = r.Bad || h.kind == 0 || h.kind >= kinds || h.birth == 0
+	h.digest, h.stamp, h.appTag = r.U64(), r.U32(), r.U32()
+	r.Bad = r.Bad || h.kind == 0 || h.kind >= kindEnd || h.birth == 0
 	return h
 }
 
 // newMessage returns a datagram with its header.
-func (v *View) begin(kind byte) []byte {
+func (v *View) newMessage(kind byte) []byte {
 	b := make([]byte, 0, MaxPlain)
 	b = append(b, kind)
 	b = binary.LittleEndian.AppendUint64(b, v.self.birth)
@@ -206,28 +206,28 @@
 	b = binary.LittleEndian.AppendUint16(b, uint16(v.seq>>32))
 	b = binary.LittleEndian.AppendUint64(b, v.digest)
 	b = binary.LittleEndian.AppendUint32(b, v.cfg.Stamp)
-	return binary.LittleEndian.AppendUint32(b, v.app)
+	return binary.LittleEndian.AppendUint32(b, v.appTag)
 }
 
 // newNumbered returns a datagram with its header and a request ID.
-func (v *View) numbered(kind byte, id uint32) []byte {
-	return binary.LittleEndian.AppendUint32(v.begin(kind), id)
+func (v *View) newNumbered(kind byte, id uint32) []byte {
+	return binary.LittleEndian.AppendUint32(v.newMessage(kind), id)
 }
 
 // selfEntry returns this member's own entry with its full record.
-func (v *View) me() entry {
+func (v *View) selfEntry() entry {
 	e := entry{record: v.self, full: true}
 	if v.left {
-		e.what, e.state = isLeft, Left
+		e.typ, e.state = typeLeft, Left
 	}
 	return e
 }
 
 // entryOf returns the entry for a member's current state.
 func (v *View) entryOf(m *member, full bool) entry {
-	e := entry{record: m.record, full: full, what: byte(m.state)}
+	e := entry{record: m.record, full: full, typ: byte(m.state)}
 	if m.state != Alive {
-		e.age = (v.now - m.ended) / v.cfg.Period
+		e.age = (v.now - m.endedAt) / v.cfg.Period
 	}
 	if m.state == Dead {
 		e.votes = m.votes
@@ -236,7 +236,7 @@
 }
 
 // appendEntry appends an entry if it fits into the datagram.
-func put(b []byte, e entry) ([]byte, bool) {
+func appendEntry(b []byte, e entry) ([]byte, bool) {
 	if len(b)+e.size() > MaxPlain {
 		return b, false
 	}
@@ -244,7 +244,7 @@
 }
 
 // route returns the address at which this process reaches a member.
-func (v *View) to(name string, addr netip.AddrPort) netip.AddrPort {
+func (v *View) route(name string, addr netip.AddrPort) netip.AddrPort {
 	if a, ok := v.cfg.Route[name]; ok {
 		return a
 	}
@@ -257,27 +257,27 @@
 		return
 	}
 	if fill && !v.joining {
-		_, trusted := v.alive()
-		b = v.news.fill(b, trusted)
+		_, trusted := v.liveCounts()
+		b = v.updates.fill(b, trusted)
 	}
-	v.figures.Sent++
-	v.figures.SentBytes += int64(len(b))
-	v.out = append(v.out, Send{To: to, Data: b})
+	v.stats.Sent++
+	v.stats.SentBytes += int64(len(b))
+	v.outgoing = append(v.outgoing, Send{To: to, Data: b})
 }
 
 // sendTo queues a datagram to a member.
-func (v *View) sendTo(m *member, b []byte, fill bool) { v.send(v.to(m.name, m.addr), b, fill) }
+func (v *View) sendTo(m *member, b []byte, fill bool) { v.send(v.route(m.name, m.addr), b, fill) }
 
 // queuedUpdate is an update and the number of times it was sent.
-type item struct {
+type queuedUpdate struct {
 	entry
 	sent int
 }
 
 // updateQueue holds the updates to gossip, least often sent first.
-type news struct {
-	levels [][]item // indexed by the number of times sent
-	count  int
+type updateQueue struct {
+	bySends [][]queuedUpdate // indexed by the number of times sent
+	count   int
 }
 
 // supersedes reports whether one update makes another redundant.
@@ -288,16 +288,16 @@
 	if e.inc != o.inc {
 		return e.inc > o.inc
 	}
-	if e.what == isVote || o.what == isVote {
-		return e.what == isVote && o.what == isVote && e.votes[0] == o.votes[0] || e.what == isDead ||
-			e.what == isLeft
+	if e.typ == typeVote || o.typ == typeVote {
+		return e.typ == typeVote && o.typ == typeVote && e.votes[0] == o.votes[0] || e.typ == typeDead ||
+			e.typ == typeLeft
 	}
-	return e.what >= o.what
+	return e.typ >= o.typ
 }
 
 // add queues an update and removes those that it supersedes.
-func (n *news) add(e entry) {
-	for l, level := range n.levels {
+func (n *updateQueue) add(e entry) {
+	for l, level := range n.bySends {
 		kept := level[:0]
 		for i := range level {
 			if !e.supersedes(&level[i].entry) {
@@ -305,49 +305,49 @@
 			}
 		}
 		n.count -= len(level) - len(kept)
-		n.levels[l] = kept
+		n.bySends[l] = kept
 	}
-	n.push(item{entry: e})
+	n.insert(queuedUpdate{entry: e})
 }
 
-func (n *news) push(x item) {
-	for len(n.levels) <= x.sent {
-		n.levels = append(n.levels, nil)
+func (n *updateQueue) insert(x queuedUpdate) {
+	for len(n.bySends) <= x.sent {
+		n.bySends = append(n.bySends, nil)
 	}
-	n.levels[x.sent] = append(n.levels[x.sent], x)
+	n.bySends[x.sent] = append(n.bySends[x.sent], x)
 	n.count++
 }
 
 // fill appends updates to a datagram. Each is sent retransmitFactor*log2(n+1) times (SWIM, 4.1).
-func (n *news) fill(b []byte, members int) []byte {
+func (n *updateQueue) fill(b []byte, members int) []byte {
 	if n.count == 0 {
 		return b
 	}
-	most := newsFactor * log2up(members+1)
-	var sent []item
-	for l := 0; l < len(n.levels) && MaxPlain-len(b) >= 13; l++ {
-		level, i := n.levels[l], 0
+	most := retransmitFactor * ceilLog2(members+1)
+	var sent []queuedUpdate
+	for l := 0; l < len(n.bySends) && MaxPlain-len(b) >= 13; l++ {
+		level, i := n.bySends[l], 0
 		for ; i < len(level) && MaxPlain-len(b) >= 13; i++ {
 			var ok bool
-			if b, ok = put(b, level[i].entry); !ok {
+			if b, ok = appendEntry(b, level[i].entry); !ok {
 				break
 			}
 			level[i].sent++
 			sent = append(sent, level[i])
 		}
-		n.levels[l] = append(level[:0], level[i:]...)
+		n.bySends[l] = append(level[:0], level[i:]...)
 		n.count -= i
 	}
 	for _, x := range sent {
 		if x.sent < most {
-			n.push(x)
+			n.insert(x)
 		}
 	}
 	return b
 }
 
 // ceilLog2 returns the base-2 logarithm, rounded up.
-func log2up(n int) int {
+func ceilLog2(n int) int {
 	l := 0
 	for 1<<l < n {
 		l++
