--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -22,8 +22,8 @@
 
 const (
 	defaultPeriod = 200 // ms
-	mostKeys      = 8
-	mostMembers   = 10_000
+	maxKeys       = 8
+	maxMembers    = 10_000
 )
 
 // Config is the content of the fleet's settings file.
@@ -61,16 +61,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, c.check(f, filepath.Dir(path))
+	return c, c.validate(f, filepath.Dir(path))
 }
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
 
 // validate records all faults and converts the texts to addresses and keys.
-func (c *Config) check(f *settings.File, dir string) error {
+func (c *Config) validate(f *settings.File, dir string) error {
 	x := &c.Fleet
 	name := func(key, s string, most int) {
-		f.Check(nameForm.MatchString(s) && len(s) <= most, key,
+		f.Check(namePattern.MatchString(s) && len(s) <= most, key,
 			"%q is not 1 to %d letters, digits, dots, dashes or underscores", s, most)
 	}
 	name("fleet.name", x.Name, membership.MaxName)
@@ -102,8 +102,8 @@
 	}
 	f.Check(len(x.Roster) > 0 || x.Most > 0, "fleet.roster", "is missing, and most too: one has to be there")
 	f.Check(len(x.Roster) == 0 || x.Most == 0, "fleet.most", "goes without roster")
-	f.Check(x.Most >= 0 && x.Most <= mostMembers, "fleet.most", "%d is not within 1 and %d", x.Most, mostMembers)
-	f.Check(len(x.Roster) <= mostMembers, "fleet.roster", "has over %d names", mostMembers)
+	f.Check(x.Most >= 0 && x.Most <= maxMembers, "fleet.most", "%d is not within 1 and %d", x.Most, maxMembers)
+	f.Check(len(x.Roster) <= maxMembers, "fleet.roster", "has over %d names", maxMembers)
 	for i, who := range x.Roster {
 		name("fleet.roster", who, membership.MaxName)
 		f.Check(!slices.Contains(x.Roster[:i], who), "fleet.roster", "%s is there twice", who)
@@ -116,7 +116,7 @@
 	f.Check(x.Detect.Period >= 20 && x.Detect.Period <= 60_000, "fleet.detect.period_ms",
 		"%d is not within 20 and 60000", x.Detect.Period)
 	if x.Evidence.Share == nil {
-		share := defaultShare
+		share := defaultEvidenceShare
 		x.Evidence.Share = &share
 	}
 	f.Check(*x.Evidence.Share >= 0 && *x.Evidence.Share <= 0.5, "fleet.evidence.share",
@@ -136,7 +136,7 @@
 	}
 	for i := range c.Limits {
 		at := fmt.Sprintf("limit[%d]", i+1)
-		c.Limits[i].check(f, at, c.Size(), len(x.Roster))
+		c.Limits[i].validate(f, at, c.Size(), len(x.Roster))
 		for _, before := range c.Limits[:i] {
 			f.Check(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
 		}
@@ -159,10 +159,10 @@
 }
 
 // RosterIndex is this member's index in the sorted roster, or 0 without a roster.
-func (c *Config) Place() int { return max(0, c.place()) }
+func (c *Config) Place() int { return max(0, c.rosterIndexOrNone()) }
 
 // rosterIndexOrNone is this member's index in the sorted roster, or -1 without a roster.
-func (c *Config) place() int {
+func (c *Config) rosterIndexOrNone() int {
 	return slices.Index(slices.Sorted(slices.Values(c.Fleet.Roster)), c.Fleet.Name)
 }
 
@@ -202,8 +202,8 @@
 			return nil, fmt.Errorf("%s:%d: no base64 key of %d bytes", path, i+1, keySize)
 		}
 	}
-	if len(k.keys) == 0 || len(k.keys) > mostKeys {
-		return nil, fmt.Errorf("%s: %d keys, not 1 to %d", path, len(k.keys), mostKeys)
+	if len(k.keys) == 0 || len(k.keys) > maxKeys {
+		return nil, fmt.Errorf("%s: %d keys, not 1 to %d", path, len(k.keys), maxKeys)
 	}
 	return k, nil
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -14,16 +14,16 @@
 )
 
 // defaultEvidenceShare is the default maximum share of all nodes that evidence may take out at a time.
-const defaultShare = 0.25
+const defaultEvidenceShare = 0.25
 
 // maxObserverHealth is the highest local health score at which a member's observations of nodes count: a
 // process that gets too little CPU time sees late answers from all nodes.
-const soundHealth = 1
+const maxObserverHealth = 1
 
 // Host is the set of callbacks into the process that a Fleet runs in. Nil functions are not called.
 type Host struct {
 	// Apply enforces verdicts in this process.
-	Carry Apply
+	Carry ApplyFunc
 	// NodeName returns the name of a data node by its ID; false: it is not known here.
 	Name func(node uint64) (string, bool)
 	// NodeCount returns the number of listed data nodes.
@@ -31,16 +31,16 @@
 }
 
 // evidenceState is this member's jury and its counters.
-type jurors struct {
-	mu    sync.Mutex // guards jury: the core reports attempts from its own goroutine
-	jury  *verdict.Jury
-	zones map[string]string // owner goroutine only: zones of alive members, by name
-	given int64             // verdicts issued by this member
-	held  int64             // judgements withheld because too many nodes were out
+type evidenceState struct {
+	mu       sync.Mutex // guards jury: the core reports attempts from its own goroutine
+	jury     *verdict.Jury
+	zones    map[string]string // owner goroutine only: zones of alive members, by name
+	issued   int64             // verdicts issued by this member
+	withheld int64             // judgements withheld because too many nodes were out
 }
 
 // ServerID returns the ID of a data node by its name. It is the module's ID, which peers use in messages.
-func ServerNumber(name string) uint64 { return uint64(core.ServerID(name)) }
+func ServerID(name string) uint64 { return uint64(core.ServerID(name)) }
 
 // EvidenceEnabled reports whether this member takes part in judging nodes by evidence.
 func (c *Config) Judges() bool { return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0 }
@@ -50,17 +50,17 @@
 
 // ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
 func (f *Fleet) Saw(node uint64, class int, e verdict.Ending, took time.Duration) {
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	f.jurors.jury.See(f.now(), node, class, e, took.Microseconds())
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	f.evidence.jury.See(f.now(), node, class, e, took.Microseconds())
 }
 
 // tickJury runs the jury's periodic work and issues verdicts on its judgements.
-func (f *Fleet) tendJury(v *membership.View, now membership.Micros) {
+func (f *Fleet) tickJury(v *membership.View, now membership.Micros) {
 	if !f.cfg.Judges() {
 		return
 	}
-	j := &f.jurors
+	j := &f.evidence
 	self := f.cfg.Fleet.Name
 	var others []verdict.Voter
 	size := 0
@@ -75,19 +75,19 @@
 		}
 	}
 	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Figures().Health <= soundHealth)
+	sends := j.jury.Tick(now, others, size, v.Figures().Health <= maxObserverHealth)
 	judged := j.jury.Judge(now)
 	j.mu.Unlock()
 	for _, s := range sends {
-		v.SendApp(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, kindEvidence, s.Data)
 	}
 	for _, x := range judged {
-		f.judge(now, x, len(others)+1, size)
+		f.issueSick(now, x, len(others)+1, size)
 	}
 }
 
 // issueSick issues the verdict for a judgement, unless it is barred or too many nodes are out already.
-func (f *Fleet) judge(now membership.Micros, x verdict.Judgement, alive, size int) {
+func (f *Fleet) issueSick(now membership.Micros, x verdict.Judgement, alive, size int) {
 	host := f.host.Load()
 	if host.Name == nil || host.Nodes == nil {
 		return
@@ -96,61 +96,61 @@
 	if !ok {
 		return
 	}
-	said, may := f.keep.Sick(now, f.cfg.Period().Microseconds(), name, x)
+	said, may := f.store.Sick(now, f.cfg.Period().Microseconds(), name, x)
 	if !may {
 		return
 	}
-	if f.keep.Ill(now, x.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
-		f.jurors.held++
+	if f.store.Ill(now, x.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
+		f.evidence.withheld++
 		return
 	}
-	if _, err := f.keep.Say(now, time.Now().UnixMilli(), said); err != nil {
+	if _, err := f.store.Say(now, time.Now().UnixMilli(), said); err != nil {
 		f.log.Warn("no verdict issued on a sick node", "node", name, "err", err)
 		return
 	}
-	f.jurors.given++
+	f.evidence.issued++
 }
 
 // receiveEvidence handles another member's evidence message.
-func (f *Fleet) hearEvidence(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveEvidence(v *membership.View, h membership.AppMessage) {
 	if !f.cfg.Judges() {
 		return
 	}
-	zone, ok := f.jurors.zones[h.From]
+	zone, ok := f.evidence.zones[h.From]
 	if !ok {
 		return // it joined after the last period's update of zones
 	}
-	f.jurors.mu.Lock()
-	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
-	f.jurors.mu.Unlock()
+	f.evidence.mu.Lock()
+	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
+	f.evidence.mu.Unlock()
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 	}
 	for _, s := range sends {
-		v.SendApp(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, kindEvidence, s.Data)
 	}
 }
 
 // clearEvidence drops the evidence against a node that is back in use, so that only new evidence counts.
-func (f *Fleet) acquit(c verdict.Change) {
+func (f *Fleet) clearEvidence(c verdict.Change) {
 	if c.Holds || c.Verdict.Kind != verdict.Sick && c.Verdict.Kind != verdict.Path {
 		return
 	}
 	name, _ := c.Verdict.Node()
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	f.jurors.jury.Acquit(ServerNumber(name))
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	f.evidence.jury.Acquit(ServerID(name))
 }
 
 // evidenceStatus returns this member's observations of nodes that may be sick, for the admin endpoint.
-func (f *Fleet) seen() []SeenStatus {
-	out := []SeenStatus{}
+func (f *Fleet) evidenceStatus() []EvidenceStatus {
+	out := []EvidenceStatus{}
 	now := f.now()
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	for _, id := range f.jurors.jury.Bouts() {
-		t := f.jurors.jury.Tally(now, id, 0)
-		s := SeenStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	for _, id := range f.evidence.jury.Bouts() {
+		t := f.evidence.jury.Tally(now, id, 0)
+		s := EvidenceStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
 			SinceMS: int64(t.First) * f.cfg.Period().Milliseconds()}
 		if host := f.host.Load(); host.Name != nil {
 			if name, ok := host.Name(id); ok {
@@ -163,7 +163,7 @@
 }
 
 // appliesHere reports whether a verdict has to be enforced at this member.
-func (f *Fleet) concerns(x *verdict.Verdict) bool {
+func (f *Fleet) appliesHere(x *verdict.Verdict) bool {
 	_, zone := x.Node()
 	return x.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -24,21 +24,21 @@
 	// MaxSockets is the maximum number of file descriptors that a Fleet uses.
 	Sockets = 3
 	// queueSize is the number of datagrams that may wait for the owner goroutine; more are dropped.
-	queueSize = 1024
-	heardSize = 256
+	queueSize        = 1024
+	messageQueueSize = 256
 	// MaxMessage is the maximum length of a message of the decision module, in bytes.
-	MostMessage = membership.MaxAppMessage
-	showEvery   = 100 * time.Millisecond
+	MostMessage     = membership.MaxAppMessage
+	publishInterval = 100 * time.Millisecond
 )
 
 // The kinds of application messages.
 const (
-	toModule  byte = 1 // between decision modules
-	toVerdict byte = 2 // between verdict tables
-	toQuota   byte = 3 // between limit shares
+	kindModule  byte = 1 // between decision modules
+	kindVerdict byte = 2 // between verdict tables
+	kindQuota   byte = 3 // between limit shares
 
-	toEvidence byte = 4 // between evidence juries
-	toOverload byte = 5 // between overload guards
+	kindEvidence byte = 4 // between evidence juries
+	kindOverload byte = 5 // between overload guards
 )
 
 // Status is the body of GET /admin/fleet.
@@ -48,7 +48,7 @@
 	Digest      string         `json:"digest"`
 	Alive       int            `json:"alive"`
 	Members     []MemberStatus `json:"members"`
-	Figures     Figures        `json:"figures"`
+	Stats       Stats          `json:"figures"`
 }
 
 // MemberStatus is one member in Status.
@@ -62,107 +62,107 @@
 }
 
 // Stats are counters since this process's start, and the current protocol bounds in milliseconds.
-type Figures struct {
-	PeriodMS     int64            `json:"period_ms"`
-	Health       int              `json:"health"`
-	Sent         int64            `json:"sent"`
-	SentBytes    int64            `json:"sent_bytes"`
-	Received     int64            `json:"received"`
-	Dropped      map[string]int64 `json:"dropped"`
-	Probes       int64            `json:"probes"`
-	ProbesFailed int64            `json:"probes_failed"`
-	Votes        int64            `json:"votes"`
-	Refuted      int64            `json:"refuted"`
-	Syncs        int64            `json:"syncs"`
-	Stalls       int64            `json:"stalls"`
-	Rejoins      int64            `json:"rejoins"`
-	TurnedDown   int64            `json:"turned_down"`
-	Told         int64            `json:"module_messages_sent"`
-	ToldUs       int64            `json:"module_messages_received"`
-	SickGiven    int64            `json:"sick_given"`      // verdicts by evidence that this member issued
-	SickHeld     int64            `json:"sick_held_back"`  // withheld as enough were out (per period)
-	Differ       []string         `json:"settings_differ"` // alive members with another settings stamp
-	Conflict     string           `json:"conflict,omitempty"`
-	CrashKnownMS int64            `json:"crash_known_within_ms"`
-	SettledMS    int64            `json:"settled_within_ms"`
-	ForgottenMS  map[string]int64 `json:"forgotten_after_ms"`
+type Stats struct {
+	PeriodMS               int64            `json:"period_ms"`
+	Health                 int              `json:"health"`
+	Sent                   int64            `json:"sent"`
+	SentBytes              int64            `json:"sent_bytes"`
+	Received               int64            `json:"received"`
+	Dropped                map[string]int64 `json:"dropped"`
+	Probes                 int64            `json:"probes"`
+	ProbesFailed           int64            `json:"probes_failed"`
+	Votes                  int64            `json:"votes"`
+	Refuted                int64            `json:"refuted"`
+	Syncs                  int64            `json:"syncs"`
+	Stalls                 int64            `json:"stalls"`
+	Rejoins                int64            `json:"rejoins"`
+	Rejections             int64            `json:"turned_down"`
+	ModuleMessagesSent     int64            `json:"module_messages_sent"`
+	ModuleMessagesReceived int64            `json:"module_messages_received"`
+	EvidenceVerdicts       int64            `json:"sick_given"`      // verdicts by evidence that this member issued
+	EvidenceWithheld       int64            `json:"sick_held_back"`  // withheld as enough were out (per period)
+	SettingsDiffer         []string         `json:"settings_differ"` // alive members with another settings stamp
+	Conflict               string           `json:"conflict,omitempty"`
+	CrashDetectedMS        int64            `json:"crash_known_within_ms"`
+	SettledMS              int64            `json:"settled_within_ms"`
+	ForgottenMS            map[string]int64 `json:"forgotten_after_ms"`
 }
 
 // Protocol bounds in periods, derived in docs/FLEET.md.
 const settlePeriods = 20
 
-func crashPeriods(members int) int { return 12 + bits.Len(uint(max(1, members)-1)) }
+func crashDetectPeriods(members int) int { return 12 + bits.Len(uint(max(1, members)-1)) }
 
 // Fleet is this process's membership in the fleet.
 type Fleet struct {
-	cfg    *Config // as of the start, for settings that a reload cannot change
-	log    *slog.Logger
-	conn   *net.UDPConn
-	epoch  time.Time
-	keys   atomic.Pointer[keyring]
-	show   atomic.Pointer[Status]
-	alive  atomic.Pointer[[]string] // names of the other alive members
-	in     chan []byte
-	calls  chan func(*membership.View)
-	heard  chan membership.AppMessage
-	closed chan struct{}
-	once   sync.Once
-	drops  [9]atomic.Int64 // indexed as dropErrors
-	told   atomic.Int64    // module messages sent
-	toldUs atomic.Int64    // module messages received
-
-	mu      sync.Mutex // guards what follows
-	running *run       // nil: another process of this member reads the socket
-	kept    *membership.View
-
-	keep     keeper // used by the owner goroutine only
-	jurors   jurors
-	shed     shedder
-	host     atomic.Pointer[Host] // set by Start; empty before
-	toApply  chan verdict.Change
-	verdicts atomic.Pointer[Verdicts]
-	limits   []*limiter    // in the order of the settings file; fixed after Open
-	tenure   *quota.Tenure // used by the owner goroutine only; nil: there is no voting
-	holds    atomic.Pointer[[]string]
-
-	conf       atomic.Pointer[Config] // current settings
-	turnedDown int64                  // owner goroutine only: times that others rejected this member
-	turnedAt   membership.Micros      // owner goroutine only: time of the last rejection
-
-	joined  chan struct{} // closed once this process has joined
-	refused chan error    // receives one error if this process must not serve
+	cfg            *Config // as of the start, for settings that a reload cannot change
+	log            *slog.Logger
+	conn           *net.UDPConn
+	epoch          time.Time
+	keys           atomic.Pointer[keyring]
+	status         atomic.Pointer[Status]
+	aliveOthers    atomic.Pointer[[]string] // names of the other alive members
+	inbound        chan []byte
+	ownerCalls     chan func(*membership.View)
+	messages       chan membership.AppMessage
+	closed         chan struct{}
+	closeOnce      sync.Once
+	dropCounts     [9]atomic.Int64 // indexed as dropErrors
+	moduleSent     atomic.Int64    // module messages sent
+	moduleReceived atomic.Int64    // module messages received
+
+	mu         sync.Mutex // guards what follows
+	running    *session   // nil: another process of this member reads the socket
+	handedOver *membership.View
+
+	store      verdictStore // used by the owner goroutine only
+	evidence   evidenceState
+	overload   overloadState
+	host       atomic.Pointer[Host] // set by Start; empty before
+	toApply    chan verdict.Change
+	verdicts   atomic.Pointer[Verdicts]
+	limits     []*limiter    // in the order of the settings file; fixed after Open
+	leases     *quota.Tenure // used by the owner goroutine only; nil: there is no voting
+	leasesHeld atomic.Pointer[[]string]
+
+	current    atomic.Pointer[Config] // current settings
+	rejections int64                  // owner goroutine only: times that others rejected this member
+	rejectedAt membership.Micros      // owner goroutine only: time of the last rejection
+
+	joined    chan struct{} // closed once this process has joined
+	nameTaken chan error    // receives one error if this process must not serve
 }
 
 // session is a time span in which this process reads the socket and owns the view.
-type run struct {
+type session struct {
 	stop chan struct{}
 	done sync.WaitGroup
 	view *membership.View // to be used once done
 }
 
 // ErrNameTaken reports that another process with this member's name is running.
-var ErrTaken = errors.New("another process bears this member's name and has run for longer")
+var ErrNameTaken = errors.New("another process bears this member's name and has run for longer")
 
 // Open binds the socket, or uses one that is handed over. Nothing is read before Start.
 func Open(cfg *Config, log *slog.Logger, given *net.UDPConn) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), in: make(chan []byte, queueSize),
-		calls: make(chan func(*membership.View)), heard: make(chan membership.AppMessage, heardSize),
-		closed: make(chan struct{}), joined: make(chan struct{}), refused: make(chan error, 1)}
+	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), inbound: make(chan []byte, queueSize),
+		ownerCalls: make(chan func(*membership.View)), messages: make(chan membership.AppMessage, messageQueueSize),
+		closed: make(chan struct{}), joined: make(chan struct{}), nameTaken: make(chan error, 1)}
 	f.keys.Store(cfg.keys)
-	f.conf.Store(cfg)
-	f.alive.Store(&[]string{})
-	f.toApply = make(chan verdict.Change, mostPending)
+	f.current.Store(cfg)
+	f.aliveOthers.Store(&[]string{})
+	f.toApply = make(chan verdict.Change, maxPending)
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
-	f.keep.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
+	f.store.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
 		membership.MaxAppMessage)
-	f.jurors.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
+	f.evidence.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
 		cfg.Period().Microseconds(), membership.MaxAppMessage)
-	f.jurors.zones = map[string]string{}
+	f.evidence.zones = map[string]string{}
 	f.host.Store(&Host{})
-	f.shed.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
-	f.shed.by = map[string]int64{}
-	f.openLimits(given != nil)
-	f.show.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
+	f.overload.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
+	f.overload.shedCounts = map[string]int64{}
+	f.createLimits(given != nil)
+	f.status.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
 	if given == nil {
 		// Without SO_REUSEPORT, so that a second process on this address fails immediately.
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(cfg.listen))
@@ -193,10 +193,10 @@
 	var v *membership.View
 	var err error
 	f.host.Store(&host)
-	f.beginLimits(from)
+	f.startLimits(from)
 	if from != nil {
 		for _, x := range from.Verdicts {
-			f.keep.Merge(f.now(), x.Verdict, x.Age)
+			f.store.Merge(f.now(), x.Verdict, x.Age)
 		}
 		v, err = membership.Resume(f.viewConfig(), from.View, f.now())
 	} else {
@@ -205,12 +205,12 @@
 	if err != nil {
 		return err
 	}
-	go f.apply()
-	f.start(v)
+	go f.applyLoop()
+	f.startSession(v)
 	return nil
 }
 
-func (f *Fleet) start(v *membership.View) {
+func (f *Fleet) startSession(v *membership.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.running != nil {
@@ -221,16 +221,16 @@
 		return
 	default:
 	}
-	r := &run{stop: make(chan struct{}), view: v}
+	r := &session{stop: make(chan struct{}), view: v}
 	r.done.Add(2)
 	f.running = r
 	_ = f.conn.SetReadDeadline(time.Time{})
-	go f.read(r)
-	go f.own(r)
+	go f.readLoop(r)
+	go f.ownerLoop(r)
 }
 
 // stopSession ends the current session and returns its view, or nil if there is none.
-func (f *Fleet) halt() *membership.View {
+func (f *Fleet) stopSession() *membership.View {
 	f.mu.Lock()
 	r := f.running
 	f.running = nil
@@ -247,28 +247,28 @@
 // HandOver stops reading and returns the state for the successor. The socket stays open, so that Reclaim can
 // continue. It returns nil if this process has no session.
 func (f *Fleet) Release() *Handover {
-	v := f.halt()
+	v := f.stopSession()
 	if v == nil {
 		return nil
 	}
 	f.mu.Lock()
-	f.kept = v
+	f.handedOver = v
 	f.mu.Unlock()
-	h := &Handover{View: v.Snapshot(), Verdicts: f.keep.Save(f.now())}
-	f.handLimits(h)
+	h := &Handover{View: v.Snapshot(), Verdicts: f.store.Save(f.now())}
+	f.handOverLimits(h)
 	return h
 }
 
 // Reclaim continues this process's membership after the successor has ended.
 func (f *Fleet) Again() {
 	f.mu.Lock()
-	v := f.kept
-	f.kept = nil
+	v := f.handedOver
+	f.handedOver = nil
 	f.mu.Unlock()
 	if v != nil {
-		f.againLimits()
+		f.reclaimLimits()
 		v.Reclaim(f.now())
-		f.start(v)
+		f.startSession(v)
 	}
 }
 
@@ -276,16 +276,16 @@
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
 // NameTaken returns a channel that receives one error if this process must not serve.
-func (f *Fleet) Refused() <-chan error { return f.refused }
+func (f *Fleet) Refused() <-chan error { return f.nameTaken }
 
 // Messages returns the channel of messages for the decision module.
-func (f *Fleet) Heard() <-chan membership.AppMessage { return f.heard }
+func (f *Fleet) Heard() <-chan membership.AppMessage { return f.messages }
 
 // Close ends this process's membership without notifying the others.
 func (f *Fleet) Close() {
-	f.once.Do(func() {
+	f.closeOnce.Do(func() {
 		close(f.closed)
-		f.halt()
+		f.stopSession()
 		_ = f.conn.Close()
 	})
 }
@@ -294,21 +294,21 @@
 // the given time. It returns whether they have.
 func (f *Fleet) Leave(most time.Duration) bool {
 	end := time.Now().Add(most)
-	known := f.ask(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveAcknowledged() }, most)
+	known := f.callOwner(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveAcknowledged() }, most)
 	for !known && time.Now().Before(end) {
 		time.Sleep(min(5*time.Millisecond, most))
-		known = f.ask((*membership.View).LeaveAcknowledged, time.Until(end))
+		known = f.callOwner((*membership.View).LeaveAcknowledged, time.Until(end))
 	}
 	return known
 }
 
 // callOwner runs a function on the owner goroutine and returns its result, or false after a time-out.
-func (f *Fleet) ask(call func(*membership.View) bool, most time.Duration) bool {
+func (f *Fleet) callOwner(call func(*membership.View) bool, most time.Duration) bool {
 	done := make(chan bool, 1)
 	late := time.NewTimer(most)
 	defer late.Stop()
 	select {
-	case f.calls <- func(v *membership.View) { done <- call(v) }:
+	case f.ownerCalls <- func(v *membership.View) { done <- call(v) }:
 		return <-done
 	case <-late.C:
 	case <-f.closed:
@@ -330,15 +330,15 @@
 	}
 	slices.Sort(kept)
 	f.keys.Store(fresh.keys)
-	f.conf.Store(fresh)
-	f.ask(func(v *membership.View) bool { v.Configure(fresh.view); return true }, time.Second)
+	f.current.Store(fresh)
+	f.callOwner(func(v *membership.View) bool { v.Configure(fresh.view); return true }, time.Second)
 	return kept
 }
 
 // Tell sends a message of the decision module to another alive member, selected by a number that the module
 // draws, or to all of them: see core.Peers. It does not block.
 func (f *Fleet) Tell(to uint32, text string) {
-	alive := *f.alive.Load()
+	alive := *f.aliveOthers.Load()
 	if len(alive) == 0 {
 		return
 	}
@@ -348,22 +348,22 @@
 	}
 	call := func(v *membership.View) {
 		for _, name := range names {
-			if v.SendApp(name, toModule, []byte(text)) {
-				f.told.Add(1)
+			if v.SendApp(name, kindModule, []byte(text)) {
+				f.moduleSent.Add(1)
 			}
 		}
 	}
 	select {
-	case f.calls <- call:
+	case f.ownerCalls <- call:
 	default: // the owner is busy: the message is lost, as any datagram may be
 	}
 }
 
 // Status returns the status that the admin endpoint shows.
-func (f *Fleet) Status() *Status { return f.show.Load() }
+func (f *Fleet) Status() *Status { return f.status.Load() }
 
 // readLoop unseals datagrams and queues them.
-func (f *Fleet) read(r *run) {
+func (f *Fleet) readLoop(r *session) {
 	defer r.done.Done()
 	buf := make([]byte, maxDatagram+1)
 	for {
@@ -382,21 +382,21 @@
 		content, err := f.keys.Load().open(buf[:n])
 		if err == nil {
 			select {
-			case f.in <- slices.Clone(content):
+			case f.inbound <- slices.Clone(content):
 				continue
 			default:
-				err = errFull
+				err = errQueueFull
 			}
 		}
-		f.drop(err)
+		f.countDrop(err)
 	}
 }
 
 // countDrop counts a dropped datagram by its reason.
-func (f *Fleet) drop(why error) { f.drops[slices.Index(openErrors, why)].Add(1) }
+func (f *Fleet) countDrop(why error) { f.dropCounts[slices.Index(dropErrors, why)].Add(1) }
 
 // ownerLoop runs the goroutine that owns the view until the session ends.
-func (f *Fleet) own(r *run) {
+func (f *Fleet) ownerLoop(r *session) {
 	defer r.done.Done()
 	v := r.view
 	alarm := time.NewTimer(0)
@@ -408,22 +408,22 @@
 			return
 		case <-alarm.C:
 			v.Tick(f.now())
-		case b := <-f.in:
+		case b := <-f.inbound:
 			v.Receive(f.now(), b)
 			for more := true; more; { // drain the queue before anything is sent
 				select {
-				case b = <-f.in:
+				case b = <-f.inbound:
 					v.Receive(f.now(), b)
 				default:
 					more = false
 				}
 			}
-		case call := <-f.calls:
+		case call := <-f.ownerCalls:
 			v.Tick(f.now())
 			call(v)
 		}
-		changed := f.carryOut(v)
-		if changed || time.Since(shown) >= showEvery {
+		changed := f.processOutput(v)
+		if changed || time.Since(shown) >= publishInterval {
 			shown = time.Now()
 			f.publish(v)
 		}
@@ -432,12 +432,12 @@
 }
 
 // processOutput sends the view's datagrams, logs its state changes and dispatches application messages.
-func (f *Fleet) carryOut(v *membership.View) (changed bool) {
+func (f *Fleet) processOutput(v *membership.View) (changed bool) {
 	sends, changes, heard := v.Take()
 	for _, h := range heard {
-		f.hear(v, h)
+		f.dispatch(v, h)
 	}
-	f.tend(v) // its messages are sent together with the others
+	f.tick(v) // its messages are sent together with the others
 	more, later, _ := v.Take()
 	changes = append(changes, later...)
 	keys := f.keys.Load()
@@ -446,14 +446,14 @@
 		_, _ = f.conn.WriteToUDPAddrPort(keys.seal(s.Data), s.To)
 	}
 	for _, c := range changes {
-		f.tell(c)
+		f.logChange(c)
 	}
 	if v.Joined() {
-		f.mark(f.joined)
+		f.closeIfOpen(f.joined)
 	}
 	if c := v.Conflict(); c != nil && c.MustStop {
 		select {
-		case f.refused <- fmt.Errorf("fleet: %w: %s, at %v", ErrTaken, f.cfg.Fleet.Name, c.Addr):
+		case f.nameTaken <- fmt.Errorf("fleet: %w: %s, at %v", ErrNameTaken, f.cfg.Fleet.Name, c.Addr):
 		default:
 		}
 	}
@@ -461,26 +461,26 @@
 }
 
 // dispatch passes an application message to its receiver.
-func (f *Fleet) hear(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) dispatch(v *membership.View, h membership.AppMessage) {
 	switch h.Kind {
-	case toVerdict:
-		f.hearVerdict(h)
-	case toQuota:
-		f.hearLimit(v, h)
-	case toEvidence:
-		f.hearEvidence(v, h)
-	case toOverload:
-		f.hearOverload(v, h)
-	case toModule:
-		f.toldUs.Add(1)
+	case kindVerdict:
+		f.receiveVerdict(h)
+	case kindQuota:
+		f.receiveLimit(v, h)
+	case kindEvidence:
+		f.receiveEvidence(v, h)
+	case kindOverload:
+		f.receiveOverload(v, h)
+	case kindModule:
+		f.moduleReceived.Add(1)
 		select {
-		case f.heard <- h:
+		case f.messages <- h:
 		default:
 		}
 	}
 }
 
-func (f *Fleet) mark(c chan struct{}) {
+func (f *Fleet) closeIfOpen(c chan struct{}) {
 	select {
 	case <-c:
 	default:
@@ -489,7 +489,7 @@
 }
 
 // logChange logs a membership change.
-func (f *Fleet) tell(c membership.Change) {
+func (f *Fleet) logChange(c membership.Change) {
 	m := c.Member
 	switch {
 	case c.Forgotten:
@@ -532,23 +532,23 @@
 		}
 	}
 	period := f.cfg.Period().Milliseconds()
-	s.Figures = Figures{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
+	s.Stats = Stats{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
 		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.ProbesFailed, Votes: g.Votes,
-		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, TurnedDown: g.Rejections,
-		Told: f.told.Load(), ToldUs: f.toldUs.Load(), SickGiven: f.jurors.given, SickHeld: f.jurors.held,
-		Differ: differ, CrashKnownMS: int64(crashPeriods(s.Alive)) * period,
+		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, Rejections: g.Rejections,
+		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(), EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld,
+		SettingsDiffer: differ, CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period,
 		SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
 			"left": membership.ForgetLeft * period, "dead": membership.ForgetDead * period}}
 	if c := v.Conflict(); c != nil {
-		s.Figures.Conflict = c.Addr.String()
-		if old := f.show.Load(); old.Figures.Conflict == "" {
+		s.Stats.Conflict = c.Addr.String()
+		if old := f.status.Load(); old.Stats.Conflict == "" {
 			f.log.Error("another process bears this member's name", "member", self.Name, "addr", c.Addr,
 				"refused", c.MustStop)
 		}
 	}
-	f.alive.Store(&alive)
-	f.showVerdicts(alive)
-	f.show.Store(s)
+	f.aliveOthers.Store(&alive)
+	f.publishVerdicts(alive)
+	f.status.Store(s)
 }
 
 func (f *Fleet) dropped(g membership.Stats) map[string]int64 {
@@ -556,8 +556,8 @@
 	for i, n := range g.Dropped {
 		out[membership.DropReasonNames[i]] = n
 	}
-	for i, err := range openErrors {
-		out[err.Error()] = f.drops[i].Load()
+	for i, err := range dropErrors {
+		out[err.Error()] = f.dropCounts[i].Load()
 	}
 	return out
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 	"lapislever/internal/standin"
 )
 
-func write(t testing.TB, dir, name, text string) string {
+func writeFile(t testing.TB, dir, name, text string) string {
 	t.Helper()
 	path := filepath.Join(dir, name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -33,7 +33,7 @@
 	return base64.StdEncoding.EncodeToString(b[:])
 }
 
-const sound = `[fleet]
+const validSettings = `[fleet]
 name = "a1"
 zone = "praha"
 listen = "127.0.0.1:7946"
@@ -45,7 +45,7 @@
 
 func TestFile(t *testing.T) {
 	dir := t.TempDir()
-	c, err := Load(write(t, dir, "ok.toml", sound))
+	c, err := Load(writeFile(t, dir, "ok.toml", validSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,11 +54,11 @@
 		c.Size() != 2 || c.Place() != 0 {
 		t.Fatalf("%+v", c)
 	}
-	other, err := Load(write(t, dir, "other.toml", strings.Replace(sound, `"b1"]`, `"b1", "c1"]`, 1)))
+	other, err := Load(writeFile(t, dir, "other.toml", strings.Replace(validSettings, `"b1"]`, `"b1", "c1"]`, 1)))
 	if err != nil || other.view.Stamp == c.view.Stamp {
 		t.Fatal("different rosters have the same stamp", err)
 	}
-	write(t, dir, "short.keys", "AAAA\n")
+	writeFile(t, dir, "short.keys", "AAAA\n")
 	// All faults of a file are reported at once, each with its line.
 	bad := `[fleet]
 name = "a 1"
@@ -76,7 +76,7 @@
 [fleet.evidence]
 share = 0.7
 `
-	_, err = Load(write(t, dir, "bad.toml", bad))
+	_, err = Load(writeFile(t, dir, "bad.toml", bad))
 	if err == nil {
 		t.Fatal("an invalid file was accepted")
 	}
@@ -96,19 +96,19 @@
 		"without it loopback addresses only": {"127.0.0.2", "10.0.0.2"},
 		"one has to be there":                {`roster = ["a1", "b1"]`, ""},
 	} {
-		_, err := Load(write(t, dir, "x.toml", strings.Replace(sound, edit[0], edit[1], 1)))
+		_, err := Load(writeFile(t, dir, "x.toml", strings.Replace(validSettings, edit[0], edit[1], 1)))
 		if err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
 }
 
-func ring(t testing.TB, keys ...string) *keyring {
+func newKeyring(t testing.TB, keys ...string) *keyring {
 	t.Helper()
 	if len(keys) == 0 {
 		return &keyring{}
 	}
-	k, err := loadKeys(write(t, t.TempDir(), "keys", "# ours\n\n"+strings.Join(keys, "\n")+"\n"))
+	k, err := loadKeys(writeFile(t, t.TempDir(), "keys", "# ours\n\n"+strings.Join(keys, "\n")+"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -118,7 +118,7 @@
 // Each datagram that cannot be unsealed is rejected with the matching error.
 func TestSeal(t *testing.T) {
 	k1, k2 := newKey(), newKey()
-	first, both, second, plain := ring(t, k1), ring(t, k2, k1), ring(t, k2), ring(t)
+	first, both, second, plain := newKeyring(t, k1), newKeyring(t, k2, k1), newKeyring(t, k2), newKeyring(t)
 	content := bytes.Repeat([]byte("x"), membership.MaxPlain)
 	sealed, open := first.seal(content), plain.seal(content)
 	if len(sealed) > maxDatagram || len(open) > maxDatagram {
@@ -136,9 +136,9 @@
 		err  error
 	}{
 		{"same key", first, sealed, nil}, {"second key", both, sealed, nil}, {"no key", plain, open, nil},
-		{"other key", second, sealed, errKey}, {"none of ours", plain, sealed, errKey},
-		{"unsealed", first, open, errUnsealed}, {"long", plain, append(bytes.Clone(sealed), 'x'), errLong},
-		{"empty", first, nil, errCut}, {"cut", first, sealed[:20], errCut}, {"cut plain", plain, open[:9], errCut},
+		{"other key", second, sealed, errUnknownKey}, {"none of ours", plain, sealed, errUnknownKey},
+		{"unsealed", first, open, errUnsealed}, {"long", plain, append(bytes.Clone(sealed), 'x'), errTooLong},
+		{"empty", first, nil, errTruncated}, {"cut", first, sealed[:20], errTruncated}, {"cut plain", plain, open[:9], errTruncated},
 		{"a bit", first, flip(sealed, 100), errDamaged}, {"nonce", first, flip(sealed, 5), errDamaged},
 		{"the end is gone", first, sealed[:len(sealed)-1], errDamaged},
 		{"plain bit", plain, flip(open, 40), errDamaged},
@@ -159,7 +159,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	k, plain := ring(f, newKey()), ring(f)
+	k, plain := newKeyring(f, newKey()), newKeyring(f)
 	f.Add(k.seal([]byte("content")))
 	f.Add(plain.seal([]byte("content")))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -173,8 +173,8 @@
 
 // Dropped datagrams are counted by reason in the admin status and have no other effect.
 func TestBadDatagramsAreCounted(t *testing.T) {
-	c, err := Load(write(t, t.TempDir(), "f.toml", strings.NewReplacer("127.0.0.1:7946", "127.0.0.1:17999",
-		`"127.0.0.2:7946", `, "").Replace(sound)))
+	c, err := Load(writeFile(t, t.TempDir(), "f.toml", strings.NewReplacer("127.0.0.1:7946", "127.0.0.1:17999",
+		`"127.0.0.2:7946", `, "").Replace(validSettings)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -196,12 +196,12 @@
 	}
 	defer s.Close()
 	plain := &keyring{}
-	for _, b := range [][]byte{[]byte("module's"), {0xF9, 1}, ring(t, newKey()).seal([]byte("x")), {0xF1, 2},
+	for _, b := range [][]byte{[]byte("module's"), {0xF9, 1}, newKeyring(t, newKey()).seal([]byte("x")), {0xF1, 2},
 		plain.seal([]byte("no message of ours")), make([]byte, 300)} {
 		_, _ = s.Write(b)
 	}
 	for _, why := range []string{"foreign", "version", "key", "cut", "malformed", "long"} {
-		standin.Until(t, why, func() bool { return f.Status().Figures.Dropped[why] == 1 })
+		standin.Until(t, why, func() bool { return f.Status().Stats.Dropped[why] == 1 })
 	}
 	if st := f.Status(); st.Alive != 1 || len(st.Members) != 1 || st.Incarnation != 1 {
 		t.Fatalf("%+v", st)
@@ -209,7 +209,7 @@
 }
 
 // Valid and invalid [[limit]] tables, with the error reported for each invalid one.
-func TestLimitsOfTheFile(t *testing.T) {
+func TestLimitSettings(t *testing.T) {
 	const head = "[fleet]\nname = \"a\"\nzone = \"z\"\nlisten = \"127.0.0.1:7946\"\n" +
 		"roster = [\"a\", \"b\", \"c\"]\n[[limit]]\nname = \"l\"\n"
 	for text, want := range map[string]string{
@@ -230,7 +230,7 @@
 		"server = \"*\"\nrate = 9\nburst = 3\nfloor = 0.5":          "limit[1].floor",
 		"class = \"c\"\nrate = 9\nburst = 3\n[fleet.evidence]\nx=1": "unknown key",
 	} {
-		c, err := Load(write(t, t.TempDir(), "f.toml", head+text+"\n"))
+		c, err := Load(writeFile(t, t.TempDir(), "f.toml", head+text+"\n"))
 		switch {
 		case want == "" && err != nil, want != "" && (err == nil || !strings.Contains(err.Error(), want)):
 			t.Errorf("%q: %v, not %q", text, err, want)
@@ -240,7 +240,7 @@
 	}
 	const most = "[fleet]\nname = \"a\"\nzone = \"z\"\nlisten = \"127.0.0.1:7946\"\nmost = 3\n[[limit]]\n" +
 		"name = \"l\"\nclass = \"c\"\nrate = 9\nburst = 3\nfloor = 0.5\n"
-	_, err := Load(write(t, t.TempDir(), "f.toml", most))
+	_, err := Load(writeFile(t, t.TempDir(), "f.toml", most))
 	if err == nil || !strings.Contains(err.Error(), "roster") {
 		t.Errorf("a floor below 1 without a voting roster: %v", err)
 	}
@@ -248,8 +248,8 @@
 
 // Several limits can apply to one request. If one limit refuses it, the units granted by the others are
 // returned.
-func TestSeveralLimitsBindOneRequest(t *testing.T) {
-	c, err := Load(write(t, t.TempDir(), "f.toml", `[fleet]
+func TestSeveralLimitsApplyToOneRequest(t *testing.T) {
+	c, err := Load(writeFile(t, t.TempDir(), "f.toml", `[fleet]
 name = "a"
 zone = "z"
 listen = "127.0.0.1:17946"
@@ -276,7 +276,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	f.beginLimits(&Handover{}) // with a handover there is no wait for loans of a predecessor
+	f.startLimits(&Handover{}) // with a handover there is no wait for loans of a predecessor
 	ends := time.Now().Add(time.Second)
 	var tickets []Ticket
 	for i := range 4 {
@@ -300,15 +300,15 @@
 	if _, ok, _, _ := f.Allow("other", "v", ends); !ok {
 		t.Fatal("a limit applies to another class")
 	}
-	one, ok := f.AllowSend(ServerNumber("n0"), ends)
-	if _, again := f.AllowSend(ServerNumber("n0"), ends); !ok || again {
+	one, ok := f.AllowSend(ServerID("n0"), ends)
+	if _, again := f.AllowSend(ServerID("n0"), ends); !ok || again {
 		t.Fatal("n0 does not have exactly one slot")
 	}
-	if _, ok := f.AllowSend(ServerNumber("n1"), ends); !ok {
+	if _, ok := f.AllowSend(ServerID("n1"), ends); !ok {
 		t.Fatal("the limit applies to another node")
 	}
 	f.Done(one)
-	if _, ok := f.AllowSend(ServerNumber("n0"), ends); !ok {
+	if _, ok := f.AllowSend(ServerID("n0"), ends); !ok {
 		t.Fatal("a finished attempt still holds its slot")
 	}
 	for _, x := range tickets {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -22,9 +22,9 @@
 const Each = "*"
 
 const (
-	defaultLongest = 5 * time.Second
-	defaultFloor   = 0.5 // of a share, if the roster votes
-	leastFloor     = 0.1
+	defaultMaxDuration = 5 * time.Second
+	defaultFloor       = 0.5 // of a share, if the roster votes
+	minFloor           = 0.1
 )
 
 // Limit is a limit in the settings file.
@@ -41,8 +41,8 @@
 }
 
 // validate records the faults of a limit and sets defaults.
-func (l *Limit) check(f *settings.File, at string, members, roster int) {
-	f.Check(nameForm.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
+func (l *Limit) validate(f *settings.File, at string, members, roster int) {
+	f.Check(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
 	subjects := 0
 	for _, s := range []string{l.Class, l.Tenant, l.Server} {
@@ -61,7 +61,7 @@
 		f.Check(l.LongestMS >= 0 && l.LongestMS <= 600_000, at+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
 		if l.LongestMS == 0 {
-			l.LongestMS = int(defaultLongest.Milliseconds())
+			l.LongestMS = int(defaultMaxDuration.Milliseconds())
 		}
 	} else {
 		f.Check(l.Rate > 0 && l.Rate <= 1e9, at+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
@@ -70,8 +70,8 @@
 		f.Check(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
 	}
 	votes := roster >= 3 && roster <= quota.MostVoters
-	f.Check(l.Floor == 0 || l.Floor >= leastFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
-		l.Floor, leastFloor)
+	f.Check(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
+		l.Floor, minFloor)
 	f.Check(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
 		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MostVoters)
 	if l.Floor == 0 {
@@ -123,60 +123,60 @@
 // limiter is one limit with its lock, as fronts use it from their own goroutines. Exactly one of share, slots
 // and keys is set.
 type limiter struct {
-	mu     sync.Mutex // guards state
-	part   part
-	share  *quota.Share
-	slots  *quota.Slots
-	keys   *quota.Keys
-	conf   Limit // as of the start
-	id     uint64
-	server uint64 // ID of the limited server
-
-	saidAt membership.Micros // owner goroutine only: when this member last announced its settings
+	mu       sync.Mutex // guards state
+	state    part
+	share    *quota.Share
+	slots    *quota.Slots
+	keys     *quota.Keys
+	conf     Limit // as of the start
+	id       uint64
+	serverID uint64 // ID of the limited server
+
+	announcedAt membership.Micros // owner goroutine only: when this member last announced its settings
 }
 
 // LimitHandover is the state of one limit that the successor needs.
-type Handed struct {
+type LimitHandover struct {
 	Lent []quota.Lend            `json:"lent,omitempty"`
 	Keys map[uint64][]quota.Lend `json:"keys,omitempty"`
 }
 
 // Ticket holds the concurrency slots of an admitted request or attempt. The zero Ticket holds none.
-type Ticket struct{ held []hold }
+type Ticket struct{ held []heldSlot }
 
 // Empty reports whether the ticket holds no slot.
 func (t Ticket) Empty() bool { return len(t.held) == 0 }
 
-type hold struct {
-	l  *limiter
-	at quota.Place
+type heldSlot struct {
+	limiter *limiter
+	place   quota.Place
 }
 
 // createLimits creates the limits. A process that takes over may use none before it has received their state.
-func (f *Fleet) openLimits(takesOver bool) {
+func (f *Fleet) createLimits(takesOver bool) {
 	period, now, seed := f.cfg.Period().Microseconds(), f.now(), f.viewConfig().Seed
-	f.tenure = f.newTenure()
+	f.leases = f.newLeases()
 	for i := range f.cfg.Limits {
 		l := &limiter{conf: f.cfg.Limits[i]}
 		l.id = l.conf.id()
 		if l.conf.Server != "" {
-			l.server = ServerNumber(l.conf.Server)
+			l.serverID = ServerID(l.conf.Server)
 		}
 		q := quota.Limit{Name: l.conf.Name, ID: l.id, Rate: l.conf.amount(), Burst: l.conf.Burst,
 			Floor: l.conf.Floor}
 		switch seed++; {
 		case l.conf.each():
 			l.keys = quota.NewKeys(q, f.cfg.Size(), period, seed, now)
-			l.part = l.keys
+			l.state = l.keys
 		case l.conf.Concurrent > 0:
-			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.place(), period, int64(l.conf.LongestMS)*1000, seed, now)
-			l.part = l.slots
+			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.rosterIndexOrNone(), period, int64(l.conf.LongestMS)*1000, seed, now)
+			l.state = l.slots
 		default:
 			l.share = quota.NewShare(q, f.cfg.Size(), period, seed, now)
-			l.part = l.share
+			l.state = l.share
 		}
 		if takesOver {
-			l.part.Hold(now)
+			l.state.Hold(now)
 		}
 		f.limits = append(f.limits, l)
 	}
@@ -198,7 +198,7 @@
 }
 
 // giveBack returns a unit that was taken from this limit.
-func (l *limiter) give(now quota.Micros, key uint64, at quota.Place) {
+func (l *limiter) giveBack(now quota.Micros, key uint64, at quota.Place) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -212,7 +212,7 @@
 }
 
 // matches reports whether the limit applies to a request, and under which key.
-func (l *limiter) binds(class, tenant string) (key uint64, ok bool) {
+func (l *limiter) matches(class, tenant string) (key uint64, ok bool) {
 	switch {
 	case l.conf.Class != "":
 		return 0, l.conf.Class == class
@@ -230,20 +230,20 @@
 	now := f.now()
 	until := now + time.Until(ends).Microseconds()
 	for i, l := range f.limits {
-		key, binds := l.binds(class, tenant)
+		key, binds := l.matches(class, tenant)
 		if !binds {
 			continue
 		}
 		at, ok, wait := l.take(now, until, key)
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, hold{l, at})
+				t.held = append(t.held, heldSlot{l, at})
 			}
 			continue
 		}
 		for _, before := range f.limits[:i] { // return the units that the preceding limits have granted
-			if key, binds := before.binds(class, tenant); binds && before.slots == nil {
-				before.give(now, key, quota.Place{})
+			if key, binds := before.matches(class, tenant); binds && before.slots == nil {
+				before.giveBack(now, key, quota.Place{})
 			}
 		}
 		f.Done(t)
@@ -257,19 +257,19 @@
 	now := f.now()
 	until := now + time.Until(ends).Microseconds()
 	for i, l := range f.limits {
-		if !l.serves(server) {
+		if !l.matchesServer(server) {
 			continue
 		}
 		at, ok, _ := l.take(now, until, quota.KeyOf(l.id, server))
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, hold{l, at})
+				t.held = append(t.held, heldSlot{l, at})
 			}
 			continue
 		}
 		for _, before := range f.limits[:i] {
-			if before.serves(server) && before.slots == nil {
-				before.give(now, quota.KeyOf(before.id, server), quota.Place{})
+			if before.matchesServer(server) && before.slots == nil {
+				before.giveBack(now, quota.KeyOf(before.id, server), quota.Place{})
 			}
 		}
 		f.Done(t)
@@ -279,8 +279,8 @@
 }
 
 // matchesServer reports whether the limit applies to attempts to a server.
-func (l *limiter) serves(server uint64) bool {
-	return l.conf.Server == Each || l.conf.Server != "" && l.server == server
+func (l *limiter) matchesServer(server uint64) bool {
+	return l.conf.Server == Each || l.conf.Server != "" && l.serverID == server
 }
 
 // HasServerLimits reports whether any limit applies to attempts and not only to requests.
@@ -292,12 +292,12 @@
 func (f *Fleet) Done(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
-		h.l.give(now, 0, h.at)
+		h.limiter.giveBack(now, 0, h.place)
 	}
 }
 
 // forEachLimit calls a function for every limit, with the limit's lock held.
-func (f *Fleet) each(do func(l *limiter)) {
+func (f *Fleet) forEachLimit(do func(l *limiter)) {
 	for _, l := range f.limits {
 		l.mu.Lock()
 		do(l)
@@ -307,34 +307,34 @@
 
 // handOverLimits reduces this process's limits to the part that it keeps for requests still in flight here,
 // and adds the state that the successor needs to the handover.
-func (f *Fleet) handLimits(h *Handover) {
+func (f *Fleet) handOverLimits(h *Handover) {
 	now := f.now()
-	h.Lent = map[string]Handed{}
-	f.each(func(l *limiter) {
+	h.Limits = map[string]LimitHandover{}
+	f.forEachLimit(func(l *limiter) {
 		switch {
 		case l.share != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.share.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.share.Split(now)}
 		case l.slots != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.slots.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.slots.Split(now)}
 		default:
-			h.Lent[l.conf.Name] = Handed{Keys: l.keys.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Keys: l.keys.Split(now)}
 		}
 	})
-	if f.tenure != nil {
-		held := f.tenure.Save(now)
-		h.Tenure = &held
+	if f.leases != nil {
+		held := f.leases.Save(now)
+		h.Leases = &held
 	}
 }
 
 // startLimits restores the limits from a handover; nil: there was none.
-func (f *Fleet) beginLimits(from *Handover) {
+func (f *Fleet) startLimits(from *Handover) {
 	now := f.now()
-	f.each(func(l *limiter) {
+	f.forEachLimit(func(l *limiter) {
 		if from == nil {
-			l.part.Alone(now, true)
+			l.state.Alone(now, true)
 			return
 		}
-		switch h := from.Lent[l.conf.Name]; {
+		switch h := from.Limits[l.conf.Name]; {
 		case l.share != nil:
 			l.share.Inherit(now, h.Lent)
 		case l.slots != nil:
@@ -343,22 +343,22 @@
 			l.keys.Inherit(now, h.Keys)
 		}
 	})
-	if from != nil && from.Tenure != nil && f.tenure != nil {
-		f.tenure.Resume(now, *from.Tenure)
+	if from != nil && from.Leases != nil && f.leases != nil {
+		f.leases.Resume(now, *from.Leases)
 	}
 }
 
 // reclaimLimits continues with this process's limits after the successor has failed. What the successor has
 // lent or voted is unknown.
-func (f *Fleet) againLimits() {
+func (f *Fleet) reclaimLimits() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.Alone(now, true) })
-	f.tenure = f.newTenure()
+	f.forEachLimit(func(l *limiter) { l.state.Alone(now, true) })
+	f.leases = f.newLeases()
 }
 
-// newTenure returns the voting state of a process that knows of no votes. Members whose floors differ do not
+// newLeases returns the voting state of a process that knows of no votes. Members whose floors differ do not
 // count one another's votes.
-func (f *Fleet) newTenure() *quota.Tenure {
+func (f *Fleet) newLeases() *quota.Tenure {
 	h := xxhash.New()
 	for _, l := range f.cfg.Limits {
 		_, _ = fmt.Fprintf(h, "%s %g\n", l.Name, l.Floor)
@@ -368,20 +368,20 @@
 }
 
 // rejectionPeriods is the number of periods for which a rejection by another member voids the limits.
-const mostDiffer = 10
+const rejectionPeriods = 10
 
 // reannounceInterval is how often a member announces its settings. They expire after twice that, because the
 // member may be gone.
-const sayAgain = time.Hour
+const reannounceInterval = time.Hour
 
 // reconcileLimits applies the strictest of the settings that the alive members announce for each limit, and
 // announces this member's own.
-func (f *Fleet) agree(v *membership.View, now membership.Micros, peers []string) {
-	if n := v.Figures().Rejections; n != f.turnedDown {
-		f.turnedDown, f.turnedAt = n, now
+func (f *Fleet) reconcileLimits(v *membership.View, now membership.Micros, peers []string) {
+	if n := v.Figures().Rejections; n != f.rejections {
+		f.rejections, f.rejectedAt = n, now
 	}
-	void := f.turnedDown > 0 && now-f.turnedAt < mostDiffer*f.cfg.Period().Microseconds()
-	conf := f.conf.Load()
+	void := f.rejections > 0 && now-f.rejectedAt < rejectionPeriods*f.cfg.Period().Microseconds()
+	conf := f.current.Load()
 	for _, l := range f.limits {
 		own, ok := conf.limit(l.conf.Name)
 		if !ok {
@@ -389,12 +389,12 @@
 		}
 		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
 		key := "limit." + l.conf.Name
-		said, self := f.keep.Settings(now, key), f.cfg.Fleet.Name
-		if said[self] != text || now-l.saidAt > sayAgain.Microseconds() {
-			l.saidAt = now
+		said, self := f.store.Settings(now, key), f.cfg.Fleet.Name
+		if said[self] != text || now-l.announcedAt > reannounceInterval.Microseconds() {
+			l.announcedAt = now
 			what := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: text,
-				Span: 2 * sayAgain.Microseconds()}
-			if _, err := f.keep.Say(now, time.Now().UnixMilli(), what); err != nil {
+				Span: 2 * reannounceInterval.Microseconds()}
+			if _, err := f.store.Say(now, time.Now().UnixMilli(), what); err != nil {
 				f.log.Warn("cannot announce the settings of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
@@ -411,11 +411,11 @@
 		case l.share != nil:
 			l.share.Configure(now, amount, burst, members)
 		case l.slots != nil:
-			l.slots.Configure(now, amount, members, conf.place())
+			l.slots.Configure(now, amount, members, conf.rosterIndexOrNone())
 		default:
 			l.keys.Configure(now, amount, burst, members)
 		}
-		l.part.Void(now, void)
+		l.state.Void(now, void)
 		l.mu.Unlock()
 	}
 }
@@ -438,56 +438,56 @@
 }
 
 // tickLimits runs the periodic work of the limits: votes, loan requests and renewals.
-func (f *Fleet) tendLimits(v *membership.View, now membership.Micros, peers []string) {
+func (f *Fleet) tickLimits(v *membership.View, now membership.Micros, peers []string) {
 	if len(f.limits) == 0 {
 		return
 	}
-	f.agree(v, now, peers)
+	f.reconcileLimits(v, now, peers)
 	var e quota.Entitlement
-	if f.tenure != nil && f.votes() {
-		for _, m := range f.tenure.Tick(now, append([]string{f.cfg.Fleet.Name}, peers...)) {
-			v.SendApp(m.To, toQuota, m.Data)
+	if f.leases != nil && f.usesVotes() {
+		for _, m := range f.leases.Tick(now, append([]string{f.cfg.Fleet.Name}, peers...)) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
-		e = f.tenure.Entitlement(now)
-		holds := f.tenure.Holds(now)
-		f.holds.Store(&holds)
+		e = f.leases.Entitlement(now)
+		holds := f.leases.Holds(now)
+		f.leasesHeld.Store(&holds)
 	}
-	f.each(func(l *limiter) {
-		l.part.Entitle(now, e)
-		for _, m := range l.part.Tick(now, peers) {
-			v.SendApp(m.To, toQuota, m.Data)
+	f.forEachLimit(func(l *limiter) {
+		l.state.Entitle(now, e)
+		for _, m := range l.state.Tick(now, peers) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
 	})
 }
 
 // usesVotes reports whether any limit has a floor below 1, so that the rest of the shares is voted on.
-func (f *Fleet) votes() bool {
+func (f *Fleet) usesVotes() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Floor < 1 })
 }
 
 // receiveLimit handles another member's message on a limit. A limit that this member does not have is no
 // fault, because members change their settings at different times.
-func (f *Fleet) hearLimit(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveLimit(v *membership.View, h membership.AppMessage) {
 	now := f.now()
 	if quota.IsTenure(h.Data) {
-		if f.tenure != nil {
-			for _, m := range f.tenure.Receive(now, h.From, h.Data) {
-				v.SendApp(m.To, toQuota, m.Data)
+		if f.leases != nil {
+			for _, m := range f.leases.Receive(now, h.From, h.Data) {
+				v.SendApp(m.To, kindQuota, m.Data)
 			}
 		}
 		return
 	}
 	id, ok := quota.IDOf(h.Data)
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 		return
 	}
-	f.each(func(l *limiter) {
+	f.forEachLimit(func(l *limiter) {
 		if quota.LimitOf(id) != l.id {
 			return
 		}
-		for _, m := range l.part.Receive(now, h.From, h.Data) {
-			v.SendApp(m.To, toQuota, m.Data)
+		for _, m := range l.state.Receive(now, h.From, h.Data) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
 	})
 }
@@ -495,21 +495,21 @@
 // Limits is the body of GET /admin/limits.
 type Limits struct {
 	Limits []LimitStatus `json:"limits"`
-	// Holds names the members whose shares above the floor this member uses by a majority vote, possibly
+	// LeasesHeld names the members whose shares above the floor this member uses by a majority vote, possibly
 	// including itself.
-	Holds []string `json:"holds"`
+	LeasesHeld []string `json:"holds"`
 }
 
 // Limits returns the state of this member's shares.
 func (f *Fleet) Limits() Limits {
-	out := Limits{Limits: []LimitStatus{}, Holds: []string{}}
-	if h := f.holds.Load(); h != nil {
-		out.Holds = *h
+	out := Limits{Limits: []LimitStatus{}, LeasesHeld: []string{}}
+	if h := f.leasesHeld.Load(); h != nil {
+		out.LeasesHeld = *h
 	}
 	now := f.now()
-	differ := len(f.show.Load().Figures.Differ) > 0
-	f.each(func(l *limiter) {
-		g := l.part.Figures(now)
+	differ := len(f.status.Load().Stats.SettingsDiffer) > 0
+	f.forEachLimit(func(l *limiter) {
+		g := l.state.Figures(now)
 		s := LimitStatus{Name: l.conf.Name, Share: g.Share, Used: g.Used, InDoubt: g.InDoubt,
 			StaleMS: g.Stale / 1000}
 		switch {
@@ -532,5 +532,5 @@
 // PredecessorGone reports that the process from which this one took over has ended.
 func (f *Fleet) Alone() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.Alone(now, false) })
+	f.forEachLimit(func(l *limiter) { l.state.Alone(now, false) })
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -16,15 +16,15 @@
 // maxShedNames bounds the number of classes and tenants that are counted by name, and maxTenantLen the length
 // of a tenant's name, because clients can send arbitrary tenant names.
 const (
-	mostNamed    = 256
-	longestNamed = 64
+	maxShedNames = 256
+	maxTenantLen = 64
 )
 
 // overloadState is the guard with its lock, as fronts and the core use it from their own goroutines.
-type shedder struct {
-	mu    sync.Mutex // guards what follows
-	guard *overload.Guard
-	by    map[string]int64 // requests shed, by class and by class/tenant
+type overloadState struct {
+	mu         sync.Mutex // guards what follows
+	guard      *overload.Guard
+	shedCounts map[string]int64 // requests shed, by class and by class/tenant
 }
 
 // OverloadEnabled reports whether the fleet sheds load by a common level.
@@ -37,7 +37,7 @@
 	if !f.cfg.Sheds() {
 		return true, 0
 	}
-	s := &f.shed
+	s := &f.overload
 	priority := overload.Priority(rank, who)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -45,9 +45,9 @@
 	if ok {
 		return true, 0
 	}
-	for _, name := range []string{class, class + "/" + tenant[:min(len(tenant), longestNamed)]} {
-		if _, known := s.by[name]; (known || len(s.by) < mostNamed) && (tenant != "" || name == class) {
-			s.by[name]++
+	for _, name := range []string{class, class + "/" + tenant[:min(len(tenant), maxTenantLen)]} {
+		if _, known := s.shedCounts[name]; (known || len(s.shedCounts) < maxShedNames) && (tenant != "" || name == class) {
+			s.shedCounts[name]++
 		}
 	}
 	return false, time.Duration(wait) * time.Microsecond
@@ -55,9 +55,9 @@
 
 // RequestFinished records the end of an admitted request. well: it was answered in time.
 func (f *Fleet) HasEnded(well bool) {
-	f.shed.mu.Lock()
-	f.shed.guard.Ended(well)
-	f.shed.mu.Unlock()
+	f.overload.mu.Lock()
+	f.overload.guard.Ended(well)
+	f.overload.mu.Unlock()
 }
 
 // AllowByRetryBudget reports whether the retry budget permits an attempt. It always permits first attempts.
@@ -65,23 +65,23 @@
 	if !f.cfg.Sheds() {
 		return true
 	}
-	f.shed.mu.Lock()
-	defer f.shed.mu.Unlock()
-	return f.shed.guard.Send(first)
+	f.overload.mu.Lock()
+	defer f.overload.mu.Unlock()
+	return f.overload.guard.Send(first)
 }
 
 // tickOverload runs the guard's periodic work.
-func (f *Fleet) tendOverload(v *membership.View, now membership.Micros, peers []string) {
+func (f *Fleet) tickOverload(v *membership.View, now membership.Micros, peers []string) {
 	if !f.cfg.Sheds() {
 		return
 	}
-	f.shed.mu.Lock()
-	was := f.shed.guard.Level()
-	sends := f.shed.guard.Tick(now, peers)
-	is := f.shed.guard.Level()
-	f.shed.mu.Unlock()
+	f.overload.mu.Lock()
+	was := f.overload.guard.Level()
+	sends := f.overload.guard.Tick(now, peers)
+	is := f.overload.guard.Level()
+	f.overload.mu.Unlock()
 	for _, s := range sends {
-		v.SendApp(s.To, toOverload, s.Data)
+		v.SendApp(s.To, kindOverload, s.Data)
 	}
 	if (was == 0) != (is == 0) {
 		f.log.Info("fleet overload", "level", is, "was", was)
@@ -89,18 +89,18 @@
 }
 
 // receiveOverload handles another member's overload message.
-func (f *Fleet) hearOverload(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveOverload(v *membership.View, h membership.AppMessage) {
 	if !f.cfg.Sheds() {
 		return
 	}
-	f.shed.mu.Lock()
-	sends, ok := f.shed.guard.Receive(f.now(), h.From, h.Data)
-	f.shed.mu.Unlock()
+	f.overload.mu.Lock()
+	sends, ok := f.overload.guard.Receive(f.now(), h.From, h.Data)
+	f.overload.mu.Unlock()
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 	}
 	for _, s := range sends {
-		v.SendApp(s.To, toOverload, s.Data)
+		v.SendApp(s.To, kindOverload, s.Data)
 	}
 }
 
@@ -127,11 +127,11 @@
 // Overload returns the overload state that the admin endpoint shows.
 func (f *Fleet) Overload() Overload {
 	now := f.now()
-	f.shed.mu.Lock()
-	defer f.shed.mu.Unlock()
-	g := f.shed.guard
+	f.overload.mu.Lock()
+	defer f.overload.mu.Unlock()
+	g := f.overload.guard
 	o := Overload{Level: g.Level(), HeardMS: g.Heard(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
-	for name, n := range f.shed.by {
+	for name, n := range f.overload.shedCounts {
 		o.Shed[name] = n
 	}
 	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
--- a/internal/fleet/seal.go
+++ b/internal/fleet/seal.go
@@ -20,39 +20,39 @@
 )
 
 const (
-	keySize     = 32
-	family      = 0xF0 // upper half of the first byte: this protocol; the lower half is its version
-	plainForm   = 0xF1
-	sealedForm  = 0xF2
-	plainHead   = 1 + 8
-	sealedHead  = 2 + 12
-	sealedRest  = sealedHead + 16
-	maxDatagram = 256
+	keySize          = 32
+	protocolBits     = 0xF0 // upper half of the first byte: this protocol; the lower half is its version
+	plainMagic       = 0xF1
+	sealedMagic      = 0xF2
+	plainHeaderSize  = 1 + 8
+	sealedHeaderSize = 2 + 12
+	sealOverhead     = sealedHeaderSize + 16
+	maxDatagram      = 256
 )
 
 // Compile-time check that a sealed datagram never exceeds 256 bytes.
-const _ = uint(maxDatagram - sealedRest - membership.MaxPlain)
+const _ = uint(maxDatagram - sealOverhead - membership.MaxPlain)
 
 // The reasons for dropping a datagram.
 var (
-	errCut      = errors.New("cut")
-	errLong     = errors.New("long")
-	errForeign  = errors.New("foreign")
-	errVersion  = errors.New("version")
-	errDamaged  = errors.New("damaged")
-	errKey      = errors.New("key")
-	errUnsealed = errors.New("unsealed")
-	errFull     = errors.New("queue_full")
-	errMessage  = errors.New("message") // malformed message of the layer above membership
+	errTruncated  = errors.New("cut")
+	errTooLong    = errors.New("long")
+	errForeign    = errors.New("foreign")
+	errVersion    = errors.New("version")
+	errDamaged    = errors.New("damaged")
+	errUnknownKey = errors.New("key")
+	errUnsealed   = errors.New("unsealed")
+	errQueueFull  = errors.New("queue_full")
+	errBadMessage = errors.New("message") // malformed message of the layer above membership
 )
 
-var openErrors = []error{errCut, errLong, errForeign, errVersion, errDamaged, errKey, errUnsealed, errFull,
-	errMessage}
+var dropErrors = []error{errTruncated, errTooLong, errForeign, errVersion, errDamaged, errUnknownKey, errUnsealed, errQueueFull,
+	errBadMessage}
 
 // key is a key for sealing and opening.
 type key struct {
-	print byte // selects keys before the costly decryption; two keys may share a fingerprint
-	gcm   cipher.AEAD
+	fingerprint byte // selects keys before the costly decryption; two keys may share a fingerprint
+	gcm         cipher.AEAD
 }
 
 // keyring holds the keys in use. If it is empty, datagrams are not sealed.
@@ -67,55 +67,55 @@
 	if err != nil {
 		return err
 	}
-	k.keys = append(k.keys, key{print: byte(xxhash.Sum64(append([]byte("print"), secret...))), gcm: gcm})
+	k.keys = append(k.keys, key{fingerprint: byte(xxhash.Sum64(append([]byte("print"), secret...))), gcm: gcm})
 	return nil
 }
 
 // seal returns the sealed datagram for a content.
 func (k *keyring) seal(content []byte) []byte {
 	if len(k.keys) == 0 {
-		b := make([]byte, plainHead, plainHead+len(content))
-		b[0] = plainForm
+		b := make([]byte, plainHeaderSize, plainHeaderSize+len(content))
+		b[0] = plainMagic
 		binary.LittleEndian.PutUint64(b[1:], xxhash.Sum64(content))
 		return append(b, content...)
 	}
 	first := &k.keys[0]
-	b := make([]byte, sealedHead, sealedRest+len(content))
-	b[0], b[1] = sealedForm, first.print
-	_, _ = rand.Read(b[2:sealedHead]) // crypto/rand's Read never fails
-	return first.gcm.Seal(b, b[2:sealedHead], content, b[:2])
+	b := make([]byte, sealedHeaderSize, sealOverhead+len(content))
+	b[0], b[1] = sealedMagic, first.fingerprint
+	_, _ = rand.Read(b[2:sealedHeaderSize]) // crypto/rand's Read never fails
+	return first.gcm.Seal(b, b[2:sealedHeaderSize], content, b[:2])
 }
 
 // open verifies a datagram and returns its content.
 func (k *keyring) open(b []byte) ([]byte, error) {
 	switch {
 	case len(b) == 0:
-		return nil, errCut
+		return nil, errTruncated
 	case len(b) > maxDatagram:
-		return nil, errLong
-	case b[0]&family != family:
+		return nil, errTooLong
+	case b[0]&protocolBits != protocolBits:
 		return nil, errForeign
-	case b[0] != plainForm && b[0] != sealedForm:
+	case b[0] != plainMagic && b[0] != sealedMagic:
 		return nil, errVersion
-	case b[0] == plainForm && len(k.keys) > 0:
+	case b[0] == plainMagic && len(k.keys) > 0:
 		return nil, errUnsealed
-	case b[0] == plainForm:
-		if len(b) <= plainHead {
-			return nil, errCut
+	case b[0] == plainMagic:
+		if len(b) <= plainHeaderSize {
+			return nil, errTruncated
 		}
-		if xxhash.Sum64(b[plainHead:]) != binary.LittleEndian.Uint64(b[1:]) {
+		if xxhash.Sum64(b[plainHeaderSize:]) != binary.LittleEndian.Uint64(b[1:]) {
 			return nil, errDamaged
 		}
-		return b[plainHead:], nil
-	case len(b) <= sealedRest:
-		return nil, errCut
+		return b[plainHeaderSize:], nil
+	case len(b) <= sealOverhead:
+		return nil, errTruncated
 	}
-	err := errKey
+	err := errUnknownKey
 	for i := range k.keys {
-		if k.keys[i].print != b[1] {
+		if k.keys[i].fingerprint != b[1] {
 			continue
 		}
-		content, oerr := k.keys[i].gcm.Open(nil, b[2:sealedHead], b[sealedHead:], b[:2])
+		content, oerr := k.keys[i].gcm.Open(nil, b[2:sealedHeaderSize], b[sealedHeaderSize:], b[:2])
 		if oerr == nil {
 			return content, nil
 		}
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -21,25 +21,25 @@
 
 // ApplyFunc enforces a verdict in this process, or stops enforcing it. It returns once that is done, or false
 // if the process ends first.
-type Apply func(verdict.Change) bool
+type ApplyFunc func(verdict.Change) bool
 
 // Handover is the state that the successor process of this member needs.
 type Handover struct {
-	View     membership.Snapshot `json:"view"`
-	Verdicts []verdict.Saved     `json:"verdicts"`
-	Lent     map[string]Handed   `json:"lent"` // by limit name
-	Tenure   *quota.Held         `json:"tenure,omitempty"`
+	View     membership.Snapshot      `json:"view"`
+	Verdicts []verdict.Saved          `json:"verdicts"`
+	Limits   map[string]LimitHandover `json:"lent"` // by limit name
+	Leases   *quota.Held              `json:"tenure,omitempty"`
 }
 
 // Verdicts is the body of GET /admin/verdicts.
 type Verdicts struct {
-	Verdicts []VerdictStatus `json:"verdicts"`
-	Told     bool            `json:"told"` // this process has received the verdicts that other members knew
-	Seen     []SeenStatus    `json:"seen"` // this member's own observations of nodes that may be sick
+	Verdicts []VerdictStatus  `json:"verdicts"`
+	Synced   bool             `json:"told"` // this process has received the verdicts that other members knew
+	Evidence []EvidenceStatus `json:"seen"` // this member's own observations of nodes that may be sick
 }
 
 // EvidenceStatus is this member's observations of one data node.
-type SeenStatus struct {
+type EvidenceStatus struct {
 	Node    string `json:"node"`
 	Good    int    `json:"good"` // attempts served in time since the first bad one
 	Bad     int    `json:"bad"`  // attempts that failed
@@ -60,25 +60,25 @@
 }
 
 // verdictStore is the verdict table with its exchange between members. Only the owner goroutine uses it.
-type keeper struct {
+type verdictStore struct {
 	*verdict.Spreader
-	tickAt  membership.Micros
-	pending []verdict.Change
+	nextTickAt membership.Micros
+	pending    []verdict.Change
 }
 
 // maxPending is the capacity of the queue of changes to the core; further ones wait in verdictStore.pending.
-const mostPending = 64
+const maxPending = 64
 
 // applyLoop enforces changes one after the other.
-func (f *Fleet) apply() {
+func (f *Fleet) applyLoop() {
 	for {
 		select {
 		case c := <-f.toApply:
 			if f.host.Load().Carry != nil && !f.host.Load().Carry(c) {
 				return
 			}
-			f.call(func(*membership.View) {
-				f.keep.Applied(c.Verdict)
+			f.postToOwner(func(*membership.View) {
+				f.store.Applied(c.Verdict)
 			}, time.Hour)
 		case <-f.closed:
 			return
@@ -88,11 +88,11 @@
 
 // postToOwner hands a function to the owner goroutine and waits until it is accepted. It returns false if the
 // fleet is closed or the function is not accepted within the given time.
-func (f *Fleet) call(do func(*membership.View), within time.Duration) bool {
+func (f *Fleet) postToOwner(do func(*membership.View), within time.Duration) bool {
 	late := time.NewTimer(within)
 	defer late.Stop()
 	select {
-	case f.calls <- do:
+	case f.ownerCalls <- do:
 		return true
 	case <-f.closed:
 	case <-late.C:
@@ -101,10 +101,10 @@
 }
 
 // tick runs the periodic work of verdicts, limits, evidence and overload, and sends verdict messages.
-func (f *Fleet) tend(v *membership.View) {
-	k := &f.keep
-	if now := f.now(); v.Joined() && now >= k.tickAt {
-		k.tickAt = now + f.cfg.Period().Microseconds()
+func (f *Fleet) tick(v *membership.View) {
+	k := &f.store
+	if now := f.now(); v.Joined() && now >= k.nextTickAt {
+		k.nextTickAt = now + f.cfg.Period().Microseconds()
 		var peers []verdict.Peer
 		var names []string
 		self := v.Self().Name
@@ -115,14 +115,14 @@
 			}
 		}
 		k.Tick(now, peers)
-		f.tendLimits(v, now, names)
-		f.tendJury(v, now)
-		f.tendOverload(v, now, names)
+		f.tickLimits(v, now, names)
+		f.tickJury(v, now)
+		f.tickOverload(v, now, names)
 	}
 	sends, changes := k.Take()
 	for _, c := range changes {
-		f.acquit(c)
-		if !f.concerns(&c.Verdict) { // there is nothing to enforce
+		f.clearEvidence(c)
+		if !f.appliesHere(&c.Verdict) { // there is nothing to enforce
 			k.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
@@ -133,10 +133,10 @@
 	}
 	more, _ := k.Take()
 	for _, s := range append(sends, more...) {
-		v.SendApp(s.To, toVerdict, s.Data)
+		v.SendApp(s.To, kindVerdict, s.Data)
 	}
 	for _, c := range changes {
-		if f.concerns(&c.Verdict) {
+		if f.appliesHere(&c.Verdict) {
 			k.pending = append(k.pending, c)
 		}
 	}
@@ -153,26 +153,26 @@
 }
 
 // receiveVerdict handles another member's verdict message.
-func (f *Fleet) hearVerdict(h membership.AppMessage) {
-	if !f.keep.Receive(f.now(), h.From, h.Data) {
-		f.drop(errMessage)
+func (f *Fleet) receiveVerdict(h membership.AppMessage) {
+	if !f.store.Receive(f.now(), h.From, h.Data) {
+		f.countDrop(errBadMessage)
 	}
 }
 
 // publishVerdicts stores the verdicts for the admin endpoint.
-func (f *Fleet) showVerdicts(alive []string) {
+func (f *Fleet) publishVerdicts(alive []string) {
 	now, wall := f.now(), time.Now().UnixMilli()
-	out := &Verdicts{Verdicts: []VerdictStatus{}, Told: f.keep.Told()}
-	for _, l := range f.keep.Lines(now) {
+	out := &Verdicts{Verdicts: []VerdictStatus{}, Synced: f.store.Told()}
+	for _, l := range f.store.Lines(now) {
 		if l.Kind == verdict.Setting {
 			continue
 		}
-		out.Verdicts = append(out.Verdicts, f.status(l, alive, wall))
+		out.Verdicts = append(out.Verdicts, f.verdictStatus(l, alive, wall))
 	}
 	f.verdicts.Store(out)
 }
 
-func (f *Fleet) status(l verdict.Line, alive []string, wall int64) VerdictStatus {
+func (f *Fleet) verdictStatus(l verdict.Line, alive []string, wall int64) VerdictStatus {
 	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.Held,
 		AtMS: wall - l.Age/1000, Missing: []string{}}
 	if s.Held == nil {
@@ -193,12 +193,12 @@
 // Verdicts returns the verdicts that the admin endpoint shows.
 func (f *Fleet) Verdicts() *Verdicts {
 	v := *f.verdicts.Load()
-	v.Seen = f.seen()
+	v.Evidence = f.evidenceStatus()
 	return &v
 }
 
 // VerdictsSynced reports whether this process has received the verdicts that other members knew.
-func (f *Fleet) Told() bool { return f.verdicts.Load().Told }
+func (f *Fleet) Told() bool { return f.verdicts.Load().Synced }
 
 // IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
 // alive members, for which it waits no longer than wait.
@@ -207,21 +207,21 @@
 	var given verdict.Verdict
 	var err error
 	done := make(chan struct{})
-	if !f.call(func(*membership.View) {
+	if !f.postToOwner(func(*membership.View) {
 		defer close(done)
 		if !v.On {
 			var ill []verdict.Verdict
 			if v.Kind == verdict.Node {
-				ill = f.pardon(&v)
+				ill = f.liftEvidence(&v)
 			}
-			if l, ok := f.keep.Line(f.now(), v.Kind, v.What); !ok || !l.On {
+			if l, ok := f.store.Line(f.now(), v.Kind, v.What); !ok || !l.On {
 				if err = ErrNothing; len(ill) > 0 { // there were only verdicts by evidence, now revoked
 					given, err = ill[0], nil
 				}
 				return
 			}
 		}
-		given, err = f.keep.Say(f.now(), time.Now().UnixMilli(), v)
+		given, err = f.store.Say(f.now(), time.Now().UnixMilli(), v)
 	}, within) {
 		return VerdictStatus{}, ErrLate
 	}
@@ -232,11 +232,11 @@
 	for {
 		var s VerdictStatus
 		looked := make(chan struct{})
-		if !f.call(func(*membership.View) {
+		if !f.postToOwner(func(*membership.View) {
 			defer close(looked)
-			l, ok := f.keep.Line(f.now(), given.Kind, given.What)
+			l, ok := f.store.Line(f.now(), given.Kind, given.What)
 			if ok && l.Stamp == given.Stamp && l.Member == given.Member {
-				s = f.status(l, *f.alive.Load(), time.Now().UnixMilli())
+				s = f.verdictStatus(l, *f.aliveOthers.Load(), time.Now().UnixMilli())
 			} else { // a newer verdict has replaced it
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
@@ -257,10 +257,10 @@
 }
 
 // liftEvidence revokes a node's verdicts by evidence on an operator's call, and returns the revocations.
-func (f *Fleet) pardon(v *verdict.Verdict) (given []verdict.Verdict) {
-	for _, x := range f.keep.Evidence(f.now(), v.What) {
+func (f *Fleet) liftEvidence(v *verdict.Verdict) (given []verdict.Verdict) {
+	for _, x := range f.store.Evidence(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
-		if x, err := f.keep.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
+		if x, err := f.store.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
 			given = append(given, x)
 		}
 	}
