--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -79,8 +79,8 @@
 	Rejections             int64            `json:"turned_down"`
 	ModuleMessagesSent     int64            `json:"module_messages_sent"`
 	ModuleMessagesReceived int64            `json:"module_messages_received"`
-	EvidenceVerdicts       int64            `json:"sick_given"`      // verdicts by evidence that this member issued
-	EvidenceWithheld       int64            `json:"sick_held_back"`  // withheld as enough were out (per period)
+	EvidenceVerdicts       int64            `json:"sick_given"`      // verdicts by evidence issued here
+	EvidenceWithheld       int64            `json:"sick_held_back"`  // withheld as enough were out (each period)
 	SettingsDiffer         []string         `json:"settings_differ"` // alive members with another settings stamp
 	Conflict               string           `json:"conflict,omitempty"`
 	CrashDetectedMS        int64            `json:"crash_known_within_ms"`
@@ -535,9 +535,9 @@
 	s.Stats = Stats{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
 		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.ProbesFailed, Votes: g.Votes,
 		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, Rejections: g.Rejections,
-		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(), EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld,
-		SettingsDiffer: differ, CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period,
-		SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
+		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(),
+		EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld, SettingsDiffer: differ,
+		CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period, SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
 			"left": membership.ForgetLeft * period, "dead": membership.ForgetDead * period}}
 	if c := v.Conflict(); c != nil {
 		s.Stats.Conflict = c.Addr.String()
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -54,7 +54,8 @@
 		c.Size() != 2 || c.Place() != 0 {
 		t.Fatalf("%+v", c)
 	}
-	other, err := Load(writeFile(t, dir, "other.toml", strings.Replace(validSettings, `"b1"]`, `"b1", "c1"]`, 1)))
+	other, err := Load(writeFile(t, dir, "other.toml",
+		strings.Replace(validSettings, `"b1"]`, `"b1", "c1"]`, 1)))
 	if err != nil || other.view.Stamp == c.view.Stamp {
 		t.Fatal("different rosters have the same stamp", err)
 	}
@@ -138,7 +139,8 @@
 		{"same key", first, sealed, nil}, {"second key", both, sealed, nil}, {"no key", plain, open, nil},
 		{"other key", second, sealed, errUnknownKey}, {"none of ours", plain, sealed, errUnknownKey},
 		{"unsealed", first, open, errUnsealed}, {"long", plain, append(bytes.Clone(sealed), 'x'), errTooLong},
-		{"empty", first, nil, errTruncated}, {"cut", first, sealed[:20], errTruncated}, {"cut plain", plain, open[:9], errTruncated},
+		{"empty", first, nil, errTruncated}, {"truncated", first, sealed[:20], errTruncated},
+		{"truncated plain", plain, open[:9], errTruncated},
 		{"a bit", first, flip(sealed, 100), errDamaged}, {"nonce", first, flip(sealed, 5), errDamaged},
 		{"the end is gone", first, sealed[:len(sealed)-1], errDamaged},
 		{"plain bit", plain, flip(open, 40), errDamaged},
@@ -196,8 +198,8 @@
 	}
 	defer s.Close()
 	plain := &keyring{}
-	for _, b := range [][]byte{[]byte("module's"), {0xF9, 1}, newKeyring(t, newKey()).seal([]byte("x")), {0xF1, 2},
-		plain.seal([]byte("no message of ours")), make([]byte, 300)} {
+	for _, b := range [][]byte{[]byte("module's"), {0xF9, 1}, newKeyring(t, newKey()).seal([]byte("x")),
+		{0xF1, 2}, plain.seal([]byte("no message of ours")), make([]byte, 300)} {
 		_, _ = s.Write(b)
 	}
 	for _, why := range []string{"foreign", "version", "key", "cut", "malformed", "long"} {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -169,7 +169,8 @@
 			l.keys = quota.NewKeys(q, f.cfg.Size(), period, seed, now)
 			l.state = l.keys
 		case l.conf.Concurrent > 0:
-			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.rosterIndexOrNone(), period, int64(l.conf.LongestMS)*1000, seed, now)
+			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.rosterIndexOrNone(), period,
+				int64(l.conf.LongestMS)*1000, seed, now)
 			l.state = l.slots
 		default:
 			l.share = quota.NewShare(q, f.cfg.Size(), period, seed, now)
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -46,7 +46,8 @@
 		return true, 0
 	}
 	for _, name := range []string{class, class + "/" + tenant[:min(len(tenant), maxTenantLen)]} {
-		if _, known := s.shedCounts[name]; (known || len(s.shedCounts) < maxShedNames) && (tenant != "" || name == class) {
+		if _, known := s.shedCounts[name]; (known || len(s.shedCounts) < maxShedNames) &&
+			(tenant != "" || name == class) {
 			s.shedCounts[name]++
 		}
 	}
--- a/internal/fleet/seal.go
+++ b/internal/fleet/seal.go
@@ -46,8 +46,8 @@
 	errBadMessage = errors.New("message") // malformed message of the layer above membership
 )
 
-var dropErrors = []error{errTruncated, errTooLong, errForeign, errVersion, errDamaged, errUnknownKey, errUnsealed, errQueueFull,
-	errBadMessage}
+var dropErrors = []error{errTruncated, errTooLong, errForeign, errVersion, errDamaged, errUnknownKey,
+	errUnsealed, errQueueFull, errBadMessage}
 
 // key is a key for sealing and opening.
 type key struct {
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -32,7 +32,8 @@
 		c.members = append(c.members, &x)
 		c.byBirth[x.birth] = &x
 	}
-	c.probeOrder, c.probes, c.watches = slices.Clone(v.probeOrder), slices.Clone(v.probes), slices.Clone(v.watches)
+	c.probeOrder, c.probes, c.watches = slices.Clone(v.probeOrder), slices.Clone(v.probes),
+		slices.Clone(v.watches)
 	c.candidates = slices.Clone(v.candidates)
 	c.updates.bySends = make([][]queuedUpdate, len(v.updates.bySends))
 	for i := range v.updates.bySends {
@@ -143,11 +144,11 @@
 			continue
 		}
 		put(v.self.birth, uint64(v.self.inc), uint64(v.slot), bit(v.joining), bit(v.left), uint64(v.health),
-			uint64(min(v.now-v.digestChangedAt, 4*checkPeriod)), uint64(max(v.nextSyncAt-v.now, 0)), uint64(v.syncBudget),
-			bit(v.claim != nil))
+			uint64(min(v.now-v.digestChangedAt, 4*checkPeriod)), uint64(max(v.nextSyncAt-v.now, 0)),
+			uint64(v.syncBudget), bit(v.claim != nil))
 		for _, m := range v.members {
-			put(m.birth, uint64(m.inc), uint64(m.state), bit(m.suspect), bit(m.knowsUs), bit(m.notified), uint64(len(m.votes)),
-				bit(v.now-m.lastAckedProbe < checkPeriod))
+			put(m.birth, uint64(m.inc), uint64(m.state), bit(m.suspect), bit(m.knowsUs), bit(m.notified),
+				uint64(len(m.votes)), bit(v.now-m.lastAckedProbe < checkPeriod))
 			for _, x := range m.votes {
 				put(uint64(x))
 			}
@@ -277,7 +278,8 @@
 
 // convergedWorld returns a world whose members all see one another.
 func convergedWorld(t testing.TB, members int, equal bool) *world {
-	w := &world{now: 1_000_000, views: make([]*View, members), birthIndex: map[uint64]int{}, ended: map[uint64]bool{}}
+	w := &world{now: 1_000_000, views: make([]*View, members), birthIndex: map[uint64]int{},
+		ended: map[uint64]bool{}}
 	for i := range w.views {
 		w.start(t, i, equal)
 	}
@@ -350,7 +352,9 @@
 						c.slotsLeft--
 						c.isolations++
 						c.tick()
-						c.inFlight = slices.DeleteFunc(c.inFlight, func(f inFlightDatagram) bool { return f.from == i || f.to == i })
+						c.inFlight = slices.DeleteFunc(c.inFlight, func(f inFlightDatagram) bool {
+							return f.from == i || f.to == i
+						})
 						return true
 					})
 				}
@@ -406,8 +410,10 @@
 			states: bound(20_000, 3_000_000)}},
 		{"every order", search{slots: bound(2, 4), anyOrder: true, losses: 1, crashes: 1, starts: 1,
 			states: bound(20_000, 3_000_000)}},
-		{"a member cut off", search{slots: bound(14, 45), isolations: bound(6, 24), states: bound(12_000, 2_000_000)}},
-		{"swaps", search{slots: bound(18, 45), reorderings: 2, losses: bound(1, 2), states: bound(20_000, 2_000_000)}},
+		{"a member isolated", search{slots: bound(14, 45), isolations: bound(6, 24),
+			states: bound(12_000, 2_000_000)}},
+		{"reorderings", search{slots: bound(18, 45), reorderings: 2, losses: bound(1, 2),
+			states: bound(20_000, 2_000_000)}},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -210,16 +210,17 @@
 }
 
 // startWatch starts to watch a member that has been silent since the given time.
-func (v *View) startWatch(m *member, since Micros, agree bool) {
+func (v *View) startWatch(m *member, since Micros, verifyOnly bool) {
 	if w := v.findWatch(m.birth); w != nil {
-		w.verifyOnly = w.verifyOnly && agree
+		w.verifyOnly = w.verifyOnly && verifyOnly
 		return
 	}
-	if m.state != Alive || len(v.watches) >= maxWatches || !agree && len(v.watches) >= maxOwnWatches {
+	if m.state != Alive || len(v.watches) >= maxWatches || !verifyOnly && len(v.watches) >= maxOwnWatches {
 		return
 	}
 	v.countsValid = false
-	v.watches = append(v.watches, watch{birth: m.birth, since: since, verifyOnly: agree, helperTurn: v.randN(1 << 16)})
+	v.watches = append(v.watches, watch{birth: m.birth, since: since, verifyOnly: verifyOnly,
+		helperTurn: v.randN(1 << 16)})
 	v.sendWatchProbes(&v.watches[len(v.watches)-1])
 }
 
@@ -256,7 +257,8 @@
 			v.updates.add(entry{record: m.record, typ: typeSuspect})
 			v.notifyWatchers(m)
 		}
-		if !w.voted && silent >= v.scaleByHealth(SilencePeriods(quorum)) && w.probesSent >= minProbesPerPeriod*int(SilencePeriods(quorum)) {
+		if !w.voted && silent >= v.scaleByHealth(SilencePeriods(quorum)) &&
+			w.probesSent >= minProbesPerPeriod*int(SilencePeriods(quorum)) {
 			w.voted = true
 			v.stats.Votes++
 			e := entry{record: m.record, typ: typeVote, votes: []uint32{uint32(v.self.birth & voterMask)}}
@@ -271,7 +273,8 @@
 			v.notifyWatchers(m)
 		}
 	}
-	if len(m.votes) >= quorum && (w.voted || silent >= v.scaleByHealth(1) && w.probesSent >= minProbesPerPeriod) {
+	if len(m.votes) >= quorum &&
+		(w.voted || silent >= v.scaleByHealth(1) && w.probesSent >= minProbesPerPeriod) {
 		v.declareDead(m)
 	}
 }
@@ -497,8 +500,12 @@
 
 // expire drops old probes, candidates, and members that died or left long ago.
 func (v *View) expire() {
-	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool { return v.now-p.sentAt > probeRetention*v.cfg.Period })
-	v.candidates = slices.DeleteFunc(v.candidates, func(k candidate) bool { return v.now-k.at > 2*v.cfg.Period })
+	v.probes = slices.DeleteFunc(v.probes, func(p probe) bool {
+		return v.now-p.sentAt > probeRetention*v.cfg.Period
+	})
+	v.candidates = slices.DeleteFunc(v.candidates, func(c candidate) bool {
+		return v.now-c.at > 2*v.cfg.Period
+	})
 	for i := len(v.members) - 1; i >= 0; i-- {
 		m := v.members[i]
 		if m.state != Alive && v.now-m.endedAt >= v.retention(m.state) {
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -96,7 +96,8 @@
 
 // senderRecord returns the sender's own record, if the datagram starts with it.
 func (m *message) senderRecord(h header) (record, bool) {
-	if len(m.entries) > 0 && m.entries[0].full && m.entries[0].birth == h.birth && m.entries[0].typ == typeAlive {
+	if len(m.entries) > 0 && m.entries[0].full && m.entries[0].birth == h.birth &&
+		m.entries[0].typ == typeAlive {
 		r := m.entries[0].record
 		r.inc = h.inc
 		return r, true
@@ -171,7 +172,8 @@
 	case kindRejected:
 		v.stats.Rejections++
 	case kindApp:
-		v.appMessages = append(v.appMessages, AppMessage{From: m.name, Kind: msg.appKind, Data: slices.Clone(msg.data)})
+		v.appMessages = append(v.appMessages, AppMessage{From: m.name, Kind: msg.appKind,
+			Data: slices.Clone(msg.data)})
 	}
 }
 
@@ -548,7 +550,7 @@
 				m.votes = e.votes
 			}
 		}
-	case e.newerThan(&old.record): // the ended process supersedes the running one, which must supersede it in turn
+	case e.newerThan(&old.record): // the ended process ranks above the running one, which must supersede it
 		b, _ := appendEntry(v.newMessage(kindUpdates), e)
 		v.sendTo(old, b, false)
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -8,7 +8,7 @@
 const (
 	treeDepth         = 8  // nibbles of a tree key
 	maxLeafRecords    = 8  // a tree node with at most this many records is sent without descending further
-	fullSyncThreshold = 12 // if at least this many of the 16 sums at the root differ, all records are sent in short form
+	fullSyncThreshold = 12 // if this many of the 16 sums at the root differ, all records are sent in short form
 )
 
 // compareDigest starts a sync with a member whose digest differs, unless updates are still being spread.
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -44,7 +44,7 @@
 	maxVotes          = 3  // upper bound of the quorum for a death
 	maxOwnWatches     = 8  // concurrent watches started by this member's own failed probes
 	maxWatches        = 24 // concurrent watches including those that verify others' votes
-	maxWatchDatagrams = 72 // datagrams per period for all watches, so that suspicion does not become a load of its own
+	maxWatchDatagrams = 72 // datagrams per period for all watches, to keep suspicions from becoming a load
 	maxHealth         = 8
 	retransmitFactor  = 3  // each update is sent this many times log2(n+1) times
 	maxSyncDatagrams  = 32 // anti-entropy datagrams per period
@@ -52,7 +52,7 @@
 	joinFanout        = 3  // addresses contacted per period while joining
 	claimPeriods      = 6  // periods to wait for another process with this member's name to answer
 	joinPeriods       = 5  // periods after which a member that gets no answer starts alone
-	ageTolerance      = 2  // periods; if two processes with one name started this close together, the births decide
+	ageTolerance      = 2  // periods; if two processes with one name started closer together, the births decide
 
 	// ForgetLeft and ForgetDead are the periods after which members that left or died are forgotten.
 	ForgetLeft = 1_500
@@ -92,7 +92,7 @@
 	Suspicion        bool // a failed probe declares the member dead at once
 	Health           bool // ignores this process's own slowness and stalls
 	Sync             bool // disables anti-entropy
-	ReuseIncarnation bool // deliberate fault for the model checker: a refutation reuses the incarnation it refutes
+	ReuseIncarnation bool // deliberate fault for model checking: a refutation reuses the refuted incarnation
 }
 
 // Member is one member as this view sees it.
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -499,7 +499,8 @@
 	}
 	v.Tick(0)
 	for i := range n - 1 {
-		v.setRecord(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2), inc: 1}, 0)
+		v.setRecord(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2),
+			inc: 1}, 0)
 	}
 	return v
 }
