--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -537,7 +537,8 @@
 		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, Rejections: g.Rejections,
 		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(),
 		EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld, SettingsDiffer: differ,
-		CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period, SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
+		CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period, SettledMS: settlePeriods * period,
+		ForgottenMS: map[string]int64{
 			"left": membership.ForgetLeft * period, "dead": membership.ForgetDead * period}}
 	if c := v.Conflict(); c != nil {
 		s.Stats.Conflict = c.Addr.String()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -224,7 +224,7 @@
 	sentAt       Micros
 	scheduled    bool   // scheduled probe: its failure counts
 	grace        Micros // time by which this process itself has been late since
-	helpersAsked int    // helpers asked
+	helpersAsked int
 	nacks        int    // helpers that could not reach the member either
 	requester    uint64 // member that requested this probe; 0: this one
 	requestID    uint32 // ID of that request
@@ -236,7 +236,7 @@
 	since      Micros // start of the silence
 	verifyOnly bool   // started by others' votes: it only verifies them
 	voted      bool
-	probesSent int // probes sent so far
+	probesSent int
 	helperTurn int // position in the rotation over helpers
 }
 
@@ -261,7 +261,7 @@
 	self       record
 	startedAt  Micros
 	now        Micros
-	nextSlotAt Micros // start of the next slot
+	nextSlotAt Micros
 	slot       int
 	seq        uint64
 	members    []*member // sorted by name
@@ -277,7 +277,7 @@
 	aliveCount   int
 	trustedCount int
 
-	digestChangedAt Micros // time of the last digest change
+	digestChangedAt Micros
 	nextSyncAt      Micros
 	lastSyncAt      Micros
 	syncBudget      int
