--- a/internal/datagram/reader.go
+++ b/internal/datagram/reader.go
@@ -35,9 +35,9 @@
 func (r *Reader) U64() uint64 { return binary.LittleEndian.Uint64(r.Take(8)) }
 
 // Text reads a string that follows its length in one byte. A length above most sets Bad.
-func (r *Reader) Text(most int) string {
+func (r *Reader) Text(maxLen int) string {
 	n := int(r.U8())
-	if n > most {
+	if n > maxLen {
 		r.Bad = true
 		return ""
 	}
--- a/internal/membership/claim.go
+++ b/internal/membership/claim.go
@@ -105,9 +105,9 @@
 		v.sendClaim(r.addr)
 		return
 	}
-	mine, theirs := v.agePeriods(), Micros(msg.inc)
+	ownAge, rivalAge := v.agePeriods(), Micros(msg.inc)
 	loser := r.birth
-	if theirs-mine >= ageTolerance {
+	if rivalAge-ownAge >= ageTolerance {
 		loser = v.self.birth
 		v.conflict.MustStop = true
 	} else if v.claim != nil {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -38,19 +38,19 @@
 
 // handleStall discards the silence observed so far, because this process itself was stopped. Suspicions that
 // it has already sent stand; the other members evaluate them.
-func (v *View) handleStall(gap Micros) {
+func (v *View) handleStall(late Micros) {
 	v.stats.Stalls++
 	if v.cfg.Ablate.Health {
 		return
 	}
-	v.health = min(maxHealth, v.health+int(gap/v.cfg.Period))
+	v.health = min(maxHealth, v.health+int(late/v.cfg.Period))
 	for i := range v.watches {
 		v.watches[i].since = v.now
 	}
 	for i := range v.probes {
 		v.probes[i].scheduled = false
 	}
-	if gap > ForgetLeft/2*v.cfg.Period { // the others may have forgotten members that are still known here
+	if late > ForgetLeft/2*v.cfg.Period { // the others may have forgotten members that are still known here
 		v.rejoin()
 	}
 }
@@ -156,8 +156,8 @@
 		}
 		if p.requester != 0 && p.nacks == 0 && v.now-p.sentAt >= v.cfg.Period*2/slotsPerPeriod {
 			p.nacks = 1
-			if o := v.byBirth[p.requester]; o != nil {
-				v.sendTo(o, v.newNumbered(kindNack, p.requestID), true)
+			if r := v.byBirth[p.requester]; r != nil {
+				v.sendTo(r, v.newNumbered(kindNack, p.requestID), true)
 			}
 		}
 	}
@@ -248,16 +248,16 @@
 
 // evaluateWatch suspects, votes against or declares dead a watched member, by the length of its silence.
 func (v *View) evaluateWatch(w *watch, m *member) {
-	silent := v.now - max(w.since, m.lastAckedProbe)
+	silence := v.now - max(w.since, m.lastAckedProbe)
 	_, trusted := v.liveCounts()
 	quorum := Quorum(trusted)
 	if !w.verifyOnly {
-		if silent >= v.scaleByHealth(2) && !m.suspect {
+		if silence >= v.scaleByHealth(2) && !m.suspect {
 			v.setSuspect(m, true)
 			v.updates.add(entry{record: m.record, typ: typeSuspect})
 			v.notifyWatchers(m)
 		}
-		if !w.voted && silent >= v.scaleByHealth(SilencePeriods(quorum)) &&
+		if !w.voted && silence >= v.scaleByHealth(SilencePeriods(quorum)) &&
 			w.probesSent >= minProbesPerPeriod*int(SilencePeriods(quorum)) {
 			w.voted = true
 			v.stats.Votes++
@@ -274,7 +274,7 @@
 		}
 	}
 	if len(m.votes) >= quorum &&
-		(w.voted || silent >= v.scaleByHealth(1) && w.probesSent >= minProbesPerPeriod) {
+		(w.voted || silence >= v.scaleByHealth(1) && w.probesSent >= minProbesPerPeriod) {
 		v.declareDead(m)
 	}
 }
@@ -296,18 +296,18 @@
 }
 
 // addVote records a vote of a known alive member. It returns false if the vote is not new or does not count.
-func (v *View) addVote(m *member, by uint32) bool {
-	if m.state != Alive || slices.Contains(m.votes, by) || len(m.votes) >= maxVotes {
+func (v *View) addVote(m *member, voter uint32) bool {
+	if m.state != Alive || slices.Contains(m.votes, voter) || len(m.votes) >= maxVotes {
 		return false
 	}
-	known := by == uint32(v.self.birth&voterMask)
+	known := voter == uint32(v.self.birth&voterMask)
 	for _, x := range v.members {
-		known = known || x.state == Alive && uint32(x.birth&voterMask) == by && x != m
+		known = known || x.state == Alive && uint32(x.birth&voterMask) == voter && x != m
 	}
 	if !known {
 		return false
 	}
-	m.votes = append(m.votes, by)
+	m.votes = append(m.votes, voter)
 	v.setSuspect(m, true)
 	v.countVotes(m)
 	return true
@@ -318,8 +318,8 @@
 // quorum, because it sees more members, would otherwise lack that vote.
 func (v *View) declareDead(m *member) {
 	votes, r := m.votes, m.record
-	if by := uint32(v.self.birth & voterMask); !slices.Contains(votes, by) && len(votes) < maxVotes {
-		votes = append(slices.Clip(votes), by)
+	if voter := uint32(v.self.birth & voterMask); !slices.Contains(votes, voter) && len(votes) < maxVotes {
+		votes = append(slices.Clip(votes), voter)
 	}
 	r.state = Dead
 	if m = v.setRecord(r, v.now); m == nil {
@@ -352,19 +352,20 @@
 	}
 }
 
-// randomMembers returns up to n random members that are alive, not suspect and not watched.
-func (v *View) randomMembers(n int, but uint64) []*member {
-	var all []*member
+// randomMembers returns up to n random members that are alive, neither suspect nor watched, and not the one
+// with the birth except.
+func (v *View) randomMembers(n int, except uint64) []*member {
+	var eligible []*member
 	for _, m := range v.members {
-		if m.state == Alive && !m.suspect && m.birth != but && v.findWatch(m.birth) == nil {
-			all = append(all, m)
+		if m.state == Alive && !m.suspect && m.birth != except && v.findWatch(m.birth) == nil {
+			eligible = append(eligible, m)
 		}
 	}
-	for i := 0; i < min(n, len(all)); i++ {
-		j := i + v.randN(len(all)-i)
-		all[i], all[j] = all[j], all[i]
+	for i := 0; i < min(n, len(eligible)); i++ {
+		j := i + v.randN(len(eligible)-i)
+		eligible[i], eligible[j] = eligible[j], eligible[i]
 	}
-	return all[:min(n, len(all))]
+	return eligible[:min(n, len(eligible))]
 }
 
 // watchersOf returns the members that rank first for a subject.
@@ -374,14 +375,14 @@
 		if m.state != Alive || m.suspect || m == s || v.findWatch(m.birth) != nil {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, rendezvousRank(s.birth, m.birth), func(x *member, r uint64) int {
+		i, _ := slices.BinarySearchFunc(best, rendezvousRank(s.birth, m.birth), func(x *member, r uint64) int {
 			if rendezvousRank(s.birth, x.birth) > r {
 				return -1
 			}
 			return 1
 		})
-		if at < watchersPerMember {
-			best = slices.Insert(best, at, m)
+		if i < watchersPerMember {
+			best = slices.Insert(best, i, m)
 			best = best[:min(len(best), watchersPerMember)]
 		}
 	}
@@ -429,9 +430,9 @@
 
 // ping probes a member. An accused member is sent the accusation, and a member that may not know this one is
 // sent this member's record.
-func (v *View) ping(m *member, round bool) uint32 {
+func (v *View) ping(m *member, scheduled bool) uint32 {
 	id := uint32(v.rng.Uint64())
-	v.trackProbe(probe{id: id, birth: m.birth, sentAt: v.now, scheduled: round})
+	v.trackProbe(probe{id: id, birth: m.birth, sentAt: v.now, scheduled: scheduled})
 	v.sendTo(m, v.pingMessage(id, m, v.isAccused(m)), true)
 	return id
 }
@@ -468,15 +469,15 @@
 
 // askHelpers asks some members to probe another one, and returns how many it asked: first the helper that
 // last reached it, then others in rotation, so that eventually every member is asked.
-func (v *View) askHelpers(id uint32, m *member, turn int) int {
-	var can []*member
+func (v *View) askHelpers(id uint32, m *member, offset int) int {
+	var eligible []*member
 	for _, x := range v.members {
 		if x.state == Alive && !x.suspect && x != m && v.findWatch(x.birth) == nil {
-			can = append(can, x)
+			eligible = append(eligible, x)
 		}
 	}
-	n := min(maxHelpers, len(can))
-	ask := func(x *member) {
+	n := min(maxHelpers, len(eligible))
+	sendRequest := func(x *member) {
 		b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPingReq, id), m.birth)
 		inc := uint32(0)
 		if v.isAccused(m) {
@@ -485,13 +486,13 @@
 		v.sendTo(x, binary.LittleEndian.AppendUint32(b, inc), true)
 	}
 	asked := 0
-	if x := v.byBirth[m.lastHelper]; x != nil && slices.Contains(can, x) {
-		ask(x)
+	if x := v.byBirth[m.lastHelper]; x != nil && slices.Contains(eligible, x) {
+		sendRequest(x)
 		asked++
 	}
-	for i := 0; asked < n && i < len(can); i++ {
-		if x := can[(turn+i)%len(can)]; x.birth != m.lastHelper {
-			ask(x)
+	for i := 0; asked < n && i < len(eligible); i++ {
+		if x := eligible[(offset+i)%len(eligible)]; x.birth != m.lastHelper {
+			sendRequest(x)
 			asked++
 		}
 	}
@@ -615,14 +616,14 @@
 	if !v.left {
 		return v.joining
 	}
-	heard, all := 0, 0
+	acked, alive := 0, 0
 	for _, m := range v.members {
 		if m.state == Alive {
-			all++
+			alive++
 			if m.lastAckedProbe >= v.leftAt {
-				heard++
+				acked++
 			}
 		}
 	}
-	return heard >= min(3, all)
+	return acked >= min(3, alive)
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -13,7 +13,7 @@
 	maxIncarnation = 1 << 31 // far above any incarnation that occurs in practice
 )
 
-func (v *View) drop(why DropReason) { v.stats.Dropped[why]++ }
+func (v *View) drop(reason DropReason) { v.stats.Dropped[reason]++ }
 
 // Receive handles a datagram that has been unsealed.
 func (v *View) Receive(now Micros, data []byte) {
@@ -281,27 +281,27 @@
 		return
 	}
 	if r.inc == 0 || len(v.candidates) >= maxCandidates || v.joining ||
-		slices.ContainsFunc(v.candidates, func(k candidate) bool { return k.birth == r.birth && k.inc == r.inc }) {
+		slices.ContainsFunc(v.candidates, func(c candidate) bool { return c.birth == r.birth && c.inc == r.inc }) {
 		return
 	}
-	k := candidate{record: r, probeID: uint32(v.rng.Uint64()), at: v.now, seq: h.seq}
-	v.candidates = append(v.candidates, k)
-	b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPing, k.probeID), r.birth)
+	c := candidate{record: r, probeID: uint32(v.rng.Uint64()), at: v.now, seq: h.seq}
+	v.candidates = append(v.candidates, c)
+	b := binary.LittleEndian.AppendUint64(v.newNumbered(kindPing, c.probeID), r.birth)
 	b, _ = appendEntry(b, v.selfEntry())
 	v.send(v.route(r.name, r.addr), b, false)
 }
 
 // candidateAcked admits a candidate that has answered the probe of its address.
 func (v *View) candidateAcked(h header, id uint32) {
-	i := slices.IndexFunc(v.candidates, func(k candidate) bool { return k.probeID == id && k.birth == h.birth })
+	i := slices.IndexFunc(v.candidates, func(c candidate) bool { return c.probeID == id && c.birth == h.birth })
 	if i < 0 {
 		v.addressReused(h, id)
 		return
 	}
-	k := v.candidates[i]
+	c := v.candidates[i]
 	v.candidates = slices.Delete(v.candidates, i, i+1)
-	k.inc = max(k.inc, h.inc)
-	v.admit(k.record, h.seq)
+	c.inc = max(c.inc, h.inc)
+	v.admit(c.record, h.seq)
 }
 
 // admit adds a process whose address has been verified to the view.
@@ -370,9 +370,9 @@
 	}
 	v.probes = slices.Delete(v.probes, i, i+1)
 	if p.requester != 0 {
-		if o := v.byBirth[p.requester]; o != nil {
+		if requester := v.byBirth[p.requester]; requester != nil {
 			b := binary.LittleEndian.AppendUint64(v.newNumbered(kindIndirectAck, p.requestID), h.birth)
-			v.sendTo(o, binary.LittleEndian.AppendUint32(b, h.inc), true)
+			v.sendTo(requester, binary.LittleEndian.AppendUint32(b, h.inc), true)
 		}
 		return
 	}
@@ -397,54 +397,55 @@
 
 // probeOnBehalf probes a member at the request of another one.
 func (v *View) probeOnBehalf(m *member, msg message) {
-	s := v.byBirth[msg.birth]
-	if s == nil {
+	target := v.byBirth[msg.birth]
+	if target == nil {
 		v.sendTo(m, v.newNumbered(kindNack, msg.id), true)
 		return
 	}
-	p := probe{id: uint32(v.rng.Uint64()), birth: s.birth, sentAt: v.now, requester: m.birth, requestID: msg.id}
+	p := probe{id: uint32(v.rng.Uint64()), birth: target.birth, sentAt: v.now, requester: m.birth,
+		requestID: msg.id}
 	v.trackProbe(p)
-	b := v.pingMessage(p.id, s, v.isAccused(s))
-	if msg.inc > 0 && !v.isAccused(s) {
-		e := entry{record: s.record, typ: typeSuspect}
+	b := v.pingMessage(p.id, target, v.isAccused(target))
+	if msg.inc > 0 && !v.isAccused(target) {
+		e := entry{record: target.record, typ: typeSuspect}
 		e.inc = msg.inc
 		b, _ = appendEntry(b, e)
 	}
-	v.sendTo(s, b, true)
+	v.sendTo(target, b, true)
 }
 
 // handleIndirectAck handles a helper's report that its probe was answered.
-func (v *View) handleIndirectAck(by *member, msg message) {
+func (v *View) handleIndirectAck(helper *member, msg message) {
 	i := slices.IndexFunc(v.probes, func(p probe) bool { return p.id == msg.id && p.requester == 0 })
-	s := v.byBirth[msg.birth]
-	if i < 0 || s == nil || v.probes[i].birth != msg.birth {
+	target := v.byBirth[msg.birth]
+	if i < 0 || target == nil || v.probes[i].birth != msg.birth {
 		return
 	}
 	p := v.probes[i]
 	v.probes = slices.Delete(v.probes, i, i+1)
-	s.lastHelper = by.birth
-	if msg.inc > s.inc {
-		if s = v.raiseIncarnation(s, msg.inc); s == nil {
+	target.lastHelper = helper.birth
+	if msg.inc > target.inc {
+		if target = v.raiseIncarnation(target, msg.inc); target == nil {
 			return
 		}
 	}
-	met := s.knowsUs
-	v.probeAnswered(s, p)
-	s.knowsUs = met // it has answered the helper and may not know this process
+	knewUs := target.knowsUs
+	v.probeAnswered(target, p)
+	target.knowsUs = knewUs // it has answered the helper and may not know this process
 }
 
 // mergeAll merges a member's entries and asks for the records of unknown processes among them.
 func (v *View) mergeAll(from *member, list []entry) {
-	var want []uint64
+	var unknown []uint64
 	for _, e := range list {
-		if v.merge(e) && len(want) < 16 {
-			want = append(want, e.birth)
+		if v.merge(e) && len(unknown) < 16 {
+			unknown = append(unknown, e.birth)
 		}
 	}
-	if len(want) > 0 && v.syncBudget > 0 {
+	if len(unknown) > 0 && v.syncBudget > 0 {
 		v.syncBudget--
 		b := v.newMessage(kindWhoIs)
-		for _, x := range want {
+		for _, x := range unknown {
 			b = binary.LittleEndian.AppendUint64(b, x)
 		}
 		v.sendTo(from, b, false)
@@ -512,9 +513,9 @@
 		return
 	}
 	birth, inc := m.birth, m.inc
-	for _, by := range e.votes {
-		if v.addVote(m, by) {
-			v.updates.add(entry{record: m.record, typ: typeVote, votes: []uint32{by}})
+	for _, voter := range e.votes {
+		if v.addVote(m, voter) {
+			v.updates.add(entry{record: m.record, typ: typeVote, votes: []uint32{voter}})
 		}
 	}
 	if m = v.byBirth[birth]; m == nil || m.inc != inc || m.state != Alive {
@@ -536,15 +537,15 @@
 		return false
 	}
 	old := v.find(e.name)
-	gone := e.typ == typeDead || e.typ == typeLeft
-	ended := v.now - e.age*v.cfg.Period
-	if e.typ == typeSuspect || e.typ == typeVote || gone && v.now-ended >= v.retention(e.state) {
+	ended := e.typ == typeDead || e.typ == typeLeft
+	endedAt := v.now - e.age*v.cfg.Period
+	if e.typ == typeSuspect || e.typ == typeVote || ended && v.now-endedAt >= v.retention(e.state) {
 		return false
 	}
 	switch {
-	case old == nil, e.newerThan(&old.record) && (!gone || old.state != Alive):
-		if m := v.setRecord(e.record, ended); m != nil {
-			if !gone {
+	case old == nil, e.newerThan(&old.record) && (!ended || old.state != Alive):
+		if m := v.setRecord(e.record, endedAt); m != nil {
+			if !ended {
 				v.updates.add(entry{record: e.record, full: true})
 			} else if e.typ == typeDead {
 				m.votes = e.votes
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -82,19 +82,19 @@
 	}
 	v.nextSyncAt = max(v.nextSyncAt, v.now+v.cfg.Period)
 	sums, counts := v.sums(msg.depth, msg.prefix)
-	differ := 0
+	differing := 0
 	for c := range sums {
 		if sums[c] != msg.sums[c] {
-			differ++
+			differing++
 		}
 	}
-	if msg.depth == 0 && differ >= fullSyncThreshold {
+	if msg.depth == 0 && differing >= fullSyncThreshold {
 		v.sendRecords(m, 0, 0, false, true)
 		return
 	}
-	first := uint32(v.randN(16)) // a random start, so that the budget does not always skip the same children
+	start := uint32(v.randN(16)) // random, so that the budget does not always skip the same children
 	for i := range uint32(16) {
-		c := (first + i) & 15
+		c := (start + i) & 15
 		if sums[c] == msg.sums[c] {
 			continue
 		}
@@ -111,7 +111,7 @@
 }
 
 // sendRecords sends the records under a node in full or short form. wantReply asks for the other's records.
-func (v *View) sendRecords(m *member, depth int, prefix uint32, full, back bool) {
+func (v *View) sendRecords(m *member, depth int, prefix uint32, full, wantReply bool) {
 	var b []byte
 	begin := func() {
 		b = append(v.newMessage(kindRecords), byte(depth))
@@ -122,36 +122,36 @@
 		if !v.takeSyncBudget() {
 			return false
 		}
-		if last && back {
+		if last && wantReply {
 			b[headerSize+5] = 1
 		}
 		v.sendTo(m, b, false)
 		return true
 	}
 	begin()
-	lines := make([]entry, 0, maxLeafRecords)
+	entries := make([]entry, 0, maxLeafRecords)
 	if inNode(treeKey(v.self.name), depth, prefix) {
-		lines = append(lines, v.selfEntry())
+		entries = append(entries, v.selfEntry())
 	}
-	first := 0
+	start := 0
 	if len(v.members) > 0 {
-		first = v.randN(len(v.members)) // a random start, so that the budget does not always skip the same records
+		start = v.randN(len(v.members)) // random, so that the budget does not always skip the same records
 	}
 	for i := range v.members {
-		if x := v.members[(first+i)%len(v.members)]; x != m && inNode(x.treeKey, depth, prefix) {
-			lines = append(lines, v.entryOf(x, full))
+		if x := v.members[(start+i)%len(v.members)]; x != m && inNode(x.treeKey, depth, prefix) {
+			entries = append(entries, v.entryOf(x, full))
 		}
 	}
-	for _, e := range lines {
-		grown, ok := appendEntry(b, e)
+	for _, e := range entries {
+		extended, ok := appendEntry(b, e)
 		if !ok {
 			if !flush(false) {
 				return
 			}
 			begin()
-			grown, _ = appendEntry(b, e)
+			extended, _ = appendEntry(b, e)
 		}
-		b = grown
+		b = extended
 	}
 	flush(true)
 }
@@ -175,16 +175,16 @@
 		case x != v.self.birth:
 			continue
 		}
-		grown, ok := appendEntry(b, e)
+		extended, ok := appendEntry(b, e)
 		if !ok {
 			if !v.takeSyncBudget() {
 				return
 			}
 			v.sendTo(m, b, false)
 			b = append(binary.LittleEndian.AppendUint32(append(v.newMessage(kindRecords), treeDepth), 0), 0)
-			grown, _ = appendEntry(b, e)
+			extended, _ = appendEntry(b, e)
 		}
-		b = grown
+		b = extended
 	}
 	if v.takeSyncBudget() {
 		v.sendTo(m, b, false)
@@ -194,11 +194,11 @@
 // SendApp queues an application message to an alive member as a separate datagram. It returns false if the
 // member is not alive, this member has not joined or has left, or data is longer than MaxAppMessage.
 func (v *View) SendApp(name string, kind byte, data []byte) bool {
-	m := v.find(name)
-	if m == nil || m.state != Alive || len(data) > MaxAppMessage || v.joining || v.left {
+	to := v.find(name)
+	if to == nil || to.state != Alive || len(data) > MaxAppMessage || v.joining || v.left {
 		return false
 	}
-	v.sendTo(m, append(append(v.newMessage(kindApp), kind), data...), false)
+	v.sendTo(to, append(append(v.newMessage(kindApp), kind), data...), false)
 	return true
 }
 
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -386,32 +386,32 @@
 	for _, m := range v.members {
 		out = append(out, m.export())
 	}
-	at, _ := slices.BinarySearchFunc(out, v.self.name, func(m Member, n string) int {
+	i, _ := slices.BinarySearchFunc(out, v.self.name, func(m Member, n string) int {
 		return strings.Compare(m.Name, n)
 	})
-	return slices.Insert(out, at, v.Self())
+	return slices.Insert(out, i, v.Self())
 }
 
 // SetAppTag sets a value of the application that is sent with each datagram. Other members see it as
 // Member.AppTag.
-func (v *View) SetAppTag(app uint32) { v.appTag = app }
+func (v *View) SetAppTag(tag uint32) { v.appTag = tag }
 
 // Digest returns a hash of the view: members with equal views have equal digests.
 func (v *View) Digest() uint64 { return v.digest }
 
 // Stats returns the counters so far.
 func (v *View) Figures() Stats {
-	f := v.stats
-	f.Health = v.health
-	return f
+	s := v.stats
+	s.Health = v.health
+	return s
 }
 
 // TakeOutput returns the datagrams to send, the state changes and the application messages received since the
 // last call. The caller owns the slices.
 func (v *View) Take() ([]Send, []Change, []AppMessage) {
-	s, c, h := v.outgoing, v.changes, v.appMessages
+	s, c, a := v.outgoing, v.changes, v.appMessages
 	v.outgoing, v.changes, v.appMessages = nil, nil, nil
-	return s, c, h
+	return s, c, a
 }
 
 // find returns a member by name, or nil.
@@ -454,12 +454,12 @@
 func SilencePeriods(quorum int) Micros { return silencePeriods[quorum] }
 
 // setRecord stores a record as the current one for its name and reports the change.
-func (v *View) setRecord(r record, ended Micros) *member {
+func (v *View) setRecord(r record, endedAt Micros) *member {
 	m := v.find(r.name)
-	first := m == nil
+	isNew := m == nil
 	v.countsValid = false
-	var was Member
-	if first {
+	var before Member
+	if isNew {
 		if !v.makeRoom() {
 			v.stats.Dropped[NotAdmitted]++
 			return nil
@@ -468,7 +468,7 @@
 		i, _ := v.indexOf(r.name)
 		v.members = slices.Insert(v.members, i, m)
 	} else {
-		was = m.export()
+		before = m.export()
 		delete(v.byBirth, m.birth)
 		v.digest -= m.sum
 	}
@@ -481,7 +481,7 @@
 		m.suspect = false
 	}
 	if r.state != Alive {
-		m.endedAt = ended
+		m.endedAt = endedAt
 		v.endWatch(r.birth)
 	}
 	m.record = r
@@ -489,12 +489,12 @@
 	v.digest += m.sum
 	v.byBirth[r.birth] = m
 	v.digestChangedAt = v.now
-	if now := m.export(); first || now.State != was.State || now.Birth != was.Birth {
+	if after := m.export(); isNew || after.State != before.State || after.Birth != before.Birth {
 		m.since = v.now
 		if r.state != Alive {
-			m.since = ended
+			m.since = endedAt
 		}
-		v.changes = append(v.changes, Change{Member: m.export(), Previous: was.State, Discovered: first})
+		v.changes = append(v.changes, Change{Member: m.export(), Previous: before.State, Discovered: isNew})
 	}
 	if r.state == Alive {
 		if i := slices.Index(v.probeOrder, r.birth); i < 0 { // inserted at a random position: SWIM, 4.3
@@ -505,14 +505,14 @@
 }
 
 // setSuspect marks a member as suspect or clears the mark.
-func (v *View) setSuspect(m *member, on bool) {
-	if m.suspect == on || m.state != Alive {
+func (v *View) setSuspect(m *member, suspect bool) {
+	if m.suspect == suspect || m.state != Alive {
 		return
 	}
-	was := m.export().State
+	before := m.export().State
 	v.countsValid = false
-	m.suspect, m.since = on, v.now
-	v.changes = append(v.changes, Change{Member: m.export(), Previous: was})
+	m.suspect, m.since = suspect, v.now
+	v.changes = append(v.changes, Change{Member: m.export(), Previous: before})
 }
 
 // makeRoom reports whether one more member can be stored. If the view is full, it evicts the member that died
@@ -574,8 +574,8 @@
 }
 
 // rendezvousRank orders members for a subject by rendezvous hashing (Thaler, Ravishankar: IEEE/ACM ToN 1998).
-func rendezvousRank(subject, by uint64) uint64 {
-	x := subject ^ bits.RotateLeft64(by, 32)*0x9e3779b97f4a7c15
+func rendezvousRank(subject, member uint64) uint64 {
+	x := subject ^ bits.RotateLeft64(member, 32)*0x9e3779b97f4a7c15
 	x ^= x >> 31
 	x *= 0xbf58476d1ce4e5b9
 	return x ^ x>>29
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -297,7 +297,7 @@
 
 // add queues an update and removes those that it supersedes.
 func (n *updateQueue) add(e entry) {
-	for l, level := range n.bySends {
+	for sends, level := range n.bySends {
 		kept := level[:0]
 		for i := range level {
 			if !e.supersedes(&level[i].entry) {
@@ -305,7 +305,7 @@
 			}
 		}
 		n.count -= len(level) - len(kept)
-		n.bySends[l] = kept
+		n.bySends[sends] = kept
 	}
 	n.insert(queuedUpdate{entry: e})
 }
@@ -323,10 +323,10 @@
 	if n.count == 0 {
 		return b
 	}
-	most := retransmitFactor * ceilLog2(members+1)
+	maxSends := retransmitFactor * ceilLog2(members+1)
 	var sent []queuedUpdate
-	for l := 0; l < len(n.bySends) && MaxPlain-len(b) >= 13; l++ {
-		level, i := n.bySends[l], 0
+	for sends := 0; sends < len(n.bySends) && MaxPlain-len(b) >= 13; sends++ {
+		level, i := n.bySends[sends], 0
 		for ; i < len(level) && MaxPlain-len(b) >= 13; i++ {
 			var ok bool
 			if b, ok = appendEntry(b, level[i].entry); !ok {
@@ -335,11 +335,11 @@
 			level[i].sent++
 			sent = append(sent, level[i])
 		}
-		n.bySends[l] = append(level[:0], level[i:]...)
+		n.bySends[sends] = append(level[:0], level[i:]...)
 		n.count -= i
 	}
 	for _, x := range sent {
-		if x.sent < most {
+		if x.sent < maxSends {
 			n.insert(x)
 		}
 	}
