--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -96,17 +96,17 @@
 		f.Check(!slices.Contains(x.Join[:i], text), "fleet.join", "%s is there twice", text)
 	}
 	c.view.Route = map[string]netip.AddrPort{}
-	for who, text := range x.Route {
-		name("fleet.route."+who, who, membership.MaxName)
-		c.view.Route[who] = address("fleet.route."+who, text)
+	for member, text := range x.Route {
+		name("fleet.route."+member, member, membership.MaxName)
+		c.view.Route[member] = address("fleet.route."+member, text)
 	}
 	f.Check(len(x.Roster) > 0 || x.Most > 0, "fleet.roster", "is missing, and most too: one has to be there")
 	f.Check(len(x.Roster) == 0 || x.Most == 0, "fleet.most", "goes without roster")
 	f.Check(x.Most >= 0 && x.Most <= maxMembers, "fleet.most", "%d is not within 1 and %d", x.Most, maxMembers)
 	f.Check(len(x.Roster) <= maxMembers, "fleet.roster", "has over %d names", maxMembers)
-	for i, who := range x.Roster {
-		name("fleet.roster", who, membership.MaxName)
-		f.Check(!slices.Contains(x.Roster[:i], who), "fleet.roster", "%s is there twice", who)
+	for i, member := range x.Roster {
+		name("fleet.roster", member, membership.MaxName)
+		f.Check(!slices.Contains(x.Roster[:i], member), "fleet.roster", "%s is there twice", member)
 	}
 	f.Check(len(x.Roster) == 0 || slices.Contains(x.Roster, x.Name), "fleet.roster", "lacks this member, %s",
 		x.Name)
@@ -137,8 +137,8 @@
 	for i := range c.Limits {
 		at := fmt.Sprintf("limit[%d]", i+1)
 		c.Limits[i].validate(f, at, c.Size(), len(x.Roster))
-		for _, before := range c.Limits[:i] {
-			f.Check(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
+		for _, preceding := range c.Limits[:i] {
+			f.Check(preceding.Name != c.Limits[i].Name, at+".name", "%q is there twice", preceding.Name)
 		}
 	}
 	c.view.Roster, c.view.Most, c.view.Stamp = x.Roster, x.Most, c.stamp()
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -49,10 +49,10 @@
 func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
 
 // ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
-func (f *Fleet) Saw(node uint64, class int, e verdict.Ending, took time.Duration) {
+func (f *Fleet) Saw(node uint64, class int, ending verdict.Ending, elapsed time.Duration) {
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	f.evidence.jury.See(f.now(), node, class, e, took.Microseconds())
+	f.evidence.jury.See(f.now(), node, class, ending, elapsed.Microseconds())
 }
 
 // tickJury runs the jury's periodic work and issues verdicts on its judgements.
@@ -76,35 +76,35 @@
 	}
 	j.mu.Lock()
 	sends := j.jury.Tick(now, others, size, v.Figures().Health <= maxObserverHealth)
-	judged := j.jury.Judge(now)
+	judgements := j.jury.Judge(now)
 	j.mu.Unlock()
 	for _, s := range sends {
 		v.SendApp(s.To, kindEvidence, s.Data)
 	}
-	for _, x := range judged {
-		f.issueSick(now, x, len(others)+1, size)
+	for _, judgement := range judgements {
+		f.issueSick(now, judgement, len(others)+1, size)
 	}
 }
 
 // issueSick issues the verdict for a judgement, unless it is barred or too many nodes are out already.
-func (f *Fleet) issueSick(now membership.Micros, x verdict.Judgement, alive, size int) {
+func (f *Fleet) issueSick(now membership.Micros, j verdict.Judgement, alive, size int) {
 	host := f.host.Load()
 	if host.Name == nil || host.Nodes == nil {
 		return
 	}
-	name, ok := host.Name(x.Node)
+	name, ok := host.Name(j.Node)
 	if !ok {
 		return
 	}
-	said, may := f.store.Sick(now, f.cfg.Period().Microseconds(), name, x)
-	if !may {
+	v, allowed := f.store.Sick(now, f.cfg.Period().Microseconds(), name, j)
+	if !allowed {
 		return
 	}
-	if f.store.Ill(now, x.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
+	if f.store.Ill(now, j.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
 		f.evidence.withheld++
 		return
 	}
-	if _, err := f.store.Say(now, time.Now().UnixMilli(), said); err != nil {
+	if _, err := f.store.Say(now, time.Now().UnixMilli(), v); err != nil {
 		f.log.Warn("no verdict issued on a sick node", "node", name, "err", err)
 		return
 	}
@@ -112,16 +112,16 @@
 }
 
 // receiveEvidence handles another member's evidence message.
-func (f *Fleet) receiveEvidence(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveEvidence(v *membership.View, msg membership.AppMessage) {
 	if !f.cfg.Judges() {
 		return
 	}
-	zone, ok := f.evidence.zones[h.From]
+	zone, ok := f.evidence.zones[msg.From]
 	if !ok {
 		return // it joined after the last period's update of zones
 	}
 	f.evidence.mu.Lock()
-	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
+	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Voter{Name: msg.From, Zone: zone}, msg.Data)
 	f.evidence.mu.Unlock()
 	if !ok {
 		f.countDrop(errBadMessage)
@@ -163,7 +163,7 @@
 }
 
 // appliesHere reports whether a verdict has to be enforced at this member.
-func (f *Fleet) appliesHere(x *verdict.Verdict) bool {
-	_, zone := x.Node()
-	return x.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
+func (f *Fleet) appliesHere(v *verdict.Verdict) bool {
+	_, zone := v.Node()
+	return v.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -144,8 +144,8 @@
 var ErrNameTaken = errors.New("another process bears this member's name and has run for longer")
 
 // Open binds the socket, or uses one that is handed over. Nothing is read before Start.
-func Open(cfg *Config, log *slog.Logger, given *net.UDPConn) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), inbound: make(chan []byte, queueSize),
+func Open(cfg *Config, log *slog.Logger, inherited *net.UDPConn) (*Fleet, error) {
+	f := &Fleet{cfg: cfg, log: log, conn: inherited, epoch: time.Now(), inbound: make(chan []byte, queueSize),
 		ownerCalls: make(chan func(*membership.View)), messages: make(chan membership.AppMessage, messageQueueSize),
 		closed: make(chan struct{}), joined: make(chan struct{}), nameTaken: make(chan error, 1)}
 	f.keys.Store(cfg.keys)
@@ -161,9 +161,9 @@
 	f.host.Store(&Host{})
 	f.overload.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
 	f.overload.shedCounts = map[string]int64{}
-	f.createLimits(given != nil)
+	f.createLimits(inherited != nil)
 	f.status.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
-	if given == nil {
+	if inherited == nil {
 		// Without SO_REUSEPORT, so that a second process on this address fails immediately.
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(cfg.listen))
 		if err != nil {
@@ -221,27 +221,27 @@
 		return
 	default:
 	}
-	r := &session{stop: make(chan struct{}), view: v}
-	r.done.Add(2)
-	f.running = r
+	s := &session{stop: make(chan struct{}), view: v}
+	s.done.Add(2)
+	f.running = s
 	_ = f.conn.SetReadDeadline(time.Time{})
-	go f.readLoop(r)
-	go f.ownerLoop(r)
+	go f.readLoop(s)
+	go f.ownerLoop(s)
 }
 
 // stopSession ends the current session and returns its view, or nil if there is none.
 func (f *Fleet) stopSession() *membership.View {
 	f.mu.Lock()
-	r := f.running
+	s := f.running
 	f.running = nil
 	f.mu.Unlock()
-	if r == nil {
+	if s == nil {
 		return nil
 	}
-	close(r.stop)
+	close(s.stop)
 	_ = f.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader; the socket stays open
-	r.done.Wait()
-	return r.view
+	s.done.Wait()
+	return s.view
 }
 
 // HandOver stops reading and returns the state for the successor. The socket stays open, so that Reclaim can
@@ -292,47 +292,50 @@
 
 // Leave announces that this member leaves and waits until enough members have acknowledged it, for at most
 // the given time. It returns whether they have.
-func (f *Fleet) Leave(most time.Duration) bool {
-	end := time.Now().Add(most)
-	known := f.callOwner(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveAcknowledged() }, most)
-	for !known && time.Now().Before(end) {
-		time.Sleep(min(5*time.Millisecond, most))
-		known = f.callOwner((*membership.View).LeaveAcknowledged, time.Until(end))
+func (f *Fleet) Leave(timeout time.Duration) bool {
+	end := time.Now().Add(timeout)
+	acked := f.callOwner(func(v *membership.View) bool {
+		v.Leave(f.now())
+		return v.LeaveAcknowledged()
+	}, timeout)
+	for !acked && time.Now().Before(end) {
+		time.Sleep(min(5*time.Millisecond, timeout))
+		acked = f.callOwner((*membership.View).LeaveAcknowledged, time.Until(end))
 	}
-	return known
+	return acked
 }
 
 // callOwner runs a function on the owner goroutine and returns its result, or false after a time-out.
-func (f *Fleet) callOwner(call func(*membership.View) bool, most time.Duration) bool {
+func (f *Fleet) callOwner(call func(*membership.View) bool, timeout time.Duration) bool {
 	done := make(chan bool, 1)
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
 	case f.ownerCalls <- func(v *membership.View) { done <- call(v) }:
 		return <-done
-	case <-late.C:
+	case <-timer.C:
 	case <-f.closed:
 	}
 	return false
 }
 
 // Configure applies a reloaded settings file and returns the changed settings that require a restart.
-func (f *Fleet) Configure(fresh *Config) (kept []string) {
-	was, is := &f.cfg.Fleet, &fresh.Fleet
-	for name, differs := range map[string]bool{"fleet.name": was.Name != is.Name,
-		"fleet.zone": was.Zone != is.Zone, "fleet.listen": was.Listen != is.Listen,
-		"fleet.detect": was.Detect != is.Detect, "fleet.overload": was.Overload != is.Overload,
-		"fleet.evidence": *was.Evidence.Share != *is.Evidence.Share,
+func (f *Fleet) Configure(fresh *Config) (needRestart []string) {
+	old, updated := &f.cfg.Fleet, &fresh.Fleet
+	for name, differs := range map[string]bool{"fleet.name": old.Name != updated.Name,
+		"fleet.zone": old.Zone != updated.Zone, "fleet.listen": old.Listen != updated.Listen,
+		"fleet.detect": old.Detect != updated.Detect, "fleet.overload": old.Overload != updated.Overload,
+		"fleet.evidence": *old.Evidence.Share != *updated.Evidence.Share,
 		"limit":          !sameLimits(f.cfg.Limits, fresh.Limits)} {
 		if differs {
-			kept = append(kept, name)
+			needRestart = append(needRestart, name)
 		}
 	}
-	slices.Sort(kept)
+	slices.Sort(needRestart)
 	f.keys.Store(fresh.keys)
 	f.current.Store(fresh)
 	f.callOwner(func(v *membership.View) bool { v.Configure(fresh.view); return true }, time.Second)
-	return kept
+	return needRestart
 }
 
 // Tell sends a message of the decision module to another alive member, selected by a number that the module
@@ -363,13 +366,13 @@
 func (f *Fleet) Status() *Status { return f.status.Load() }
 
 // readLoop unseals datagrams and queues them.
-func (f *Fleet) readLoop(r *session) {
-	defer r.done.Done()
+func (f *Fleet) readLoop(s *session) {
+	defer s.done.Done()
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, _, err := f.conn.ReadFromUDPAddrPort(buf)
 		select {
-		case <-r.stop:
+		case <-s.stop:
 			return
 		default:
 		}
@@ -393,20 +396,20 @@
 }
 
 // countDrop counts a dropped datagram by its reason.
-func (f *Fleet) countDrop(why error) { f.dropCounts[slices.Index(dropErrors, why)].Add(1) }
+func (f *Fleet) countDrop(reason error) { f.dropCounts[slices.Index(dropErrors, reason)].Add(1) }
 
 // ownerLoop runs the goroutine that owns the view until the session ends.
-func (f *Fleet) ownerLoop(r *session) {
-	defer r.done.Done()
-	v := r.view
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	var shown time.Time
+func (f *Fleet) ownerLoop(s *session) {
+	defer s.done.Done()
+	v := s.view
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var publishedAt time.Time
 	for {
 		select {
-		case <-r.stop:
+		case <-s.stop:
 			return
-		case <-alarm.C:
+		case <-timer.C:
 			v.Tick(f.now())
 		case b := <-f.inbound:
 			v.Receive(f.now(), b)
@@ -423,25 +426,25 @@
 			call(v)
 		}
 		changed := f.processOutput(v)
-		if changed || time.Since(shown) >= publishInterval {
-			shown = time.Now()
+		if changed || time.Since(publishedAt) >= publishInterval {
+			publishedAt = time.Now()
 			f.publish(v)
 		}
-		alarm.Reset(time.Duration(v.Next()-f.now()) * time.Microsecond)
+		timer.Reset(time.Duration(v.Next()-f.now()) * time.Microsecond)
 	}
 }
 
 // processOutput sends the view's datagrams, logs its state changes and dispatches application messages.
 func (f *Fleet) processOutput(v *membership.View) (changed bool) {
-	sends, changes, heard := v.Take()
-	for _, h := range heard {
-		f.dispatch(v, h)
+	sends, changes, messages := v.Take()
+	for _, m := range messages {
+		f.dispatch(v, m)
 	}
 	f.tick(v) // its messages are sent together with the others
-	more, later, _ := v.Take()
-	changes = append(changes, later...)
+	moreSends, moreChanges, _ := v.Take()
+	changes = append(changes, moreChanges...)
 	keys := f.keys.Load()
-	for _, s := range append(sends, more...) {
+	for _, s := range append(sends, moreSends...) {
 		// A full socket buffer loses the datagram, as the network may.
 		_, _ = f.conn.WriteToUDPAddrPort(keys.seal(s.Data), s.To)
 	}
@@ -461,20 +464,20 @@
 }
 
 // dispatch passes an application message to its receiver.
-func (f *Fleet) dispatch(v *membership.View, h membership.AppMessage) {
-	switch h.Kind {
+func (f *Fleet) dispatch(v *membership.View, msg membership.AppMessage) {
+	switch msg.Kind {
 	case kindVerdict:
-		f.receiveVerdict(h)
+		f.receiveVerdict(msg)
 	case kindQuota:
-		f.receiveLimit(v, h)
+		f.receiveLimit(v, msg)
 	case kindEvidence:
-		f.receiveEvidence(v, h)
+		f.receiveEvidence(v, msg)
 	case kindOverload:
-		f.receiveOverload(v, h)
+		f.receiveOverload(v, msg)
 	case kindModule:
 		f.moduleReceived.Add(1)
 		select {
-		case f.messages <- h:
+		case f.messages <- msg:
 		default:
 		}
 	}
@@ -512,7 +515,7 @@
 // publish stores the view's state for the admin endpoint.
 func (f *Fleet) publish(v *membership.View) {
 	now := f.now()
-	self, g := v.Self(), v.Figures()
+	self, stats := v.Self(), v.Figures()
 	s := &Status{Self: self.Name, Incarnation: self.Inc, Digest: fmt.Sprintf("%016x", v.Digest()),
 		Members: []MemberStatus{}}
 	var alive []string
@@ -532,9 +535,10 @@
 		}
 	}
 	period := f.cfg.Period().Milliseconds()
-	s.Stats = Stats{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
-		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.ProbesFailed, Votes: g.Votes,
-		Refuted: g.Refutations, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, Rejections: g.Rejections,
+	s.Stats = Stats{PeriodMS: period, Health: stats.Health, Sent: stats.Sent, SentBytes: stats.SentBytes,
+		Received: stats.Received, Dropped: f.dropped(stats), Probes: stats.Probes,
+		ProbesFailed: stats.ProbesFailed, Votes: stats.Votes, Refuted: stats.Refutations, Syncs: stats.Syncs,
+		Stalls: stats.Stalls, Rejoins: stats.Rejoins, Rejections: stats.Rejections,
 		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(),
 		EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld, SettingsDiffer: differ,
 		CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period, SettledMS: settlePeriods * period,
@@ -552,9 +556,9 @@
 	f.status.Store(s)
 }
 
-func (f *Fleet) dropped(g membership.Stats) map[string]int64 {
+func (f *Fleet) dropped(stats membership.Stats) map[string]int64 {
 	out := map[string]int64{}
-	for i, n := range g.Dropped {
+	for i, n := range stats.Dropped {
 		out[membership.DropReasonNames[i]] = n
 	}
 	for i, err := range dropErrors {
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -41,8 +41,8 @@
 }
 
 // validate records the faults of a limit and sets defaults.
-func (l *Limit) validate(f *settings.File, at string, members, roster int) {
-	f.Check(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
+func (l *Limit) validate(f *settings.File, key string, members, roster int) {
+	f.Check(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, key+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
 	subjects := 0
 	for _, s := range []string{l.Class, l.Tenant, l.Server} {
@@ -50,36 +50,36 @@
 			subjects++
 		}
 	}
-	f.Check(subjects == 1, at+".class", "one of class, tenant and server has to be there")
-	f.Check(l.Class != Each, at+".class", "%q is for tenants and servers: give each class its limit", Each)
+	f.Check(subjects == 1, key+".class", "one of class, tenant and server has to be there")
+	f.Check(l.Class != Each, key+".class", "%q is for tenants and servers: give each class its limit", Each)
 	if l.Concurrent != 0 {
-		f.Check(l.Rate == 0 && l.Burst == 0, at+".concurrent", "goes without rate and burst")
+		f.Check(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
 		f.Check(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
-			at+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
+			key+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
 			l.Concurrent, members)
-		f.Check(!l.each(), at+".concurrent", "is for one name, not for each")
-		f.Check(l.LongestMS >= 0 && l.LongestMS <= 600_000, at+".longest_ms", "%d is not within 0 and 600000",
+		f.Check(!l.each(), key+".concurrent", "is for one name, not for each")
+		f.Check(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
 		if l.LongestMS == 0 {
 			l.LongestMS = int(defaultMaxDuration.Milliseconds())
 		}
 	} else {
-		f.Check(l.Rate > 0 && l.Rate <= 1e9, at+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
-		f.Check(l.Burst >= float64(members) && l.Burst <= 1e9, at+".burst",
+		f.Check(l.Rate > 0 && l.Rate <= 1e9, key+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
+		f.Check(l.Burst >= float64(members) && l.Burst <= 1e9, key+".burst",
 			"%g leaves less than 1 for each of %d members, or is over 1e9", l.Burst, members)
-		f.Check(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
+		f.Check(l.LongestMS == 0, key+".longest_ms", "goes with concurrent")
 	}
-	votes := roster >= 3 && roster <= quota.MostVoters
-	f.Check(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
+	canVote := roster >= 3 && roster <= quota.MostVoters
+	f.Check(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, key+".floor", "%g is not within %g and 1",
 		l.Floor, minFloor)
-	f.Check(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
+	f.Check(canVote || l.Floor == 0 || l.Floor == 1, key+".floor",
 		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MostVoters)
 	if l.Floor == 0 {
-		if l.Floor = 1; votes && !l.each() {
+		if l.Floor = 1; canVote && !l.each() {
 			l.Floor = defaultFloor
 		}
 	}
-	f.Check(l.Floor == 1 || !l.each(), at+".floor", "is 1 where the limit is for each")
+	f.Check(l.Floor == 1 || !l.each(), key+".floor", "is 1 where the limit is for each")
 }
 
 // each reports whether the limit applies to each tenant or server separately.
@@ -184,29 +184,29 @@
 }
 
 // take requests one unit, of the given key if the limit is for each.
-func (l *limiter) take(now, ends quota.Micros, key uint64) (at quota.Place, ok bool, wait quota.Micros) {
+func (l *limiter) take(now, endsAt quota.Micros, key uint64) (place quota.Place, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		ok, wait = l.share.Take(now)
 	case l.slots != nil:
-		at, ok, wait = l.slots.Take(now, ends)
+		place, ok, wait = l.slots.Take(now, endsAt)
 	default:
 		ok, wait = l.keys.Take(now, key)
 	}
-	return at, ok, wait
+	return place, ok, wait
 }
 
 // giveBack returns a unit that was taken from this limit.
-func (l *limiter) giveBack(now quota.Micros, key uint64, at quota.Place) {
+func (l *limiter) giveBack(now quota.Micros, key uint64, place quota.Place) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		l.share.Return()
 	case l.slots != nil:
-		l.slots.Done(now, at)
+		l.slots.Done(now, place)
 	default:
 		l.keys.Return(key)
 	}
@@ -226,25 +226,25 @@
 // AllowRequest reports whether a request of a class and a tenant that ends by the given time may be admitted
 // now. If not, it returns the limit that refused it and the time after which to retry. It never waits for a
 // message.
-func (f *Fleet) Allow(class, tenant string, ends time.Time) (t Ticket, ok bool, after time.Duration,
+func (f *Fleet) Allow(class, tenant string, endsAt time.Time) (t Ticket, ok bool, retryAfter time.Duration,
 	limit string) {
 	now := f.now()
-	until := now + time.Until(ends).Microseconds()
+	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
-		key, binds := l.matches(class, tenant)
-		if !binds {
+		key, applies := l.matches(class, tenant)
+		if !applies {
 			continue
 		}
-		at, ok, wait := l.take(now, until, key)
+		place, ok, wait := l.take(now, endsMicros, key)
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, heldSlot{l, at})
+				t.held = append(t.held, heldSlot{l, place})
 			}
 			continue
 		}
-		for _, before := range f.limits[:i] { // return the units that the preceding limits have granted
-			if key, binds := before.matches(class, tenant); binds && before.slots == nil {
-				before.giveBack(now, key, quota.Place{})
+		for _, preceding := range f.limits[:i] { // return the units that the preceding limits have granted
+			if key, applies := preceding.matches(class, tenant); applies && preceding.slots == nil {
+				preceding.giveBack(now, key, quota.Place{})
 			}
 		}
 		f.Done(t)
@@ -254,23 +254,23 @@
 }
 
 // AllowAttempt reports whether an attempt to a server that ends by the given time may be sent now.
-func (f *Fleet) AllowSend(server uint64, ends time.Time) (t Ticket, ok bool) {
+func (f *Fleet) AllowSend(server uint64, endsAt time.Time) (t Ticket, ok bool) {
 	now := f.now()
-	until := now + time.Until(ends).Microseconds()
+	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
 		if !l.matchesServer(server) {
 			continue
 		}
-		at, ok, _ := l.take(now, until, quota.KeyOf(l.id, server))
+		place, ok, _ := l.take(now, endsMicros, quota.KeyOf(l.id, server))
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, heldSlot{l, at})
+				t.held = append(t.held, heldSlot{l, place})
 			}
 			continue
 		}
-		for _, before := range f.limits[:i] {
-			if before.matchesServer(server) && before.slots == nil {
-				before.giveBack(now, quota.KeyOf(before.id, server), quota.Place{})
+		for _, preceding := range f.limits[:i] {
+			if preceding.matchesServer(server) && preceding.slots == nil {
+				preceding.giveBack(now, quota.KeyOf(preceding.id, server), quota.Place{})
 			}
 		}
 		f.Done(t)
@@ -388,22 +388,22 @@
 		if !ok {
 			continue // the last announced settings hold until a restart
 		}
-		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
+		value := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
 		key := "limit." + l.conf.Name
-		said, self := f.store.Settings(now, key), f.cfg.Fleet.Name
-		if said[self] != text || now-l.announcedAt > reannounceInterval.Microseconds() {
+		announced, self := f.store.Settings(now, key), f.cfg.Fleet.Name
+		if announced[self] != value || now-l.announcedAt > reannounceInterval.Microseconds() {
 			l.announcedAt = now
-			what := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: text,
+			setting := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: value,
 				Span: 2 * reannounceInterval.Microseconds()}
-			if _, err := f.store.Say(now, time.Now().UnixMilli(), what); err != nil {
+			if _, err := f.store.Say(now, time.Now().UnixMilli(), setting); err != nil {
 				f.log.Warn("cannot announce the settings of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
 		amount, burst, members := own.amount(), own.Burst, conf.Size()
-		for _, who := range peers {
+		for _, peer := range peers {
 			var r, b float64
 			var n int
-			if k, _ := fmt.Sscanf(said[who], "%g %g %d", &r, &b, &n); k == 3 && r > 0 && b >= 0 && n > 0 {
+			if k, _ := fmt.Sscanf(announced[peer], "%g %g %d", &r, &b, &n); k == 3 && r > 0 && b >= 0 && n > 0 {
 				amount, burst, members = min(amount, r), min(burst, b), max(members, n)
 			}
 		}
@@ -450,8 +450,8 @@
 			v.SendApp(m.To, kindQuota, m.Data)
 		}
 		e = f.leases.Entitlement(now)
-		holds := f.leases.Holds(now)
-		f.leasesHeld.Store(&holds)
+		held := f.leases.Holds(now)
+		f.leasesHeld.Store(&held)
 	}
 	f.forEachLimit(func(l *limiter) {
 		l.state.Entitle(now, e)
@@ -468,17 +468,17 @@
 
 // receiveLimit handles another member's message on a limit. A limit that this member does not have is no
 // fault, because members change their settings at different times.
-func (f *Fleet) receiveLimit(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveLimit(v *membership.View, msg membership.AppMessage) {
 	now := f.now()
-	if quota.IsTenure(h.Data) {
+	if quota.IsTenure(msg.Data) {
 		if f.leases != nil {
-			for _, m := range f.leases.Receive(now, h.From, h.Data) {
+			for _, m := range f.leases.Receive(now, msg.From, msg.Data) {
 				v.SendApp(m.To, kindQuota, m.Data)
 			}
 		}
 		return
 	}
-	id, ok := quota.IDOf(h.Data)
+	id, ok := quota.IDOf(msg.Data)
 	if !ok {
 		f.countDrop(errBadMessage)
 		return
@@ -487,7 +487,7 @@
 		if quota.LimitOf(id) != l.id {
 			return
 		}
-		for _, m := range l.state.Receive(now, h.From, h.Data) {
+		for _, m := range l.state.Receive(now, msg.From, msg.Data) {
 			v.SendApp(m.To, kindQuota, m.Data)
 		}
 	})
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -31,17 +31,18 @@
 func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
 
 // Admit reports whether a request of a class of the given rank may be admitted at the fleet's overload level.
-// who is a string that all tries of the request share. If it is not admitted, Admit returns the time after
-// which to retry.
-func (f *Fleet) LetIn(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
+// requestID is a string that all tries of the request share. If it is not admitted, Admit returns the time
+// after which to retry.
+func (f *Fleet) LetIn(rank int, class, tenant, requestID string, repeat bool) (ok bool,
+	retryAfter time.Duration) {
 	if !f.cfg.Sheds() {
 		return true, 0
 	}
 	s := &f.overload
-	priority := overload.Priority(rank, who)
+	priority := overload.Priority(rank, requestID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, wait := s.guard.Admit(priority, xxhash.Sum64String(who)^uint64(f.now()), repeat)
+	ok, wait := s.guard.Admit(priority, xxhash.Sum64String(requestID)^uint64(f.now()), repeat)
 	if ok {
 		return true, 0
 	}
@@ -54,10 +55,10 @@
 	return false, time.Duration(wait) * time.Microsecond
 }
 
-// RequestFinished records the end of an admitted request. well: it was answered in time.
-func (f *Fleet) HasEnded(well bool) {
+// RequestFinished records the end of an admitted request. inTime: it was answered in time.
+func (f *Fleet) HasEnded(inTime bool) {
 	f.overload.mu.Lock()
-	f.overload.guard.Ended(well)
+	f.overload.guard.Ended(inTime)
 	f.overload.mu.Unlock()
 }
 
@@ -77,25 +78,25 @@
 		return
 	}
 	f.overload.mu.Lock()
-	was := f.overload.guard.Level()
+	before := f.overload.guard.Level()
 	sends := f.overload.guard.Tick(now, peers)
-	is := f.overload.guard.Level()
+	after := f.overload.guard.Level()
 	f.overload.mu.Unlock()
 	for _, s := range sends {
 		v.SendApp(s.To, kindOverload, s.Data)
 	}
-	if (was == 0) != (is == 0) {
-		f.log.Info("fleet overload", "level", is, "was", was)
+	if (before == 0) != (after == 0) {
+		f.log.Info("fleet overload", "level", after, "was", before)
 	}
 }
 
 // receiveOverload handles another member's overload message.
-func (f *Fleet) receiveOverload(v *membership.View, h membership.AppMessage) {
+func (f *Fleet) receiveOverload(v *membership.View, msg membership.AppMessage) {
 	if !f.cfg.Sheds() {
 		return
 	}
 	f.overload.mu.Lock()
-	sends, ok := f.overload.guard.Receive(f.now(), h.From, h.Data)
+	sends, ok := f.overload.guard.Receive(f.now(), msg.From, msg.Data)
 	f.overload.mu.Unlock()
 	if !ok {
 		f.countDrop(errBadMessage)
@@ -137,8 +138,8 @@
 	}
 	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
 	o.Retries.Allowed = g.Budget()
-	if who, since := g.Keeper(); who != "" {
-		o.Duties = append(o.Duties, Duty{"level", who, (now - since) / 1000})
+	if keeper, since := g.Keeper(); keeper != "" {
+		o.Duties = append(o.Duties, Duty{"level", keeper, (now - since) / 1000})
 	}
 	return o
 }
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -88,23 +88,23 @@
 
 // postToOwner hands a function to the owner goroutine and waits until it is accepted. It returns false if the
 // fleet is closed or the function is not accepted within the given time.
-func (f *Fleet) postToOwner(do func(*membership.View), within time.Duration) bool {
-	late := time.NewTimer(within)
-	defer late.Stop()
+func (f *Fleet) postToOwner(call func(*membership.View), timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case f.ownerCalls <- do:
+	case f.ownerCalls <- call:
 		return true
 	case <-f.closed:
-	case <-late.C:
+	case <-timer.C:
 	}
 	return false
 }
 
 // tick runs the periodic work of verdicts, limits, evidence and overload, and sends verdict messages.
 func (f *Fleet) tick(v *membership.View) {
-	k := &f.store
-	if now := f.now(); v.Joined() && now >= k.nextTickAt {
-		k.nextTickAt = now + f.cfg.Period().Microseconds()
+	store := &f.store
+	if now := f.now(); v.Joined() && now >= store.nextTickAt {
+		store.nextTickAt = now + f.cfg.Period().Microseconds()
 		var peers []verdict.Peer
 		var names []string
 		self := v.Self().Name
@@ -114,67 +114,67 @@
 				names = append(names, m.Name)
 			}
 		}
-		k.Tick(now, peers)
+		store.Tick(now, peers)
 		f.tickLimits(v, now, names)
 		f.tickJury(v, now)
 		f.tickOverload(v, now, names)
 	}
-	sends, changes := k.Take()
+	sends, changes := store.Take()
 	for _, c := range changes {
 		f.clearEvidence(c)
 		if !f.appliesHere(&c.Verdict) { // there is nothing to enforce
-			k.Applied(c.Verdict)
+			store.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
 			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.Holds,
 				"by", c.Verdict.By, "at", c.Verdict.Member, "reason", c.Verdict.Reason)
 		}
-		k.Push(f.now(), c.Verdict)
+		store.Push(f.now(), c.Verdict)
 	}
-	more, _ := k.Take()
+	more, _ := store.Take()
 	for _, s := range append(sends, more...) {
 		v.SendApp(s.To, kindVerdict, s.Data)
 	}
 	for _, c := range changes {
 		if f.appliesHere(&c.Verdict) {
-			k.pending = append(k.pending, c)
+			store.pending = append(store.pending, c)
 		}
 	}
-	for len(k.pending) > 0 {
+	for len(store.pending) > 0 {
 		select {
-		case f.toApply <- k.pending[0]:
-			k.pending = k.pending[1:]
+		case f.toApply <- store.pending[0]:
+			store.pending = store.pending[1:]
 			continue
 		default:
 		}
 		break
 	}
-	v.SetAppTag(k.Announce())
+	v.SetAppTag(store.Announce())
 }
 
 // receiveVerdict handles another member's verdict message.
-func (f *Fleet) receiveVerdict(h membership.AppMessage) {
-	if !f.store.Receive(f.now(), h.From, h.Data) {
+func (f *Fleet) receiveVerdict(msg membership.AppMessage) {
+	if !f.store.Receive(f.now(), msg.From, msg.Data) {
 		f.countDrop(errBadMessage)
 	}
 }
 
 // publishVerdicts stores the verdicts for the admin endpoint.
 func (f *Fleet) publishVerdicts(alive []string) {
-	now, wall := f.now(), time.Now().UnixMilli()
+	now, wallMS := f.now(), time.Now().UnixMilli()
 	out := &Verdicts{Verdicts: []VerdictStatus{}, Synced: f.store.Told()}
 	for _, l := range f.store.Lines(now) {
 		if l.Kind == verdict.Setting {
 			continue
 		}
-		out.Verdicts = append(out.Verdicts, f.verdictStatus(l, alive, wall))
+		out.Verdicts = append(out.Verdicts, f.verdictStatus(l, alive, wallMS))
 	}
 	f.verdicts.Store(out)
 }
 
-func (f *Fleet) verdictStatus(l verdict.Line, alive []string, wall int64) VerdictStatus {
+func (f *Fleet) verdictStatus(l verdict.Line, alive []string, wallMS int64) VerdictStatus {
 	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.Held,
-		AtMS: wall - l.Age/1000, Missing: []string{}}
+		AtMS: wallMS - l.Age/1000, Missing: []string{}}
 	if s.Held == nil {
 		s.Held = []string{}
 	}
@@ -201,28 +201,28 @@
 func (f *Fleet) Told() bool { return f.verdicts.Load().Synced }
 
 // IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
-// alive members, for which it waits no longer than wait.
-func (f *Fleet) Say(v verdict.Verdict, within, wait time.Duration) (VerdictStatus, error) {
-	begun := time.Now()
-	var given verdict.Verdict
+// alive members, for which it waits at most for wait. The timeout applies to the enforcement here.
+func (f *Fleet) Say(v verdict.Verdict, timeout, wait time.Duration) (VerdictStatus, error) {
+	startedAt := time.Now()
+	var issued verdict.Verdict
 	var err error
 	done := make(chan struct{})
 	if !f.postToOwner(func(*membership.View) {
 		defer close(done)
 		if !v.On {
-			var ill []verdict.Verdict
+			var revoked []verdict.Verdict
 			if v.Kind == verdict.Node {
-				ill = f.liftEvidence(&v)
+				revoked = f.liftEvidence(&v)
 			}
 			if l, ok := f.store.Line(f.now(), v.Kind, v.What); !ok || !l.On {
-				if err = ErrNothing; len(ill) > 0 { // there were only verdicts by evidence, now revoked
-					given, err = ill[0], nil
+				if err = ErrNothing; len(revoked) > 0 { // there were only verdicts by evidence, now revoked
+					issued, err = revoked[0], nil
 				}
 				return
 			}
 		}
-		given, err = f.store.Say(f.now(), time.Now().UnixMilli(), v)
-	}, within) {
+		issued, err = f.store.Say(f.now(), time.Now().UnixMilli(), v)
+	}, timeout) {
 		return VerdictStatus{}, ErrLate
 	}
 	<-done
@@ -231,25 +231,25 @@
 	}
 	for {
 		var s VerdictStatus
-		looked := make(chan struct{})
+		checked := make(chan struct{})
 		if !f.postToOwner(func(*membership.View) {
-			defer close(looked)
-			l, ok := f.store.Line(f.now(), given.Kind, given.What)
-			if ok && l.Stamp == given.Stamp && l.Member == given.Member {
+			defer close(checked)
+			l, ok := f.store.Line(f.now(), issued.Kind, issued.What)
+			if ok && l.Stamp == issued.Stamp && l.Member == issued.Member {
 				s = f.verdictStatus(l, *f.aliveOthers.Load(), time.Now().UnixMilli())
 			} else { // a newer verdict has replaced it
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
-		}, within) {
+		}, timeout) {
 			return s, ErrLate
 		}
-		<-looked
-		here := slices.Contains(s.Held, f.cfg.Fleet.Name)
-		took := time.Since(begun)
+		<-checked
+		enforcedHere := slices.Contains(s.Held, f.cfg.Fleet.Name)
+		elapsed := time.Since(startedAt)
 		switch {
-		case here && (len(s.Missing) == 0 || took >= wait):
+		case enforcedHere && (len(s.Missing) == 0 || elapsed >= wait):
 			return s, nil
-		case !here && took >= max(within, wait):
+		case !enforcedHere && elapsed >= max(timeout, wait):
 			return s, ErrLate
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -257,12 +257,12 @@
 }
 
 // liftEvidence revokes a node's verdicts by evidence on an operator's call, and returns the revocations.
-func (f *Fleet) liftEvidence(v *verdict.Verdict) (given []verdict.Verdict) {
+func (f *Fleet) liftEvidence(v *verdict.Verdict) (revoked []verdict.Verdict) {
 	for _, x := range f.store.Evidence(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
 		if x, err := f.store.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
-			given = append(given, x)
+			revoked = append(revoked, x)
 		}
 	}
-	return given
+	return revoked
 }
