--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 b1 = "127.1.0.2:7946"
 `
 
-func TestFile(t *testing.T) {
+func TestSettingsFile(t *testing.T) {
 	dir := t.TempDir()
 	c, err := Load(writeFile(t, dir, "ok.toml", validSettings))
 	if err != nil {
@@ -117,7 +117,7 @@
 }
 
 // Each datagram that cannot be unsealed is rejected with the matching error.
-func TestSeal(t *testing.T) {
+func TestSealAndOpen(t *testing.T) {
 	k1, k2 := newKey(), newKey()
 	first, both, second, plain := newKeyring(t, k1), newKeyring(t, k2, k1), newKeyring(t, k2), newKeyring(t)
 	content := bytes.Repeat([]byte("x"), membership.MaxPlain)
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -82,12 +82,12 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(1 + i)}), 7946)
 }
 
-func (w *world) start(t testing.TB, i int, equal bool) {
+func (w *world) start(t testing.TB, i int, reuseIncarnation bool) {
 	birth := uint64(len(w.birthIndex)+1) * 0x1111
 	w.birthIndex[birth] = len(w.birthIndex)
 	v, err := New(Config{Name: string(rune('a' + i)), Zone: "z", Addr: checkAddr(i), Birth: birth, Seed: birth,
 		Period: checkPeriod, Settings: Settings{Most: 8, Join: []netip.AddrPort{checkAddr(0), checkAddr(1),
-			checkAddr(2)}}, Ablate: Ablation{ReuseIncarnation: equal}}, w.now)
+			checkAddr(2)}}, Ablate: Ablation{ReuseIncarnation: reuseIncarnation}}, w.now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -201,7 +201,7 @@
 			continue
 		}
 		if was, ok := digests[v.digest]; ok && was != digestedView(v) {
-			return fmt.Sprintf("one digest stands for %s and %s", was, digestedView(v))
+			return fmt.Sprintf("the same digest for %s and %s", was, digestedView(v))
 		}
 		digests[v.digest] = digestedView(v)
 		for _, m := range v.members {
@@ -277,11 +277,11 @@
 }
 
 // convergedWorld returns a world whose members all see one another.
-func convergedWorld(t testing.TB, members int, equal bool) *world {
+func convergedWorld(t testing.TB, members int, reuseIncarnation bool) *world {
 	w := &world{now: 1_000_000, views: make([]*View, members), birthIndex: map[uint64]int{},
 		ended: map[uint64]bool{}}
 	for i := range w.views {
-		w.start(t, i, equal)
+		w.start(t, i, reuseIncarnation)
 	}
 	for range 40 * slotsPerPeriod {
 		w.tick()
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -18,13 +18,13 @@
 // pause stops a member for some slots: it does nothing meanwhile, and datagrams to it wait.
 type pause struct{ member, from, slots int }
 
-func (h pause) covers(slot int) bool { return slot >= h.from && slot < h.from+h.slots }
+func (p pause) covers(slot int) bool { return slot >= p.from && slot < p.from+p.slots }
 
 // runPaused runs up to the bound and describes a suspicion that has not ended by then.
-func (w *world) runPaused(holds []pause) string {
-	held := func(i, slot int) bool {
-		for _, h := range holds {
-			if h.member == i && h.covers(slot) {
+func (w *world) runPaused(pauses []pause) string {
+	paused := func(i, slot int) bool {
+		for _, p := range pauses {
+			if p.member == i && p.covers(slot) {
 				return true
 			}
 		}
@@ -35,7 +35,7 @@
 		w.now += checkSlot
 		w.inFlight, waiting = append(w.inFlight, waiting...), nil
 		for i, v := range w.views {
-			if !held(i, slot) {
+			if !paused(i, slot) {
 				v.Tick(w.now)
 				w.collect(i)
 			}
@@ -45,7 +45,7 @@
 			switch {
 			case f.from >= deafMembers && f.to < deafMembers:
 				w.inFlight = w.inFlight[1:]
-			case held(f.to, slot):
+			case paused(f.to, slot):
 				waiting = append(waiting, f)
 				w.inFlight = w.inFlight[1:]
 			default:
@@ -66,18 +66,18 @@
 // Every suspicion ends within its bound, whichever healthy members are paused meanwhile.
 func TestSuspicionsEndWithinBound(t *testing.T) {
 	first := convergedWorld(t, pauseMembers, false)
-	var holds []pause
+	var pauses []pause
 	for member := deafMembers; member < pauseMembers; member++ {
 		for from := 0; from < pauseStartSlots; from += bound(3, 1) {
 			for length := 2; length <= maxPauseSlots; length += bound(2, 1) {
-				holds = append(holds, pause{member, from, length})
+				pauses = append(pauses, pause{member, from, length})
 			}
 		}
 	}
-	plays, faults := 0, 0
-	for i, one := range holds {
-		for _, two := range holds[i:] {
-			if plays++; one.member == two.member && one != two {
+	runs, faults := 0, 0
+	for i, one := range pauses {
+		for _, two := range pauses[i:] {
+			if runs++; one.member == two.member && one != two {
 				continue
 			}
 			if fault := first.clone().runPaused([]pause{one, two}); fault != "" {
@@ -87,5 +87,5 @@
 			}
 		}
 	}
-	t.Logf("%d runs, %d faults", plays, faults)
+	t.Logf("%d runs, %d faults", runs, faults)
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -34,86 +34,86 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-func (l *testFleet) add(name string, at int, edit ...func(*Config)) *View {
-	l.t.Helper()
-	l.lastBirth += 0x1_0000_0001
-	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: l.lastBirth, Seed: uint64(at),
+func (tf *testFleet) add(name string, at int, edit ...func(*Config)) *View {
+	tf.t.Helper()
+	tf.lastBirth += 0x1_0000_0001
+	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: tf.lastBirth, Seed: uint64(at),
 		Period: testPeriod, Settings: Settings{Most: 16, Join: []netip.AddrPort{addr(1), addr(2)}, Stamp: 7}}
 	for _, e := range edit {
 		e(&c)
 	}
-	v, err := New(c, l.now)
+	v, err := New(c, tf.now)
 	if err != nil {
-		l.t.Fatal(err)
+		tf.t.Fatal(err)
 	}
-	l.attach(v)
+	tf.attach(v)
 	return v
 }
 
-func (l *testFleet) attach(v *View) {
-	l.views[v.self.addr] = v
-	l.order = append(l.order, v)
+func (tf *testFleet) attach(v *View) {
+	tf.views[v.self.addr] = v
+	tf.order = append(tf.order, v)
 }
 
-func (l *testFleet) remove(v *View) {
-	if l.views[v.self.addr] == v {
-		delete(l.views, v.self.addr)
+func (tf *testFleet) remove(v *View) {
+	if tf.views[v.self.addr] == v {
+		delete(tf.views, v.self.addr)
 	}
-	for i, x := range l.order {
+	for i, x := range tf.order {
 		if x == v {
-			l.order = append(l.order[:i:i], l.order[i+1:]...)
+			tf.order = append(tf.order[:i:i], tf.order[i+1:]...)
 		}
 	}
 }
 
 // flush delivers datagrams until none is in flight.
-func (l *testFleet) flush() {
+func (tf *testFleet) flush() {
 	for n, more := 0, true; more; n++ {
 		if n > 10_000 {
-			l.t.Fatal("datagrams never stop")
+			tf.t.Fatal("datagrams never stop")
 		}
 		more = false
-		for _, v := range l.order {
+		for _, v := range tf.order {
 			sends, _, _ := v.Take()
 			for _, s := range sends {
 				more = true
-				l.onSend(v, s)
-				if to := l.views[s.To]; to != nil && !l.blocked(v, to) {
-					to.Receive(l.now, s.Data)
+				tf.onSend(v, s)
+				if to := tf.views[s.To]; to != nil && !tf.blocked(v, to) {
+					to.Receive(tf.now, s.Data)
 				}
 			}
 		}
 	}
 }
 
-func (l *testFleet) run(periods int) {
+func (tf *testFleet) run(periods int) {
 	for range periods * slotsPerPeriod {
-		l.now += testPeriod / slotsPerPeriod
-		for _, v := range append([]*View(nil), l.order...) {
-			v.Tick(l.now)
-			l.flush()
+		tf.now += testPeriod / slotsPerPeriod
+		for _, v := range append([]*View(nil), tf.order...) {
+			v.Tick(tf.now)
+			tf.flush()
 		}
 	}
 }
 
-func (l *testFleet) waitFor(what string, most int, ok func() bool) int {
-	l.t.Helper()
-	for n := range most {
+func (tf *testFleet) waitFor(what string, maxPeriods int, ok func() bool) int {
+	tf.t.Helper()
+	for n := range maxPeriods {
 		if ok() {
 			return n
 		}
-		l.run(1)
+		tf.run(1)
 	}
-	for _, v := range l.order {
-		l.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Figures())
+	for _, v := range tf.order {
+		tf.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Figures())
 	}
-	l.t.Fatalf("%s: not reached within %d periods", what, most)
+	tf.t.Fatalf("%s: not reached within %d periods", what, maxPeriods)
 	return 0
 }
 
-func (l *testFleet) converged() bool {
-	for _, v := range l.order {
-		if alive, trusted := v.liveCounts(); v.digest != l.order[0].digest || alive != len(l.order) ||
+func (tf *testFleet) converged() bool {
+	for _, v := range tf.order {
+		if alive, trusted := v.liveCounts(); v.digest != tf.order[0].digest || alive != len(tf.order) ||
 			trusted != alive ||
 			v.joining {
 			return false
@@ -130,8 +130,8 @@
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	sound := Config{Name: "a", Addr: addr(1), Birth: 1, Period: testPeriod, Settings: Settings{Most: 2}}
-	if _, err := New(sound, 0); err != nil {
+	valid := Config{Name: "a", Addr: addr(1), Birth: 1, Period: testPeriod, Settings: Settings{Most: 2}}
+	if _, err := New(valid, 0); err != nil {
 		t.Fatal(err)
 	}
 	for what, edit := range map[string]func(*Config){
@@ -144,7 +144,7 @@
 		"roster":  func(c *Config) { c.Roster = []string{"b"} },
 		"room":    func(c *Config) { c.Most = 0 },
 	} {
-		c := sound
+		c := valid
 		edit(&c)
 		if _, err := New(c, 0); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: %v", what, err)
@@ -155,20 +155,20 @@
 // A restarted process supersedes its predecessor, whether the members know it as alive or dead, although the
 // new process starts without any state.
 func TestRestartSupersedesPredecessor(t *testing.T) {
-	l := newTestFleet(t)
-	a := l.add("a", 1)
-	l.add("b", 2)
-	c := l.add("c", 3)
-	l.waitFor("start", 30, l.converged)
+	tf := newTestFleet(t)
+	a := tf.add("a", 1)
+	tf.add("b", 2)
+	c := tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
 	for round := range 3 {
-		l.remove(c)
+		tf.remove(c)
 		if round == 1 { // known to be dead before it is back
-			l.waitFor("death", 20, func() bool { return strings.HasPrefix(stateOf(a, "c"), "dead") })
+			tf.waitFor("death", 20, func() bool { return strings.HasPrefix(stateOf(a, "c"), "dead") })
 		}
-		was := a.find("c").inc
-		c = l.add("c", 3)
-		l.waitFor("return", 20, l.converged)
-		if m := a.find("c"); m.birth != c.self.birth || m.inc <= was || a.byBirth[c.self.birth] != m {
+		oldInc := a.find("c").inc
+		c = tf.add("c", 3)
+		tf.waitFor("return", 20, tf.converged)
+		if m := a.find("c"); m.birth != c.self.birth || m.inc <= oldInc || a.byBirth[c.self.birth] != m {
 			t.Fatalf("a sees c as %+v", m)
 		}
 	}
@@ -179,12 +179,12 @@
 
 // A restart at another address supersedes the predecessor too, since the predecessor no longer answers.
 func TestRestartAtAnotherAddress(t *testing.T) {
-	l := newTestFleet(t)
-	a, c := l.add("a", 1), l.add("c", 3)
-	l.waitFor("start", 30, l.converged)
-	l.remove(c)
-	c = l.add("c", 9)
-	l.waitFor("return", 30, l.converged)
+	tf := newTestFleet(t)
+	a, c := tf.add("a", 1), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	tf.remove(c)
+	c = tf.add("c", 9)
+	tf.waitFor("return", 30, tf.converged)
 	if m := a.find("c"); m.addr != addr(9) || c.conflict != nil {
 		t.Fatalf("%+v, %+v", m, c.conflict)
 	}
@@ -193,33 +193,33 @@
 // Of two running processes with one name the later one has to stop: when it joins, after a partition, and
 // when the two reach each other only through other members. The older one keeps its membership.
 func TestTwoProcessesWithOneName(t *testing.T) {
-	for _, later := range []string{"joins", "was cut off", "is heard of through others only"} {
-		l := newTestFleet(t)
-		a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-		l.waitFor("start", 30, l.converged)
+	for _, scenario := range []string{"joins", "was partitioned", "is known through others only"} {
+		tf := newTestFleet(t)
+		a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+		tf.waitFor("start", 30, tf.converged)
 		var d *View
 		side := func(v *View) bool { return v == d }
-		if later == "was cut off" {
-			l.blocked = func(x, y *View) bool { return side(x) != side(y) }
+		if scenario == "was partitioned" {
+			tf.blocked = func(x, y *View) bool { return side(x) != side(y) }
 		}
-		d = l.add("c", 9)
-		if later == "is heard of through others only" {
-			l.blocked = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
+		d = tf.add("c", 9)
+		if scenario == "is known through others only" {
+			tf.blocked = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
 		}
-		if later == "was cut off" {
-			l.waitFor("d alone", 30, func() bool { return !d.joining })
-			l.run(10)
-			l.blocked = func(_, _ *View) bool { return false }
+		if scenario == "was partitioned" {
+			tf.waitFor("d alone", 30, func() bool { return !d.joining })
+			tf.run(10)
+			tf.blocked = func(_, _ *View) bool { return false }
 		}
-		l.waitFor("verdict: "+later, 60, func() bool { return d.conflict != nil && d.conflict.MustStop })
+		tf.waitFor("verdict: "+scenario, 60, func() bool { return d.conflict != nil && d.conflict.MustStop })
 		if c.conflict == nil || c.conflict.MustStop {
-			t.Fatalf("%s: the older process: %+v", later, c.conflict)
+			t.Fatalf("%s: the older process: %+v", scenario, c.conflict)
 		}
-		l.remove(d) // its process ends
-		l.waitFor("agreement: "+later, 60, l.converged)
+		tf.remove(d) // its process ends
+		tf.waitFor("agreement: "+scenario, 60, tf.converged)
 		for _, v := range []*View{a, b} {
 			if m := v.find("c"); m.birth != c.self.birth || m.addr != addr(3) {
-				t.Fatalf("%s: %s sees c as %+v", later, v.self.name, m)
+				t.Fatalf("%s: %s sees c as %+v", scenario, v.self.name, m)
 			}
 		}
 	}
@@ -227,72 +227,72 @@
 
 // A member that left is not dead, is not contacted any more, and can return as a new process.
 func TestLeaving(t *testing.T) {
-	l := newTestFleet(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.waitFor("start", 30, l.converged)
-	c.Leave(l.now)
-	l.flush()
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	c.Leave(tf.now)
+	tf.flush()
 	if !c.LeaveAcknowledged() {
 		t.Fatal("no member acknowledged the leave")
 	}
-	l.remove(c)
-	l.run(30)
+	tf.remove(c)
+	tf.run(30)
 	for _, v := range []*View{a, b} {
 		if s := stateOf(v, "c"); s != "left1" {
 			t.Fatalf("%s sees c as %s", v.self.name, s)
 		}
 	}
-	calls := 0
-	l.onSend = func(_ *View, s Send) {
+	datagrams := 0
+	tf.onSend = func(_ *View, s Send) {
 		if s.To == addr(3) {
-			calls++
+			datagrams++
 		}
 	}
-	l.run(20)
-	if calls > 0 {
-		t.Fatalf("%d datagrams to a member that has left", calls)
+	tf.run(20)
+	if datagrams > 0 {
+		t.Fatalf("%d datagrams to a member that has left", datagrams)
 	}
-	l.add("c", 3)
-	l.waitFor("return", 30, l.converged)
+	tf.add("c", 3)
+	tf.waitFor("return", 30, tf.converged)
 }
 
 // A forgotten member does not reappear: not when all datagrams ever sent are replayed, nor when a member that
 // was stopped while the others forgot it resumes and still knows it as alive.
 func TestForgottenMembersDoNotReturn(t *testing.T) {
-	l := newTestFleet(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	var tape []Send
-	l.onSend = func(_ *View, s Send) { tape = append(tape, s) }
-	l.waitFor("start", 30, l.converged)
-	l.run(5)
-	d := l.add("d", 4)
-	l.waitFor("d", 30, l.converged)
-	l.remove(d) // simulates a stopped process
-	l.remove(c)
-	l.onSend = func(*View, Send) {}
-	l.waitFor("death", 40, func() bool { return stateOf(a, "c") == "dead1" && stateOf(b, "c") == "dead1" })
-	l.run(ForgetDead + 10)
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	var recorded []Send
+	tf.onSend = func(_ *View, s Send) { recorded = append(recorded, s) }
+	tf.waitFor("start", 30, tf.converged)
+	tf.run(5)
+	d := tf.add("d", 4)
+	tf.waitFor("d", 30, tf.converged)
+	tf.remove(d) // simulates a stopped process
+	tf.remove(c)
+	tf.onSend = func(*View, Send) {}
+	tf.waitFor("death", 40, func() bool { return stateOf(a, "c") == "dead1" && stateOf(b, "c") == "dead1" })
+	tf.run(ForgetDead + 10)
 	if s := stateOf(a, "c") + stateOf(b, "c"); s != "unknownunknown" {
 		t.Fatalf("not forgotten: %s", s)
 	}
-	back := func(when string) {
+	requireForgotten := func(when string) {
 		t.Helper()
-		for _, v := range l.order {
+		for _, v := range tf.order {
 			if s := stateOf(v, "c"); s != "unknown" {
 				t.Fatalf("%s: %s sees c as %s", when, v.self.name, s)
 			}
 		}
 	}
-	for _, s := range tape {
-		if v := l.views[s.To]; v != nil {
-			v.Receive(l.now, s.Data)
-			l.flush()
+	for _, s := range recorded {
+		if v := tf.views[s.To]; v != nil {
+			v.Receive(tf.now, s.Data)
+			tf.flush()
 		}
 	}
-	back("after the replay")
-	l.attach(d) // resumes, and still knows c as alive
-	l.waitFor("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
-	back("after d resumed")
+	requireForgotten("after the replay")
+	tf.attach(d) // resumes, and still knows c as alive
+	tf.waitFor("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
+	requireForgotten("after d resumed")
 	if f := d.Figures(); f.Rejoins != 1 || a.Figures().Dropped[Replayed]+a.Figures().Dropped[Unknown] == 0 {
 		t.Fatalf("%+v, %+v", f, a.Figures())
 	}
@@ -300,17 +300,17 @@
 
 // A member that receives nothing is not trusted: no other member is declared dead, only the deaf one.
 func TestDeafMemberIsNotTrusted(t *testing.T) {
-	l := newTestFleet(t)
+	tf := newTestFleet(t)
 	var all []*View
 	for i := range 6 {
-		all = append(all, l.add(string(rune('a'+i)), i+1))
+		all = append(all, tf.add(string(rune('a'+i)), i+1))
 	}
-	l.waitFor("start", 40, l.converged)
+	tf.waitFor("start", 40, tf.converged)
 	deaf := all[5]
-	l.blocked = func(_, to *View) bool { return to == deaf }
+	tf.blocked = func(_, to *View) bool { return to == deaf }
 	died := false
 	for range 60 {
-		l.run(1)
+		tf.run(1)
 		for _, v := range all[:5] {
 			for _, w := range all[:5] {
 				died = died || v != w && strings.HasPrefix(stateOf(v, w.self.name), "dead")
@@ -320,18 +320,18 @@
 	if died || !strings.HasPrefix(stateOf(all[0], "f"), "dead") {
 		t.Fatalf("a healthy member was declared dead: %v; the deaf one is %s", died, stateOf(all[0], "f"))
 	}
-	l.blocked = func(_, _ *View) bool { return false }
-	l.waitFor("return", 30, l.converged)
+	tf.blocked = func(_, _ *View) bool { return false }
+	tf.waitFor("return", 30, tf.converged)
 }
 
 // The roster and the maximum size bound the view.
 func TestRosterBoundsView(t *testing.T) {
-	l := newTestFleet(t)
+	tf := newTestFleet(t)
 	names := func(c *Config) { c.Roster, c.Most = []string{"a", "b"}, 0 }
-	a := l.add("a", 1, names)
-	l.add("b", 2, names)
-	x := l.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
-	l.run(30)
+	a := tf.add("a", 1, names)
+	tf.add("b", 2, names)
+	x := tf.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
+	tf.run(30)
 	if stateOf(a, "x") != "unknown" || a.Figures().Dropped[NotAdmitted] == 0 || x.Figures().Rejections == 0 {
 		t.Fatalf("%s, %+v, %+v", stateOf(a, "x"), a.Figures(), x.Figures())
 	}
@@ -339,16 +339,16 @@
 		t.Fatal("members of the roster are missing")
 	}
 
-	l = newTestFleet(t)
-	a = l.add("a", 1, func(c *Config) { c.Most = 4 })
+	tf = newTestFleet(t)
+	a = tf.add("a", 1, func(c *Config) { c.Most = 4 })
 	for i := range 12 {
-		v := l.add(fmt.Sprint("p", i), 10+i)
-		l.run(6)
+		v := tf.add(fmt.Sprint("p", i), 10+i)
+		tf.run(6)
 		if n := len(a.members) + 1; n > 4 {
 			t.Fatalf("%d members, maximum is 4", n)
 		}
-		l.remove(v)
-		l.run(20)
+		tf.remove(v)
+		tf.run(20)
 	}
 	if stateOf(a, "p11") == "unknown" {
 		t.Fatal("the members that died first were not evicted")
@@ -357,32 +357,32 @@
 
 // A successor continues as the same member without others noticing; if it fails, the old process continues.
 func TestHandover(t *testing.T) {
-	l := newTestFleet(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.waitFor("start", 30, l.converged)
-	l.run(20)
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	tf.run(20)
 	inc, birth := b.self.inc, b.self.birth
-	next, err := Resume(b.cfg, b.Snapshot(), l.now)
+	successor, err := Resume(b.cfg, b.Snapshot(), tf.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.remove(b)
-	l.attach(next)
+	tf.remove(b)
+	tf.attach(successor)
 	for range 30 {
-		l.run(1)
+		tf.run(1)
 		for _, v := range []*View{a, c} {
 			if m := v.find("b"); m.state != Alive || m.suspect || m.birth != birth || m.inc != inc {
 				t.Fatalf("%s noticed: %+v", v.self.name, m)
 			}
 		}
 	}
-	if !l.converged() {
+	if !tf.converged() {
 		t.Fatal("the views differ")
 	}
-	l.remove(next)
-	l.attach(b)
-	b.Reclaim(l.now)
-	l.waitFor("the old one is back", 30, l.converged)
+	tf.remove(successor)
+	tf.attach(b)
+	b.Reclaim(tf.now)
+	tf.waitFor("the old one is back", 30, tf.converged)
 	if a.find("b").birth != birth {
 		t.Fatal("the old process has another identity")
 	}
@@ -390,22 +390,22 @@
 
 // No input causes a panic, an oversized datagram or a view above its maximum size.
 func FuzzReceive(f *testing.F) {
-	l := newTestFleet(f)
-	l.add("a", 1)
-	l.add("b", 2)
-	l.onSend = func(_ *View, s Send) { f.Add(s.Data) }
-	l.waitFor("start", 30, l.converged)
-	c := l.add("c", 3)
-	l.run(3)
-	c.Leave(l.now)
-	l.run(3)
+	tf := newTestFleet(f)
+	tf.add("a", 1)
+	tf.add("b", 2)
+	tf.onSend = func(_ *View, s Send) { f.Add(s.Data) }
+	tf.waitFor("start", 30, tf.converged)
+	c := tf.add("c", 3)
+	tf.run(3)
+	c.Leave(tf.now)
+	tf.run(3)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := newTestFleet(t)
-		v := l.add("a", 1, func(c *Config) { c.Most = 4 })
-		l.add("b", 2)
-		l.waitFor("start", 30, l.converged)
+		tf := newTestFleet(t)
+		v := tf.add("a", 1, func(c *Config) { c.Most = 4 })
+		tf.add("b", 2)
+		tf.waitFor("start", 30, tf.converged)
 		for range 2 {
-			v.Receive(l.now, data)
+			v.Receive(tf.now, data)
 			sends, _, _ := v.Take()
 			for _, s := range sends {
 				if len(s.Data) > MaxPlain {
@@ -416,12 +416,12 @@
 		if len(v.members)+1 > 4 {
 			t.Fatalf("%d members", len(v.members)+1)
 		}
-		l.run(2)
+		tf.run(2)
 	})
 }
 
 // Encoded entries decode to the same values; a truncated entry is rejected.
-func TestEntriesReadBack(t *testing.T) {
+func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := entry{record: record{birth: rapid.Uint64Range(1, 1<<63).Draw(t, "birth"),
 			inc: rapid.Uint32Range(0, maxIncarnation).Draw(t, "inc")}, typ: rapid.ByteMax(typeVote).Draw(t, "what")}
@@ -457,7 +457,7 @@
 }
 
 // Each sequence number is accepted once, in any order, unless it is too old for the window.
-func TestWindow(t *testing.T) {
+func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w replayWindow
 		taken, top := map[uint64]bool{}, uint64(0)
@@ -475,14 +475,14 @@
 // The same inputs and seed produce byte-identical datagrams.
 func TestRunIsDeterministic(t *testing.T) {
 	run := func() (log string) {
-		l := newTestFleet(t)
-		l.onSend = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
+		tf := newTestFleet(t)
+		tf.onSend = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
 		for i := range 5 {
-			l.add(fmt.Sprint("m", i), i+1)
+			tf.add(fmt.Sprint("m", i), i+1)
 		}
-		l.run(20)
-		l.remove(l.order[4])
-		l.run(20)
+		tf.run(20)
+		tf.remove(tf.order[4])
+		tf.run(20)
 		return log
 	}
 	if a, b := run(), run(); a != b || len(a) < 1000 {
