--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -108,12 +108,12 @@
 	closed         chan struct{}
 	closeOnce      sync.Once
 	dropCounts     [9]atomic.Int64 // indexed as dropErrors
-	moduleSent     atomic.Int64    // module messages sent
-	moduleReceived atomic.Int64    // module messages received
+	moduleSent     atomic.Int64    // messages of the decision module
+	moduleReceived atomic.Int64
 
-	mu         sync.Mutex // guards what follows
-	running    *session   // nil: another process of this member reads the socket
-	handedOver *membership.View
+	mu         sync.Mutex       // guards what follows
+	running    *session         // nil: another process of this member reads the socket
+	handedOver *membership.View // view of the last session, kept for Reclaim
 
 	store      verdictStore // used by the owner goroutine only
 	evidence   evidenceState
@@ -121,11 +121,11 @@
 	host       atomic.Pointer[Host] // set by Start; empty before
 	toApply    chan verdict.Change
 	verdicts   atomic.Pointer[Verdicts]
-	limits     []*limiter    // in the order of the settings file; fixed after Open
-	leases     *quota.Tenure // used by the owner goroutine only; nil: there is no voting
-	leasesHeld atomic.Pointer[[]string]
+	limits     []*limiter               // in the order of the settings file; fixed after Open
+	leases     *quota.Tenure            // used by the owner goroutine only; nil: there is no voting
+	leasesHeld atomic.Pointer[[]string] // as Limits.LeasesHeld
 
-	current    atomic.Pointer[Config] // current settings
+	current    atomic.Pointer[Config] // settings in force, replaced by Configure
 	rejections int64                  // owner goroutine only: times that others rejected this member
 	rejectedAt membership.Micros      // owner goroutine only: time of the last rejection
 
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -41,7 +41,7 @@
 	fullBit          = 0x80
 	typeMask         = 0x07
 	maxAge           = 1<<16 - 1
-	backlogThreshold = 8 // number of unsent updates above which probes of one period cannot carry them
+	backlogThreshold = 8 // number of unsent updates from which on the probes of a period cannot carry them all
 )
 
 // The types of an entry.
