--- a/balance/api.go
+++ b/balance/api.go
@@ -133,7 +133,7 @@
 
 // The states of a replica.
 const (
-	Gone State = iota
+	Removed State = iota
 	Ready
 	Draining
 )
@@ -168,7 +168,7 @@
 func (o Outcome) String() string {
 	names := [...]string{Error: "error", OK: "ok", Busy: "busy", TimedOut: "timed out",
 		NoConnection: "no connection",
-		Reset:        "reset", Cancelled: "cancelled", NotSent: "not sent", Spoilt: "spoilt"}
+		Reset:        "reset", Cancelled: "cancelled", NotSent: "not sent", Malformed: "spoilt"}
 	if int(o) < len(names) {
 		return names[o]
 	}
@@ -185,7 +185,7 @@
 	Reset                       // the connection broke
 	Cancelled                   // withdrawn
 	NotSent                     // never transmitted
-	Spoilt                      // the replica answered, but what came cannot be read, nor what would come after
+	Malformed                   // the replica answered, but what came cannot be read, nor what would come after
 )
 
 // EventKind tells which fields of an Event count.
@@ -193,47 +193,47 @@
 
 // The kinds of event.
 const (
-	Query       EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
-	Part                         // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
-	Result                       // ID, Attempt, Closed, Outcome, Replica, Elapsed, Report
-	Began                        // ID, Attempt: a streamed answer started
-	ClientGone                   // ID of a query
-	List                         // Mode, Replicas
-	ProbeResult                  // Replica, Outcome, Elapsed, Report
-	Message                      // From, Data: from a peer
-	Awake                        // a wake-up that was asked for
-	Ending                       // Deadline: this instance ends then, and holds no query beyond it
-	Changed                      // Settings: the new ones; classes keep their places, and none goes
-	Recalled                     // Memory: of an instance that this one takes over from; before any List
+	Query           EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
+	Part                             // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
+	Result                           // ID, Attempt, Closed, Outcome, Replica, Elapsed, Report
+	StreamStarted                    // ID, Attempt: a streamed answer started
+	ClientGone                       // ID of a query
+	List                             // Mode, Replicas
+	ProbeResult                      // Replica, Outcome, Elapsed, Report
+	Message                          // From, Data: from a peer
+	WakeUp                           // a wake-up that was asked for
+	Stopping                         // Deadline: this instance ends then, and holds no query beyond it
+	SettingsChanged                  // Settings: the new ones; classes keep their places, and none goes
+	Restored                         // Memory: of an instance that this one takes over from; before any List
 )
 
 // Event is something that happened to this instance.
 type Event struct {
-	Kind     EventKind
-	ID       uint32
-	Number   float32 // a query's number here; its parts carry the same
-	Class    int
-	Tenant   int
-	Shard    int
-	Weight   float64
-	Hint     Micros // expected work, 0 if unknown
-	Key      uint64
-	Deadline Micros // when the client abandons this try
-	Repeat   bool   // of a Query: marked by its client as asked before
-	Rules    *Class // of a Query: what binds it where that is not its class; nil: the class
-	Most     int    // of a Query: attempts for a part where that differs from the settings; 0: it does not
-	Attempt  int
-	Closed   bool
-	Outcome  Outcome
-	Replica  ReplicaID
-	Elapsed  Micros
-	Report   []float32
-	Mode     ListMode
-	Replicas []Replica
-	From     uint32
-	Data     []byte
-	Settings *Settings
-	Memory   *Memory
+	Kind        EventKind
+	ID          uint32
+	Number      float32 // a query's number here; its parts carry the same
+	Class       int
+	Tenant      int
+	Shard       int
+	Weight      float64
+	Hint        Micros // expected work, 0 if unknown
+	Key         uint64
+	Deadline    Micros // when the client abandons this try
+	Repeat      bool   // of a Query: marked by its client as asked before
+	Rules       *Class // of a Query: what binds it where that is not its class; nil: the class
+	MaxAttempts int    // of a Query: attempts for a part where that differs from the settings; 0: it does not
+	Attempt     int
+	Closed      bool
+	Outcome     Outcome
+	Replica     ReplicaID
+	Elapsed     Micros
+	Report      []float32
+	Mode        ListMode
+	Replicas    []Replica
+	From        uint32
+	Data        []byte
+	Settings    *Settings
+	Memory      *Memory
 }
 
 // Memory is what an instance hands to the one that takes its place, on the same clock: how much cold replicas
@@ -265,15 +265,15 @@
 
 // Action is something the host is to do, in the order given.
 type Action struct {
-	Kind    ActionKind
-	ID      uint32
-	Attempt int
-	Replica ReplicaID
-	Whole   bool
-	After   Micros
-	Before  Micros // of a Send: it must not begin later than this; 0: it may
-	Text    string
-	To      uint32
+	Kind     ActionKind
+	ID       uint32
+	Attempt  int
+	Replica  ReplicaID
+	Complete bool
+	After    Micros
+	StartBy  Micros // of a Send: it must not begin later than this; 0: it may
+	Text     string
+	To       uint32
 }
 
 // Why a query is refused or failed, as the Text of a Refuse or a Fail, for the log.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -14,8 +14,8 @@
 // How long a failed call for the list is waited with, in us: at first, and after many failures. What was
 // missed counts as told after 6 s, however the calls ended; the host's own limits on a call come on top.
 const (
-	AskAgain Micros = 1_000_000
-	AskMost  Micros = 4_000_000
+	AskAgain          Micros = 1_000_000
+	MaxListRetryDelay Micros = 4_000_000
 )
 
 // Tuned constants.
@@ -161,8 +161,8 @@
 		if e.Rules != nil {
 			q.rules = e.Rules
 		}
-		if e.Most > 0 {
-			q.most = e.Most
+		if e.MaxAttempts > 0 {
+			q.most = e.MaxAttempts
 		}
 		c := q.rules
 		q.aim = b.now + Micros((1-aimMargin)*(float64(c.Aim)+c.AimStretch*float64(e.Hint)))
@@ -186,7 +186,7 @@
 		if p != nil && i >= 0 && i < len(p.tries) && p.tries[i].live {
 			b.settle(p, &p.tries[i], e)
 		}
-	case Began:
+	case StreamStarted:
 		if p := b.parts[e.ID]; p != nil {
 			p.q.began = true
 		}
@@ -200,13 +200,13 @@
 		b.probeEnd(e)
 	case Message:
 		b.hear(e.Data)
-	case Changed:
+	case SettingsChanged:
 		if e.Settings.check() == nil && len(e.Settings.Classes) >= len(b.classes) {
 			b.adopt(e.Settings)
 		}
-	case Recalled:
+	case Restored:
 		b.carried, b.usualSize = e.Memory.Carried, e.Memory.UsualSize
-	case Ending:
+	case Stopping:
 		b.until = max(1, e.Deadline)
 		for _, q := range b.queries {
 			b.limit(q)
@@ -240,7 +240,7 @@
 	if e.Mode != Cached && e.Mode != Local {
 		b.asked = false
 		b.watching = e.Mode != Failed
-		b.askGap = min(2*b.askGap, AskMost) // growing and random: it may be down
+		b.askGap = min(2*b.askGap, MaxListRetryDelay) // growing and random: it may be down
 		if b.watching || b.askGap == 0 {
 			b.askGap = AskAgain
 		}
@@ -254,7 +254,7 @@
 	}
 	if e.Mode != Delta && e.Mode != Local {
 		for _, r := range b.replicas {
-			r.State = Gone // unless the list names it below
+			r.State = Removed // unless the list names it below
 		}
 	}
 	for _, l := range e.Replicas {
@@ -274,7 +274,7 @@
 		r.Replica = l
 	}
 	b.replicas = slices.DeleteFunc(b.replicas, func(r *replica) bool {
-		dead := r.State == Gone && r.calls == 0
+		dead := r.State == Removed && r.calls == 0
 		if dead {
 			delete(b.byID, r.ID)
 		}
@@ -373,7 +373,7 @@
 	}
 	b.fade(r)
 	switch {
-	case e.Outcome == Spoilt:
+	case e.Outcome == Malformed:
 	case e.Outcome != OK:
 		r.own.add(lostTime*b.minAim, 1)
 	case !r.lost:
@@ -468,7 +468,7 @@
 	switch e.Outcome {
 	case OK:
 		b.vain -= b.vain / vainParts
-	case Error, Busy, Spoilt: // silence takes no room that others could have
+	case Error, Busy, Malformed: // silence takes no room that others could have
 		b.vain += (1 - b.vain) / vainParts
 	}
 	switch e.Outcome {
@@ -503,7 +503,7 @@
 		}
 		b.blame(r, p.q.class, lostTime*b.minAim)
 		b.adjust(r, -weightStep*lossError)
-	case Spoilt: // tells nothing of how fast it is: of a replica that only ever spoils the weight takes care
+	case Malformed: // tells nothing of how fast it is: of a replica that only ever spoils the weight takes care
 		b.adjust(r, -weightStep*lossTimeout)
 	case TimedOut:
 		if !t.overdue {
@@ -573,7 +573,7 @@
 func (b *Balancer) answer(q *query) {
 	need, _ := b.shares(q)
 	whole := q.got >= need && (!q.second || q.whole && q.in == len(q.parts))
-	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Whole: whole})
+	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Complete: whole})
 	if q.rules.SecondStep > 0 && !q.second {
 		b.close(q)
 		q.second, q.whole, q.got, q.in = true, whole, 0, 0
@@ -904,7 +904,7 @@
 		until = min(p.q.deadline, b.now+c.Aim)
 	}
 	after := max(until-b.now, sweep)
-	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: after, Before: before})
+	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: after, StartBy: before})
 	return true
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -56,7 +56,7 @@
 	var all []Action
 	for end := k.now + d; k.now < end; {
 		k.now = min(end, k.now+10*ms)
-		all = append(all, k.step(Event{Kind: Awake})...)
+		all = append(all, k.step(Event{Kind: WakeUp})...)
 	}
 	return all
 }
@@ -108,7 +108,7 @@
 	if got := of(Answer, k.result(id+1, 0, sends[0].Replica, OK)); len(got) != 0 {
 		t.Fatal("answered with half the parts in")
 	}
-	if a := one(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Whole || a.ID != id {
+	if a := one(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Complete || a.ID != id {
 		t.Fatalf("answer %+v", a)
 	}
 	if len(k.b.parts)+len(k.b.byQuery)+len(k.b.byNumber)+len(k.b.queries) != 0 {
@@ -242,7 +242,7 @@
 }
 
 func TestDrainStopsSendsAtOnce(t *testing.T) {
-	for _, st := range []State{Draining, Gone} {
+	for _, st := range []State{Draining, Removed} {
 		k := start(t, settings(), ready(2)...)
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 1, State: st, Size: 2}}})
 		for range 20 {
@@ -302,7 +302,7 @@
 	k := start(t, s, ready(2)...)
 	id := k.query(0, 2)
 	k.result(id+1, 0, of(Send, k.out)[0].Replica, OK)
-	if a := one(t, Answer, k.wait(1000*ms)); a.Whole {
+	if a := one(t, Answer, k.wait(1000*ms)); a.Complete {
 		t.Fatal("a part of the answer was called whole")
 	}
 }
@@ -330,12 +330,12 @@
 	s.Classes[0].SecondStep = 1
 	k := start(t, s, ready(2)...)
 	id := k.query(0, 1)
-	if a := one(t, Answer, k.result(id+1, 0, one(t, Send, k.out).Replica, OK)); !a.Whole {
+	if a := one(t, Answer, k.result(id+1, 0, one(t, Send, k.out).Replica, OK)); !a.Complete {
 		t.Fatal("first step not whole")
 	}
 	k.now += 5 * ms
 	acts := k.step(Event{Kind: Part, ID: 900, Number: float32(id), Weight: 1})
-	if a := one(t, Answer, k.result(900, 0, one(t, Send, acts).Replica, OK)); !a.Whole {
+	if a := one(t, Answer, k.result(900, 0, one(t, Send, acts).Replica, OK)); !a.Complete {
 		t.Fatal("second step not whole")
 	}
 }
@@ -450,7 +450,7 @@
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].Effect, s.Classes[0].Dropped = Unsafe, true
 	s.Classes = append(s.Classes, Class{Aim: 400 * ms, Deadline: 800 * ms, Worth: 1, Need: 1, Floor: 1})
-	k.step(Event{Kind: Changed, Settings: &s})
+	k.step(Event{Kind: SettingsChanged, Settings: &s})
 	if k.b.minAim != float64(400*ms) {
 		t.Errorf("the scale is %.0f us", k.b.minAim)
 	}
@@ -463,7 +463,7 @@
 		t.Errorf("one attempt is all that a new query has: %+v", got)
 	}
 	s.MaxAttempts = 0
-	k.step(Event{Kind: Changed, Settings: &s})
+	k.step(Event{Kind: SettingsChanged, Settings: &s})
 	if k.b.s.MaxAttempts != 1 {
 		t.Error("settings that cannot be were taken")
 	}
--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -152,7 +152,7 @@
 			rs := ready(2)
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			serve(k, 100, 150*ms, func(*bench, uint32, Action) Outcome { return OK })
-			rs[0].Started, rs[1].State = k.now, Gone
+			rs[0].Started, rs[1].State = k.now, Removed
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			for range 550 {
 				id := k.query(0, 1)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -88,7 +88,7 @@
 			replicas[0].Started = now
 			for i := range replicas[1:] {
 				if f.alone {
-					replicas[i+1].State = Gone
+					replicas[i+1].State = Removed
 				}
 			}
 			for i, k := range all {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -24,7 +24,7 @@
 			case balance.Send:
 				fmt.Println("send part", a.ID, "to replica", a.Replica)
 			case balance.Answer:
-				fmt.Println("answer query", a.ID, "whole:", a.Whole)
+				fmt.Println("answer query", a.ID, "whole:", a.Complete)
 			case balance.Wake:
 				fmt.Println("wake me in", a.After, "us")
 			}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -122,7 +122,7 @@
 	heard := 0
 	for range 10 {
 		a.now += tellGap
-		for _, m := range of(Tell, a.step(Event{Kind: Awake})) {
+		for _, m := range of(Tell, a.step(Event{Kind: WakeUp})) {
 			if m.To != 1 || len(m.Text) > 256 {
 				t.Fatalf("message of %d bytes to peer %d", len(m.Text), m.To)
 			}
@@ -381,7 +381,7 @@
 		rs := ready(2)
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 		serve(k, 40, 950*ms, func(*bench, uint32, Action) Outcome { return OK })
-		rs[0].Started, rs[1].State = k.now, Gone // nothing else holds the shard
+		rs[0].Started, rs[1].State = k.now, Removed // nothing else holds the shard
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 		for end := k.now + while; k.now < end; k.now += gap {
 			k.query(0, 1)
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -214,7 +214,7 @@
 func TestEndingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
 	k := start(t, settings(), ready(3)...)
 	held := k.query(0, 1)
-	k.step(Event{Kind: Ending, Deadline: k.now + 500*ms})
+	k.step(Event{Kind: Stopping, Deadline: k.now + 500*ms})
 	late := k.query(0, 1)
 	done := map[uint32]bool{}
 	for _, a := range of(Refuse, k.wait(500*ms)) {
@@ -233,7 +233,7 @@
 	first := one(t, Send, k.out)
 	r := k.b.byID[first.Replica]
 	before := k.b.expect(r, 0)
-	if next := one(t, Send, k.result(id+1, 0, first.Replica, Spoilt)); next.Replica == first.Replica {
+	if next := one(t, Send, k.result(id+1, 0, first.Replica, Malformed)); next.Replica == first.Replica {
 		t.Error("the part went to the same replica")
 	}
 	if after := k.b.expect(r, 0); after != before {
@@ -243,7 +243,7 @@
 		k.b.adjust(r, 0)
 		q := &query{rules: &k.b.s.Classes[0]}
 		k.b.settle(&part{q: q, live: 1}, &attempt{r: r, call: &call{live: 1}, sent: k.now},
-			&Event{Kind: Result, Outcome: Spoilt})
+			&Event{Kind: Result, Outcome: Malformed})
 	}
 	if r.weight > midWeight/4 {
 		t.Errorf("weight %.0f after twenty spoilt answers in a row", r.weight)
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -21,9 +21,9 @@
 	begun := k.now
 	for len(of(Answer, k.out)) == 0 && k.now < begun+1000*ms {
 		k.now += 10 * ms
-		k.step(Event{Kind: Awake})
+		k.step(Event{Kind: WakeUp})
 	}
-	if one(t, Answer, k.out).Whole {
+	if one(t, Answer, k.out).Complete {
 		t.Fatal("an answer that lacks a part was called whole")
 	}
 	if left := begun + 1000*ms - k.now; left < 300*ms || left > 600*ms {
@@ -47,7 +47,7 @@
 			t.Fatalf("ended with half of the second step in: %+v", a)
 		}
 	}
-	if a := one(t, Answer, k.result(902, 0, first[1].Replica, OK)); !a.Whole {
+	if a := one(t, Answer, k.result(902, 0, first[1].Replica, OK)); !a.Complete {
 		t.Fatal("all is in, but the answer is not whole")
 	}
 }
@@ -153,7 +153,7 @@
 				failed := k.now
 				for k.step(Event{Kind: List, Mode: Failed}); len(of(Watch, k.out)) == 0; k.wait(0) {
 					k.now += 10 * ms
-					k.step(Event{Kind: Awake})
+					k.step(Event{Kind: WakeUp})
 				}
 				gaps = append(gaps, k.now-failed)
 			}
@@ -163,7 +163,7 @@
 			// Four times the limit may pass after a failed call, but what was missed counts as told 6 s after
 			// discovery could be reached. Retries at a quarter of 8 s kept discovery overbooked for as long as 80
 			// instances asked.
-			most := AskMost
+			most := MaxListRetryDelay
 			if must > 0 {
 				most = min(most, must)
 			}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -132,7 +132,7 @@
 func (w *world) check(a Action) {
 	switch a.Kind {
 	case Wake:
-		w.pending = append(w.pending, pending{w.now + max(a.After, w.s.Tick), Event{Kind: Awake}})
+		w.pending = append(w.pending, pending{w.now + max(a.After, w.s.Tick), Event{Kind: WakeUp}})
 	case Watch, Fetch:
 		mode := Delta
 		if w.rng.IntN(3) == 0 {
@@ -196,8 +196,8 @@
 	if c.Effect == Keyed && ran > 0 {
 		before = ran + c.Window
 	}
-	if a.Before != before {
-		w.breach("an attempt may begin until %d, its window ends at %d", a.Before, before)
+	if a.StartBy != before {
+		w.breach("an attempt may begin until %d, its window ends at %d", a.StartBy, before)
 	}
 	if len(p.attempts) > 0 && w.s.ResendSpan > 0 {
 		w.extras = append(w.extras, w.now)
@@ -264,11 +264,11 @@
 		if q.in < floor-1e-4 {
 			w.breach("answered with %.2f in, %.2f is the least", q.in, floor)
 		}
-		if a.Whole && (q.in < need-1e-4 || q.second && (!all || !q.whole)) {
+		if a.Complete && (q.in < need-1e-4 || q.second && (!all || !q.whole)) {
 			w.breach("an answer was called whole that is not")
 		}
 		if c.SecondStep > 0 && !q.second {
-			q.second, q.whole, q.in = true, a.Whole, 0
+			q.second, q.whole, q.in = true, a.Complete, 0
 			old := q.parts
 			q.parts = nil
 			var events []Event
@@ -378,7 +378,7 @@
 	r := w.replicas[w.ids[w.rng.IntN(len(w.ids))]]
 	switch {
 	case r.State == Ready && w.rng.IntN(2) == 0:
-		r.State, r.told = []State{Draining, Gone}[w.rng.IntN(2)], w.now
+		r.State, r.told = []State{Draining, Removed}[w.rng.IntN(2)], w.now
 	default:
 		r.State, r.Started = Ready, w.now-Micros(w.rng.IntN(500))*ms
 	}
@@ -501,7 +501,7 @@
 		}),
 		"whole": edit(func(w *world, a Action) []Action {
 			if a.Kind == Refuse {
-				return []Action{{Kind: Answer, ID: a.ID, Whole: true}}
+				return []Action{{Kind: Answer, ID: a.ID, Complete: true}}
 			}
 			return []Action{a}
 		}),
@@ -548,7 +548,7 @@
 	k.now -= 5000 * ms
 	k.step(Event{Kind: Result, ID: 9999, Outcome: OK}, Event{Kind: Result, ID: id + 1, Attempt: 7, Outcome: OK},
 		Event{Kind: Part, ID: 77, Number: 12345, Shard: -3}, Event{Kind: ClientGone, ID: 4242},
-		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: Began, ID: 1234}, Event{Kind: ProbeResult, Replica: 55},
+		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: StreamStarted, ID: 1234}, Event{Kind: ProbeResult, Replica: 55},
 		Event{Kind: Message}, Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 9, Cell: 99, State: Ready}}},
 		Event{Kind: Result, ID: id + 1, Attempt: -1, Outcome: OK})
 	k.now += 9000 * ms
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -30,7 +30,7 @@
 			}
 		case balance.Answer:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Answered, Whole: a.Whole}
+				f := FinalAnswer{Outcome: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
 					if p.value != nil {
 						f.Values = append(f.Values, *p.value)
@@ -40,11 +40,11 @@
 			}
 		case balance.Refuse, balance.Fail:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Failed}
+				f := FinalAnswer{Outcome: Failed}
 				if a.Kind == balance.Refuse {
-					f = Final{Ending: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
+					f = FinalAnswer{Outcome: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
 				}
-				c.logEnd(q, f.Ending.String(), a.Text)
+				c.logEnd(q, f.Outcome.String(), a.Text)
 				c.final(q, f)
 			}
 		case balance.Probe:
@@ -61,12 +61,12 @@
 				c.wakeAt = at
 			}
 		case balance.Watch, balance.Unwatch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Watch(a.Kind == balance.Watch)
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Watch(a.Kind == balance.Watch)
 			}
 		case balance.Fetch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Fetch()
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Fetch()
 			}
 		case balance.Note:
 			text := a.Text
@@ -92,7 +92,7 @@
 			return true
 		}
 	}
-	return a.Query.Via.Withdraw(a)
+	return a.Query.Backend.Cancel(a)
 }
 
 // send makes an attempt and keeps it until the Step's other actions are read.
@@ -110,15 +110,15 @@
 		until = p.q.deadline
 	}
 	a.Timeout = time.Duration(max(0, until-c.now)) * time.Microsecond
-	a.Until = c.moment(until)
-	if act.Before > 0 {
-		a.Before = c.moment(act.Before)
+	a.Deadline = c.moment(until)
+	if act.StartBy > 0 {
+		a.StartBy = c.moment(act.StartBy)
 	}
 	p.tries = append(p.tries, a)
 	p.live++
-	if c.cfg.Gate != nil {
+	if c.cfg.Admission != nil {
 		var otherwise balance.Outcome
-		if a.passed, otherwise = c.cfg.Gate.Send(a); !a.passed {
+		if a.passed, otherwise = c.cfg.Admission.AllowSend(a); !a.passed {
 			c.settle(a, otherwise, nil, nil)
 			return
 		}
@@ -134,14 +134,14 @@
 		var call, rest []*Attempt
 		for _, a := range c.sends {
 			if len(call) < max(1, c.cfg.Settings.BatchMax) && a.Replica == first.Replica &&
-				a.Query.Via == first.Query.Via {
+				a.Query.Backend == first.Query.Backend {
 				call = append(call, a)
 			} else {
 				rest = append(rest, a)
 			}
 		}
 		c.sends = rest
-		if !first.Query.Via.Send(first.Replica, call) {
+		if !first.Query.Backend.Send(first.Replica, call) {
 			for _, a := range call {
 				c.settle(a, balance.NoConnection, nil, nil)
 			}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,13 +9,13 @@
 
 // Attempt is one send of a part. Backends keep the pointer and hand it back with the outcome.
 type Attempt struct {
-	Query   *Query
-	Shard   int
-	Replica balance.ReplicaID
-	Timeout time.Duration // how long the core will wait
-	Until   time.Time     // and up to when
-	Before  time.Time     // it must not begin later, as its key is forgotten then; zero: it may
-	Ticket  any           // the gate's
+	Query    *Query
+	Shard    int
+	Replica  balance.ReplicaID
+	Timeout  time.Duration // how long the core will wait
+	Deadline time.Time     // and up to when
+	StartBy  time.Time     // it must not begin later, as its key is forgotten then; zero: it may
+	Ticket   any           // the gate's
 
 	watch  *watchdog.Watchdog // looks at writes that are under way; nil: nobody does
 	write  *watchdog.Call     // the writer's, while one is
@@ -32,39 +32,39 @@
 // heldTicks is how many whole ticks of the watchdog a write may be held.
 const heldTicks = 4
 
-// Hold is why an attempt may not begin.
-type Hold string
+// HoldReason is why an attempt may not begin.
+type HoldReason string
 
 // The reasons why an attempt may not begin.
 const (
-	MayBegin     Hold = ""
-	HoldOverdue  Hold = "its time is over"
-	HoldWindow   Hold = "the window for repeats of its key is over"
-	HoldLeft     Hold = "its client has left"
-	HoldAnswered Hold = "its request is over"
-	HoldDraining Hold = "its server drains"
+	NoHold         HoldReason = ""
+	HoldExpired    HoldReason = "its time is over"
+	HoldWindow     HoldReason = "the window for repeats of its key is over"
+	HoldClientLeft HoldReason = "its client has left"
+	HoldFinished   HoldReason = "its request is over"
+	HoldDraining   HoldReason = "its server drains"
 )
 
 // BeginWrite asks whether the attempt's first byte may be written now, and how long the core will wait for
 // the attempt from there. Where it may, the caller makes the system call at once and then calls EndWrite: in
 // between the query's end waits for the call or aborts it. Nothing may come between the two, in particular no
 // look at a clock and nothing that waits; the time given has been read before.
-func (a *Attempt) BeginWrite(w Writer, now time.Time) (wait time.Duration, hold Hold) {
-	wait = a.Until.Sub(now)
+func (a *Attempt) BeginWrite(w Writer, now time.Time) (wait time.Duration, hold HoldReason) {
+	wait = a.Deadline.Sub(now)
 	switch {
 	case wait <= 0:
-		return wait, HoldOverdue
-	case !a.Before.IsZero() && now.After(a.Before):
+		return wait, HoldExpired
+	case !a.StartBy.IsZero() && now.After(a.StartBy):
 		return wait, HoldWindow
 	case a.Query.ClientLeft != nil && a.Query.ClientLeft():
-		return wait, HoldLeft
+		return wait, HoldClientLeft
 	case !a.Query.writes.enter(w):
-		return wait, HoldAnswered
+		return wait, HoldFinished
 	}
 	if a.watch != nil {
 		a.write = a.watch.Begin(func(ticks int) { a.writeHeld(w, ticks) })
 	}
-	return wait, MayBegin
+	return wait, NoHold
 }
 
 // EndWrite tells that the write which BeginWrite has allowed has returned.
@@ -80,8 +80,8 @@
 func (a *Attempt) writeHeld(w Writer, ticks int) {
 	now := time.Now()
 	left := a.Query.ClientLeft != nil && a.Query.ClientLeft()
-	windowOver := !a.Before.IsZero() && now.After(a.Before)
-	if left || windowOver || now.After(a.Until) || ticks >= heldTicks {
+	windowOver := !a.StartBy.IsZero() && now.After(a.StartBy)
+	if left || windowOver || now.After(a.Deadline) || ticks >= heldTicks {
 		a.Query.writes.abortWriter(w)
 	}
 }
@@ -96,5 +96,5 @@
 	return false
 }
 
-// First tells that the attempt is the first of its part.
-func (a *Attempt) First() bool { return a.number == 0 }
+// IsFirst tells that the attempt is the first of its part.
+func (a *Attempt) IsFirst() bool { return a.number == 0 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -42,14 +42,14 @@
 	// Send passes on attempts that share a call. It returns false where they cannot even be queued; they
 	// have then never run.
 	Send(to balance.ReplicaID, call []*Attempt) bool
-	// Withdraw gives an attempt up. It returns true where it is certain that it never ran.
-	Withdraw(a *Attempt) bool
+	// Cancel gives an attempt up. It returns true where it is certain that it never ran.
+	Cancel(a *Attempt) bool
 	// Probe looks at a server; the outcome comes as ProbeDone.
 	Probe(to balance.ReplicaID) bool
 	// CloseIdle closes connections that carry nothing.
 	CloseIdle(to balance.ReplicaID)
-	// Stop withdraws what is queued for a server and not begun, and returns it.
-	Stop(to balance.ReplicaID) []*Attempt
+	// CancelQueued withdraws what is queued for a server and not begun, and returns it.
+	CancelQueued(to balance.ReplicaID) []*Attempt
 }
 
 // Peers carries messages to other coordinators.
@@ -57,54 +57,54 @@
 	Tell(to uint32, text string)
 }
 
-// Lister asks discovery, where the list does not come by itself.
-type Lister interface {
+// Discovery asks discovery, where the list does not come by itself.
+type Discovery interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Gate limits what is let in and sent beside what the module decides. No method may block.
-type Gate interface {
+// AdmissionController limits what is let in and sent beside what the module decides. No method may block.
+type AdmissionController interface {
 	// Admit is asked before a query is queued, from any goroutine: whether it may be let in, and if not after
 	// how long and why. Ended is called once for each that was, when it has its final answer or its client is
 	// gone, which counts as Failed.
 	Admit(q *Query) (ok bool, after time.Duration, why string)
-	Ended(q *Query, e Ending)
-	// Send is asked before an attempt is handed to its backend, by the core's goroutine; one that may not be
+	QueryEnded(q *Query, e QueryOutcome)
+	// AllowSend is asked before an attempt is handed to its backend, by the core's goroutine; one that may not be
 	// ends as told. Over is called once for each that may, at its end.
-	Send(a *Attempt) (ok bool, otherwise balance.Outcome)
-	Over(a *Attempt)
+	AllowSend(a *Attempt) (ok bool, otherwise balance.Outcome)
+	AttemptEnded(a *Attempt)
 }
 
-// Seen is how an attempt at a server ended.
-type Seen struct {
-	Replica balance.ReplicaID
-	Class   int
-	Outcome balance.Outcome
-	Took    time.Duration
-	Beaten  bool // it was given up, and an attempt of its part that was sent later has been answered
+// AttemptResult is how an attempt at a server ended.
+type AttemptResult struct {
+	Replica    balance.ReplicaID
+	Class      int
+	Outcome    balance.Outcome
+	Elapsed    time.Duration
+	Superseded bool // it was given up, and an attempt of its part that was sent later has been answered
 }
 
 // Config is what a core is made of.
 type Config struct {
-	Settings balance.Settings
-	Seed     uint64
-	Backends []Backend
-	Peers    Peers
-	Lister   Lister
-	Log      *slog.Logger
-	Counts   *Counts // where this core's figures go; nil: nowhere
-	// Gate is asked before a query is queued and before an attempt is sent. Nil: all may.
-	Gate Gate
-	// Saw is told how each attempt ended, by the core's goroutine. It must not wait. Nil: nobody is.
-	Saw func(Seen)
-	// Guard chooses which of the servers that are out by evidence, the first to be judged first, may be so.
+	Settings  balance.Settings
+	Seed      uint64
+	Backends  []Backend
+	Peers     Peers
+	Discovery Discovery
+	Log       *slog.Logger
+	Counts    *Counts // where this core's figures go; nil: nowhere
+	// Admission is asked before a query is queued and before an attempt is sent. Nil: all may.
+	Admission AdmissionController
+	// OnAttemptEnd is told how each attempt ended, by the core's goroutine. It must not wait. Nil: nobody is.
+	OnAttemptEnd func(AttemptResult)
+	// LimitCordons chooses which of the servers that are out by evidence, the first to be judged first, may be so.
 	// Nil: none.
-	Guard func(listed []verdict.Holder, sick []uint64) map[uint64]bool
-	// Named is a server's name for the log; nil: its number stands for it.
-	Named func(id balance.ReplicaID) (string, bool)
-	// Listed is called after the first Step that knew a server.
-	Listed func()
+	LimitCordons func(listed []verdict.Holder, sick []uint64) map[uint64]bool
+	// ServerName is a server's name for the log; nil: its number stands for it.
+	ServerName func(id balance.ReplicaID) (string, bool)
+	// OnFirstList is called after the first Step that knew a server.
+	OnFirstList func()
 	// Delays hears of Steps that came late; nil: nobody does.
 	Delays *delay.Recorder
 }
@@ -208,22 +208,22 @@
 	}
 }
 
-// Leave tells that the client of a query has left. From here on no attempt of it begins, also where the queue
+// Abandon tells that the client of a query has left. From here on no attempt of it begins, also where the queue
 // is long.
-func (c *Core) Leave(q *Query) {
+func (c *Core) Abandon(q *Query) {
 	q.writes.close(nil)
-	c.Post(Gone{Query: q})
+	c.Post(ClientGone{Query: q})
 }
 
 // admit asks the gate. One that it turns away has had its final answer.
 func (c *Core) admit(q *Query) bool {
-	c.cfg.Counts.Active.Add(1)
-	if c.cfg.Gate == nil {
+	c.cfg.Counts.ActiveQueries.Add(1)
+	if c.cfg.Admission == nil {
 		return true
 	}
-	ok, after, why := c.cfg.Gate.Admit(q)
+	ok, after, why := c.cfg.Admission.Admit(q)
 	if q.admitted = ok; !ok {
-		c.reply(q, Final{Ending: Refused, RetryAfter: after, Why: why})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: after, Why: why})
 	}
 	return ok
 }
@@ -231,12 +231,12 @@
 // Counts are this process's figures.
 func (c *Core) Counts() *Counts { return c.cfg.Counts }
 
-// FullAdvice is when to come back where there was no room.
-func (c *Core) FullAdvice() time.Duration { return c.Advise(fullAdvice) }
+// FullRetryAfter is when to come back where there was no room.
+func (c *Core) FullRetryAfter() time.Duration { return c.CapRetryAfter(fullAdvice) }
 
-// Advise is what a client may be told of when to come back: no longer than the settings in force say that it
+// CapRetryAfter is what a client may be told of when to come back: no longer than the settings in force say that it
 // follows, and nothing, 0, where they let it hear nothing.
-func (c *Core) Advise(after time.Duration) time.Duration {
+func (c *Core) CapRetryAfter(after time.Duration) time.Duration {
 	return min(after, time.Duration(c.advice.Load()))
 }
 
@@ -250,9 +250,9 @@
 	c.advice.Store(int64(longest))
 }
 
-// Finish tells the module that this instance ends at the time given, and returns a channel that is closed
+// Shutdown tells the module that this instance ends at the time given, and returns a channel that is closed
 // once no query is open.
-func (c *Core) Finish(until time.Time) <-chan struct{} {
+func (c *Core) Shutdown(until time.Time) <-chan struct{} {
 	c.Post(stopping{until: until})
 	return c.idle
 }
@@ -376,9 +376,9 @@
 	switch e := e.(type) {
 	case *Query:
 		c.begin(e)
-	case Outcome:
+	case AttemptDone:
 		c.settle(e.Attempt, e.Outcome, e.Report, &e.Value)
-	case Gone:
+	case ClientGone:
 		if e.Query.open {
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: e.Query.id})
 			c.logEnd(e.Query, "abandoned", "its client has left")
@@ -386,26 +386,26 @@
 			c.end(e.Query)
 			c.left(e.Query, Failed)
 		}
-	case Listed:
+	case ListUpdate:
 		c.learn(&e)
 		c.tell(e.Mode, e.Replicas)
 	case Cordon:
 		c.cordon(e)
-	case Inherited: // it comes before any list
-		e.shift(e.Now, c.clock(time.Now()))
-		maps.Copy(c.outs[Here], e.Out)
-		maps.Copy(c.outs[ByFleet], e.Barred)
-		maps.Copy(c.since, e.Since)
+	case HandoverState: // it comes before any list
+		e.shift(e.Clock, c.clock(time.Now()))
+		maps.Copy(c.outs[ByOperator], e.Cordons)
+		maps.Copy(c.outs[ByFleetOperator], e.FleetCordons)
+		maps.Copy(c.since, e.RestoredAt)
 		for id, at := range e.Memory.Starts { // some of them the list may not tell yet
 			c.since[id] = max(c.since[id], at)
 		}
-		c.events = append(c.events, balance.Event{Kind: balance.Recalled, Memory: &e.Memory})
-	case Reconfigured:
+		c.events = append(c.events, balance.Event{Kind: balance.Restored, Memory: &e.Memory})
+	case SettingsChanged:
 		c.adopt(e.Settings)
-		c.events = append(c.events, balance.Event{Kind: balance.Changed, Settings: &e.Settings})
+		c.events = append(c.events, balance.Event{Kind: balance.SettingsChanged, Settings: &e.Settings})
 	case cordons:
-		e.done <- Inherited{Out: maps.Clone(c.outs[Here]), Barred: maps.Clone(c.outs[ByFleet]),
-			Since: maps.Clone(c.since), Memory: c.module.Memory(), Now: c.clock(time.Now())}
+		e.done <- HandoverState{Cordons: maps.Clone(c.outs[ByOperator]), FleetCordons: maps.Clone(c.outs[ByFleetOperator]),
+			RestoredAt: maps.Clone(c.since), Memory: c.module.Memory(), Clock: c.clock(time.Now())}
 	case knows:
 		_, ok := c.listed[e.server]
 		e.done <- ok
@@ -416,7 +416,7 @@
 		c.events = append(c.events, balance.Event{Kind: balance.Message, From: e.From, Data: e.Data})
 	case stopping:
 		c.until = c.clock(e.until)
-		c.events = append(c.events, balance.Event{Kind: balance.Ending, Deadline: c.until})
+		c.events = append(c.events, balance.Event{Kind: balance.Stopping, Deadline: c.until})
 		for _, q := range c.queries {
 			heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
 		}
@@ -425,18 +425,18 @@
 
 // begin takes a query and gives the module what it needs to know of it.
 func (c *Core) begin(q *Query) {
-	if q.Over() { // its client left while it was queued
+	if q.Finished() { // its client left while it was queued
 		c.left(q, Failed)
 		return
 	}
 	if c.names[q.Name] != nil { // its parts could not be told from those of the other one
 		c.logEnd(q, Failed.String(), "an open query bears the same name")
-		c.reply(q, Final{Ending: Failed, NameTaken: true})
+		c.reply(q, FinalAnswer{Outcome: Failed, NameTaken: true})
 		return
 	}
 	if most := c.cfg.Settings.MaxOpen; most > 0 && c.held+1+len(q.Parts) > most {
 		c.logEnd(q, Refused.String(), "too many queries are open")
-		c.reply(q, Final{Ending: Refused, RetryAfter: fullAdvice})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: fullAdvice})
 		return
 	}
 	q.open, q.deadline, q.began = true, c.clock(q.Deadline), c.clock(time.Now())
@@ -457,7 +457,7 @@
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Query, ID: q.id, Number: q.number, Class: q.Class,
 		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: hints, Deadline: q.deadline, Repeat: q.Repeat,
-		Rules: q.Rules, Most: q.Most})
+		Rules: q.Rules, MaxAttempts: q.MaxAttempts})
 	for i := range q.Parts {
 		s := &q.Parts[i]
 		p := &part{q: q, spec: s, id: c.freshID()}
@@ -489,10 +489,10 @@
 	}
 	a.over, a.ended, a.outcome = true, c.now, o
 	if a.passed {
-		c.cfg.Gate.Over(a)
+		c.cfg.Admission.AttemptEnded(a)
 	}
-	if c.cfg.Saw != nil {
-		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, micros(c.now - a.sent), o == balance.Cancelled && a.beaten()})
+	if c.cfg.OnAttemptEnd != nil {
+		c.cfg.OnAttemptEnd(AttemptResult{a.Replica, a.Query.Class, o, micros(c.now - a.sent), o == balance.Cancelled && a.beaten()})
 	}
 	p := a.p
 	p.live--
@@ -519,14 +519,14 @@
 	if due := c.nextTime(); due > 0 && c.now > 0 {
 		late = micros(now - max(due, c.now))
 	}
-	c.logLater(func() { c.cfg.Delays.Note(delay.Step, late, "open", len(c.queries)) })
+	c.logLater(func() { c.cfg.Delays.Record(delay.Step, late, "open", len(c.queries)) })
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		switch {
 		case t.a != nil && !t.a.over:
 			o := balance.TimedOut
-			if t.a.Query.Via.Withdraw(t.a) {
+			if t.a.Query.Backend.Cancel(t.a) {
 				o = balance.NotSent
 			}
 			c.settle(t.a, o, nil, nil)
@@ -538,7 +538,7 @@
 	}
 	if c.wakeAt > 0 && c.wakeAt <= now {
 		c.wakeAt = 0
-		c.events = append(c.events, balance.Event{Kind: balance.Awake})
+		c.events = append(c.events, balance.Event{Kind: balance.WakeUp})
 	}
 	events := c.events
 	c.actions = c.module.Step(now, events, c.actions[:0])
@@ -546,16 +546,16 @@
 	c.events = events[:0]
 	c.carryOut()
 	c.countList()
-	if c.sawList && c.cfg.Listed != nil {
-		c.cfg.Listed()
-		c.cfg.Listed = nil
+	if c.sawList && c.cfg.OnFirstList != nil {
+		c.cfg.OnFirstList()
+		c.cfg.OnFirstList = nil
 	}
 	for _, q := range overdue {
 		if q.open {
 			c.logEnd(q, Failed.String(), "no decision in time")
 			c.logLater(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: q.id})
-			c.final(q, Final{Ending: Failed, Overdue: true})
+			c.final(q, FinalAnswer{Outcome: Failed, Overdue: true})
 		}
 	}
 	if c.until > 0 && len(c.queries) == 0 && !c.idleDone {
@@ -574,7 +574,7 @@
 }
 
 // final gives a query its final answer. It is the only place that does, and a query is open only once.
-func (c *Core) final(q *Query, f Final) {
+func (c *Core) final(q *Query, f FinalAnswer) {
 	if !q.open {
 		return
 	}
@@ -586,18 +586,18 @@
 // reply hands out the final answer of a query that is not open, or not any more. The client hears it once no
 // write can put out the first byte of an attempt any more: what is sent on for a request that has its answer
 // is a request lost, however long a writer's thread is held up.
-func (c *Core) reply(q *Query, f Final) {
-	c.left(q, f.Ending)
-	f.RetryAfter = c.Advise(f.RetryAfter)
+func (c *Core) reply(q *Query, f FinalAnswer) {
+	c.left(q, f.Outcome)
+	f.RetryAfter = c.CapRetryAfter(f.RetryAfter)
 	q.writes.close(func() { q.Client.Final(f) })
 }
 
 // left books that a query that was submitted is over.
-func (c *Core) left(q *Query, e Ending) {
-	c.cfg.Counts.Active.Add(-1)
+func (c *Core) left(q *Query, e QueryOutcome) {
+	c.cfg.Counts.ActiveQueries.Add(-1)
 	if q.admitted {
 		q.admitted = false
-		c.cfg.Gate.Ended(q, e)
+		c.cfg.Admission.QueryEnded(q, e)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,7 +20,7 @@
 	refuses   bool
 	queued    []*Attempt // what Stop gives back
 	probes    int
-	finals    []Final
+	finals    []FinalAnswer
 }
 
 func (f *fake) Send(_ balance.ReplicaID, call []*Attempt) bool {
@@ -30,7 +30,7 @@
 	return !f.refuses
 }
 
-func (f *fake) Withdraw(a *Attempt) bool {
+func (f *fake) Cancel(a *Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.withdrawn = append(f.withdrawn, a)
@@ -39,13 +39,13 @@
 
 func (f *fake) Probe(balance.ReplicaID) bool { f.probes++; return true }
 func (f *fake) CloseIdle(balance.ReplicaID)  {}
-func (f *fake) Stop(balance.ReplicaID) []*Attempt {
+func (f *fake) CancelQueued(balance.ReplicaID) []*Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.queued
 }
 
-func (f *fake) Final(x Final) {
+func (f *fake) Final(x FinalAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.finals = append(f.finals, x)
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	k := &rig{Core: c, f: f, at: c.base}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{
+	k.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1}, {ID: 2, State: balance.Ready, Size: 1}}})
 	return k
 }
@@ -101,7 +101,7 @@
 
 func (k *rig) query(name string, parts int) *Query {
 	q := &Query{Name: name, Deadline: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 3*time.Second),
-		Client: k.f, Via: k.f}
+		Client: k.f, Backend: k.f}
 	for s := range parts {
 		q.Parts = append(q.Parts, PartSpec{Shard: s, Weight: 2})
 	}
@@ -115,17 +115,17 @@
 		t.Fatalf("%d calls", len(k.f.calls))
 	}
 	one, two := k.f.calls[0][0], k.f.calls[1][0]
-	k.tell(Outcome{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
+	k.tell(AttemptDone{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
 	if len(k.f.finals) != 0 {
 		t.Fatal("answered from half of the parts")
 	}
-	k.tell(Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
-		Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("again")}})
+	k.tell(AttemptDone{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
+		AttemptDone{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("again")}})
 	if len(k.f.finals) != 1 {
 		t.Fatalf("%d final answers", len(k.f.finals))
 	}
 	f := k.f.finals[0]
-	if f.Ending != Answered || !f.Whole || len(f.Values) != 2 || string(f.Values[0].Body) != "v0" ||
+	if f.Outcome != Answered || !f.Complete || len(f.Values) != 2 || string(f.Values[0].Body) != "v0" ||
 		f.Values[0].Shard != 0 || string(f.Values[1].Body) != "v1" {
 		t.Fatalf("%+v", f)
 	}
@@ -163,13 +163,13 @@
 	k.tell(k.query("a", 1))
 	first := k.f.calls[0][0]
 	k.wait(3000 * ms)
-	if len(k.f.finals) != 1 || k.f.finals[0].Ending != Refused || k.f.finals[0].RetryAfter <= 0 {
+	if len(k.f.finals) != 1 || k.f.finals[0].Outcome != Refused || k.f.finals[0].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.f.finals)
 	}
 	if len(k.f.withdrawn) != len(k.f.calls) {
 		t.Fatalf("%d of %d attempts withdrawn", len(k.f.withdrawn), len(k.f.calls))
 	}
-	k.tell(Outcome{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
+	k.tell(AttemptDone{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
 	if k.wait(100 * ms); len(k.f.finals) != 1 || len(k.parts) != 0 {
 		t.Fatalf("%+v, %d parts", k.f.finals, len(k.parts))
 	}
@@ -186,7 +186,7 @@
 	}
 	q := k.query("b", 1)
 	q.Deadline = k.epoch // long past
-	if k.tell(q); len(k.f.finals) != 2 || k.f.finals[1].Ending == Answered {
+	if k.tell(q); len(k.f.finals) != 2 || k.f.finals[1].Outcome == Answered {
 		t.Fatalf("%+v", k.f.finals)
 	}
 }
@@ -195,7 +195,7 @@
 	k := start(t, settings())
 	q := k.query("a", 2)
 	k.tell(q)
-	k.tell(Gone{Query: q}, Gone{Query: q})
+	k.tell(ClientGone{Query: q}, ClientGone{Query: q})
 	if k.wait(4000 * ms); len(k.f.finals) != 0 || len(k.f.withdrawn) != 2 || len(k.parts) != 0 || k.held != 0 {
 		t.Fatalf("%d answers, %d withdrawn, %d parts", len(k.f.finals), len(k.f.withdrawn), len(k.parts))
 	}
@@ -209,12 +209,12 @@
 	if !k.Submit(q) {
 		t.Fatal("not queued")
 	}
-	k.Leave(q)
+	k.Abandon(q)
 	k.tell(<-k.queue) // word of its end is still behind others
 	k.tell(<-k.queue)
-	if len(k.f.calls) != 0 || len(k.f.finals) != 0 || k.held != 0 || k.cfg.Counts.Active.Load() != 0 {
+	if len(k.f.calls) != 0 || len(k.f.finals) != 0 || k.held != 0 || k.cfg.Counts.ActiveQueries.Load() != 0 {
 		t.Fatalf("%d calls, %d answers, %d held, %d active", len(k.f.calls), len(k.f.finals), k.held,
-			k.cfg.Counts.Active.Load())
+			k.cfg.Counts.ActiveQueries.Load())
 	}
 }
 
@@ -227,33 +227,33 @@
 	q := k.query("a", 1)
 	k.tell(q)
 	first := k.f.calls[0][0]
-	if !first.Before.IsZero() {
+	if !first.StartBy.IsZero() {
 		t.Fatal("a first attempt is bound to no window")
 	}
-	k.tell(Outcome{Attempt: first, Outcome: balance.Error})
+	k.tell(AttemptDone{Attempt: first, Outcome: balance.Error})
 	again := k.f.calls[1][0]
-	window := first.Until.Add(-first.Timeout).Add(300 * time.Millisecond)
-	if !again.Before.Equal(window) {
-		t.Fatalf("a repeat may begin until %v, its window ends at %v", again.Before, window)
+	window := first.Deadline.Add(-first.Timeout).Add(300 * time.Millisecond)
+	if !again.StartBy.Equal(window) {
+		t.Fatalf("a repeat may begin until %v, its window ends at %v", again.StartBy, window)
 	}
 	var w abortCounter
-	if _, hold := again.BeginWrite(&w, window); hold != MayBegin {
+	if _, hold := again.BeginWrite(&w, window); hold != NoHold {
 		t.Fatal("it may begin up to the end of its window")
 	}
 	again.EndWrite(&w)
 	if _, hold := again.BeginWrite(&w, window.Add(time.Microsecond)); hold != HoldWindow {
 		t.Fatal("it began after its window")
 	}
-	wait, hold := first.BeginWrite(&w, first.Until.Add(-time.Second))
-	if hold != MayBegin || wait != time.Second {
+	wait, hold := first.BeginWrite(&w, first.Deadline.Add(-time.Second))
+	if hold != NoHold || wait != time.Second {
 		t.Fatalf("%v are left, %v", wait, hold)
 	}
 	first.EndWrite(&w)
-	if _, hold := first.BeginWrite(&w, first.Until); hold != HoldOverdue {
+	if _, hold := first.BeginWrite(&w, first.Deadline); hold != HoldExpired {
 		t.Fatal("it began when its time was over")
 	}
-	k.tell(Gone{Query: q})
-	if _, hold := again.BeginWrite(&w, window); hold != HoldAnswered {
+	k.tell(ClientGone{Query: q})
+	if _, hold := again.BeginWrite(&w, window); hold != HoldFinished {
 		t.Fatal("it began after its client had left")
 	}
 }
@@ -265,7 +265,7 @@
 	a := k.f.calls[0][0]
 	k.f.queued = []*Attempt{a}
 	drains := balance.Replica{ID: a.Replica, State: balance.Draining, Size: 1}
-	k.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
+	k.tell(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
 	if len(k.f.calls) != 2 || k.f.calls[1][0].Replica == a.Replica {
 		t.Fatalf("%d calls", len(k.f.calls))
 	}
@@ -275,7 +275,7 @@
 	k := start(t, settings())
 	k.f.refuses = true
 	k.tell(k.query("a", 1))
-	if k.wait(200 * ms); len(k.f.finals) != 1 || k.f.finals[0].Ending != Refused || len(k.f.calls) != 3 {
+	if k.wait(200 * ms); len(k.f.finals) != 1 || k.f.finals[0].Outcome != Refused || len(k.f.calls) != 3 {
 		t.Fatalf("%+v after %d calls", k.f.finals, len(k.f.calls))
 	}
 }
@@ -285,7 +285,7 @@
 	s.MaxOpen = 5
 	k := start(t, s)
 	k.tell(k.query("a", 2), k.query("a", 1), k.query("b", 2))
-	if len(k.f.finals) != 2 || k.f.finals[0].Ending != Failed || k.f.finals[1].Ending != Refused ||
+	if len(k.f.finals) != 2 || k.f.finals[0].Outcome != Failed || k.f.finals[1].Outcome != Refused ||
 		k.f.finals[1].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.f.finals)
 	}
@@ -300,23 +300,23 @@
 		t.Helper()
 		k.tell(k.query(name, 2)) // more than may be open
 		f := k.f.finals[len(k.f.finals)-1]
-		if f.Ending != Refused {
+		if f.Outcome != Refused {
 			t.Fatalf("%+v", f)
 		}
 		return f.RetryAfter
 	}
-	if got := told("a"); got != fullAdvice || k.FullAdvice() != fullAdvice {
-		t.Errorf("told %v, %v", got, k.FullAdvice())
+	if got := told("a"); got != fullAdvice || k.FullRetryAfter() != fullAdvice {
+		t.Errorf("told %v, %v", got, k.FullRetryAfter())
 	}
 	s.MaxRetryAfter = 100 * ms
-	k.tell(Reconfigured{Settings: s})
-	if got := told("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
-		t.Errorf("clients follow 0.1 s, told %v, %v", got, k.FullAdvice())
+	k.tell(SettingsChanged{Settings: s})
+	if got := told("b"); got != 100*time.Millisecond || k.FullRetryAfter() != got {
+		t.Errorf("clients follow 0.1 s, told %v, %v", got, k.FullRetryAfter())
 	}
 	s.CanAdvise = false
-	k.tell(Reconfigured{Settings: s})
-	if got := told("c"); got != 0 || k.FullAdvice() != 0 {
-		t.Errorf("clients hear nothing, told %v, %v", got, k.FullAdvice())
+	k.tell(SettingsChanged{Settings: s})
+	if got := told("c"); got != 0 || k.FullRetryAfter() != 0 {
+		t.Errorf("clients hear nothing, told %v, %v", got, k.FullRetryAfter())
 	}
 }
 
@@ -349,16 +349,16 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.f, Via: k.f,
+			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.f, Backend: k.f,
 				Parts: []PartSpec{{Shard: 0, Weight: 1}}}
 			if !k.Submit(q) {
 				t.Error("no room")
 			}
-			k.Post(Gone{Query: q})
+			k.Post(ClientGone{Query: q})
 		}()
 	}
 	wg.Wait()
-	idle := k.Finish(time.Now())
+	idle := k.Shutdown(time.Now())
 	select {
 	case <-idle:
 	case <-time.After(30 * time.Second):
@@ -369,7 +369,7 @@
 // cordon says an operator's word, and returns whether the server was known.
 func (k *rig) cordon(id balance.ReplicaID, out bool) bool {
 	done := make(chan bool, 1)
-	k.tell(Cordon{Server: id, Out: out, Done: done})
+	k.tell(Cordon{Server: id, Cordoned: out, Done: done})
 	return <-done
 }
 
@@ -383,14 +383,14 @@
 	for i := range 40 {
 		old.tell(old.query(string(rune('a'+i)), 1))
 		for _, c := range old.f.calls {
-			old.tell(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
+			old.tell(AttemptDone{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
 		}
 		old.f.calls = nil
 		old.wait(100 * ms)
 	}
-	old.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	old.tell(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1, Started: old.at}}})
-	done := make(chan Inherited, 1)
+	done := make(chan HandoverState, 1)
 	old.cordon(2, true)
 	old.tell(cordons{done: done})
 	said := <-done
@@ -399,7 +399,7 @@
 	}
 	fresh := start(t, s)
 	fresh.tell(said)
-	fresh.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	fresh.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	if got := fresh.overlay(fresh.listed[1]).Started; got != said.Memory.Starts[1] {
 		t.Errorf("a cold server counts as started at %d", got)
@@ -428,7 +428,7 @@
 		t.Fatalf("%d calls", len(k.f.calls))
 	}
 	k.f.queued = nil
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	for i := range 20 {
 		k.tell(k.query(string(rune('b'+i)), 1))
@@ -443,13 +443,13 @@
 	}
 	started := k.clock(time.Now()) // a start that the list has told of is known better than by the call back
 	k.cordon(first.Replica, true)
-	k.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	k.tell(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: first.Replica, State: balance.Ready, Size: 1, Started: started + 1000*ms}}})
 	k.cordon(first.Replica, false)
 	if got := k.overlay(k.listed[first.Replica]).Started; got != started+1000*ms {
 		t.Fatalf("started %d us after the list's word", got-started-1000*ms)
 	}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
+	k.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
 	if len(k.since) != 0 {
 		t.Fatal("servers that are gone pile up")
 	}
@@ -460,13 +460,13 @@
 // judgement it counts as just started.
 func TestJudgedServersAreGuarded(t *testing.T) {
 	k := start(t, settings())
-	k.cfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
+	k.cfg.LimitCordons = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
 		return verdict.Guard(listed, sick, 1, 1, 0.5)
 	}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
-	judge := func(id balance.ReplicaID, by Author, out bool, order uint64) {
-		k.tell(Cordon{Server: id, By: by, Out: out, Order: order, Sure: true})
+	judge := func(id balance.ReplicaID, by CordonSource, out bool, order uint64) {
+		k.tell(Cordon{Server: id, Source: by, Cordoned: out, Order: order, AllowUnlisted: true})
 	}
 	states := func(one, two balance.State) {
 		t.Helper()
@@ -474,9 +474,9 @@
 			t.Fatalf("states %d and %d, not %d and %d", a, b, one, two)
 		}
 	}
-	judge(2, Judged, true, 7)
+	judge(2, ByFleetEvidence, true, 7)
 	states(balance.Ready, balance.Draining)
-	judge(1, JudgedHere, true, 9)
+	judge(1, ByZoneEvidence, true, 9)
 	states(balance.Ready, balance.Draining) // later: the last one stays
 	k.cordon(1, true)
 	states(balance.Draining, balance.Ready) // an operator's word goes before evidence
@@ -487,12 +487,12 @@
 	}
 	k.cordon(1, false)
 	states(balance.Ready, balance.Draining)
-	judge(2, Judged, false, 7)
+	judge(2, ByFleetEvidence, false, 7)
 	states(balance.Draining, balance.Ready)
 	if k.overlay(k.listed[2]).Started == 0 {
 		t.Error("one that is back counts as warm")
 	}
-	judge(1, JudgedHere, false, 9)
+	judge(1, ByZoneEvidence, false, 9)
 	states(balance.Ready, balance.Ready)
 	if len(k.order)+len(k.judged) > 0 {
 		t.Errorf("%d orders, %d judged are kept", len(k.order), len(k.judged))
@@ -506,7 +506,7 @@
 		k.outs[i] = map[balance.ReplicaID]balance.Micros{}
 	}
 	for i := range balance.ReplicaID(100) {
-		k.outs[ByFleet][i] = 1
+		k.outs[ByFleetOperator][i] = 1
 	}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -11,12 +11,12 @@
 // Counts are the figures of this process since its start. Each is written where the thing happens and may be
 // read at any time from any goroutine.
 type Counts struct {
-	Tries    atomic.Int64 // attempts whose last byte was written to a server
-	Active   atomic.Int64 // queries taken and not yet ended
-	Listed   atomic.Int64 // servers in the list
-	Avoided  atomic.Int64 // of those, the ones that get nothing: put out by hand, or avoided by the module
-	Applied  atomic.Int64 // configurations taken in while running
-	Rejected atomic.Int64 // and turned down
+	AttemptsSent    atomic.Int64 // attempts whose last byte was written to a server
+	ActiveQueries   atomic.Int64 // queries taken and not yet ended
+	ListedServers   atomic.Int64 // servers in the list
+	AvoidedServers  atomic.Int64 // of those, the ones that get nothing: put out by hand, or avoided by the module
+	ConfigsApplied  atomic.Int64 // configurations taken in while running
+	ConfigsRejected atomic.Int64 // and turned down
 
 	mu      sync.Mutex // guards the map; the counts in it are atomics
 	classes map[string]*ClassCount
@@ -27,10 +27,10 @@
 type ClassCount struct{ ends [Failed + 1]atomic.Int64 }
 
 // Add counts one reply.
-func (c *ClassCount) Add(e Ending) { c.ends[e].Add(1) }
+func (c *ClassCount) Add(e QueryOutcome) { c.ends[e].Add(1) }
 
-// Of is how many ended in a way.
-func (c *ClassCount) Of(e Ending) int64 { return c.ends[e].Load() }
+// Count is how many ended in a way.
+func (c *ClassCount) Count(e QueryOutcome) int64 { return c.ends[e].Load() }
 
 // Class is the count of a class by its name, the same for as long as the process runs.
 func (c *Counts) Class(name string) *ClassCount {
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -8,12 +8,12 @@
 	"lapislever/balance"
 )
 
-// Ending is the kind of a final answer.
-type Ending uint8
+// QueryOutcome is the kind of a final answer.
+type QueryOutcome uint8
 
 // The kinds of final answer.
 const (
-	Answered Ending = iota
+	Answered QueryOutcome = iota
 	Refused
 	Failed
 )
@@ -25,10 +25,10 @@
 	Data  any // what a backend has made of it, for its own front
 }
 
-// Final is the one final answer of a query.
-type Final struct {
-	Ending     Ending
-	Whole      bool
+// FinalAnswer is the one final answer of a query.
+type FinalAnswer struct {
+	Outcome    QueryOutcome
+	Complete   bool
 	Values     []Value       // in the order of the parts; those that are in
 	RetryAfter time.Duration // of a refusal: when to come back
 	Overdue    bool          // the time was over before there was a decision
@@ -39,7 +39,7 @@
 
 // Client hears the final answer of its query, exactly once, from any goroutine, and must not block.
 type Client interface {
-	Final(Final)
+	Final(FinalAnswer)
 }
 
 // PartSpec is one part of a query as its front describes it.
@@ -52,21 +52,21 @@
 
 // Query is one query as its front hands it over. Nothing of it may be changed afterwards.
 type Query struct {
-	Name     string // what its parts are named by on a wire; unique among those that are open
-	Class    int
-	Tenant   int
-	Deadline time.Time // when the client gives this try up
-	Repeat   bool
-	Key      string         // idempotency key
-	Rules    *balance.Class // what binds it where that is not its class; nil: the class
-	Most     int            // attempts for a part, where that differs from the settings; 0: it does not
-	Text     []byte         // what each part carries
-	Parts    []PartSpec
-	Client   Client
-	Via      Backend // takes the parts to their servers
-	Data     any     // what the front and its backend share
-	Caller   string  // who asks, by the name that limits know; empty: nobody has said
-	Ticket   any     // the gate's
+	Name        string // what its parts are named by on a wire; unique among those that are open
+	Class       int
+	Tenant      int
+	Deadline    time.Time // when the client gives this try up
+	Repeat      bool
+	Key         string         // idempotency key
+	Rules       *balance.Class // what binds it where that is not its class; nil: the class
+	MaxAttempts int            // attempts for a part, where that differs from the settings; 0: it does not
+	Payload     []byte         // what each part carries
+	Parts       []PartSpec
+	Client      Client
+	Backend     Backend // takes the parts to their servers
+	Data        any     // what the front and its backend share
+	Caller      string  // who asks, by the name that limits know; empty: nobody has said
+	Ticket      any     // the gate's
 	// ClientLeft looks whether the client's connection has been closed by it, without waiting. Nil: nobody can
 	// tell.
 	ClientLeft func() bool
@@ -81,8 +81,8 @@
 	writes   writeBarrier // closed once it has its final answer or its client has left
 }
 
-// Over tells that the query has its final answer, or that its client has left: nothing of it may begin.
-func (q *Query) Over() bool { return q.writes.closed.Load() }
+// Finished tells that the query has its final answer, or that its client has left: nothing of it may begin.
+func (q *Query) Finished() bool { return q.writes.closed.Load() }
 
 type part struct {
 	q     *Query
--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -12,7 +12,7 @@
 )
 
 // String is the ending's name in the log.
-func (e Ending) String() string {
+func (e QueryOutcome) String() string {
 	switch e {
 	case Answered:
 		return "answered"
@@ -70,8 +70,8 @@
 
 // serverText is a server's name, or its number where nobody knows that.
 func (c *Core) serverText(id balance.ReplicaID) string {
-	if c.cfg.Named != nil {
-		if name, ok := c.cfg.Named(id); ok {
+	if c.cfg.ServerName != nil {
+		if name, ok := c.cfg.ServerName(id); ok {
 			return name
 		}
 	}
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -16,22 +16,22 @@
 // the call may then be carried out all the same.
 func (c *Core) Cordon(id balance.ReplicaID, out bool, within time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
-	return ask(c, Cordon{Server: id, Out: out, Done: done}, done, within)
+	return ask(c, Cordon{Server: id, Cordoned: out, Done: done}, done, within)
 }
 
-// Knows tells that a server is listed; false too where the core does not say so in time.
-func (c *Core) Knows(id balance.ReplicaID, within time.Duration) bool {
+// IsListed tells that a server is listed; false too where the core does not say so in time.
+func (c *Core) IsListed(id balance.ReplicaID, within time.Duration) bool {
 	done := make(chan bool, 1)
 	known, _ := ask(c, knows{server: id, done: done}, done, within)
 	return known
 }
 
-// Bar puts a server out or back by the fleet's word, and returns once that holds here, or false once the core
+// ApplyVerdict puts a server out or back by the fleet's word, and returns once that holds here, or false once the core
 // has ended. The server need not be listed: it may be yet.
-func (c *Core) Bar(id balance.ReplicaID, by Author, out bool, order uint64) bool {
+func (c *Core) ApplyVerdict(id balance.ReplicaID, by CordonSource, out bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := ask(c, Cordon{Server: id, Out: out, By: by, Sure: true, Order: order, Done: done}, done,
+		if _, inTime := ask(c, Cordon{Server: id, Cordoned: out, Source: by, AllowUnlisted: true, Order: order, Done: done}, done,
 			time.Second); inTime {
 			return true
 		}
@@ -43,23 +43,23 @@
 	}
 }
 
-// Cordoned is what operators have said so far. What was queued before has then been taken in.
-func (c *Core) Cordoned(within time.Duration) (Inherited, bool) {
-	done := make(chan Inherited, 1)
+// HandoverState is what operators have said so far. What was queued before has then been taken in.
+func (c *Core) HandoverState(within time.Duration) (HandoverState, bool) {
+	done := make(chan HandoverState, 1)
 	return ask(c, cordons{done: done}, done, within)
 }
 
 // learn remembers what discovery lists, and lays over it what operators have said.
-func (c *Core) learn(e *Listed) {
-	if !e.Heard.IsZero() {
-		c.starts.take(e.Replicas, c.clock(e.Heard), wallMicros(e.Heard), e.Mode == balance.Cached)
+func (c *Core) learn(e *ListUpdate) {
+	if !e.ReceivedAt.IsZero() {
+		c.starts.take(e.Replicas, c.clock(e.ReceivedAt), wallMicros(e.ReceivedAt), e.Mode == balance.Cached)
 	}
 	if e.Mode == balance.Full || e.Mode == balance.Cached {
 		clear(c.listed)
 	}
 	c.sawList = c.sawList || len(e.Replicas) > 0
 	for _, r := range e.Replicas {
-		if r.State == balance.Gone {
+		if r.State == balance.Removed {
 			delete(c.listed, r.ID)
 		} else {
 			c.listed[r.ID] = r
@@ -107,7 +107,7 @@
 
 // byHand tells that an operator has.
 func (c *Core) byHand(id balance.ReplicaID) bool {
-	for _, by := range c.outs[:Judged] {
+	for _, by := range c.outs[:ByFleetEvidence] {
 		if _, out := by[id]; out {
 			return true
 		}
@@ -117,15 +117,15 @@
 
 // isJudged tells that evidence speaks against a server, whether or not it is out for that.
 func (c *Core) isJudged(id balance.ReplicaID) bool {
-	_, all := c.outs[Judged][id]
-	_, here := c.outs[JudgedHere][id]
+	_, all := c.outs[ByFleetEvidence][id]
+	_, here := c.outs[ByZoneEvidence][id]
 	return all || here
 }
 
 // guard chooses anew which of the servers that are judged are out, and has the module hear of those for which
 // that has changed, but for what it is about to hear of anyway.
 func (c *Core) guard(but balance.ReplicaID) {
-	if c.cfg.Guard == nil || len(c.outs[Judged])+len(c.outs[JudgedHere])+len(c.judged) == 0 {
+	if c.cfg.LimitCordons == nil || len(c.outs[ByFleetEvidence])+len(c.outs[ByZoneEvidence])+len(c.judged) == 0 {
 		return
 	}
 	nodes := make([]verdict.Holder, 0, len(c.listed))
@@ -134,7 +134,7 @@
 			Up: r.State == balance.Ready && !c.byHand(id)})
 	}
 	var sick []uint64
-	for _, by := range c.outs[Judged:] {
+	for _, by := range c.outs[ByFleetEvidence:] {
 		for id := range by {
 			sick = append(sick, uint64(id))
 		}
@@ -143,7 +143,7 @@
 		return cmp.Or(cmp.Compare(c.order[balance.ReplicaID(a)], c.order[balance.ReplicaID(b)]), cmp.Compare(a, b))
 	})
 	was := c.judged
-	c.judged = c.cfg.Guard(nodes, slices.Compact(sick))
+	c.judged = c.cfg.LimitCordons(nodes, slices.Compact(sick))
 	now := c.clock(time.Now())
 	var told []balance.Replica
 	for id, r := range c.listed {
@@ -164,25 +164,25 @@
 // cordon puts a server out or back. Called twice it does no more than once.
 func (c *Core) cordon(e Cordon) {
 	r, listed := c.listed[e.Server]
-	by := c.outs[e.By]
+	by := c.outs[e.Source]
 	since, out := by[e.Server]
-	known := listed || out || e.Sure
-	if known && e.Out != out {
+	known := listed || out || e.AllowUnlisted
+	if known && e.Cordoned != out {
 		if e.At == 0 {
 			e.At = c.clock(time.Now())
 		}
-		if e.Out {
+		if e.Cordoned {
 			by[e.Server] = e.At
 		} else {
 			delete(by, e.Server)
 			// Else the list has told of the start, and knows better when that was, or it is the guard's to say.
-			if r.Started <= since && e.By < Judged {
+			if r.Started <= since && e.Source < ByFleetEvidence {
 				c.since[e.Server] = e.At
 			}
 		}
-		if e.By >= Judged {
+		if e.Source >= ByFleetEvidence {
 			c.order[e.Server] = e.Order
-			if !e.Out && !c.isJudged(e.Server) {
+			if !e.Cordoned && !c.isJudged(e.Server) {
 				delete(c.order, e.Server)
 			}
 		}
@@ -202,19 +202,19 @@
 		return
 	}
 	c.countAt = c.now + countSpan.Microseconds()
-	c.cfg.Counts.Listed.Store(int64(len(c.listed)))
+	c.cfg.Counts.ListedServers.Store(int64(len(c.listed)))
 	avoided := c.module.Avoided()
 	for id := range c.listed {
 		if c.isOut(id) {
 			avoided++
 		}
 	}
-	c.cfg.Counts.Avoided.Store(int64(avoided))
+	c.cfg.Counts.AvoidedServers.Store(int64(avoided))
 }
 
 func (c *Core) stopSends(to balance.ReplicaID) {
 	for _, b := range c.cfg.Backends {
-		for _, a := range b.Stop(to) {
+		for _, a := range b.CancelQueued(to) {
 			c.settle(a, balance.NotSent, nil, nil)
 		}
 	}
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -66,12 +66,12 @@
 
 // shift moves what another process has told from its module's clock, which read from, to this one's, which
 // reads to: the two differ by as much as the wall clock was stepped between their starts.
-func (in *Inherited) shift(from, to balance.Micros) {
+func (in *HandoverState) shift(from, to balance.Micros) {
 	by := to - from
 	if from == 0 || -stepLeast < by && by < stepLeast {
 		return
 	}
-	all := []map[balance.ReplicaID]balance.Micros{in.Out, in.Barred, in.Since, in.Memory.Starts}
+	all := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt, in.Memory.Starts}
 	for _, moments := range all {
 		for id := range moments {
 			moments[id] += by
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -37,9 +37,9 @@
 			t.Errorf("step %d: started 1 s ago, told as %d s", step/second, (now-at)/second)
 		}
 	}
-	in := Inherited{Since: map[balance.ReplicaID]balance.Micros{1: 5 * second}}
+	in := HandoverState{RestoredAt: map[balance.ReplicaID]balance.Micros{1: 5 * second}}
 	in.shift(10*second, 10*second+hour)
-	if in.Since[1] != 5*second+hour {
-		t.Errorf("handed over, 5 s ago is %d s ago", (10*second+hour-in.Since[1])/second)
+	if in.RestoredAt[1] != 5*second+hour {
+		t.Errorf("handed over, 5 s ago is %d s ago", (10*second+hour-in.RestoredAt[1])/second)
 	}
 }
--- a/internal/core/virtual.go
+++ b/internal/core/virtual.go
@@ -6,36 +6,36 @@
 	"lapislever/balance"
 )
 
-// Virtual is a core without its goroutine, for emulators: who drives it hands in events, says what time it is
+// Simulated is a core without its goroutine, for emulators: who drives it hands in events, says what time it is
 // and steps it. Given the same events at the same times it does the same.
-type Virtual struct {
+type Simulated struct {
 	c    *Core
 	last balance.Micros // of the last Step; 0: none yet
 }
 
-// NewVirtual returns a core whose module starts at the moment given.
-func NewVirtual(cfg Config, begin time.Time) (*Virtual, error) {
+// NewSimulated returns a core whose module starts at the moment given.
+func NewSimulated(cfg Config, begin time.Time) (*Simulated, error) {
 	c, err := New(cfg)
 	if err != nil {
 		return nil, err
 	}
 	c.epoch, c.base = begin, begin.UnixMicro()
-	return &Virtual{c: c}, nil
+	return &Simulated{c: c}, nil
 }
 
-// Take takes in an event.
-func (v *Virtual) Take(e Event) { v.c.take(e) }
+// Handle takes in an event.
+func (v *Simulated) Handle(e Event) { v.c.take(e) }
 
 // Submit takes in a query, if the gate lets it in; else that has had its final answer.
-func (v *Virtual) Submit(q *Query) {
+func (v *Simulated) Submit(q *Query) {
 	if v.c.admit(q) {
 		v.c.take(q)
 	}
 }
 
-// Due is when the next Step is: at once where there are events, but a tick after the last one, or when
+// NextStep is when the next Step is: at once where there are events, but a tick after the last one, or when
 // something asked for it; 0: there is nothing to do.
-func (v *Virtual) Due(now balance.Micros) balance.Micros {
+func (v *Simulated) NextStep(now balance.Micros) balance.Micros {
 	at := v.c.nextTime()
 	if len(v.c.events) > 0 {
 		at = now
@@ -47,7 +47,7 @@
 }
 
 // Step runs the module once.
-func (v *Virtual) Step(now balance.Micros) {
+func (v *Simulated) Step(now balance.Micros) {
 	v.last = now
 	v.c.step(now)
 }
--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Notable is how late an action has to be to be counted and logged.
-const Notable = 50 * time.Millisecond
+// Threshold is how late an action has to be to be counted and logged.
+const Threshold = 50 * time.Millisecond
 
 // Action is a kind of action.
 type Action string
@@ -22,8 +22,8 @@
 	Step    Action = "step"    // from when the core has something to do until it does it
 )
 
-// Figures are what is counted of one kind of action.
-type Figures struct {
+// Stats are what is counted of one kind of action.
+type Stats struct {
 	Late      int64 `json:"late"`
 	LongestMS int64 `json:"longest_ms"`
 }
@@ -32,17 +32,17 @@
 type Recorder struct {
 	log *slog.Logger
 	mu  sync.Mutex // guards all
-	all map[Action]Figures
+	all map[Action]Stats
 }
 
 // NewRecorder returns a recorder that writes to a log.
 func NewRecorder(log *slog.Logger) *Recorder {
-	return &Recorder{log: log, all: map[Action]Figures{Reply: {}, Attempt: {}, Step: {}}}
+	return &Recorder{log: log, all: map[Action]Stats{Reply: {}, Attempt: {}, Step: {}}}
 }
 
-// Note records an action that is over and took so long. What names it in the log comes as for slog.
-func (r *Recorder) Note(action Action, took time.Duration, args ...any) {
-	if r == nil || took < Notable {
+// Record records an action that is over and took so long. What names it in the log comes as for slog.
+func (r *Recorder) Record(action Action, took time.Duration, args ...any) {
+	if r == nil || took < Threshold {
 		return
 	}
 	r.mu.Lock()
@@ -54,8 +54,8 @@
 	r.log.Warn("carried out late", append([]any{"action", string(action), "took", took}, args...)...)
 }
 
-// Figures are the counts since the start.
-func (r *Recorder) Figures() map[Action]Figures {
+// Stats are the counts since the start.
+func (r *Recorder) Stats() map[Action]Stats {
 	if r == nil {
 		return nil
 	}
--- a/internal/delay/delay_test.go
+++ b/internal/delay/delay_test.go
@@ -11,17 +11,17 @@
 func TestOnlyWhatIsLateIsRecorded(t *testing.T) {
 	var log bytes.Buffer
 	r := NewRecorder(slog.New(slog.NewTextHandler(&log, nil)))
-	r.Note(Reply, Notable-time.Millisecond, "query", "q1")
-	r.Note(Reply, 70*time.Millisecond, "query", "q2")
-	r.Note(Reply, 60*time.Millisecond, "query", "q3")
-	if got, want := r.Figures()[Reply], (Figures{Late: 2, LongestMS: 70}); got != want {
+	r.Record(Reply, Threshold-time.Millisecond, "query", "q1")
+	r.Record(Reply, 70*time.Millisecond, "query", "q2")
+	r.Record(Reply, 60*time.Millisecond, "query", "q3")
+	if got, want := r.Stats()[Reply], (Stats{Late: 2, LongestMS: 70}); got != want {
 		t.Errorf("%+v, want %+v", got, want)
 	}
 	want := "action=reply took=70ms query=q2"
 	if text := log.String(); strings.Contains(text, "q1") || !strings.Contains(text, want) {
 		t.Errorf("log: %s", text)
 	}
-	if (*Recorder)(nil).Figures() != nil {
+	if (*Recorder)(nil).Stats() != nil {
 		t.Error("none has figures")
 	}
 }
--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -173,7 +173,7 @@
 		return
 	}
 	q := a.Query
-	p := Part{ID: q.Name + "." + strconv.Itoa(a.Shard), Shard: uint32(a.Shard), Filter: q.Text}
+	p := Part{ID: q.Name + "." + strconv.Itoa(a.Shard), Shard: uint32(a.Shard), Filter: q.Payload}
 	if c, ok := q.Data.(Call); ok {
 		p.Class = c.ClassName()
 	}
@@ -211,7 +211,7 @@
 // never tells of an attempt that was not passed on. The core calls Send, so that the word must not wait for
 // it.
 func (b *Backend) never(a *core.Attempt, o balance.Outcome) {
-	go b.post(core.Outcome{Attempt: a, Outcome: o})
+	go b.post(core.AttemptDone{Attempt: a, Outcome: o})
 }
 
 // conn finds the connection with the most room, or opens one where all are full. It is nil where as many
@@ -254,8 +254,8 @@
 	return best
 }
 
-// Withdraw gives an attempt up.
-func (b *Backend) Withdraw(a *core.Attempt) bool {
+// Cancel gives an attempt up.
+func (b *Backend) Cancel(a *core.Attempt) bool {
 	b.mu.Lock()
 	c := b.out[a]
 	delete(b.out, a)
@@ -284,8 +284,8 @@
 	}
 }
 
-// Stop takes back what is queued for a node and not begun.
-func (b *Backend) Stop(to balance.ReplicaID) (back []*core.Attempt) {
+// CancelQueued takes back what is queued for a node and not begun.
+func (b *Backend) CancelQueued(to balance.ReplicaID) (back []*core.Attempt) {
 	if n := b.node(to); n != nil {
 		for _, c := range n.all() {
 			back = append(back, c.back()...)
@@ -331,7 +331,7 @@
 		b.log.Warn("a node's answer has no equivalent", "node", n.name, "call", a.Query.Name, "shard", a.Shard,
 			"why", r.Reason)
 	}
-	b.post(core.Outcome{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
+	b.post(core.AttemptDone{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
 
 func (b *Backend) probed(n *node, o balance.Outcome, took time.Duration) {
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -345,7 +345,7 @@
 		if s.whole || s.ended && writing { // of what is just being written it is not known how far it comes
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
-				r = translate.Result{Outcome: balance.Spoilt, Reason: translate.BadReply}
+				r = translate.Result{Outcome: balance.Malformed, Reason: translate.BadReply}
 			}
 		}
 		c.b.done(c.n, s.a, r, core.Value{}, nil)
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -86,7 +86,7 @@
 			s := c.marks[0].s
 			s.whole, s.wrote = true, time.Now()
 			c.marks = c.marks[1:]
-			c.b.count.Tries.Add(1)
+			c.b.count.AttemptsSent.Add(1)
 		}
 		c.used = time.Now()
 		c.mu.Unlock()
@@ -110,7 +110,7 @@
 		wait = min(wait, time.Until(c.waiting[0].until))
 	}
 	for _, s := range c.sending { // or to end one
-		if by := s.a.Before; !by.IsZero() {
+		if by := s.a.StartBy; !by.IsZero() {
 			wait = min(wait, time.Until(by)+time.Millisecond)
 		}
 	}
@@ -123,7 +123,7 @@
 // droppedCall is a call that may not begin, or may not go on, and why.
 type droppedCall struct {
 	s   *stream
-	why core.Hold
+	why core.HoldReason
 }
 
 // giveBack tells the core of calls that never ran.
@@ -132,7 +132,7 @@
 		c.b.done(c.n, d.s.a, translate.Result{Outcome: balance.NotSent}, core.Value{}, nil)
 	}
 	for _, d := range dropped {
-		if d.why != core.MayBegin {
+		if d.why != core.NoHold {
 			c.b.log.Info("attempt not begun", "node", c.n.name, "query", d.s.a.Query.Name, "shard", d.s.a.Shard,
 				"why", string(d.why))
 		}
@@ -207,7 +207,7 @@
 	for free && len(c.waiting) > 0 && len(c.streams) < c.most() && c.out.Len() < outHigh && !c.retired {
 		s := c.waiting[0]
 		c.waiting = c.waiting[1:]
-		if why := c.mayBegin(s, now); why != core.MayBegin {
+		if why := c.mayBegin(s, now); why != core.NoHold {
 			delete(c.of, s.a)
 			dropped = append(dropped, droppedCall{s, why})
 			continue
@@ -236,7 +236,7 @@
 		for i := 0; i < len(c.sending) && c.out.Len() < outHigh; i++ {
 			s := c.sending[i]
 			// The window of its key: its last byte must not go out any more.
-			if by := s.a.Before; !by.IsZero() && now.After(by) {
+			if by := s.a.StartBy; !by.IsZero() && now.After(by) {
 				c.reset(s, http2.ErrCodeCancel)
 				c.forget(s)
 				dropped = append(dropped, droppedCall{s: s})
@@ -267,16 +267,16 @@
 }
 
 // mayBegin begins the write of a call's first byte, where it may; the caller holds mu.
-func (c *conn) mayBegin(s *stream, now time.Time) core.Hold {
+func (c *conn) mayBegin(s *stream, now time.Time) core.HoldReason {
 	if !now.Before(s.until) {
-		return core.HoldOverdue
+		return core.HoldExpired
 	}
 	_, hold := s.a.BeginWrite(c, now)
 	return hold
 }
 
 func late(s *stream, now time.Time) bool {
-	return s.a.Query.Over() || !now.Before(s.until) || !s.a.Before.IsZero() && !now.Before(s.a.Before)
+	return s.a.Query.Finished() || !now.Before(s.until) || !s.a.StartBy.IsZero() && !now.Before(s.a.StartBy)
 }
 
 // writeHead begins a call; the caller holds mu.
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -138,7 +138,7 @@
 	t    *testing.T
 	b    *Backend
 	mu   sync.Mutex
-	ends map[*core.Attempt]core.Outcome
+	ends map[*core.Attempt]core.AttemptDone
 	many map[*core.Attempt]int
 	look []core.ProbeDone
 	n    int
@@ -149,13 +149,13 @@
 	WriteLimit: time.Second}
 
 func newRig(t *testing.T, cfg Config, keys *Keyring, nodes ...Target) *rig {
-	r := &rig{t: t, ends: map[*core.Attempt]core.Outcome{}, many: map[*core.Attempt]int{}}
+	r := &rig{t: t, ends: map[*core.Attempt]core.AttemptDone{}, many: map[*core.Attempt]int{}}
 	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			switch e := e.(type) {
-			case core.Outcome:
+			case core.AttemptDone:
 				r.ends[e.Attempt] = e
 				r.many[e.Attempt]++
 			case core.ProbeDone:
@@ -172,17 +172,17 @@
 // send sends one attempt with a body of so many bytes.
 func (r *rig) send(size int, timeout time.Duration, by ...time.Time) *core.Attempt {
 	r.n++
-	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Text: []byte(strings.Repeat("x", size)),
+	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Payload: []byte(strings.Repeat("x", size)),
 		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
 	if len(by) > 0 {
-		a.Before = by[0]
+		a.StartBy = by[0]
 	}
-	a.Until = time.Now().Add(a.Timeout)
+	a.Deadline = time.Now().Add(a.Timeout)
 	r.b.Send(a.Replica, []*core.Attempt{a})
 	return a
 }
 
-func (r *rig) ended(a *core.Attempt) (core.Outcome, bool) {
+func (r *rig) ended(a *core.Attempt) (core.AttemptDone, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o, ok := r.ends[a]
@@ -244,7 +244,7 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.b.count.Tries.Load() == 3 })
+		standin.Until(t, "both to be written", func() bool { return r.b.count.AttemptsSent.Load() == 3 })
 		close(sent)
 		r.want("the one that it leaves out", second, balance.NotSent)
 		r.want("the one behind that", third, balance.NotSent)
@@ -313,10 +313,10 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("one whose time passed while it waited", r.send(10, 50*time.Millisecond), balance.NotSent)
-		if !r.b.Withdraw(r.send(10, time.Minute)) {
+		if !r.b.Cancel(r.send(10, time.Minute)) {
 			t.Error("one that waits may have run")
 		}
-		if r.b.Withdraw(first) {
+		if r.b.Cancel(first) {
 			t.Error("one that was written whole has never run")
 		}
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
@@ -345,7 +345,7 @@
 	r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
-	back := r.b.Stop(core.ServerID("a"))
+	back := r.b.CancelQueued(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d taken back", len(back))
 	}
@@ -501,7 +501,7 @@
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	a, b := r.send(10, time.Minute), r.send(10, time.Minute)
 	time.Sleep(250 * time.Millisecond)
-	if r.b.Withdraw(a) {
+	if r.b.Cancel(a) {
 		t.Error("one that was written whole has never run")
 	}
 	r.want("the other call", b, balance.Reset)
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -159,7 +159,7 @@
 	f.router.old.Learn(hosts, true)
 	f.router.anew.Learn(targets)
 	f.router.learn(forms)
-	f.core.Post(core.Listed{Mode: balance.Full, Replicas: replicas, Heard: time.Now()})
+	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
 
 // ServerName is a server's name by its number; false: there is none.
@@ -297,7 +297,7 @@
 	return all
 }
 
-func (f *Front) count(r *lnet.Request, e core.Ending) {
+func (f *Front) count(r *lnet.Request, e core.QueryOutcome) {
 	if class := platform.ClassName(r); slices.Contains(f.base.Classes, class) {
 		f.core.Counts().Class(class).Add(e)
 	}
@@ -324,15 +324,15 @@
 	if v := f.router.known(q); v != translate.Allowed {
 		f.log.Warn("a keyed request is not taken", "class", j.class, "why", v)
 		f.tally.Add(v.Reason())
-		j.reply(translate.Turn(v), f.core.FullAdvice())
+		j.reply(translate.Turn(v), f.core.FullRetryAfter())
 		return nil
 	}
 	q.Client, q.Data, q.ClientLeft = j, j, x.ClientLeft
 	if !f.core.Submit(q) {
-		j.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
 // job is a query's client, and what its attempts met.
@@ -350,14 +350,14 @@
 func (j *job) Note(why translate.Reason) { j.why.Store(uint32(why)) }
 
 // Final replies.
-func (j *job) Final(f core.Final) {
-	if f.Ending == core.Answered {
+func (j *job) Final(f core.FinalAnswer) {
+	if f.Outcome == core.Answered {
 		r := platform.Answer(f, j.f.log)
 		j.f.core.Counts().Class(j.class).Add(platform.EndingOf(r.Status))
 		j.x.Reply(r)
 		return
 	}
-	j.reply(translate.Failed(f.Ending == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
+	j.reply(translate.Failed(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
 		f.RetryAfter)
 }
 
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -238,8 +238,8 @@
 }
 
 // figure is a class's count.
-func (r *running) figure(class string, e core.Ending) int64 {
-	return r.f.core.Counts().Class(class).Of(e)
+func (r *running) figure(class string, e core.QueryOutcome) int64 {
+	return r.f.core.Counts().Class(class).Count(e)
 }
 
 // Figures count each request once, in whichever way it came and ended.
@@ -351,7 +351,7 @@
 	send := func(name string, before time.Time) *core.Attempt {
 		t.Helper()
 		a := &core.Attempt{Query: &core.Query{Name: name, Key: "k", Rules: rules}, Replica: id,
-			Timeout: time.Minute, Until: time.Now().Add(time.Minute), Before: before}
+			Timeout: time.Minute, Deadline: time.Now().Add(time.Minute), StartBy: before}
 		sent := len(n.Parts())
 		r.Send(id, []*core.Attempt{a})
 		standin.Until(t, name, func() bool { return len(n.Parts()) > sent })
@@ -359,14 +359,14 @@
 	}
 	begun := time.Now()
 	first := send("first", time.Time{})
-	if d := first.Before.Sub(begun); d < window || d > window+time.Second {
+	if d := first.StartBy.Sub(begun); d < window || d > window+time.Second {
 		t.Fatalf("the window of a first send ends after %v", d)
 	}
-	if retry := send("retry", time.Time{}); !retry.Before.Equal(first.Before) {
-		t.Errorf("a retry may begin until %v, its key is forgotten at %v", retry.Before, first.Before)
+	if retry := send("retry", time.Time{}); !retry.StartBy.Equal(first.StartBy) {
+		t.Errorf("a retry may begin until %v, its key is forgotten at %v", retry.StartBy, first.StartBy)
 	}
-	earlier := first.Before.Add(-time.Second)
-	if repeat := send("repeat", earlier); !repeat.Before.Equal(earlier) {
-		t.Errorf("the module's own window has become %v, not %v", repeat.Before, earlier)
+	earlier := first.StartBy.Add(-time.Second)
+	if repeat := send("repeat", earlier); !repeat.StartBy.Equal(earlier) {
+		t.Errorf("the module's own window has become %v, not %v", repeat.StartBy, earlier)
 	}
 }
--- a/internal/kiosk/router.go
+++ b/internal/kiosk/router.go
@@ -103,8 +103,8 @@
 		}
 		f.token = token
 		// Whoever writes it looks at the clock then: it may wait behind others for longer than thought here.
-		if by := r.epoch.Add(time.Duration(until) * time.Microsecond); a.Before.IsZero() || by.Before(a.Before) {
-			a.Before = by
+		if by := r.epoch.Add(time.Duration(until) * time.Microsecond); a.StartBy.IsZero() || by.Before(a.StartBy) {
+			a.StartBy = by
 		}
 	}
 	switch form {
@@ -127,12 +127,12 @@
 // never tells of an attempt that was not passed on; the core calls Send, so that the word must not wait for
 // it.
 func (r *router) never(a *core.Attempt, o balance.Outcome) {
-	go r.tell(core.Outcome{Attempt: a, Outcome: o})
+	go r.tell(core.AttemptDone{Attempt: a, Outcome: o})
 }
 
 // tell passes on what a backend says, and gives the guard's tokens back of what never ran.
 func (r *router) tell(e core.Event) {
-	if o, ok := e.(core.Outcome); ok {
+	if o, ok := e.(core.AttemptDone); ok {
 		r.landed(o.Attempt, o.Outcome == balance.Busy || o.Outcome == balance.NoConnection ||
 			o.Outcome == balance.NotSent)
 	}
@@ -151,12 +151,12 @@
 	return f.via
 }
 
-// Withdraw gives an attempt up.
-func (r *router) Withdraw(a *core.Attempt) bool {
+// Cancel gives an attempt up.
+func (r *router) Cancel(a *core.Attempt) bool {
 	r.mu.Lock()
 	via := r.out[a].via
 	r.mu.Unlock()
-	never := via != nil && via.Withdraw(a)
+	never := via != nil && via.Cancel(a)
 	r.landed(a, never)
 	return never
 }
@@ -181,9 +181,9 @@
 	r.anew.CloseIdle(to)
 }
 
-// Stop takes back what is queued for a server and not begun, in whichever form.
-func (r *router) Stop(to balance.ReplicaID) []*core.Attempt {
-	back := append(r.old.Stop(to), r.anew.Stop(to)...)
+// CancelQueued takes back what is queued for a server and not begun, in whichever form.
+func (r *router) CancelQueued(to balance.ReplicaID) []*core.Attempt {
+	back := append(r.old.CancelQueued(to), r.anew.CancelQueued(to)...)
 	for _, a := range back {
 		r.landed(a, true)
 	}
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -425,7 +425,7 @@
 			return
 		}
 		if !resp.Decided.IsZero() {
-			c.s.Delays.Note(delay.Reply, time.Since(resp.Decided), "client", c.c.RemoteAddr(), "query", req.ID(),
+			c.s.Delays.Record(delay.Reply, time.Since(resp.Decided), "client", c.c.RemoteAddr(), "query", req.ID(),
 				"status", resp.Status)
 		}
 		if end {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -517,7 +517,7 @@
 				zone = j
 			}
 		}
-		state := balance.Gone
+		state := balance.Removed
 		switch h.Health {
 		case inService:
 			state = balance.Ready
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -81,17 +81,17 @@
 	}
 	name, _ := c.Verdict.Node()
 	id := core.ServerID(name)
-	by := core.ByFleet
+	by := core.ByFleetOperator
 	switch c.Verdict.Kind {
 	case verdict.Sick:
-		by = core.Judged
+		by = core.ByFleetEvidence
 	case verdict.Path:
-		by = core.JudgedHere
+		by = core.ByZoneEvidence
 	}
-	if !k.core.Bar(id, by, c.Holds, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, by, c.Holds, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleet { // what is judged the next process hears with the table
+	if by == core.ByFleetOperator { // what is judged the next process hears with the table
 		k.upgrade.pass(id, by, c.Holds)
 	}
 	return true
@@ -100,7 +100,7 @@
 // fleetHost is this process as the fleet's part needs it.
 func (k *Coordinator) fleetHost() fleet.Host {
 	return fleet.Host{Carry: k.carryVerdict, Name: k.nodeName,
-		Nodes: func() int { return int(k.core.Counts().Listed.Load()) }}
+		Nodes: func() int { return int(k.core.Counts().ListedServers.Load()) }}
 }
 
 // nodeName is the name of a data node, on whichever way it is reached.
@@ -121,21 +121,21 @@
 }
 
 // witness has the fleet hear how attempts end, as far as that says something of the node.
-func (k *Coordinator) witness(s core.Seen) {
+func (k *Coordinator) witness(s core.AttemptResult) {
 	end := verdict.Broken
 	switch {
 	case s.Outcome == balance.OK:
 		end = verdict.Served
 	case s.Outcome == balance.TimedOut:
 		end = verdict.Unheard
-	case s.Beaten:
+	case s.Superseded:
 		end = verdict.Beaten
 	case s.Outcome == balance.Cancelled:
 		end = verdict.GivenUp
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Took)
+	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Elapsed)
 }
 
 // judge has evidence against data nodes count, where the fleet's file says so.
@@ -144,8 +144,8 @@
 		return
 	}
 	m := &k.cfg.Module
-	conf.Saw = k.witness
-	conf.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
+	conf.OnAttemptEnd = k.witness
+	conf.LimitCordons = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
 		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
 	}
 }
@@ -251,8 +251,8 @@
 	return true, 0, ""
 }
 
-// Ended gives back what a query held, and tells how it ended.
-func (l limits) Ended(q *core.Query, e core.Ending) {
+// QueryEnded gives back what a query held, and tells how it ended.
+func (l limits) QueryEnded(q *core.Query, e core.QueryOutcome) {
 	l.k.fleet.HasEnded(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
@@ -260,9 +260,9 @@
 	}
 }
 
-// Send asks whether an attempt may be sent.
-func (l limits) Send(a *core.Attempt) (bool, balance.Outcome) {
-	if !l.k.fleet.MaySend(a.First()) {
+// AllowSend asks whether an attempt may be sent.
+func (l limits) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	if !l.k.fleet.MaySend(a.IsFirst()) {
 		return false, balance.NotSent
 	}
 	if !l.k.fleet.LimitsServers() {
@@ -275,8 +275,8 @@
 	return ok, balance.Busy // to the module the node is full
 }
 
-// Over gives back what an attempt held.
-func (l limits) Over(a *core.Attempt) {
+// AttemptEnded gives back what an attempt held.
+func (l limits) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
 		l.k.fleet.Done(t)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -73,10 +73,10 @@
 	q.Client = &client{x: x, log: f.log, count: f.core.Counts().Class(ClassName(r))}
 	q.ClientLeft = x.ClientLeft
 	if !f.core.Submit(q) {
-		q.Client.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		q.Client.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
 // TurnAway counts a request that was refused before it came here: too many connections are open.
@@ -85,7 +85,7 @@
 }
 
 // countUnasked counts a reply that the core was not asked for, if the request names a class.
-func (f *Front) countUnasked(r *lnet.Request, e core.Ending) {
+func (f *Front) countUnasked(r *lnet.Request, e core.QueryOutcome) {
 	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
@@ -98,7 +98,7 @@
 }
 
 // EndingOf is what a reply's status means to a client.
-func EndingOf(status int) core.Ending {
+func EndingOf(status int) core.QueryOutcome {
 	switch status {
 	case 200:
 		return core.Answered
@@ -137,7 +137,7 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.via,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.via,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
@@ -150,7 +150,7 @@
 	case !b.key:
 		q.Key = ""
 	}
-	q.Rules, q.Most = &b.rules, b.most
+	q.Rules, q.MaxAttempts = &b.rules, b.most
 	wait := time.Duration(b.rules.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
@@ -172,7 +172,7 @@
 	if len(body.Slices) == 0 || len(body.Slices) > maxParts {
 		return fail(400, "slices: 1 to %d are needed", maxParts)
 	}
-	q.Text = []byte(body.Filter)
+	q.Payload = []byte(body.Filter)
 	seen, total := map[int]bool{}, 0.0
 	for _, s := range body.Slices {
 		if s.Slice == nil || *s.Slice < 0 || *s.Slice >= cfg.Shards || seen[*s.Slice] {
@@ -240,8 +240,8 @@
 }
 
 // Final replies.
-func (c *client) Final(f core.Final) {
-	switch f.Ending {
+func (c *client) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		r := Answer(f, c.log)
 		r.Decided = f.Decided
@@ -266,8 +266,8 @@
 }
 
 // Answer is the reply to a query that was answered.
-func Answer(f core.Final, log *slog.Logger) lnet.Response {
-	body := answerBody{Entire: f.Whole, Items: make([]answerItem, 0, len(f.Values))}
+func Answer(f core.FinalAnswer, log *slog.Logger) lnet.Response {
+	body := answerBody{Entire: f.Complete, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
 		body.Items = append(body.Items, answerItem{Slice: v.Shard, Body: string(v.Body)})
 	}
--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -67,8 +67,8 @@
 	standin.Until(t, "the part", func() bool { return len(node.Parts()) > 0 })
 	c.Close()
 	awaitHeld(t, l)
-	standin.Until(t, "the request's end", func() bool { return k.core.Counts().Active.Load() == 0 })
-	if n := k.core.Counts().Class("rate-check"); n.Of(core.Refused)+n.Of(core.Failed) > 0 {
+	standin.Until(t, "the request's end", func() bool { return k.core.Counts().ActiveQueries.Load() == 0 })
+	if n := k.core.Counts().Class("rate-check"); n.Count(core.Refused)+n.Count(core.Failed) > 0 {
 		t.Error("it was answered, as if its client were there")
 	}
 }
@@ -82,7 +82,7 @@
 		l.Hold(message)
 		d.change(t, hostAt("b", node.Addr, 0))
 		awaitHeld(t, l)
-		if !k.core.Knows(core.ServerID("b"), 10*time.Second) {
+		if !k.core.IsListed(core.ServerID("b"), 10*time.Second) {
 			t.Errorf("%s: the core does not know of the node", message)
 		}
 	}
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -44,17 +44,17 @@
 // soon is an attempt that the core waits for.
 func soon(name string, id balance.ReplicaID) *core.Attempt {
 	return &core.Attempt{Query: &core.Query{Name: name}, Replica: id, Timeout: 10 * time.Second,
-		Until: time.Now().Add(10 * time.Second)}
+		Deadline: time.Now().Add(10 * time.Second)}
 }
 
 // wired is a way to one node, over connections that the test makes.
-func wired(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.Outcome) {
+func wired(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.AttemptDone) {
 	t.Helper()
-	told = make(chan core.Outcome, 16)
+	told = make(chan core.AttemptDone, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that the test holds
 	n = NewNodes(config(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) {
-			if o, ok := e.(core.Outcome); ok {
+			if o, ok := e.(core.AttemptDone); ok {
 				told <- o
 			}
 		})
@@ -107,14 +107,14 @@
 	c.end(nil)
 }
 
-func outcome(t *testing.T, told chan core.Outcome) core.Outcome {
+func outcome(t *testing.T, told chan core.AttemptDone) core.AttemptDone {
 	t.Helper()
 	select {
 	case o := <-told:
 		return o
 	case <-time.After(10 * time.Second):
 		t.Fatal("no outcome")
-		return core.Outcome{}
+		return core.AttemptDone{}
 	}
 }
 
@@ -158,9 +158,9 @@
 	}
 	running := soon("q0", id)
 	left, past, over, good := soon("q1", id), soon("q2", id), soon("q3", id), soon("q4", id)
-	past.Before = time.Now()
-	over.Until = time.Now()
-	good.Before = time.Now().Add(time.Minute)
+	past.StartBy = time.Now()
+	over.Deadline = time.Now()
+	good.StartBy = time.Now().Add(time.Minute)
 	n.Send(id, []*core.Attempt{running})
 	go c.writeLoop(h)
 	<-h.writing
@@ -169,7 +169,7 @@
 			t.Fatal("not queued")
 		}
 	}
-	k.Leave(left.Query)
+	k.Abandon(left.Query)
 	h.goOn <- nil
 	for _, a := range []*core.Attempt{left, past, over} {
 		if o := outcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
@@ -191,11 +191,11 @@
 	c.c, c.socket, c.up = h, h, true
 	all := []*core.Attempt{soon("q1", id), soon("q2", id), soon("q3", id)}
 	for _, a := range all {
-		a.Until = time.Now().Add(2 * time.Second) // a connection was waited for since
+		a.Deadline = time.Now().Add(2 * time.Second) // a connection was waited for since
 	}
-	all[2].Query.Key, all[2].Query.Text = "key", []byte("text")
+	all[2].Query.Key, all[2].Query.Payload = "key", []byte("text")
 	n.Send(id, all)
-	if !n.Withdraw(all[1]) {
+	if !n.Cancel(all[1]) {
 		t.Fatal("a part of a call that is not begun has never run")
 	}
 	go c.writeLoop(h)
@@ -227,7 +227,7 @@
 		defer c.mu.Unlock()
 		return len(c.written) == 1
 	})
-	if n.Withdraw(a) {
+	if n.Cancel(a) {
 		t.Fatal("it may have run")
 	}
 	n.Send(id, []*core.Attempt{b})
@@ -303,7 +303,7 @@
 		hosts = append(hosts, hostAt(fmt.Sprint("n", i), n.Addr, 0))
 	}
 	down.Store(false)
-	standin.Until(t, "the list", func() bool { return k.core.Counts().Listed.Load() == 20 })
+	standin.Until(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
 	standin.Until(t, "connections to more nodes than were kept for", func() bool {
 		post(t, k, "rate-check", 0)
 		opened := 0
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -175,7 +175,7 @@
 	case !written:
 		return balance.NoConnection
 	case errors.Is(c.why, errSpoilt):
-		return balance.Spoilt
+		return balance.Malformed
 	}
 	return balance.Reset
 }
@@ -227,7 +227,7 @@
 		if unsent[a] {
 			o = not
 		}
-		c.n.post(core.Outcome{Attempt: a, Outcome: o})
+		c.n.post(core.AttemptDone{Attempt: a, Outcome: o})
 	}
 	for _, p := range probes {
 		o := whole
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -218,7 +218,7 @@
 			c.outlived(sent)
 		}
 		if at != nil {
-			c.n.post(core.Outcome{Attempt: at, Outcome: a.outcome, Report: c.n.conf.Load().report(a.report),
+			c.n.post(core.AttemptDone{Attempt: at, Outcome: a.outcome, Report: c.n.conf.Load().report(a.report),
 				Value: core.Value{Body: a.value}})
 		}
 		return nil
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -245,8 +245,8 @@
 	return c
 }
 
-// Withdraw gives an attempt up: if its frame is not begun it is taken back, else the node is told.
-func (n *Nodes) Withdraw(a *core.Attempt) bool {
+// Cancel gives an attempt up: if its frame is not begun it is taken back, else the node is told.
+func (n *Nodes) Cancel(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
 	var c *nodeConn
@@ -304,8 +304,8 @@
 	}
 }
 
-// Stop takes back what is queued for a node and not begun: nothing of it may go out any more.
-func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
+// CancelQueued takes back what is queued for a node and not begun: nothing of it may go out any more.
+func (n *Nodes) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	var back []*core.Attempt
 	for _, c := range n.connsOf(to) {
 		c.mu.Lock()
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -18,7 +18,7 @@
 // heldAttempt is an attempt that may not begin, and why.
 type heldAttempt struct {
 	attempt *core.Attempt
-	why     core.Hold
+	why     core.HoldReason
 }
 
 // encodeCall encodes a call as it is at this moment, with those of its parts that are still waited for and
@@ -35,7 +35,7 @@
 		if !c.node.draining.Load() {
 			wait, hold = a.BeginWrite(c, now)
 		}
-		if hold != core.MayBegin {
+		if hold != core.NoHold {
 			held = append(held, heldAttempt{a, hold})
 			continue
 		}
@@ -43,8 +43,8 @@
 		if a.Query.Key != "" {
 			b = fmt.Appendf(b, ",k=%s", a.Query.Key)
 		}
-		b = fmt.Appendf(b, " %d\n", len(a.Query.Text))
-		b = append(b, a.Query.Text...)
+		b = fmt.Appendf(b, " %d\n", len(a.Query.Payload))
+		b = append(b, a.Query.Payload...)
 		carried = append(carried, a)
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
@@ -55,7 +55,7 @@
 func callSize(call []*core.Attempt) int {
 	n := 5
 	for _, a := range call {
-		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Text) + partSlack
+		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Payload) + partSlack
 	}
 	return n
 }
@@ -192,7 +192,7 @@
 // tellHeld tells the core of parts that never ran.
 func (w *frameWriter) tellHeld() {
 	for _, h := range w.held {
-		w.c.n.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
+		w.c.n.post(core.AttemptDone{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
 		w.c.n.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt), "why", string(h.why))
@@ -206,7 +206,7 @@
 	switch {
 	case err != nil:
 	case w.written:
-		w.c.n.count.Tries.Add(int64(len(w.carried)))
+		w.c.n.count.AttemptsSent.Add(int64(len(w.carried)))
 		w.noteDelay(time.Now())
 	case w.c.ended(): // while the system took nothing
 		err = net.ErrClosed
@@ -218,8 +218,8 @@
 
 // noteDelay records a call that was written late.
 func (w *frameWriter) noteDelay(now time.Time) {
-	if took := now.Sub(w.began); took >= delay.Notable && len(w.carried) > 0 {
-		w.c.n.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.carried[0]),
+	if took := now.Sub(w.began); took >= delay.Threshold && len(w.carried) > 0 {
+		w.c.n.delays.Record(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.carried[0]),
 			"parts", len(w.carried))
 	}
 }
@@ -247,7 +247,7 @@
 		c.torn = nil
 		c.mu.Unlock()
 		for _, a := range torn {
-			c.n.post(core.Outcome{Attempt: a, Outcome: o})
+			c.n.post(core.AttemptDone{Attempt: a, Outcome: o})
 		}
 		return true
 	}
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -66,9 +66,9 @@
 }
 
 // finalFunc is a client that passes its final answer to a function.
-type finalFunc func(core.Final)
+type finalFunc func(core.FinalAnswer)
 
-func (f finalFunc) Final(x core.Final) { f(x) }
+func (f finalFunc) Final(x core.FinalAnswer) { f(x) }
 
 // coreWithNode is a running core with one data node, whose connection's writer the test holds.
 func coreWithNode(t *testing.T) (*core.Core, *Nodes, *pausedConn) {
@@ -87,12 +87,12 @@
 	go c.writeLoop(held)
 	go k.Run()
 	t.Cleanup(func() { k.Close(); _ = held.Close(); c.end(nil) })
-	k.Post(core.Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
+	k.Post(core.ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
 	return k, n, held
 }
 
 func heldQuery(n *Nodes, name string, wait time.Duration, client core.Client) *core.Query {
-	return &core.Query{Name: name, Deadline: time.Now().Add(wait), Via: n, Client: client,
+	return &core.Query{Name: name, Deadline: time.Now().Add(wait), Backend: n, Client: client,
 		Parts: []core.PartSpec{{Shard: 0, Weight: 1}}}
 }
 
@@ -102,7 +102,7 @@
 	k, n, held := coreWithNode(t)
 	late := make(chan bool, 1)
 	begun := time.Now()
-	answered := finalFunc(func(core.Final) { late <- held.mayStillWrite() })
+	answered := finalFunc(func(core.FinalAnswer) { late <- held.mayStillWrite() })
 	k.Submit(heldQuery(n, "q1", 1200*time.Millisecond, answered))
 	awaitWrite(t, held)
 	select {
@@ -120,10 +120,10 @@
 // is made impossible.
 func TestNoAttemptBeginsLongAfterTheClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	k.Submit(q)
 	awaitWrite(t, held)
-	k.Leave(q)
+	k.Abandon(q)
 	select {
 	case <-held.closed:
 	case <-time.After(2 * time.Second):
@@ -136,7 +136,7 @@
 func TestAHeldWriteIsAbortedOnceItsClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	var left atomic.Bool
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	q.ClientLeft = left.Load
 	k.Submit(q)
 	awaitWrite(t, held)
@@ -148,7 +148,7 @@
 // although its request is still open.
 func TestAHeldWriteDoesNotTellATimeThatIsOver(t *testing.T) {
 	k, n, held := coreWithNode(t)
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	k.Submit(q)
 	awaitWrite(t, held)
 	awaitAbort(t, held, q)
@@ -162,7 +162,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("a held write can still go out")
 	}
-	if q.Over() {
+	if q.Finished() {
 		t.Error("the held write was aborted by its request's end only")
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -292,10 +292,10 @@
 		all = append(all, a)
 	}
 	c.frames[0].begun = true // the writer has it
-	if !n.Withdraw(all[2]) || n.Withdraw(all[0]) {
+	if !n.Cancel(all[2]) || n.Cancel(all[0]) {
 		t.Fatal("only what is not begun has never run")
 	}
-	if back := n.Stop(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
+	if back := n.CancelQueued(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
 		t.Fatalf("%v", back)
 	}
 	if c.calls != len(c.waiting) {
@@ -779,7 +779,7 @@
 		r.Size != 1.5 || r.Started != 1_000_000 {
 		t.Fatalf("%+v", r)
 	}
-	if got[1].State != balance.Draining || got[1].Zone != -1 || got[2].State != balance.Gone {
+	if got[1].State != balance.Draining || got[1].Zone != -1 || got[2].State != balance.Removed {
 		t.Fatalf("%+v", got)
 	}
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -121,9 +121,9 @@
 	}
 	k.front = NewFront(cfg, log, k.nodes)
 	conf := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
-		Delays: k.delays,
-		Listed: func() { close(k.listed) },
-		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
+		Delays:      k.delays,
+		OnFirstList: func() { close(k.listed) },
+		ServerName:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
 	if cfg.PeerListen != "" && !cfg.fleetCarriesPeers() {
 		if k.peers, err = listenPeers(cfg, log, post, h); err != nil {
@@ -137,7 +137,7 @@
 		}
 		conf.Peers = k.fleet
 		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Gate = limits{k, &atomic.Pointer[ranked]{}}
+			conf.Admission = limits{k, &atomic.Pointer[ranked]{}}
 		}
 		k.judge(&conf)
 	}
@@ -146,7 +146,7 @@
 		beside: beside}
 	k.watcher = w
 	if cfg.Module.Subscribe {
-		conf.Lister = w
+		conf.Discovery = w
 	}
 	if k.core, err = core.New(conf); err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.Advise
+		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.CapRetryAfter
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
@@ -170,15 +170,15 @@
 		k.upgrade.place = make(chan *fleet.Handover, 1)
 	}
 	if h != nil {
-		k.core.Post(core.Inherited{Out: h.greeting.Out, Barred: h.greeting.Barred, Since: h.greeting.Since,
-			Memory: h.greeting.Memory, Now: h.greeting.Now})
+		k.core.Post(core.HandoverState{Cordons: h.greeting.Out, FleetCordons: h.greeting.Barred, RestoredAt: h.greeting.Since,
+			Memory: h.greeting.Memory, Clock: h.greeting.Now})
 		k.upgrade.follow(h)
 	}
 	if cfg.Known != nil { // what was known before a restart: enough to begin with
 		w.seq = cfg.Known.Seq
 		news := k.nodes.Learn(cfg.Known.Hosts, true)
-		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
-			Heard: time.Now()})
+		k.core.Post(core.ListUpdate{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
+			ReceivedAt: time.Now()})
 		k.nodes.logNews(news)
 	}
 	if k.peers != nil {
@@ -266,7 +266,7 @@
 		}
 	}
 	if beside {
-		k.core.Cordoned(linkWait) // behind the list in the core's queue: once it is back, that is taken in
+		k.core.HandoverState(linkWait) // behind the list in the core's queue: once it is back, that is taken in
 	}
 	k.upgrade.ready()
 	k.front.ready.Store(!k.ending.Load()) // before a client is heard, who would else be told no
@@ -313,10 +313,10 @@
 func (d doorState) Figures() admin.Figures {
 	c := d.k.core.Counts()
 	f := admin.Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
-		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
+		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(), PoolEjected: c.AvoidedServers.Load(),
+		ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
-		f.OK[name], f.Shed[name], f.Errors[name] = x.Of(core.Answered), x.Of(core.Refused), x.Of(core.Failed)
+		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused), x.Count(core.Failed)
 	}
 	for _, x := range d.k.extras {
 		if t, ok := x.(interface{ Figures() map[string]int64 }); ok {
@@ -327,7 +327,7 @@
 }
 
 // Delays are the actions that were carried out late.
-func (d doorState) Delays() any { return d.k.delays.Figures() }
+func (d doorState) Delays() any { return d.k.delays.Stats() }
 
 // Gate says who is let in; nil where only the budget does.
 func (d doorState) Gate() admin.Gate {
@@ -364,7 +364,7 @@
 		if c.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if c.Out && !d.k.core.Knows(core.ServerID(c.ID), within) {
+	} else if c.Out && !d.k.core.IsListed(core.ServerID(c.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
 	s, err := d.k.fleet.Say(v, within, c.Wait)
@@ -405,7 +405,7 @@
 func (d doorState) Cordon(id string, out bool, within time.Duration) error {
 	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
 	if known {
-		d.k.upgrade.pass(core.ServerID(id), core.Here, out)
+		d.k.upgrade.pass(core.ServerID(id), core.ByOperator, out)
 	}
 	switch {
 	case !inTime:
@@ -454,7 +454,7 @@
 	if watched {
 		k.watcher.moveTo(fresh.Discovery)
 	}
-	k.core.Counts().Applied.Add(1)
+	k.core.Counts().ConfigsApplied.Add(1)
 	k.log.Info("configuration reloaded", "discovery", fresh.Discovery, "classes", cfg.Classes)
 	return nil
 }
@@ -466,7 +466,7 @@
 	if k.halved {
 		s.ColdShare /= 2
 	}
-	k.core.Post(core.Reconfigured{Settings: s})
+	k.core.Post(core.SettingsChanged{Settings: s})
 }
 
 // halve begins or ends the time in which two processes serve.
@@ -481,7 +481,7 @@
 
 // Reject tells that a configuration was turned down: the old one stays, whole.
 func (k *Coordinator) Reject(err error) {
-	k.core.Counts().Rejected.Add(1)
+	k.core.Counts().ConfigsRejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
 
@@ -511,7 +511,7 @@
 	k.mu.Lock()
 	answerOn, endingLimit := k.conf.ending()
 	k.mu.Unlock()
-	idle := k.core.Finish(begun.Add(answerOn))
+	idle := k.core.Shutdown(begun.Add(answerOn))
 	if !handed {
 		time.Sleep(acceptOn)
 		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-serveLeast; {
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -63,7 +63,7 @@
 type cordonWord struct {
 	Server balance.ReplicaID `json:"server"`
 	Out    bool              `json:"out"`
-	By     core.Author       `json:"by,omitempty"`
+	By     core.CordonSource `json:"by,omitempty"`
 	At     balance.Micros    `json:"at"`
 }
 
@@ -510,14 +510,14 @@
 	u.limit()
 	for u.budget.Used() > mine && u.k.server.MakeWay() {
 	}
-	said, ok := u.k.core.Cordoned(linkWait / 2)
+	said, ok := u.k.core.HandoverState(linkWait / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
 	most := u.rest()
 	u.mu.Unlock()
-	w := word{Out: said.Out, Barred: said.Barred, Since: said.Since, Memory: said.Memory, Now: said.Now,
+	w := word{Out: said.Cordons, Barred: said.FleetCordons, Since: said.RestoredAt, Memory: said.Memory, Now: said.Clock,
 		Most: most}
 	socks := []any{u.k.server.Listener()}
 	w.Sockets = []string{"listen"}
@@ -619,12 +619,12 @@
 func (u *upgrade) obey(w word) {
 	if c := w.Cordon; c != nil {
 		// Its moment is by the other process's clock, and the wall clock may have been stepped: now is as good.
-		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
+		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Out, Source: c.By, AllowUnlisted: true})
 	}
 }
 
 // pass tells the other process, if there is one, of an operator's call, or of the fleet's word.
-func (u *upgrade) pass(id balance.ReplicaID, by core.Author, out bool) {
+func (u *upgrade) pass(id balance.ReplicaID, by core.CordonSource, out bool) {
 	u.mu.Lock()
 	links := [2]*link{u.old, u.successor}
 	u.mu.Unlock()
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -359,7 +359,7 @@
 	if err := k.upgrade.greet(old); err != nil {
 		t.Fatal(err)
 	}
-	k.upgrade.pass(7, core.Here, true)
+	k.upgrade.pass(7, core.ByOperator, true)
 	go old.talk()
 	_ = theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if w, err := fresh.next(); err != nil || w.Sockets[0] != "listen" {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -209,7 +209,7 @@
 			renewed = false
 			if asked {
 				watching = false
-				w.post(core.Listed{Mode: balance.Failed})
+				w.post(core.ListUpdate{Mode: balance.Failed})
 				continue
 			}
 			whole = true // what the watch has missed costs nothing
@@ -231,7 +231,7 @@
 		mode = balance.Full
 	}
 	news := w.nodes.Learn(list.Hosts, list.Whole)
-	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
+	w.post(core.ListUpdate{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), ReceivedAt: time.Now()})
 	w.nodes.logNews(news)
 	if list.Whole {
 		select {
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -107,7 +107,7 @@
 	for name, worst := range map[string]time.Duration{
 		"pushed, fallen silent":    pushed.silence() + pushed.limit,
 		"asked for, fallen silent": asking.silence() + asking.limit,
-		"asked for, after many":    us(balance.AskMost) + asking.limit,
+		"asked for, after many":    us(balance.MaxListRetryDelay) + asking.limit,
 	} {
 		if worst > toldAfter {
 			t.Errorf("%s: heard after %v, told after %v", name, worst, toldAfter)
@@ -155,7 +155,7 @@
 				}
 			})
 			k := run(t, config(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the whole list", func() bool { return k.core.Counts().Listed.Load() == 1 })
+			standin.Until(t, "the whole list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
@@ -317,5 +317,5 @@
 		}
 	})
 	k := run(t, config(t, &discovery{addr: d.addr}))
-	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().Listed.Load() == 1 })
+	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 }
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -252,7 +252,7 @@
 			list = append(list, balance.Replica{ID: core.ServerID(s.Name), Cell: s.Cell, State: balance.Ready,
 				Zone: slices.Index(f.place.Zones, s.Zone), Size: size})
 		}
-		c.Post(core.Listed{Mode: balance.Full, Replicas: list})
+		c.Post(core.ListUpdate{Mode: balance.Full, Replicas: list})
 	}
 	go l.Serve()
 	return nil
@@ -363,23 +363,23 @@
 	}
 	j := &job{f: f, q: q, x: x, deadline: r.At.Add(wait)}
 	if rules.Dropped || rules.Effect != balance.Safe { // then the module would not decide for range queries
-		j.reply(unavailable("unavailable", f.core.FullAdvice(),
+		j.reply(unavailable("unavailable", f.core.FullRetryAfter(),
 			fmt.Errorf("class %q is not there for range queries now", f.cfg.Class)))
 		return nil
 	}
 	cq := &core.Query{Name: "range-" + strconv.FormatUint(f.number.Add(1), 10), Class: f.class,
-		Deadline: j.deadline, Client: j, Via: f, Data: j, Caller: r.Header.Get(tenantHeader),
+		Deadline: j.deadline, Client: j, Backend: f, Data: j, Caller: r.Header.Get(tenantHeader),
 		ClientLeft: x.ClientLeft}
 	for s := range f.place.Shards {
 		cq.Parts = append(cq.Parts, core.PartSpec{Shard: s, Weight: 1})
 	}
 	if !f.core.Submit(cq) {
-		j.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
 	return func() {
 		j.close()
-		f.core.Leave(cq)
+		f.core.Abandon(cq)
 	}
 }
 
@@ -416,8 +416,8 @@
 }
 
 // Final replies. The core's goroutine calls it, so that what takes time is done elsewhere.
-func (j *job) Final(f core.Final) {
-	switch f.Ending {
+func (j *job) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		go func() {
 			defer j.close()
@@ -438,7 +438,7 @@
 				errors.New("not every shard can answer now: refused rather than thin")))
 		}
 	default:
-		j.reply(unavailable("timeout", j.f.core.FullAdvice(), errors.New("the query was not decided in time")))
+		j.reply(unavailable("timeout", j.f.core.FullRetryAfter(), errors.New("the query was not decided in time")))
 	}
 	j.close()
 }
@@ -458,7 +458,7 @@
 
 // answer merges the shards' results. What is missing or in conflict is never left out without a word: the
 // query is refused, or, where the class's floor allows it, its answer is marked partial.
-func (j *job) answer(f core.Final) lnet.Response {
+func (j *job) answer(f core.FinalAnswer) lnet.Response {
 	parts := make([]*shardResult, 0, len(f.Values))
 	for _, v := range f.Values {
 		if r, ok := v.Data.(*shardResult); ok {
@@ -482,7 +482,7 @@
 	if missing := j.missing(parts); len(missing) > 0 {
 		share := float64(len(parts)) / float64(j.f.place.Shards)
 		if floor := j.f.rules.Load().Floor; len(parts) == 0 || share < floor-1e-9 {
-			return unavailable("unavailable", j.f.core.FullAdvice(),
+			return unavailable("unavailable", j.f.core.FullRetryAfter(),
 				fmt.Errorf("shards %v are missing or in conflict: refused rather than thin", missing))
 		}
 		warnings = append([]string{fmt.Sprintf("partial answer: %d of %d shards are missing: %v",
--- a/internal/promql/servers.go
+++ b/internal/promql/servers.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Withdraw ends an attempt: its connection is closed, as HTTP knows no other way.
-func (f *Front) Withdraw(a *core.Attempt) bool {
+// Cancel ends an attempt: its connection is closed, as HTTP knows no other way.
+func (f *Front) Cancel(a *core.Attempt) bool {
 	f.mu.Lock()
 	fl := f.flights[a]
 	f.mu.Unlock()
@@ -61,8 +61,8 @@
 	return !fl.began
 }
 
-// Stop withdraws what is not begun.
-func (f *Front) Stop(to balance.ReplicaID) []*core.Attempt {
+// CancelQueued withdraws what is not begun.
+func (f *Front) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var back []*core.Attempt
@@ -204,7 +204,7 @@
 		fl.f.held.Add(-fl.granted)
 	}
 	if !cancelled {
-		fl.f.core.Post(core.Outcome{Attempt: fl.a, Outcome: o, Value: v})
+		fl.f.core.Post(core.AttemptDone{Attempt: fl.a, Outcome: o, Value: v})
 	}
 }
 
@@ -241,7 +241,7 @@
 		fl.leave()
 		return balance.NoConnection, core.Value{}
 	}
-	fl.f.core.Counts().Tries.Add(1)
+	fl.f.core.Counts().AttemptsSent.Add(1)
 	reply, err := c.Read(until.Add(readSlack))
 	fl.leave()
 	if err != nil {
@@ -278,7 +278,7 @@
 	if fl.cancelled {
 		return false
 	}
-	if _, hold := fl.a.BeginWrite(c, now); hold != core.MayBegin {
+	if _, hold := fl.a.BeginWrite(c, now); hold != core.NoHold {
 		fl.f.place.Log.Info("attempt not begun", "server", fl.s.name, "query", fl.a.Query.Name,
 			"shard", fl.a.Shard, "why", string(hold))
 		return false
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -80,7 +80,7 @@
 	w     *world
 	name  string
 	index int
-	core  *core.Virtual
+	core  *core.Simulated
 	guard *overload.Guard
 	life  int // which process it is
 	up    bool
@@ -205,10 +205,10 @@
 	cfg.Settings = settings
 	if !w.s.Alone && !strings.Contains(w.s.Fleet, "off = true") {
 		m.guard = overload.NewGuard(m.name, period.Microseconds())
-		cfg.Gate = gate{m}
+		cfg.Admission = gate{m}
 	}
 	var err error
-	if m.core, err = core.NewVirtual(cfg, w.time(w.now)); err != nil {
+	if m.core, err = core.NewSimulated(cfg, w.time(w.now)); err != nil {
 		return err
 	}
 	w.after(list, func() {
@@ -219,7 +219,7 @@
 		for i, n := range w.order {
 			all = append(all, balance.Replica{ID: n.id, Zone: i / 2 % 2, Cell: i % 2, State: balance.Ready, Size: 1})
 		}
-		m.take(core.Listed{Mode: balance.Full, Replicas: all})
+		m.take(core.ListUpdate{Mode: balance.Full, Replicas: all})
 	})
 	if m.guard != nil {
 		m.tick(life)
@@ -230,13 +230,13 @@
 // take hands an event in, and plans the Step that it needs.
 func (m *vmember) take(e core.Event) {
 	if m.up {
-		m.core.Take(e)
+		m.core.Handle(e)
 		m.plan()
 	}
 }
 
 func (m *vmember) plan() {
-	at := m.core.Due(m.w.now)
+	at := m.core.NextStep(m.w.now)
 	if at == 0 || m.due > 0 && m.due <= at {
 		return
 	}
@@ -317,8 +317,8 @@
 	return true
 }
 
-// Withdraw gives an attempt up; the node goes on with it.
-func (m *vmember) Withdraw(*core.Attempt) bool { return false }
+// Cancel gives an attempt up; the node goes on with it.
+func (m *vmember) Cancel(*core.Attempt) bool { return false }
 
 // Probe looks at a node.
 func (m *vmember) Probe(to balance.ReplicaID) bool {
@@ -336,7 +336,7 @@
 func (m *vmember) CloseIdle(balance.ReplicaID) {}
 
 // Stop: nothing is queued on the way.
-func (m *vmember) Stop(balance.ReplicaID) []*core.Attempt { return nil }
+func (m *vmember) CancelQueued(balance.ReplicaID) []*core.Attempt { return nil }
 
 // Admit, Ended, Send and Over are the gate.
 func (m *vmember) Admit(q *core.Query) (bool, time.Duration, string) {
@@ -347,16 +347,16 @@
 // gate is the rest of it: a core's backend has a Send of its own.
 type gate struct{ *vmember }
 
-// Ended books how a query ended.
-func (m *vmember) Ended(_ *core.Query, e core.Ending) { m.guard.Ended(e == core.Answered) }
+// QueryEnded books how a query ended.
+func (m *vmember) QueryEnded(_ *core.Query, e core.QueryOutcome) { m.guard.Ended(e == core.Answered) }
 
-// Send asks whether an attempt may be sent.
-func (g gate) Send(a *core.Attempt) (bool, balance.Outcome) {
-	return g.guard.Send(a.First()), balance.NotSent
+// AllowSend asks whether an attempt may be sent.
+func (g gate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	return g.guard.Send(a.IsFirst()), balance.NotSent
 }
 
-// Over has nothing to do.
-func (g gate) Over(*core.Attempt) {}
+// AttemptEnded has nothing to do.
+func (g gate) AttemptEnded(*core.Attempt) {}
 
 func (n *vnode) report() []float32 { return []float32{0, float32(len(n.waiting))} }
 
@@ -368,7 +368,7 @@
 		report := n.report()
 		w.after(after+w.way(), func() {
 			if from.life == life {
-				from.take(core.Outcome{Attempt: a, Outcome: o, Report: report, Value: core.Value{Body: []byte("v")}})
+				from.take(core.AttemptDone{Attempt: a, Outcome: o, Report: report, Value: core.Value{Body: []byte("v")}})
 			}
 		})
 	}
@@ -540,7 +540,7 @@
 		}
 		m.open[a] = number
 		rules := &w.conf.Module.Classes[a.class]
-		m.core.Submit(&core.Query{Name: a.id, Class: a.class, Key: "k" + a.id, Repeat: a.tries > 1, Via: m,
+		m.core.Submit(&core.Query{Name: a.id, Class: a.class, Key: "k" + a.id, Repeat: a.tries > 1, Backend: m,
 			Deadline: w.time(w.now + rules.Deadline), Client: vclient{a, m, number},
 			Parts: []core.PartSpec{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
 		m.plan()
@@ -556,9 +556,9 @@
 }
 
 // Final is the final answer: core.Client.
-func (c vclient) Final(f core.Final) {
+func (c vclient) Final(f core.FinalAnswer) {
 	status := 502
-	switch f.Ending {
+	switch f.Outcome {
 	case core.Answered:
 		status = 200
 	case core.Refused:
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -191,7 +191,7 @@
 			ev.Replicas = d.lists[id]
 		}
 	case evRing:
-		ev.Kind = balance.Awake
+		ev.Kind = balance.WakeUp
 		c.u64()
 	case evProbeDone:
 		ev.Kind = balance.ProbeResult
@@ -236,7 +236,7 @@
 		ev.From = c.u32()
 		ev.Data = append([]byte(nil), c.bytes(int(c.u16()))...)
 	case evBegun:
-		ev.Kind = balance.Began
+		ev.Kind = balance.StreamStarted
 		ev.ID = c.u32()
 		ev.Attempt = int(c.u8())
 		ev.Replica = c.replica()
@@ -377,7 +377,7 @@
 	case balance.Answer:
 		r.code(acSettle)
 		r.u32(a.ID)
-		r.b = append(r.b, boolByte(a.Whole))
+		r.b = append(r.b, boolByte(a.Complete))
 	case balance.Refuse:
 		r.code(acNotNow)
 		r.u32(a.ID)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 		p.Number != 214 || p.Deadline != 0x8405da {
 		t.Fatalf("part %+v", p)
 	}
-	if r.events[1].Kind != balance.Awake || r.events[2].Kind != balance.ClientGone ||
+	if r.events[1].Kind != balance.WakeUp || r.events[2].Kind != balance.ClientGone ||
 		r.events[2].ID != 0x0e6f2b19 {
 		t.Fatalf("events %+v", r.events[1:])
 	}
@@ -125,7 +125,7 @@
 		a    balance.Action
 		want string
 	}{
-		{balance.Action{Kind: balance.Answer, ID: 0x0e6f2b19, Whole: true}, "0c01 192b6f0e 01"},
+		{balance.Action{Kind: balance.Answer, ID: 0x0e6f2b19, Complete: true}, "0c01 192b6f0e 01"},
 		{balance.Action{Kind: balance.Refuse, ID: 1, After: 256}, "0101 01000000 00010000"},
 		{balance.Action{Kind: balance.Fail, ID: 1}, "0201 01000000"},
 		{balance.Action{Kind: balance.Cancel, ID: 1, Attempt: 2}, "0301 01000000 02"},
