--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -57,16 +57,16 @@
 }
 
 func TestCapsRatesAndHolds(t *testing.T) {
-	g := New(Limits{Reserve: 2, Track: 100, Everyone: Rule{Open: 3, Rate: 1, Burst: 2}, Rules: []Rule{
-		{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Known: true, Open: 5},
-		{Prefix: netip.MustParsePrefix("10.2.0.0/16"), Open: 1, All: 2},
+	g := New(Limits{Reserve: 2, MaxTracked: 100, Default: Rule{MaxOpen: 3, Rate: 1, Burst: 2}, Rules: []Rule{
+		{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Known: true, MaxOpen: 5},
+		{Prefix: netip.MustParsePrefix("10.2.0.0/16"), MaxOpen: 1, MaxTotal: 2},
 		{Prefix: netip.MustParsePrefix("10.3.0.9/32"), Gateway: true, Rate: 100, Burst: 50}}})
 	at := func(now Micros, a string) Decision {
-		return g.Arrive(now, Arrival{Addr: netip.MustParseAddr(a), Places: 100})
+		return g.Decide(now, Arrival{Addr: netip.MustParseAddr(a), Capacity: 100})
 	}
 	want := func(what string, d Decision, v Verdict, r Reason) {
 		t.Helper()
-		if d.Verdict != v || d.Reason != r || v == Refuse && d.After <= 0 {
+		if d.Outcome != v || d.Reason != r || v == Refuse && d.RetryAfter <= 0 {
 			t.Errorf("%s: %+v", what, d)
 		}
 	}
@@ -75,13 +75,13 @@
 	want("the second", at(0, "10.0.0.1"), Admit, None)
 	d := at(0, "10.0.0.1")
 	want("beyond the burst", d, Refuse, TooFast)
-	if d.After > sec {
-		t.Errorf("told to come back after %d us where a second brings one", d.After)
+	if d.RetryAfter > sec {
+		t.Errorf("told to come back after %d us where a second brings one", d.RetryAfter)
 	}
-	want("when it was told to", at(d.After, "10.0.0.1"), Admit, None)
+	want("when it was told to", at(d.RetryAfter, "10.0.0.1"), Admit, None)
 	want("a fourth open one", at(5*sec, "10.0.0.1"), Refuse, TooMany)
-	g.Leave(first.ID)
-	g.Leave(first.ID)
+	g.Remove(first.ID)
+	g.Remove(first.ID)
 	want("after one has left", at(8*sec, "10.0.0.1"), Admit, None)
 	for i := range 5 {
 		want("known clients are not held to the rate", at(0, "10.1.2.3"), Admit, None)
@@ -98,12 +98,12 @@
 	want("beside the gateway", at(0, "10.3.0.8"), Admit, None)
 	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*sec)
 	want("banned", at(10*sec, "10.0.0.7"), Refuse, Banned)
-	g.Adopt(Limits{Track: 100, Everyone: Rule{Open: 3}})
+	g.SetLimits(Limits{MaxTracked: 100, Default: Rule{MaxOpen: 3}})
 	want("banned after new limits", at(11*sec, "::ffff:10.0.0.7"), Refuse, Banned)
 	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*sec)
 	want("pinned within", at(12*sec, "10.0.0.7"), Admit, None)
 	want("the ban's end", at(20*sec, "10.0.0.8"), Admit, None)
-	if n := len(g.Holds(20 * sec)); n != 0 {
+	if n := len(g.Overrides(20 * sec)); n != 0 {
 		t.Errorf("%d words in force", n)
 	}
 }
@@ -112,63 +112,63 @@
 // is idle makes way: unknown for all, known for known only.
 func TestAtTheLimit(t *testing.T) {
 	known := netip.MustParsePrefix("10.9.0.0/16")
-	g := New(Limits{Reserve: 2, Proving: 1, ProveIn: sec, Track: 100, Rules: []Rule{{Prefix: known,
+	g := New(Limits{Reserve: 2, Proving: 1, ProveTimeout: sec, MaxTracked: 100, Rules: []Rule{{Prefix: known,
 		Known: true}}})
 	n := 0
 	arrive := func(a string, proves bool) Decision {
 		n++
-		return g.Arrive(0, Arrival{Addr: netip.MustParseAddr(a), Places: 6, Proves: proves})
+		return g.Decide(0, Arrival{Addr: netip.MustParseAddr(a), Capacity: 6, Authenticates: proves})
 	}
 	var ids []uint64
 	for i := range 3 {
 		d := arrive(fmt.Sprint("10.0.0.", i), false)
-		if d.Verdict != Admit {
+		if d.Outcome != Admit {
 			t.Fatalf("%d: %+v", i, d)
 		}
 		ids = append(ids, d.ID)
 	}
-	if d := arrive("10.0.0.9", false); d.Verdict != Refuse || d.Reason != Full {
+	if d := arrive("10.0.0.9", false); d.Outcome != Refuse || d.Reason != Full {
 		t.Errorf("an unknown one at the last places: %+v", d)
 	}
 	p := arrive("10.0.0.10", true)
-	if p.Verdict != ToProve {
+	if p.Outcome != ToProve {
 		t.Errorf("one that may prove itself: %+v", p)
 	}
-	if d := arrive("10.0.0.11", true); d.Verdict != Refuse || d.Reason != Unproved {
+	if d := arrive("10.0.0.11", true); d.Outcome != Refuse || d.Reason != Unproved {
 		t.Errorf("one too many of those: %+v", d)
 	}
-	if d := arrive("10.9.0.1", false); d.Verdict != Reserved {
+	if d := arrive("10.9.0.1", false); d.Outcome != Reserved {
 		t.Errorf("a known one: %+v", d)
 	}
-	if d := g.Prove(sec/2, p.ID, "head-office", true); d.Verdict != Admit || g.used[reserve] != 2 {
+	if d := g.Authenticate(sec/2, p.ID, "head-office", true); d.Outcome != Admit || g.used[reserve] != 2 {
 		t.Errorf("a proof: %+v, %v", d, g.used)
 	}
-	if d := arrive("10.9.0.2", false); d.Verdict != Refuse || d.Reason != Full {
+	if d := arrive("10.9.0.2", false); d.Outcome != Refuse || d.Reason != Full {
 		t.Errorf("known, with nothing left: %+v", d)
 	}
 	late := arrive("10.0.0.12", true)
 	if over := g.Overdue(2 * sec); len(over) != 1 || over[0] != late.ID {
 		t.Errorf("overdue: %v", over)
 	}
-	if d := g.Prove(2*sec, late.ID, "x", true); d.Reason != Unproved {
+	if d := g.Authenticate(2*sec, late.ID, "x", true); d.Reason != Unproved {
 		t.Errorf("a proof that comes too late: %+v", d)
 	}
-	g.Leave(late.ID)
-	g.Rest(ids[1])
-	g.Rest(ids[0])
-	g.Use(ids[1])
-	g.Rest(p.ID)
-	if d := arrive("10.0.0.13", false); d.Verdict != MakeRoom || d.ID != ids[0] {
+	g.Remove(late.ID)
+	g.MarkIdle(ids[1])
+	g.MarkIdle(ids[0])
+	g.MarkBusy(ids[1])
+	g.MarkIdle(p.ID)
+	if d := arrive("10.0.0.13", false); d.Outcome != EvictIdle || d.ID != ids[0] {
 		t.Errorf("an unknown one makes an unknown idle one go: %+v", d)
 	}
-	g.Leave(ids[0])
-	if d := arrive("10.0.0.13", false); d.Verdict != Admit {
+	g.Remove(ids[0])
+	if d := arrive("10.0.0.13", false); d.Outcome != Admit {
 		t.Errorf("and has its place: %+v", d)
 	}
-	if d := arrive("10.0.0.14", false); d.Verdict != Refuse {
+	if d := arrive("10.0.0.14", false); d.Outcome != Refuse {
 		t.Errorf("but none of the known ones': %+v", d)
 	}
-	if d := arrive("10.9.0.3", false); d.Verdict != MakeRoom || d.ID != p.ID {
+	if d := arrive("10.9.0.3", false); d.Outcome != EvictIdle || d.ID != p.ID {
 		t.Errorf("a known one makes a known idle one go: %+v", d)
 	}
 }
@@ -178,10 +178,10 @@
 func TestGateOverLongHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveIn: sec, Track: 1 + rng.IntN(20),
-			Everyone: Rule{Open: rng.IntN(5), Rate: float64(rng.IntN(3)), Burst: 3},
+		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveTimeout: sec, MaxTracked: 1 + rng.IntN(20),
+			Default: Rule{MaxOpen: rng.IntN(5), Rate: float64(rng.IntN(3)), Burst: 3},
 			Rules: []Rule{{Prefix: netip.MustParsePrefix("10.0.0.0/29"), Known: true},
-				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), All: 3},
+				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), MaxTotal: 3},
 				{Prefix: netip.MustParsePrefix("10.0.0.64/28"), Gateway: true}}}
 		g := New(l)
 		places := 12
@@ -215,14 +215,14 @@
 			switch c := open[some]; rng.IntN(9) {
 			case 0, 1, 2, 3:
 				a := addr(rng.IntN(96))
-				d := g.Arrive(now, Arrival{Addr: a, Proves: rng.IntN(3) == 0, Places: places})
+				d := g.Decide(now, Arrival{Addr: a, Authenticates: rng.IntN(3) == 0, Capacity: places})
 				known := l.Rules[0].Prefix.Contains(a)
-				switch d.Verdict {
-				case MakeRoom:
+				switch d.Outcome {
+				case EvictIdle:
 					if open[d.ID].busy || open[d.ID].known && !known {
 						t.Fatalf("seed %d: %+v is to make way for %v", seed, open[d.ID], a)
 					}
-					g.Leave(d.ID)
+					g.Remove(d.ID)
 					delete(open, d.ID)
 				case Admit, Reserved, ToProve:
 					open[d.ID] = &in{known: known, busy: true, addr: a}
@@ -233,32 +233,32 @@
 						}
 					}
 					if len(open) > places || !known && unknown > max(0, places-l.Reserve) ||
-						d.Verdict == Reserved && !known {
+						d.Outcome == Reserved && !known {
 						t.Fatalf("seed %d: %d open, %d unknown of %d places: %+v", seed, len(open), unknown, places, d)
 					}
 				}
 			case 4:
 				if c != nil {
-					g.Leave(some)
-					g.Leave(some)
+					g.Remove(some)
+					g.Remove(some)
 					delete(open, some)
 				}
 			case 5:
 				if c != nil {
 					c.busy = false
-					g.Rest(some)
+					g.MarkIdle(some)
 				}
 			case 6:
 				if c != nil {
 					c.busy = true
-					g.Use(some)
+					g.MarkBusy(some)
 				}
 			case 7:
 				if c != nil {
-					if d := g.Prove(now, some, fmt.Sprint("id", rng.IntN(5)), rng.IntN(2) == 0); d.Verdict == Admit {
+					if d := g.Authenticate(now, some, fmt.Sprint("id", rng.IntN(5)), rng.IntN(2) == 0); d.Outcome == Admit {
 						c.known = g.conns[some].known
-					} else if d.Verdict == Refuse {
-						g.Leave(some)
+					} else if d.Outcome == Refuse {
+						g.Remove(some)
 						delete(open, some)
 					}
 				}
@@ -266,13 +266,13 @@
 				if rng.IntN(20) == 0 {
 					places = 4 + rng.IntN(12) // shares move: who is in stays in
 				} else if rng.IntN(20) == 0 {
-					g.Adopt(l)
+					g.SetLimits(l)
 				}
 			}
 			check()
 		}
 		for id := range open {
-			g.Leave(id)
+			g.Remove(id)
 			delete(open, id)
 		}
 		check()
@@ -282,7 +282,7 @@
 			}
 		}
 		if len(g.names) != 0 || g.idle[0].first != nil || g.idle[1].first != nil || len(g.unready) != 0 ||
-			len(g.addrs.m) > l.Track {
+			len(g.addrs.m) > l.MaxTracked {
 			t.Fatalf("seed %d: %d names, %d addresses, %d unready are left", seed, len(g.names), len(g.addrs.m),
 				len(g.unready))
 		}
@@ -292,15 +292,15 @@
 // Under a flood of distinct addresses memory is bounded, nobody is refused wrongly, and a forgotten address
 // gains one burst at most.
 func TestFloodOfAddresses(t *testing.T) {
-	g := New(Limits{Track: 1000, Everyone: Rule{Rate: 1, Burst: 2}})
+	g := New(Limits{MaxTracked: 1000, Default: Rule{Rate: 1, Burst: 2}})
 	now := Micros(0)
 	for i := range 200_000 {
 		now += 10
-		d := g.Arrive(now, Arrival{Addr: addr(i), Places: 100})
-		if d.Verdict != Admit {
+		d := g.Decide(now, Arrival{Addr: addr(i), Capacity: 100})
+		if d.Outcome != Admit {
 			t.Fatalf("address %d, which came once: %+v", i, d)
 		}
-		g.Leave(d.ID)
+		g.Remove(d.ID)
 	}
 	if len(g.addrs.m) > 1000 || g.addrs.forgotten != 199_000 {
 		t.Errorf("%d remembered, %d forgotten", len(g.addrs.m), g.addrs.forgotten)
@@ -329,15 +329,15 @@
 	}
 	for _, track := range []int{addresses, 4096} {
 		b.Run(fmt.Sprintf("gate/track=%d", track), func(b *testing.B) {
-			l := Limits{Track: track, Everyone: Rule{Open: 8, Rate: 10, Burst: 20}}
+			l := Limits{MaxTracked: track, Default: Rule{MaxOpen: 8, Rate: 10, Burst: 20}}
 			for i := range 1000 {
-				l.Rules = append(l.Rules, Rule{Prefix: netip.PrefixFrom(addr(i*1000), 28), Open: 4})
+				l.Rules = append(l.Rules, Rule{Prefix: netip.PrefixFrom(addr(i*1000), 28), MaxOpen: 4})
 			}
 			g, now := New(l), Micros(0)
 			measure(b, func(i int) {
 				now += 100
-				if d := g.Arrive(now, Arrival{Addr: addr(i % addresses), Places: 1000}); d.Verdict != Refuse {
-					g.Leave(d.ID)
+				if d := g.Decide(now, Arrival{Addr: addr(i % addresses), Capacity: 1000}); d.Outcome != Refuse {
+					g.Remove(d.ID)
 				}
 			})
 		})
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -14,24 +14,24 @@
 
 // Rule binds the addresses of a prefix; the longest one counts. 0 leaves a cap to the rule for everybody.
 type Rule struct {
-	Prefix  netip.Prefix
-	Open    int     // connections of one address, or of one identity behind a gateway
-	Rate    float64 // new ones a second, of one address
-	Burst   float64 // that may come at once
-	All     int     // connections of the whole prefix
-	Known   bool
-	Gateway bool // many clients behind one address
+	Prefix   netip.Prefix
+	MaxOpen  int     // connections of one address, or of one identity behind a gateway
+	Rate     float64 // new ones a second, of one address
+	Burst    float64 // that may come at once
+	MaxTotal int     // connections of the whole prefix
+	Known    bool
+	Gateway  bool // many clients behind one address
 }
 
 // Limits are what a gate keeps to.
 type Limits struct {
-	Reserve  int    // places for known clients only
-	Proving  int    // places for connections that have yet to prove who they are
-	ProveIn  Micros // and for how long they may hold them
-	Track    int    // addresses, and blocks, that something is remembered of
-	Block    Rule   // of each /24 and /64: Open, Rate and Burst
-	Everyone Rule
-	Rules    []Rule
+	Reserve      int    // places for known clients only
+	Proving      int    // places for connections that have yet to prove who they are
+	ProveTimeout Micros // and for how long they may hold them
+	MaxTracked   int    // addresses, and blocks, that something is remembered of
+	Block        Rule   // of each /24 and /64: Open, Rate and Burst
+	Default      Rule
+	Rules        []Rule
 }
 
 // Verdict is the word on an arrival.
@@ -39,11 +39,11 @@
 
 // The verdicts.
 const (
-	Admit    Verdict = iota
-	Reserved         // admitted, from the reserve
-	ToProve          // admitted, until it has proved who it is
-	MakeRoom         // close the connection named, and ask again
-	Refuse           // with a reason
+	Admit     Verdict = iota
+	Reserved          // admitted, from the reserve
+	ToProve           // admitted, until it has proved who it is
+	EvictIdle         // close the connection named, and ask again
+	Refuse            // with a reason
 )
 
 // Reason tells why an arrival was refused.
@@ -68,17 +68,17 @@
 
 // Arrival is a new connection.
 type Arrival struct {
-	Addr   netip.Addr
-	Proves bool // its listener asks for a proof that it may or may not give
-	Places int  // that clients may hold at this moment, of all kinds
+	Addr          netip.Addr
+	Authenticates bool // its listener asks for a proof that it may or may not give
+	Capacity      int  // that clients may hold at this moment, of all kinds
 }
 
 // Decision is the gate's word.
 type Decision struct {
-	Verdict Verdict
-	ID      uint64 // of the connection admitted, or of the one to be closed
-	Reason  Reason
-	After   Micros // when to come back
+	Outcome    Verdict
+	ID         uint64 // of the connection admitted, or of the one to be closed
+	Reason     Reason
+	RetryAfter Micros // when to come back
 }
 
 // kinds of places
@@ -129,8 +129,8 @@
 	until  Micros
 }
 
-// Gate is the state. It is not safe for concurrent use.
-type Gate struct {
+// Controller is the state. It is not safe for concurrent use.
+type Controller struct {
 	l       Limits
 	rules   Trie[ruleState]
 	holds   Trie[hold]
@@ -147,15 +147,15 @@
 }
 
 // New returns an empty gate.
-func New(l Limits) *Gate {
-	g := &Gate{conns: map[uint64]*conn{}, names: map[string]*seen{}}
+func New(l Limits) *Controller {
+	g := &Controller{conns: map[uint64]*conn{}, names: map[string]*seen{}}
 	g.addrs.m, g.blocks.m = map[netip.Addr]*seen{}, map[netip.Addr]*seen{}
-	g.Adopt(l)
+	g.SetLimits(l)
 	return g
 }
 
-// Adopt takes new limits in. Who is in stays in; operators' words stay.
-func (g *Gate) Adopt(l Limits) {
+// SetLimits takes new limits in. Who is in stays in; operators' words stay.
+func (g *Controller) SetLimits(l Limits) {
 	g.l, g.rules = l, Trie[ruleState]{}
 	for _, r := range l.Rules {
 		g.rules.Put(r.Prefix, &ruleState{Rule: r})
@@ -165,11 +165,11 @@
 			c.rule.open++
 		}
 	}
-	g.addrs.most, g.blocks.most = max(1, l.Track), max(1, l.Track)
+	g.addrs.most, g.blocks.most = max(1, l.MaxTracked), max(1, l.MaxTracked)
 }
 
 // rule is the rule of an address, or nil where only that for everybody binds it.
-func (g *Gate) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
+func (g *Controller) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
 
 // blockOf is the block of an address.
 func blockOf(a netip.Addr) netip.Addr {
@@ -201,14 +201,14 @@
 	return true, 0
 }
 
-// Arrive is the word on an arrival.
-func (g *Gate) Arrive(now Micros, a Arrival) Decision {
+// Decide is the word on an arrival.
+func (g *Controller) Decide(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
 	rule, known := g.rule(a.Addr), false
-	bound := g.l.Everyone
+	bound := g.l.Default
 	if rule != nil {
 		known = rule.Known
-		bound.Open = cmp.Or(rule.Open, bound.Open)
+		bound.MaxOpen = cmp.Or(rule.MaxOpen, bound.MaxOpen)
 		if rule.Rate > 0 {
 			bound.Rate, bound.Burst = rule.Rate, rule.Burst
 		}
@@ -220,7 +220,7 @@
 		addr.refused++
 		g.addrs.rest(addr)
 		g.blocks.rest(block)
-		return Decision{Verdict: Refuse, Reason: why, After: max(after, 1)}
+		return Decision{Outcome: Refuse, Reason: why, RetryAfter: max(after, 1)}
 	}
 	if h := g.hold(now, a.Addr); h != nil {
 		if !h.pinned {
@@ -235,29 +235,29 @@
 		if ok, after := block.take(now, g.l.Block.Rate, g.l.Block.Burst); !ok && !bound.Gateway {
 			return refuse(BlockCap, after)
 		}
-		if g.l.Block.Open > 0 && block.open >= g.l.Block.Open && !bound.Gateway {
+		if g.l.Block.MaxOpen > 0 && block.open >= g.l.Block.MaxOpen && !bound.Gateway {
 			return refuse(BlockCap, retry)
 		}
 	} else {
 		addr.arrivals++
 	}
-	if bound.Open > 0 && addr.open >= bound.Open && !bound.Gateway {
+	if bound.MaxOpen > 0 && addr.open >= bound.MaxOpen && !bound.Gateway {
 		return refuse(TooMany, retry)
 	}
-	if rule != nil && rule.All > 0 && rule.open >= rule.All {
+	if rule != nil && rule.MaxTotal > 0 && rule.open >= rule.MaxTotal {
 		return refuse(BlockCap, retry)
 	}
-	g.places = a.Places
-	kind, ok := g.place(a.Places, known, a.Proves)
+	g.places = a.Capacity
+	kind, ok := g.place(a.Capacity, known, a.Authenticates)
 	if !ok {
 		if c := g.spare(known); c != nil {
 			g.addrs.rest(addr)
 			g.blocks.rest(block)
 			addr.tokens++ // it asks again
 			block.tokens++
-			return Decision{Verdict: MakeRoom, ID: c.id}
+			return Decision{Outcome: EvictIdle, ID: c.id}
 		}
-		if a.Proves {
+		if a.Authenticates {
 			return refuse(Unproved, retry)
 		}
 		return refuse(Full, retry)
@@ -265,7 +265,7 @@
 	g.next++
 	c := &conn{id: g.next, addr: addr, block: block, rule: rule, kind: kind, known: known}
 	if kind == proving {
-		c.provesBy = now + g.l.ProveIn
+		c.provesBy = now + g.l.ProveTimeout
 		g.unready = append(g.unready, c)
 	}
 	g.conns[c.id] = c
@@ -275,14 +275,14 @@
 	if rule != nil {
 		rule.open++
 	}
-	return Decision{Verdict: [...]Verdict{Admit, Reserved, ToProve}[kind], ID: c.id}
+	return Decision{Outcome: [...]Verdict{Admit, Reserved, ToProve}[kind], ID: c.id}
 }
 
 // retry is when to come back where nobody knows when there will be room.
 const retry = 1_000_000
 
 // place finds a place for an arrival.
-func (g *Gate) place(places int, known, proves bool) (kind int, ok bool) {
+func (g *Controller) place(places int, known, proves bool) (kind int, ok bool) {
 	total := g.used[general] + g.used[reserve] + g.used[proving]
 	if total >= places {
 		return 0, false
@@ -301,7 +301,7 @@
 }
 
 // spare is the connection that can best make way, if any may: unknown before known, the longest idle first.
-func (g *Gate) spare(known bool) *conn {
+func (g *Controller) spare(known bool) *conn {
 	if c := g.idle[0].first; c != nil {
 		return c
 	}
@@ -311,16 +311,16 @@
 	return nil
 }
 
-// Prove tells that a connection has proved an identity; known is what the listener's roots say of it. It
+// Authenticate tells that a connection has proved an identity; known is what the listener's roots say of it. It
 // returns a refusal where that identity has too many open, or its time was over.
-func (g *Gate) Prove(now Micros, id uint64, identity string, known bool) Decision {
+func (g *Controller) Authenticate(now Micros, id uint64, identity string, known bool) Decision {
 	c := g.conns[id]
 	if c == nil {
-		return Decision{Verdict: Refuse, Reason: Unproved, After: retry}
+		return Decision{Outcome: Refuse, Reason: Unproved, RetryAfter: retry}
 	}
 	refuse := func(why Reason) Decision {
 		g.refused[why]++
-		return Decision{Verdict: Refuse, Reason: why, After: retry}
+		return Decision{Outcome: Refuse, Reason: why, RetryAfter: retry}
 	}
 	if c.kind == proving && now > c.provesBy {
 		return refuse(Unproved)
@@ -331,9 +331,9 @@
 			s = &seen{name: identity}
 			g.names[identity] = s
 		}
-		most := g.l.Everyone.Open
+		most := g.l.Default.MaxOpen
 		if c.rule != nil {
-			most = cmp.Or(c.rule.Open, most)
+			most = cmp.Or(c.rule.MaxOpen, most)
 		}
 		if most > 0 && s.open >= most {
 			return refuse(TooMany)
@@ -360,10 +360,10 @@
 		}
 		g.move(c, kind)
 	}
-	return Decision{Verdict: Admit, ID: id}
+	return Decision{Outcome: Admit, ID: id}
 }
 
-func (g *Gate) move(c *conn, kind int) {
+func (g *Controller) move(c *conn, kind int) {
 	g.used[c.kind]--
 	g.used[kind]++
 	c.kind = kind
@@ -371,7 +371,7 @@
 }
 
 // Overdue are the connections whose time to prove themselves is over: they are to be closed.
-func (g *Gate) Overdue(now Micros) (ids []uint64) {
+func (g *Controller) Overdue(now Micros) (ids []uint64) {
 	for _, c := range g.unready {
 		if now > c.provesBy {
 			ids = append(ids, c.id)
@@ -380,22 +380,22 @@
 	return ids
 }
 
-// Use tells that a connection carries a request, Rest that it carries none: only then may it make way.
-func (g *Gate) Use(id uint64) {
+// MarkBusy tells that a connection carries a request, Rest that it carries none: only then may it make way.
+func (g *Controller) MarkBusy(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.unlist(c)
 	}
 }
 
-// Rest tells that a connection is between requests.
-func (g *Gate) Rest(id uint64) {
+// MarkIdle tells that a connection is between requests.
+func (g *Controller) MarkIdle(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.list(c)
 	}
 }
 
-// Leave tells that a connection has ended. Only the first word counts.
-func (g *Gate) Leave(id uint64) {
+// Remove tells that a connection has ended. Only the first word counts.
+func (g *Controller) Remove(id uint64) {
 	c := g.conns[id]
 	if c == nil {
 		return
@@ -423,14 +423,14 @@
 // idleList is a list of idle connections, the longest idle first.
 type idleList struct{ first, last *conn }
 
-func (g *Gate) standing(c *conn) *idleList {
+func (g *Controller) standing(c *conn) *idleList {
 	if c.known {
 		return &g.idle[1]
 	}
 	return &g.idle[0]
 }
 
-func (g *Gate) list(c *conn) {
+func (g *Controller) list(c *conn) {
 	if c.idle {
 		return
 	}
@@ -444,7 +444,7 @@
 	l.last = c
 }
 
-func (g *Gate) unlist(c *conn) {
+func (g *Controller) unlist(c *conn) {
 	if !c.idle {
 		return
 	}
@@ -528,7 +528,7 @@
 }
 
 // hold is the word of operators that counts for an address.
-func (g *Gate) hold(now Micros, a netip.Addr) *hold {
+func (g *Controller) hold(now Micros, a netip.Addr) *hold {
 	for {
 		h := g.holds.Find(a)
 		if h == nil || now < h.until {
@@ -539,13 +539,17 @@
 }
 
 // Ban refuses a prefix until a time, Pin takes it for known.
-func (g *Gate) Ban(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), false, until}) }
+func (g *Controller) Ban(p netip.Prefix, until Micros) {
+	g.holds.Put(p, &hold{p.Masked(), false, until})
+}
 
 // Pin takes a prefix for known until a time.
-func (g *Gate) Pin(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), true, until}) }
+func (g *Controller) Pin(p netip.Prefix, until Micros) {
+	g.holds.Put(p, &hold{p.Masked(), true, until})
+}
 
 // Lift takes a ban or a pin back.
-func (g *Gate) Lift(p netip.Prefix) { g.holds.Put(p, nil) }
+func (g *Controller) Lift(p netip.Prefix) { g.holds.Put(p, nil) }
 
 // Hold is a ban or a pin.
 type Hold struct {
@@ -554,8 +558,8 @@
 	Until  Micros
 }
 
-// Holds are those in force.
-func (g *Gate) Holds(now Micros) (list []Hold) {
+// Overrides are those in force.
+func (g *Controller) Overrides(now Micros) (list []Hold) {
 	g.holds.Each(func(h *hold) {
 		if now < h.until {
 			list = append(list, Hold{h.prefix, h.pinned, h.until})
@@ -564,8 +568,8 @@
 	return list
 }
 
-// Held are the connections of a prefix, to be closed when it is banned and they rest.
-func (g *Gate) Held(p netip.Prefix) (ids []uint64) {
+// ConnsIn are the connections of a prefix, to be closed when it is banned and they rest.
+func (g *Controller) ConnsIn(p netip.Prefix) (ids []uint64) {
 	for id, c := range g.conns {
 		if p.Contains(c.addr.addr) {
 			ids = append(ids, id)
@@ -583,8 +587,8 @@
 	Refused  int64
 }
 
-// Figures are what operators see.
-type Figures struct {
+// Stats are what operators see.
+type Stats struct {
 	General, Reserve, Proving int // places in use
 	Addresses                 int
 	Forgotten                 int64
@@ -592,9 +596,9 @@
 	Top                       []Top
 }
 
-// Figures are the gate's counts and its n busiest addresses.
-func (g *Gate) Figures(n int) Figures {
-	f := Figures{General: g.used[general], Reserve: g.used[reserve], Proving: g.used[proving],
+// Stats are the gate's counts and its n busiest addresses.
+func (g *Controller) Stats(n int) Stats {
+	f := Stats{General: g.used[general], Reserve: g.used[reserve], Proving: g.used[proving],
 		Addresses: len(g.addrs.m), Forgotten: g.addrs.forgotten, Refused: map[string]int64{}}
 	for r := None + 1; r < reasons; r++ {
 		if g.refused[r] > 0 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -100,7 +100,7 @@
 	OnAttemptEnd func(AttemptResult)
 	// LimitCordons chooses which of the servers that are out by evidence, the first to be judged first, may be so.
 	// Nil: none.
-	LimitCordons func(listed []verdict.Holder, sick []uint64) map[uint64]bool
+	LimitCordons func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool
 	// ServerName is a server's name for the log; nil: its number stands for it.
 	ServerName func(id balance.ReplicaID) (string, bool)
 	// OnFirstList is called after the first Step that knew a server.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -460,8 +460,8 @@
 // judgement it counts as just started.
 func TestJudgedServersAreGuarded(t *testing.T) {
 	k := start(t, settings())
-	k.cfg.LimitCordons = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
-		return verdict.Guard(listed, sick, 1, 1, 0.5)
+	k.cfg.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+		return verdict.LimitEjections(listed, sick, 1, 1, 0.5)
 	}
 	k.tell(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -128,9 +128,9 @@
 	if c.cfg.LimitCordons == nil || len(c.outs[ByFleetEvidence])+len(c.outs[ByZoneEvidence])+len(c.judged) == 0 {
 		return
 	}
-	nodes := make([]verdict.Holder, 0, len(c.listed))
+	nodes := make([]verdict.ListedNode, 0, len(c.listed))
 	for id, r := range c.listed {
-		nodes = append(nodes, verdict.Holder{ID: uint64(id), Cell: r.Cell,
+		nodes = append(nodes, verdict.ListedNode{ID: uint64(id), Cell: r.Cell,
 			Up: r.State == balance.Ready && !c.byHand(id)})
 	}
 	var sick []uint64
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -33,7 +33,7 @@
 // jurors is the part of the fleet that judges.
 type jurors struct {
 	mu    sync.Mutex // guards jury: the core tells what it sees from its own goroutine
-	jury  *verdict.Jury
+	jury  *verdict.OutlierDetector
 	zones map[string]string // the view's owner's: of members that are alive
 	given int64             // judgements given here
 	held  int64             // and held back, as too many were out
@@ -49,10 +49,10 @@
 func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
 
 // Saw takes in how an attempt at a node ended that took so long. It does not wait.
-func (f *Fleet) Saw(node uint64, class int, e verdict.Ending, took time.Duration) {
+func (f *Fleet) Saw(node uint64, class int, e verdict.Outcome, took time.Duration) {
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	f.jurors.jury.See(f.now(), node, class, e, took.Microseconds())
+	f.jurors.jury.Observe(f.now(), node, class, e, took.Microseconds())
 }
 
 // tendJury has the jury its turn, once a period.
@@ -62,7 +62,7 @@
 	}
 	j := &f.jurors
 	self := f.cfg.Fleet.Name
-	var others []verdict.Voter
+	var others []verdict.Member
 	size := 0
 	clear(j.zones)
 	for _, m := range v.Members() {
@@ -70,13 +70,13 @@
 			size++
 		}
 		if m.State <= membership.Suspect && m.Name != self {
-			others = append(others, verdict.Voter{Name: m.Name, Zone: m.Zone})
+			others = append(others, verdict.Member{Name: m.Name, Zone: m.Zone})
 			j.zones[m.Name] = m.Zone
 		}
 	}
 	j.mu.Lock()
 	sends := j.jury.Tick(now, others, size, v.Figures().Health <= soundHealth)
-	judged := j.jury.Judge(now)
+	judged := j.jury.Outliers(now)
 	j.mu.Unlock()
 	for _, s := range sends {
 		v.Say(s.To, toEvidence, s.Data)
@@ -87,7 +87,7 @@
 }
 
 // judge gives the verdict that a judgement is, if it may be given and there is room for it.
-func (f *Fleet) judge(now membership.Micros, x verdict.Judgement, alive, size int) {
+func (f *Fleet) judge(now membership.Micros, x verdict.Outlier, alive, size int) {
 	host := f.host.Load()
 	if host.Name == nil || host.Nodes == nil {
 		return
@@ -96,15 +96,15 @@
 	if !ok {
 		return
 	}
-	said, may := f.keep.Sick(now, f.cfg.Period().Microseconds(), name, x)
+	said, may := f.keep.SickVerdict(now, f.cfg.Period().Microseconds(), name, x)
 	if !may {
 		return
 	}
-	if f.keep.Ill(now, x.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
+	if f.keep.CountSick(now, x.Zone) >= verdict.MaxSick(host.Nodes(), f.cfg.SickShare(), alive, size) {
 		f.jurors.held++
 		return
 	}
-	if _, err := f.keep.Say(now, time.Now().UnixMilli(), said); err != nil {
+	if _, err := f.keep.Issue(now, time.Now().UnixMilli(), said); err != nil {
 		f.log.Warn("a sick node stays in", "node", name, "err", err)
 		return
 	}
@@ -121,7 +121,7 @@
 		return // it has come up since the last period
 	}
 	f.jurors.mu.Lock()
-	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
+	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Member{Name: h.From, Zone: zone}, h.Data)
 	f.jurors.mu.Unlock()
 	if !ok {
 		f.drop(errMessage)
@@ -133,13 +133,13 @@
 
 // acquit drops the evidence against a node that is back: it has to be found sick anew.
 func (f *Fleet) acquit(c verdict.Change) {
-	if c.Holds || c.Verdict.Kind != verdict.Sick && c.Verdict.Kind != verdict.Path {
+	if c.InForce || c.Verdict.Kind != verdict.SickNode && c.Verdict.Kind != verdict.SickPath {
 		return
 	}
 	name, _ := c.Verdict.Node()
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	f.jurors.jury.Acquit(ServerNumber(name))
+	f.jurors.jury.ClearEvidence(ServerNumber(name))
 }
 
 // seen is what this member has seen of nodes that may be sick, for the door.
@@ -148,10 +148,10 @@
 	now := f.now()
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	for _, id := range f.jurors.jury.Bouts() {
+	for _, id := range f.jurors.jury.FailingNodes() {
 		t := f.jurors.jury.Tally(now, id, 0)
 		s := SeenStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
-			SinceMS: int64(t.First) * f.cfg.Period().Milliseconds()}
+			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
 		if host := f.host.Load(); host.Name != nil {
 			if name, ok := host.Name(id); ok {
 				s.Node = name
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -122,7 +122,7 @@
 	toApply  chan verdict.Change
 	verdicts atomic.Pointer[Verdicts]
 	limits   []*limiter    // as the file's order is; fixed
-	tenure   *quota.Tenure // the view's owner's; nil: nobody votes
+	tenure   *quota.Leases // the view's owner's; nil: nobody votes
 	holds    atomic.Pointer[[]string]
 
 	conf       atomic.Pointer[Config] // in force
@@ -153,13 +153,13 @@
 	f.alive.Store(&[]string{})
 	f.toApply = make(chan verdict.Change, mostPending)
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
-	f.keep.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
+	f.keep.Gossiper = verdict.NewGossiper(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
 		membership.MostApp)
-	f.jurors.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
+	f.jurors.jury = verdict.NewOutlierDetector(verdict.Member{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
 		cfg.Period().Microseconds(), membership.MostApp)
 	f.jurors.zones = map[string]string{}
 	f.host.Store(&Host{})
-	f.shed.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
+	f.shed.guard = overload.NewController(cfg.Fleet.Name, cfg.Period().Microseconds())
 	f.shed.by = map[string]int64{}
 	f.openLimits(given != nil)
 	f.show.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
@@ -254,7 +254,7 @@
 	f.mu.Lock()
 	f.kept = v
 	f.mu.Unlock()
-	h := &Handover{View: v.Snapshot(), Verdicts: f.keep.Save(f.now())}
+	h := &Handover{View: v.Snapshot(), Verdicts: f.keep.Snapshot(f.now())}
 	f.handLimits(h)
 	return h
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -69,11 +69,11 @@
 			"%g leaves less than 1 for each of %d members, or is over 1e9", l.Burst, members)
 		f.Check(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
 	}
-	votes := roster >= 3 && roster <= quota.MostVoters
+	votes := roster >= 3 && roster <= quota.MaxVoters
 	f.Check(l.Floor == 0 || l.Floor >= leastFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
 		l.Floor, leastFloor)
 	f.Check(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
-		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MostVoters)
+		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MaxVoters)
 	if l.Floor == 0 {
 		if l.Floor = 1; votes && !l.each() {
 			l.Floor = defaultFloor
@@ -111,13 +111,13 @@
 
 // part is a member's part in a limit of any kind.
 type part interface {
-	Tick(now quota.Micros, peers []string) []quota.Send
-	Receive(now quota.Micros, from string, data []byte) []quota.Send
-	Entitle(now quota.Micros, e quota.Entitlement)
-	Figures(now quota.Micros) quota.Figures
-	Hold(now quota.Micros)
-	Alone(now quota.Micros, unknown bool)
-	Void(now quota.Micros, on bool)
+	Tick(now quota.Micros, peers []string) []quota.Message
+	Receive(now quota.Micros, from string, data []byte) []quota.Message
+	SetEntitlement(now quota.Micros, e quota.Entitlement)
+	Stats(now quota.Micros) quota.Stats
+	Suspend(now quota.Micros)
+	OtherProcessEnded(now quota.Micros, unknown bool)
+	SetDisabled(now quota.Micros, on bool)
 }
 
 // limiter is one limit with its lock: fronts ask from their goroutines. One of share, slots and keys is
@@ -127,7 +127,7 @@
 	part   part
 	share  *quota.Share
 	slots  *quota.Slots
-	keys   *quota.Keys
+	keys   *quota.KeyedShares
 	conf   Limit // of the start
 	id     uint64
 	server uint64 // the number of the one that is limited
@@ -137,8 +137,8 @@
 
 // Handed is what of one limit the next process has to know.
 type Handed struct {
-	Lent []quota.Lend            `json:"lent,omitempty"`
-	Keys map[uint64][]quota.Lend `json:"keys,omitempty"`
+	Lent []quota.SavedLoan            `json:"lent,omitempty"`
+	Keys map[uint64][]quota.SavedLoan `json:"keys,omitempty"`
 }
 
 // Ticket is what a request that was let in holds until it ends. The zero Ticket holds nothing.
@@ -149,7 +149,7 @@
 
 type hold struct {
 	l  *limiter
-	at quota.Place
+	at quota.Slot
 }
 
 // openLimits makes the parts. Those of a process that takes over are nothing until it has been told.
@@ -166,7 +166,7 @@
 			Floor: l.conf.Floor}
 		switch seed++; {
 		case l.conf.each():
-			l.keys = quota.NewKeys(q, f.cfg.Size(), period, seed, now)
+			l.keys = quota.NewKeyedShares(q, f.cfg.Size(), period, seed, now)
 			l.part = l.keys
 		case l.conf.Concurrent > 0:
 			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.place(), period, int64(l.conf.LongestMS)*1000, seed, now)
@@ -176,14 +176,14 @@
 			l.part = l.share
 		}
 		if takesOver {
-			l.part.Hold(now)
+			l.part.Suspend(now)
 		}
 		f.limits = append(f.limits, l)
 	}
 }
 
 // take asks for one more, of a key where the limit is for each.
-func (l *limiter) take(now, ends quota.Micros, key uint64) (at quota.Place, ok bool, wait quota.Micros) {
+func (l *limiter) take(now, ends quota.Micros, key uint64) (at quota.Slot, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -198,16 +198,16 @@
 }
 
 // give takes back what was let in by this limit and turned away by another.
-func (l *limiter) give(now quota.Micros, key uint64, at quota.Place) {
+func (l *limiter) give(now quota.Micros, key uint64, at quota.Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
-		l.share.Return()
+		l.share.Refund()
 	case l.slots != nil:
-		l.slots.Done(now, at)
+		l.slots.Release(now, at)
 	default:
-		l.keys.Return(key)
+		l.keys.Refund(key)
 	}
 }
 
@@ -242,7 +242,7 @@
 		}
 		for _, before := range f.limits[:i] { // what others that bind it have let in is not used
 			if key, binds := before.binds(class, tenant); binds && before.slots == nil {
-				before.give(now, key, quota.Place{})
+				before.give(now, key, quota.Slot{})
 			}
 		}
 		f.Done(t)
@@ -259,7 +259,7 @@
 		if !l.serves(server) {
 			continue
 		}
-		at, ok, _ := l.take(now, until, quota.KeyOf(l.id, server))
+		at, ok, _ := l.take(now, until, quota.KeyIDFromNumber(l.id, server))
 		if ok {
 			if l.slots != nil {
 				t.held = append(t.held, hold{l, at})
@@ -268,7 +268,7 @@
 		}
 		for _, before := range f.limits[:i] {
 			if before.serves(server) && before.slots == nil {
-				before.give(now, quota.KeyOf(before.id, server), quota.Place{})
+				before.give(now, quota.KeyIDFromNumber(before.id, server), quota.Slot{})
 			}
 		}
 		f.Done(t)
@@ -311,15 +311,15 @@
 	f.each(func(l *limiter) {
 		switch {
 		case l.share != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.share.Split(now)}
+			h.Lent[l.conf.Name] = Handed{Lent: l.share.HandOver(now)}
 		case l.slots != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.slots.Split(now)}
+			h.Lent[l.conf.Name] = Handed{Lent: l.slots.HandOver(now)}
 		default:
-			h.Lent[l.conf.Name] = Handed{Keys: l.keys.Split(now)}
+			h.Lent[l.conf.Name] = Handed{Keys: l.keys.HandOver(now)}
 		}
 	})
 	if f.tenure != nil {
-		held := f.tenure.Save(now)
+		held := f.tenure.HandOver(now)
 		h.Tenure = &held
 	}
 }
@@ -329,20 +329,20 @@
 	now := f.now()
 	f.each(func(l *limiter) {
 		if from == nil {
-			l.part.Alone(now, true)
+			l.part.OtherProcessEnded(now, true)
 			return
 		}
 		switch h := from.Lent[l.conf.Name]; {
 		case l.share != nil:
-			l.share.Inherit(now, h.Lent)
+			l.share.TakeOver(now, h.Lent)
 		case l.slots != nil:
-			l.slots.Inherit(now, h.Lent)
+			l.slots.TakeOver(now, h.Lent)
 		default:
-			l.keys.Inherit(now, h.Keys)
+			l.keys.TakeOver(now, h.Keys)
 		}
 	})
 	if from != nil && from.Tenure != nil && f.tenure != nil {
-		f.tenure.Resume(now, *from.Tenure)
+		f.tenure.TakeOver(now, *from.Tenure)
 	}
 }
 
@@ -350,18 +350,18 @@
 // has lent or voted.
 func (f *Fleet) againLimits() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.Alone(now, true) })
+	f.each(func(l *limiter) { l.part.OtherProcessEnded(now, true) })
 	f.tenure = f.newTenure()
 }
 
 // newTenure is one of a process that knows of no votes. Members whose floors differ do not vote with one
 // another.
-func (f *Fleet) newTenure() *quota.Tenure {
+func (f *Fleet) newTenure() *quota.Leases {
 	h := xxhash.New()
 	for _, l := range f.cfg.Limits {
 		_, _ = fmt.Fprintf(h, "%s %g\n", l.Name, l.Floor)
 	}
-	return quota.NewTenure(f.cfg.Fleet.Name, f.cfg.Fleet.Roster, uint32(h.Sum64()),
+	return quota.NewLeases(f.cfg.Fleet.Name, f.cfg.Fleet.Roster, uint32(h.Sum64()),
 		f.cfg.Period().Microseconds(), f.now())
 }
 
@@ -391,7 +391,7 @@
 			l.saidAt = now
 			what := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: text,
 				Span: 2 * sayAgain.Microseconds()}
-			if _, err := f.keep.Say(now, time.Now().UnixMilli(), what); err != nil {
+			if _, err := f.keep.Issue(now, time.Now().UnixMilli(), what); err != nil {
 				f.log.Warn("the others are not told of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
@@ -412,7 +412,7 @@
 		default:
 			l.keys.Configure(now, amount, burst, members)
 		}
-		l.part.Void(now, void)
+		l.part.SetDisabled(now, void)
 		l.mu.Unlock()
 	}
 }
@@ -446,11 +446,11 @@
 			v.Say(m.To, toQuota, m.Data)
 		}
 		e = f.tenure.Entitlement(now)
-		holds := f.tenure.Holds(now)
+		holds := f.tenure.Held(now)
 		f.holds.Store(&holds)
 	}
 	f.each(func(l *limiter) {
-		l.part.Entitle(now, e)
+		l.part.SetEntitlement(now, e)
 		for _, m := range l.part.Tick(now, peers) {
 			v.Say(m.To, toQuota, m.Data)
 		}
@@ -466,7 +466,7 @@
 // settings change at different times.
 func (f *Fleet) hearLimit(v *membership.View, h membership.Heard) {
 	now := f.now()
-	if quota.IsTenure(h.Data) {
+	if quota.IsLeaseMessage(h.Data) {
 		if f.tenure != nil {
 			for _, m := range f.tenure.Receive(now, h.From, h.Data) {
 				v.Say(m.To, toQuota, m.Data)
@@ -474,13 +474,13 @@
 		}
 		return
 	}
-	id, ok := quota.IDOf(h.Data)
+	id, ok := quota.MessageLimitID(h.Data)
 	if !ok {
 		f.drop(errMessage)
 		return
 	}
 	f.each(func(l *limiter) {
-		if quota.LimitOf(id) != l.id {
+		if quota.LimitIDOf(id) != l.id {
 			return
 		}
 		for _, m := range l.part.Receive(now, h.From, h.Data) {
@@ -505,7 +505,7 @@
 	now := f.now()
 	differ := len(f.show.Load().Figures.Differ) > 0
 	f.each(func(l *limiter) {
-		g := l.part.Figures(now)
+		g := l.part.Stats(now)
 		s := LimitStatus{Name: l.conf.Name, Share: g.Share, Used: g.Used, InDoubt: g.InDoubt,
 			StaleMS: g.Stale / 1000}
 		switch {
@@ -528,5 +528,5 @@
 // Alone tells that the process that this one took over from is over.
 func (f *Fleet) Alone() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.Alone(now, false) })
+	f.each(func(l *limiter) { l.part.OtherProcessEnded(now, false) })
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -23,7 +23,7 @@
 // shedder is a guard with its lock: fronts and the core ask from their goroutines.
 type shedder struct {
 	mu    sync.Mutex // guards what follows
-	guard *overload.Guard
+	guard *overload.Controller
 	by    map[string]int64 // turned away, by class and by class/tenant
 }
 
@@ -55,7 +55,7 @@
 // HasEnded books how a request that was let in ended. well: answered in time.
 func (f *Fleet) HasEnded(well bool) {
 	f.shed.mu.Lock()
-	f.shed.guard.Ended(well)
+	f.shed.guard.Finished(well)
 	f.shed.mu.Unlock()
 }
 
@@ -66,7 +66,7 @@
 	}
 	f.shed.mu.Lock()
 	defer f.shed.mu.Unlock()
-	return f.shed.guard.Send(first)
+	return f.shed.guard.AllowSend(first)
 }
 
 // tendOverload has the guard its turn, once a period.
@@ -129,13 +129,13 @@
 	f.shed.mu.Lock()
 	defer f.shed.mu.Unlock()
 	g := f.shed.guard
-	o := Overload{Level: g.Level(), HeardMS: g.Heard(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
+	o := Overload{Level: g.Level(), HeardMS: g.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
 	for name, n := range f.shed.by {
 		o.Shed[name] = n
 	}
-	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
-	o.Retries.Allowed = g.Budget()
-	if who, since := g.Keeper(); who != "" {
+	o.Retries.Spent, o.Retries.Denied = g.RetriesSent, g.RetriesDenied
+	o.Retries.Allowed = g.RetryBudget()
+	if who, since := g.LevelOwner(); who != "" {
 		o.Duties = append(o.Duties, Duty{"level", who, (now - since) / 1000})
 	}
 	return o
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -25,10 +25,10 @@
 
 // Handover is what the next process of this member needs.
 type Handover struct {
-	View     membership.Snapshot `json:"view"`
-	Verdicts []verdict.Saved     `json:"verdicts"`
-	Lent     map[string]Handed   `json:"lent"` // of each limit
-	Tenure   *quota.Held         `json:"tenure,omitempty"`
+	View     membership.Snapshot  `json:"view"`
+	Verdicts []verdict.Saved      `json:"verdicts"`
+	Lent     map[string]Handed    `json:"lent"` // of each limit
+	Tenure   *quota.LeaseSnapshot `json:"tenure,omitempty"`
 }
 
 // Verdicts is the form of GET /admin/verdicts.
@@ -61,7 +61,7 @@
 
 // keeper is the part of the goroutine that holds the view which holds the table.
 type keeper struct {
-	*verdict.Spreader
+	*verdict.Gossiper
 	tickAt  membership.Micros
 	pending []verdict.Change
 }
@@ -110,7 +110,7 @@
 		self := v.Self().Name
 		for _, m := range v.Members() {
 			if m.State <= membership.Suspect && m.Name != self {
-				peers = append(peers, verdict.Peer{Name: m.Name, Sum: m.App})
+				peers = append(peers, verdict.Peer{Name: m.Name, Digest: m.App})
 				names = append(names, m.Name)
 			}
 		}
@@ -119,19 +119,19 @@
 		f.tendJury(v, now)
 		f.tendOverload(v, now, names)
 	}
-	sends, changes := k.Take()
+	sends, changes := k.TakePending()
 	for _, c := range changes {
 		f.acquit(c)
 		if !f.concerns(&c.Verdict) { // there is nothing to carry out
 			k.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
-			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.Holds,
+			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.InForce,
 				"by", c.Verdict.By, "at", c.Verdict.Member, "reason", c.Verdict.Reason)
 		}
 		k.Push(f.now(), c.Verdict)
 	}
-	more, _ := k.Take()
+	more, _ := k.TakePending()
 	for _, s := range append(sends, more...) {
 		v.Say(s.To, toVerdict, s.Data)
 	}
@@ -149,7 +149,7 @@
 		}
 		break
 	}
-	v.Tell(k.Announce())
+	v.Tell(k.AnnouncedDigest())
 }
 
 // hearVerdict takes in another member's message on verdicts.
@@ -162,8 +162,8 @@
 // showVerdicts makes the table what the door shows.
 func (f *Fleet) showVerdicts(alive []string) {
 	now, wall := f.now(), time.Now().UnixMilli()
-	out := &Verdicts{Verdicts: []VerdictStatus{}, Told: f.keep.Told()}
-	for _, l := range f.keep.Lines(now) {
+	out := &Verdicts{Verdicts: []VerdictStatus{}, Told: f.keep.Synced()}
+	for _, l := range f.keep.InForce(now) {
 		if l.Kind == verdict.Setting {
 			continue
 		}
@@ -172,8 +172,8 @@
 	f.verdicts.Store(out)
 }
 
-func (f *Fleet) status(l verdict.Line, alive []string, wall int64) VerdictStatus {
-	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.Held,
+func (f *Fleet) status(l verdict.Status, alive []string, wall int64) VerdictStatus {
+	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.HeldBy,
 		AtMS: wall - l.Age/1000, Missing: []string{}}
 	if s.Held == nil {
 		s.Held = []string{}
@@ -182,7 +182,7 @@
 		s.EndsMS = s.AtMS + l.Span/1000
 	}
 	for _, name := range append([]string{f.cfg.Fleet.Name}, alive...) {
-		if !slices.Contains(l.Held, name) {
+		if !slices.Contains(l.HeldBy, name) {
 			s.Missing = append(s.Missing, name)
 		}
 	}
@@ -214,14 +214,14 @@
 			if v.Kind == verdict.Node {
 				ill = f.pardon(&v)
 			}
-			if l, ok := f.keep.Line(f.now(), v.Kind, v.What); !ok || !l.On {
+			if l, ok := f.keep.Lookup(f.now(), v.Kind, v.What); !ok || !l.On {
 				if err = ErrNothing; len(ill) > 0 { // by evidence alone, and that is taken back
 					given, err = ill[0], nil
 				}
 				return
 			}
 		}
-		given, err = f.keep.Say(f.now(), time.Now().UnixMilli(), v)
+		given, err = f.keep.Issue(f.now(), time.Now().UnixMilli(), v)
 	}, within) {
 		return VerdictStatus{}, ErrLate
 	}
@@ -234,7 +234,7 @@
 		looked := make(chan struct{})
 		if !f.call(func(*membership.View) {
 			defer close(looked)
-			l, ok := f.keep.Line(f.now(), given.Kind, given.What)
+			l, ok := f.keep.Lookup(f.now(), given.Kind, given.What)
 			if ok && l.Stamp == given.Stamp && l.Member == given.Member {
 				s = f.status(l, *f.alive.Load(), time.Now().UnixMilli())
 			} else { // another has said otherwise since
@@ -258,9 +258,9 @@
 
 // pardon takes back what holds of a node by evidence, with an operator's word, and returns that.
 func (f *Fleet) pardon(v *verdict.Verdict) (given []verdict.Verdict) {
-	for _, x := range f.keep.Evidence(f.now(), v.What) {
+	for _, x := range f.keep.SickVerdicts(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
-		if x, err := f.keep.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
+		if x, err := f.keep.Issue(f.now(), time.Now().UnixMilli(), x); err == nil {
 			given = append(given, x)
 		}
 	}
--- a/internal/kiosk/admission.go
+++ b/internal/kiosk/admission.go
@@ -51,7 +51,7 @@
 // rule is a cap in the gate's form.
 func (c Caps) rule() (r admission.Rule) {
 	if c.Open != nil {
-		r.Open = *c.Open
+		r.MaxOpen = *c.Open
 	}
 	if c.Rate != nil {
 		r.Rate, r.Burst = *c.Rate, max(1, *c.Rate)
@@ -99,14 +99,14 @@
 
 // limits is the part in the gate's form.
 func (a *Admission) limits() admission.Limits {
-	l := admission.Limits{Reserve: a.Reserve, Proving: a.Proving, ProveIn: seconds(a.Prove).Microseconds(),
-		Track: a.Track, Block: a.Block.rule(), Everyone: a.Caps.rule()}
+	l := admission.Limits{Reserve: a.Reserve, Proving: a.Proving, ProveTimeout: seconds(a.Prove).Microseconds(),
+		MaxTracked: a.Track, Block: a.Block.rule(), Default: a.Caps.rule()}
 	for _, r := range a.Rules {
 		x := r.Caps.rule()
 		x.Prefix, _ = netip.ParsePrefix(r.Prefix)
 		x.Known, x.Gateway = r.Known, r.Gateway
 		if r.All != nil {
-			x.All = *r.All
+			x.MaxTotal = *r.All
 		}
 		l.Rules = append(l.Rules, x)
 	}
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -68,8 +68,8 @@
 	c.c = secured // nobody else looks at it yet
 	c.replies = newReplyWriter(secured, &c.s.watch)
 	if c.seat.k != nil {
-		if d := c.seat.k.prove(c.seat.id, identity, identity != ""); d.Verdict == admission.Refuse {
-			c.turned, c.after = true, time.Duration(d.After)*time.Microsecond
+		if d := c.seat.k.prove(c.seat.id, identity, identity != ""); d.Outcome == admission.Refuse {
+			c.turned, c.after = true, time.Duration(d.RetryAfter)*time.Microsecond
 		}
 	}
 	go c.fill()
--- a/internal/net/keeper.go
+++ b/internal/net/keeper.go
@@ -23,7 +23,7 @@
 // Keeper is a gate with a clock. It is safe for concurrent use.
 type Keeper struct {
 	mu    sync.Mutex // guards all below
-	gate  *admission.Gate
+	gate  *admission.Controller
 	epoch time.Time
 	close map[uint64]func() bool // by connection: closes it if it carries nothing
 	proof time.Duration
@@ -32,7 +32,7 @@
 // NewKeeper returns a keeper of an empty gate.
 func NewKeeper(l admission.Limits) *Keeper {
 	return &Keeper{gate: admission.New(l), epoch: time.Now(), close: map[uint64]func() bool{},
-		proof: time.Duration(l.ProveIn) * time.Microsecond}
+		proof: time.Duration(l.ProveTimeout) * time.Microsecond}
 }
 
 func (k *Keeper) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
@@ -41,8 +41,8 @@
 func (k *Keeper) Adopt(l admission.Limits) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Adopt(l)
-	k.proof = time.Duration(l.ProveIn) * time.Microsecond
+	k.gate.SetLimits(l)
+	k.proof = time.Duration(l.ProveTimeout) * time.Microsecond
 }
 
 // arrive asks for a connection, and makes room where it is told to.
@@ -50,10 +50,10 @@
 	at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	for range roomTries {
 		k.mu.Lock()
-		d := k.gate.Arrive(k.now(), admission.Arrival{Addr: at.Addr(), Proves: proves, Places: places})
+		d := k.gate.Decide(k.now(), admission.Arrival{Addr: at.Addr(), Authenticates: proves, Capacity: places})
 		spare := k.close[d.ID]
 		k.mu.Unlock()
-		if d.Verdict != admission.MakeRoom {
+		if d.Outcome != admission.EvictIdle {
 			return d
 		}
 		if spare != nil && spare() {
@@ -62,7 +62,7 @@
 			k.use(d.ID) // something of a request has come: it does not rest
 		}
 	}
-	return admission.Decision{Verdict: admission.Refuse, Reason: admission.Full, After: 1_000_000}
+	return admission.Decision{Outcome: admission.Refuse, Reason: admission.Full, RetryAfter: 1_000_000}
 }
 
 // hold notes how a connection that is in can be closed.
@@ -77,26 +77,26 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.close, id)
-	k.gate.Leave(id)
+	k.gate.Remove(id)
 }
 
 func (k *Keeper) use(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Use(id)
+	k.gate.MarkBusy(id)
 }
 
 func (k *Keeper) rest(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Rest(id)
+	k.gate.MarkIdle(id)
 }
 
 // prove tells what a handshake has shown.
 func (k *Keeper) prove(id uint64, identity string, known bool) admission.Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.gate.Prove(k.now(), id, identity, known)
+	return k.gate.Authenticate(k.now(), id, identity, known)
 }
 
 // Hold bans a prefix for a time, or pins it as known. Of a banned one the connections that rest are closed.
@@ -110,7 +110,7 @@
 	}
 	k.gate.Ban(p, until)
 	spares := map[uint64]func() bool{}
-	for _, id := range k.gate.Held(p) {
+	for _, id := range k.gate.ConnsIn(p) {
 		spares[id] = k.close[id]
 	}
 	k.mu.Unlock()
@@ -130,7 +130,7 @@
 
 // Admission is what operators see.
 type Admission struct {
-	admission.Figures
+	admission.Stats
 	Holds []Held `json:"holds"`
 }
 
@@ -146,8 +146,8 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	a := Admission{Figures: k.gate.Figures(n), Holds: []Held{}}
-	for _, h := range k.gate.Holds(now) {
+	a := Admission{Stats: k.gate.Stats(n), Holds: []Held{}}
+	for _, h := range k.gate.Overrides(now) {
 		a.Holds = append(a.Holds, Held{h.Prefix.String(), h.Pinned, float64(h.Until-now) / 1e6})
 	}
 	return a
@@ -183,8 +183,8 @@
 // Enter asks for a connection of another carrier; spare closes it if it carries nothing.
 func (k *Keeper) Enter(c net.Conn, budget *Budget, spare func() bool) (Guest, bool, time.Duration) {
 	d := k.arrive(c, false, budget.Places())
-	if d.Verdict == admission.Refuse {
-		return Guest{}, false, time.Duration(d.After) * time.Microsecond
+	if d.Outcome == admission.Refuse {
+		return Guest{}, false, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !budget.takePlace() {
 		k.Leave(d.ID)
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -171,8 +171,8 @@
 		return held, seat{}, time.Second
 	}
 	d := s.Keeper.arrive(c, s.Secure != nil, s.budget.Places())
-	if d.Verdict == admission.Refuse {
-		return false, seat{}, time.Duration(d.After) * time.Microsecond
+	if d.Outcome == admission.Refuse {
+		return false, seat{}, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !s.budget.takePlace() { // nodes have taken it meanwhile
 		s.Keeper.Leave(d.ID)
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -43,8 +43,8 @@
 	extraMost = 20  // that may be saved up
 )
 
-// Rank is the place of each class by worth, the most worthy last. Classes of equal worth share a rank.
-func Rank(worth []float64) []int {
+// RankByWorth is the place of each class by worth, the most worthy last. Classes of equal worth share a rank.
+func RankByWorth(worth []float64) []int {
 	sorted := slices.Clone(worth)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
@@ -78,8 +78,8 @@
 	c.Bad += o.Bad
 }
 
-// Send is a message to another member.
-type Send struct {
+// Message is a message to another member.
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -91,8 +91,8 @@
 	next   int
 }
 
-// Guard is one member's part: it lets in by the level, counts, and reports; one of all keeps the level.
-type Guard struct {
+// Controller is one member's part: it lets in by the level, counts, and reports; one of all keeps the level.
+type Controller struct {
 	self   string
 	period Micros
 	level  int
@@ -108,26 +108,26 @@
 	busy   bool // what is sent again is bounded
 	harm   bool // most of what is let in comes to nothing: clients' repeats are bounded as well
 
-	Shed   [Buckets]int64 // turned away by the level
-	Spent  int64          // sent again,
-	Denied int64          // and not
-	First  int64          // sent for the first time
+	Shed          [Buckets]int64 // turned away by the level
+	RetriesSent   int64          // sent again,
+	RetriesDenied int64          // and not
+	First         int64          // sent for the first time
 }
 
-// NewGuard returns that of a member that starts.
-func NewGuard(self string, period Micros) *Guard {
-	return &Guard{self: self, period: period, from: map[string]*told{}, tokens: extraMost}
+// NewController returns that of a member that starts.
+func NewController(self string, period Micros) *Controller {
+	return &Controller{self: self, period: period, from: map[string]*told{}, tokens: extraMost}
 }
 
 // Level is what is turned away: all below. 0: nothing.
-func (g *Guard) Level() int { return g.level }
+func (g *Controller) Level() int { return g.level }
 
-// Keeper is who keeps the level, and since when.
-func (g *Guard) Keeper() (string, Micros) { return g.keeper, g.since }
+// LevelOwner is who keeps the level, and since when.
+func (g *Controller) LevelOwner() (string, Micros) { return g.keeper, g.since }
 
 // Admit tells whether a request of a priority is let in. If not, after how long it may come back: spread, so
 // that those who are turned away together do not come back together. who is any number of the request's.
-func (g *Guard) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
+func (g *Controller) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
 	// Repeats are no measure of what will come once they need not be made; counted where they pass, they made
 	// the level swing, as it rose by them and fell without them.
 	if c := &g.now.Offered[priority]; !repeat && *c < 1<<16-1 {
@@ -141,37 +141,37 @@
 }
 
 // comeBack is when to: the later the more is turned away, and any time within that and twice that.
-func (g *Guard) comeBack(who uint64) Micros {
+func (g *Controller) comeBack(who uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
 	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, who))%uint64(base))
 }
 
-// Ended books how a request that was let in ended. well: answered in time.
-func (g *Guard) Ended(well bool) {
+// Finished books how a request that was let in ended. well: answered in time.
+func (g *Controller) Finished(well bool) {
 	if g.now.In++; !well {
 		g.now.Bad++
 	}
 }
 
 // again takes one from the budget for what is sent again, while that is bounded.
-func (g *Guard) again() bool {
+func (g *Controller) again() bool {
 	if !g.busy {
-		g.Spent++
+		g.RetriesSent++
 		return true
 	}
 	if g.tokens < 1 {
-		g.Denied++
+		g.RetriesDenied++
 		return false
 	}
 	g.tokens--
-	g.Spent++
+	g.RetriesSent++
 	return true
 }
 
-// Send asks whether an attempt may be sent: the first of its part always, another one by the budget, which is
+// AllowSend asks whether an attempt may be sent: the first of its part always, another one by the budget, which is
 // a share of first ones. As each member's is a share of its own, all members' together are the same share of
 // all, at any number of members and without a word between them.
-func (g *Guard) Send(first bool) bool {
+func (g *Controller) AllowSend(first bool) bool {
 	if first {
 		g.First++
 		g.tokens = min(extraMost, g.tokens+Extra)
@@ -180,8 +180,8 @@
 	return g.again()
 }
 
-// Budget is how many may have been sent again by now, had it been bounded all the time.
-func (g *Guard) Budget() int64 { return extraMost + int64(Extra*float64(g.First)) }
+// RetryBudget is how many may have been sent again by now, had it been bounded all the time.
+func (g *Controller) RetryBudget() int64 { return extraMost + int64(Extra*float64(g.First)) }
 
 // keeperOf is who keeps the level among those that are alive, by rendezvous hashing.
 func keeperOf(alive []string) (who string) {
@@ -201,7 +201,7 @@
 )
 
 // Tick is to be called once a period with the others that are alive.
-func (g *Guard) Tick(now Micros, others []string) (out []Send) {
+func (g *Controller) Tick(now Micros, others []string) (out []Message) {
 	if keeper := keeperOf(append([]string{g.self}, others...)); keeper != g.keeper {
 		g.keeper, g.since, g.heard = keeper, now, now
 		clear(g.from)
@@ -216,7 +216,7 @@
 			g.due(now)
 		}
 		b := append([]byte{msgReport, byte(g.level)}, encode(&count)...)
-		return append(out, Send{To: g.keeper, Data: b})
+		return append(out, Message{To: g.keeper, Data: b})
 	}
 	g.book(now, g.self, &count)
 	for who := range g.from {
@@ -229,14 +229,14 @@
 }
 
 // due weighs once a window.
-func (g *Guard) due(now Micros) {
+func (g *Controller) due(now Micros) {
 	if now-g.weighs >= Window*g.period {
 		g.weighs = now
 		g.weigh(now)
 	}
 }
 
-func (g *Guard) book(now Micros, who string, c *Count) {
+func (g *Controller) book(now Micros, who string, c *Count) {
 	t := g.from[who]
 	if t == nil {
 		t = &told{}
@@ -250,7 +250,7 @@
 // more than a tenth of that comes to nothing, up while next to nothing does (additive and multiplicative as
 // in DAGOR, §4.2.3, with its histogram of what is offered; the evidence is how requests end and not how long
 // they wait, as no coordinator sees a server's queue).
-func (g *Guard) weigh(now Micros) {
+func (g *Controller) weigh(now Micros) {
 	var sum Count
 	for _, t := range g.from {
 		for i := range t.counts {
@@ -305,7 +305,7 @@
 }
 
 // Receive takes in a message of another member. It returns false where that is none.
-func (g *Guard) Receive(now Micros, from string, data []byte) (out []Send, ok bool) {
+func (g *Controller) Receive(now Micros, from string, data []byte) (out []Message, ok bool) {
 	r := &datagram.Reader{B: data}
 	switch kind, level := r.U8(), int(r.U8()); {
 	case r.Bad || level >= Buckets:
@@ -322,7 +322,7 @@
 			g.level = max(g.level, level) // a keeper that is new goes on from the strictest
 		}
 		g.book(now, from, &c)
-		return []Send{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
+		return []Message{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
 	case kind == msgLevel:
 		if len(r.B) > 0 {
 			return nil, false
@@ -335,8 +335,8 @@
 	return nil, false
 }
 
-// Heard is how long ago the level last came from who keeps it.
-func (g *Guard) Heard(now Micros) Micros {
+// LevelAge is how long ago the level last came from who keeps it.
+func (g *Controller) LevelAge(now Micros) Micros {
 	if g.keeper == g.self {
 		return 0
 	}
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -15,7 +15,7 @@
 // random, and the more comes the less they do (each refusal costs a part of an answer).
 type plant struct {
 	rng      *rand.Rand
-	guards   []*Guard
+	guards   []*Controller
 	now      Micros
 	capacity float64 // a period
 	offered  float64
@@ -35,7 +35,7 @@
 		cut: func(int, int) bool { return false }}
 	for i := range n {
 		p.names = append(p.names, fmt.Sprint("m", i))
-		p.guards = append(p.guards, NewGuard(p.names[i], period))
+		p.guards = append(p.guards, NewController(p.names[i], period))
 	}
 	p.again = make([][]int, 4)
 	return p
@@ -50,7 +50,7 @@
 	repeats := p.again[0]
 	p.again = append(p.again[1:], nil)
 	var in []int
-	var by []*Guard
+	var by []*Controller
 	try := func(id int, repeat bool) {
 		g := p.guards[p.rng.IntN(len(p.guards))]
 		id, tries := id/10, id%10
@@ -74,7 +74,7 @@
 	does := max(0, p.capacity-over*p.waste)
 	for _, k := range p.rng.Perm(len(in)) {
 		well := does >= 1
-		if by[k].Ended(well); well {
+		if by[k].Finished(well); well {
 			does--
 			p.served[4+in[k]/10%4]++
 		} else if in[k]%10 < p.retries {
@@ -83,7 +83,7 @@
 	}
 	type letter struct {
 		from int
-		Send
+		Message
 	}
 	var post []letter
 	for i, g := range p.guards {
@@ -248,9 +248,9 @@
 	}
 	// The keeper is seen to live, and nothing comes from it.
 	others := []string{"m0", "m1", "m2", "m3"}
-	var g *Guard
+	var g *Controller
 	for i := 0; g == nil || g.keeper == g.self; i++ {
-		g = NewGuard(fmt.Sprint("x", i), period)
+		g = NewController(fmt.Sprint("x", i), period)
 		g.Tick(1, others)
 	}
 	if _, ok := g.Receive(2, g.keeper, []byte{msgLevel, 30}); !ok || g.level != 30 {
@@ -259,7 +259,7 @@
 	for i := range Micros(60) {
 		for range 40 {
 			g.Admit(40, 1, false)
-			g.Ended(false)
+			g.Finished(false)
 		}
 		if g.Tick(2+i*period, others); g.level < 30 {
 			t.Fatalf("level %d while all that is let in comes to nothing", g.level)
@@ -276,27 +276,27 @@
 	for _, members := range []int{1, 10, 100} {
 		first, again := 0, 0
 		for i := range members {
-			g := NewGuard(fmt.Sprint(i), period)
+			g := NewController(fmt.Sprint(i), period)
 			g.busy = true
 			for range 1000 {
-				if g.Send(true) {
+				if g.AllowSend(true) {
 					first++
 				}
-				if g.Send(false) {
+				if g.AllowSend(false) {
 					again++
 				}
 			}
-			if g.Spent > g.Budget() || g.Denied == 0 {
-				t.Fatalf("%d spent of %d", g.Spent, g.Budget())
+			if g.RetriesSent > g.RetryBudget() || g.RetriesDenied == 0 {
+				t.Fatalf("%d spent of %d", g.RetriesSent, g.RetryBudget())
 			}
 		}
 		if most := float64(first)*Extra + float64(extraMost*members); float64(again) > most {
 			t.Errorf("%d members: %d first and %d more", members, first, again)
 		}
 	}
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	for range 100 {
-		if !g.Send(false) {
+		if !g.AllowSend(false) {
 			t.Fatal("bounded though nothing is overloaded")
 		}
 	}
@@ -332,7 +332,7 @@
 
 // Equal worths share a rank, the most worthy has the last, and all tries of a request have one bucket.
 func TestRanks(t *testing.T) {
-	got := Rank([]float64{2, 1, 2, 9})
+	got := RankByWorth([]float64{2, 1, 2, 9})
 	if got[3] != Ranks-1 || got[0] != got[2] || got[0] != Ranks-2 || got[1] != Ranks-3 {
 		t.Errorf("%v", got)
 	}
@@ -341,7 +341,7 @@
 		t.Error("priorities")
 	}
 	seen := map[Micros]bool{}
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	g.level = Buckets - 1
 	for i := range uint64(500) {
 		_, after := g.Admit(0, i, false)
@@ -361,7 +361,7 @@
 	f.Add(append([]byte{msgReport, 1}, encode(&c)...))
 	f.Add([]byte{msgLevel, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		g := NewGuard("a", period)
+		g := NewController("a", period)
 		g.Tick(1, nil)
 		out, ok := g.Receive(2, "b", data)
 		if !ok && len(out) > 0 || g.level < 0 || g.level >= Buckets {
@@ -383,7 +383,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	b.ReportAllocs()
 	for i := range b.N {
 		g.Admit(Priority(i%8, "k1234567"), uint64(i), false)
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -83,16 +83,16 @@
 	id := core.ServerID(name)
 	by := core.ByFleetOperator
 	switch c.Verdict.Kind {
-	case verdict.Sick:
+	case verdict.SickNode:
 		by = core.ByFleetEvidence
-	case verdict.Path:
+	case verdict.SickPath:
 		by = core.ByZoneEvidence
 	}
-	if !k.core.ApplyVerdict(id, by, c.Holds, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, by, c.InForce, c.Verdict.Stamp) {
 		return false
 	}
 	if by == core.ByFleetOperator { // what is judged the next process hears with the table
-		k.upgrade.pass(id, by, c.Holds)
+		k.upgrade.pass(id, by, c.InForce)
 	}
 	return true
 }
@@ -122,16 +122,16 @@
 
 // witness has the fleet hear how attempts end, as far as that says something of the node.
 func (k *Coordinator) witness(s core.AttemptResult) {
-	end := verdict.Broken
+	end := verdict.Failed
 	switch {
 	case s.Outcome == balance.OK:
 		end = verdict.Served
 	case s.Outcome == balance.TimedOut:
-		end = verdict.Unheard
+		end = verdict.TimedOut
 	case s.Superseded:
-		end = verdict.Beaten
+		end = verdict.HedgeWon
 	case s.Outcome == balance.Cancelled:
-		end = verdict.GivenUp
+		end = verdict.Cancelled
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
@@ -145,8 +145,8 @@
 	}
 	m := &k.cfg.Module
 	conf.OnAttemptEnd = k.witness
-	conf.LimitCordons = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
-		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
+	conf.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
 	}
 }
 
@@ -158,8 +158,8 @@
 	}
 	for _, x := range k.extras {
 		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
-			if c.Holds {
-				g.Gate().Hold(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Left)*time.Microsecond)
+			if c.InForce {
+				g.Gate().Hold(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Remaining)*time.Microsecond)
 			} else {
 				g.Gate().Lift(p)
 			}
@@ -225,7 +225,7 @@
 		for i := range worth {
 			worth[i] = conf.Module.Classes[i].Worth
 		}
-		r = &ranked{conf, overload.Rank(worth)}
+		r = &ranked{conf, overload.RankByWorth(worth)}
 		l.ranked.Store(r)
 	}
 	return r.ranks[class]
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -373,7 +373,7 @@
 		err = admin.ErrLate
 	case errors.Is(err, fleet.ErrNothing):
 		err = admin.ErrUnknown
-	case errors.Is(err, verdict.ErrForm):
+	case errors.Is(err, verdict.ErrInvalid):
 		err = admin.ErrForm
 	}
 	return s, len(s.Missing) == 0, err
--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -150,7 +150,7 @@
 
 // parse takes a message apart. False: it is none, or of another limit.
 func (b *book) parse(from string, data []byte) (kind byte, l loan, amount float64, ok bool) {
-	if id, ok := IDOf(data); !ok || id != b.id {
+	if id, ok := MessageLimitID(data); !ok || id != b.id {
 		return 0, loan{}, 0, false
 	}
 	l = loan{with: from, id: binary.LittleEndian.Uint64(data[9:]), seq: binary.LittleEndian.Uint32(data[17:])}
@@ -158,8 +158,8 @@
 	return data[0], l, amount, amount >= 0 && amount <= 1e12
 }
 
-// IDOf is the limit that a message concerns; false: it is none.
-func IDOf(data []byte) (uint64, bool) {
+// MessageLimitID is the limit that a message concerns; false: it is none.
+func MessageLimitID(data []byte) (uint64, bool) {
 	if len(data) != msgSize || data[0] < msgAsk || data[0] > msgBack {
 		return 0, false
 	}
@@ -167,14 +167,14 @@
 }
 
 // ask makes a request for a loan, or for it to go on.
-func (b *book) ask(now Micros, l *loan, amount float64) Send {
+func (b *book) ask(now Micros, l *loan, amount float64) Message {
 	b.seq++
 	l.seq, l.asked = b.seq, now
-	return Send{To: l.with, Data: b.message(msgAsk, l, amount)}
+	return Message{To: l.with, Data: b.message(msgAsk, l, amount)}
 }
 
 // renew asks for loans to go on, in time, so that a lost answer can be asked for once more.
-func (b *book) renew(now Micros) (out []Send) {
+func (b *book) renew(now Micros) (out []Message) {
 	for i := range b.in {
 		if l := &b.in[i]; now < l.until && l.until-now < span(b.period, renewAt) {
 			out = append(out, b.ask(now, l, l.rate))
@@ -185,7 +185,7 @@
 
 // borrow asks some others, each for all that lacks: most grant little, and what is too much goes back by
 // itself. How many are asked goes by how many shares lack.
-func (b *book) borrow(now Micros, lacks, share float64, peers []string) (out []Send) {
+func (b *book) borrow(now Micros, lacks, share float64, peers []string) (out []Message) {
 	if len(peers) == 0 {
 		return nil
 	}
@@ -212,7 +212,7 @@
 
 // grant lends, or has a loan go on, and returns what is to be sent. of says how much there is to lend and of
 // what part, where the loan is new; may, whether one of a part may go on.
-func (b *book) grant(now Micros, l loan, of func() (float64, part), may func(p part) bool) (out []Send) {
+func (b *book) grant(now Micros, l loan, of func() (float64, part), may func(p part) bool) (out []Message) {
 	i := slices.IndexFunc(b.lent, func(x loan) bool { return x.id == l.id && x.with == l.with })
 	if i < 0 {
 		if l.rate, l.part = of(); l.rate <= 0 || len(b.lent) >= mostLoans {
@@ -225,7 +225,7 @@
 	}
 	x := &b.lent[i] // it is out before it is granted
 	x.until, x.seq = max(x.until, now+b.outFor()), l.seq
-	return []Send{{To: l.with, Data: b.message(msgGrant, x, x.rate)}}
+	return []Message{{To: l.with, Data: b.message(msgGrant, x, x.rate)}}
 }
 
 // granted takes in that a loan was. It returns whether there is more now than before.
@@ -257,8 +257,8 @@
 	b.lent = slices.DeleteFunc(b.lent, func(x loan) bool { return x.id == l.id && x.with == l.with })
 }
 
-// Lend is a loan that is out, as one process hands it to the next.
-type Lend struct {
+// SavedLoan is a loan that is out, as one process hands it to the next.
+type SavedLoan struct {
 	ID   uint64  `json:"id"`
 	With string  `json:"with"`
 	Rate float64 `json:"rate"`
@@ -267,15 +267,15 @@
 }
 
 // save is what is lent, for the next process.
-func (b *book) save(now Micros) (lent []Lend) {
+func (b *book) save(now Micros) (lent []SavedLoan) {
 	for _, l := range b.lent {
-		lent = append(lent, Lend{l.id, l.with, l.rate, l.until - now, uint8(l.part)})
+		lent = append(lent, SavedLoan{l.id, l.with, l.rate, l.until - now, uint8(l.part)})
 	}
 	return lent
 }
 
 // inherit takes over what another process has lent.
-func (b *book) inherit(now Micros, lent []Lend) {
+func (b *book) inherit(now Micros, lent []SavedLoan) {
 	for _, l := range lent {
 		b.lent = append(b.lent, loan{id: l.ID, with: l.With, rate: l.Rate, until: now + l.Left,
 			part: min(part(l.Part), parts-1)})
--- a/internal/quota/chaos_test.go
+++ b/internal/quota/chaos_test.go
@@ -9,7 +9,7 @@
 
 // process is one member's: its tenure, a limit by rate and one on what is open.
 type process struct {
-	tenure *Tenure
+	tenure *Leases
 	share  *Share
 	slots  *Slots
 	open   []opened
@@ -17,7 +17,7 @@
 
 // opened is a request that was let in.
 type opened struct {
-	at   Place
+	at   Slot
 	ends Micros // by its member's clock
 }
 
@@ -86,14 +86,14 @@
 	now := f.clock(i)
 	p := &process{share: NewShare(f.rate, len(f.names), period, f.starts, now),
 		slots:  NewSlots(f.some, len(f.names), i, period, f.hold, f.starts, now),
-		tenure: NewTenure(f.names[i], f.names, 7, period, now)}
+		tenure: NewLeases(f.names[i], f.names, 7, period, now)}
 	if p.tenure != nil {
 		p.tenure.Hasty = f.hasty
 	}
 	f.procs[i], f.down[i], f.frozen[i] = p, false, false
 }
 
-func (f *fleet) send(from int, list []Send) {
+func (f *fleet) send(from int, list []Message) {
 	for _, s := range list {
 		to := slices.Index(f.names, s.To)
 		f.bytes += len(s.Data)
@@ -107,9 +107,9 @@
 	}
 }
 
-func (p *process) receive(now Micros, from string, data []byte) []Send {
-	switch id, _ := IDOf(data); {
-	case IsTenure(data) && p.tenure != nil:
+func (p *process) receive(now Micros, from string, data []byte) []Message {
+	switch id, _ := MessageLimitID(data); {
+	case IsLeaseMessage(data) && p.tenure != nil:
 		return p.tenure.Receive(now, from, data)
 	case id == 1:
 		return p.share.Receive(now, from, data)
@@ -117,12 +117,12 @@
 	return p.slots.Receive(now, from, data)
 }
 
-func (p *process) tick(now Micros, alive []string, self string) (out []Send) {
+func (p *process) tick(now Micros, alive []string, self string) (out []Message) {
 	if p.tenure != nil {
 		out = p.tenure.Tick(now, alive)
 		e := p.tenure.Entitlement(now)
-		p.share.Entitle(now, e)
-		p.slots.Entitle(now, e)
+		p.share.SetEntitlement(now, e)
+		p.slots.SetEntitlement(now, e)
 	}
 	others := slices.DeleteFunc(slices.Clone(alive), func(s string) bool { return s == self })
 	out = append(out, p.share.Tick(now, others)...)
@@ -162,7 +162,7 @@
 				open--
 			}
 			if done {
-				p.slots.Done(now, o.at)
+				p.slots.Release(now, o.at)
 			}
 			return done
 		})
@@ -183,7 +183,7 @@
 		p.share.refill(now)
 		sum += p.share.rate
 		if p.tenure != nil {
-			for _, of := range p.tenure.Holds(now) {
+			for _, of := range p.tenure.Held(now) {
 				holders[of]++
 			}
 		}
@@ -347,7 +347,7 @@
 	now := Micros(1)
 	s := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 1, now)
 	now += 10_000_000
-	var places []Place
+	var places []Slot
 	for range 5 {
 		at, ok, _ := s.Take(now, now+1_000_000)
 		if !ok {
@@ -356,11 +356,11 @@
 		places = append(places, at)
 	}
 	next := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 2, now)
-	next.Hold(now)
+	next.Suspend(now)
 	if _, ok, _ := next.Take(now, now+1); ok {
 		t.Fatal("let in before it is told")
 	}
-	next.Inherit(now, s.Split(now))
+	next.TakeOver(now, s.HandOver(now))
 	n, m := 0, 0
 	for range 20 {
 		if _, ok, _ := next.Take(now, now+1); ok {
@@ -374,9 +374,9 @@
 		t.Fatalf("beside 5 that are open the new process opens %d and the old one %d, of 8", n, m)
 	}
 	for _, at := range places {
-		s.Done(now, at)
+		s.Release(now, at)
 	}
-	next.Alone(now, false)
+	next.OtherProcessEnded(now, false)
 	if _, ok, _ := next.Take(now, now+1); !ok {
 		t.Fatal("alone it has no more")
 	}
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -40,7 +40,7 @@
 	return &c
 }
 
-func (x *state) send(from int, list []Send) {
+func (x *state) send(from int, list []Message) {
 	for _, m := range list {
 		x.flying = append(x.flying, flight{from: from, to: int(m.To[1] - '0'), data: m.Data})
 	}
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -19,14 +19,16 @@
 // KeyID is a key of a limit, the same at all members. Two keys of one limit that have the same one (of 10,000
 // some two do with a chance of one in a hundred) have one share together: it is stricter then, not over.
 func KeyID(limit uint64, key string) uint64 {
-	return KeyOf(limit, xxhash.Sum64String(key))
+	return KeyIDFromNumber(limit, xxhash.Sum64String(key))
 }
 
-// KeyOf is the same for a key that is a number already.
-func KeyOf(limit, key uint64) uint64 { return limit&^math.MaxUint32 | max(1, key&math.MaxUint32) }
+// KeyIDFromNumber is the same for a key that is a number already.
+func KeyIDFromNumber(limit, key uint64) uint64 {
+	return limit&^math.MaxUint32 | max(1, key&math.MaxUint32)
+}
 
-// LimitOf is the limit of a key's number.
-func LimitOf(id uint64) uint64 { return id &^ math.MaxUint32 }
+// LimitIDOf is the limit of a key's number.
+func LimitIDOf(id uint64) uint64 { return id &^ math.MaxUint32 }
 
 // LimitID is the number of a limit without its keys.
 func LimitID(name string) uint64 { return xxhash.Sum64String(name) &^ math.MaxUint32 }
@@ -79,10 +81,10 @@
 	}
 }
 
-// Keys is one member's part in a limit that holds for each key on its own: for each tenant, say. Keys that
+// KeyedShares is one member's part in a limit that holds for each key on its own: for each tenant, say. Keys that
 // ask for more than the member's share have a share of their own, which borrows and lends; all others are in
 // a sketch.
-type Keys struct {
+type KeyedShares struct {
 	Limit
 	members int
 	period  Micros
@@ -100,18 +102,18 @@
 	Crowded int64 // times that a key found no room for a share of its own
 }
 
-// NewKeys returns the part of a member that starts from nothing.
-func NewKeys(l Limit, members int, period Micros, seed uint64, now Micros) *Keys {
+// NewKeyedShares returns the part of a member that starts from nothing.
+func NewKeyedShares(l Limit, members int, period Micros, seed uint64, now Micros) *KeyedShares {
 	l.Floor = 1
-	return &Keys{Limit: l, members: members, period: period, seed: seed, tail: &sketch{begun: now},
+	return &KeyedShares{Limit: l, members: members, period: period, seed: seed, tail: &sketch{begun: now},
 		known: map[uint64]*Share{}, usable: now + span(period, 1+3*Drift)}
 }
 
 // Len is how many keys have a share of their own.
-func (k *Keys) Len() int { return len(k.known) }
+func (k *KeyedShares) Len() int { return len(k.known) }
 
 // Take asks whether one more of a key may be let in now, and if not after how long.
-func (k *Keys) Take(now Micros, id uint64) (ok bool, after Micros) {
+func (k *KeyedShares) Take(now Micros, id uint64) (ok bool, after Micros) {
 	if s := k.known[id]; s != nil {
 		if ok, after = s.Take(now); ok {
 			k.Granted++
@@ -136,17 +138,17 @@
 	return false, k.period
 }
 
-// Return gives back what Take has let in and nobody used.
-func (k *Keys) Return(id uint64) {
+// Refund gives back what Take has let in and nobody used.
+func (k *KeyedShares) Refund(id uint64) {
 	if s := k.known[id]; s != nil {
-		s.Return()
+		s.Refund()
 	}
 	k.Granted--
 }
 
 // own gives a key a share of its own, if there is room. Its bucket is empty: the sketch may have let in as
 // much as it holds.
-func (k *Keys) own(now Micros, id uint64) *Share {
+func (k *KeyedShares) own(now Micros, id uint64) *Share {
 	if s := k.known[id]; s != nil {
 		return s
 	}
@@ -166,7 +168,7 @@
 }
 
 // Tick is to be called once a period, with the other members that are alive.
-func (k *Keys) Tick(now Micros, peers []string) (out []Send) {
+func (k *KeyedShares) Tick(now Micros, peers []string) (out []Message) {
 	k.left = keySends
 	for range min(keysLooked, len(k.order)) {
 		k.turn++
@@ -190,8 +192,8 @@
 }
 
 // Receive takes in a message of another member.
-func (k *Keys) Receive(now Micros, from string, data []byte) []Send {
-	id, ok := IDOf(data)
+func (k *KeyedShares) Receive(now Micros, from string, data []byte) []Message {
+	id, ok := MessageLimitID(data)
 	if !ok || id&^math.MaxUint32 != k.ID || k.left <= 0 {
 		return nil
 	}
@@ -208,10 +210,10 @@
 	return out
 }
 
-// Figures are those of now, over all keys that have a share of their own.
-func (k *Keys) Figures(now Micros) (f Figures) {
+// Stats are those of now, over all keys that have a share of their own.
+func (k *KeyedShares) Stats(now Micros) (f Stats) {
 	for _, s := range k.known {
-		g := s.Figures(now)
+		g := s.Stats(now)
 		f.Share += g.Share
 		f.Used += g.Used
 		f.InDoubt += g.InDoubt
@@ -220,11 +222,11 @@
 	return f
 }
 
-// Split leaves this process what is never lent, and returns what the next one has to know.
-func (k *Keys) Split(now Micros) map[uint64][]Lend {
-	out := map[uint64][]Lend{}
+// HandOver leaves this process what is never lent, and returns what the next one has to know.
+func (k *KeyedShares) HandOver(now Micros) map[uint64][]SavedLoan {
+	out := map[uint64][]SavedLoan{}
 	for id, s := range k.known {
-		if lent := s.Split(now); len(lent) > 0 {
+		if lent := s.HandOver(now); len(lent) > 0 {
 			out[id] = lent
 		}
 	}
@@ -232,50 +234,50 @@
 	return out
 }
 
-// Inherit goes on after another process of this member, with its keys.
-func (k *Keys) Inherit(now Micros, from map[uint64][]Lend) {
+// TakeOver goes on after another process of this member, with its keys.
+func (k *KeyedShares) TakeOver(now Micros, from map[uint64][]SavedLoan) {
 	k.held, k.usable = false, now
 	for id, lent := range from {
 		if id&^math.MaxUint32 == k.ID {
 			if s := k.own(now, id); s != nil {
-				s.Inherit(now, lent)
+				s.TakeOver(now, lent)
 			}
 		}
 	}
 }
 
-// Hold leaves this process nothing until Inherit or Alone.
-func (k *Keys) Hold(Micros) { k.held = true }
+// Suspend leaves this process nothing until Inherit or Alone.
+func (k *KeyedShares) Suspend(Micros) { k.held = true }
 
-// Alone tells that the other process of this member is over.
-func (k *Keys) Alone(now Micros, unknown bool) {
+// OtherProcessEnded tells that the other process of this member is over.
+func (k *KeyedShares) OtherProcessEnded(now Micros, unknown bool) {
 	k.held = false
 	if unknown {
 		k.usable = now + span(k.period, 1+3*Drift)
 	}
 	for _, s := range k.known {
-		s.Alone(now, unknown)
+		s.OtherProcessEnded(now, unknown)
 	}
 }
 
-// Void leaves this member nothing while others turn it down.
-func (k *Keys) Void(now Micros, on bool) {
+// SetDisabled leaves this member nothing while others turn it down.
+func (k *KeyedShares) SetDisabled(now Micros, on bool) {
 	if k.void && !on {
 		k.usable = max(k.usable, now+span(k.period, 1+3*Drift))
 	}
 	k.void = on
 	for _, s := range k.known {
-		s.Void(now, on)
+		s.SetDisabled(now, on)
 	}
 }
 
 // Configure takes in another rate and burst, and another number of members.
-func (k *Keys) Configure(now Micros, rate, burst float64, members int) {
+func (k *KeyedShares) Configure(now Micros, rate, burst float64, members int) {
 	k.Rate, k.Burst, k.members = rate, burst, members
 	for _, s := range k.known {
 		s.Configure(now, rate, burst, members)
 	}
 }
 
-// Entitle does nothing: all of a key's share is its member's own.
-func (k *Keys) Entitle(Micros, Entitlement) {}
+// SetEntitlement does nothing: all of a key's share is its member's own.
+func (k *KeyedShares) SetEntitlement(Micros, Entitlement) {}
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -10,7 +10,7 @@
 // keyed are members with a limit for each key, links that lose nothing, and a count of what each key got.
 type keyed struct {
 	now   Micros
-	procs []*Keys
+	procs []*KeyedShares
 	let   map[uint64][]Micros
 	limit Limit
 }
@@ -19,7 +19,7 @@
 	x := &keyed{now: 1, let: map[uint64][]Micros{},
 		limit: Limit{Name: "t", ID: LimitID("t"), Rate: 30, Burst: 9}}
 	for i := range n {
-		x.procs = append(x.procs, NewKeys(x.limit, n, period, uint64(i+1), 1))
+		x.procs = append(x.procs, NewKeyedShares(x.limit, n, period, uint64(i+1), 1))
 	}
 	return x
 }
@@ -37,7 +37,7 @@
 func (x *keyed) tick() {
 	type letter struct {
 		from int
-		Send
+		Message
 	}
 	var post []letter
 	for i, k := range x.procs {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -42,8 +42,8 @@
 	return l.Floor
 }
 
-// Send is a message to another member.
-type Send struct {
+// Message is a message to another member.
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -170,7 +170,7 @@
 }
 
 // Tick is to be called once a period, with the other members that are alive.
-func (s *Share) Tick(now Micros, peers []string) (out []Send) {
+func (s *Share) Tick(now Micros, peers []string) (out []Message) {
 	s.refill(now)
 	if took := now - s.usedAt; took >= 1_000_000 {
 		s.usedWas, s.used, s.usedAt = float64(s.used)*1e6/float64(took), 0, now
@@ -199,8 +199,8 @@
 	return append(out, s.borrow(now, lacks, s.share(), peers)...)
 }
 
-// Entitle takes in from and until when this member has the rest of its own share, and those of others.
-func (s *Share) Entitle(now Micros, e Entitlement) {
+// SetEntitlement takes in from and until when this member has the rest of its own share, and those of others.
+func (s *Share) SetEntitlement(now Micros, e Entitlement) {
 	s.refill(now)
 	s.entitle(e.windows(s.hold))
 	s.settle(now)
@@ -208,9 +208,9 @@
 
 // giveBack gives back the loans without which there is enough. They are not used any more before anybody
 // hears of it.
-func (s *Share) giveBack(now Micros, want float64) (out []Send) {
+func (s *Share) giveBack(now Micros, want float64) (out []Message) {
 	for len(s.in) > 0 && s.rate-s.in[0].rate >= want {
-		out = append(out, Send{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
+		out = append(out, Message{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
 		s.in = s.in[1:]
 		s.settle(now)
 	}
@@ -218,7 +218,7 @@
 }
 
 // Receive takes in a message of another member.
-func (s *Share) Receive(now Micros, from string, data []byte) (out []Send) {
+func (s *Share) Receive(now Micros, from string, data []byte) (out []Message) {
 	kind, l, rate, ok := s.parse(from, data)
 	if !ok {
 		return nil
@@ -261,25 +261,25 @@
 // needed tells that this member wants its share back.
 func (s *Share) needed() bool { return s.demand*spare > s.own }
 
-// Figures are what operators see of a share. Rates are a second.
-type Figures struct {
+// Stats are what operators see of a share. Rates are a second.
+type Stats struct {
 	Share   float64 // in use here
 	Used    float64 // let in here in the last second
 	InDoubt float64 // of the own share: lent, or may have been by a predecessor
 	Stale   Micros  // how long ago the oldest loan here was last granted
 }
 
-// Figures are those of now.
-func (s *Share) Figures(now Micros) Figures {
+// Stats are those of now.
+func (s *Share) Stats(now Micros) Stats {
 	s.refill(now)
-	f := Figures{Share: s.rate, Used: s.usedWas, InDoubt: max(0, s.share()-s.own)}
+	f := Stats{Share: s.rate, Used: s.usedWas, InDoubt: max(0, s.share()-s.own)}
 	f.Stale = s.stalest(now)
 	return f
 }
 
-// Split leaves this process the part that is never lent, and returns what the next one has to know. What was
+// HandOver leaves this process the part that is never lent, and returns what the next one has to know. What was
 // borrowed is given up.
-func (s *Share) Split(now Micros) (lent []Lend) {
+func (s *Share) HandOver(now Micros) (lent []SavedLoan) {
 	s.refill(now)
 	lent = s.save(now)
 	s.entitle(window{}, nil)
@@ -288,8 +288,8 @@
 	return lent
 }
 
-// Inherit goes on with all but the part that the process before this one keeps; until Alone.
-func (s *Share) Inherit(now Micros, lent []Lend) {
+// TakeOver goes on with all but the part that the process before this one keeps; until Alone.
+func (s *Share) TakeOver(now Micros, lent []SavedLoan) {
 	s.refill(now)
 	s.inherit(now, lent)
 	s.usable, s.part = now, 1-Kept
@@ -307,9 +307,9 @@
 	s.settle(now)
 }
 
-// Void leaves this member nothing while others turn it down: they do not count on it. Afterwards it waits as
+// SetDisabled leaves this member nothing while others turn it down: they do not count on it. Afterwards it waits as
 // after a start.
-func (s *Share) Void(now Micros, on bool) {
+func (s *Share) SetDisabled(now Micros, on bool) {
 	if on == s.void {
 		return
 	}
@@ -320,23 +320,23 @@
 	s.settle(now)
 }
 
-// Hold leaves this process nothing until Inherit or Alone: another one of this member has all.
-func (s *Share) Hold(now Micros) {
+// Suspend leaves this process nothing until Inherit or Alone: another one of this member has all.
+func (s *Share) Suspend(now Micros) {
 	s.refill(now)
 	s.part = 0
 	s.settle(now)
 }
 
-// Return gives back what Take has let in and nobody used.
-func (s *Share) Return() {
+// Refund gives back what Take has let in and nobody used.
+func (s *Share) Refund() {
 	s.tokens = min(s.cap(), s.tokens+1)
 	s.used--
 	s.Granted--
 }
 
-// Alone tells that the other process of this member is over. One that goes on in its own place does not know
+// OtherProcessEnded tells that the other process of this member is over. One that goes on in its own place does not know
 // what that one has lent, and waits as after a start.
-func (s *Share) Alone(now Micros, unknown bool) {
+func (s *Share) OtherProcessEnded(now Micros, unknown bool) {
 	s.refill(now)
 	s.part = 1
 	if unknown {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -62,7 +62,7 @@
 	w.down[i] = false
 }
 
-func (w *world) send(from int, list []Send) {
+func (w *world) send(from int, list []Message) {
 	for _, s := range list {
 		var to int
 		_, _ = fmt.Sscanf(s.To, "m%d", &to)
@@ -275,12 +275,12 @@
 	w.demand[0] = 400 // borrows from 1
 	w.run(15)
 	old := w.shares[1]
-	lent := old.Split(w.clock(1))
+	lent := old.HandOver(w.clock(1))
 	if len(lent) == 0 {
 		t.Fatal("nothing was lent")
 	}
 	next := NewShare(w.limit, 3, period, 77, w.clock(1))
-	next.Inherit(w.clock(1), lent)
+	next.TakeOver(w.clock(1), lent)
 	w.shares[1] = next
 	w.demand[1] = 400
 	for range 30 {
@@ -289,7 +289,7 @@
 			t.Fatalf("together %.1f of %.1f", sum, w.limit.Rate)
 		}
 	}
-	next.Alone(w.clock(1), false)
+	next.OtherProcessEnded(w.clock(1), false)
 	w.run(5)
 	if w.worst > 1.000001 {
 		t.Fatalf("%.3f of the limit", w.worst)
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -30,8 +30,8 @@
 	Refused int64
 }
 
-// Place is where one let in counts until it ends.
-type Place struct {
+// Slot is where one let in counts until it ends.
+type Slot struct {
 	own  part
 	loan uint64 // 0: on a unit of one's own
 }
@@ -120,7 +120,7 @@
 }
 
 // Take asks whether one more that ends by the time given may be let in now, and where it counts until Done.
-func (s *Slots) Take(now, ends Micros) (at Place, ok bool, after Micros) {
+func (s *Slots) Take(now, ends Micros) (at Slot, ok bool, after Micros) {
 	s.refresh(now)
 	s.peak = max(s.peak, s.opened()+1)
 	for p := range parts {
@@ -128,23 +128,23 @@
 		if float64(s.open[p]) < s.avail[p] && (p == floor || ends-now <= s.hold) {
 			s.open[p]++
 			s.Granted++
-			return Place{own: p}, true, 0
+			return Slot{own: p}, true, 0
 		}
 	}
 	for i := range s.in {
 		if l := &s.in[i]; float64(l.open) < l.rate && now < l.until && ends-now <= s.hold && !s.void {
 			l.open++
 			s.Granted++
-			return Place{loan: l.id}, true, 0
+			return Slot{loan: l.id}, true, 0
 		}
 	}
 	s.Refused++
 	s.vain++
-	return Place{}, false, s.period
+	return Slot{}, false, s.period
 }
 
-// Done tells that one let in has ended.
-func (s *Slots) Done(now Micros, at Place) {
+// Release tells that one let in has ended.
+func (s *Slots) Release(now Micros, at Slot) {
 	s.refresh(now)
 	if at.loan == 0 {
 		s.open[at.own] = max(0, s.open[at.own]-1)
@@ -168,7 +168,7 @@
 }
 
 // Tick is to be called once a period, with the other members that are alive.
-func (s *Slots) Tick(now Micros, peers []string) (out []Send) {
+func (s *Slots) Tick(now Micros, peers []string) (out []Message) {
 	s.settle(now)
 	asked := float64(s.peak + s.vain)
 	s.demand = max(s.demand+(asked-s.demand)/demandFor, min(asked, s.Rate))
@@ -183,7 +183,7 @@
 	}
 	for s.idle >= giveBack && len(s.in) > 0 && s.in[0].open == 0 && have-s.in[0].rate >= want {
 		have -= s.in[0].rate
-		out = append(out, Send{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
+		out = append(out, Message{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
 		s.in = s.in[1:]
 	}
 	if s.idle == 0 {
@@ -197,7 +197,7 @@
 }
 
 // Receive takes in a message of another member.
-func (s *Slots) Receive(now Micros, from string, data []byte) (out []Send) {
+func (s *Slots) Receive(now Micros, from string, data []byte) (out []Message) {
 	kind, l, amount, ok := s.parse(from, data)
 	if !ok {
 		return nil
@@ -241,27 +241,27 @@
 	return math.Ceil(s.demand*spare) > own
 }
 
-// Figures are those of now: how many may be open here, and are.
-func (s *Slots) Figures(now Micros) Figures {
+// Stats are those of now: how many may be open here, and are.
+func (s *Slots) Stats(now Micros) Stats {
 	s.settle(now)
 	own := 0.0
 	for p := range parts {
 		own += s.avail[p]
 	}
-	return Figures{Share: s.total(now), Used: float64(s.opened()), InDoubt: max(0, s.share()-own),
+	return Stats{Share: s.total(now), Used: float64(s.opened()), InDoubt: max(0, s.share()-own),
 		Stale: s.stalest(now)}
 }
 
-// Entitle takes in from and until when this member has the rest of its own share, and those of others.
-func (s *Slots) Entitle(now Micros, e Entitlement) {
+// SetEntitlement takes in from and until when this member has the rest of its own share, and those of others.
+func (s *Slots) SetEntitlement(now Micros, e Entitlement) {
 	s.refresh(now)
 	s.entitle(e.windows(s.hold))
 	s.settle(now)
 }
 
-// Split leaves this process what is open on its own units and one more, and returns what the next one has to
+// HandOver leaves this process what is open on its own units and one more, and returns what the next one has to
 // know: the first line is what stays here.
-func (s *Slots) Split(now Micros) (lent []Lend) {
+func (s *Slots) HandOver(now Micros) (lent []SavedLoan) {
 	s.settle(now)
 	stays := 0.0
 	for p := range parts {
@@ -271,15 +271,15 @@
 	if stays++; stays > own { // what is open on the rest ends by itself, within the hold
 		stays = own
 	}
-	lent = append([]Lend{{Rate: stays}}, s.save(now)...)
+	lent = append([]SavedLoan{{Rate: stays}}, s.save(now)...)
 	s.only, s.lent, s.pending = stays, nil, nil
 	s.entitle(window{}, nil)
 	s.settle(now)
 	return lent
 }
 
-// Inherit goes on with all but what the process before this one keeps; until Alone.
-func (s *Slots) Inherit(now Micros, lent []Lend) {
+// TakeOver goes on with all but what the process before this one keeps; until Alone.
+func (s *Slots) TakeOver(now Micros, lent []SavedLoan) {
 	if len(lent) > 0 && lent[0].With == "" {
 		s.reserve, lent = lent[0].Rate, lent[1:]
 	}
@@ -288,15 +288,15 @@
 	s.settle(now)
 }
 
-// Hold leaves this process nothing until Inherit or Alone: another one of this member has all.
-func (s *Slots) Hold(now Micros) {
+// Suspend leaves this process nothing until Inherit or Alone: another one of this member has all.
+func (s *Slots) Suspend(now Micros) {
 	s.only = 0
 	s.settle(now)
 }
 
-// Alone tells that the other process of this member is over. One that goes on in its own place does not know
+// OtherProcessEnded tells that the other process of this member is over. One that goes on in its own place does not know
 // what that one has lent, and waits as after a start.
-func (s *Slots) Alone(now Micros, unknown bool) {
+func (s *Slots) OtherProcessEnded(now Micros, unknown bool) {
 	s.reserve, s.only = 0, -1
 	if unknown {
 		s.usable = now + s.waitFor()
@@ -304,8 +304,8 @@
 	s.settle(now)
 }
 
-// Void leaves this member nothing while others turn it down. Afterwards it waits as after a start.
-func (s *Slots) Void(now Micros, on bool) {
+// SetDisabled leaves this member nothing while others turn it down. Afterwards it waits as after a start.
+func (s *Slots) SetDisabled(now Micros, on bool) {
 	if on == s.void {
 		return
 	}
--- a/internal/quota/tenure.go
+++ b/internal/quota/tenure.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostVoters is the greatest roster whose members vote: each asks each of them twice a term.
-const MostVoters = 9
+// MaxVoters is the greatest roster whose members vote: each asks each of them twice a term.
+const MaxVoters = 9
 
 // A tenure says who has the rest of a member's shares: the member itself, or one that stands in for it once
 // it is gone. It is held by the votes of a majority for a term each (Gifford, SOSP 1979, §2; leases: Gray and
@@ -55,8 +55,8 @@
 	until Micros
 }
 
-// Tenure is a member's part: as a voter, and as one that wants to have.
-type Tenure struct {
+// Leases is a member's part: as a voter, and as one that wants to have.
+type Leases struct {
 	self   string
 	roster []string // sorted: the voters
 	stamp  uint32   // of it: other rosters' votes do not count
@@ -68,13 +68,13 @@
 	Hasty  bool // planted, for checkers: a voter votes as soon as it has started
 }
 
-// NewTenure returns that of a process that starts from nothing. Votes count among members with the same
+// NewLeases returns that of a process that starts from nothing. Votes count among members with the same
 // roster and stamp only. Nil: the roster is none that votes.
-func NewTenure(self string, roster []string, stamp uint32, period, now Micros) *Tenure {
-	if len(roster) < 3 || len(roster) > MostVoters || !slices.Contains(roster, self) {
+func NewLeases(self string, roster []string, stamp uint32, period, now Micros) *Leases {
+	if len(roster) < 3 || len(roster) > MaxVoters || !slices.Contains(roster, self) {
 		return nil
 	}
-	t := &Tenure{self: self, roster: slices.Sorted(slices.Values(roster)), period: period,
+	t := &Leases{self: self, roster: slices.Sorted(slices.Values(roster)), period: period,
 		stamp: stamp, votes: map[string]vote{}, silent: now + span(period, 1+3*Drift)}
 	for _, name := range t.roster {
 		t.stamp = t.stamp*31 + uint32(xxhash.Sum64String(name))
@@ -83,10 +83,10 @@
 	return t
 }
 
-func (t *Tenure) claim(of string) claim { return claim{of: of, term: make([]Micros, len(t.roster))} }
+func (t *Leases) claim(of string) claim { return claim{of: of, term: make([]Micros, len(t.roster))} }
 
 // majority of the voters.
-func (t *Tenure) majority() int { return len(t.roster)/2 + 1 }
+func (t *Leases) majority() int { return len(t.roster)/2 + 1 }
 
 // The kinds of a tenure's message: kind, stamp (4), request (4), the place of the member whose rest it is.
 const (
@@ -96,14 +96,14 @@
 	tenureSize = 1 + 4 + 4 + 1
 )
 
-func (t *Tenure) message(kind byte, seq uint32, of string) []byte {
+func (t *Leases) message(kind byte, seq uint32, of string) []byte {
 	b := binary.LittleEndian.AppendUint32([]byte{kind}, t.stamp)
 	b = binary.LittleEndian.AppendUint32(b, seq)
 	return append(b, byte(slices.Index(t.roster, of)))
 }
 
-// IsTenure tells that a message is one of a tenure.
-func IsTenure(data []byte) bool {
+// IsLeaseMessage tells that a message is one of a tenure.
+func IsLeaseMessage(data []byte) bool {
 	return len(data) == tenureSize && data[0] >= msgWant && data[0] <= msgFree
 }
 
@@ -119,7 +119,7 @@
 }
 
 // Tick is to be called once a period with the members that are alive, this one among them.
-func (t *Tenure) Tick(now Micros, alive []string) (out []Send) {
+func (t *Leases) Tick(now Micros, alive []string) (out []Message) {
 	want := []string{t.self}
 	for _, name := range t.roster {
 		if !slices.Contains(alive, name) && standIn(name, alive) == t.self {
@@ -159,9 +159,9 @@
 }
 
 // post sends to another member, or takes in what goes to this one.
-func (t *Tenure) post(now Micros, to string, data []byte) []Send {
+func (t *Leases) post(now Micros, to string, data []byte) []Message {
 	if to != t.self {
-		return []Send{{To: to, Data: data}}
+		return []Message{{To: to, Data: data}}
 	}
 	for _, s := range t.Receive(now, t.self, data) {
 		t.Receive(now, t.self, s.Data)
@@ -170,8 +170,8 @@
 }
 
 // Receive takes in a message of another member.
-func (t *Tenure) Receive(now Micros, from string, data []byte) []Send {
-	if !IsTenure(data) || binary.LittleEndian.Uint32(data[1:]) != t.stamp || int(data[9]) >= len(t.roster) {
+func (t *Leases) Receive(now Micros, from string, data []byte) []Message {
+	if !IsLeaseMessage(data) || binary.LittleEndian.Uint32(data[1:]) != t.stamp || int(data[9]) >= len(t.roster) {
 		return nil
 	}
 	voter := slices.Index(t.roster, from)
@@ -185,7 +185,7 @@
 			return nil
 		}
 		t.votes[of] = vote{from, now + span(t.period, 1+Drift)}
-		return []Send{{To: from, Data: t.message(msgVote, seq, of)}}
+		return []Message{{To: from, Data: t.message(msgVote, seq, of)}}
 	case msgVote:
 		for i := range t.claims {
 			if c := &t.claims[i]; c.of == of && c.seq == seq {
@@ -215,7 +215,7 @@
 }
 
 // Entitlement is what this member may use now and until when, if nothing more is heard.
-func (t *Tenure) Entitlement(now Micros) (e Entitlement) {
+func (t *Leases) Entitlement(now Micros) (e Entitlement) {
 	for i := range t.claims {
 		c := &t.claims[i]
 		if c.until <= now {
@@ -230,8 +230,8 @@
 	return e
 }
 
-// Holds are the members whose rest this one has or is about to have, itself among them.
-func (t *Tenure) Holds(now Micros) (of []string) {
+// Held are the members whose rest this one has or is about to have, itself among them.
+func (t *Leases) Held(now Micros) (of []string) {
 	for i := range t.claims {
 		if c := &t.claims[i]; c.until > now {
 			of = append(of, c.of)
@@ -240,8 +240,8 @@
 	return of
 }
 
-// Held is a tenure as one process hands it to the next. Times are from now on.
-type Held struct {
+// LeaseSnapshot is a tenure as one process hands it to the next. Times are from now on.
+type LeaseSnapshot struct {
 	Roster []string        `json:"roster"`
 	Since  Micros          `json:"since"`
 	Until  Micros          `json:"until"`
@@ -255,9 +255,9 @@
 	Left Micros `json:"left"`
 }
 
-// Save hands over what this process has and has voted; it has and votes nothing any more.
-func (t *Tenure) Save(now Micros) Held {
-	h := Held{Roster: t.roster, Votes: map[string]Vote{}, Silent: max(0, t.silent-now)}
+// HandOver hands over what this process has and has voted; it has and votes nothing any more.
+func (t *Leases) HandOver(now Micros) LeaseSnapshot {
+	h := LeaseSnapshot{Roster: t.roster, Votes: map[string]Vote{}, Silent: max(0, t.silent-now)}
 	for of, v := range t.votes {
 		if v.until > now {
 			h.Votes[of] = Vote{v.to, v.until - now}
@@ -272,8 +272,8 @@
 	return h
 }
 
-// Resume goes on from where another process of this member has stopped.
-func (t *Tenure) Resume(now Micros, h Held) {
+// TakeOver goes on from where another process of this member has stopped.
+func (t *Leases) TakeOver(now Micros, h LeaseSnapshot) {
 	if !slices.Equal(h.Roster, t.roster) {
 		return
 	}
--- a/internal/quota/tenure_test.go
+++ b/internal/quota/tenure_test.go
@@ -14,7 +14,7 @@
 // ballot is three members that vote on each other's rests.
 type ballot struct {
 	now    Micros
-	procs  [3]*Tenure
+	procs  [3]*Leases
 	views  [3]int // which others each holds to be alive, by bits
 	flying []flight
 	starts int
@@ -23,7 +23,7 @@
 
 var three = []string{"m0", "m1", "m2"}
 
-func (t *Tenure) clone() *Tenure {
+func (t *Leases) clone() *Leases {
 	c := *t
 	c.votes, c.claims = maps.Clone(t.votes), slices.Clone(t.claims)
 	for i := range c.claims {
@@ -41,7 +41,7 @@
 	return &c
 }
 
-func (x *ballot) send(from int, list []Send) {
+func (x *ballot) send(from int, list []Message) {
 	for _, m := range list {
 		x.flying = append(x.flying, flight{from: from, to: slices.Index(three, m.To), data: m.Data})
 	}
@@ -62,7 +62,7 @@
 func (x *ballot) two() bool {
 	holders := map[string]int{}
 	for _, t := range x.procs {
-		for _, of := range t.Holds(x.now) {
+		for _, of := range t.Held(x.now) {
 			holders[of]++
 		}
 	}
@@ -108,7 +108,7 @@
 func exploreVotes(steps, most int, hasty bool) (found []string, states int) {
 	first := &ballot{now: 1_000_000_000}
 	begin := func(x *ballot, i int) {
-		x.procs[i] = NewTenure(three[i], three, 7, period, x.now)
+		x.procs[i] = NewLeases(three[i], three, 7, period, x.now)
 		x.procs[i].Hasty = hasty
 		x.views[i] = 7
 	}
@@ -224,7 +224,7 @@
 		for i, p := range f.procs {
 			now := map[string]bool{}
 			if !f.down[i] { // who is stopped looks at its clock before it uses anything
-				for _, of := range p.tenure.Holds(f.clock(i)) {
+				for _, of := range p.tenure.Held(f.clock(i)) {
 					now[of] = true
 				}
 			}
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -81,7 +81,7 @@
 	name  string
 	index int
 	core  *core.Simulated
-	guard *overload.Guard
+	guard *overload.Controller
 	life  int // which process it is
 	up    bool
 	due   balance.Micros // of the Step that is planned; 0: none
@@ -141,7 +141,7 @@
 	for _, c := range w.conf.Module.Classes {
 		worth = append(worth, c.Worth)
 	}
-	w.ranks = overload.Rank(worth)
+	w.ranks = overload.RankByWorth(worth)
 	for i := range s.Nodes {
 		n := &vnode{w: w, id: core.ServerID(fmt.Sprint("n", i)), by: 1,
 			rng: rand.New(rand.NewPCG(seed*1009+uint64(i), 5))}
@@ -204,7 +204,7 @@
 	}
 	cfg.Settings = settings
 	if !w.s.Alone && !strings.Contains(w.s.Fleet, "off = true") {
-		m.guard = overload.NewGuard(m.name, period.Microseconds())
+		m.guard = overload.NewController(m.name, period.Microseconds())
 		cfg.Admission = gate{m}
 	}
 	var err error
@@ -270,7 +270,7 @@
 }
 
 // post sends a guard's messages.
-func (m *vmember) post(list []overload.Send) {
+func (m *vmember) post(list []overload.Message) {
 	for _, s := range list {
 		n, _ := strconv.Atoi(s.To[1:])
 		m.w.bytes += int64(len(s.Data))
@@ -348,11 +348,13 @@
 type gate struct{ *vmember }
 
 // QueryEnded books how a query ended.
-func (m *vmember) QueryEnded(_ *core.Query, e core.QueryOutcome) { m.guard.Ended(e == core.Answered) }
+func (m *vmember) QueryEnded(_ *core.Query, e core.QueryOutcome) {
+	m.guard.Finished(e == core.Answered)
+}
 
 // AllowSend asks whether an attempt may be sent.
 func (g gate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
-	return g.guard.Send(a.IsFirst()), balance.NotSent
+	return g.guard.AllowSend(a.IsFirst()), balance.NotSent
 }
 
 // AttemptEnded has nothing to do.
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -16,15 +16,15 @@
 // for a while after a bad outcome, as its module does.
 type court struct {
 	rng     *rand.Rand
-	juries  []*Jury
+	juries  []*OutlierDetector
 	tables  []*Table
 	zones   []string
 	now     Micros
 	nodes   int
-	asks    float64                         // of a member in a period
-	loss    float64                         // of messages
-	cut     func(a, b int) bool             // between members
-	outcome func(m, n int) (Ending, Micros) // of a member's attempt at a node
+	asks    float64                          // of a member in a period
+	loss    float64                          // of messages
+	cut     func(a, b int) bool              // between members
+	outcome func(m, n int) (Outcome, Micros) // of a member's attempt at a node
 	avoid   [][]Micros
 	tries   [][]int // by member and node, while that was open to it
 	bytes   int
@@ -35,13 +35,13 @@
 	for i := range members {
 		z := zones[i%len(zones)]
 		c.zones = append(c.zones, z)
-		c.juries = append(c.juries, NewJury(Voter{name(i), z}, simPeriod, most))
+		c.juries = append(c.juries, NewOutlierDetector(Member{name(i), z}, simPeriod, most))
 		c.tables = append(c.tables, NewTable(name(i)))
 		c.avoid = append(c.avoid, make([]Micros, nodes))
 		c.tries = append(c.tries, make([]int, nodes))
 	}
 	c.cut = func(int, int) bool { return false }
-	c.outcome = func(int, int) (Ending, Micros) { return Served, 10_000 }
+	c.outcome = func(int, int) (Outcome, Micros) { return Served, 10_000 }
 	return c
 }
 
@@ -49,7 +49,7 @@
 
 // out tells that a member holds a node to be out.
 func (c *court) out(m, n int) bool {
-	for _, v := range c.tables[m].Evidence(c.now, nodeName(uint64(n))) {
+	for _, v := range c.tables[m].SickVerdicts(c.now, nodeName(uint64(n))) {
 		if _, z := v.Node(); z == "" || z == c.zones[m] {
 			return true
 		}
@@ -75,19 +75,19 @@
 			if took += Micros(c.rng.IntN(4_000)); e != Served || took > 400_000 {
 				c.avoid[m][n] = c.now + Micros(20+c.rng.IntN(20))*simPeriod
 			}
-			j.See(c.now, uint64(n), 0, e, took)
+			j.Observe(c.now, uint64(n), 0, e, took)
 		}
 	}
 	type letter struct {
 		from int
-		Send
+		Message
 	}
 	var post []letter
 	for m, j := range c.juries {
-		var others []Voter
+		var others []Member
 		for o := range c.juries {
 			if o != m && !c.cut(m, o) {
-				others = append(others, Voter{name(o), c.zones[o]})
+				others = append(others, Member{name(o), c.zones[o]})
 			}
 		}
 		for _, s := range j.Tick(c.now, others, len(c.juries), true) {
@@ -103,7 +103,7 @@
 		if c.cut(l.from, to) || c.rng.Float64() < c.loss {
 			continue
 		}
-		more, ok := c.juries[to].Receive(c.now, Voter{name(l.from), c.zones[l.from]}, l.Data)
+		more, ok := c.juries[to].Receive(c.now, Member{name(l.from), c.zones[l.from]}, l.Data)
 		if !ok {
 			panic("a message of a jury is none")
 		}
@@ -114,10 +114,10 @@
 	for m, t := range c.tables {
 		t.Expire(c.now)
 		for _, x := range t.Take() {
-			if n := 0; !x.Holds {
+			if n := 0; !x.InForce {
 				name, _ := x.Verdict.Node()
 				_, _ = fmt.Sscanf(name, "n%d", &n)
-				c.juries[m].Acquit(uint64(n))
+				c.juries[m].ClearEvidence(uint64(n))
 			}
 		}
 	}
@@ -128,12 +128,12 @@
 				alive++
 			}
 		}
-		for _, x := range j.Judge(c.now) {
-			v, ok := c.tables[m].Sick(c.now, simPeriod, nodeName(x.Node), x)
-			if !ok || c.tables[m].Ill(c.now, x.Zone) >= MayBeOut(c.nodes, 0.25, alive, len(c.juries)) {
+		for _, x := range j.Outliers(c.now) {
+			v, ok := c.tables[m].SickVerdict(c.now, simPeriod, nodeName(x.Node), x)
+			if !ok || c.tables[m].CountSick(c.now, x.Zone) >= MaxSick(c.nodes, 0.25, alive, len(c.juries)) {
 				continue
 			}
-			v, _ = c.tables[m].Say(c.now, c.now/1000, v)
+			v, _ = c.tables[m].Issue(c.now, c.now/1000, v)
 			for o, t := range c.tables {
 				if !c.cut(m, o) {
 					t.Merge(c.now, v, 0)
@@ -147,7 +147,7 @@
 func (c *court) judged() (all []string) {
 	for _, t := range c.tables {
 		for _, e := range t.entries {
-			if (e.Kind == Sick || e.Kind == Path) && e.holds(c.now-e.born) && !slices.Contains(all, e.What) {
+			if (e.Kind == SickNode || e.Kind == SickPath) && e.holds(c.now-e.born) && !slices.Contains(all, e.What) {
 				all = append(all, e.What)
 			}
 		}
@@ -169,9 +169,9 @@
 // What is sick is judged, by what it is sick for, within a window; what is not is never judged.
 func TestEvidence(t *testing.T) {
 	failing := func(c *court, of func(m, n int) bool) {
-		c.outcome = func(m, n int) (Ending, Micros) {
+		c.outcome = func(m, n int) (Outcome, Micros) {
 			if of(m, n) {
-				return Broken, 1_000
+				return Failed, 1_000
 			}
 			return Served, 10_000
 		}
@@ -189,7 +189,7 @@
 			failing(c, func(_, n int) bool { return n == 3 })
 		}, "n3"},
 		{"slow", 5, 8, 0, func(c *court) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
 					return Served, 600_000
 				}
@@ -197,33 +197,33 @@
 			}
 		}, "n3"},
 		{"hedged before it answers", 5, 8, 0, func(c *court) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return GivenUp, 300_000
+					return Cancelled, 300_000
 				}
 				return Served, 10_000
 			}
 		}, "n3"},
 		{"beaten by hedged requests, soon", 5, 8, 0, func(c *court) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return Beaten, 60_000
+					return HedgeWon, 60_000
 				}
 				return Served, 20_000
 			}
 		}, "n3"},
 		{"one in ten is beaten anywhere", 5, 8, 0, func(c *court) {
-			c.outcome = func(int, int) (Ending, Micros) {
+			c.outcome = func(int, int) (Outcome, Micros) {
 				if c.rng.IntN(10) == 0 {
-					return Beaten, 60_000
+					return HedgeWon, 60_000
 				}
 				return Served, 20_000
 			}
 		}, ""},
 		{"deaf", 5, 8, 0, func(c *court) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return Unheard, 500_000
+					return TimedOut, 500_000
 				}
 				return Served, 10_000
 			}
@@ -239,7 +239,7 @@
 			failing(c, func(m, _ int) bool { return c.zones[m] == "a" })
 		}, ""},
 		{"everything is slow", 5, 8, 0, func(c *court) {
-			c.outcome = func(_, n int) (Ending, Micros) { return Unheard, 700_000 }
+			c.outcome = func(_, n int) (Outcome, Micros) { return TimedOut, 700_000 }
 		}, ""},
 		{"one in a hundred fails anywhere", 5, 8, 0, func(c *court) {
 			failing(c, func(int, int) bool { return c.rng.IntN(100) == 0 })
@@ -273,9 +273,9 @@
 	for _, j := range c.juries {
 		j.Credulous = true
 	}
-	c.outcome = func(m, n int) (Ending, Micros) {
+	c.outcome = func(m, n int) (Outcome, Micros) {
 		if m == 1 && n == 3 {
-			return Broken, 1_000
+			return Failed, 1_000
 		}
 		return Served, 10_000
 	}
@@ -289,9 +289,9 @@
 func TestEvidenceWhileCut(t *testing.T) {
 	c := newCourt(5, 16, []string{"a", "b"}, 12, 3)
 	c.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
-	c.outcome = func(m, n int) (Ending, Micros) {
+	c.outcome = func(m, n int) (Outcome, Micros) {
 		if n < 10 && (n%2 == 0) == (m < 3) {
-			return Broken, 1_000
+			return Failed, 1_000
 		}
 		return Served, 10_000
 	}
@@ -312,17 +312,17 @@
 	now := Micros(1)
 	spans := []Micros{}
 	for range 7 {
-		v, ok := table.Sick(now, simPeriod, "n", Judgement{Reason: "failing"})
+		v, ok := table.SickVerdict(now, simPeriod, "n", Outlier{Reason: "failing"})
 		if !ok {
 			t.Fatal("not judged again")
 		}
-		v, _ = table.Say(now, 1, v)
-		if _, again := table.Sick(now+1, simPeriod, "n", Judgement{}); again {
+		v, _ = table.Issue(now, 1, v)
+		if _, again := table.SickVerdict(now+1, simPeriod, "n", Outlier{}); again {
 			t.Fatal("judged while it is out")
 		}
 		spans = append(spans, v.Span/simPeriod)
 		now += v.Span
-		if _, ok := table.Sick(now+5*simPeriod, simPeriod, "n", Judgement{Since: 6}); ok {
+		if _, ok := table.SickVerdict(now+5*simPeriod, simPeriod, "n", Outlier{Since: 6}); ok {
 			t.Fatal("judged by what it was judged by before")
 		}
 		now += 2 * simPeriod
@@ -331,17 +331,17 @@
 		t.Errorf("out for %v periods, not %v", spans, want)
 	}
 	now += (relapse + 1) * 800 * simPeriod
-	v, _ := table.Sick(now, simPeriod, "n", Judgement{})
+	v, _ := table.SickVerdict(now, simPeriod, "n", Outlier{})
 	if v.Span != sickSpan*simPeriod {
 		t.Errorf("long after its last illness it is out for %d periods", v.Span/simPeriod)
 	}
-	v, _ = table.Say(now, 1, v)
+	v, _ = table.Issue(now, 1, v)
 	v.On, v.Span = false, 0
-	_, _ = table.Say(now, 1, v)
-	if _, ok := table.Sick(now+pardon*Window*simPeriod-1, simPeriod, "n", Judgement{}); ok {
+	_, _ = table.Issue(now, 1, v)
+	if _, ok := table.SickVerdict(now+pardon*Window*simPeriod-1, simPeriod, "n", Outlier{}); ok {
 		t.Error("an operator's word against it does not hold")
 	}
-	if _, ok := table.Sick(now+pardon*Window*simPeriod, simPeriod, "n", Judgement{}); !ok {
+	if _, ok := table.SickVerdict(now+pardon*Window*simPeriod, simPeriod, "n", Outlier{}); !ok {
 		t.Error("it holds forever")
 	}
 }
@@ -353,18 +353,18 @@
 		cells := rapid.IntRange(1, 5).Draw(t, "cells")
 		reach := rapid.IntRange(1, 5).Draw(t, "reach")
 		share := rapid.Float64Range(0.01, 0.5).Draw(t, "share")
-		var nodes []Holder
+		var nodes []ListedNode
 		for i := range rapid.IntRange(0, 16).Draw(t, "nodes") {
-			nodes = append(nodes, Holder{uint64(i), rapid.IntRange(0, cells-1).Draw(t, "cell"),
+			nodes = append(nodes, ListedNode{uint64(i), rapid.IntRange(0, cells-1).Draw(t, "cell"),
 				rapid.IntRange(0, 3).Draw(t, "up") > 0})
 		}
 		sick := rapid.SliceOfN(rapid.Uint64Range(0, 18), 0, 12).Draw(t, "sick")
-		out := Guard(nodes, sick, cells, reach, share)
+		out := LimitEjections(nodes, sick, cells, reach, share)
 		if len(out) > max(1, int(share*float64(len(nodes)))) {
 			t.Fatalf("%d of %d are out", len(out), len(nodes))
 		}
 		held := func(s int, without map[uint64]bool) bool {
-			return slices.ContainsFunc(nodes, func(n Holder) bool {
+			return slices.ContainsFunc(nodes, func(n ListedNode) bool {
 				return n.Up && !without[n.ID] && (n.Cell-s%cells+cells)%cells < reach
 			})
 		}
@@ -373,13 +373,13 @@
 				t.Fatalf("shard %d has lost its last node: %v", s, out)
 			}
 		}
-		more := Guard(nodes, append(slices.Clone(sick), 0), cells, reach, share)
+		more := LimitEjections(nodes, append(slices.Clone(sick), 0), cells, reach, share)
 		for id := range out {
 			if !more[id] {
 				t.Fatalf("%d is in again for one more judgement", id)
 			}
 		}
-		if len(Guard(nodes, sick, cells, reach, 0)) > 0 {
+		if len(LimitEjections(nodes, sick, cells, reach, 0)) > 0 {
 			t.Fatal("some are out where none may be")
 		}
 	})
@@ -388,24 +388,24 @@
 // Any bytes are taken or turned down, and nothing grows beyond its bound.
 func FuzzJury(f *testing.F) {
 	c := newCourt(3, 4, []string{"a"}, 8, 1)
-	c.outcome = func(_, n int) (Ending, Micros) { return Broken, 1 }
+	c.outcome = func(_, n int) (Outcome, Micros) { return Failed, 1 }
 	c.period()
-	for _, s := range c.juries[0].Tick(c.now+simPeriod, []Voter{{"m0001", "a"}}, 3, true) {
+	for _, s := range c.juries[0].Tick(c.now+simPeriod, []Member{{"m0001", "a"}}, 3, true) {
 		f.Add(s.Data)
 	}
 	f.Add([]byte{msgQuest, 1, 2, 3, 4, 5, 6, 7, 8, 255, 255})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		j := NewJury(Voter{"m", "a"}, simPeriod, most)
-		out, ok := j.Receive(5*simPeriod, Voter{"o", "b"}, data)
+		j := NewOutlierDetector(Member{"m", "a"}, simPeriod, most)
+		out, ok := j.Receive(5*simPeriod, Member{"o", "b"}, data)
 		if !ok && len(out) > 0 {
 			t.Fatal("what is none is answered")
 		}
-		for _, s := range append(out, j.Tick(6*simPeriod, []Voter{{"o", "b"}}, 2, true)...) {
+		for _, s := range append(out, j.Tick(6*simPeriod, []Member{{"o", "b"}}, 2, true)...) {
 			if len(s.Data) > most {
 				t.Fatalf("a message of %d bytes", len(s.Data))
 			}
 		}
-		j.Judge(20 * simPeriod)
+		j.Outliers(20 * simPeriod)
 		if len(j.trials) > mostCases {
 			t.Fatal("too many cases")
 		}
@@ -416,14 +416,14 @@
 func TestEvidenceIsBounded(t *testing.T) {
 	w := NewWitness(simPeriod)
 	for n := range uint64(2 * mostNodes) {
-		w.See(simPeriod, n, int(n), Broken, 1)
-		w.See(simPeriod, n, int(n), Served, 1)
+		w.Observe(simPeriod, n, int(n), Failed, 1)
+		w.Observe(simPeriod, n, int(n), Served, 1)
 	}
 	if len(w.nodes) > mostNodes || len(w.usual) > mostKinds {
 		t.Errorf("%d nodes, %d classes", len(w.nodes), len(w.usual))
 	}
 	c := newCourt(30, 200, []string{"a", "b", "c"}, 20, 1)
-	c.outcome = func(int, int) (Ending, Micros) { return Broken, 1 }
+	c.outcome = func(int, int) (Outcome, Micros) { return Failed, 1 }
 	for range 20 {
 		c.period()
 	}
@@ -441,20 +441,20 @@
 	w := NewWitness(simPeriod)
 	b.ReportAllocs()
 	for i := range b.N {
-		w.See(Micros(i), uint64(i%200), i%4, Served, 10_000)
+		w.Observe(Micros(i), uint64(i%200), i%4, Served, 10_000)
 	}
 }
 
 // BenchmarkGuard is one look at a list of 200 with 20 judged.
 func BenchmarkGuard(b *testing.B) {
-	var nodes []Holder
+	var nodes []ListedNode
 	var sick []uint64
 	for i := range uint64(200) {
-		if nodes = append(nodes, Holder{i, int(i % 10), true}); i%10 == 0 {
+		if nodes = append(nodes, ListedNode{i, int(i % 10), true}); i%10 == 0 {
 			sick = append(sick, i)
 		}
 	}
 	for b.Loop() {
-		Guard(nodes, sick, 10, 2, 0.25)
+		LimitEjections(nodes, sick, 10, 2, 0.25)
 	}
 }
--- a/internal/verdict/guard.go
+++ b/internal/verdict/guard.go
@@ -2,18 +2,18 @@
 
 import "strings"
 
-// Holder is a data node as the guard sees it.
-type Holder struct {
+// ListedNode is a data node as the guard sees it.
+type ListedNode struct {
 	ID   uint64
 	Cell int
 	Up   bool // gets work, but for judgements
 }
 
-// Guard chooses which of the nodes that are judged sick are out at a member: the first to be judged first,
+// LimitEjections chooses which of the nodes that are judged sick are out at a member: the first to be judged first,
 // never more than a share of all (but one, in any case), and never the last node that is up of a shard's
 // cells. A shard s is held by the cells (s+j) mod cells, j < reach. It depends on nothing but its arguments,
 // so members that hold the same and see the same list choose the same.
-func Guard(nodes []Holder, sick []uint64, cells, reach int, share float64) map[uint64]bool {
+func LimitEjections(nodes []ListedNode, sick []uint64, cells, reach int, share float64) map[uint64]bool {
 	out := map[uint64]bool{}
 	cells, reach = max(1, cells), max(1, reach)
 	up := make([]int, cells)
@@ -53,13 +53,13 @@
 	return true
 }
 
-// Sick is the verdict that a judgement is, and whether it may be given: not while one holds, not on what
+// SickVerdict is the verdict that a judgement is, and whether it may be given: not while one holds, not on what
 // was seen before it ended, nor for a while after an operator has said otherwise. One that comes back sick is
 // out for longer each time. name is the node's.
-func (t *Table) Sick(now, period Micros, name string, j Judgement) (v Verdict, ok bool) {
-	v = Verdict{Kind: Sick, What: name, On: true, By: "evidence", Reason: j.Reason, Span: sickSpan * period}
+func (t *Table) SickVerdict(now, period Micros, name string, j Outlier) (v Verdict, ok bool) {
+	v = Verdict{Kind: SickNode, What: name, On: true, By: "evidence", Reason: j.Reason, Span: sickSpan * period}
 	if j.Zone != "" {
-		v.Kind, v.What = Path, name+"@"+j.Zone
+		v.Kind, v.What = SickPath, name+"@"+j.Zone
 	}
 	i, known := t.find(&v)
 	if !known {
@@ -78,11 +78,11 @@
 	return v, true
 }
 
-// Ill counts the nodes that are held to be sick at members of a zone; those judged for others do not count.
-func (t *Table) Ill(now Micros, zone string) (n int) {
+// CountSick counts the nodes that are held to be sick at members of a zone; those judged for others do not count.
+func (t *Table) CountSick(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
 		_, z := e.Node()
-		if (e.Kind == Sick || e.Kind == Path && (zone == "" || z == zone)) && e.holds(now-e.born) {
+		if (e.Kind == SickNode || e.Kind == SickPath && (zone == "" || z == zone)) && e.holds(now-e.born) {
 			n++
 		}
 	}
@@ -91,16 +91,16 @@
 
 // Node is the data node that a verdict is on, and the zone for whose members it holds; empty: for all.
 func (v *Verdict) Node() (name, zone string) {
-	if i := strings.LastIndexByte(v.What, '@'); v.Kind == Path && i >= 0 {
+	if i := strings.LastIndexByte(v.What, '@'); v.Kind == SickPath && i >= 0 {
 		return v.What[:i], v.What[i+1:]
 	}
 	return v.What, ""
 }
 
-// Evidence are the verdicts by evidence that hold for a node.
-func (t *Table) Evidence(now Micros, name string) (out []Verdict) {
+// SickVerdicts are the verdicts by evidence that hold for a node.
+func (t *Table) SickVerdicts(now Micros, name string) (out []Verdict) {
 	for _, e := range t.entries {
-		if n, _ := e.Node(); (e.Kind == Sick || e.Kind == Path) && n == name && e.holds(now-e.born) {
+		if n, _ := e.Node(); (e.Kind == SickNode || e.Kind == SickPath) && n == name && e.holds(now-e.born) {
 			out = append(out, e.Verdict)
 		}
 	}
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -46,11 +46,11 @@
 	isAnswer             // to a msgQuest: its good outcomes are of the time that was asked about
 )
 
-// Voter is a member that is alive.
-type Voter struct{ Name, Zone string }
+// Member is a member that is alive.
+type Member struct{ Name, Zone string }
 
-// Judgement is that a node is sick: for all, or for the members of a zone.
-type Judgement struct {
+// Outlier is that a node is sick: for all, or for the members of a zone.
+type Outlier struct {
 	Node   uint64
 	Zone   string // empty: for all
 	Reason string
@@ -81,25 +81,25 @@
 	at Micros
 }
 
-// Jury is a member's part in judging: it tells judges what it has seen, and is one for some nodes.
-type Jury struct {
+// OutlierDetector is a member's part in judging: it tells judges what it has seen, and is one for some nodes.
+type OutlierDetector struct {
 	*Witness
-	self   Voter
+	self   Member
 	most   int // bytes of a message
-	voters []Voter
+	voters []Member
 	size   int
 	sound  bool
 	trials map[uint64]*trial
 	told   map[uint64]lastTold
 	sent   int
-	out    []Send
+	out    []Message
 	// Credulous is planted, for checkers: one member's word is enough, and nobody's against it counts.
 	Credulous bool
 }
 
-// NewJury returns a jury whose messages have so many bytes at most.
-func NewJury(self Voter, period Micros, most int) *Jury {
-	return &Jury{Witness: NewWitness(period), self: self, most: most, trials: map[uint64]*trial{},
+// NewOutlierDetector returns a jury whose messages have so many bytes at most.
+func NewOutlierDetector(self Member, period Micros, most int) *OutlierDetector {
+	return &OutlierDetector{Witness: NewWitness(period), self: self, most: most, trials: map[uint64]*trial{},
 		told: map[uint64]lastTold{}}
 }
 
@@ -107,10 +107,10 @@
 // takes (docs/FLEET.md).
 func Quorum(size int) int { return min(mostVoters, size/2+1) }
 
-// MayBeOut is how many nodes the members that see one another may hold to be sick at a time: a share of all
+// MaxSick is how many nodes the members that see one another may hold to be sick at a time: a share of all
 // nodes, divided by how many of the fleet they are. So sides that are cut off from each other together stay
 // within the share, or one node where that is less, which a majority may.
-func MayBeOut(nodes int, share float64, alive, size int) int {
+func MaxSick(nodes int, share float64, alive, size int) int {
 	n := int(share * float64(nodes) * float64(alive) / float64(max(1, size)))
 	if n == 0 && share > 0 && nodes > 1 && 2*alive > size {
 		return 1
@@ -120,9 +120,9 @@
 
 // judgesOf are the members that judge a node: those that stand first by rendezvous hashing (Thaler and
 // Ravishankar, 1998, §3), so that all name the same without a word.
-func (j *Jury) judgesOf(node uint64) []Voter {
+func (j *OutlierDetector) judgesOf(node uint64) []Member {
 	type ranked struct {
-		Voter
+		Member
 		rank uint64
 	}
 	var best []ranked
@@ -136,27 +136,27 @@
 		best = slices.Insert(best, i, x)
 		best = best[:min(len(best), judges)]
 	}
-	out := make([]Voter, len(best))
+	out := make([]Member, len(best))
 	for i, x := range best {
-		out[i] = x.Voter
+		out[i] = x.Member
 	}
 	return out
 }
 
-func (j *Jury) send(to string, b []byte) bool {
+func (j *OutlierDetector) send(to string, b []byte) bool {
 	if j.sent >= jurySends {
 		return false
 	}
 	j.sent++
-	j.out = append(j.out, Send{To: to, Data: b})
+	j.out = append(j.out, Message{To: to, Data: b})
 	return true
 }
 
 // Tick is to be called once a period with the others that are alive, how many members the fleet has, dead
 // ones among them, and whether this member is well otherwise. It returns what is to be sent.
-func (j *Jury) Tick(now Micros, others []Voter, size int, well bool) []Send {
+func (j *OutlierDetector) Tick(now Micros, others []Member, size int, well bool) []Message {
 	j.Expire(now)
-	j.voters = append([]Voter{j.self}, others...)
+	j.voters = append([]Member{j.self}, others...)
 	j.size, j.sent = max(size, len(j.voters)), 0
 	j.sound = well && j.Sound(now)
 	j.tell(now)
@@ -168,14 +168,14 @@
 
 func appendTally(b []byte, node uint64, t Tally) []byte {
 	b = binary.LittleEndian.AppendUint64(b, node)
-	for _, x := range [...]uint16{t.Good, t.Bad, t.Late, t.First} {
+	for _, x := range [...]uint16{t.Good, t.Bad, t.Late, t.FirstBadAge} {
 		b = binary.LittleEndian.AppendUint16(b, x)
 	}
 	return b
 }
 
 // tallyHead is the begin of a message with tallies.
-func (j *Jury) tallyHead(answer bool) []byte {
+func (j *OutlierDetector) tallyHead(answer bool) []byte {
 	flags := byte(0)
 	if j.sound {
 		flags |= isSound
@@ -188,8 +188,8 @@
 
 // tell reports each node of which much is bad to its judges: where that has changed, or is long ago. Of one
 // that has become well that is told once.
-func (j *Jury) tell(now Micros) {
-	bouts := j.Bouts()
+func (j *OutlierDetector) tell(now Micros) {
+	bouts := j.FailingNodes()
 	for id := range j.told {
 		if _, ill := slices.BinarySearch(bouts, id); !ill {
 			bouts = append(bouts, id)
@@ -235,7 +235,7 @@
 
 // book notes what a member says of a node; one that is no case here becomes one if anything is bad. Only an
 // answer tells of all good outcomes since the case began; what comes unasked does not lower them.
-func (j *Jury) book(now Micros, from Voter, node uint64, t Tally, sound, answer bool) {
+func (j *OutlierDetector) book(now Micros, from Member, node uint64, t Tally, sound, answer bool) {
 	c := j.trials[node]
 	if c == nil {
 		if t.ill() == 0 || len(j.trials) >= mostCases {
@@ -251,12 +251,12 @@
 }
 
 // lives tells that a member is alive.
-func (j *Jury) lives(who string) bool {
-	return slices.ContainsFunc(j.voters, func(v Voter) bool { return v.Name == who })
+func (j *OutlierDetector) lives(who string) bool {
+	return slices.ContainsFunc(j.voters, func(v Member) bool { return v.Name == who })
 }
 
 // ask has other members say what they have seen of the nodes that are cases here.
-func (j *Jury) ask(now Micros) {
+func (j *OutlierDetector) ask(now Micros) {
 	quests := map[string][]byte{}
 	ids := make([]uint64, 0, len(j.trials))
 	for id := range j.trials {
@@ -272,7 +272,7 @@
 				continue
 			}
 			ill += r.ill()
-			since = max(since, r.age(now, j.period, r.First))
+			since = max(since, r.age(now, j.period, r.FirstBadAge))
 		}
 		if ill == 0 {
 			delete(j.trials, id)
@@ -311,7 +311,7 @@
 }
 
 // Receive takes in a message of another member. It returns false where that is none, and what is to be sent.
-func (j *Jury) Receive(now Micros, from Voter, data []byte) (out []Send, ok bool) {
+func (j *OutlierDetector) Receive(now Micros, from Member, data []byte) (out []Message, ok bool) {
 	if len(data) < 2 {
 		return nil, false
 	}
@@ -324,7 +324,7 @@
 		for len(r.B) > 0 {
 			id := r.U64()
 			var t Tally
-			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.First} {
+			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.FirstBadAge} {
 				*x = r.U16()
 			}
 			j.book(now, from, id, t, flags&isSound != 0, flags&isAnswer != 0)
@@ -341,15 +341,15 @@
 				b = appendTally(b, id, j.Tally(now, id, periods))
 			}
 		}
-		return []Send{{To: from.Name, Data: b}}, true
+		return []Message{{To: from.Name, Data: b}}, true
 	default:
 		return nil, false
 	}
 	return nil, true
 }
 
-// Acquit forgets what spoke against a node.
-func (j *Jury) Acquit(node uint64) {
+// ClearEvidence forgets what spoke against a node.
+func (j *OutlierDetector) ClearEvidence(node uint64) {
 	delete(j.nodes, node)
 	delete(j.trials, node)
 	delete(j.told, node)
@@ -363,8 +363,8 @@
 	firstAge          int
 }
 
-// Judge returns the nodes that are sick by what has been reported.
-func (j *Jury) Judge(now Micros) (out []Judgement) {
+// Outliers returns the nodes that are sick by what has been reported.
+func (j *OutlierDetector) Outliers(now Micros) (out []Outlier) {
 	ids := make([]uint64, 0, len(j.trials))
 	for id := range j.trials {
 		ids = append(ids, id)
@@ -384,7 +384,7 @@
 }
 
 // weigh judges one node.
-func (j *Jury) weigh(now Micros, c *trial) (Judgement, bool) {
+func (j *OutlierDetector) weigh(now Micros, c *trial) (Outlier, bool) {
 	zones := map[string]*zoneCount{}
 	all := &zoneCount{}
 	for _, who := range sortedNames(c.reports) {
@@ -416,7 +416,7 @@
 		}
 	}
 	if all.sick(need) && accusing >= min(2, len(alive)) {
-		return Judgement{Reason: all.reason(len(zones)), Since: all.firstAge}, true
+		return Outlier{Reason: all.reason(len(zones)), Since: all.firstAge}, true
 	}
 	var worst *zoneCount
 	for _, name := range sortedNames(zones) {
@@ -426,9 +426,9 @@
 		}
 	}
 	if worst == nil || len(alive) < 2 || 2*len(j.voters) <= j.size {
-		return Judgement{}, false
+		return Outlier{}, false
 	}
-	return Judgement{Zone: worst.zone, Reason: worst.reason(1), Since: worst.firstAge}, true
+	return Outlier{Zone: worst.zone, Reason: worst.reason(1), Since: worst.firstAge}, true
 }
 
 func sortedNames[T any](m map[string]T) []string {
@@ -449,7 +449,7 @@
 	z.ill += r.ill()
 	z.bad += int(r.Bad)
 	z.late += int(r.Late)
-	z.firstAge = max(z.firstAge, r.age(now, period, r.First))
+	z.firstAge = max(z.firstAge, r.age(now, period, r.FirstBadAge))
 }
 
 // sick tells that enough members have seen enough, and that it is long enough ago that who has seen nothing
--- a/internal/verdict/spread.go
+++ b/internal/verdict/spread.go
@@ -29,8 +29,8 @@
 	msgAck                // hashes and stamps of what the sender has carried out
 )
 
-// Send is a message to another member.
-type Send struct {
+// Message is a message to another member.
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -48,12 +48,12 @@
 
 // Peer is another member that is alive. Sum is what it last announced; 0: nothing yet.
 type Peer struct {
-	Name string
-	Sum  uint32
+	Name   string
+	Digest uint32
 }
 
-// Spreader tells others what a table holds.
-type Spreader struct {
+// Gossiper tells others what a table holds.
+type Gossiper struct {
 	*Table
 	rng    *rand.PCG
 	most   int // bytes of a message
@@ -61,56 +61,56 @@
 	pushes int // and of that for news
 	peers  []Peer
 	turn   int
-	out    []Send
+	out    []Message
 	acks   map[string][]*entry // to be told to who gave or sent them
 	told   bool
 	none   int   // periods in which nobody knew anything
 	Sent   int64 // messages
 }
 
-// NewSpreader returns a spreader whose messages have so many bytes at most.
-func NewSpreader(t *Table, seed uint64, most int) *Spreader {
-	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), most: most,
+// NewGossiper returns a spreader whose messages have so many bytes at most.
+func NewGossiper(t *Table, seed uint64, most int) *Gossiper {
+	return &Gossiper{Table: t, rng: rand.NewPCG(seed, 3), most: most,
 		acks: map[string][]*entry{}}
 }
 
-// Announce is what others are told: the digest, once this member knows what they hold.
-func (s *Spreader) Announce() uint32 {
+// AnnouncedDigest is what others are told: the digest, once this member knows what they hold.
+func (s *Gossiper) AnnouncedDigest() uint32 {
 	if !s.told {
 		return Untold
 	}
 	return s.Digest()
 }
 
-// Told tells that another member's table has been taken in, or that there is none to take.
-func (s *Spreader) Told() bool { return s.told }
+// Synced tells that another member's table has been taken in, or that there is none to take.
+func (s *Gossiper) Synced() bool { return s.told }
 
-// Take hands over what is to be sent and carried out.
-func (s *Spreader) Take() ([]Send, []Change) {
+// TakePending hands over what is to be sent and carried out.
+func (s *Gossiper) TakePending() ([]Message, []Change) {
 	s.flushAcks()
 	out := s.out
 	s.out = nil
 	return out, s.Table.Take()
 }
 
-func (s *Spreader) send(to string, b []byte) bool {
+func (s *Gossiper) send(to string, b []byte) bool {
 	if s.left <= 0 {
 		return false
 	}
 	s.left--
 	s.Sent++
-	s.out = append(s.out, Send{To: to, Data: b})
+	s.out = append(s.out, Message{To: to, Data: b})
 	return true
 }
 
 // Tick is to be called once a period with those that are alive.
-func (s *Spreader) Tick(now Micros, peers []Peer) {
+func (s *Gossiper) Tick(now Micros, peers []Peer) {
 	s.peers = peers
 	s.left, s.pushes = budget, budget
 	s.Expire(now)
 	alive := make(map[string]uint32, len(peers))
 	for _, p := range peers {
-		alive[p.Name] = p.Sum
+		alive[p.Name] = p.Digest
 	}
 	all := true
 	for _, e := range s.entries {
@@ -125,14 +125,14 @@
 	var differ []Peer
 	untold, knows := 0, 0
 	for _, p := range peers {
-		if p.Sum != 0 && p.Sum != Untold {
+		if p.Digest != 0 && p.Digest != Untold {
 			knows++
 		}
 		switch {
-		case p.Sum == 0:
-		case p.Sum == Untold: // it asks by itself, and its own table tells nothing
+		case p.Digest == 0:
+		case p.Digest == Untold: // it asks by itself, and its own table tells nothing
 			untold++
-		case p.Sum == s.Digest():
+		case p.Digest == s.Digest():
 			s.holder(p.Name)
 			s.told = s.told || all
 		default:
@@ -152,7 +152,7 @@
 }
 
 // holder books that a member holds all that is carried out here.
-func (s *Spreader) holder(who string) {
+func (s *Gossiper) holder(who string) {
 	for _, e := range s.entries {
 		if e.applied {
 			e.held[who] = true
@@ -161,7 +161,7 @@
 }
 
 // spread sends what this member gave itself to those that are not known to hold it, one after the other.
-func (s *Spreader) spread(now Micros, most int) {
+func (s *Gossiper) spread(now Micros, most int) {
 	for range s.peers {
 		s.turn++
 		p := s.peers[s.turn%len(s.peers)].Name
@@ -188,7 +188,7 @@
 }
 
 // Push sends an entry that is new here to some at once: to all if this member gave it and they are few.
-func (s *Spreader) Push(now Micros, v Verdict) {
+func (s *Gossiper) Push(now Micros, v Verdict) {
 	i, ok := s.find(&v)
 	if !ok || len(s.peers) == 0 {
 		return
@@ -204,7 +204,7 @@
 				return // much is said at once: the next periods carry it
 			}
 			s.Sent++
-			s.out = append(s.out, Send{To: p.Name, Data: s.append([]byte{msgEntries}, now, s.entries[i])})
+			s.out = append(s.out, Message{To: p.Name, Data: s.append([]byte{msgEntries}, now, s.entries[i])})
 		}
 	}
 }
@@ -212,7 +212,7 @@
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // append adds an entry to a message; it is returned as it was where there is no room.
-func (s *Spreader) append(b []byte, now Micros, e *entry) []byte {
+func (s *Gossiper) append(b []byte, now Micros, e *entry) []byte {
 	was := len(b)
 	flags := byte(0)
 	if e.On {
@@ -251,14 +251,14 @@
 	v.Stamp = r.U64()
 	a, span := r.U64(), r.U64()
 	v.What, v.Member, v.By, v.Reason = r.Text(MaxWhat), r.Text(maxMember), r.Text(MaxBy), r.Text(MaxReason)
-	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > Path || v.What == "" || a > ageMost ||
+	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > SickPath || v.What == "" || a > ageMost ||
 		span > ageMost
 	v.Span = Micros(span)
 	return v, Micros(a)
 }
 
 // Receive takes in a message of another member. It returns false where that is none.
-func (s *Spreader) Receive(now Micros, from string, data []byte) bool {
+func (s *Gossiper) Receive(now Micros, from string, data []byte) bool {
 	if len(data) == 0 {
 		return false
 	}
@@ -322,7 +322,7 @@
 }
 
 // Applied tells that a verdict is carried out here; who gave it waits to hear that.
-func (s *Spreader) Applied(v Verdict) {
+func (s *Gossiper) Applied(v Verdict) {
 	s.Table.Applied(v)
 	if i, ok := s.find(&v); ok && s.entries[i].applied && v.Member != s.self {
 		s.acks[v.Member] = append(s.acks[v.Member], s.entries[i])
@@ -330,7 +330,7 @@
 }
 
 // flushAcks tells who gave or sent something that it is carried out here.
-func (s *Spreader) flushAcks() {
+func (s *Gossiper) flushAcks() {
 	for _, to := range slices.Sorted(maps.Keys(s.acks)) {
 		for list := s.acks[to]; len(list) > 0; {
 			b := []byte{msgAck}
@@ -339,14 +339,14 @@
 				b = binary.LittleEndian.AppendUint64(b, list[0].Stamp)
 				list = list[1:]
 			}
-			s.out = append(s.out, Send{To: to, Data: b})
+			s.out = append(s.out, Message{To: to, Data: b})
 		}
 	}
 	clear(s.acks)
 }
 
 // bucketSums are the sums of the buckets, by hash.
-func (s *Spreader) bucketSums(salt uint32) (sums [buckets]uint16) {
+func (s *Gossiper) bucketSums(salt uint32) (sums [buckets]uint16) {
 	for _, e := range s.entries {
 		sums[e.hash>>26] += uint16(e.salted(salt))
 	}
@@ -355,7 +355,7 @@
 
 // sums asks a member where its table differs. The salt makes that two different buckets look alike once at
 // the most.
-func (s *Spreader) sums(to string) {
+func (s *Gossiper) sums(to string) {
 	salt := uint32(s.rng.Uint64())
 	b := binary.LittleEndian.AppendUint32([]byte{msgSums}, salt)
 	for _, x := range s.bucketSums(salt) {
@@ -365,7 +365,7 @@
 }
 
 // list sends the stamps in the buckets that differ, in datagrams that each tell which hashes they cover.
-func (s *Spreader) list(to string, salt uint32, theirs []byte) {
+func (s *Gossiper) list(to string, salt uint32, theirs []byte) {
 	mine := s.bucketSums(salt)
 	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
@@ -411,7 +411,7 @@
 
 // compare holds another's stamps in a range against one's own: what it lacks is sent, what is lacking here is
 // asked for.
-func (s *Spreader) compare(now Micros, from string, r *datagram.Reader) bool {
+func (s *Gossiper) compare(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
 	for len(r.B) > 0 && !r.Bad {
@@ -452,7 +452,7 @@
 }
 
 // entriesTo sends the entries that are chosen, as many to a datagram as fit.
-func (s *Spreader) entriesTo(now Micros, to string, chosen func(e *entry) bool) {
+func (s *Gossiper) entriesTo(now Micros, to string, chosen func(e *entry) bool) {
 	b := []byte{msgEntries}
 	for _, e := range s.entries {
 		if !chosen(e) {
--- a/internal/verdict/table.go
+++ b/internal/verdict/table.go
@@ -35,8 +35,8 @@
 	Prefix                 // of clients' addresses
 	// Setting is a member's own settings of something that all have: What is NAME@MEMBER, Reason the text.
 	Setting
-	Sick // a data node that members have found sick, see Jury
-	Path // the same for the members of a zone: What is NODE@ZONE
+	SickNode // a data node that members have found sick, see Jury
+	SickPath // the same for the members of a zone: What is NODE@ZONE
 )
 
 // Word is what a verdict on a prefix says.
@@ -56,9 +56,9 @@
 		return "prefix_banned"
 	case v.Kind == Setting:
 		return "setting"
-	case v.Kind == Sick:
+	case v.Kind == SickNode:
 		return "node_sick"
-	case v.Kind == Path:
+	case v.Kind == SickPath:
 		return "path_sick"
 	}
 	return "node_out"
@@ -66,8 +66,8 @@
 
 // Errors of Say.
 var (
-	ErrFull = errors.New("no room for another verdict")
-	ErrForm = errors.New("a name is missing or too long")
+	ErrFull    = errors.New("no room for another verdict")
+	ErrInvalid = errors.New("a name is missing or too long")
 )
 
 // Verdict is what is said of one thing.
@@ -110,9 +110,9 @@
 // Change tells that something is in force, or not any more, and has to be carried out; then Applied has to be
 // called with the same verdict.
 type Change struct {
-	Verdict Verdict
-	Holds   bool
-	Left    Micros // for how much longer; 0: until it is taken back
+	Verdict   Verdict
+	InForce   bool
+	Remaining Micros // for how much longer; 0: until it is taken back
 }
 
 // Table is all verdicts that a member knows.
@@ -134,11 +134,11 @@
 	})
 }
 
-// Say gives a verdict at this member. wall is its wall clock in milliseconds, which only orders verdicts that
+// Issue gives a verdict at this member. wall is its wall clock in milliseconds, which only orders verdicts that
 // do not know of one another.
-func (t *Table) Say(now Micros, wall int64, v Verdict) (Verdict, error) {
+func (t *Table) Issue(now Micros, wall int64, v Verdict) (Verdict, error) {
 	if v.What == "" || len(v.What) > MaxWhat || len(v.By) > MaxBy || len(v.Reason) > MaxReason || v.Span < 0 {
-		return v, ErrForm
+		return v, ErrInvalid
 	}
 	t.clock = max(t.clock, uint64(max(0, wall))<<counterBit) + 1
 	v.Stamp, v.Member = t.clock, t.self
@@ -174,9 +174,9 @@
 	}
 	*e = entry{Verdict: v, hash: hashOf(&v), born: now - age, held: map[string]bool{}}
 	e.ended = !v.holds(age)
-	c := Change{Verdict: v, Holds: !e.ended}
+	c := Change{Verdict: v, InForce: !e.ended}
 	if v.Span > 0 {
-		c.Left = max(0, v.Span-age)
+		c.Remaining = max(0, v.Span-age)
 	}
 	t.changes = append(t.changes, c)
 	return true
@@ -265,16 +265,16 @@
 	return xxhash.Sum64(b)
 }
 
-// Line is one verdict as operators see it.
-type Line struct {
+// Status is one verdict as operators see it.
+type Status struct {
 	Verdict
-	Age  Micros
-	Held []string // members that are known to hold it, this one among them if it does
+	Age    Micros
+	HeldBy []string // members that are known to hold it, this one among them if it does
 }
 
-// Lines are all verdicts that are in force.
-func (t *Table) Lines(now Micros) []Line {
-	var out []Line
+// InForce are all verdicts that are in force.
+func (t *Table) InForce(now Micros) []Status {
+	var out []Status
 	for _, e := range t.entries {
 		if e.holds(now - e.born) {
 			out = append(out, t.line(now, e))
@@ -295,24 +295,24 @@
 	return out
 }
 
-// Line is the entry on a thing, in force or not.
-func (t *Table) Line(now Micros, kind Kind, what string) (Line, bool) {
+// Lookup is the entry on a thing, in force or not.
+func (t *Table) Lookup(now Micros, kind Kind, what string) (Status, bool) {
 	i, ok := t.find(&Verdict{Kind: kind, What: what})
 	if !ok {
-		return Line{}, false
+		return Status{}, false
 	}
 	return t.line(now, t.entries[i]), true
 }
 
-func (t *Table) line(now Micros, e *entry) Line {
-	l := Line{Verdict: e.Verdict, Age: now - e.born}
+func (t *Table) line(now Micros, e *entry) Status {
+	l := Status{Verdict: e.Verdict, Age: now - e.born}
 	for who := range e.held {
-		l.Held = append(l.Held, who)
+		l.HeldBy = append(l.HeldBy, who)
 	}
 	if e.applied {
-		l.Held = append(l.Held, t.self)
+		l.HeldBy = append(l.HeldBy, t.self)
 	}
-	slices.Sort(l.Held)
+	slices.Sort(l.HeldBy)
 	return l
 }
 
@@ -322,8 +322,8 @@
 	Age Micros
 }
 
-// Save is the whole table.
-func (t *Table) Save(now Micros) []Saved {
+// Snapshot is the whole table.
+func (t *Table) Snapshot(now Micros) []Saved {
 	out := make([]Saved, 0, len(t.entries))
 	for _, e := range t.entries {
 		out = append(out, Saved{Verdict: e.Verdict, Age: now - e.born})
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -64,8 +64,8 @@
 		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two who speak
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
-				one, _ := tables[0].Say(0, 1_000_000, node("n", true))
-				two, _ := tables[1].Say(0, 1_000_000+gap, node("n", false))
+				one, _ := tables[0].Issue(0, 1_000_000, node("n", true))
+				two, _ := tables[1].Issue(0, 1_000_000+gap, node("n", false))
 				for i, table := range tables {
 					list := []Verdict{one, two}
 					if order>>i&1 == 1 {
@@ -82,8 +82,8 @@
 					}
 				}
 				for _, table := range tables[1:] {
-					if l, _ := table.Line(0, Node, "n"); l.On != func() bool {
-						x, _ := tables[0].Line(0, Node,
+					if l, _ := table.Lookup(0, Node, "n"); l.On != func() bool {
+						x, _ := tables[0].Lookup(0, Node,
 							"n")
 						return x.On
 					}() {
@@ -105,13 +105,13 @@
 // Who has seen a verdict has the last word, although their clock is minutes behind, or has jumped back.
 func TestTheLastWordIsTheLast(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v, _ := a.Say(0, 9_000_000, node("n", true))
+	v, _ := a.Issue(0, 9_000_000, node("n", true))
 	b.Merge(0, v, 0)
-	w, _ := b.Say(0, 1_000, node("n", false)) // its clock is far behind
+	w, _ := b.Issue(0, 1_000, node("n", false)) // its clock is far behind
 	if !a.Merge(0, w, 0) {
 		t.Fatal("the later word is not taken")
 	}
-	x, _ := a.Say(0, 500, node("n", true)) // a's clock has jumped
+	x, _ := a.Issue(0, 500, node("n", true)) // a's clock has jumped
 	if !b.Merge(0, x, 0) || !x.after(&w) {
 		t.Fatal("a clock that jumped back has the last word no more")
 	}
@@ -123,20 +123,20 @@
 	a, b := NewTable("a"), NewTable("b")
 	v := node("n", true)
 	v.Span = 10 * second
-	v, _ = a.Say(0, 1, v)
+	v, _ = a.Issue(0, 1, v)
 	b.Merge(4*second, v, 4*second)
 	a.Take()
 	b.Take()
 	for _, table := range []*Table{a, b} {
 		table.Expire(9 * second)
-		if len(table.Take()) > 0 || len(table.Lines(9*second)) != 1 {
+		if len(table.Take()) > 0 || len(table.InForce(9*second)) != 1 {
 			t.Fatal("it ends early")
 		}
 		table.Expire(10 * second)
-		if c := table.Take(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
+		if c := table.Take(); len(c) != 1 || c[0].InForce || len(table.InForce(10*second)) != 0 {
 			t.Fatalf("%+v", c)
 		}
-		if table.Merge(11*second, v, second) || len(table.Lines(11*second)) > 0 {
+		if table.Merge(11*second, v, second) || len(table.InForce(11*second)) > 0 {
 			t.Fatal("a late datagram brings it back")
 		}
 		table.Expire(10*second + KeepEnded)
@@ -152,17 +152,17 @@
 func TestTheTableIsBounded(t *testing.T) {
 	table := NewTable("a")
 	for i := range Most {
-		if _, err := table.Say(0, 0, node(fmt.Sprint("n", i), i > 0)); err != nil {
+		if _, err := table.Issue(0, 0, node(fmt.Sprint("n", i), i > 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := table.Say(0, 0, node("one more", true)); err != nil {
+	if _, err := table.Issue(0, 0, node("one more", true)); err != nil {
 		t.Fatal("the one that was taken back did not make way:", err)
 	}
-	if _, err := table.Say(0, 0, node("and one", true)); err == nil || table.Len() != Most {
+	if _, err := table.Issue(0, 0, node("and one", true)); err == nil || table.Len() != Most {
 		t.Fatalf("%d entries", table.Len())
 	}
-	if _, err := table.Say(0, 0, node("", true)); err == nil {
+	if _, err := table.Issue(0, 0, node("", true)); err == nil {
 		t.Fatal("a verdict on nothing")
 	}
 }
@@ -170,7 +170,7 @@
 // net is some members whose messages get lost now and then.
 type net struct {
 	now   Micros
-	all   []*Spreader
+	all   []*Gossiper
 	rng   *rand.Rand
 	loss  float64
 	sent  int
@@ -180,7 +180,7 @@
 func newNet(n int, loss float64, seed uint64) *net {
 	w := &net{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss, sides: func(int, int) bool { return true }}
 	for i := range n {
-		w.all = append(w.all, NewSpreader(NewTable(name(i)), seed+uint64(i), most))
+		w.all = append(w.all, NewGossiper(NewTable(name(i)), seed+uint64(i), most))
 	}
 	return w
 }
@@ -199,11 +199,11 @@
 			p := Peer{Name: name(j)}
 			for _, known := range s.peers {
 				if known.Name == p.Name {
-					p.Sum = known.Sum
+					p.Digest = known.Digest
 				}
 			}
 			if w.rng.IntN(len(w.all)) < 3 { // heard lately
-				p.Sum = o.Announce()
+				p.Digest = o.AnnouncedDigest()
 			}
 			peers = append(peers, p)
 		}
@@ -212,7 +212,7 @@
 	for more := true; more; {
 		more = false
 		for i, s := range w.all {
-			sends, changes := s.Take()
+			sends, changes := s.TakePending()
 			for _, c := range changes {
 				s.Applied(c.Verdict)
 				s.Push(w.now, c.Verdict)
@@ -264,7 +264,7 @@
 		w := newNet(n, 0.3, uint64(n))
 		if w.until(200, func() bool {
 			for _, s := range w.all {
-				if !s.Told() {
+				if !s.Synced() {
 					return false
 				}
 			}
@@ -272,7 +272,7 @@
 		}) < 0 {
 			t.Fatal("a fleet that starts anew never finds that there is nothing to be told")
 		}
-		v, err := w.all[0].Say(w.now, 1, node("n", true))
+		v, err := w.all[0].Issue(w.now, 1, node("n", true))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -282,7 +282,7 @@
 		}
 		took := w.until(limit, func() bool {
 			for _, s := range w.all {
-				if len(s.Lines(w.now)) != 1 {
+				if len(s.InForce(w.now)) != 1 {
 					return false
 				}
 			}
@@ -292,11 +292,11 @@
 			t.Fatalf("%d members: not within %d periods", n, limit)
 		}
 		t.Logf("%d members: %d periods", n, took)
-		if w.until(20*limit, func() bool { l, _ := w.all[0].Line(w.now, Node, "n"); return len(l.Held) == n }) < 0 {
+		if w.until(20*limit, func() bool { l, _ := w.all[0].Lookup(w.now, Node, "n"); return len(l.HeldBy) == n }) < 0 {
 			t.Fatal("its giver never learns who holds it")
 		}
-		w.all[0] = NewSpreader(NewTable(name(0)), 99, most) // the giver starts anew
-		if w.until(limit+4, func() bool { return len(w.all[0].Lines(w.now)) == 1 && w.all[0].Told() }) < 0 {
+		w.all[0] = NewGossiper(NewTable(name(0)), 99, most) // the giver starts anew
+		if w.until(limit+4, func() bool { return len(w.all[0].InForce(w.now)) == 1 && w.all[0].Synced() }) < 0 {
 			t.Fatal("who starts from nothing is not told")
 		}
 		if w.all[0].entries[0].Stamp != v.Stamp {
@@ -309,28 +309,28 @@
 // and where nobody does, each goes on after a few periods.
 func TestTheUntoldDoNotTellEachOther(t *testing.T) {
 	w := newNet(6, 0, 9)
-	if w.until(30, func() bool { return w.all[5].Told() }) < untoldFor {
+	if w.until(30, func() bool { return w.all[5].Synced() }) < untoldFor {
 		t.Fatal("told at once, by those who know nothing")
 	}
 	for range 10 {
 		w.round()
 	}
-	if _, err := w.all[0].Say(w.now, 1, node("n", true)); err != nil {
+	if _, err := w.all[0].Issue(w.now, 1, node("n", true)); err != nil {
 		t.Fatal(err)
 	}
 	w.round()
 	for i := 1; i < 6; i++ {
-		w.all[i] = NewSpreader(NewTable(name(i)), uint64(50+i), most)
+		w.all[i] = NewGossiper(NewTable(name(i)), uint64(50+i), most)
 	}
 	for range 20 {
 		w.round()
 		for _, s := range w.all {
-			if s.Told() && len(s.Lines(w.now)) != 1 {
+			if s.Synced() && len(s.InForce(w.now)) != 1 {
 				t.Fatal("held to be told, and knows nothing")
 			}
 		}
 	}
-	if !w.all[5].Told() {
+	if !w.all[5].Synced() {
 		t.Fatal("never told")
 	}
 }
@@ -342,7 +342,7 @@
 		w.round()
 	}
 	for i := range 1000 {
-		if _, err := w.all[i%3].Say(w.now, 1, node(fmt.Sprintf("node-%04d", i), true)); err != nil {
+		if _, err := w.all[i%3].Issue(w.now, 1, node(fmt.Sprintf("node-%04d", i), true)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -353,8 +353,8 @@
 	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes a member and period", took, w.sent/8/max(1, took))
 	w.sides = func(i, j int) bool { return (i < 4) == (j < 4) }
 	for i := range 60 {
-		_, _ = w.all[0].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i), false))
-		_, _ = w.all[7].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i+30), false))
+		_, _ = w.all[0].Issue(w.now, 5, node(fmt.Sprintf("node-%04d", i), false))
+		_, _ = w.all[7].Issue(w.now, 5, node(fmt.Sprintf("node-%04d", i+30), false))
 		w.round()
 	}
 	w.sides = func(int, int) bool { return true }
@@ -366,21 +366,21 @@
 func FuzzReceive(f *testing.F) {
 	w := newNet(2, 0, 3)
 	w.round()
-	_, _ = w.all[0].Say(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
+	_, _ = w.all[0].Issue(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
 		Span: 60 * second})
 	for _, s := range w.all {
-		s.Tick(w.now, []Peer{{Name: name(0), Sum: 5}, {Name: name(1), Sum: 7}})
-		sends, _ := s.Take()
+		s.Tick(w.now, []Peer{{Name: name(0), Digest: 5}, {Name: name(1), Digest: 7}})
+		sends, _ := s.TakePending()
 		for _, m := range sends {
 			f.Add(m.Data)
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewSpreader(NewTable("z"), 1, most)
-		s.Tick(0, []Peer{{Name: "y", Sum: 9}})
-		_, _ = s.Say(0, 1, node("n", true))
+		s := NewGossiper(NewTable("z"), 1, most)
+		s.Tick(0, []Peer{{Name: "y", Digest: 9}})
+		_, _ = s.Issue(0, 1, node("n", true))
 		s.Receive(second, "y", data)
-		sends, _ := s.Take()
+		sends, _ := s.TakePending()
 		for _, m := range sends {
 			if len(m.Data) > most {
 				t.Fatalf("%d bytes", len(m.Data))
@@ -395,7 +395,7 @@
 func BenchmarkMerge(b *testing.B) {
 	table := NewTable("a")
 	for i := range 1000 {
-		_, _ = table.Say(0, 0, node(fmt.Sprintf("node-%04d", i), true))
+		_, _ = table.Issue(0, 0, node(fmt.Sprintf("node-%04d", i), true))
 	}
 	v := node("node-0500", true)
 	v.Member = "b"
--- a/internal/verdict/witness.go
+++ b/internal/verdict/witness.go
@@ -19,23 +19,23 @@
 	mostKinds   = 256  // classes whose usual time is kept
 )
 
-// Ending is how an attempt at a node ended, as evidence sees it.
-type Ending uint8
+// Outcome is how an attempt at a node ended, as evidence sees it.
+type Outcome uint8
 
 // The endings that count. What a node turns away because it is full is none of them: overload is no sickness.
 const (
-	Served  Ending = iota // late, if it took long
-	Broken                // an error, a lost connection, or none
-	Unheard               // no answer in its time; late only if that was long
-	GivenUp               // withdrawn: late if it had taken long by then, else nothing
-	Beaten                // withdrawn, as an attempt of the same part that was sent later has been answered
+	Served    Outcome = iota // late, if it took long
+	Failed                   // an error, a lost connection, or none
+	TimedOut                 // no answer in its time; late only if that was long
+	Cancelled                // withdrawn: late if it had taken long by then, else nothing
+	HedgeWon                 // withdrawn, as an attempt of the same part that was sent later has been answered
 )
 
 // Tally is what one member has seen of one node: the bad outcomes of the present bout, and the good ones
 // since that began or since a judge has asked about, whichever are more.
 type Tally struct {
 	Good, Bad, Late uint16
-	First           uint16 // how many periods ago the first bad one was
+	FirstBadAge     uint16 // how many periods ago the first bad one was
 }
 
 // sick tells that more was bad than good.
@@ -89,10 +89,10 @@
 	return took >= lateLeast && float64(took) > lateBy*m
 }
 
-// See takes in how an attempt at a node ended that took so long.
-func (w *Witness) See(now Micros, node uint64, class int, e Ending, took Micros) {
+// Observe takes in how an attempt at a node ended that took so long.
+func (w *Witness) Observe(now Micros, node uint64, class int, e Outcome, took Micros) {
 	late := w.late(class, took, e == Served)
-	if e == GivenUp && !late || e == Unheard && !late && took < lateLeast {
+	if e == Cancelled && !late || e == TimedOut && !late && took < lateLeast {
 		return
 	}
 	n := w.nodes[node]
@@ -111,7 +111,7 @@
 		n.served(w.slot(now))
 		return
 	}
-	if e == Beaten {
+	if e == HedgeWon {
 		if n.beaten++; n.beaten < beatenLeast {
 			return
 		}
@@ -120,7 +120,7 @@
 		n.first, n.well = now, 0
 	}
 	n.last, n.row = now, 0
-	if e == Broken || e == Unheard {
+	if e == Failed || e == TimedOut {
 		n.bad++
 	} else {
 		n.late++
@@ -178,11 +178,11 @@
 		return Tally{Good: short(good)}
 	}
 	return Tally{Good: short(max(good, n.well)), Bad: short(n.bad), Late: short(n.late),
-		First: short(int((now - n.first) / w.period))}
+		FirstBadAge: short(int((now - n.first) / w.period))}
 }
 
-// Bouts are the nodes with bad outcomes of late, by id.
-func (w *Witness) Bouts() (ids []uint64) {
+// FailingNodes are the nodes with bad outcomes of late, by id.
+func (w *Witness) FailingNodes() (ids []uint64) {
 	for id, n := range w.nodes {
 		if n.bad+n.late > 0 {
 			ids = append(ids, id)
