--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -99,7 +99,7 @@
 			actions = in.b.Step(batch.Now, in.events, actions[:0])
 			in.events = in.events[:0]
 			if len(actions) > 0 {
-				reply.From(id)
+				reply.SetInstance(id)
 			}
 			for _, a := range actions {
 				reply.Action(a)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -58,7 +58,7 @@
 // Gate is who is let in, as far as the door asks.
 type Gate interface {
 	Figures(n int) any
-	Hold(p netip.Prefix, pinned bool, span time.Duration)
+	BanOrPin(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
 }
 
@@ -133,7 +133,7 @@
 				say(400, "the time has to be one such as 10m, of a year at most")
 				return true
 			}
-			g.Hold(p, call == "/pin", t)
+			g.BanOrPin(p, call == "/pin", t)
 		}
 		d.log.Info("operator's word on a prefix", "call", call[1:], "prefix", p, "for", span)
 		say(200, "done")
@@ -150,7 +150,7 @@
 		say(500, err.Error())
 		return
 	}
-	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b, Close: true})
+	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b, Close: true})
 }
 
 // fleet takes a call about the fleet. It returns false where there is none, or no such call.
@@ -254,7 +254,7 @@
 		if c.Wait > 0 && !all {
 			status = 202
 		}
-		x.Reply(lnet.Response{Status: status, Type: "application/json", Body: b, Close: true})
+		x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: b, Close: true})
 	}
 }
 
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -145,7 +145,7 @@
 		case "/refused":
 			e.Reply(lnet.Response{Status: 503, Header: [][2]string{{"Retry-After", "0.2"}}, Body: []byte("no")})
 		default:
-			e.Reply(lnet.Response{Status: 200, Type: "application/json", Body: r.Body})
+			e.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: r.Body})
 		}
 		return func() {
 			x.mu.Lock()
@@ -198,15 +198,15 @@
 		r.Header["Retry-After"] != "0.2" || !r.Reuse {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if x.s.Open() != 1 || budget.Used() != 1 {
-		t.Errorf("%d connections, %d descriptors", x.s.Open(), budget.Used())
+	if x.s.OpenConns() != 1 || budget.InUse() != 1 {
+		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
 	}
 	x.s.Wind()
 	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
 		t.Fatalf("while ending: %+v, %v", r, err)
 	}
-	if !x.s.Wait(5*time.Second) || budget.Used() != 0 {
-		t.Errorf("%d connections, %d descriptors", x.s.Open(), budget.Used())
+	if !x.s.Wait(5*time.Second) || budget.InUse() != 0 {
+		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
 	}
 }
 
@@ -249,7 +249,7 @@
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "its end", func() bool { return x.s.Open() == 0 })
+			standin.Until(t, "its end", func() bool { return x.s.OpenConns() == 0 })
 			b := standin.DialAJP(t, x.s.Addr())
 			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
 				t.Errorf("the next one: %+v, %v", r, err)
@@ -269,7 +269,7 @@
 	b := standin.DialAJP(t, x.s.Addr())
 	b.Raw(standin.AJPPacket(forward())[:30])
 	b.Close()
-	standin.Until(t, "the end", func() bool { return x.s.Open() == 0 })
+	standin.Until(t, "the end", func() bool { return x.s.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
@@ -307,6 +307,6 @@
 			return false
 		})
 		end(x.s)
-		standin.Until(t, name+": the place", func() bool { return x.s.Open() == 0 && budget.Used() == 0 })
+		standin.Until(t, name+": the place", func() bool { return x.s.OpenConns() == 0 && budget.InUse() == 0 })
 	}
 }
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -50,9 +50,9 @@
 	last    atomic.Int64 // when a request last came, in nanoseconds since then
 	mu      sync.Mutex   // guards conns
 	conns   map[*conn]struct{}
-	// Keeper, if set before Serve, says who is let in.
-	Keeper *lnet.Keeper
-	turned atomic.Int64 // connections that are just being refused
+	// Admission, if set before Serve, says who is let in.
+	Admission *lnet.AdmissionController
+	turned    atomic.Int64 // connections that are just being refused
 }
 
 // Listen starts to listen on an address and on nothing else.
@@ -85,18 +85,18 @@
 		}
 		k := &conn{s: s, c: c, packets: make(chan packet), over: make(chan struct{})}
 		var after time.Duration
-		if s.Keeper != nil {
-			k.guest, k.held, after = s.Keeper.Enter(c, s.budget, k.yield)
+		if s.Admission != nil {
+			k.guest, k.held, after = s.Admission.Admit(c, s.budget, k.yield)
 		} else {
-			k.held = s.budget.TakeClient()
+			k.held = s.budget.AcquireClient()
 		}
 		if !k.held {
-			if s.Keeper != nil && s.turned.Add(1) <= lnet.SpareMost {
+			if s.Admission != nil && s.turned.Add(1) <= lnet.MaxOverflow {
 				go k.read()
 				go k.turn(after)
 				continue
 			}
-			if s.Keeper != nil {
+			if s.Admission != nil {
 				s.turned.Add(-1)
 			}
 			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
@@ -131,8 +131,8 @@
 	}
 }
 
-// Open counts the connections.
-func (s *Server) Open() int {
+// OpenConns counts the connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -140,7 +140,7 @@
 
 // Wait waits until every connection has ended, or until the time is over.
 func (s *Server) Wait(most time.Duration) bool {
-	for end := time.Now().Add(most); s.Open() > 0; time.Sleep(waitStep) {
+	for end := time.Now().Add(most); s.OpenConns() > 0; time.Sleep(waitStep) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -162,7 +162,7 @@
 	over    chan struct{} // closed when serve has ended
 	busy    atomic.Bool   // in the middle of a request
 	held    bool          // has a place in the budget
-	guest   lnet.Guest
+	guest   lnet.AdmittedConn
 	mu      sync.Mutex // guards begun, yielded
 	begun   bool       // something of a packet has come and is not done with
 	yielded bool
@@ -258,7 +258,7 @@
 		c.s.mu.Lock()
 		delete(c.s.conns, c)
 		c.s.mu.Unlock()
-		c.guest.Leave()
+		c.guest.Release()
 		c.s.budget.ReleaseClient()
 	}()
 	limit := requestLimit // of the first packet: who connects has something to say
@@ -267,11 +267,11 @@
 		limit = idleLimit
 		if err == nil {
 			c.busy.Store(true)
-			c.guest.Use()
+			c.guest.MarkBusy()
 			err = c.exchange(payload)
 			c.begin(false)
 			c.busy.Store(false)
-			c.guest.Rest()
+			c.guest.MarkIdle()
 		}
 		switch {
 		case err == nil: // also while the server ends: the reply has told that the connection goes on
@@ -325,14 +325,14 @@
 	}
 	var refused *lnet.BadMessage
 	if r.Body, err = c.body(r.Header); errors.As(err, &refused) {
-		c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", refused.What)
-		return c.answer(lnet.Response{Status: refused.Status, Body: []byte(refused.What + "\n"), Close: true},
+		c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", refused.Detail)
+		return c.answer(lnet.Response{Status: refused.Status, Body: []byte(refused.Detail + "\n"), Close: true},
 			false)
 	} else if err != nil {
 		return err
 	}
-	r.At = time.Now()
-	c.s.last.Store(int64(r.At.Sub(c.s.begun)))
+	r.ReceivedAt = time.Now()
+	c.s.last.Store(int64(r.ReceivedAt.Sub(c.s.begun)))
 	x, reply := lnet.NewExchange(c.c)
 	gone := c.s.handle(r, x)
 	leave := func(err error) error {
@@ -365,7 +365,7 @@
 // others are asked for one by one.
 func (c *conn) body(h textproto.MIMEHeader) ([]byte, error) {
 	refuse := func(status int, format string, args ...any) ([]byte, error) {
-		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
 	lengths, codings := h["Content-Length"], h["Transfer-Encoding"]
 	length := -1
@@ -431,13 +431,13 @@
 
 // answer writes a reply. Where it says so, or the server ends, the connection ends with it.
 func (c *conn) answer(r lnet.Response, headOnly bool) error {
-	kind := r.Type
+	kind := r.ContentType
 	if kind == "" {
 		kind = "text/plain; charset=utf-8"
 	}
 	header := [][2]string{{"Content-Type", kind}, {"Content-Length", strconv.Itoa(len(r.Body))}}
 	header = append(header, r.Header...)
-	b := AppendHeaders(nil, r.Status, lnet.Reason(r.Status), header)
+	b := AppendHeaders(nil, r.Status, lnet.ReasonPhrase(r.Status), header)
 	if !headOnly {
 		b = AppendBody(b, r.Body, c.s.o.Size)
 	}
--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -33,27 +33,27 @@
 
 // Config bounds the connections.
 type Config struct {
-	Streams     int           // calls that one connection carries at a time, at most
-	Conns       int           // connections to one node
-	Queue       int           // calls that wait for a node beyond what its connections carry
-	MaxValue    int           // bytes of a value
-	DialTimeout time.Duration // until the settings are there, TLS included
-	Idle        time.Duration // after which a connection without calls is closed
-	WriteLimit  time.Duration // of one write
+	StreamsPerConn int           // calls that one connection carries at a time, at most
+	ConnsPerNode   int           // connections to one node
+	QueuePerNode   int           // calls that wait for a node beyond what its connections carry
+	MaxValue       int           // bytes of a value
+	DialTimeout    time.Duration // until the settings are there, TLS included
+	IdleTimeout    time.Duration // after which a connection without calls is closed
+	WriteTimeout   time.Duration // of one write
 }
 
-// Call is what a query tells of itself: Query.Data has to be one.
-type Call interface {
+// QueryInfo is what a query tells of itself: Query.Data has to be one.
+type QueryInfo interface {
 	// ClassName is its class's.
 	ClassName() string
-	// Note hears why an attempt brought nothing that can be used.
-	Note(translate.Reason)
+	// RecordFailure hears why an attempt brought nothing that can be used.
+	RecordFailure(translate.Reason)
 }
 
 // Backend is the way to the nodes.
 type Backend struct {
 	cfg    Config
-	keys   *Keyring
+	keys   *Credentials
 	budget *lnet.Budget
 	log    *slog.Logger
 	count  *core.Counts
@@ -66,7 +66,7 @@
 }
 
 // New returns the way to nodes that Learn will tell of. keys may be nil where no node is reached by TLS.
-func New(cfg Config, keys *Keyring, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
+func New(cfg Config, keys *Credentials, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
 	return &Backend{cfg: cfg, keys: keys, budget: budget, log: log, count: count, tally: tally, post: post,
 		nodes: map[balance.ReplicaID]*node{}, out: map[*core.Attempt]*conn{}}
@@ -106,9 +106,9 @@
 	return append([]*conn(nil), n.conns...)
 }
 
-// Learn takes in where all nodes are. Connections to those that are gone or have moved take nothing new; what
+// SetTargets takes in where all nodes are. Connections to those that are gone or have moved take nothing new; what
 // is out on them comes to its end.
-func (b *Backend) Learn(list []Target) {
+func (b *Backend) SetTargets(list []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.nodes
@@ -140,8 +140,8 @@
 	}
 }
 
-// Rekey has new calls go out on connections that are opened with the keys of now.
-func (b *Backend) Rekey() {
+// RetireTLSConns has new calls go out on connections that are opened with the keys of now.
+func (b *Backend) RetireTLSConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range b.nodes {
@@ -174,7 +174,7 @@
 	}
 	q := a.Query
 	p := Part{ID: q.Name + "." + strconv.Itoa(a.Shard), Shard: uint32(a.Shard), Filter: q.Payload}
-	if c, ok := q.Data.(Call); ok {
+	if c, ok := q.Data.(QueryInfo); ok {
 		p.Class = c.ClassName()
 	}
 	for i := range q.Parts {
@@ -238,7 +238,7 @@
 	if best != nil && room > 0 {
 		return best
 	}
-	if live < b.cfg.Conns && b.budget.TakeServer() {
+	if live < b.cfg.ConnsPerNode && b.budget.AcquireServer() {
 		c := newConn(b, n)
 		n.conns = append(n.conns, c)
 		go c.run()
@@ -248,7 +248,7 @@
 		b.log.Warn("no descriptor is left for a node", "node", n.name)
 		return nil
 	}
-	if total >= b.cfg.Queue {
+	if total >= b.cfg.QueuePerNode {
 		return nil
 	}
 	return best
@@ -324,8 +324,8 @@
 func (b *Backend) done(n *node, a *core.Attempt, r translate.Result, v core.Value, report []float32) {
 	b.left(a)
 	b.tally.Add(r.Reason)
-	if c, ok := a.Query.Data.(Call); ok && r.Reason != translate.None {
-		c.Note(r.Reason)
+	if c, ok := a.Query.Data.(QueryInfo); ok && r.Reason != translate.None {
+		c.RecordFailure(r.Reason)
 	}
 	if r.Reason.Untranslatable() {
 		b.log.Warn("a node's answer has no equivalent", "node", n.name, "call", a.Query.Name, "shard", a.Shard,
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -144,7 +144,7 @@
 func (c *conn) load() int { return len(c.waiting) + len(c.streams) }
 
 // most is how many it may carry at a time; the caller holds mu.
-func (c *conn) most() int { return int(min(uint32(c.b.cfg.Streams), c.streamsM)) }
+func (c *conn) most() int { return int(min(uint32(c.b.cfg.StreamsPerConn), c.streamsM)) }
 
 // add queues a call. It returns false where the connection takes nothing new.
 func (c *conn) add(s *stream) bool {
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -34,13 +34,13 @@
 	c.mu.Unlock()
 	defer c.closeOpening()
 	go c.read(sock)
-	limit := c.b.cfg.Idle
+	limit := c.b.cfg.IdleTimeout
 	born := time.Now()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	var buf []byte
 	for {
-		_ = sock.SetWriteDeadline(time.Now().Add(c.b.cfg.WriteLimit))
+		_ = sock.SetWriteDeadline(time.Now().Add(c.b.cfg.WriteTimeout))
 		c.mu.Lock()
 		if c.dead {
 			c.mu.Unlock()
@@ -101,7 +101,7 @@
 // rest tells whether a connection on which nothing is to be written is to end, and else how long it may
 // wait; the caller holds mu.
 func (c *conn) rest(age time.Duration) (leave bool, wait time.Duration) {
-	limit := c.b.cfg.Idle
+	limit := c.b.cfg.IdleTimeout
 	unused := time.Since(c.used)
 	wait = limit - unused
 	if !c.settled {
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -144,11 +144,11 @@
 	n    int
 }
 
-var bounds = Config{Streams: 4, Conns: 1, Queue: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
-	Idle:       time.Minute,
-	WriteLimit: time.Second}
+var bounds = Config{StreamsPerConn: 4, ConnsPerNode: 1, QueuePerNode: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
+	IdleTimeout:  time.Minute,
+	WriteTimeout: time.Second}
 
-func newRig(t *testing.T, cfg Config, keys *Keyring, nodes ...Target) *rig {
+func newRig(t *testing.T, cfg Config, keys *Credentials, nodes ...Target) *rig {
 	r := &rig{t: t, ends: map[*core.Attempt]core.AttemptDone{}, many: map[*core.Attempt]int{}}
 	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
@@ -162,7 +162,7 @@
 				r.look = append(r.look, e)
 			}
 		})
-	r.b.Learn(nodes)
+	r.b.SetTargets(nodes)
 	t.Cleanup(r.b.Close)
 	return r
 }
@@ -364,7 +364,7 @@
 		return standin.NewDo{Text: "v"}
 	})
 	cfg := bounds
-	cfg.Conns, cfg.Queue = 2, 2
+	cfg.ConnsPerNode, cfg.QueuePerNode = 2, 2
 	r := newRig(t, cfg, nil, target(n))
 	var all []*core.Attempt
 	for i := range 3 {
@@ -416,7 +416,7 @@
 func TestSendsBesideTheWriter(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
 	cfg := bounds
-	cfg.Streams, cfg.Conns, cfg.Queue = 100, 2, 1000
+	cfg.StreamsPerConn, cfg.ConnsPerNode, cfg.QueuePerNode = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
 	done := make(chan bool)
 	go func() {
@@ -469,13 +469,13 @@
 		}
 	}()
 	cfg := bounds
-	cfg.WriteLimit = 200 * time.Millisecond
+	cfg.WriteTimeout = 200 * time.Millisecond
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
 		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.b.budget.Used() == 0 })
+	standin.Until(t, "the descriptors", func() bool { return r.b.budget.InUse() == 0 })
 }
 
 // A connection on which nothing comes any more is found out by a ping, once a call on it has timed out.
@@ -528,7 +528,7 @@
 func TestKeysChangeInService(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
-	files := KeyFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
+	files := CredentialFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
 		"key")}
 	put := func(path string, b []byte) {
 		if err := os.WriteFile(path, b, 0o600); err != nil {
@@ -538,7 +538,7 @@
 	pair := func(name string) { c, k := ca.Issue(name); put(files.Cert, c); put(files.Key, k) }
 	put(files.CA, ca.PEM())
 	pair("one")
-	keys, err := OpenKeyring(files)
+	keys, err := LoadCredentials(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -586,7 +586,7 @@
 	if changed, err := keys.Reload(); !changed || err != nil {
 		t.Fatalf("%v %v", changed, err)
 	}
-	r.b.Rekey()
+	r.b.RetireTLSConns()
 	r.want("a call with the new keys", r.send(10, time.Minute), balance.OK)
 	if _, ok := r.ended(open); ok {
 		t.Error("the open call was lost")
@@ -600,7 +600,7 @@
 	}
 	wrong := to
 	wrong.ServerName = "somebody"
-	r.b.Learn([]Target{wrong})
+	r.b.SetTargets([]Target{wrong})
 	r.want("a node of another name", r.send(10, time.Minute), balance.NoConnection)
 }
 
@@ -615,7 +615,7 @@
 	r := newRig(t, bounds, nil, Target{Name: "a", Address: l.Addr().String()})
 	node := r.b.nodes[core.ServerID("a")]
 	for range 50 {
-		if !r.b.budget.TakeServer() {
+		if !r.b.budget.AcquireServer() {
 			t.Fatal("no descriptor")
 		}
 		c := newConn(r.b, node)
--- a/internal/grpcnode/keyring.go
+++ b/internal/grpcnode/keyring.go
@@ -15,31 +15,31 @@
 	"time"
 )
 
-// KeyFiles names the files of a keyring. The pair may be left out: then the node asks for none.
-type KeyFiles struct {
+// CredentialFiles names the files of a keyring. The pair may be left out: then the node asks for none.
+type CredentialFiles struct {
 	CA   string // who signs the nodes' certificates
 	Cert string // our own, and its key
 	Key  string
 }
 
-// Keyring holds what connections are opened with from now on.
-type Keyring struct {
-	files   KeyFiles
+// Credentials holds what connections are opened with from now on.
+type Credentials struct {
+	files   CredentialFiles
 	mu      sync.Mutex // guards last: one reload at a time
 	last    []byte     // what the files held when they were last looked at
 	current atomic.Pointer[tls.Config]
 }
 
-// OpenKeyring reads the files for the first time.
-func OpenKeyring(files KeyFiles) (*Keyring, error) {
-	k := &Keyring{files: files}
+// LoadCredentials reads the files for the first time.
+func LoadCredentials(files CredentialFiles) (*Credentials, error) {
+	k := &Credentials{files: files}
 	_, err := k.Reload()
 	return k, err
 }
 
 // Reload reads the files again. It tells whether something else is in force now. An error is told once for
 // each state of the files.
-func (k *Keyring) Reload() (bool, error) {
+func (k *Credentials) Reload() (bool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var texts [3][]byte
@@ -81,7 +81,7 @@
 }
 
 // Config is what a connection to a server of that name is opened with.
-func (k *Keyring) Config(name string) *tls.Config {
+func (k *Credentials) Config(name string) *tls.Config {
 	c := k.current.Load().Clone()
 	c.ServerName = name
 	return c
--- a/internal/kiosk/admission.go
+++ b/internal/kiosk/admission.go
@@ -143,4 +143,4 @@
 }
 
 // Gate is the keeper of the front's listeners, or nil.
-func (f *Front) Gate() *lnet.Keeper { return f.keeper }
+func (f *Front) Gate() *lnet.AdmissionController { return f.keeper }
--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -74,7 +74,7 @@
 // is refused hears so, and every admitted query gets one answer. Afterwards all is given back.
 func TestKnownClientsGetInPastACrowd(t *testing.T) {
 	r, n := gated(t, "")
-	base := r.f.budget.Used()
+	base := r.f.budget.InUse()
 	var mu sync.Mutex
 	var held []net.Conn
 	keep := func(c net.Conn) { mu.Lock(); held = append(held, c); mu.Unlock() }
@@ -91,7 +91,7 @@
 		}()
 	}
 	wg.Wait()
-	standin.Until(t, "the limit", func() bool { return r.f.keeper.Figures(1).General >= 43 })
+	standin.Until(t, "the limit", func() bool { return r.f.keeper.Stats(1).General >= 43 })
 	for i := range 6 {
 		c := from(t, "127.0.9.1", r.http)
 		keep(c)
@@ -99,7 +99,7 @@
 			t.Errorf("known client %d: %d", i, status)
 		}
 	}
-	f := r.f.keeper.Figures(5)
+	f := r.f.keeper.Stats(5)
 	if f.Reserve != 6 || f.General > 43 || f.Refused["full"] == 0 {
 		t.Errorf("%+v", f)
 	}
@@ -128,8 +128,8 @@
 	}
 	mu.Unlock()
 	standin.Until(t, "the descriptors", func() bool {
-		f := r.f.keeper.Figures(1)
-		return f.General+f.Reserve+f.Proving == 0 && r.f.budget.Used() <= base+2
+		f := r.f.keeper.Stats(1)
+		return f.General+f.Reserve+f.Proving == 0 && r.f.budget.InUse() <= base+2
 	})
 }
 
@@ -159,7 +159,7 @@
 	if answered < 5 || refused < 20 {
 		t.Errorf("%d answered, %d refused", answered, refused)
 	}
-	if f := r.f.keeper.Figures(1); f.Refused["too_fast"] == 0 || f.Top[0].Addr != "127.0.40.1" {
+	if f := r.f.keeper.Stats(1); f.Refused["too_fast"] == 0 || f.Top[0].Addr != "127.0.40.1" {
 		t.Errorf("%+v", f)
 	}
 }
@@ -183,13 +183,13 @@
 	if err != nil || y.Status != 200 {
 		t.Errorf("AJP among idle ones: %+v, %v", y, err)
 	}
-	r.f.keeper.Hold(netip.MustParsePrefix("127.0.0.0/8"), false, time.Minute)
+	r.f.keeper.BanOrPin(netip.MustParsePrefix("127.0.0.0/8"), false, time.Minute)
 	z, err := standin.DialAJP(t, r.ajp).Call("/rate-check", head, body, "secret", "s3cret")
 	if err != nil || z.Status != 503 || z.Header["Retry-After"] == "" || z.Reuse {
 		t.Errorf("a banned front: %+v, %v", z, err)
 	}
 	standin.Until(t, "the end of what rests", func() bool {
-		f := r.f.keeper.Figures(1)
+		f := r.f.keeper.Stats(1)
 		return f.General+f.Reserve < 5
 	})
 	_, fresh := load(t, strings.Replace(reloaded, "ADDR", "127.0.0.1:1", 1))
@@ -221,7 +221,7 @@
 		}
 	}
 	standin.Until(t, "one place left", func() bool {
-		f := r.f.keeper.Figures(1)
+		f := r.f.keeper.Stats(1)
 		return f.General+f.Reserve == 48
 	})
 	var in atomic.Int64
@@ -243,7 +243,7 @@
 		}
 		wg.Wait()
 		standin.Until(t, "the place again", func() bool {
-			f := r.f.keeper.Figures(1)
+			f := r.f.keeper.Stats(1)
 			return f.General+f.Reserve == 48
 		})
 	}
@@ -308,9 +308,9 @@
 	// Handshakes that never begin; their places come back after a while.
 	standin.Until(t, "the limit", func() bool {
 		crowd = append(crowd, from(t, fmt.Sprintf("127.0.81.%d", 1+len(crowd)%200), at))
-		return f.keeper.Figures(1).Refused["unproved"] > 0 // so all places were taken but the reserve
+		return f.keeper.Stats(1).Refused["unproved"] > 0 // so all places were taken but the reserve
 	})
-	if got := f.keeper.Figures(1); got.Reserve != 0 {
+	if got := f.keeper.Stats(1); got.Reserve != 0 {
 		t.Errorf("unproved connections hold %d places of the reserve", got.Reserve)
 	}
 	// Their time passes, the places come back, and head office gets in, also with strangers asking all the
@@ -323,7 +323,7 @@
 		_ = c.Close()
 	}
 	standin.Until(t, "the places", func() bool {
-		f := f.keeper.Figures(1)
+		f := f.keeper.Stats(1)
 		return f.General+f.Reserve+f.Proving == 0
 	})
 }
--- a/internal/kiosk/config.go
+++ b/internal/kiosk/config.go
@@ -287,6 +287,6 @@
 
 // bounds are the limits of connections to new-form nodes.
 func (c *Config) bounds(most int) grpcnode.Config {
-	return grpcnode.Config{Streams: c.New.Streams, Conns: c.New.Connections, Queue: c.New.Queue, MaxValue: most,
-		DialTimeout: seconds(c.New.Dial), Idle: seconds(c.New.Idle), WriteLimit: seconds(c.New.Write)}
+	return grpcnode.Config{StreamsPerConn: c.New.Streams, ConnsPerNode: c.New.Connections, QueuePerNode: c.New.Queue, MaxValue: most,
+		DialTimeout: seconds(c.New.Dial), IdleTimeout: seconds(c.New.Idle), WriteTimeout: seconds(c.New.Write)}
 }
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -32,10 +32,10 @@
 	base   *platform.Config
 	log    *slog.Logger
 	form   *platform.Front
-	keys   *grpcnode.Keyring
+	keys   *grpcnode.Credentials
 	tally  translate.Tally
 	router *router
-	keeper *lnet.Keeper // nil: the budget alone speaks
+	keeper *lnet.AdmissionController // nil: the budget alone speaks
 	secure atomic.Pointer[tls.Config]
 	budget *lnet.Budget
 	core   *core.Core
@@ -53,13 +53,13 @@
 	f := &Front{cfg: cfg, base: base, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
 		var err error
-		f.keys, err = grpcnode.OpenKeyring(grpcnode.KeyFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
+		f.keys, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
 	}
 	if cfg.Admission != nil {
-		f.keeper = lnet.NewKeeper(cfg.Admission.limits())
+		f.keeper = lnet.NewAdmissionController(cfg.Admission.limits())
 	}
 	if cfg.ListenTLS.Cert != "" {
 		c, err := cfg.ListenTLS.load()
@@ -90,11 +90,11 @@
 		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.serve); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		f.http.Keeper = f.keeper
+		f.http.Admission = f.keeper
 		if f.secure.Load() != nil {
-			f.http.Secure = lnet.SecureBy(f.secure.Load)
+			f.http.Handshake = lnet.TLSHandshake(f.secure.Load)
 		}
-		f.http.TurnedAway = func(r *lnet.Request) { f.count(r, core.Refused) }
+		f.http.OnRejected = func(r *lnet.Request) { f.count(r, core.Refused) }
 	}
 	if f.cfg.AJP.Listen != "" {
 		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{Size: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
@@ -106,7 +106,7 @@
 			}
 			return fmt.Errorf("ajp.listen: %w", err)
 		}
-		f.ajp.Keeper = f.keeper
+		f.ajp.Admission = f.keeper
 	}
 	f.list(f.cfg)
 	if f.http != nil {
@@ -157,7 +157,7 @@
 	}
 	f.listed = listed
 	f.router.old.Learn(hosts, true)
-	f.router.anew.Learn(targets)
+	f.router.anew.SetTargets(targets)
 	f.router.learn(forms)
 	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
@@ -193,7 +193,7 @@
 	f.rekey()
 	switch {
 	case f.keeper != nil && cfg.Admission != nil:
-		f.keeper.Adopt(cfg.Admission.limits())
+		f.keeper.SetLimits(cfg.Admission.limits())
 	case (f.keeper != nil) != (cfg.Admission != nil):
 		f.log.Warn("a change of the file takes a restart", "key", "admission")
 	}
@@ -233,7 +233,7 @@
 		f.log.Error("keys not reloaded: the old ones stay", "err", err)
 	case changed:
 		f.log.Info("keys reloaded")
-		f.router.anew.Rekey()
+		f.router.anew.RetireTLSConns()
 	}
 }
 
@@ -315,9 +315,9 @@
 	}
 	q, bad := f.form.Parse(r)
 	if bad != nil {
-		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.What)
+		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.Detail)
 		f.count(r, platform.EndingOf(bad.Status))
-		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.What + "\n"), Close: true})
+		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
 	j := &job{f: f, x: x, class: platform.ClassName(r)}
@@ -346,8 +346,8 @@
 // ClassName is the query's class.
 func (j *job) ClassName() string { return j.class }
 
-// Note hears why an attempt brought nothing.
-func (j *job) Note(why translate.Reason) { j.why.Store(uint32(why)) }
+// RecordFailure hears why an attempt brought nothing.
+func (j *job) RecordFailure(why translate.Reason) { j.why.Store(uint32(why)) }
 
 // Final replies.
 func (j *job) Final(f core.FinalAnswer) {
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -333,7 +333,7 @@
 		}
 	}
 	<-ended
-	standin.Until(t, "the end of the calls", func() bool { return r.f.http.Open()+r.f.ajp.Open() == 0 })
+	standin.Until(t, "the end of the calls", func() bool { return r.f.http.OpenConns()+r.f.ajp.OpenConns() == 0 })
 }
 
 // A terminal's retry is a query of its own, so that the module knows of no window: the guard's is given to
--- a/internal/kiosk/router.go
+++ b/internal/kiosk/router.go
@@ -95,8 +95,8 @@
 		if v != translate.Allowed {
 			r.mu.Unlock()
 			r.tally.Add(v.Reason())
-			if j, ok := a.Query.Data.(grpcnode.Call); ok {
-				j.Note(v.Reason())
+			if j, ok := a.Query.Data.(grpcnode.QueryInfo); ok {
+				j.RecordFailure(v.Reason())
 			}
 			r.never(a, balance.NotSent)
 			return
--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -21,7 +21,7 @@
 // NewBudget returns a budget of most descriptors with kept of them closed to clients.
 func NewBudget(most, kept int) *Budget {
 	b := &Budget{}
-	b.Limit(most, kept, max(2, min(SpareMost, most/4)))
+	b.SetLimits(most, kept, max(2, min(MaxOverflow, most/4)))
 	b.rings.left.Store(poolSize)
 	return b
 }
@@ -41,9 +41,9 @@
 	}
 }
 
-// TakeServer takes one for a connection to a server. Where none is left a client's connection that is between
+// AcquireServer takes one for a connection to a server. Where none is left a client's connection that is between
 // requests makes way: nobody is served by holding it.
-func (b *Budget) TakeServer() bool {
+func (b *Budget) AcquireServer() bool {
 	if b.take(0) {
 		return true
 	}
@@ -72,8 +72,8 @@
 	}
 }
 
-// TakeClient takes one for a client's connection.
-func (b *Budget) TakeClient() bool {
+// AcquireClient takes one for a client's connection.
+func (b *Budget) AcquireClient() bool {
 	if !b.take(b.kept.Load()) {
 		return false
 	}
@@ -103,19 +103,19 @@
 	return int(max(0, b.most.Load()-max(b.kept.Load(), nodes)))
 }
 
-// Limit changes the budget, and how many clients beyond it may be held open to be refused. What is held
+// SetLimits changes the budget, and how many clients beyond it may be held open to be refused. What is held
 // beyond it stays until it is given back.
-func (b *Budget) Limit(most, kept, spare int) {
+func (b *Budget) SetLimits(most, kept, spare int) {
 	b.most.Store(int64(most))
 	b.kept.Store(int64(kept))
 	b.spare.Store(int64(spare))
 }
 
-// Most is how many there are.
-func (b *Budget) Most() int { return int(b.most.Load()) }
+// Capacity is how many there are.
+func (b *Budget) Capacity() int { return int(b.most.Load()) }
 
-// Used is how many are taken.
-func (b *Budget) Used() int { return int(b.used.Load()) }
+// InUse is how many are taken.
+func (b *Budget) InUse() int { return int(b.used.Load()) }
 
 // Release gives one back.
 func (b *Budget) Release() { b.used.Add(-1) }
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -30,14 +30,14 @@
 	aheadMost = 256 << 10 // what a client may send ahead of its replies: the ring's most
 	// A client whose request is out and whose ring is full for so long is read on, and what comes is thrown
 	// away: only a read tells that it leaves, within the 0.1 s in which its request must not go on.
-	aheadLimit = 30 * time.Millisecond
-	fullPause  = 10 * time.Millisecond // between looks at a full ring
-	poolSize   = 24 << 20              // all clients' rings together, beyond that, unless the budget says less
-	drainSize  = 16 << 10              // read at once of what is thrown away
-	idleLimit  = 10 * time.Second      // a client connection between requests
-	spareLimit = time.Second           // and of one beyond the budget, until it is refused
-	SpareMost  = 16                    // connections of that kind
-	waitStep   = 5 * time.Millisecond  // between looks at whether all connections have ended
+	aheadLimit  = 30 * time.Millisecond
+	fullPause   = 10 * time.Millisecond // between looks at a full ring
+	poolSize    = 24 << 20              // all clients' rings together, beyond that, unless the budget says less
+	drainSize   = 16 << 10              // read at once of what is thrown away
+	idleLimit   = 10 * time.Second      // a client connection between requests
+	spareLimit  = time.Second           // and of one beyond the budget, until it is refused
+	MaxOverflow = 16                    // connections of that kind
+	waitStep    = 5 * time.Millisecond  // between looks at whether all connections have ended
 	// A client is owed an answer or the end within 3 s of connecting, also for half a request or none.
 	requestLimit = 2500 * time.Millisecond
 	replyLimit   = 5 * time.Second
@@ -57,7 +57,7 @@
 		limit = c.seat.k.proof
 	}
 	_ = c.c.SetDeadline(time.Now().Add(limit))
-	secured, identity, err := c.s.Secure(c.c)
+	secured, identity, err := c.s.Handshake(c.c)
 	if err != nil {
 		c.s.log.Warn("no handshake", "client", c.c.RemoteAddr(), "err", err)
 		c.shut()
@@ -254,7 +254,7 @@
 				at = came.at(time.Now())
 			}
 			c.mu.Lock()
-			c.in.Grew(n)
+			c.in.Commit(n)
 			if n > 0 {
 				c.at = at
 			}
@@ -350,7 +350,7 @@
 		case gone != nil:
 			return nil, gone
 		case overrun:
-			return nil, &BadMessage{Status: 413, What: "more was sent ahead than is held"}
+			return nil, &BadMessage{Status: 413, Detail: "more was sent ahead than is held"}
 		case parting && rest && (c.asked || grace <= 0):
 			return nil, errRest
 		case parting && rest:
@@ -370,9 +370,9 @@
 			case began.IsZero():
 				return nil, errRest
 			case !by.IsZero() && !time.Now().Before(by):
-				return nil, &BadMessage{Status: 503, What: "this coordinator ends"}
+				return nil, &BadMessage{Status: 503, Detail: "this coordinator ends"}
 			}
-			return nil, &BadMessage{Status: 408, What: "the request did not come to its end in time"}
+			return nil, &BadMessage{Status: 408, Detail: "the request did not come to its end in time"}
 		}
 	}
 }
@@ -397,8 +397,8 @@
 		req, err := c.next()
 		var bad *BadMessage
 		if errors.As(err, &bad) {
-			_ = c.write(Response{Status: bad.Status, Body: []byte(bad.What + "\n")}, true, false)
-			c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", bad.What)
+			_ = c.write(Response{Status: bad.Status, Body: []byte(bad.Detail + "\n")}, true, false)
+			c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", bad.Detail)
 			c.linger()
 			return
 		}
@@ -424,8 +424,8 @@
 				"status", resp.Status, "err", err)
 			return
 		}
-		if !resp.Decided.IsZero() {
-			c.s.Delays.Record(delay.Reply, time.Since(resp.Decided), "client", c.c.RemoteAddr(), "query", req.ID(),
+		if !resp.DecidedAt.IsZero() {
+			c.s.Delays.Record(delay.Reply, time.Since(resp.DecidedAt), "client", c.c.RemoteAddr(), "query", req.ID(),
 				"status", resp.Status)
 		}
 		if end {
@@ -442,13 +442,13 @@
 func (c *serverConn) exchange(req *Request) (Response, bool) {
 	x, reply := NewExchange(c.raw)
 	if !c.held || c.turned {
-		if c.s.TurnedAway != nil {
-			c.s.TurnedAway(req)
+		if c.s.OnRejected != nil {
+			c.s.OnRejected(req)
 		}
 		r := Response{Status: 503, Body: []byte("too many connections\n")}
 		after := time.Duration(max(1, math.Ceil(c.after.Seconds()))) * time.Second
-		if c.s.Advise != nil {
-			after = c.s.Advise(after)
+		if c.s.CapRetryAfter != nil {
+			after = c.s.CapRetryAfter(after)
 		}
 		if after > 0 {
 			r.Header = [][2]string{{"Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}}
@@ -473,7 +473,7 @@
 				gone()
 			}
 			c.s.log.Info("client left with a request out", "client", c.c.RemoteAddr(), "path", req.Path,
-				"query", req.ID(), "after", time.Since(req.At), "err", err)
+				"query", req.ID(), "after", time.Since(req.ReceivedAt), "err", err)
 			return Response{}, false
 		}
 	}
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -20,39 +20,39 @@
 // BadMessage is a message that cannot be used, with the status that its sender is told.
 type BadMessage struct {
 	Status int
-	What   string
+	Detail string
 }
 
-func (e *BadMessage) Error() string { return e.What }
+func (e *BadMessage) Error() string { return e.Detail }
 
 func bad(status int, format string, args ...any) error {
-	return &BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+	return &BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
 // Request is a whole request. At is when its last byte was read.
 type Request struct {
-	Method string
-	Path   string
-	Query  string
-	Header textproto.MIMEHeader
-	Body   []byte
-	Close  bool
-	At     time.Time
+	Method     string
+	Path       string
+	Query      string
+	Header     textproto.MIMEHeader
+	Body       []byte
+	Close      bool
+	ReceivedAt time.Time
 }
 
 // Response is a whole reply.
 type Response struct {
-	Status int
-	Type   string // content type; text/plain where empty
-	Header [][2]string
-	Body   []byte
-	Close  bool
-	// Decided is when the answer was given, for the record of replies that are late; zero: nobody says.
-	Decided time.Time
+	Status      int
+	ContentType string // content type; text/plain where empty
+	Header      [][2]string
+	Body        []byte
+	Close       bool
+	// DecidedAt is when the answer was given, for the record of replies that are late; zero: nobody says.
+	DecidedAt time.Time
 }
 
-// Reason is the phrase of a status.
-func Reason(status int) string {
+// ReasonPhrase is the phrase of a status.
+func ReasonPhrase(status int) string {
 	switch status {
 	case 200:
 		return "OK"
@@ -181,7 +181,7 @@
 		}
 	}
 	path, query, _ := strings.Cut(target, "?")
-	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, At: at,
+	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, ReceivedAt: at,
 		Close: closes(h) || proto == "HTTP/1.0"}, lack, nil
 }
 
@@ -319,16 +319,16 @@
 // at a clock would come between the decision and the reply.
 func writeResponse(to *replyPiece, out *Ring, r Response, end, headOnly bool) error {
 	w := &ringWriter{w: to, r: out}
-	date := r.Decided
+	date := r.DecidedAt
 	if date.IsZero() {
 		date = time.Now()
 	}
-	kind := r.Type
+	kind := r.ContentType
 	if kind == "" {
 		kind = "text/plain; charset=utf-8"
 	}
 	fmt.Fprintf(w, "HTTP/1.1 %d %s\r\nDate: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", r.Status,
-		Reason(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), kind, len(r.Body))
+		ReasonPhrase(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), kind, len(r.Body))
 	for _, h := range r.Header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
 	}
@@ -355,13 +355,13 @@
 // Client is one connection to a server, for one request at a time. It is not safe for concurrent use, but
 // Close may be called at any time and ends a call that is under way.
 type Client struct {
-	c       net.Conn
-	in, out *Ring
-	most    int
-	sound   bool // may carry another request
-	Idle    time.Time
-	// Grant, if set, is asked before a body grows by so many bytes; where it says no the call fails.
-	Grant func(n int) bool
+	c         net.Conn
+	in, out   *Ring
+	most      int
+	sound     bool // may carry another request
+	IdleSince time.Time
+	// ReserveBytes, if set, is asked before a body grows by so many bytes; where it says no the call fails.
+	ReserveBytes func(n int) bool
 }
 
 // Dial opens a connection. A reply's body may hold most bytes.
@@ -374,13 +374,13 @@
 }
 
 // Close ends the connection.
-func (c *Client) Close() { Cut(c.c) }
+func (c *Client) Close() { AbortAndClose(c.c) }
 
 // Abort makes it impossible that another byte of a request goes out; whatever is under way fails.
 func (c *Client) Abort() { Abort(c.c) }
 
-// Sound tells that the connection may carry another request.
-func (c *Client) Sound() bool { return c.sound }
+// Reusable tells that the connection may carry another request.
+func (c *Client) Reusable() bool { return c.sound }
 
 // Do sends a request and reads its reply until the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
@@ -417,7 +417,7 @@
 		return bad(502, "the reply's head is too large")
 	}
 	n, err := c.c.Read(free)
-	c.in.Grew(n)
+	c.in.Commit(n)
 	if n > 0 {
 		return nil
 	}
@@ -460,7 +460,7 @@
 			}
 		}
 		c.sound = lasting && proto == "HTTP/1.1" && !closes(h) && c.in.Len() == 0
-		c.Idle = time.Now()
+		c.IdleSince = time.Now()
 		return r, nil
 	}
 }
@@ -508,7 +508,7 @@
 		}
 		part := c.in.First()
 		part = part[:min(uint64(len(part)), n)]
-		if c.Grant != nil && !c.Grant(len(part)) {
+		if c.ReserveBytes != nil && !c.ReserveBytes(len(part)) {
 			return nil, bad(502, "no memory is left for the reply")
 		}
 		b = append(b, part...)
--- a/internal/net/keeper.go
+++ b/internal/net/keeper.go
@@ -20,8 +20,8 @@
 // roomTries bounds how many connections are asked to make way for one.
 const roomTries = 8
 
-// Keeper is a gate with a clock. It is safe for concurrent use.
-type Keeper struct {
+// AdmissionController is a gate with a clock. It is safe for concurrent use.
+type AdmissionController struct {
 	mu    sync.Mutex // guards all below
 	gate  *admission.Controller
 	epoch time.Time
@@ -29,16 +29,16 @@
 	proof time.Duration
 }
 
-// NewKeeper returns a keeper of an empty gate.
-func NewKeeper(l admission.Limits) *Keeper {
-	return &Keeper{gate: admission.New(l), epoch: time.Now(), close: map[uint64]func() bool{},
+// NewAdmissionController returns a keeper of an empty gate.
+func NewAdmissionController(l admission.Limits) *AdmissionController {
+	return &AdmissionController{gate: admission.New(l), epoch: time.Now(), close: map[uint64]func() bool{},
 		proof: time.Duration(l.ProveTimeout) * time.Microsecond}
 }
 
-func (k *Keeper) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
+func (k *AdmissionController) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
 
-// Adopt takes new limits in. Who is in stays in, and so do operators' words.
-func (k *Keeper) Adopt(l admission.Limits) {
+// SetLimits takes new limits in. Who is in stays in, and so do operators' words.
+func (k *AdmissionController) SetLimits(l admission.Limits) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.SetLimits(l)
@@ -46,7 +46,7 @@
 }
 
 // arrive asks for a connection, and makes room where it is told to.
-func (k *Keeper) arrive(c net.Conn, proves bool, places int) admission.Decision {
+func (k *AdmissionController) arrive(c net.Conn, proves bool, places int) admission.Decision {
 	at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	for range roomTries {
 		k.mu.Lock()
@@ -66,41 +66,41 @@
 }
 
 // hold notes how a connection that is in can be closed.
-func (k *Keeper) hold(id uint64, spare func() bool) {
+func (k *AdmissionController) hold(id uint64, spare func() bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.close[id] = spare
 }
 
 // Leave tells that a connection has ended.
-func (k *Keeper) Leave(id uint64) {
+func (k *AdmissionController) Leave(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.close, id)
 	k.gate.Remove(id)
 }
 
-func (k *Keeper) use(id uint64) {
+func (k *AdmissionController) use(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.MarkBusy(id)
 }
 
-func (k *Keeper) rest(id uint64) {
+func (k *AdmissionController) rest(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.MarkIdle(id)
 }
 
 // prove tells what a handshake has shown.
-func (k *Keeper) prove(id uint64, identity string, known bool) admission.Decision {
+func (k *AdmissionController) prove(id uint64, identity string, known bool) admission.Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.gate.Authenticate(k.now(), id, identity, known)
 }
 
-// Hold bans a prefix for a time, or pins it as known. Of a banned one the connections that rest are closed.
-func (k *Keeper) Hold(p netip.Prefix, pinned bool, span time.Duration) {
+// BanOrPin bans a prefix for a time, or pins it as known. Of a banned one the connections that rest are closed.
+func (k *AdmissionController) BanOrPin(p netip.Prefix, pinned bool, span time.Duration) {
 	k.mu.Lock()
 	until := k.now() + span.Microseconds()
 	if pinned {
@@ -122,7 +122,7 @@
 }
 
 // Lift takes a ban or a pin back.
-func (k *Keeper) Lift(p netip.Prefix) {
+func (k *AdmissionController) Lift(p netip.Prefix) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.Lift(p)
@@ -141,8 +141,8 @@
 	Left   float64 `json:"left_s"`
 }
 
-// Figures are the gate's counts, its n busiest addresses and the words in force.
-func (k *Keeper) Figures(n int) Admission {
+// Stats are the gate's counts, its n busiest addresses and the words in force.
+func (k *AdmissionController) Stats(n int) Admission {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
@@ -155,7 +155,7 @@
 
 // seat is a connection's place with a keeper. The zero seat is with none.
 type seat struct {
-	k  *Keeper
+	k  *AdmissionController
 	id uint64
 }
 
@@ -177,33 +177,33 @@
 	}
 }
 
-// Guest is a connection of another carrier that a keeper lets in.
-type Guest struct{ seat }
+// AdmittedConn is a connection of another carrier that a keeper lets in.
+type AdmittedConn struct{ seat }
 
-// Enter asks for a connection of another carrier; spare closes it if it carries nothing.
-func (k *Keeper) Enter(c net.Conn, budget *Budget, spare func() bool) (Guest, bool, time.Duration) {
+// Admit asks for a connection of another carrier; spare closes it if it carries nothing.
+func (k *AdmissionController) Admit(c net.Conn, budget *Budget, spare func() bool) (AdmittedConn, bool, time.Duration) {
 	d := k.arrive(c, false, budget.Places())
 	if d.Outcome == admission.Refuse {
-		return Guest{}, false, time.Duration(d.RetryAfter) * time.Microsecond
+		return AdmittedConn{}, false, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !budget.takePlace() {
 		k.Leave(d.ID)
-		return Guest{}, false, time.Second
+		return AdmittedConn{}, false, time.Second
 	}
 	k.hold(d.ID, spare)
-	return Guest{seat{k, d.ID}}, true, 0
+	return AdmittedConn{seat{k, d.ID}}, true, 0
 }
 
-// Use, Rest and Leave tell what becomes of it.
-func (g Guest) Use()   { g.use() }
-func (g Guest) Rest()  { g.rest() }
-func (g Guest) Leave() { g.leave() }
+// MarkBusy, Rest and Leave tell what becomes of it.
+func (g AdmittedConn) MarkBusy() { g.use() }
+func (g AdmittedConn) MarkIdle() { g.rest() }
+func (g AdmittedConn) Release()  { g.leave() }
 
-// Secure makes of a client's connection one by TLS, and says who the client has proved to be.
-type Secure func(c net.Conn) (secured net.Conn, identity string, err error)
+// Handshake makes of a client's connection one by TLS, and says who the client has proved to be.
+type Handshake func(c net.Conn) (secured net.Conn, identity string, err error)
 
-// SecureBy is Secure with the configuration of each moment. Who shows no certificate has no identity.
-func SecureBy(config func() *tls.Config) Secure {
+// TLSHandshake is Secure with the configuration of each moment. Who shows no certificate has no identity.
+func TLSHandshake(config func() *tls.Config) Handshake {
 	return func(c net.Conn) (net.Conn, string, error) {
 		t := tls.Server(c, config())
 		if err := t.Handshake(); err != nil {
--- a/internal/net/narrow_test.go
+++ b/internal/net/narrow_test.go
@@ -250,7 +250,7 @@
 	for _, late := range []bool{false, true} {
 		e := serve(t, NewBudget(10, 0))
 		early := raw(t, e)
-		until(t, "the connection", func() bool { return e.Open() == 1 })
+		until(t, "the connection", func() bool { return e.OpenConns() == 1 })
 		since := time.Now().Add(time.Hour) // so that the test's machine may be slow
 		if late {
 			since = time.Now().Add(-graceLimit)
@@ -317,11 +317,11 @@
 	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	until(t, "an idle one", func() bool { return e.idle() == 1 })
 	for i := range 2 {
-		if !b.TakeServer() {
+		if !b.AcquireServer() {
 			t.Fatalf("an idle client has kept server %d out", i)
 		}
 	}
-	if b.TakeServer() {
+	if b.AcquireServer() {
 		t.Fatal("a client made way that has a request")
 	}
 	if _, err := idler.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
@@ -340,7 +340,7 @@
 		}
 		until(t, "an idle one", func() bool { return e.idle() == 1 })
 		for range 3 - i {
-			if !b.TakeServer() {
+			if !b.AcquireServer() {
 				t.Fatalf("an idle client of front %d has kept a server out", i)
 			}
 		}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -56,7 +56,7 @@
 	_, _ = r.Write(bytes.Repeat([]byte("x"), 20000))
 	free := r.Free()
 	r.Discard(20000)
-	r.Grew(copy(free, "later"))
+	r.Commit(copy(free, "later"))
 	got := make([]byte, r.Len())
 	if r.Peek(got, 0); string(got) != "later" {
 		t.Fatalf("%q", got)
@@ -158,7 +158,7 @@
 	}
 	e.Server = s
 	e.most.Store(int64(time.Hour))
-	s.Advise = func(after time.Duration) time.Duration { return min(after, time.Duration(e.most.Load())) }
+	s.CapRetryAfter = func(after time.Duration) time.Duration { return min(after, time.Duration(e.most.Load())) }
 	go s.Serve()
 	t.Cleanup(func() { s.Finish(); s.StopListening() })
 	return e
@@ -226,7 +226,7 @@
 	c := dial(t, e.Server)
 	for i := range 50 {
 		body := strings.Repeat("z", i*1300)
-		if r, err := c.post(body); err != nil || r.Status != 200 || string(r.Body) != body || !c.Sound() {
+		if r, err := c.post(body); err != nil || r.Status != 200 || string(r.Body) != body || !c.Reusable() {
 			t.Fatalf("request %d: %v %v", i, r, err)
 		}
 	}
@@ -338,7 +338,7 @@
 		}
 	}
 	for i, want := range []bool{true, true, false} {
-		if b.TakeServer() != want {
+		if b.AcquireServer() != want {
 			t.Fatalf("server %d: clients took what is kept for servers, or servers got more", i)
 		}
 	}
@@ -404,7 +404,7 @@
 			_, _ = c.c.Write([]byte("POST /"))
 		}
 		if i >= 4 {
-			until(t, "a place", func() bool { return e.Open() <= 6 })
+			until(t, "a place", func() bool { return e.OpenConns() <= 6 })
 		}
 		if i%5 == 4 {
 			time.Sleep(graceLimit + graceLimit/2)
@@ -455,7 +455,7 @@
 	}
 	e.held[0].Reply(Response{Status: 200, Body: []byte("done")})
 	r, err := busy.Read(time.Now().Add(20 * time.Second))
-	if err != nil || string(r.Body) != "done" || busy.Sound() {
+	if err != nil || string(r.Body) != "done" || busy.Reusable() {
 		t.Fatalf("%v %v", r, err)
 	}
 	if !e.Wait(30 * time.Second) {
@@ -500,8 +500,8 @@
 			t.Fatal(err)
 		}
 		r, err := cl.Do("GET", "/", "x", nil, nil, time.Now().Add(20*time.Second))
-		if (err == nil) != c.ok || err == nil && (string(r.Body) != c.body || cl.Sound() != c.sound) {
-			t.Errorf("%.60q: %v, sound %v", c.reply, err, cl.Sound())
+		if (err == nil) != c.ok || err == nil && (string(r.Body) != c.body || cl.Reusable() != c.sound) {
+			t.Errorf("%.60q: %v, sound %v", c.reply, err, cl.Reusable())
 		}
 		cl.Close()
 		_ = l.Close()
--- a/internal/net/passing.go
+++ b/internal/net/passing.go
@@ -44,15 +44,15 @@
 	return true
 }
 
-// PassingReader reads from a connection, again where a read fails and the connection goes on. Only one
+// RetryingReader reads from a connection, again where a read fails and the connection goes on. Only one
 // goroutine may use it.
-type PassingReader struct {
+type RetryingReader struct {
 	Conn     net.Conn
 	failures passingFailures
 }
 
 // Read reads once.
-func (r *PassingReader) Read(b []byte) (int, error) {
+func (r *RetryingReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(b)
 		if n > 0 || err == nil || !r.failures.again(r.Conn, err) {
--- a/internal/net/ring.go
+++ b/internal/net/ring.go
@@ -63,8 +63,8 @@
 	return r.buf[end:]
 }
 
-// Grew books n bytes that were filled into Free.
-func (r *Ring) Grew(n int) { r.n += n }
+// Commit books n bytes that were filled into Free.
+func (r *Ring) Commit(n int) { r.n += n }
 
 func (r *Ring) grow(need int) bool {
 	if need <= len(r.buf) {
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -58,20 +58,20 @@
 	// finished: connections end between two requests, also those that were just being accepted.
 	finished bool
 	closing  atomic.Bool
-	// TurnedAway, if set, hears of each request that is refused because too many connections are open.
-	TurnedAway func(r *Request)
-	// Advise, if set, is what such a client may be told of when to come back; 0: nothing.
-	Advise func(after time.Duration) time.Duration
+	// OnRejected, if set, hears of each request that is refused because too many connections are open.
+	OnRejected func(r *Request)
+	// CapRetryAfter, if set, is what such a client may be told of when to come back; 0: nothing.
+	CapRetryAfter func(after time.Duration) time.Duration
 	// Delays, if set, hears of replies that were written late.
 	Delays *delay.Recorder
-	// Keeper, if set, says who is let in, and Secure, if set, makes the connection one by TLS. Both are set
+	// Admission, if set, says who is let in, and Secure, if set, makes the connection one by TLS. Both are set
 	// before Serve.
-	Keeper *Keeper
-	Secure Secure
-	watch  watchdog.Watchdog
-	begun  time.Time    // when it was made
-	last   atomic.Int64 // when a request last came, in nanoseconds since then
-	spare  atomic.Int64 // connections beyond the budget that are just being refused
+	Admission *AdmissionController
+	Handshake Handshake
+	watch     watchdog.Watchdog
+	begun     time.Time    // when it was made
+	last      atomic.Int64 // when a request last came, in nanoseconds since then
+	spare     atomic.Int64 // connections beyond the budget that are just being refused
 }
 
 // reusing lets another process listen on the same address: the next version of this program, while this one
@@ -117,7 +117,7 @@
 // Serve accepts until the listener is closed.
 func (s *Server) Serve() {
 	var hand inHand
-	if s.Keeper != nil {
+	if s.Admission != nil {
 		hand.take()
 	}
 	for {
@@ -152,7 +152,7 @@
 		if place.k != nil {
 			place.k.hold(place.id, sc.yield)
 		}
-		if s.Secure != nil {
+		if s.Handshake != nil {
 			go sc.secure()
 			continue
 		}
@@ -163,22 +163,22 @@
 
 // admit finds a place for a connection, or tells when to come back.
 func (s *Server) admit(c net.Conn) (held bool, place seat, after time.Duration) {
-	if s.Keeper == nil {
-		held = s.budget.TakeClient()
+	if s.Admission == nil {
+		held = s.budget.AcquireClient()
 		if !held && s.evict(kept) {
-			held = s.budget.TakeClient()
+			held = s.budget.AcquireClient()
 		}
 		return held, seat{}, time.Second
 	}
-	d := s.Keeper.arrive(c, s.Secure != nil, s.budget.Places())
+	d := s.Admission.arrive(c, s.Handshake != nil, s.budget.Places())
 	if d.Outcome == admission.Refuse {
 		return false, seat{}, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !s.budget.takePlace() { // nodes have taken it meanwhile
-		s.Keeper.Leave(d.ID)
+		s.Admission.Leave(d.ID)
 		return false, seat{}, time.Second
 	}
-	return true, seat{s.Keeper, d.ID}, 0
+	return true, seat{s.Admission, d.ID}, 0
 }
 
 // forget drops a connection that has ended.
@@ -218,8 +218,8 @@
 	return true
 }
 
-// MakeWay closes a connection of which no request is to be expected, if there is one.
-func (s *Server) MakeWay() bool { return s.evict(idle) }
+// EvictStalled closes a connection of which no request is to be expected, if there is one.
+func (s *Server) EvictStalled() bool { return s.evict(idle) }
 
 // Wind has every reply end its connection from now on. Idle connections stay: a request may be on its way.
 func (s *Server) Wind() { s.closing.Store(true) }
@@ -244,8 +244,8 @@
 // LastRequest is when a request last came.
 func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
 
-// Open counts the connections.
-func (s *Server) Open() int {
+// OpenConns counts the connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -270,7 +270,7 @@
 		c.signal()
 	}
 	s.mu.Unlock()
-	for ; s.Open() > 0; time.Sleep(waitStep) {
+	for ; s.OpenConns() > 0; time.Sleep(waitStep) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -177,9 +177,9 @@
 	return err == nil && n == 1 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Cut closes a connection whose writer may be in a system call: closing alone would let that call put out its
+// AbortAndClose closes a connection whose writer may be in a system call: closing alone would let that call put out its
 // bytes first, whenever its thread goes on, as the descriptor is kept until the call returns.
-func Cut(c net.Conn) {
+func AbortAndClose(c net.Conn) {
 	Abort(c)
 	_ = c.Close()
 }
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -157,9 +157,11 @@
 		return // from a member of another version: nothing to carry out
 	}
 	for _, x := range k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
 			if c.InForce {
-				g.Gate().Hold(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Remaining)*time.Microsecond)
+				g.Gate().BanOrPin(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Remaining)*time.Microsecond)
 			} else {
 				g.Gate().Lift(p)
 			}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -66,8 +66,8 @@
 	if err != nil {
 		f.countUnasked(r, EndingOf(err.Status))
 		// The end of the connection: what else comes on it is worth as little, and must not cost more.
-		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
-		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
+		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
+		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
 		return nil
 	}
 	q.Client = &client{x: x, log: f.log, count: f.core.Counts().Class(ClassName(r))}
@@ -86,7 +86,7 @@
 
 // countUnasked counts a reply that the core was not asked for, if the request names a class.
 func (f *Front) countUnasked(r *lnet.Request, e core.QueryOutcome) {
-	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
+	if class := ClassName(r); f.conf.Load().class(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
@@ -122,10 +122,10 @@
 // parse turns a request into a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
-		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
 	cfg := f.conf.Load()
-	class := cfg.class(ClassName(r), r.At)
+	class := cfg.class(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -143,7 +143,7 @@
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.bind(class, q.Key != "", r.At)
+	b := cfg.bind(class, q.Key != "", r.ReceivedAt)
 	switch {
 	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.key && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
@@ -161,7 +161,7 @@
 			wait = time.Duration(s * float64(time.Second))
 		}
 	}
-	q.Deadline = r.At.Add(wait)
+	q.Deadline = r.ReceivedAt.Add(wait)
 	var body queryBody
 	if !utf8.Valid(r.Body) { // what cannot be read would be replaced, and the parts carry it unchanged
 		return fail(400, "the body is not UTF-8")
@@ -244,11 +244,11 @@
 	switch f.Outcome {
 	case core.Answered:
 		r := Answer(f, c.log)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		c.reply(r)
 	case core.Refused:
 		r := Refusal(f.RetryAfter)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		if f.Why != "" {
 			r.Body = []byte("refused for now: " + f.Why + "\n")
 		}
@@ -261,7 +261,7 @@
 		case f.NameTaken:
 			status = 409
 		}
-		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, Decided: f.Decided})
+		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, DecidedAt: f.Decided})
 	}
 }
 
@@ -276,7 +276,7 @@
 		log.Warn("an answer is too large", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: b}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: b}
 }
 
 // Refusal is a reply that tells when to come back.
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -215,7 +215,7 @@
 	c.mu.Unlock()
 	c.poke()
 	if conn != nil {
-		lnet.Cut(conn)
+		lnet.AbortAndClose(conn)
 	}
 	c.n.budget.Release()
 	if err != nil {
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -29,11 +29,11 @@
 // nothing, so the connection ends with it.
 func (c *nodeConn) read(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
-	from := &lnet.PassingReader{Conn: conn}
+	from := &lnet.RetryingReader{Conn: conn}
 	begun := false // a frame that is not all there
 	for {
 		n, err := from.Read(in.Free())
-		in.Grew(n)
+		in.Commit(n)
 		if n > 0 {
 			c.heard()
 		}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -234,7 +234,7 @@
 	if best == nil {
 		best = mute
 	}
-	if !n.budget.TakeServer() {
+	if !n.budget.AcquireServer() {
 		return best // no descriptor is left: it waits behind others
 	}
 	c := &nodeConn{n: n, node: x, waiting: map[string]*core.Attempt{},
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -60,7 +60,7 @@
 
 func (d *discovery) reply(x *lnet.Exchange, whole bool, hosts []host) {
 	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Whole: whole, Hosts: hosts})
-	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b})
+	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b})
 }
 
 func (d *discovery) serve(r *lnet.Request, x *lnet.Exchange) func() {
@@ -412,7 +412,7 @@
 	for n := range 2 {
 		r, err := c.Do("POST", "/rate-check", k.Addr(), [][2]string{{"X-Call-Id", fmt.Sprint("kept", n)}},
 			[]byte(`{"slices":[{"slice":1,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
-		if err != nil || r.Status != 200 || !c.Sound() {
+		if err != nil || r.Status != 200 || !c.Reusable() {
 			t.Fatalf("request %d on a connection in use: %v %v", n, r, err)
 		}
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -161,7 +161,7 @@
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.CapRetryAfter
+		k.server.OnRejected, k.server.CapRetryAfter = k.front.TurnAway, k.core.CapRetryAfter
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
@@ -332,7 +332,9 @@
 // Gate says who is let in; nil where only the budget does.
 func (d doorState) Gate() admin.Gate {
 	for _, x := range d.k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
 			return gate{g.Gate()}
 		}
 	}
@@ -396,10 +398,10 @@
 }
 
 // gate is a keeper in the door's terms.
-type gate struct{ *lnet.Keeper }
+type gate struct{ *lnet.AdmissionController }
 
 // Figures are what the door shows.
-func (g gate) Figures(n int) any { return g.Keeper.Figures(n) }
+func (g gate) Figures(n int) any { return g.AdmissionController.Stats(n) }
 
 // Cordon puts a data node out or back.
 func (d doorState) Cordon(id string, out bool, within time.Duration) error {
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -344,11 +344,11 @@
 		most = min(most, u.mine)
 	}
 	u.mu.Unlock()
-	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.SpareMost
+	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.MaxOverflow
 	if !alone {
 		part, spare = part/2, leastSpare
 	}
-	u.budget.Limit(most, most/nodeShare, spare)
+	u.budget.SetLimits(most, most/nodeShare, spare)
 	debug.SetMemoryLimit(part)
 	u.k.halve(!alone)
 }
@@ -480,7 +480,7 @@
 		u.mu.Lock()
 		mine := u.whole() / 2
 		if u.k.ending.Load() {
-			mine = min(u.mine, u.budget.Used()+endingSpare)
+			mine = min(u.mine, u.budget.InUse()+endingSpare)
 		}
 		changed := mine != u.mine
 		u.mine = mine
@@ -497,7 +497,7 @@
 }
 
 // rest is what the successor may take: what this process neither holds nor may. The caller holds mu.
-func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.Used())) }
+func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.InUse())) }
 
 // greet makes room for a successor and sends it the greeting with the sockets beside it. Their modes stay as
 // they are: both processes poll them. The successor is there to be told before what operators have said is
@@ -508,7 +508,7 @@
 	mine := u.mine
 	u.mu.Unlock()
 	u.limit()
-	for u.budget.Used() > mine && u.k.server.MakeWay() {
+	for u.budget.InUse() > mine && u.k.server.EvictStalled() {
 	}
 	said, ok := u.k.core.HandoverState(linkWait / 2)
 	if !ok {
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -44,7 +44,7 @@
 	if err != nil || r.Status != 200 {
 		t.Fatalf("%s: %v %v", name, r, err)
 	}
-	return c.Sound()
+	return c.Reusable()
 }
 
 // A new process takes the address over while clients come: nobody is turned away, a connection to the old
@@ -215,7 +215,7 @@
 	h.link.say(word{Ready: true})
 	standin.Until(t, "the yes for both", func() bool { return old.front.ready.Load() })
 	standin.Until(t, "the clients to be led over", func() bool {
-		return old.server.Open() == 0 || !kept(t, c, "then")
+		return old.server.OpenConns() == 0 || !kept(t, c, "then")
 	})
 	<-ended
 }
@@ -235,11 +235,11 @@
 	}
 	t.Cleanup(fresh.Close)
 	standin.Until(t, "its word to the old one", u.handedOver)
-	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*leastSockets; sum > cfg.Limits.Sockets {
+	if sum := u.budget.Capacity() + fresh.upgrade.budget.Capacity() + 2*leastSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "all for one", func() bool { return fresh.upgrade.budget.Most() == whole })
+	standin.Until(t, "all for one", func() bool { return fresh.upgrade.budget.Capacity() == whole })
 }
 
 // A process may be taken over from while the one before it still ends: the three share what one may hold, and
@@ -261,7 +261,7 @@
 	}
 	all := func(of ...*Coordinator) (sum int) {
 		for _, k := range of {
-			sum += k.upgrade.budget.Most()
+			sum += k.upgrade.budget.Capacity()
 		}
 		return sum
 	}
@@ -286,7 +286,7 @@
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "all for one", func() bool { return third.upgrade.budget.Most() == third.upgrade.all })
+	standin.Until(t, "all for one", func() bool { return third.upgrade.budget.Capacity() == third.upgrade.all })
 }
 
 // Where there is nobody to take over from, or no place to meet, a coordinator starts and serves all the same.
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -272,7 +272,7 @@
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
 	c := k.c
-	if k.over || c != nil && (err != nil || !c.Sound()) {
+	if k.over || c != nil && (err != nil || !c.Reusable()) {
 		if c != nil {
 			c.Close()
 		}
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -284,7 +284,7 @@
 	if err != nil {
 		return lnet.Response{Status: 500}
 	}
-	return lnet.Response{Status: e.status, Type: "application/json", Body: b}
+	return lnet.Response{Status: e.status, ContentType: "application/json", Body: b}
 }
 
 // unavailable is a refusal. Retry-After is in whole seconds, as HTTP has it.
@@ -361,7 +361,7 @@
 	if q.timeout > 0 {
 		wait = min(wait, q.timeout)
 	}
-	j := &job{f: f, q: q, x: x, deadline: r.At.Add(wait)}
+	j := &job{f: f, q: q, x: x, deadline: r.ReceivedAt.Add(wait)}
 	if rules.Dropped || rules.Effect != balance.Safe { // then the module would not decide for range queries
 		j.reply(unavailable("unavailable", f.core.FullRetryAfter(),
 			fmt.Errorf("class %q is not there for range queries now", f.cfg.Class)))
@@ -505,7 +505,7 @@
 	if err != nil {
 		return errorReply(&apiError{500, "internal", err})
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: body}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: body}
 }
 
 // missing are the shards that nothing is in from.
--- a/internal/promql/servers.go
+++ b/internal/promql/servers.go
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	var old []*lnet.Client
 	s.idle = slices.DeleteFunc(s.idle, func(c *lnet.Client) bool {
-		over := time.Since(c.Idle) >= f.idleLimit()
+		over := time.Since(c.IdleSince) >= f.idleLimit()
 		if over {
 			old = append(old, c)
 		}
@@ -151,14 +151,14 @@
 	for len(s.idle) > 0 {
 		last := s.idle[len(s.idle)-1] // the freshest
 		s.idle = s.idle[:len(s.idle)-1]
-		if time.Since(last.Idle) < f.idleLimit() {
+		if time.Since(last.IdleSince) < f.idleLimit() {
 			s.mu.Unlock()
 			return last
 		}
 		defer f.drop(last)
 	}
 	s.mu.Unlock()
-	if !f.budget.TakeServer() {
+	if !f.budget.AcquireServer() {
 		f.place.Log.Warn("no descriptor is left for a server", "server", s.name)
 		return nil
 	}
@@ -172,7 +172,7 @@
 
 // put keeps a connection that may go on.
 func (f *Front) put(s *server, c *lnet.Client) {
-	if c.Grant = nil; c.Sound() {
+	if c.ReserveBytes = nil; c.Reusable() {
 		s.mu.Lock()
 		keep := len(s.idle) < maxIdle
 		if keep {
@@ -226,7 +226,7 @@
 	if c == nil {
 		return balance.NoConnection, core.Value{}
 	}
-	c.Grant = fl.grant
+	c.ReserveBytes = fl.grant
 	until := begun.Add(fl.a.Timeout)
 	now := time.Now()
 	body := j.q.form(fl.a.Shard, until.Sub(now)).Encode()
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -355,7 +355,7 @@
 	if s, perr := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); perr == nil {
 		after = time.Duration(s * float64(time.Second))
 	}
-	if c.Sound() {
+	if c.Reusable() {
 		select {
 		case idle <- c:
 			return r.Status, after
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -127,7 +127,7 @@
 		}
 	}
 	b, _ := json.Marshal(list)
-	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b})
+	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b})
 }
 
 // change tells of a node's new state.
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -713,7 +713,7 @@
 		}
 	}
 	m.rig.History.Note(e)
-	if err == nil && c.Sound() {
+	if err == nil && c.Reusable() {
 		select {
 		case idle <- c:
 			return
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -171,7 +171,7 @@
 		if err == nil {
 			q.status = reply.Status
 		}
-		if err != nil || !c.Sound() {
+		if err != nil || !c.Reusable() {
 			c.Close()
 			c = nil
 		}
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -62,7 +62,7 @@
 			h.seen = append(h.seen, r.Path+"?"+v.Encode())
 			h.mu.Unlock()
 			if status, body := f(r.Path, v); status > 0 {
-				x.Reply(lnet.Response{Status: status, Type: "application/json", Body: []byte(body)})
+				x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: []byte(body)})
 			}
 			return func() {
 				h.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 // Open counts the connections that are open.
-func (h *HTTP) Open() int { return h.l.Open() }
+func (h *HTTP) Open() int { return h.l.OpenConns() }
 
 // Seen are the requests so far, as path and sorted parameters.
 func (h *HTTP) Seen() []string {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -335,8 +335,8 @@
 	r.b = binary.LittleEndian.AppendUint32(r.b, seq)
 }
 
-// From sets the instance that the following actions belong to.
-func (r *Reply) From(instance uint32) {
+// SetInstance sets the instance that the following actions belong to.
+func (r *Reply) SetInstance(instance uint32) {
 	r.code(acFrom)
 	r.u32(instance)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -110,10 +110,10 @@
 		0801 1100 74776f2073657276657273206b6e6f776e`)
 	var r Reply
 	r.Begin(12)
-	r.From(3)
+	r.SetInstance(3)
 	r.Action(balance.Action{Kind: balance.Send, ID: 0x5d3a91c4, Replica: 0x1f43074a120a, After: 80000})
 	r.Action(balance.Action{Kind: balance.Wake, After: 500000})
-	r.From(5)
+	r.SetInstance(5)
 	r.Action(balance.Action{Kind: balance.Note, Text: "two servers known"})
 	if got := r.Bytes(); !bytes.Equal(got, want) {
 		t.Fatalf("got  %x\nwant %x", got, want)
