--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -187,7 +187,7 @@
 type sources struct{ ranges, translate, fleet string }
 
 // load reads the configuration, and the files of the fronts and of the fleet where any are given.
-func load(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func load(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
 	error) {
 	cfg, fronts, err := loadFronts(from, env, log)
 	if err != nil || from.fleet == "" {
@@ -204,7 +204,7 @@
 }
 
 // loadFronts reads the configuration, and the fronts' files where any are given.
-func loadFronts(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func loadFronts(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
 	error) {
 	alone := env("RELAY_CONFIG") == ""
 	switch {
@@ -224,7 +224,7 @@
 	}
 	var cfg *platform.Config
 	if alone {
-		if cfg, err = platform.Alone(file.Standalone()); err == nil {
+		if cfg, err = platform.Standalone(file.Standalone()); err == nil {
 			cfg.Operator = env("RELAY_OPERATOR")
 		}
 	} else {
@@ -238,16 +238,16 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", from.ranges, err)
 	}
-	return cfg, []platform.Extra{front}, nil
+	return cfg, []platform.ExtraFront{front}, nil
 }
 
 // loadTranslation reads the file of the front for old terminals.
-func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.Extra, error) {
+func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.ExtraFront, error) {
 	file, err := kiosk.LoadConfig(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg, err := platform.Alone(file.Standalone())
+	cfg, err := platform.Standalone(file.Standalone())
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -256,7 +256,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return cfg, []platform.Extra{front}, nil
+	return cfg, []platform.ExtraFront{front}, nil
 }
 
 // importFile prints the front's file, and to the other stream what there is to say of each line.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -291,7 +291,7 @@
 // Close shuts the door; calls that are being answered get their answer.
 func (d *Door) Close() {
 	d.server.StopListening()
-	d.server.Finish()
+	d.server.Drain()
 }
 
 // serve takes one call. Every reply ends its connection: one call each is the rule here.
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	go x.s.Serve()
-	t.Cleanup(func() { x.s.StopListening(); x.s.Finish() })
+	t.Cleanup(func() { x.s.StopListening(); x.s.Drain() })
 	return x
 }
 
@@ -201,7 +201,7 @@
 	if x.s.OpenConns() != 1 || budget.InUse() != 1 {
 		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
 	}
-	x.s.Wind()
+	x.s.CloseAfterReply()
 	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
 		t.Fatalf("while ending: %+v, %v", r, err)
 	}
@@ -288,7 +288,7 @@
 				}
 			}
 		},
-		"ends": (*Server).Finish,
+		"ends": (*Server).Drain,
 	} {
 		budget := lnet.NewBudget(10, 0)
 		x := serve(t, Options{}, budget)
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -114,16 +114,16 @@
 // StopListening closes the listener; connections go on.
 func (s *Server) StopListening() { _ = s.l.Close() }
 
-// Wind has every reply end its connection from now on.
-func (s *Server) Wind() { s.closing.Store(true) }
+// CloseAfterReply has every reply end its connection from now on.
+func (s *Server) CloseAfterReply() { s.closing.Store(true) }
 
 // LastRequest is when a request last came.
 func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
 
-// Finish winds, and closes the connections that carry nothing. Of one that is closed no packet is handled any
+// Drain winds, and closes the connections that carry nothing. Of one that is closed no packet is handled any
 // more, also if it had just been read.
-func (s *Server) Finish() {
-	s.Wind()
+func (s *Server) Drain() {
+	s.CloseAfterReply()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -70,7 +70,7 @@
 func (c *Config) check(f *settings.File, dir string) error {
 	x := &c.Fleet
 	name := func(key, s string, most int) {
-		f.Check(nameForm.MatchString(s) && len(s) <= most, key,
+		f.Require(nameForm.MatchString(s) && len(s) <= most, key,
 			"%q is not 1 to %d letters, digits, dots, dashes or underscores", s, most)
 	}
 	name("fleet.name", x.Name, membership.MaxName)
@@ -81,7 +81,7 @@
 	address := func(key, text string) netip.AddrPort {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil || a.Port() == 0 || a.Addr().IsUnspecified() {
-			f.Fault(key, "%q is not an IP address and a port", text)
+			f.AddError(key, "%q is not an IP address and a port", text)
 			return netip.AddrPort{}
 		}
 		loopback = loopback && a.Addr().IsLoopback()
@@ -93,33 +93,33 @@
 		if !slices.Contains(c.view.Join, a) && a != c.listen && a.IsValid() {
 			c.view.Join = append(c.view.Join, a)
 		}
-		f.Check(!slices.Contains(x.Join[:i], text), "fleet.join", "%s is there twice", text)
+		f.Require(!slices.Contains(x.Join[:i], text), "fleet.join", "%s is there twice", text)
 	}
 	c.view.Route = map[string]netip.AddrPort{}
 	for who, text := range x.Route {
 		name("fleet.route."+who, who, membership.MaxName)
 		c.view.Route[who] = address("fleet.route."+who, text)
 	}
-	f.Check(len(x.Roster) > 0 || x.Most > 0, "fleet.roster", "is missing, and most too: one has to be there")
-	f.Check(len(x.Roster) == 0 || x.Most == 0, "fleet.most", "goes without roster")
-	f.Check(x.Most >= 0 && x.Most <= mostMembers, "fleet.most", "%d is not within 1 and %d", x.Most, mostMembers)
-	f.Check(len(x.Roster) <= mostMembers, "fleet.roster", "has over %d names", mostMembers)
+	f.Require(len(x.Roster) > 0 || x.Most > 0, "fleet.roster", "is missing, and most too: one has to be there")
+	f.Require(len(x.Roster) == 0 || x.Most == 0, "fleet.most", "goes without roster")
+	f.Require(x.Most >= 0 && x.Most <= mostMembers, "fleet.most", "%d is not within 1 and %d", x.Most, mostMembers)
+	f.Require(len(x.Roster) <= mostMembers, "fleet.roster", "has over %d names", mostMembers)
 	for i, who := range x.Roster {
 		name("fleet.roster", who, membership.MaxName)
-		f.Check(!slices.Contains(x.Roster[:i], who), "fleet.roster", "%s is there twice", who)
+		f.Require(!slices.Contains(x.Roster[:i], who), "fleet.roster", "%s is there twice", who)
 	}
-	f.Check(len(x.Roster) == 0 || slices.Contains(x.Roster, x.Name), "fleet.roster", "lacks this member, %s",
+	f.Require(len(x.Roster) == 0 || slices.Contains(x.Roster, x.Name), "fleet.roster", "lacks this member, %s",
 		x.Name)
 	if x.Detect.Period == 0 {
 		x.Detect.Period = defaultPeriod
 	}
-	f.Check(x.Detect.Period >= 20 && x.Detect.Period <= 60_000, "fleet.detect.period_ms",
+	f.Require(x.Detect.Period >= 20 && x.Detect.Period <= 60_000, "fleet.detect.period_ms",
 		"%d is not within 20 and 60000", x.Detect.Period)
 	if x.Evidence.Share == nil {
 		share := defaultShare
 		x.Evidence.Share = &share
 	}
-	f.Check(*x.Evidence.Share >= 0 && *x.Evidence.Share <= 0.5, "fleet.evidence.share",
+	f.Require(*x.Evidence.Share >= 0 && *x.Evidence.Share <= 0.5, "fleet.evidence.share",
 		"%g is not within 0 and 0.5", *x.Evidence.Share)
 	c.keys = &keyring{}
 	if x.Keys != "" {
@@ -129,16 +129,16 @@
 		}
 		var err error
 		if c.keys, err = loadKeys(path); err != nil {
-			f.Fault("fleet.keys", "%v", err)
+			f.AddError("fleet.keys", "%v", err)
 		}
 	} else {
-		f.Check(loopback, "fleet.keys", "is missing: without it loopback addresses only")
+		f.Require(loopback, "fleet.keys", "is missing: without it loopback addresses only")
 	}
 	for i := range c.Limits {
 		at := fmt.Sprintf("limit[%d]", i+1)
 		c.Limits[i].check(f, at, c.Size(), len(x.Roster))
 		for _, before := range c.Limits[:i] {
-			f.Check(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
+			f.Require(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
 		}
 	}
 	c.view.Roster, c.view.Most, c.view.Stamp = x.Roster, x.Most, c.stamp()
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -42,7 +42,7 @@
 
 // check notes what is wrong with a limit, and fills in what is left out.
 func (l *Limit) check(f *settings.File, at string, members, roster int) {
-	f.Check(nameForm.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
+	f.Require(nameForm.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
 	subjects := 0
 	for _, s := range []string{l.Class, l.Tenant, l.Server} {
@@ -50,36 +50,36 @@
 			subjects++
 		}
 	}
-	f.Check(subjects == 1, at+".class", "one of class, tenant and server has to be there")
-	f.Check(l.Class != Each, at+".class", "%q is for tenants and servers: give each class its limit", Each)
+	f.Require(subjects == 1, at+".class", "one of class, tenant and server has to be there")
+	f.Require(l.Class != Each, at+".class", "%q is for tenants and servers: give each class its limit", Each)
 	if l.Concurrent != 0 {
-		f.Check(l.Rate == 0 && l.Burst == 0, at+".concurrent", "goes without rate and burst")
-		f.Check(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
+		f.Require(l.Rate == 0 && l.Burst == 0, at+".concurrent", "goes without rate and burst")
+		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
 			at+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
 			l.Concurrent, members)
-		f.Check(!l.each(), at+".concurrent", "is for one name, not for each")
-		f.Check(l.LongestMS >= 0 && l.LongestMS <= 600_000, at+".longest_ms", "%d is not within 0 and 600000",
+		f.Require(!l.each(), at+".concurrent", "is for one name, not for each")
+		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, at+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
 		if l.LongestMS == 0 {
 			l.LongestMS = int(defaultLongest.Milliseconds())
 		}
 	} else {
-		f.Check(l.Rate > 0 && l.Rate <= 1e9, at+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
-		f.Check(l.Burst >= float64(members) && l.Burst <= 1e9, at+".burst",
+		f.Require(l.Rate > 0 && l.Rate <= 1e9, at+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
+		f.Require(l.Burst >= float64(members) && l.Burst <= 1e9, at+".burst",
 			"%g leaves less than 1 for each of %d members, or is over 1e9", l.Burst, members)
-		f.Check(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
+		f.Require(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
 	}
 	votes := roster >= 3 && roster <= quota.MaxVoters
-	f.Check(l.Floor == 0 || l.Floor >= leastFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
+	f.Require(l.Floor == 0 || l.Floor >= leastFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
 		l.Floor, leastFloor)
-	f.Check(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
+	f.Require(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
 		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MaxVoters)
 	if l.Floor == 0 {
 		if l.Floor = 1; votes && !l.each() {
 			l.Floor = defaultFloor
 		}
 	}
-	f.Check(l.Floor == 1 || !l.each(), at+".floor", "is 1 where the limit is for each")
+	f.Require(l.Floor == 1 || !l.each(), at+".floor", "is 1 where the limit is for each")
 }
 
 // each tells that the limit holds for each tenant or server on its own.
--- a/internal/kiosk/admission.go
+++ b/internal/kiosk/admission.go
@@ -42,10 +42,10 @@
 }
 
 func (c Caps) check(f *settings.File, at string) {
-	f.Check(c.Open == nil || *c.Open > 0, at+".open", "a cap of nothing or less lets nobody in")
-	f.Check(c.Rate == nil || *c.Rate > 0, at+".rate", "a rate of nothing or less lets nobody in")
-	f.Check(c.Burst == nil || *c.Burst >= 1, at+".burst", "a burst under 1 lets nobody in")
-	f.Check(c.Burst == nil || c.Rate != nil, at+".burst", "is of no use without a rate")
+	f.Require(c.Open == nil || *c.Open > 0, at+".open", "a cap of nothing or less lets nobody in")
+	f.Require(c.Rate == nil || *c.Rate > 0, at+".rate", "a rate of nothing or less lets nobody in")
+	f.Require(c.Burst == nil || *c.Burst >= 1, at+".burst", "a burst under 1 lets nobody in")
+	f.Require(c.Burst == nil || c.Rate != nil, at+".burst", "is of no use without a rate")
 }
 
 // rule is a cap in the gate's form.
@@ -66,14 +66,14 @@
 func (a *Admission) check(f *settings.File, places int) {
 	orElse(&a.Prove, 2)
 	orElse(&a.Track, 10_000)
-	f.Check(a.Reserve >= 0, "admission.reserve", "%d is under 0", a.Reserve)
-	f.Check(a.Proving >= 0, "admission.proving", "%d is under 0", a.Proving)
-	f.Check(a.Reserve+a.Proving < places, "admission.reserve",
+	f.Require(a.Reserve >= 0, "admission.reserve", "%d is under 0", a.Reserve)
+	f.Require(a.Proving >= 0, "admission.proving", "%d is under 0", a.Proving)
+	f.Require(a.Reserve+a.Proving < places, "admission.reserve",
 		"reserve and proving are %d of the %d places that clients have: none is left for others",
 		a.Reserve+a.Proving,
 		places)
-	f.Check(a.Prove >= 0.1 && a.Prove <= 30, "admission.prove_s", "%g s is not within 0.1 and 30", a.Prove)
-	f.Check(a.Track >= 100 && a.Track <= 10_000_000, "admission.track", "%d is not within 100 and 10000000",
+	f.Require(a.Prove >= 0.1 && a.Prove <= 30, "admission.prove_s", "%g s is not within 0.1 and 30", a.Prove)
+	f.Require(a.Track >= 100 && a.Track <= 10_000_000, "admission.track", "%d is not within 100 and 10000000",
 		a.Track)
 	a.Caps.check(f, "admission")
 	a.Block.check(f, "admission.block")
@@ -82,17 +82,17 @@
 		at := fmt.Sprintf("admission.rule[%d]", i+1)
 		p, err := netip.ParsePrefix(r.Prefix)
 		if err != nil {
-			f.Fault(at+".prefix", "%q is no prefix such as 10.0.0.0/8", r.Prefix)
+			f.AddError(at+".prefix", "%q is no prefix such as 10.0.0.0/8", r.Prefix)
 			continue
 		}
-		f.Check(p == p.Masked(), at+".prefix", "%s has bits beyond its length: %s is meant?", p, p.Masked())
+		f.Require(p == p.Masked(), at+".prefix", "%s has bits beyond its length: %s is meant?", p, p.Masked())
 		if first, taken := seen[p.Masked()]; taken {
-			f.Fault(at+".prefix", "%s is there already, as rule %d", p, first)
+			f.AddError(at+".prefix", "%s is there already, as rule %d", p, first)
 		}
 		seen[p.Masked()] = i + 1
-		f.Check(!r.Known || r.Rate == nil, at+".rate", "contradicts known: known clients are held to no rate")
-		f.Check(!r.Known || !r.Gateway, at+".gateway", "contradicts known: whoever is behind it would be known")
-		f.Check(r.All == nil || *r.All > 0, at+".all", "a cap of nothing or less lets nobody in")
+		f.Require(!r.Known || r.Rate == nil, at+".rate", "contradicts known: known clients are held to no rate")
+		f.Require(!r.Known || !r.Gateway, at+".gateway", "contradicts known: whoever is behind it would be known")
+		f.Require(r.All == nil || *r.All > 0, at+".all", "a cap of nothing or less lets nobody in")
 		r.Caps.check(f, at)
 	}
 }
--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -331,7 +331,7 @@
 // Operators see who is there, and ban, pin and lift.
 func TestOperatorsWords(t *testing.T) {
 	r, _ := gated(t, "")
-	door := r.k.Door()
+	door := r.k.AdminAddr()
 	call := func(method, path, body string, want int) string {
 		t.Helper()
 		x := standin.Call(t, door, method, path, nil, body)
--- a/internal/kiosk/config.go
+++ b/internal/kiosk/config.go
@@ -140,13 +140,13 @@
 
 	address := func(key, text string) {
 		if _, port, err := net.SplitHostPort(text); err != nil || port == "" {
-			f.Fault(key, "%q is not host:port", text)
+			f.AddError(key, "%q is not host:port", text)
 		}
 	}
 	span := func(key string, s, least, most float64) {
-		f.Check(s >= least && s <= most, key, "%g s is not within %g and %g", s, least, most)
+		f.Require(s >= least && s <= most, key, "%g s is not within %g and %g", s, least, most)
 	}
-	f.Check(c.Listen != "" || c.AJP.Listen != "", "listen", "is missing, and ajp.listen too: nobody could call")
+	f.Require(c.Listen != "" || c.AJP.Listen != "", "listen", "is missing, and ajp.listen too: nobody could call")
 	taken := map[string]string{}
 	for _, l := range []struct{ key, at string }{{"listen", c.Listen}, {"ajp.listen", c.AJP.Listen},
 		{"operator", c.Operator}} {
@@ -155,69 +155,69 @@
 		}
 		address(l.key, l.at)
 		if _, port, _ := net.SplitHostPort(l.at); port != "0" {
-			f.Check(taken[l.at] == "", l.key, "%s is taken by %s", l.at, taken[l.at])
+			f.Require(taken[l.at] == "", l.key, "%s is taken by %s", l.at, taken[l.at])
 			taken[l.at] = l.key
 		}
 	}
-	f.Check(c.AJP.Packet >= 1024 && c.AJP.Packet <= ajp.LargestSize, "ajp.packet",
+	f.Require(c.AJP.Packet >= 1024 && c.AJP.Packet <= ajp.LargestSize, "ajp.packet",
 		"%d is not within 1024 and %d",
 		c.AJP.Packet, ajp.LargestSize)
-	f.Check(c.New.Streams >= 1 && c.New.Streams <= 1000, "new.streams", "%d is not within 1 and 1000",
+	f.Require(c.New.Streams >= 1 && c.New.Streams <= 1000, "new.streams", "%d is not within 1 and 1000",
 		c.New.Streams)
-	f.Check(c.New.Connections >= 1 && c.New.Connections <= 64, "new.connections", "%d is not within 1 and 64",
+	f.Require(c.New.Connections >= 1 && c.New.Connections <= 64, "new.connections", "%d is not within 1 and 64",
 		c.New.Connections)
-	f.Check(c.New.Queue >= 0 && c.New.Queue <= 10_000, "new.queue", "%d is not within 0 and 10000", c.New.Queue)
+	f.Require(c.New.Queue >= 0 && c.New.Queue <= 10_000, "new.queue", "%d is not within 0 and 10000", c.New.Queue)
 	span("new.dial_s", c.New.Dial, 0.01, 10)
 	span("new.idle_s", c.New.Idle, 0.1, 3600)
 	span("new.write_s", c.New.Write, 0.01, 10)
 	span("tls.watch_s", c.TLS.Watch, 0.1, 3600)
 	span("keys.remember_s", c.Keys.Remember, 0, 86400)
-	f.Check(c.Keys.Most >= 1, "keys.most", "%d leaves room for no key", c.Keys.Most)
-	f.Check(c.Sockets >= 64 && c.Sockets <= 1<<20, "sockets", "%d is not within 64 and %d", c.Sockets, 1<<20)
+	f.Require(c.Keys.Most >= 1, "keys.most", "%d leaves room for no key", c.Keys.Most)
+	f.Require(c.Sockets >= 64 && c.Sockets <= 1<<20, "sockets", "%d is not within 64 and %d", c.Sockets, 1<<20)
 	if c.Admission != nil {
-		c.Admission.check(f, platform.ClientPlaces(c.Sockets, c.Operator != ""))
+		c.Admission.check(f, platform.MaxClients(c.Sockets, c.Operator != ""))
 	}
-	f.Check((c.ListenTLS.Cert == "") == (c.ListenTLS.Key == ""), "listen_tls.cert", "cert and key go together")
-	f.Check(c.ListenTLS.Roots == "" || c.ListenTLS.Cert != "", "listen_tls.client_roots",
+	f.Require((c.ListenTLS.Cert == "") == (c.ListenTLS.Key == ""), "listen_tls.cert", "cert and key go together")
+	f.Require(c.ListenTLS.Roots == "" || c.ListenTLS.Cert != "", "listen_tls.client_roots",
 		"is of no use without cert")
-	f.Check((c.TLS.Cert == "") == (c.TLS.Key == ""), "tls.cert", "cert and key go together")
-	f.Check(c.TLS.Cert == "" || c.TLS.CA != "", "tls.ca", "is missing")
-	f.Check(c.Attempts >= 1 && c.Attempts <= 16, "attempts", "%d is not within 1 and 16", c.Attempts)
+	f.Require((c.TLS.Cert == "") == (c.TLS.Key == ""), "tls.cert", "cert and key go together")
+	f.Require(c.TLS.Cert == "" || c.TLS.CA != "", "tls.ca", "is missing")
+	f.Require(c.Attempts >= 1 && c.Attempts <= 16, "attempts", "%d is not within 1 and 16", c.Attempts)
 
-	f.Check(len(c.Classes) > 0, "class", "no [[class]] is given")
+	f.Require(len(c.Classes) > 0, "class", "no [[class]] is given")
 	names := map[string]bool{}
 	for i := range c.Classes {
 		k := &c.Classes[i]
 		at := fmt.Sprintf("class[%d]", i+1)
-		f.Check(k.Name != "" && !names[k.Name], at+".name", "is missing or taken")
+		f.Require(k.Name != "" && !names[k.Name], at+".name", "is missing or taken")
 		names[k.Name] = true
-		f.Check(slices.Contains([]string{"safe", "keyed", "unsafe"}, k.Effect), at+".effect",
+		f.Require(slices.Contains([]string{"safe", "keyed", "unsafe"}, k.Effect), at+".effect",
 			"%q is not safe, keyed or unsafe", k.Effect)
 		span(at+".deadline_s", k.Deadline, 0.01, 3600)
-		f.Check(k.Aim > 0 && k.Aim <= k.Deadline, at+".aim_s", "%g is not above 0 and within the deadline", k.Aim)
+		f.Require(k.Aim > 0 && k.Aim <= k.Deadline, at+".aim_s", "%g is not above 0 and within the deadline", k.Aim)
 		// A send of the old form may wait for a connection: of a shorter window nothing would be left for it.
-		f.Check(k.Effect != "keyed" || k.Window >= 1, at+".window_s", "%g s: a keyed class needs 1 s at least",
+		f.Require(k.Effect != "keyed" || k.Window >= 1, at+".window_s", "%g s: a keyed class needs 1 s at least",
 			k.Window)
-		f.Check(k.Effect == "keyed" || k.Window == 0, at+".window_s", "only a keyed class has a window")
-		f.Check(k.Worth > 0 && k.LateWorth >= 0 && k.LateWorth <= 1, at+".worth",
+		f.Require(k.Effect == "keyed" || k.Window == 0, at+".window_s", "only a keyed class has a window")
+		f.Require(k.Worth > 0 && k.LateWorth >= 0 && k.LateWorth <= 1, at+".worth",
 			"worth or late_worth is not possible")
 	}
 
-	f.Check(len(c.Servers) > 0, "server", "no [[server]] is given")
+	f.Require(len(c.Servers) > 0, "server", "no [[server]] is given")
 	names = map[string]bool{}
 	cells := 0
 	for i := range c.Servers {
 		s := &c.Servers[i]
 		at := fmt.Sprintf("server[%d]", i+1)
-		f.Check(s.Name != "" && !names[s.Name], at+".name", "is missing or taken")
+		f.Require(s.Name != "" && !names[s.Name], at+".name", "is missing or taken")
 		names[s.Name] = true
 		address(at+".address", s.Address)
-		f.Check(s.Form == OldForm || s.Form == NewForm, at+".form", "%q is not old or new", s.Form)
-		f.Check(!s.TLS || s.Form == NewForm, at+".tls", "the old form knows no TLS")
-		f.Check(!s.TLS || c.TLS.CA != "", at+".tls", "tls.ca is missing")
-		f.Check(s.ServerName == "" || s.TLS, at+".server_name", "is of no use without tls")
-		f.Check(s.Cell >= 0 && s.Cell < maxShards, at+".cell", "%d is not possible", s.Cell)
-		f.Check(s.Share == nil || *s.Share > 0 && *s.Share < math.MaxFloat32, at+".share", "is not possible")
+		f.Require(s.Form == OldForm || s.Form == NewForm, at+".form", "%q is not old or new", s.Form)
+		f.Require(!s.TLS || s.Form == NewForm, at+".tls", "the old form knows no TLS")
+		f.Require(!s.TLS || c.TLS.CA != "", at+".tls", "tls.ca is missing")
+		f.Require(s.ServerName == "" || s.TLS, at+".server_name", "is of no use without tls")
+		f.Require(s.Cell >= 0 && s.Cell < maxShards, at+".cell", "%d is not possible", s.Cell)
+		f.Require(s.Share == nil || *s.Share > 0 && *s.Share < math.MaxFloat32, at+".share", "is not possible")
 		if s.ServerName == "" && s.TLS {
 			s.ServerName, _, _ = net.SplitHostPort(s.Address)
 		}
@@ -231,12 +231,12 @@
 			}
 		}
 		if i := slices.Index(held, false); i >= 0 && c.Reach == 1 {
-			f.Fault("server", "no server is in cell %d", i)
+			f.AddError("server", "no server is in cell %d", i)
 		}
-		f.Check(c.Reach >= 1 && c.Reach <= cells, "reach", "%d is not within 1 and the %d cells", c.Reach, cells)
+		f.Require(c.Reach >= 1 && c.Reach <= cells, "reach", "%d is not within 1 and the %d cells", c.Reach, cells)
 	}
 	orElse(&c.Shards, cells)
-	f.Check(c.Shards >= 1 && c.Shards <= maxShards, "shards", "%d is not within 1 and %d", c.Shards, maxShards)
+	f.Require(c.Shards >= 1 && c.Shards <= maxShards, "shards", "%d is not within 1 and %d", c.Shards, maxShards)
 	return f.Err()
 }
 
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -156,7 +156,7 @@
 		replicas = append(replicas, r)
 	}
 	f.listed = listed
-	f.router.old.Learn(hosts, true)
+	f.router.old.UpdateHosts(hosts, true)
 	f.router.anew.SetTargets(targets)
 	f.router.learn(forms)
 	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
@@ -202,11 +202,11 @@
 	}
 }
 
-// Settle takes new settings in: classes and their rules.
-func (f *Front) Settle(balance.Settings) {}
+// ApplySettings takes new settings in: classes and their rules.
+func (f *Front) ApplySettings(balance.Settings) {}
 
 // Conform has requests read by the classes of a configuration that was taken in.
-func (f *Front) Conform(base *platform.Config) { f.form.Adopt(base) }
+func (f *Front) Conform(base *platform.Config) { f.form.SetConfig(base) }
 
 // watch looks at the keys now and then.
 func (f *Front) watch() {
@@ -251,8 +251,8 @@
 	return http, ajp
 }
 
-// Retire tells who asks that this front is not ready any more.
-func (f *Front) Retire() { f.ending.Store(true) }
+// MarkNotReady tells who asks that this front is not ready any more.
+func (f *Front) MarkNotReady() { f.ending.Store(true) }
 
 // each calls a function for every listener.
 func (f *Front) each(h func(*lnet.Server), a func(*ajp.Server)) {
@@ -269,12 +269,14 @@
 	f.each((*lnet.Server).StopListening, (*ajp.Server).StopListening)
 }
 
-// Wind has replies end their connections from now on.
-func (f *Front) Wind() { f.each((*lnet.Server).Wind, (*ajp.Server).Wind) }
+// CloseAfterReply has replies end their connections from now on.
+func (f *Front) CloseAfterReply() {
+	f.each((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
+}
 
-// Finish winds, and closes idle connections.
-func (f *Front) Finish() {
-	f.each((*lnet.Server).Finish, (*ajp.Server).Finish)
+// Drain winds, and closes idle connections.
+func (f *Front) Drain() {
+	f.each((*lnet.Server).Drain, (*ajp.Server).Drain)
 	f.halted.Do(func() { close(f.stop) })
 }
 
@@ -316,7 +318,7 @@
 	q, bad := f.form.Parse(r)
 	if bad != nil {
 		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.Detail)
-		f.count(r, platform.EndingOf(bad.Status))
+		f.count(r, platform.OutcomeForStatus(bad.Status))
 		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
@@ -353,7 +355,7 @@
 func (j *job) Final(f core.FinalAnswer) {
 	if f.Outcome == core.Answered {
 		r := platform.Answer(f, j.f.log)
-		j.f.core.Counts().Class(j.class).Add(platform.EndingOf(r.Status))
+		j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
 		j.x.Reply(r)
 		return
 	}
@@ -367,6 +369,6 @@
 	if w.Refused {
 		r = platform.Refusal(after)
 	}
-	j.f.core.Counts().Class(j.class).Add(platform.EndingOf(r.Status))
+	j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
 	j.x.Reply(r)
 }
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := platform.Alone(file.Standalone())
+	cfg, err := platform.Standalone(file.Standalone())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -344,7 +344,7 @@
 	r, id := f.router, core.ServerID("a")
 	r.post = func(core.Event) {}
 	r.old = platform.NewNodes(f.base, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{}, r.tell)
-	r.old.Learn([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
+	r.old.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
 	r.learn(map[balance.ReplicaID]string{id: OldForm})
 	const window = 3 * time.Second
 	rules := &balance.Class{Effect: balance.Keyed, Window: window.Microseconds()}
--- a/internal/net/narrow_test.go
+++ b/internal/net/narrow_test.go
@@ -80,7 +80,7 @@
 	e.Server = NewServer(holding{l, look}, NewBudget(10, 0),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), e.handle)
 	go e.Serve()
-	t.Cleanup(func() { e.Finish(); e.StopListening() })
+	t.Cleanup(func() { e.Drain(); e.StopListening() })
 	return e
 }
 
@@ -116,7 +116,7 @@
 	}
 	io.WriteString(c, message("hold"))
 	<-server.arrived // the bytes are out of the system's hands, and nobody else has seen them
-	e.Finish()
+	e.Drain()
 	server.end(t)
 	close(server.after)
 	if rest, err := io.ReadAll(c); err != nil || len(rest) != 0 {
@@ -151,7 +151,7 @@
 		return false
 	})
 	io.WriteString(c, message("hold"))
-	e.Finish()
+	e.Drain()
 	server.end(t)
 	close(server.before)
 	all, err := io.ReadAll(c)
@@ -262,7 +262,7 @@
 			c.mu.Unlock()
 		}
 		e.Server.mu.Unlock()
-		e.Finish()
+		e.Drain()
 		if !late {
 			io.WriteString(early, message("x"))
 		}
@@ -292,7 +292,7 @@
 		}
 		return false
 	})
-	e.Finish()
+	e.Drain()
 	ended := make(chan bool, 1)
 	go func() { ended <- e.Wait(partLimit + 50*time.Millisecond) }()
 	all, err := io.ReadAll(c)
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -160,7 +160,7 @@
 	e.most.Store(int64(time.Hour))
 	s.CapRetryAfter = func(after time.Duration) time.Duration { return min(after, time.Duration(e.most.Load())) }
 	go s.Serve()
-	t.Cleanup(func() { s.Finish(); s.StopListening() })
+	t.Cleanup(func() { s.Drain(); s.StopListening() })
 	return e
 }
 
@@ -449,7 +449,7 @@
 		t.Fatal(err)
 	}
 	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
-	e.Finish()
+	e.Drain()
 	if _, err := idle.Read(time.Now().Add(20 * time.Second)); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection goes on, or was reset: %v", err)
 	}
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -221,15 +221,15 @@
 // EvictStalled closes a connection of which no request is to be expected, if there is one.
 func (s *Server) EvictStalled() bool { return s.evict(idle) }
 
-// Wind has every reply end its connection from now on. Idle connections stay: a request may be on its way.
-func (s *Server) Wind() { s.closing.Store(true) }
+// CloseAfterReply has every reply end its connection from now on. Idle connections stay: a request may be on its way.
+func (s *Server) CloseAfterReply() { s.closing.Store(true) }
 
-// Finish ends the server: from now on every reply ends its connection, and so do those that are or come to
+// Drain ends the server: from now on every reply ends its connection, and so do those that are or come to
 // rest. Each connection is ended by the goroutine that takes its requests, between two of them: it says that
 // nothing more will come, and goes on reading until the client has left, so that no reply on its way is lost
 // and no request is read that is not answered.
-func (s *Server) Finish() {
-	s.Wind()
+func (s *Server) Drain() {
+	s.CloseAfterReply()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.finished = true
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -129,9 +129,9 @@
 	return c, c.derive()
 }
 
-// Alone is the configuration of a coordinator without the platform: no clients' front of its own, no
+// Standalone is the configuration of a coordinator without the platform: no clients' front of its own, no
 // discovery.
-func Alone(settings map[string]any) (*Config, error) {
+func Standalone(settings map[string]any) (*Config, error) {
 	text, err := json.Marshal(map[string]any{"settings": settings})
 	if err != nil {
 		return nil, err
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// limits asks the fleet's level and limits.
-type limits struct {
+// fleetGate asks the fleet's level and limits.
+type fleetGate struct {
 	k      *Coordinator
 	ranked *atomic.Pointer[ranked]
 }
@@ -220,7 +220,7 @@
 }
 
 // rank is the place of a class by worth.
-func (l limits) rank(conf *Config, class int) int {
+func (l fleetGate) rank(conf *Config, class int) int {
 	r := l.ranked.Load()
 	if r == nil || r.conf != conf {
 		worth := make([]float64, len(conf.Module.Classes))
@@ -234,7 +234,7 @@
 }
 
 // Admit asks whether a query may be let in.
-func (l limits) Admit(q *core.Query) (bool, time.Duration, string) {
+func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
 	conf := l.k.front.conf.Load()
 	class, who := conf.Classes[q.Class], q.Name
 	if q.Key != "" {
@@ -254,7 +254,7 @@
 }
 
 // QueryEnded gives back what a query held, and tells how it ended.
-func (l limits) QueryEnded(q *core.Query, e core.QueryOutcome) {
+func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
 	l.k.fleet.HasEnded(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
@@ -263,7 +263,7 @@
 }
 
 // AllowSend asks whether an attempt may be sent.
-func (l limits) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
 	if !l.k.fleet.MaySend(a.IsFirst()) {
 		return false, balance.NotSent
 	}
@@ -278,7 +278,7 @@
 }
 
 // AttemptEnded gives back what an attempt held.
-func (l limits) AttemptEnded(a *core.Attempt) {
+func (l fleetGate) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
 		l.k.fleet.Done(t)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -43,8 +43,8 @@
 	return f
 }
 
-// Adopt has requests read by a configuration that was taken in.
-func (f *Front) Adopt(cfg *Config) { f.conf.Store(cfg) }
+// SetConfig has requests read by a configuration that was taken in.
+func (f *Front) SetConfig(cfg *Config) { f.conf.Store(cfg) }
 
 // Parse turns a request into a query, or says what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
@@ -64,7 +64,7 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countUnasked(r, EndingOf(err.Status))
+		f.countUnasked(r, OutcomeForStatus(err.Status))
 		// The end of the connection: what else comes on it is worth as little, and must not cost more.
 		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
 		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
@@ -97,8 +97,8 @@
 	return name
 }
 
-// EndingOf is what a reply's status means to a client.
-func EndingOf(status int) core.QueryOutcome {
+// OutcomeForStatus is what a reply's status means to a client.
+func OutcomeForStatus(status int) core.QueryOutcome {
 	switch status {
 	case 200:
 		return core.Answered
@@ -224,7 +224,7 @@
 
 // reply words the final answer, and counts what the client is told.
 func (c *client) reply(r lnet.Response) {
-	c.count.Add(EndingOf(r.Status))
+	c.count.Add(OutcomeForStatus(r.Status))
 	c.x.Reply(r)
 }
 
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -81,7 +81,7 @@
 		t.Fatal("not queued")
 	}
 	hosts := []Host{{Host: "a", Dial: c.node.addr, Health: terminating, Share: 1}}
-	n.Learn(hosts, true)
+	n.UpdateHosts(hosts, true)
 	held := newHeldConn()
 	c.c, c.socket, c.up = held, held, true
 	go c.writeLoop(held)
@@ -89,7 +89,7 @@
 		t.Fatalf("%+v", o)
 	}
 	hosts[0].Health = inService
-	n.Learn(hosts, true)
+	n.UpdateHosts(hosts, true)
 	if !n.Send(id, []*core.Attempt{soon("again", id)}) {
 		t.Fatal("not queued")
 	}
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -83,10 +83,10 @@
 	return n
 }
 
-// Learn takes in where nodes are; of a whole list, that the others are gone. It must come before the core
+// UpdateHosts takes in where nodes are; of a whole list, that the others are gone. It must come before the core
 // hears of them. What is gone is forgotten once nothing of it is out: ids never come again, and would else
 // pile up. What is new is returned, to be logged once the core has heard of it.
-func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeNews) {
+func (n *Nodes) UpdateHosts(hosts []Host, whole bool) (news []nodeNews) {
 	n.mu.Lock()
 	var anew, idle []*nodeConn
 	first := len(n.nodes) == 0
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -787,7 +787,7 @@
 // figures asks the operators' door.
 func figures(t *testing.T, k *Coordinator) admin.Figures {
 	t.Helper()
-	r := standin.Call(t, k.Door(), "GET", "/admin/stats", nil, "")
+	r := standin.Call(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
 	var f admin.Figures
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
@@ -848,7 +848,7 @@
 	k := run(t, door(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
-		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, id); r.Status != want {
+		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
 			t.Fatalf("%s %s: %d %s", name, id, r.Status, r.Body)
 		}
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -42,24 +42,24 @@
 	firstWord = time.Second // that a start waits for discovery before it serves by an older list
 )
 
-// Extra is another front on the same core.
-type Extra interface {
+// ExtraFront is another front on the same core.
+type ExtraFront interface {
 	// Backend takes its queries' parts to their servers.
 	Backend() core.Backend
 	// Start begins to serve; the core runs.
 	Start(c *core.Core, budget *lnet.Budget) error
-	// Settle tells of new settings, in which classes have kept their places.
-	Settle(s balance.Settings)
-	ender
+	// ApplySettings tells of new settings, in which classes have kept their places.
+	ApplySettings(s balance.Settings)
+	drainer
 }
 
-// ender is a listener with its connections, as far as ending goes.
-type ender interface {
-	Retire()                // tells who asks that it is not ready any more
+// drainer is a listener with its connections, as far as ending goes.
+type drainer interface {
+	MarkNotReady()          // tells who asks that it is not ready any more
 	StopListening()         // no new connections
-	Wind()                  // from now on replies end their connections
+	CloseAfterReply()       // from now on replies end their connections
 	LastRequest() time.Time // when a request last came
-	Finish()                // and idle ones are closed
+	Drain()                 // and idle ones are closed
 	Wait(most time.Duration) bool
 }
 
@@ -72,10 +72,10 @@
 	server    *lnet.Server
 	nodes     *Nodes
 	delays    *delay.Recorder
-	peers     *peers
+	peers     *peerSocket
 	fleet     *fleet.Fleet // nil: there is none
 	failed    chan error   // hears once why this process must not go on serving
-	extras    []Extra
+	extras    []ExtraFront
 	door      *admin.Door
 	ending    atomic.Bool
 	accepting atomic.Bool   // the fronts were started
@@ -100,7 +100,7 @@
 }
 
 // Start starts a coordinator.
-func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
+func Start(cfg *Config, log *slog.Logger, extras ...ExtraFront) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
 		listed: make(chan struct{}), conf: cfg, failed: make(chan error, 1)}
 	h, beside := inherit(cfg, log)
@@ -137,7 +137,7 @@
 		}
 		conf.Peers = k.fleet
 		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Admission = limits{k, &atomic.Pointer[ranked]{}}
+			conf.Admission = fleetGate{k, &atomic.Pointer[ranked]{}}
 		}
 		k.judge(&conf)
 	}
@@ -176,7 +176,7 @@
 	}
 	if cfg.Known != nil { // what was known before a restart: enough to begin with
 		w.seq = cfg.Known.Seq
-		news := k.nodes.Learn(cfg.Known.Hosts, true)
+		news := k.nodes.UpdateHosts(cfg.Known.Hosts, true)
 		k.core.Post(core.ListUpdate{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
 			ReceivedAt: time.Now()})
 		k.nodes.logNews(news)
@@ -291,8 +291,8 @@
 // budgetOf is how many descriptors clients and nodes share.
 func budgetOf(sockets int, door bool) int { return max(32, sockets-ownSockets-doorNeeds(door)) }
 
-// ClientPlaces is how many clients there can be at most, where the process may hold so many descriptors.
-func ClientPlaces(sockets int, door bool) int {
+// MaxClients is how many clients there can be at most, where the process may hold so many descriptors.
+func MaxClients(sockets int, door bool) int {
 	most := budgetOf(sockets, door)
 	return most - most/nodeShare
 }
@@ -300,8 +300,8 @@
 // Addr is the address that clients reach.
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
-// Door is the address of the operators' door.
-func (k *Coordinator) Door() string { return k.door.Addr() }
+// AdminAddr is the address of the operators' door.
+func (k *Coordinator) AdminAddr() string { return k.door.Addr() }
 
 // doorState is what the operators' door shows of a coordinator.
 type doorState struct{ k *Coordinator }
@@ -440,7 +440,7 @@
 		return err
 	}
 	for _, x := range k.extras {
-		x.Settle(fresh.Module)
+		x.ApplySettings(fresh.Module)
 		if c, ok := x.(interface{ Conform(*Config) }); ok {
 			c.Conform(fresh)
 		}
@@ -498,7 +498,7 @@
 	if !handed { // else the coordinator is there as ever, whichever process is asked
 		k.front.ready.Store(false)
 	}
-	var ends []ender
+	var ends []drainer
 	if k.server != nil {
 		ends = append(ends, platformEnd{k.server})
 	}
@@ -508,7 +508,7 @@
 		}
 	}
 	for _, x := range ends {
-		x.Retire()
+		x.MarkNotReady()
 	}
 	k.mu.Lock()
 	answerOn, endingLimit := k.conf.ending()
@@ -535,7 +535,7 @@
 	}
 	for _, x := range ends {
 		x.StopListening()
-		x.Finish()
+		x.Drain()
 	}
 	select {
 	case <-idle:
@@ -554,13 +554,13 @@
 
 // lead has clients go over to the successor: the next reply on a connection ends it. An idle one stays open
 // up to the time given, as a request may be on its way, and closing would cross it.
-func (k *Coordinator) lead(ends []ender, until time.Time) {
+func (k *Coordinator) lead(ends []drainer, until time.Time) {
 	if k.peers != nil {
 		_ = k.peers.c.Close() // what comes now is for the successor
 	}
 	for _, x := range ends {
 		x.StopListening()
-		x.Wind()
+		x.CloseAfterReply()
 	}
 	for _, x := range ends {
 		x.Wait(max(0, time.Until(until)))
@@ -581,18 +581,18 @@
 // platformEnd is the platform's front as far as ending goes; /up says by itself that it is not ready.
 type platformEnd struct{ *lnet.Server }
 
-// Retire has nothing left to do.
-func (platformEnd) Retire() {}
+// MarkNotReady has nothing left to do.
+func (platformEnd) MarkNotReady() {}
 
 // Close ends at once, as a test wants it.
 func (k *Coordinator) Close() {
 	if k.server != nil {
-		k.server.Finish()
+		k.server.Drain()
 		k.server.StopListening()
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			x.Finish()
+			x.Drain()
 			x.StopListening()
 		}
 	}
@@ -617,8 +617,8 @@
 	})
 }
 
-// peers carries datagrams between coordinators.
-type peers struct {
+// peerSocket carries datagrams between coordinators.
+type peerSocket struct {
 	cfg  *Config
 	log  *slog.Logger
 	post func(core.Event)
@@ -634,8 +634,8 @@
 	text string
 }
 
-func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peers, error) {
-	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
+func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peerSocket, error) {
+	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
@@ -663,7 +663,7 @@
 }
 
 // Tell queues a datagram; where the queue is full it is lost, as any may be.
-func (p *peers) Tell(to uint32, text string) {
+func (p *peerSocket) Tell(to uint32, text string) {
 	if len(text) == 0 || len(text) > maxDatagram { // a longer one is forbidden
 		p.log.Error("a message to a peer has an impossible length", "bytes", len(text))
 		return
@@ -684,7 +684,7 @@
 	}
 }
 
-func (p *peers) write() {
+func (p *peerSocket) write() {
 	for d := range p.out {
 		if _, err := p.c.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
 			return
@@ -692,7 +692,7 @@
 	}
 }
 
-func (p *peers) read() {
+func (p *peerSocket) read() {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.c.ReadFromUDP(buf)
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -58,7 +58,7 @@
 	askable(t, cfg)
 	say := func(k *Coordinator, name string) {
 		t.Helper()
-		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
+		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
@@ -78,7 +78,7 @@
 	}
 	t.Cleanup(fresh.Close)
 	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
 		t.Error("the successor says yes before the old process knows of it")
@@ -89,7 +89,7 @@
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
 	standin.Until(t, "the end of the old process's yes", func() bool { return old.ending.Load() })
-	if r := standin.Call(t, old.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.Call(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the old process says %d", r.Status)
 	}
 	for range 20 {
@@ -170,7 +170,7 @@
 		t.Fatal("the old process heard nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the door says %d", r.Status)
 	}
 	if fresh.accepting.Load() {
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 		t.Errorf("/up says %d", r.Status)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -230,7 +230,7 @@
 	if list.Whole {
 		mode = balance.Full
 	}
-	news := w.nodes.Learn(list.Hosts, list.Whole)
+	news := w.nodes.UpdateHosts(list.Hosts, list.Whole)
 	w.post(core.ListUpdate{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), ReceivedAt: time.Now()})
 	w.nodes.logNews(news)
 	if list.Whole {
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -200,7 +200,7 @@
 	if p.Settings.Classes[f.class].Effect != balance.Safe {
 		return nil, fmt.Errorf("class %q is not safe to repeat, as range queries are", cfg.Class)
 	}
-	f.Settle(p.Settings)
+	f.ApplySettings(p.Settings)
 	if p.Shards < 1 || p.Shards > maxShards {
 		return nil, fmt.Errorf("%d shards are not possible", p.Shards)
 	}
@@ -217,8 +217,8 @@
 	return f, nil
 }
 
-// Settle takes new settings in.
-func (f *Front) Settle(s balance.Settings) { f.rules.Store(&s.Classes[f.class]) }
+// ApplySettings takes new settings in.
+func (f *Front) ApplySettings(s balance.Settings) { f.rules.Store(&s.Classes[f.class]) }
 
 // tenantHeader names the tenant, as range-query services with several tenants have it.
 const tenantHeader = "X-Scope-OrgID"
@@ -261,17 +261,17 @@
 // Addr is the address that clients reach.
 func (f *Front) Addr() string { return f.listener.Addr() }
 
-// Retire tells who asks that this front is not ready any more.
-func (f *Front) Retire() { f.ending.Store(true) }
+// MarkNotReady tells who asks that this front is not ready any more.
+func (f *Front) MarkNotReady() { f.ending.Store(true) }
 
 // LastRequest is when a request last came.
 func (f *Front) LastRequest() time.Time { return f.listener.LastRequest() }
 
-// Wind has replies end their connections from now on.
-func (f *Front) Wind() { f.listener.Wind() }
+// CloseAfterReply has replies end their connections from now on.
+func (f *Front) CloseAfterReply() { f.listener.CloseAfterReply() }
 
-// Finish lets every reply end its connection.
-func (f *Front) Finish() { f.listener.Finish() }
+// Drain lets every reply end its connection.
+func (f *Front) Drain() { f.listener.Drain() }
 
 // StopListening closes the listener.
 func (f *Front) StopListening() { f.listener.StopListening() }
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -26,7 +26,7 @@
 			cfg.Servers = append(cfg.Servers, Server{Name: fmt.Sprintf("s-%d-%d", i, j), Address: s.Addr, Cell: i})
 		}
 	}
-	pc, err := platform.Alone(cfg.Standalone())
+	pc, err := platform.Standalone(cfg.Standalone())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	within := func(key string, x, least, most float64) {
-		f.Check(x >= least && x <= most, key, "%g is not within %g and %g", x, least, most)
+		f.Require(x >= least && x <= most, key, "%g is not within %g and %g", x, least, most)
 	}
 	within("members", float64(s.Members), 1, mostMembers)
 	within("nodes", float64(s.Nodes), 2, mostNodes)
@@ -110,24 +110,24 @@
 		at := fmt.Sprintf("load.step[%d]", i+1)
 		within(at+".at_s", st.At, 0, s.For)
 		within(at+".rate", st.Rate, 0, mostRate)
-		f.Check(i == 0 || st.At >= s.Load.Steps[i-1].At, at+".at_s", "comes before the step above")
+		f.Require(i == 0 || st.At >= s.Load.Steps[i-1].At, at+".at_s", "comes before the step above")
 	}
 	for i, e := range s.Events {
 		at := fmt.Sprintf("event[%d]", i+1)
 		within(at+".at_s", e.At, 0, s.For)
-		f.Check(slices.Contains(doings, e.Do), at+".do", "%q is none of %v", e.Do, doings)
+		f.Require(slices.Contains(doings, e.Do), at+".do", "%q is none of %v", e.Do, doings)
 		for _, who := range append(slices.Clone(e.Who), e.From...) {
 			n := -1
 			_, merr := fmt.Sscanf(who, "m%02d", &n)
 			member := merr == nil && n >= 0 && n < s.Members
 			_, nerr := fmt.Sscanf(who, "n%d", &n)
 			node := nerr == nil && n >= 0 && n < s.Nodes
-			f.Check(member || node, at+".who", "%q is no member and no node", who)
-			f.Check(member == !onNodes(e.Do), at+".who", "%q can't be told to %s", who, e.Do)
+			f.Require(member || node, at+".who", "%q is no member and no node", who)
+			f.Require(member == !onNodes(e.Do), at+".who", "%q can't be told to %s", who, e.Do)
 		}
-		f.Check(len(e.Who) > 0 || e.Do == "heal", at+".who", "is missing")
-		f.Check(e.Do != "slow" || e.By > 0, at+".by", "is missing")
-		f.Check(e.Do != "cut" || len(e.From) > 0, at+".from", "is missing")
+		f.Require(len(e.Who) > 0 || e.Do == "heal", at+".who", "is missing")
+		f.Require(e.Do != "slow" || e.By > 0, at+".by", "is missing")
+		f.Require(e.Do != "cut" || len(e.From) > 0, at+".from", "is missing")
 	}
 	return s, f.Err()
 }
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -134,7 +134,7 @@
 	}
 	settings["peersTotal"] = s.Members
 	var err error
-	if w.conf, err = platform.Alone(settings); err != nil {
+	if w.conf, err = platform.Standalone(settings); err != nil {
 		return nil, err
 	}
 	var worth []float64
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -58,21 +58,21 @@
 	if err != nil {
 		return nil, err
 	}
-	f.Check(s.Members >= 1 && s.Members <= 40, "members", "%d is not within 1 and 40", s.Members)
+	f.Require(s.Members >= 1 && s.Members <= 40, "members", "%d is not within 1 and 40", s.Members)
 	if s.PeriodMS == 0 {
 		s.PeriodMS = 200
 	}
-	f.Check(s.PeriodMS >= 20 && s.PeriodMS <= 10_000, "period_ms", "%d is not within 20 and 10000", s.PeriodMS)
-	f.Check(s.Rate >= 0 && s.Rate <= 1000, "rate", "%g is not within 0 and 1000", s.Rate)
-	f.Check(s.Nodes >= 0 && s.Nodes <= 40, "nodes", "%d is not within 0 and 40", s.Nodes)
+	f.Require(s.PeriodMS >= 20 && s.PeriodMS <= 10_000, "period_ms", "%d is not within 20 and 10000", s.PeriodMS)
+	f.Require(s.Rate >= 0 && s.Rate <= 1000, "rate", "%g is not within 0 and 1000", s.Rate)
+	f.Require(s.Nodes >= 0 && s.Nodes <= 40, "nodes", "%d is not within 0 and 40", s.Nodes)
 	members := s.Members
 	for i, st := range s.Steps {
 		at := fmt.Sprintf("step[%d]", i+1)
-		f.Check((st.Do == "") != (st.Expect == ""), at+".do", "one of do and expect has to be there")
-		f.Check(st.Do == "" || slices.Contains(doings, st.Do), at+".do", "%q is none of %v", st.Do, doings)
-		f.Check(st.Expect == "" || slices.Contains(expects, st.Expect), at+".expect", "%q is none of %v", st.Expect,
+		f.Require((st.Do == "") != (st.Expect == ""), at+".do", "one of do and expect has to be there")
+		f.Require(st.Do == "" || slices.Contains(doings, st.Do), at+".do", "%q is none of %v", st.Do, doings)
+		f.Require(st.Expect == "" || slices.Contains(expects, st.Expect), at+".expect", "%q is none of %v", st.Expect,
 			expects)
-		f.Check(st.After >= 0 && st.After <= 10_000, at+".after", "%g is not within 0 and 10000", st.After)
+		f.Require(st.After >= 0 && st.After <= 10_000, at+".after", "%g is not within 0 and 10000", st.After)
 		if st.Do == "add" {
 			members += max(1, len(st.Who))
 		}
@@ -80,7 +80,7 @@
 			for _, who := range list {
 				n := -1
 				_, err := fmt.Sscanf(who, "m%02d", &n)
-				f.Check(err == nil && n >= 0 && n < members, at+"."+key, "%q is no member", who)
+				f.Require(err == nil && n >= 0 && n < members, at+"."+key, "%q is no member", who)
 			}
 		}
 		known("who", st.Who)
@@ -88,8 +88,8 @@
 		for _, side := range st.Sides {
 			known("sides", side)
 		}
-		f.Check(st.Do != "cut" || len(st.Sides) >= 1, at+".sides", "is missing")
-		f.Check(st.Expect == "" || st.Expect == "settled" || len(st.Who) > 0, at+".who", "is missing")
+		f.Require(st.Do != "cut" || len(st.Sides) >= 1, at+".sides", "is missing")
+		f.Require(st.Expect == "" || st.Expect == "settled" || len(st.Who) > 0, at+".who", "is missing")
 	}
 	return s, f.Err()
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -183,16 +183,16 @@
 	}
 }
 
-// Fault notes what is wrong at a key. Of the tables of a list the key bears the number, from 1:
+// AddError notes what is wrong at a key. Of the tables of a list the key bears the number, from 1:
 // server[2].name.
-func (f *File) Fault(key, format string, args ...any) {
+func (f *File) AddError(key, format string, args ...any) {
 	f.faults = append(f.faults, fault{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
 }
 
-// Check notes a fault unless something holds.
-func (f *File) Check(holds bool, key, format string, args ...any) {
+// Require notes a fault unless something holds.
+func (f *File) Require(holds bool, key, format string, args ...any) {
 	if !holds {
-		f.Fault(key, format, args...)
+		f.AddError(key, format, args...)
 	}
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -41,13 +41,13 @@
 		}
 		f, err := Parse("f", c.text, &v)
 		if err == nil {
-			f.Check(v.A >= 0, "a", "%d is under 0", v.A)
+			f.Require(v.A >= 0, "a", "%d is under 0", v.A)
 			for i, s := range v.Servers {
 				at := "server[" + string(rune('1'+i)) + "]"
-				f.Check(s.Size >= 0, at+".size", "%d is under 0", s.Size)
-				f.Check(s.Sub.Deep >= 0, at+".sub.deep", "%d is under 0", s.Sub.Deep)
+				f.Require(s.Size >= 0, at+".size", "%d is under 0", s.Size)
+				f.Require(s.Sub.Deep >= 0, at+".sub.deep", "%d is under 0", s.Sub.Deep)
 				if name == "absent" {
-					f.Check(s.Name != "", at+".name", "is missing")
+					f.Require(s.Name != "", at+".name", "is missing")
 				}
 			}
 			err = f.Err()
