--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -136,7 +136,7 @@
 	}
 	for i := range c.Limits {
 		at := fmt.Sprintf("limit[%d]", i+1)
-		c.Limits[i].check(f, at, c.Size(), len(x.Roster))
+		c.Limits[i].check(f, at, c.MaxMembers(), len(x.Roster))
 		for _, before := range c.Limits[:i] {
 			f.Require(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
 		}
@@ -150,16 +150,16 @@
 	return time.Duration(c.Fleet.Detect.Period) * time.Millisecond
 }
 
-// Size is how many members there may be.
-func (c *Config) Size() int {
+// MaxMembers is how many members there may be.
+func (c *Config) MaxMembers() int {
 	if n := len(c.Fleet.Roster); n > 0 {
 		return n
 	}
 	return c.Fleet.Most
 }
 
-// Place is this member's among the roster, by name, or 0.
-func (c *Config) Place() int { return max(0, c.place()) }
+// RosterIndex is this member's among the roster, by name, or 0.
+func (c *Config) RosterIndex() int { return max(0, c.place()) }
 
 // place is the same, or -1 where there is no roster.
 func (c *Config) place() int {
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -22,12 +22,12 @@
 
 // Host is what the fleet's part needs of the process around it. Functions that are nil are not called.
 type Host struct {
-	// Carry carries verdicts out here.
-	Carry Apply
-	// Name is the name of a data node by its number; false: it is not known here.
-	Name func(node uint64) (string, bool)
-	// Nodes is how many data nodes are listed.
-	Nodes func() int
+	// Apply carries verdicts out here.
+	Apply Apply
+	// NodeName is the name of a data node by its number; false: it is not known here.
+	NodeName func(node uint64) (string, bool)
+	// NodeCount is how many data nodes are listed.
+	NodeCount func() int
 }
 
 // jurors is the part of the fleet that judges.
@@ -42,14 +42,16 @@
 // ServerNumber is the number of a data node by its name: the module's, as peers name nodes by it.
 func ServerNumber(name string) uint64 { return uint64(core.ServerID(name)) }
 
-// Judges tells that evidence counts at this member.
-func (c *Config) Judges() bool { return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0 }
+// EvidenceEnabled tells that evidence counts at this member.
+func (c *Config) EvidenceEnabled() bool {
+	return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0
+}
 
-// SickShare is how many of all nodes may be out by evidence at a time, as a share.
-func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
+// EvidenceShare is how many of all nodes may be out by evidence at a time, as a share.
+func (c *Config) EvidenceShare() float64 { return *c.Fleet.Evidence.Share }
 
-// Saw takes in how an attempt at a node ended that took so long. It does not wait.
-func (f *Fleet) Saw(node uint64, class int, e verdict.Outcome, took time.Duration) {
+// ObserveAttempt takes in how an attempt at a node ended that took so long. It does not wait.
+func (f *Fleet) ObserveAttempt(node uint64, class int, e verdict.Outcome, took time.Duration) {
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
 	f.jurors.jury.Observe(f.now(), node, class, e, took.Microseconds())
@@ -57,7 +59,7 @@
 
 // tendJury has the jury its turn, once a period.
 func (f *Fleet) tendJury(v *membership.View, now membership.Micros) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	j := &f.jurors
@@ -75,7 +77,7 @@
 		}
 	}
 	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Figures().Health <= soundHealth)
+	sends := j.jury.Tick(now, others, size, v.Stats().Health <= soundHealth)
 	judged := j.jury.Outliers(now)
 	j.mu.Unlock()
 	for _, s := range sends {
@@ -89,10 +91,10 @@
 // judge gives the verdict that a judgement is, if it may be given and there is room for it.
 func (f *Fleet) judge(now membership.Micros, x verdict.Outlier, alive, size int) {
 	host := f.host.Load()
-	if host.Name == nil || host.Nodes == nil {
+	if host.NodeName == nil || host.NodeCount == nil {
 		return
 	}
-	name, ok := host.Name(x.Node)
+	name, ok := host.NodeName(x.Node)
 	if !ok {
 		return
 	}
@@ -100,7 +102,7 @@
 	if !may {
 		return
 	}
-	if f.keep.CountSick(now, x.Zone) >= verdict.MaxSick(host.Nodes(), f.cfg.SickShare(), alive, size) {
+	if f.keep.CountSick(now, x.Zone) >= verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
 		f.jurors.held++
 		return
 	}
@@ -113,7 +115,7 @@
 
 // hearEvidence takes in another member's message on what it has seen.
 func (f *Fleet) hearEvidence(v *membership.View, h membership.Heard) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	zone, ok := f.jurors.zones[h.From]
@@ -152,8 +154,8 @@
 		t := f.jurors.jury.Tally(now, id, 0)
 		s := SeenStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
 			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
-		if host := f.host.Load(); host.Name != nil {
-			if name, ok := host.Name(id); ok {
+		if host := f.host.Load(); host.NodeName != nil {
+			if name, ok := host.NodeName(id); ok {
 				s.Node = name
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// Sockets is how many descriptors the fleet's part may take.
-	Sockets = 3
+	// MaxSockets is how many descriptors the fleet's part may take.
+	MaxSockets = 3
 	// queueSize is how many datagrams wait for the goroutine that holds the view; more are dropped.
 	queueSize = 1024
 	heardSize = 256
-	// MostMessage is the longest message of the decision module, in bytes.
-	MostMessage = membership.MostApp
-	showEvery   = 100 * time.Millisecond
+	// MaxMessage is the longest message of the decision module, in bytes.
+	MaxMessage = membership.MostApp
+	showEvery  = 100 * time.Millisecond
 )
 
 // What a message of the layer above is for.
@@ -188,8 +188,8 @@
 		Period: f.cfg.Period().Microseconds(), Settings: f.cfg.view}
 }
 
-// Begin starts to take part: as a new process, or from where another process of this member has stopped.
-func (f *Fleet) Begin(from *Handover, host Host) error {
+// Start starts to take part: as a new process, or from where another process of this member has stopped.
+func (f *Fleet) Start(from *Handover, host Host) error {
 	var v *membership.View
 	var err error
 	f.host.Store(&host)
@@ -244,9 +244,9 @@
 	return r.view
 }
 
-// Release stops to read, for the process that goes on in this one's place; the socket stays open, so that
+// HandOver stops to read, for the process that goes on in this one's place; the socket stays open, so that
 // Again can take it back. Nil: this process has no part to give.
-func (f *Fleet) Release() *Handover {
+func (f *Fleet) HandOver() *Handover {
 	v := f.halt()
 	if v == nil {
 		return nil
@@ -259,8 +259,8 @@
 	return h
 }
 
-// Again goes on after the process that had taken over is gone.
-func (f *Fleet) Again() {
+// Reclaim goes on after the process that had taken over is gone.
+func (f *Fleet) Reclaim() {
 	f.mu.Lock()
 	v := f.kept
 	f.kept = nil
@@ -275,11 +275,11 @@
 // Joined is closed once this member has been let in, or goes on alone.
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
-// Refused hears once if this process must not serve.
-func (f *Fleet) Refused() <-chan error { return f.refused }
+// NameTaken hears once if this process must not serve.
+func (f *Fleet) NameTaken() <-chan error { return f.refused }
 
-// Heard are messages for the decision module.
-func (f *Fleet) Heard() <-chan membership.Heard { return f.heard }
+// Messages are messages for the decision module.
+func (f *Fleet) Messages() <-chan membership.Heard { return f.heard }
 
 // Close ends this process's part, without a word to the others.
 func (f *Fleet) Close() {
@@ -427,18 +427,18 @@
 			shown = time.Now()
 			f.publish(v)
 		}
-		alarm.Reset(time.Duration(v.Next()-f.now()) * time.Microsecond)
+		alarm.Reset(time.Duration(v.NextTick()-f.now()) * time.Microsecond)
 	}
 }
 
 // carryOut sends, logs and passes on what the view has to say.
 func (f *Fleet) carryOut(v *membership.View) (changed bool) {
-	sends, changes, heard := v.Take()
+	sends, changes, heard := v.TakeOutput()
 	for _, h := range heard {
 		f.hear(v, h)
 	}
 	f.tend(v) // what it says goes out with the rest
-	more, later, _ := v.Take()
+	more, later, _ := v.TakeOutput()
 	changes = append(changes, later...)
 	keys := f.keys.Load()
 	for _, s := range append(sends, more...) {
@@ -496,30 +496,30 @@
 		f.log.Info("fleet member forgotten", "member", m.Name, "was", m.State.String())
 	case c.First:
 		f.log.Info("fleet member found", "member", m.Name, "zone", m.Zone, "addr", m.Addr,
-			"state", m.State.String(), "incarnation", m.Inc)
+			"state", m.State.String(), "incarnation", m.Incarnation)
 	case c.Was == m.State:
-		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Inc)
+		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Incarnation)
 	default:
 		level := slog.LevelInfo
 		if m.State == membership.Dead {
 			level = slog.LevelWarn
 		}
 		f.log.Log(context.Background(), level, "fleet member changed", "member", m.Name, "state", m.State.String(),
-			"was", c.Was.String(), "incarnation", m.Inc)
+			"was", c.Was.String(), "incarnation", m.Incarnation)
 	}
 }
 
 // publish makes the view's state what the door shows.
 func (f *Fleet) publish(v *membership.View) {
 	now := f.now()
-	self, g := v.Self(), v.Figures()
-	s := &Status{Self: self.Name, Incarnation: self.Inc, Digest: fmt.Sprintf("%016x", v.Digest()),
+	self, g := v.Self(), v.Stats()
+	s := &Status{Self: self.Name, Incarnation: self.Incarnation, Digest: fmt.Sprintf("%016x", v.Digest()),
 		Members: []MemberStatus{}}
 	var alive []string
 	differ := []string{}
 	for _, m := range v.Members() {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(),
-			State: m.State.String(), Incarnation: m.Inc, SinceMS: (now - m.Since) / 1000})
+			State: m.State.String(), Incarnation: m.Incarnation, SinceMS: (now - m.Since) / 1000})
 		if m.State > membership.Suspect {
 			continue
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 	}
 	if len(c.view.Join) != 1 || c.view.Route["b1"].String() != "127.1.0.2:7946" ||
 		c.Period() != 200*time.Millisecond ||
-		c.Size() != 2 || c.Place() != 0 {
+		c.MaxMembers() != 2 || c.RosterIndex() != 0 {
 		t.Fatalf("%+v", c)
 	}
 	other, err := Load(write(t, dir, "other.toml", strings.Replace(sound, `"b1"]`, `"b1", "c1"]`, 1)))
@@ -183,7 +183,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	if err := f.Begin(nil, Host{}); err != nil {
+	if err := f.Start(nil, Host{}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(c, standin.Quiet(), nil); err == nil {
@@ -279,38 +279,38 @@
 	ends := time.Now().Add(time.Second)
 	var tickets []Ticket
 	for i := range 4 {
-		ticket, ok, after, limit := f.Allow("post", "t", ends)
+		ticket, ok, after, limit := f.AllowRequest("post", "t", ends)
 		if ok != (i < 2) || !ok && (limit != "tenants" || after <= 0) {
 			t.Fatalf("%d: %v by %q, after %v", i, ok, limit, after)
 		}
 		tickets = append(tickets, ticket)
 	}
-	last, ok, _, _ := f.Allow("post", "", ends)
+	last, ok, _, _ := f.AllowRequest("post", "", ends)
 	if !ok {
 		t.Fatal("units of those that were turned away are not free")
 	}
-	if _, ok, _, limit := f.Allow("post", "u", ends); ok || limit != "posts" {
+	if _, ok, _, limit := f.AllowRequest("post", "u", ends); ok || limit != "posts" {
 		t.Fatalf("a fourth one is open: %v %q", ok, limit)
 	}
-	f.Done(last)
-	if _, ok, _, _ := f.Allow("post", "u", ends); !ok {
+	f.ReleaseTicket(last)
+	if _, ok, _, _ := f.AllowRequest("post", "u", ends); !ok {
 		t.Fatal("what has ended still counts")
 	}
-	if _, ok, _, _ := f.Allow("other", "v", ends); !ok {
+	if _, ok, _, _ := f.AllowRequest("other", "v", ends); !ok {
 		t.Fatal("a limit binds another class")
 	}
-	one, ok := f.AllowSend(ServerNumber("n0"), ends)
-	if _, again := f.AllowSend(ServerNumber("n0"), ends); !ok || again {
+	one, ok := f.AllowAttempt(ServerNumber("n0"), ends)
+	if _, again := f.AllowAttempt(ServerNumber("n0"), ends); !ok || again {
 		t.Fatal("not one at a time at n0")
 	}
-	if _, ok := f.AllowSend(ServerNumber("n1"), ends); !ok {
+	if _, ok := f.AllowAttempt(ServerNumber("n1"), ends); !ok {
 		t.Fatal("the limit binds another node")
 	}
-	f.Done(one)
-	if _, ok := f.AllowSend(ServerNumber("n0"), ends); !ok {
+	f.ReleaseTicket(one)
+	if _, ok := f.AllowAttempt(ServerNumber("n0"), ends); !ok {
 		t.Fatal("an attempt that has ended still counts")
 	}
 	for _, x := range tickets {
-		f.Done(x)
+		f.ReleaseTicket(x)
 	}
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -109,8 +109,8 @@
 	Keys       int     `json:"keys,omitempty"` // of a limit for each: those with a share of their own
 }
 
-// part is a member's part in a limit of any kind.
-type part interface {
+// limitState is a member's part in a limit of any kind.
+type limitState interface {
 	Tick(now quota.Micros, peers []string) []quota.Message
 	Receive(now quota.Micros, from string, data []byte) []quota.Message
 	SetEntitlement(now quota.Micros, e quota.Entitlement)
@@ -124,7 +124,7 @@
 // there.
 type limiter struct {
 	mu     sync.Mutex // guards the part
-	part   part
+	part   limitState
 	share  *quota.Share
 	slots  *quota.Slots
 	keys   *quota.KeyedShares
@@ -166,13 +166,13 @@
 			Floor: l.conf.Floor}
 		switch seed++; {
 		case l.conf.each():
-			l.keys = quota.NewKeyedShares(q, f.cfg.Size(), period, seed, now)
+			l.keys = quota.NewKeyedShares(q, f.cfg.MaxMembers(), period, seed, now)
 			l.part = l.keys
 		case l.conf.Concurrent > 0:
-			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.place(), period, int64(l.conf.LongestMS)*1000, seed, now)
+			l.slots = quota.NewSlots(q, f.cfg.MaxMembers(), f.cfg.place(), period, int64(l.conf.LongestMS)*1000, seed, now)
 			l.part = l.slots
 		default:
-			l.share = quota.NewShare(q, f.cfg.Size(), period, seed, now)
+			l.share = quota.NewShare(q, f.cfg.MaxMembers(), period, seed, now)
 			l.part = l.share
 		}
 		if takesOver {
@@ -222,9 +222,9 @@
 	return 0, l.conf.Tenant != "" && l.conf.Tenant == tenant
 }
 
-// Allow asks whether one more request of a class and a tenant that ends by the time given may be let in now.
+// AllowRequest asks whether one more request of a class and a tenant that ends by the time given may be let in now.
 // If not, it names the limit and tells after how long it may be. It never waits for a message.
-func (f *Fleet) Allow(class, tenant string, ends time.Time) (t Ticket, ok bool, after time.Duration,
+func (f *Fleet) AllowRequest(class, tenant string, ends time.Time) (t Ticket, ok bool, after time.Duration,
 	limit string) {
 	now := f.now()
 	until := now + time.Until(ends).Microseconds()
@@ -245,14 +245,14 @@
 				before.give(now, key, quota.Slot{})
 			}
 		}
-		f.Done(t)
+		f.ReleaseTicket(t)
 		return Ticket{}, false, time.Duration(wait) * time.Microsecond, l.conf.Name
 	}
 	return t, true, 0, ""
 }
 
-// AllowSend asks whether an attempt at a server that ends by the time given may be sent now.
-func (f *Fleet) AllowSend(server uint64, ends time.Time) (t Ticket, ok bool) {
+// AllowAttempt asks whether an attempt at a server that ends by the time given may be sent now.
+func (f *Fleet) AllowAttempt(server uint64, ends time.Time) (t Ticket, ok bool) {
 	now := f.now()
 	until := now + time.Until(ends).Microseconds()
 	for i, l := range f.limits {
@@ -271,7 +271,7 @@
 				before.give(now, quota.KeyIDFromNumber(before.id, server), quota.Slot{})
 			}
 		}
-		f.Done(t)
+		f.ReleaseTicket(t)
 		return Ticket{}, false
 	}
 	return t, true
@@ -282,13 +282,13 @@
 	return l.conf.Server == Each || l.conf.Server != "" && l.server == server
 }
 
-// LimitsServers tells that attempts are limited, and not just requests.
-func (f *Fleet) LimitsServers() bool {
+// HasServerLimits tells that attempts are limited, and not just requests.
+func (f *Fleet) HasServerLimits() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Server != "" })
 }
 
-// Done gives back what a request or an attempt that has ended held.
-func (f *Fleet) Done(t Ticket) {
+// ReleaseTicket gives back what a request or an attempt that has ended held.
+func (f *Fleet) ReleaseTicket(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
 		h.l.give(now, 0, h.at)
@@ -374,7 +374,7 @@
 // agree has the strictest of what the members that are alive say of each limit hold here, and tells them what
 // is said here.
 func (f *Fleet) agree(v *membership.View, now membership.Micros, peers []string) {
-	if n := v.Figures().TurnedDown; n != f.turnedDown {
+	if n := v.Stats().TurnedDown; n != f.turnedDown {
 		f.turnedDown, f.turnedAt = n, now
 	}
 	void := f.turnedDown > 0 && now-f.turnedAt < mostDiffer*f.cfg.Period().Microseconds()
@@ -384,7 +384,7 @@
 		if !ok {
 			continue // its last word holds until a restart
 		}
-		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
+		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.MaxMembers())
 		key := "limit." + l.conf.Name
 		said, self := f.keep.Settings(now, key), f.cfg.Fleet.Name
 		if said[self] != text || now-l.saidAt > sayAgain.Microseconds() {
@@ -395,7 +395,7 @@
 				f.log.Warn("the others are not told of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
-		amount, burst, members := own.amount(), own.Burst, conf.Size()
+		amount, burst, members := own.amount(), own.Burst, conf.MaxMembers()
 		for _, who := range peers {
 			var r, b float64
 			var n int
@@ -525,8 +525,8 @@
 	return out
 }
 
-// Alone tells that the process that this one took over from is over.
-func (f *Fleet) Alone() {
+// PredecessorGone tells that the process that this one took over from is over.
+func (f *Fleet) PredecessorGone() {
 	now := f.now()
 	f.each(func(l *limiter) { l.part.OtherProcessEnded(now, false) })
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -27,13 +27,13 @@
 	by    map[string]int64 // turned away, by class and by class/tenant
 }
 
-// Sheds tells that the fleet turns away as one.
-func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
+// OverloadEnabled tells that the fleet turns away as one.
+func (c *Config) OverloadEnabled() bool { return !c.Fleet.Overload.Off }
 
-// LetIn asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
+// Admit asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
 // its tries have in common. If not, it returns after how long it may come back.
-func (f *Fleet) LetIn(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
-	if !f.cfg.Sheds() {
+func (f *Fleet) Admit(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
+	if !f.cfg.OverloadEnabled() {
 		return true, 0
 	}
 	s := &f.shed
@@ -52,16 +52,16 @@
 	return false, time.Duration(wait) * time.Microsecond
 }
 
-// HasEnded books how a request that was let in ended. well: answered in time.
-func (f *Fleet) HasEnded(well bool) {
+// RequestFinished books how a request that was let in ended. well: answered in time.
+func (f *Fleet) RequestFinished(well bool) {
 	f.shed.mu.Lock()
 	f.shed.guard.Finished(well)
 	f.shed.mu.Unlock()
 }
 
-// MaySend asks whether an attempt may be sent by the budget for what is sent again.
-func (f *Fleet) MaySend(first bool) bool {
-	if !f.cfg.Sheds() {
+// AllowByRetryBudget asks whether an attempt may be sent by the budget for what is sent again.
+func (f *Fleet) AllowByRetryBudget(first bool) bool {
+	if !f.cfg.OverloadEnabled() {
 		return true
 	}
 	f.shed.mu.Lock()
@@ -71,7 +71,7 @@
 
 // tendOverload has the guard its turn, once a period.
 func (f *Fleet) tendOverload(v *membership.View, now membership.Micros, peers []string) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.shed.mu.Lock()
@@ -89,7 +89,7 @@
 
 // hearOverload takes in another member's message.
 func (f *Fleet) hearOverload(v *membership.View, h membership.Heard) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.shed.mu.Lock()
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -13,11 +13,11 @@
 	"lapislever/internal/verdict"
 )
 
-// ErrLate tells that an operator's call was not carried out in time; it may still be.
-var ErrLate = errors.New("not done in time, and may still be: call again")
+// ErrTimeout tells that an operator's call was not carried out in time; it may still be.
+var ErrTimeout = errors.New("not done in time, and may still be: call again")
 
-// ErrNothing tells that there is nothing to take back.
-var ErrNothing = errors.New("the fleet has no such verdict")
+// ErrNoVerdict tells that there is nothing to take back.
+var ErrNoVerdict = errors.New("the fleet has no such verdict")
 
 // Apply carries out at this member that something holds, or does not any more. It returns once that is done,
 // or false if this process ends before.
@@ -74,7 +74,7 @@
 	for {
 		select {
 		case c := <-f.toApply:
-			if f.host.Load().Carry != nil && !f.host.Load().Carry(c) {
+			if f.host.Load().Apply != nil && !f.host.Load().Apply(c) {
 				return
 			}
 			f.call(func(*membership.View) {
@@ -197,12 +197,12 @@
 	return &v
 }
 
-// Told tells that this process has taken in what other members knew.
-func (f *Fleet) Told() bool { return f.verdicts.Load().Told }
+// VerdictsSynced tells that this process has taken in what other members knew.
+func (f *Fleet) VerdictsSynced() bool { return f.verdicts.Load().Told }
 
-// Say gives a verdict for the fleet. It returns once that holds here and, for as long as wait says, at all
+// IssueVerdict gives a verdict for the fleet. It returns once that holds here and, for as long as wait says, at all
 // others that are alive.
-func (f *Fleet) Say(v verdict.Verdict, within, wait time.Duration) (VerdictStatus, error) {
+func (f *Fleet) IssueVerdict(v verdict.Verdict, within, wait time.Duration) (VerdictStatus, error) {
 	begun := time.Now()
 	var given verdict.Verdict
 	var err error
@@ -215,7 +215,7 @@
 				ill = f.pardon(&v)
 			}
 			if l, ok := f.keep.Lookup(f.now(), v.Kind, v.What); !ok || !l.On {
-				if err = ErrNothing; len(ill) > 0 { // by evidence alone, and that is taken back
+				if err = ErrNoVerdict; len(ill) > 0 { // by evidence alone, and that is taken back
 					given, err = ill[0], nil
 				}
 				return
@@ -223,7 +223,7 @@
 		}
 		given, err = f.keep.Issue(f.now(), time.Now().UnixMilli(), v)
 	}, within) {
-		return VerdictStatus{}, ErrLate
+		return VerdictStatus{}, ErrTimeout
 	}
 	<-done
 	if err != nil {
@@ -241,7 +241,7 @@
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
 		}, within) {
-			return s, ErrLate
+			return s, ErrTimeout
 		}
 		<-looked
 		here := slices.Contains(s.Held, f.cfg.Fleet.Name)
@@ -250,7 +250,7 @@
 		case here && (len(s.Missing) == 0 || took >= wait):
 			return s, nil
 		case !here && took >= max(within, wait):
-			return s, ErrLate
+			return s, ErrTimeout
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -124,11 +124,11 @@
 // acquaint has all members go on as if they had long known one another.
 func (f *Fleet) acquaint() error {
 	for _, n := range f.nodes {
-		s := membership.Snapshot{Birth: n.view.Self().Birth, Inc: 1, Joined: true}
+		s := membership.Snapshot{Birth: n.view.Self().Birth, Incarnation: 1, Joined: true}
 		for _, o := range f.nodes {
 			if x := o.view.Self(); o != n {
-				s.Members = append(s.Members, membership.Handover{Name: x.Name, Zone: x.Zone, Addr: x.Addr,
-					Birth: x.Birth, Inc: 1, State: membership.Alive, Stamp: 1})
+				s.Members = append(s.Members, membership.MemberSnapshot{Name: x.Name, Zone: x.Zone, Addr: x.Addr,
+					Birth: x.Birth, Incarnation: 1, State: membership.Alive, Stamp: 1})
 			}
 		}
 		cfg := n.cfg
@@ -291,7 +291,7 @@
 			return
 		}
 		n.view.Tick(f.clock(n, f.now))
-		next := Micros(float64(n.view.Next()-1_000_000)/n.skew) + 1
+		next := Micros(float64(n.view.NextTick()-1_000_000)/n.skew) + 1
 		f.schedule(e.to, max(f.now+1, next+n.slow))
 	} else {
 		n.view.Receive(f.clock(n, f.now), e.data)
@@ -301,7 +301,7 @@
 
 // collect takes what a view has to say to where it belongs.
 func (f *Fleet) collect(i int) {
-	sends, changes, _ := f.nodes[i].view.Take()
+	sends, changes, _ := f.nodes[i].view.TakeOutput()
 	for _, c := range changes {
 		f.Seen(Seen{At: f.now, By: i, Change: c})
 	}
@@ -310,7 +310,7 @@
 	}
 }
 
-func (f *Fleet) carry(from int, s membership.Send) {
+func (f *Fleet) carry(from int, s membership.Datagram) {
 	f.Bytes += int64(len(s.Data) + overhead)
 	to, ok := f.index[s.To]
 	if !ok {
--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -34,9 +34,9 @@
 		for i := range min(f.Len(), 2) {
 			if f.Up(i) {
 				v := f.View(i)
-				line := fmt.Sprintf("%s %016x joined %v %+v", Name(i), v.Digest(), v.Joined(), v.Figures())
+				line := fmt.Sprintf("%s %016x joined %v %+v", Name(i), v.Digest(), v.Joined(), v.Stats())
 				for _, m := range v.Members() {
-					line += fmt.Sprintf(" %s:%v@%d", m.Name, m.State, m.Inc)
+					line += fmt.Sprintf(" %s:%v@%d", m.Name, m.State, m.Incarnation)
 				}
 				t.Log(line)
 			}
@@ -111,7 +111,7 @@
 		f.Run(300 * Period)
 		return n
 	}
-	if with, without := deaths(membership.Ablation{}), deaths(membership.Ablation{Suspicion: true}); with > 0 ||
+	if with, without := deaths(membership.Ablation{}), deaths(membership.Ablation{NoSuspicion: true}); with > 0 ||
 		without == 0 {
 		t.Errorf("suspicion: %d deaths with it, %d without", with, without)
 	}
@@ -124,7 +124,7 @@
 		_, ok := f.Until(20*Period, func() bool { return f.Agree(All) })
 		return ok
 	}
-	if with, without := heals(membership.Ablation{}), heals(membership.Ablation{Sync: true}); !with || without {
+	if with, without := heals(membership.Ablation{}), heals(membership.Ablation{NoSync: true}); !with || without {
 		t.Errorf("anti-entropy: heals with it %v, without %v", with, without)
 	}
 }
--- a/internal/fleetsim/measure.go
+++ b/internal/fleetsim/measure.go
@@ -104,7 +104,7 @@
 		dead := map[string]bool{}
 		f.Seen = func(s Seen) {
 			if s.Member.State == membership.Dead {
-				dead[fmt.Sprint(s.Member.Name, " ", s.Member.Birth, s.Member.Inc)] = true
+				dead[fmt.Sprint(s.Member.Name, " ", s.Member.Birth, s.Member.Incarnation)] = true
 			}
 		}
 		was, begun := f.Bytes, f.Now()
--- a/internal/fleetsim/measure_test.go
+++ b/internal/fleetsim/measure_test.go
@@ -59,7 +59,7 @@
 		}
 	}
 	add(named(", no anti-entropy", func() (Row, error) {
-		return Heals(with(100, 0.05, membership.Ablation{Sync: true}, 0), 5)
+		return Heals(with(100, 0.05, membership.Ablation{NoSync: true}, 0), 5)
 	}))
 	const slow = 400_000
 	for _, loss := range []float64{0, 0.05, 0.2} {
@@ -67,9 +67,9 @@
 			name  string
 			a     membership.Ablation
 			hours float64
-		}{{", 1% slow", membership.Ablation{}, 0.25}, {", 1% slow, no health", membership.Ablation{Health: true},
+		}{{", 1% slow", membership.Ablation{}, 0.25}, {", 1% slow, no health", membership.Ablation{NoHealth: true},
 			0.25},
-			{", 1% slow, no suspicion", membership.Ablation{Suspicion: true}, 0.01}} {
+			{", 1% slow, no suspicion", membership.Ablation{NoSuspicion: true}, 0.01}} {
 			add(named(s.name, func() (Row, error) {
 				return FalseDeaths(with(100, loss, s.a, slow), 2, Micros(s.hours*hour))
 			}))
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -95,7 +95,7 @@
 
 // take puts on their way what a member sends.
 func (w *world) take(i int) {
-	sends, _, _ := w.views[i].Take()
+	sends, _, _ := w.views[i].TakeOutput()
 	for _, s := range sends {
 		to := int(s.To.Addr().As4()[3]) - 1
 		w.flying = append(w.flying, flight{from: i, to: to, data: s.Data})
@@ -173,7 +173,7 @@
 		put(uint64(f.from), uint64(f.to), uint64(f.data[0]), uint64(len(f.data)))
 		r := read(f.data)
 		if h := r.head(); h.kind == kindPing || h.kind == kindNews || h.kind == kindAccuse {
-			put(xxhash.Sum64(r.B[min(4, len(r.B)):]))
+			put(xxhash.Sum64(r.Rest[min(4, len(r.Rest)):]))
 		}
 	}
 	return xxhash.Sum64(b)
@@ -187,7 +187,7 @@
 		if state == Suspect {
 			state = Alive
 		}
-		s += fmt.Sprint(m.Name, state, m.Inc, " ", m.Birth, ";")
+		s += fmt.Sprint(m.Name, state, m.Incarnation, " ", m.Birth, ";")
 	}
 	return s
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -26,7 +26,7 @@
 	case late > v.cfg.Period:
 		v.stalled(late)
 		v.slotAt = v.now
-	case late > step/2 && !v.cfg.Ablate.Health:
+	case late > step/2 && !v.cfg.Ablate.NoHealth:
 		v.lagged(late)
 	}
 	for v.slotAt <= v.now {
@@ -40,7 +40,7 @@
 // that it has told stand for the others to judge.
 func (v *View) stalled(gap Micros) {
 	v.figures.Stalls++
-	if v.cfg.Ablate.Health {
+	if v.cfg.Ablate.NoHealth {
 		return
 	}
 	v.health = min(healthMost, v.health+int(gap/v.cfg.Period))
@@ -94,7 +94,7 @@
 }
 
 func (v *View) fare(by int) {
-	if !v.cfg.Ablate.Health {
+	if !v.cfg.Ablate.NoHealth {
 		v.health = max(0, min(healthMost, v.health+by))
 	}
 }
@@ -191,7 +191,7 @@
 	if p.asked > 0 && p.nacked < p.asked { // not even the helpers were heard: Lifeguard, IV.A
 		v.fare(+1)
 	}
-	if v.cfg.Ablate.Suspicion {
+	if v.cfg.Ablate.NoSuspicion {
 		m.votes = []uint32{uint32(v.self.birth & lowBits)}
 		v.declare(m)
 		return
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -75,7 +75,7 @@
 	case kindRecords:
 		m.depth, m.prefix, m.back = int(r.U8()), r.U32(), r.U8() == 1
 	case kindWant:
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			m.births = append(m.births, r.U64())
 		}
 	case kindClaim:
@@ -84,7 +84,7 @@
 		m.addr, m.hops, m.birth, m.other = r.addr(), r.U8(), r.U64(), r.U64()
 	case kindApp:
 		m.app = r.U8()
-		m.data, r.B = r.B, nil
+		m.data, r.Rest = r.Rest, nil
 	}
 	r.Bad = r.Bad || m.depth > treeDepth || m.inc > incMost
 	m.entries = r.entries()
@@ -502,7 +502,7 @@
 			return
 		}
 	}
-	if v.cfg.Ablate.Suspicion {
+	if v.cfg.Ablate.NoSuspicion {
 		m.votes = e.votes
 		v.declare(m)
 		return
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -13,7 +13,7 @@
 
 // compare begins a sync with a member whose digest differs, unless news is on its way anyhow.
 func (v *View) compare(m *member, h head) {
-	if h.digest == v.digest || v.cfg.Ablate.Sync || m.state != Alive || v.joining || v.now < v.syncAt {
+	if h.digest == v.digest || v.cfg.Ablate.NoSync || m.state != Alive || v.joining || v.now < v.syncAt {
 		return
 	}
 	if v.now-v.changed < v.cfg.Period && v.now-v.syncFrom < 3*v.cfg.Period {
@@ -25,7 +25,7 @@
 
 // openSync sends a member the first sums.
 func (v *View) openSync(m *member) {
-	if v.cfg.Ablate.Sync || v.joining {
+	if v.cfg.Ablate.NoSync || v.joining {
 		return
 	}
 	v.syncAt, v.syncFrom = v.now+v.cfg.Period, v.now
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -89,26 +89,26 @@
 
 // Ablation switches parts off, for comparisons only.
 type Ablation struct {
-	Suspicion bool // a failed probe is a death
-	Health    bool // one's own slowness and stops count for nothing
-	Sync      bool // no anti-entropy
-	Equal     bool // a planted fault for checkers: a refutation bears the incarnation that it refutes
+	NoSuspicion bool // a failed probe is a death
+	NoHealth    bool // one's own slowness and stops count for nothing
+	NoSync      bool // no anti-entropy
+	Equal       bool // a planted fault for checkers: a refutation bears the incarnation that it refutes
 }
 
 // Member is one line of the view.
 type Member struct {
-	Name, Zone string
-	Addr       netip.AddrPort
-	State      State
-	Birth      uint64
-	Inc        uint32 // the incarnation
-	Since      Micros // in this state
-	Stamp      uint32 // its Settings.Stamp, as far as heard; 0: not yet
-	App        uint32 // what it last told by Tell; 0: nothing yet
-}
-
-// Send is a datagram that is to go out. Its content is not sealed.
-type Send struct {
+	Name, Zone  string
+	Addr        netip.AddrPort
+	State       State
+	Birth       uint64
+	Incarnation uint32 // the incarnation
+	Since       Micros // in this state
+	Stamp       uint32 // its Settings.Stamp, as far as heard; 0: not yet
+	App         uint32 // what it last told by Tell; 0: nothing yet
+}
+
+// Datagram is a datagram that is to go out. Its content is not sealed.
+type Datagram struct {
 	To   netip.AddrPort
 	Data []byte
 }
@@ -188,7 +188,7 @@
 	if s == Alive && m.suspect {
 		s = Suspect
 	}
-	return Member{Name: m.name, Zone: m.zone, Addr: m.addr, State: s, Birth: m.birth, Inc: m.inc,
+	return Member{Name: m.name, Zone: m.zone, Addr: m.addr, State: s, Birth: m.birth, Incarnation: m.inc,
 		Since: m.since, Stamp: m.stamp, App: m.app}
 }
 
@@ -294,7 +294,7 @@
 	app      uint32 // told with each datagram
 	knocks   []newcomer
 
-	out     []Send
+	out     []Datagram
 	changes []Change
 	heard   []Heard
 	figures Figures
@@ -360,8 +360,8 @@
 // rand is a random number under n.
 func (v *View) rand(n int) int { return int(v.rng.Uint64() % uint64(n)) }
 
-// Next is when Tick has something to do.
-func (v *View) Next() Micros { return v.slotAt }
+// NextTick is when Tick has something to do.
+func (v *View) NextTick() Micros { return v.slotAt }
 
 // Joined tells that this member bears an incarnation: it has been let in, or goes on alone.
 func (v *View) Joined() bool { return !v.joining }
@@ -376,7 +376,7 @@
 		s = Left
 	}
 	return Member{Name: v.self.name, Zone: v.self.zone, Addr: v.self.addr, State: s, Birth: v.self.birth,
-		Inc: v.self.inc, Since: v.begun, Stamp: v.cfg.Stamp}
+		Incarnation: v.self.inc, Since: v.begun, Stamp: v.cfg.Stamp}
 }
 
 // Members are all that are known, this one among them, by name.
@@ -397,16 +397,16 @@
 // Digest is equal at two members whose views are.
 func (v *View) Digest() uint64 { return v.digest }
 
-// Figures are the counts so far.
-func (v *View) Figures() Figures {
+// Stats are the counts so far.
+func (v *View) Stats() Figures {
 	f := v.figures
 	f.Health = v.health
 	return f
 }
 
-// Take hands over what is to be sent, what has changed and what was heard since the last call. The slices
+// TakeOutput hands over what is to be sent, what has changed and what was heard since the last call. The slices
 // are the caller's.
-func (v *View) Take() ([]Send, []Change, []Heard) {
+func (v *View) TakeOutput() ([]Datagram, []Change, []Heard) {
 	s, c, h := v.out, v.changes, v.heard
 	v.out, v.changes, v.heard = nil, nil, nil
 	return s, c, h
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -19,7 +19,7 @@
 	order []*View
 	born  uint64
 	cut   func(from, to *View) bool
-	tap   func(from *View, s Send)
+	tap   func(from *View, s Datagram)
 }
 
 func newLab(t testing.TB) *lab {
@@ -27,7 +27,7 @@
 		_ *View) bool {
 		return false
 	},
-		tap: func(*View, Send) {}}
+		tap: func(*View, Datagram) {}}
 }
 
 func addr(i int) netip.AddrPort {
@@ -74,7 +74,7 @@
 		}
 		more = false
 		for _, v := range l.order {
-			sends, _, _ := v.Take()
+			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				more = true
 				l.tap(v, s)
@@ -105,7 +105,7 @@
 		l.run(1)
 	}
 	for _, v := range l.order {
-		l.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Figures())
+		l.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Stats())
 	}
 	l.t.Fatalf("%s: not within %d periods", what, most)
 	return 0
@@ -243,7 +243,7 @@
 		}
 	}
 	calls := 0
-	l.tap = func(_ *View, s Send) {
+	l.tap = func(_ *View, s Datagram) {
 		if s.To == addr(3) {
 			calls++
 		}
@@ -261,15 +261,15 @@
 func TestTheForgottenStayAway(t *testing.T) {
 	l := newLab(t)
 	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	var tape []Send
-	l.tap = func(_ *View, s Send) { tape = append(tape, s) }
+	var tape []Datagram
+	l.tap = func(_ *View, s Datagram) { tape = append(tape, s) }
 	l.until("start", 30, l.agree)
 	l.run(5)
 	d := l.add("d", 4)
 	l.until("d", 30, l.agree)
 	l.remove(d) // stopped
 	l.remove(c)
-	l.tap = func(*View, Send) {}
+	l.tap = func(*View, Datagram) {}
 	l.until("death", 40, func() bool { return state(a, "c") == "dead1" && state(b, "c") == "dead1" })
 	l.run(ForgetDead + 10)
 	if s := state(a, "c") + state(b, "c"); s != "unknownunknown" {
@@ -293,8 +293,8 @@
 	l.put(d) // thaws, and knows c alive
 	l.until("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
 	back("after the thaw")
-	if f := d.Figures(); f.Rejoins != 1 || a.Figures().Dropped[Replayed]+a.Figures().Dropped[Unknown] == 0 {
-		t.Fatalf("%+v, %+v", f, a.Figures())
+	if f := d.Stats(); f.Rejoins != 1 || a.Stats().Dropped[Replayed]+a.Stats().Dropped[Unknown] == 0 {
+		t.Fatalf("%+v, %+v", f, a.Stats())
 	}
 }
 
@@ -332,8 +332,8 @@
 	l.add("b", 2, names)
 	x := l.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
 	l.run(30)
-	if state(a, "x") != "unknown" || a.Figures().Dropped[Stranger] == 0 || x.Figures().TurnedDown == 0 {
-		t.Fatalf("%s, %+v, %+v", state(a, "x"), a.Figures(), x.Figures())
+	if state(a, "x") != "unknown" || a.Stats().Dropped[Stranger] == 0 || x.Stats().TurnedDown == 0 {
+		t.Fatalf("%s, %+v, %+v", state(a, "x"), a.Stats(), x.Stats())
 	}
 	if state(a, "b") != "alive1" || state(x, "b") == "" {
 		t.Fatal("the roster's own are not there")
@@ -393,7 +393,7 @@
 	l := newLab(f)
 	l.add("a", 1)
 	l.add("b", 2)
-	l.tap = func(_ *View, s Send) { f.Add(s.Data) }
+	l.tap = func(_ *View, s Datagram) { f.Add(s.Data) }
 	l.until("start", 30, l.agree)
 	c := l.add("c", 3)
 	l.run(3)
@@ -406,7 +406,7 @@
 		l.until("start", 30, l.agree)
 		for range 2 {
 			v.Receive(l.now, data)
-			sends, _, _ := v.Take()
+			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				if len(s.Data) > MaxPlain {
 					t.Fatalf("%d bytes", len(s.Data))
@@ -446,7 +446,7 @@
 		}
 		r := read(b)
 		got := r.entry()
-		if r.Bad || len(r.B) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
+		if r.Bad || len(r.Rest) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
 			t.Fatalf("%+v became %+v", e, got)
 		}
 		r = read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
@@ -476,7 +476,7 @@
 func TestARunReplays(t *testing.T) {
 	run := func() (log string) {
 		l := newLab(t)
-		l.tap = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
+		l.tap = func(_ *View, s Datagram) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
 		for i := range 5 {
 			l.add(fmt.Sprint("m", i), i+1)
 		}
@@ -520,7 +520,7 @@
 			}
 		}
 		v.probes = v.probes[:0]
-		v.Take()
+		v.TakeOutput()
 	}
 }
 
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -122,7 +122,7 @@
 // reader takes a datagram apart.
 type reader struct{ datagram.Reader }
 
-func read(b []byte) reader { return reader{datagram.Reader{B: b}} }
+func read(b []byte) reader { return reader{datagram.Reader{Rest: b}} }
 
 func (r *reader) addr() netip.AddrPort {
 	n := int(r.U8())
@@ -130,7 +130,7 @@
 		r.Bad = true
 		return netip.AddrPort{}
 	}
-	ip, _ := netip.AddrFromSlice(r.Take(n))
+	ip, _ := netip.AddrFromSlice(r.Bytes(n))
 	return netip.AddrPortFrom(ip, r.U16())
 }
 
@@ -167,7 +167,7 @@
 
 // entries reads up to the end; none where any is bad, as a datagram is taken whole or not at all.
 func (r *reader) entries() (list []entry) {
-	for len(r.B) > 0 && !r.Bad {
+	for len(r.Rest) > 0 && !r.Bad {
 		list = append(list, r.entry())
 	}
 	if r.Bad {
@@ -262,7 +262,7 @@
 	}
 	v.figures.Sent++
 	v.figures.SentBytes += int64(len(b))
-	v.out = append(v.out, Send{To: to, Data: b})
+	v.out = append(v.out, Datagram{To: to, Data: b})
 }
 
 // sendTo sends to a member.
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -306,7 +306,7 @@
 
 // Receive takes in a message of another member. It returns false where that is none.
 func (g *Controller) Receive(now Micros, from string, data []byte) (out []Message, ok bool) {
-	r := &datagram.Reader{B: data}
+	r := &datagram.Reader{Rest: data}
 	switch kind, level := r.U8(), int(r.U8()); {
 	case r.Bad || level >= Buckets:
 		return nil, false
@@ -324,7 +324,7 @@
 		g.book(now, from, &c)
 		return []Message{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
 	case kind == msgLevel:
-		if len(r.B) > 0 {
+		if len(r.Rest) > 0 {
 			return nil, false
 		}
 		if from == g.keeper {
@@ -371,5 +371,5 @@
 			c.Offered[i] = r.U16()
 		}
 	}
-	return c, !r.Bad && len(r.B) == 0 && c.Bad <= c.In && c.In < 1<<24
+	return c, !r.Bad && len(r.Rest) == 0 && c.Bad <= c.In && c.In < 1<<24
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -153,9 +153,9 @@
 		}
 	}
 	c.Fleet = f
-	c.Module.TellMost = fleet.MostMessage
+	c.Module.TellMost = fleet.MaxMessage
 	if c.raw == nil {
-		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.Size(), f.Place(), true
+		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.MaxMembers(), f.RosterIndex(), true
 	}
 	return nil
 }
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -33,7 +33,7 @@
 	if c.Fleet == nil {
 		return 0
 	}
-	return fleet.Sockets
+	return fleet.MaxSockets
 }
 
 // fleetCarriesPeers tells that the fleet's socket is the one for other coordinators, and carries what the
@@ -67,7 +67,7 @@
 	if k.fleet == nil || k.upgrade.place != nil {
 		return nil
 	}
-	if err := k.fleet.Begin(nil, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(nil, k.fleetHost()); err != nil {
 		return err
 	}
 	return k.awaitFleet()
@@ -99,8 +99,8 @@
 
 // fleetHost is this process as the fleet's part needs it.
 func (k *Coordinator) fleetHost() fleet.Host {
-	return fleet.Host{Carry: k.carryVerdict, Name: k.nodeName,
-		Nodes: func() int { return int(k.core.Counts().ListedServers.Load()) }}
+	return fleet.Host{Apply: k.carryVerdict, NodeName: k.nodeName,
+		NodeCount: func() int { return int(k.core.Counts().ListedServers.Load()) }}
 }
 
 // nodeName is the name of a data node, on whichever way it is reached.
@@ -135,18 +135,18 @@
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Elapsed)
+	k.fleet.ObserveAttempt(uint64(s.Replica), s.Class, end, s.Elapsed)
 }
 
 // judge has evidence against data nodes count, where the fleet's file says so.
 func (k *Coordinator) judge(conf *core.Config) {
-	if !k.cfg.Fleet.Judges() {
+	if !k.cfg.Fleet.EvidenceEnabled() {
 		return
 	}
 	m := &k.cfg.Module
 	conf.OnAttemptEnd = k.witness
 	conf.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
-		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
+		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.EvidenceShare())
 	}
 }
 
@@ -175,14 +175,14 @@
 	defer late.Stop()
 	select {
 	case <-k.fleet.Joined():
-	case err := <-k.fleet.Refused():
+	case err := <-k.fleet.NameTaken():
 		k.fleet.Close()
 		return err
 	case <-late.C:
 		k.log.Warn("not let into the fleet in time: serving all the same")
 		return nil
 	}
-	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(toldLook) {
+	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.VerdictsSynced(); time.Sleep(toldLook) {
 		if time.Now().After(end) {
 			k.log.Warn("nobody has told the fleet's verdicts in time: serving without what they may be")
 			break
@@ -196,9 +196,9 @@
 func (k *Coordinator) hearFleet() {
 	for {
 		select {
-		case h := <-k.fleet.Heard():
+		case h := <-k.fleet.Messages():
 			k.core.Post(core.PeerMessage{Data: h.Data})
-		case err := <-k.fleet.Refused():
+		case err := <-k.fleet.NameTaken():
 			k.failed <- fmt.Errorf("refusing to serve: %w", err)
 			return
 		case <-k.stop:
@@ -240,10 +240,10 @@
 	if q.Key != "" {
 		who = q.Key // the same for all tries of it
 	}
-	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
+	if ok, after := l.k.fleet.Admit(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
-	t, ok, after, limit := l.k.fleet.Allow(class, q.Caller, q.Deadline)
+	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
 	if !ok {
 		return false, after, "limit " + limit + " of the fleet"
 	}
@@ -255,22 +255,22 @@
 
 // QueryEnded gives back what a query held, and tells how it ended.
 func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
-	l.k.fleet.HasEnded(e == core.Answered)
+	l.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
 // AllowSend asks whether an attempt may be sent.
 func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
-	if !l.k.fleet.MaySend(a.IsFirst()) {
+	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
 	}
-	if !l.k.fleet.LimitsServers() {
+	if !l.k.fleet.HasServerLimits() {
 		return true, 0
 	}
-	t, ok := l.k.fleet.AllowSend(uint64(a.Replica), time.Now().Add(a.Timeout))
+	t, ok := l.k.fleet.AllowAttempt(uint64(a.Replica), time.Now().Add(a.Timeout))
 	if !t.Empty() {
 		a.Ticket = t
 	}
@@ -281,7 +281,7 @@
 func (l fleetGate) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
@@ -302,7 +302,7 @@
 	case <-k.stop:
 		return
 	}
-	if err := k.fleet.Begin(from, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(from, k.fleetHost()); err != nil {
 		k.log.Error("no part in the fleet", "err", err)
 	}
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -136,7 +136,7 @@
 			return nil, err
 		}
 		conf.Peers = k.fleet
-		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
+		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.OverloadEnabled() {
 			conf.Admission = fleetGate{k, &atomic.Pointer[ranked]{}}
 		}
 		k.judge(&conf)
@@ -369,11 +369,11 @@
 	} else if c.Out && !d.k.core.IsListed(core.ServerID(c.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	s, err := d.k.fleet.Say(v, within, c.Wait)
+	s, err := d.k.fleet.IssueVerdict(v, within, c.Wait)
 	switch {
-	case errors.Is(err, fleet.ErrLate):
+	case errors.Is(err, fleet.ErrTimeout):
 		err = admin.ErrLate
-	case errors.Is(err, fleet.ErrNothing):
+	case errors.Is(err, fleet.ErrNoVerdict):
 		err = admin.ErrUnknown
 	case errors.Is(err, verdict.ErrInvalid):
 		err = admin.ErrForm
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -443,7 +443,7 @@
 			u.k.log.Info("the successor serves")
 			l.say(word{Heard: true})
 			if u.k.fleet != nil { // from now on that one is the member
-				l.say(word{Fleet: u.k.fleet.Release()})
+				l.say(word{Fleet: u.k.fleet.HandOver()})
 			}
 		}
 		u.obey(w)
@@ -460,7 +460,7 @@
 		u.k.log.Warn("the successor is gone")
 		u.limit()
 		if u.k.fleet != nil {
-			u.k.fleet.Again()
+			u.k.fleet.Reclaim()
 		}
 		go u.open()
 	}
@@ -590,7 +590,7 @@
 		u.limit()
 		u.k.log.Info("the old process is gone")
 		if u.k.fleet != nil {
-			u.k.fleet.Alone()
+			u.k.fleet.PredecessorGone()
 		}
 	}()
 }
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -315,13 +315,13 @@
 	if len(data) < 2 {
 		return nil, false
 	}
-	switch r := (&datagram.Reader{B: data[1:]}); data[0] {
+	switch r := (&datagram.Reader{Rest: data[1:]}); data[0] {
 	case msgTally:
 		flags := r.U8()
-		if flags > isSound|isAnswer || len(r.B)%tallySize != 0 {
+		if flags > isSound|isAnswer || len(r.Rest)%tallySize != 0 {
 			return nil, false
 		}
-		for len(r.B) > 0 {
+		for len(r.Rest) > 0 {
 			id := r.U64()
 			var t Tally
 			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.FirstBadAge} {
@@ -330,11 +330,11 @@
 			j.book(now, from, id, t, flags&isSound != 0, flags&isAnswer != 0)
 		}
 	case msgQuest:
-		if len(r.B)%questSize != 0 {
+		if len(r.Rest)%questSize != 0 {
 			return nil, false
 		}
 		b := j.tallyHead(true)
-		for len(r.B) > 0 {
+		for len(r.Rest) > 0 {
 			id := r.U64()
 			periods := int(r.U16())
 			if len(b)+tallySize <= j.most {
--- a/internal/verdict/spread.go
+++ b/internal/verdict/spread.go
@@ -246,7 +246,7 @@
 
 // readVerdict reads one entry.
 func readVerdict(r *datagram.Reader) (v Verdict, age Micros) {
-	head := r.Take(2)
+	head := r.Bytes(2)
 	v.Kind, v.On, v.Word = Kind(head[0]), head[1]&1 == 1, Word(head[1]>>1)
 	v.Stamp = r.U64()
 	a, span := r.U64(), r.U64()
@@ -262,7 +262,7 @@
 	if len(data) == 0 {
 		return false
 	}
-	r := &datagram.Reader{B: data[1:]}
+	r := &datagram.Reader{Rest: data[1:]}
 	switch data[0] {
 	case msgEntries:
 		type item struct {
@@ -270,7 +270,7 @@
 			age Micros
 		}
 		var list []item
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			v, age := readVerdict(r)
 			list = append(list, item{v, age})
 		}
@@ -289,7 +289,7 @@
 		}
 	case msgSums:
 		salt := r.U32()
-		theirs := r.Take(2 * buckets)
+		theirs := r.Bytes(2 * buckets)
 		if r.Bad {
 			return false
 		}
@@ -298,7 +298,7 @@
 		return s.compare(now, from, r)
 	case msgWant:
 		var want []uint32
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			want = append(want, r.U32())
 		}
 		if r.Bad {
@@ -306,7 +306,7 @@
 		}
 		s.entriesTo(now, from, func(e *entry) bool { return slices.Contains(want, e.hash) })
 	case msgAck:
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			hash, stamp := r.U32(), r.U64()
 			for _, e := range s.entries {
 				if !r.Bad && e.hash == hash && e.Stamp == stamp {
@@ -414,7 +414,7 @@
 func (s *Gossiper) compare(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
-	for len(r.B) > 0 && !r.Bad {
+	for len(r.Rest) > 0 && !r.Bad {
 		h := r.U32()
 		theirs[h] = max(theirs[h], r.U64())
 	}
