--- a/internal/datagram/reader.go
+++ b/internal/datagram/reader.go
@@ -7,32 +7,32 @@
 // Reader reads a datagram from its start. Integers are little-endian. A read past the end sets Bad and
 // returns zeroes.
 type Reader struct {
-	B   []byte // unread bytes
-	Bad bool
+	Rest []byte // unread bytes
+	Bad  bool
 }
 
 // Bytes returns the next n bytes.
-func (r *Reader) Take(n int) []byte {
-	if n > len(r.B) {
-		r.Bad, r.B = true, nil
+func (r *Reader) Bytes(n int) []byte {
+	if n > len(r.Rest) {
+		r.Bad, r.Rest = true, nil
 		return make([]byte, n)
 	}
-	x := r.B[:n]
-	r.B = r.B[n:]
+	x := r.Rest[:n]
+	r.Rest = r.Rest[n:]
 	return x
 }
 
 // U8 reads one byte.
-func (r *Reader) U8() byte { return r.Take(1)[0] }
+func (r *Reader) U8() byte { return r.Bytes(1)[0] }
 
 // U16 reads a two-byte integer.
-func (r *Reader) U16() uint16 { return binary.LittleEndian.Uint16(r.Take(2)) }
+func (r *Reader) U16() uint16 { return binary.LittleEndian.Uint16(r.Bytes(2)) }
 
 // U32 reads a four-byte integer.
-func (r *Reader) U32() uint32 { return binary.LittleEndian.Uint32(r.Take(4)) }
+func (r *Reader) U32() uint32 { return binary.LittleEndian.Uint32(r.Bytes(4)) }
 
 // U64 reads an eight-byte integer.
-func (r *Reader) U64() uint64 { return binary.LittleEndian.Uint64(r.Take(8)) }
+func (r *Reader) U64() uint64 { return binary.LittleEndian.Uint64(r.Bytes(8)) }
 
 // Text reads a string that follows its length in one byte. A length above most sets Bad.
 func (r *Reader) Text(maxLen int) string {
@@ -41,5 +41,5 @@
 		r.Bad = true
 		return ""
 	}
-	return string(r.Take(n))
+	return string(r.Bytes(n))
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -23,17 +23,17 @@
 // Host is the set of callbacks into the process that a Fleet runs in. Nil functions are not called.
 type Host struct {
 	// Apply enforces verdicts in this process.
-	Carry ApplyFunc
+	Apply ApplyFunc
 	// NodeName returns the name of a data node by its ID; false: it is not known here.
-	Name func(node uint64) (string, bool)
+	NodeName func(node uint64) (string, bool)
 	// NodeCount returns the number of listed data nodes.
-	Nodes func() int
+	NodeCount func() int
 }
 
 // evidenceState is this member's jury and its counters.
 type evidenceState struct {
 	mu       sync.Mutex // guards jury: the core reports attempts from its own goroutine
-	jury     *verdict.Jury
+	jury     *verdict.OutlierDetector
 	zones    map[string]string // owner goroutine only: zones of alive members, by name
 	issued   int64             // verdicts issued by this member
 	withheld int64             // judgements withheld because too many nodes were out
@@ -43,26 +43,28 @@
 func ServerID(name string) uint64 { return uint64(core.ServerID(name)) }
 
 // EvidenceEnabled reports whether this member takes part in judging nodes by evidence.
-func (c *Config) Judges() bool { return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0 }
+func (c *Config) EvidenceEnabled() bool {
+	return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0
+}
 
 // EvidenceShare is the maximum share of all nodes that evidence may take out at a time.
-func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
+func (c *Config) EvidenceShare() float64 { return *c.Fleet.Evidence.Share }
 
 // ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
-func (f *Fleet) Saw(node uint64, class int, ending verdict.Ending, elapsed time.Duration) {
+func (f *Fleet) ObserveAttempt(node uint64, class int, ending verdict.Outcome, elapsed time.Duration) {
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	f.evidence.jury.See(f.now(), node, class, ending, elapsed.Microseconds())
+	f.evidence.jury.Observe(f.now(), node, class, ending, elapsed.Microseconds())
 }
 
 // tickJury runs the jury's periodic work and issues verdicts on its judgements.
 func (f *Fleet) tickJury(v *membership.View, now membership.Micros) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	j := &f.evidence
 	self := f.cfg.Fleet.Name
-	var others []verdict.Voter
+	var others []verdict.Member
 	size := 0
 	clear(j.zones)
 	for _, m := range v.Members() {
@@ -70,13 +72,13 @@
 			size++
 		}
 		if m.State <= membership.Suspect && m.Name != self {
-			others = append(others, verdict.Voter{Name: m.Name, Zone: m.Zone})
+			others = append(others, verdict.Member{Name: m.Name, Zone: m.Zone})
 			j.zones[m.Name] = m.Zone
 		}
 	}
 	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Figures().Health <= maxObserverHealth)
-	judgements := j.jury.Judge(now)
+	sends := j.jury.Tick(now, others, size, v.Stats().Health <= maxObserverHealth)
+	judgements := j.jury.Outliers(now)
 	j.mu.Unlock()
 	for _, s := range sends {
 		v.SendApp(s.To, kindEvidence, s.Data)
@@ -87,24 +89,24 @@
 }
 
 // issueSick issues the verdict for a judgement, unless it is barred or too many nodes are out already.
-func (f *Fleet) issueSick(now membership.Micros, j verdict.Judgement, alive, size int) {
+func (f *Fleet) issueSick(now membership.Micros, j verdict.Outlier, alive, size int) {
 	host := f.host.Load()
-	if host.Name == nil || host.Nodes == nil {
+	if host.NodeName == nil || host.NodeCount == nil {
 		return
 	}
-	name, ok := host.Name(j.Node)
+	name, ok := host.NodeName(j.Node)
 	if !ok {
 		return
 	}
-	v, allowed := f.store.Sick(now, f.cfg.Period().Microseconds(), name, j)
+	v, allowed := f.store.SickVerdict(now, f.cfg.Period().Microseconds(), name, j)
 	if !allowed {
 		return
 	}
-	if f.store.Ill(now, j.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
+	if f.store.CountSick(now, j.Zone) >= verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
 		f.evidence.withheld++
 		return
 	}
-	if _, err := f.store.Say(now, time.Now().UnixMilli(), v); err != nil {
+	if _, err := f.store.Issue(now, time.Now().UnixMilli(), v); err != nil {
 		f.log.Warn("no verdict issued on a sick node", "node", name, "err", err)
 		return
 	}
@@ -113,7 +115,7 @@
 
 // receiveEvidence handles another member's evidence message.
 func (f *Fleet) receiveEvidence(v *membership.View, msg membership.AppMessage) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	zone, ok := f.evidence.zones[msg.From]
@@ -121,7 +123,7 @@
 		return // it joined after the last period's update of zones
 	}
 	f.evidence.mu.Lock()
-	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Voter{Name: msg.From, Zone: zone}, msg.Data)
+	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Member{Name: msg.From, Zone: zone}, msg.Data)
 	f.evidence.mu.Unlock()
 	if !ok {
 		f.countDrop(errBadMessage)
@@ -133,13 +135,13 @@
 
 // clearEvidence drops the evidence against a node that is back in use, so that only new evidence counts.
 func (f *Fleet) clearEvidence(c verdict.Change) {
-	if c.Holds || c.Verdict.Kind != verdict.Sick && c.Verdict.Kind != verdict.Path {
+	if c.InForce || c.Verdict.Kind != verdict.SickNode && c.Verdict.Kind != verdict.SickPath {
 		return
 	}
 	name, _ := c.Verdict.Node()
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	f.evidence.jury.Acquit(ServerID(name))
+	f.evidence.jury.ClearEvidence(ServerID(name))
 }
 
 // evidenceStatus returns this member's observations of nodes that may be sick, for the admin endpoint.
@@ -148,12 +150,12 @@
 	now := f.now()
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	for _, id := range f.evidence.jury.Bouts() {
+	for _, id := range f.evidence.jury.FailingNodes() {
 		t := f.evidence.jury.Tally(now, id, 0)
 		s := EvidenceStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
-			SinceMS: int64(t.First) * f.cfg.Period().Milliseconds()}
-		if host := f.host.Load(); host.Name != nil {
-			if name, ok := host.Name(id); ok {
+			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
+		if host := f.host.Load(); host.NodeName != nil {
+			if name, ok := host.NodeName(id); ok {
 				s.Node = name
 			}
 		}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -22,12 +22,12 @@
 
 const (
 	// MaxSockets is the maximum number of file descriptors that a Fleet uses.
-	Sockets = 3
+	MaxSockets = 3
 	// queueSize is the number of datagrams that may wait for the owner goroutine; more are dropped.
 	queueSize        = 1024
 	messageQueueSize = 256
 	// MaxMessage is the maximum length of a message of the decision module, in bytes.
-	MostMessage     = membership.MaxAppMessage
+	MaxMessage      = membership.MaxAppMessage
 	publishInterval = 100 * time.Millisecond
 )
 
@@ -122,7 +122,7 @@
 	toApply    chan verdict.Change
 	verdicts   atomic.Pointer[Verdicts]
 	limits     []*limiter               // in the order of the settings file; fixed after Open
-	leases     *quota.Tenure            // used by the owner goroutine only; nil: there is no voting
+	leases     *quota.Leases            // used by the owner goroutine only; nil: there is no voting
 	leasesHeld atomic.Pointer[[]string] // as Limits.LeasesHeld
 
 	current    atomic.Pointer[Config] // settings in force, replaced by Configure
@@ -153,13 +153,13 @@
 	f.aliveOthers.Store(&[]string{})
 	f.toApply = make(chan verdict.Change, maxPending)
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
-	f.store.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
+	f.store.Gossiper = verdict.NewGossiper(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
 		membership.MaxAppMessage)
-	f.evidence.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
+	f.evidence.jury = verdict.NewOutlierDetector(verdict.Member{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
 		cfg.Period().Microseconds(), membership.MaxAppMessage)
 	f.evidence.zones = map[string]string{}
 	f.host.Store(&Host{})
-	f.overload.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
+	f.overload.guard = overload.NewController(cfg.Fleet.Name, cfg.Period().Microseconds())
 	f.overload.shedCounts = map[string]int64{}
 	f.createLimits(inherited != nil)
 	f.status.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
@@ -189,7 +189,7 @@
 }
 
 // Start joins the fleet as a new process, or continues from the state that another process handed over.
-func (f *Fleet) Begin(from *Handover, host Host) error {
+func (f *Fleet) Start(from *Handover, host Host) error {
 	var v *membership.View
 	var err error
 	f.host.Store(&host)
@@ -246,7 +246,7 @@
 
 // HandOver stops reading and returns the state for the successor. The socket stays open, so that Reclaim can
 // continue. It returns nil if this process has no session.
-func (f *Fleet) Release() *Handover {
+func (f *Fleet) HandOver() *Handover {
 	v := f.stopSession()
 	if v == nil {
 		return nil
@@ -254,13 +254,13 @@
 	f.mu.Lock()
 	f.handedOver = v
 	f.mu.Unlock()
-	h := &Handover{View: v.Snapshot(), Verdicts: f.store.Save(f.now())}
+	h := &Handover{View: v.Snapshot(), Verdicts: f.store.Snapshot(f.now())}
 	f.handOverLimits(h)
 	return h
 }
 
 // Reclaim continues this process's membership after the successor has ended.
-func (f *Fleet) Again() {
+func (f *Fleet) Reclaim() {
 	f.mu.Lock()
 	v := f.handedOver
 	f.handedOver = nil
@@ -276,10 +276,10 @@
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
 // NameTaken returns a channel that receives one error if this process must not serve.
-func (f *Fleet) Refused() <-chan error { return f.nameTaken }
+func (f *Fleet) NameTaken() <-chan error { return f.nameTaken }
 
 // Messages returns the channel of messages for the decision module.
-func (f *Fleet) Heard() <-chan membership.AppMessage { return f.messages }
+func (f *Fleet) Messages() <-chan membership.AppMessage { return f.messages }
 
 // Close ends this process's membership without notifying the others.
 func (f *Fleet) Close() {
@@ -430,18 +430,18 @@
 			publishedAt = time.Now()
 			f.publish(v)
 		}
-		timer.Reset(time.Duration(v.Next()-f.now()) * time.Microsecond)
+		timer.Reset(time.Duration(v.NextTick()-f.now()) * time.Microsecond)
 	}
 }
 
 // processOutput sends the view's datagrams, logs its state changes and dispatches application messages.
 func (f *Fleet) processOutput(v *membership.View) (changed bool) {
-	sends, changes, messages := v.Take()
+	sends, changes, messages := v.TakeOutput()
 	for _, m := range messages {
 		f.dispatch(v, m)
 	}
 	f.tick(v) // its messages are sent together with the others
-	moreSends, moreChanges, _ := v.Take()
+	moreSends, moreChanges, _ := v.TakeOutput()
 	changes = append(changes, moreChanges...)
 	keys := f.keys.Load()
 	for _, s := range append(sends, moreSends...) {
@@ -499,30 +499,30 @@
 		f.log.Info("fleet member forgotten", "member", m.Name, "was", m.State.String())
 	case c.Discovered:
 		f.log.Info("fleet member found", "member", m.Name, "zone", m.Zone, "addr", m.Addr,
-			"state", m.State.String(), "incarnation", m.Inc)
+			"state", m.State.String(), "incarnation", m.Incarnation)
 	case c.Previous == m.State:
-		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Inc)
+		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Incarnation)
 	default:
 		level := slog.LevelInfo
 		if m.State == membership.Dead {
 			level = slog.LevelWarn
 		}
 		f.log.Log(context.Background(), level, "fleet member changed", "member", m.Name, "state", m.State.String(),
-			"was", c.Previous.String(), "incarnation", m.Inc)
+			"was", c.Previous.String(), "incarnation", m.Incarnation)
 	}
 }
 
 // publish stores the view's state for the admin endpoint.
 func (f *Fleet) publish(v *membership.View) {
 	now := f.now()
-	self, stats := v.Self(), v.Figures()
-	s := &Status{Self: self.Name, Incarnation: self.Inc, Digest: fmt.Sprintf("%016x", v.Digest()),
+	self, stats := v.Self(), v.Stats()
+	s := &Status{Self: self.Name, Incarnation: self.Incarnation, Digest: fmt.Sprintf("%016x", v.Digest()),
 		Members: []MemberStatus{}}
 	var alive []string
 	differ := []string{}
 	for _, m := range v.Members() {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(),
-			State: m.State.String(), Incarnation: m.Inc, SinceMS: (now - m.Since) / 1000})
+			State: m.State.String(), Incarnation: m.Incarnation, SinceMS: (now - m.Since) / 1000})
 		if m.State > membership.Suspect {
 			continue
 		}
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -42,7 +42,7 @@
 
 // validate records the faults of a limit and sets defaults.
 func (l *Limit) validate(f *settings.File, key string, members, roster int) {
-	f.Check(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, key+".name",
+	f.Require(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, key+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
 	subjects := 0
 	for _, s := range []string{l.Class, l.Tenant, l.Server} {
@@ -50,36 +50,36 @@
 			subjects++
 		}
 	}
-	f.Check(subjects == 1, key+".class", "one of class, tenant and server has to be there")
-	f.Check(l.Class != Each, key+".class", "%q is for tenants and servers: give each class its limit", Each)
+	f.Require(subjects == 1, key+".class", "one of class, tenant and server has to be there")
+	f.Require(l.Class != Each, key+".class", "%q is for tenants and servers: give each class its limit", Each)
 	if l.Concurrent != 0 {
-		f.Check(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
-		f.Check(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
+		f.Require(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
+		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
 			key+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
 			l.Concurrent, members)
-		f.Check(!l.each(), key+".concurrent", "is for one name, not for each")
-		f.Check(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
+		f.Require(!l.each(), key+".concurrent", "is for one name, not for each")
+		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
 		if l.LongestMS == 0 {
 			l.LongestMS = int(defaultMaxDuration.Milliseconds())
 		}
 	} else {
-		f.Check(l.Rate > 0 && l.Rate <= 1e9, key+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
-		f.Check(l.Burst >= float64(members) && l.Burst <= 1e9, key+".burst",
+		f.Require(l.Rate > 0 && l.Rate <= 1e9, key+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
+		f.Require(l.Burst >= float64(members) && l.Burst <= 1e9, key+".burst",
 			"%g leaves less than 1 for each of %d members, or is over 1e9", l.Burst, members)
-		f.Check(l.LongestMS == 0, key+".longest_ms", "goes with concurrent")
+		f.Require(l.LongestMS == 0, key+".longest_ms", "goes with concurrent")
 	}
-	canVote := roster >= 3 && roster <= quota.MostVoters
-	f.Check(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, key+".floor", "%g is not within %g and 1",
+	canVote := roster >= 3 && roster <= quota.MaxVoters
+	f.Require(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, key+".floor", "%g is not within %g and 1",
 		l.Floor, minFloor)
-	f.Check(canVote || l.Floor == 0 || l.Floor == 1, key+".floor",
-		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MostVoters)
+	f.Require(canVote || l.Floor == 0 || l.Floor == 1, key+".floor",
+		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MaxVoters)
 	if l.Floor == 0 {
 		if l.Floor = 1; canVote && !l.each() {
 			l.Floor = defaultFloor
 		}
 	}
-	f.Check(l.Floor == 1 || !l.each(), key+".floor", "is 1 where the limit is for each")
+	f.Require(l.Floor == 1 || !l.each(), key+".floor", "is 1 where the limit is for each")
 }
 
 // each reports whether the limit applies to each tenant or server separately.
@@ -110,24 +110,24 @@
 }
 
 // limitState is this member's state of a limit of any kind.
-type part interface {
-	Tick(now quota.Micros, peers []string) []quota.Send
-	Receive(now quota.Micros, from string, data []byte) []quota.Send
-	Entitle(now quota.Micros, e quota.Entitlement)
-	Figures(now quota.Micros) quota.Figures
-	Hold(now quota.Micros)
-	Alone(now quota.Micros, unknown bool)
-	Void(now quota.Micros, on bool)
+type limitState interface {
+	Tick(now quota.Micros, peers []string) []quota.Message
+	Receive(now quota.Micros, from string, data []byte) []quota.Message
+	SetEntitlement(now quota.Micros, e quota.Entitlement)
+	Stats(now quota.Micros) quota.Stats
+	Suspend(now quota.Micros)
+	OtherProcessEnded(now quota.Micros, unknown bool)
+	SetDisabled(now quota.Micros, on bool)
 }
 
 // limiter is one limit with its lock, as fronts use it from their own goroutines. Exactly one of share, slots
 // and keys is set.
 type limiter struct {
 	mu       sync.Mutex // guards state
-	state    part
+	state    limitState
 	share    *quota.Share
 	slots    *quota.Slots
-	keys     *quota.Keys
+	keys     *quota.KeyedShares
 	conf     Limit // as of the start
 	id       uint64
 	serverID uint64 // ID of the limited server
@@ -137,8 +137,8 @@
 
 // LimitHandover is the state of one limit that the successor needs.
 type LimitHandover struct {
-	Lent []quota.Lend            `json:"lent,omitempty"`
-	Keys map[uint64][]quota.Lend `json:"keys,omitempty"`
+	Lent []quota.SavedLoan            `json:"lent,omitempty"`
+	Keys map[uint64][]quota.SavedLoan `json:"keys,omitempty"`
 }
 
 // Ticket holds the concurrency slots of an admitted request or attempt. The zero Ticket holds none.
@@ -149,7 +149,7 @@
 
 type heldSlot struct {
 	limiter *limiter
-	place   quota.Place
+	place   quota.Slot
 }
 
 // createLimits creates the limits. A process that takes over may use none before it has received their state.
@@ -166,25 +166,25 @@
 			Floor: l.conf.Floor}
 		switch seed++; {
 		case l.conf.each():
-			l.keys = quota.NewKeys(q, f.cfg.Size(), period, seed, now)
+			l.keys = quota.NewKeyedShares(q, f.cfg.MaxMembers(), period, seed, now)
 			l.state = l.keys
 		case l.conf.Concurrent > 0:
-			l.slots = quota.NewSlots(q, f.cfg.Size(), f.cfg.rosterIndexOrNone(), period,
+			l.slots = quota.NewSlots(q, f.cfg.MaxMembers(), f.cfg.rosterIndexOrNone(), period,
 				int64(l.conf.LongestMS)*1000, seed, now)
 			l.state = l.slots
 		default:
-			l.share = quota.NewShare(q, f.cfg.Size(), period, seed, now)
+			l.share = quota.NewShare(q, f.cfg.MaxMembers(), period, seed, now)
 			l.state = l.share
 		}
 		if takesOver {
-			l.state.Hold(now)
+			l.state.Suspend(now)
 		}
 		f.limits = append(f.limits, l)
 	}
 }
 
 // take requests one unit, of the given key if the limit is for each.
-func (l *limiter) take(now, endsAt quota.Micros, key uint64) (place quota.Place, ok bool, wait quota.Micros) {
+func (l *limiter) take(now, endsAt quota.Micros, key uint64) (place quota.Slot, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -199,16 +199,16 @@
 }
 
 // giveBack returns a unit that was taken from this limit.
-func (l *limiter) giveBack(now quota.Micros, key uint64, place quota.Place) {
+func (l *limiter) giveBack(now quota.Micros, key uint64, place quota.Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
-		l.share.Return()
+		l.share.Refund()
 	case l.slots != nil:
-		l.slots.Done(now, place)
+		l.slots.Release(now, place)
 	default:
-		l.keys.Return(key)
+		l.keys.Refund(key)
 	}
 }
 
@@ -226,7 +226,7 @@
 // AllowRequest reports whether a request of a class and a tenant that ends by the given time may be admitted
 // now. If not, it returns the limit that refused it and the time after which to retry. It never waits for a
 // message.
-func (f *Fleet) Allow(class, tenant string, endsAt time.Time) (t Ticket, ok bool, retryAfter time.Duration,
+func (f *Fleet) AllowRequest(class, tenant string, endsAt time.Time) (t Ticket, ok bool, retryAfter time.Duration,
 	limit string) {
 	now := f.now()
 	endsMicros := now + time.Until(endsAt).Microseconds()
@@ -244,24 +244,24 @@
 		}
 		for _, preceding := range f.limits[:i] { // return the units that the preceding limits have granted
 			if key, applies := preceding.matches(class, tenant); applies && preceding.slots == nil {
-				preceding.giveBack(now, key, quota.Place{})
+				preceding.giveBack(now, key, quota.Slot{})
 			}
 		}
-		f.Done(t)
+		f.ReleaseTicket(t)
 		return Ticket{}, false, time.Duration(wait) * time.Microsecond, l.conf.Name
 	}
 	return t, true, 0, ""
 }
 
 // AllowAttempt reports whether an attempt to a server that ends by the given time may be sent now.
-func (f *Fleet) AllowSend(server uint64, endsAt time.Time) (t Ticket, ok bool) {
+func (f *Fleet) AllowAttempt(server uint64, endsAt time.Time) (t Ticket, ok bool) {
 	now := f.now()
 	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
 		if !l.matchesServer(server) {
 			continue
 		}
-		place, ok, _ := l.take(now, endsMicros, quota.KeyOf(l.id, server))
+		place, ok, _ := l.take(now, endsMicros, quota.KeyIDFromNumber(l.id, server))
 		if ok {
 			if l.slots != nil {
 				t.held = append(t.held, heldSlot{l, place})
@@ -270,10 +270,10 @@
 		}
 		for _, preceding := range f.limits[:i] {
 			if preceding.matchesServer(server) && preceding.slots == nil {
-				preceding.giveBack(now, quota.KeyOf(preceding.id, server), quota.Place{})
+				preceding.giveBack(now, quota.KeyIDFromNumber(preceding.id, server), quota.Slot{})
 			}
 		}
-		f.Done(t)
+		f.ReleaseTicket(t)
 		return Ticket{}, false
 	}
 	return t, true
@@ -285,12 +285,12 @@
 }
 
 // HasServerLimits reports whether any limit applies to attempts and not only to requests.
-func (f *Fleet) LimitsServers() bool {
+func (f *Fleet) HasServerLimits() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Server != "" })
 }
 
 // ReleaseTicket releases the slots of a request or an attempt that has ended.
-func (f *Fleet) Done(t Ticket) {
+func (f *Fleet) ReleaseTicket(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
 		h.limiter.giveBack(now, 0, h.place)
@@ -314,15 +314,15 @@
 	f.forEachLimit(func(l *limiter) {
 		switch {
 		case l.share != nil:
-			h.Limits[l.conf.Name] = LimitHandover{Lent: l.share.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.share.HandOver(now)}
 		case l.slots != nil:
-			h.Limits[l.conf.Name] = LimitHandover{Lent: l.slots.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.slots.HandOver(now)}
 		default:
-			h.Limits[l.conf.Name] = LimitHandover{Keys: l.keys.Split(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Keys: l.keys.HandOver(now)}
 		}
 	})
 	if f.leases != nil {
-		held := f.leases.Save(now)
+		held := f.leases.HandOver(now)
 		h.Leases = &held
 	}
 }
@@ -332,20 +332,20 @@
 	now := f.now()
 	f.forEachLimit(func(l *limiter) {
 		if from == nil {
-			l.state.Alone(now, true)
+			l.state.OtherProcessEnded(now, true)
 			return
 		}
 		switch h := from.Limits[l.conf.Name]; {
 		case l.share != nil:
-			l.share.Inherit(now, h.Lent)
+			l.share.TakeOver(now, h.Lent)
 		case l.slots != nil:
-			l.slots.Inherit(now, h.Lent)
+			l.slots.TakeOver(now, h.Lent)
 		default:
-			l.keys.Inherit(now, h.Keys)
+			l.keys.TakeOver(now, h.Keys)
 		}
 	})
 	if from != nil && from.Leases != nil && f.leases != nil {
-		f.leases.Resume(now, *from.Leases)
+		f.leases.TakeOver(now, *from.Leases)
 	}
 }
 
@@ -353,18 +353,18 @@
 // lent or voted is unknown.
 func (f *Fleet) reclaimLimits() {
 	now := f.now()
-	f.forEachLimit(func(l *limiter) { l.state.Alone(now, true) })
+	f.forEachLimit(func(l *limiter) { l.state.OtherProcessEnded(now, true) })
 	f.leases = f.newLeases()
 }
 
 // newLeases returns the voting state of a process that knows of no votes. Members whose floors differ do not
 // count one another's votes.
-func (f *Fleet) newLeases() *quota.Tenure {
+func (f *Fleet) newLeases() *quota.Leases {
 	h := xxhash.New()
 	for _, l := range f.cfg.Limits {
 		_, _ = fmt.Fprintf(h, "%s %g\n", l.Name, l.Floor)
 	}
-	return quota.NewTenure(f.cfg.Fleet.Name, f.cfg.Fleet.Roster, uint32(h.Sum64()),
+	return quota.NewLeases(f.cfg.Fleet.Name, f.cfg.Fleet.Roster, uint32(h.Sum64()),
 		f.cfg.Period().Microseconds(), f.now())
 }
 
@@ -378,7 +378,7 @@
 // reconcileLimits applies the strictest of the settings that the alive members announce for each limit, and
 // announces this member's own.
 func (f *Fleet) reconcileLimits(v *membership.View, now membership.Micros, peers []string) {
-	if n := v.Figures().Rejections; n != f.rejections {
+	if n := v.Stats().Rejections; n != f.rejections {
 		f.rejections, f.rejectedAt = n, now
 	}
 	void := f.rejections > 0 && now-f.rejectedAt < rejectionPeriods*f.cfg.Period().Microseconds()
@@ -388,18 +388,18 @@
 		if !ok {
 			continue // the last announced settings hold until a restart
 		}
-		value := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.Size())
+		value := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.MaxMembers())
 		key := "limit." + l.conf.Name
 		announced, self := f.store.Settings(now, key), f.cfg.Fleet.Name
 		if announced[self] != value || now-l.announcedAt > reannounceInterval.Microseconds() {
 			l.announcedAt = now
 			setting := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: value,
 				Span: 2 * reannounceInterval.Microseconds()}
-			if _, err := f.store.Say(now, time.Now().UnixMilli(), setting); err != nil {
+			if _, err := f.store.Issue(now, time.Now().UnixMilli(), setting); err != nil {
 				f.log.Warn("cannot announce the settings of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
-		amount, burst, members := own.amount(), own.Burst, conf.Size()
+		amount, burst, members := own.amount(), own.Burst, conf.MaxMembers()
 		for _, peer := range peers {
 			var r, b float64
 			var n int
@@ -416,7 +416,7 @@
 		default:
 			l.keys.Configure(now, amount, burst, members)
 		}
-		l.state.Void(now, void)
+		l.state.SetDisabled(now, void)
 		l.mu.Unlock()
 	}
 }
@@ -450,11 +450,11 @@
 			v.SendApp(m.To, kindQuota, m.Data)
 		}
 		e = f.leases.Entitlement(now)
-		held := f.leases.Holds(now)
+		held := f.leases.Held(now)
 		f.leasesHeld.Store(&held)
 	}
 	f.forEachLimit(func(l *limiter) {
-		l.state.Entitle(now, e)
+		l.state.SetEntitlement(now, e)
 		for _, m := range l.state.Tick(now, peers) {
 			v.SendApp(m.To, kindQuota, m.Data)
 		}
@@ -470,7 +470,7 @@
 // fault, because members change their settings at different times.
 func (f *Fleet) receiveLimit(v *membership.View, msg membership.AppMessage) {
 	now := f.now()
-	if quota.IsTenure(msg.Data) {
+	if quota.IsLeaseMessage(msg.Data) {
 		if f.leases != nil {
 			for _, m := range f.leases.Receive(now, msg.From, msg.Data) {
 				v.SendApp(m.To, kindQuota, m.Data)
@@ -478,13 +478,13 @@
 		}
 		return
 	}
-	id, ok := quota.IDOf(msg.Data)
+	id, ok := quota.MessageLimitID(msg.Data)
 	if !ok {
 		f.countDrop(errBadMessage)
 		return
 	}
 	f.forEachLimit(func(l *limiter) {
-		if quota.LimitOf(id) != l.id {
+		if quota.LimitIDOf(id) != l.id {
 			return
 		}
 		for _, m := range l.state.Receive(now, msg.From, msg.Data) {
@@ -510,7 +510,7 @@
 	now := f.now()
 	differ := len(f.status.Load().Stats.SettingsDiffer) > 0
 	f.forEachLimit(func(l *limiter) {
-		g := l.state.Figures(now)
+		g := l.state.Stats(now)
 		s := LimitStatus{Name: l.conf.Name, Share: g.Share, Used: g.Used, InDoubt: g.InDoubt,
 			StaleMS: g.Stale / 1000}
 		switch {
@@ -531,7 +531,7 @@
 }
 
 // PredecessorGone reports that the process from which this one took over has ended.
-func (f *Fleet) Alone() {
+func (f *Fleet) PredecessorGone() {
 	now := f.now()
-	f.forEachLimit(func(l *limiter) { l.state.Alone(now, false) })
+	f.forEachLimit(func(l *limiter) { l.state.OtherProcessEnded(now, false) })
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -23,19 +23,19 @@
 // overloadState is the guard with its lock, as fronts and the core use it from their own goroutines.
 type overloadState struct {
 	mu         sync.Mutex // guards what follows
-	guard      *overload.Guard
+	guard      *overload.Controller
 	shedCounts map[string]int64 // requests shed, by class and by class/tenant
 }
 
 // OverloadEnabled reports whether the fleet sheds load by a common level.
-func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
+func (c *Config) OverloadEnabled() bool { return !c.Fleet.Overload.Off }
 
 // Admit reports whether a request of a class of the given rank may be admitted at the fleet's overload level.
 // requestID is a string that all tries of the request share. If it is not admitted, Admit returns the time
 // after which to retry.
-func (f *Fleet) LetIn(rank int, class, tenant, requestID string, repeat bool) (ok bool,
+func (f *Fleet) Admit(rank int, class, tenant, requestID string, repeat bool) (ok bool,
 	retryAfter time.Duration) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return true, 0
 	}
 	s := &f.overload
@@ -56,25 +56,25 @@
 }
 
 // RequestFinished records the end of an admitted request. inTime: it was answered in time.
-func (f *Fleet) HasEnded(inTime bool) {
+func (f *Fleet) RequestFinished(inTime bool) {
 	f.overload.mu.Lock()
-	f.overload.guard.Ended(inTime)
+	f.overload.guard.Finished(inTime)
 	f.overload.mu.Unlock()
 }
 
 // AllowByRetryBudget reports whether the retry budget permits an attempt. It always permits first attempts.
-func (f *Fleet) MaySend(first bool) bool {
-	if !f.cfg.Sheds() {
+func (f *Fleet) AllowByRetryBudget(first bool) bool {
+	if !f.cfg.OverloadEnabled() {
 		return true
 	}
 	f.overload.mu.Lock()
 	defer f.overload.mu.Unlock()
-	return f.overload.guard.Send(first)
+	return f.overload.guard.AllowSend(first)
 }
 
 // tickOverload runs the guard's periodic work.
 func (f *Fleet) tickOverload(v *membership.View, now membership.Micros, peers []string) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.overload.mu.Lock()
@@ -92,7 +92,7 @@
 
 // receiveOverload handles another member's overload message.
 func (f *Fleet) receiveOverload(v *membership.View, msg membership.AppMessage) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.overload.mu.Lock()
@@ -132,13 +132,13 @@
 	f.overload.mu.Lock()
 	defer f.overload.mu.Unlock()
 	g := f.overload.guard
-	o := Overload{Level: g.Level(), HeardMS: g.Heard(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
+	o := Overload{Level: g.Level(), HeardMS: g.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
 	for name, n := range f.overload.shedCounts {
 		o.Shed[name] = n
 	}
-	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
-	o.Retries.Allowed = g.Budget()
-	if keeper, since := g.Keeper(); keeper != "" {
+	o.Retries.Spent, o.Retries.Denied = g.RetriesSent, g.RetriesDenied
+	o.Retries.Allowed = g.RetryBudget()
+	if keeper, since := g.LevelOwner(); keeper != "" {
 		o.Duties = append(o.Duties, Duty{"level", keeper, (now - since) / 1000})
 	}
 	return o
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -14,10 +14,10 @@
 )
 
 // ErrTimeout reports that an operator's call was not completed in time; it may still take effect.
-var ErrLate = errors.New("not done in time, and may still be: call again")
+var ErrTimeout = errors.New("not done in time, and may still be: call again")
 
 // ErrNoVerdict reports that there is no verdict to revoke.
-var ErrNothing = errors.New("the fleet has no such verdict")
+var ErrNoVerdict = errors.New("the fleet has no such verdict")
 
 // ApplyFunc enforces a verdict in this process, or stops enforcing it. It returns once that is done, or false
 // if the process ends first.
@@ -28,7 +28,7 @@
 	View     membership.Snapshot      `json:"view"`
 	Verdicts []verdict.Saved          `json:"verdicts"`
 	Limits   map[string]LimitHandover `json:"lent"` // by limit name
-	Leases   *quota.Held              `json:"tenure,omitempty"`
+	Leases   *quota.LeaseSnapshot     `json:"tenure,omitempty"`
 }
 
 // Verdicts is the body of GET /admin/verdicts.
@@ -61,7 +61,7 @@
 
 // verdictStore is the verdict table with its exchange between members. Only the owner goroutine uses it.
 type verdictStore struct {
-	*verdict.Spreader
+	*verdict.Gossiper
 	nextTickAt membership.Micros
 	pending    []verdict.Change
 }
@@ -74,7 +74,7 @@
 	for {
 		select {
 		case c := <-f.toApply:
-			if f.host.Load().Carry != nil && !f.host.Load().Carry(c) {
+			if f.host.Load().Apply != nil && !f.host.Load().Apply(c) {
 				return
 			}
 			f.postToOwner(func(*membership.View) {
@@ -110,7 +110,7 @@
 		self := v.Self().Name
 		for _, m := range v.Members() {
 			if m.State <= membership.Suspect && m.Name != self {
-				peers = append(peers, verdict.Peer{Name: m.Name, Sum: m.AppTag})
+				peers = append(peers, verdict.Peer{Name: m.Name, Digest: m.AppTag})
 				names = append(names, m.Name)
 			}
 		}
@@ -119,19 +119,19 @@
 		f.tickJury(v, now)
 		f.tickOverload(v, now, names)
 	}
-	sends, changes := store.Take()
+	sends, changes := store.TakePending()
 	for _, c := range changes {
 		f.clearEvidence(c)
 		if !f.appliesHere(&c.Verdict) { // there is nothing to enforce
 			store.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
-			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.Holds,
+			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.InForce,
 				"by", c.Verdict.By, "at", c.Verdict.Member, "reason", c.Verdict.Reason)
 		}
 		store.Push(f.now(), c.Verdict)
 	}
-	more, _ := store.Take()
+	more, _ := store.TakePending()
 	for _, s := range append(sends, more...) {
 		v.SendApp(s.To, kindVerdict, s.Data)
 	}
@@ -149,7 +149,7 @@
 		}
 		break
 	}
-	v.SetAppTag(store.Announce())
+	v.SetAppTag(store.AnnouncedDigest())
 }
 
 // receiveVerdict handles another member's verdict message.
@@ -162,8 +162,8 @@
 // publishVerdicts stores the verdicts for the admin endpoint.
 func (f *Fleet) publishVerdicts(alive []string) {
 	now, wallMS := f.now(), time.Now().UnixMilli()
-	out := &Verdicts{Verdicts: []VerdictStatus{}, Synced: f.store.Told()}
-	for _, l := range f.store.Lines(now) {
+	out := &Verdicts{Verdicts: []VerdictStatus{}, Synced: f.store.Synced()}
+	for _, l := range f.store.InForce(now) {
 		if l.Kind == verdict.Setting {
 			continue
 		}
@@ -172,8 +172,8 @@
 	f.verdicts.Store(out)
 }
 
-func (f *Fleet) verdictStatus(l verdict.Line, alive []string, wallMS int64) VerdictStatus {
-	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.Held,
+func (f *Fleet) verdictStatus(l verdict.Status, alive []string, wallMS int64) VerdictStatus {
+	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.HeldBy,
 		AtMS: wallMS - l.Age/1000, Missing: []string{}}
 	if s.Held == nil {
 		s.Held = []string{}
@@ -182,7 +182,7 @@
 		s.EndsMS = s.AtMS + l.Span/1000
 	}
 	for _, name := range append([]string{f.cfg.Fleet.Name}, alive...) {
-		if !slices.Contains(l.Held, name) {
+		if !slices.Contains(l.HeldBy, name) {
 			s.Missing = append(s.Missing, name)
 		}
 	}
@@ -198,11 +198,11 @@
 }
 
 // VerdictsSynced reports whether this process has received the verdicts that other members knew.
-func (f *Fleet) Told() bool { return f.verdicts.Load().Synced }
+func (f *Fleet) VerdictsSynced() bool { return f.verdicts.Load().Synced }
 
 // IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
 // alive members, for which it waits at most for wait. The timeout applies to the enforcement here.
-func (f *Fleet) Say(v verdict.Verdict, timeout, wait time.Duration) (VerdictStatus, error) {
+func (f *Fleet) IssueVerdict(v verdict.Verdict, timeout, wait time.Duration) (VerdictStatus, error) {
 	startedAt := time.Now()
 	var issued verdict.Verdict
 	var err error
@@ -214,16 +214,16 @@
 			if v.Kind == verdict.Node {
 				revoked = f.liftEvidence(&v)
 			}
-			if l, ok := f.store.Line(f.now(), v.Kind, v.What); !ok || !l.On {
-				if err = ErrNothing; len(revoked) > 0 { // there were only verdicts by evidence, now revoked
+			if l, ok := f.store.Lookup(f.now(), v.Kind, v.What); !ok || !l.On {
+				if err = ErrNoVerdict; len(revoked) > 0 { // there were only verdicts by evidence, now revoked
 					issued, err = revoked[0], nil
 				}
 				return
 			}
 		}
-		issued, err = f.store.Say(f.now(), time.Now().UnixMilli(), v)
+		issued, err = f.store.Issue(f.now(), time.Now().UnixMilli(), v)
 	}, timeout) {
-		return VerdictStatus{}, ErrLate
+		return VerdictStatus{}, ErrTimeout
 	}
 	<-done
 	if err != nil {
@@ -234,14 +234,14 @@
 		checked := make(chan struct{})
 		if !f.postToOwner(func(*membership.View) {
 			defer close(checked)
-			l, ok := f.store.Line(f.now(), issued.Kind, issued.What)
+			l, ok := f.store.Lookup(f.now(), issued.Kind, issued.What)
 			if ok && l.Stamp == issued.Stamp && l.Member == issued.Member {
 				s = f.verdictStatus(l, *f.aliveOthers.Load(), time.Now().UnixMilli())
 			} else { // a newer verdict has replaced it
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
 		}, timeout) {
-			return s, ErrLate
+			return s, ErrTimeout
 		}
 		<-checked
 		enforcedHere := slices.Contains(s.Held, f.cfg.Fleet.Name)
@@ -250,7 +250,7 @@
 		case enforcedHere && (len(s.Missing) == 0 || elapsed >= wait):
 			return s, nil
 		case !enforcedHere && elapsed >= max(timeout, wait):
-			return s, ErrLate
+			return s, ErrTimeout
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -258,9 +258,9 @@
 
 // liftEvidence revokes a node's verdicts by evidence on an operator's call, and returns the revocations.
 func (f *Fleet) liftEvidence(v *verdict.Verdict) (revoked []verdict.Verdict) {
-	for _, x := range f.store.Evidence(f.now(), v.What) {
+	for _, x := range f.store.SickVerdicts(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
-		if x, err := f.store.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
+		if x, err := f.store.Issue(f.now(), time.Now().UnixMilli(), x); err == nil {
 			revoked = append(revoked, x)
 		}
 	}
--- a/internal/membership/exhaustive_test.go
+++ b/internal/membership/exhaustive_test.go
@@ -96,7 +96,7 @@
 
 // collect adds a member's outgoing datagrams to those in flight.
 func (w *world) collect(i int) {
-	sends, _, _ := w.views[i].Take()
+	sends, _, _ := w.views[i].TakeOutput()
 	for _, s := range sends {
 		to := int(s.To.Addr().As4()[3]) - 1
 		w.inFlight = append(w.inFlight, inFlightDatagram{from: i, to: to, data: s.Data})
@@ -174,7 +174,7 @@
 		put(uint64(f.from), uint64(f.to), uint64(f.data[0]), uint64(len(f.data)))
 		r := newReader(f.data)
 		if h := r.header(); h.kind == kindPing || h.kind == kindUpdates || h.kind == kindWatch {
-			put(xxhash.Sum64(r.B[min(4, len(r.B)):]))
+			put(xxhash.Sum64(r.Rest[min(4, len(r.Rest)):]))
 		}
 	}
 	return xxhash.Sum64(b)
@@ -188,7 +188,7 @@
 		if state == Suspect {
 			state = Alive
 		}
-		s += fmt.Sprint(m.Name, state, m.Inc, " ", m.Birth, ";")
+		s += fmt.Sprint(m.Name, state, m.Incarnation, " ", m.Birth, ";")
 	}
 	return s
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -26,7 +26,7 @@
 	case late > v.cfg.Period:
 		v.handleStall(late)
 		v.nextSlotAt = v.now
-	case late > step/2 && !v.cfg.Ablate.Health:
+	case late > step/2 && !v.cfg.Ablate.NoHealth:
 		v.handleLag(late)
 	}
 	for v.nextSlotAt <= v.now {
@@ -40,7 +40,7 @@
 // it has already sent stand; the other members evaluate them.
 func (v *View) handleStall(late Micros) {
 	v.stats.Stalls++
-	if v.cfg.Ablate.Health {
+	if v.cfg.Ablate.NoHealth {
 		return
 	}
 	v.health = min(maxHealth, v.health+int(late/v.cfg.Period))
@@ -94,7 +94,7 @@
 }
 
 func (v *View) adjustHealth(by int) {
-	if !v.cfg.Ablate.Health {
+	if !v.cfg.Ablate.NoHealth {
 		v.health = max(0, min(maxHealth, v.health+by))
 	}
 }
@@ -191,7 +191,7 @@
 	if p.helpersAsked > 0 && p.nacks < p.helpersAsked { // some helpers did not answer either: Lifeguard, IV.A
 		v.adjustHealth(+1)
 	}
-	if v.cfg.Ablate.Suspicion {
+	if v.cfg.Ablate.NoSuspicion {
 		m.votes = []uint32{uint32(v.self.birth & voterMask)}
 		v.declareDead(m)
 		return
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -13,7 +13,7 @@
 
 // compareDigest starts a sync with a member whose digest differs, unless updates are still being spread.
 func (v *View) compareDigest(m *member, h header) {
-	if h.digest == v.digest || v.cfg.Ablate.Sync || m.state != Alive || v.joining || v.now < v.nextSyncAt {
+	if h.digest == v.digest || v.cfg.Ablate.NoSync || m.state != Alive || v.joining || v.now < v.nextSyncAt {
 		return
 	}
 	if v.now-v.digestChangedAt < v.cfg.Period && v.now-v.lastSyncAt < 3*v.cfg.Period {
@@ -25,7 +25,7 @@
 
 // startSync sends a member the sums at the root of the tree.
 func (v *View) startSync(m *member) {
-	if v.cfg.Ablate.Sync || v.joining {
+	if v.cfg.Ablate.NoSync || v.joining {
 		return
 	}
 	v.nextSyncAt, v.lastSyncAt = v.now+v.cfg.Period, v.now
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -89,26 +89,26 @@
 
 // Ablation disables parts of the protocol, for comparison runs only.
 type Ablation struct {
-	Suspicion        bool // a failed probe declares the member dead at once
-	Health           bool // ignores this process's own slowness and stalls
-	Sync             bool // disables anti-entropy
+	NoSuspicion      bool // a failed probe declares the member dead at once
+	NoHealth         bool // ignores this process's own slowness and stalls
+	NoSync           bool // disables anti-entropy
 	ReuseIncarnation bool // deliberate fault for model checking: a refutation reuses the refuted incarnation
 }
 
 // Member is one member as this view sees it.
 type Member struct {
-	Name, Zone string
-	Addr       netip.AddrPort
-	State      State
-	Birth      uint64
-	Inc        uint32
-	Since      Micros // start of the current state
-	Stamp      uint32 // its Settings.Stamp; 0: not received yet
-	AppTag     uint32 // value it last set with SetAppTag; 0: none received yet
+	Name, Zone  string
+	Addr        netip.AddrPort
+	State       State
+	Birth       uint64
+	Incarnation uint32
+	Since       Micros // start of the current state
+	Stamp       uint32 // its Settings.Stamp; 0: not received yet
+	AppTag      uint32 // value it last set with SetAppTag; 0: none received yet
 }
 
 // Datagram is an outgoing datagram. Data is not sealed yet.
-type Send struct {
+type Datagram struct {
 	To   netip.AddrPort
 	Data []byte
 }
@@ -188,7 +188,7 @@
 	if s == Alive && m.suspect {
 		s = Suspect
 	}
-	return Member{Name: m.name, Zone: m.zone, Addr: m.addr, State: s, Birth: m.birth, Inc: m.inc,
+	return Member{Name: m.name, Zone: m.zone, Addr: m.addr, State: s, Birth: m.birth, Incarnation: m.inc,
 		Since: m.since, Stamp: m.stamp, AppTag: m.appTag}
 }
 
@@ -295,7 +295,7 @@
 	appTag          uint32 // sent with each datagram
 	candidates      []candidate
 
-	outgoing    []Send
+	outgoing    []Datagram
 	changes     []Change
 	appMessages []AppMessage
 	stats       Stats
@@ -362,7 +362,7 @@
 func (v *View) randN(n int) int { return int(v.rng.Uint64() % uint64(n)) }
 
 // NextTick returns the time at which Tick next has work to do.
-func (v *View) Next() Micros { return v.nextSlotAt }
+func (v *View) NextTick() Micros { return v.nextSlotAt }
 
 // Joined reports whether this member has an incarnation: it was admitted, or started alone.
 func (v *View) Joined() bool { return !v.joining }
@@ -377,7 +377,7 @@
 		s = Left
 	}
 	return Member{Name: v.self.name, Zone: v.self.zone, Addr: v.self.addr, State: s, Birth: v.self.birth,
-		Inc: v.self.inc, Since: v.startedAt, Stamp: v.cfg.Stamp}
+		Incarnation: v.self.inc, Since: v.startedAt, Stamp: v.cfg.Stamp}
 }
 
 // Members returns all known members including this one, sorted by name.
@@ -400,7 +400,7 @@
 func (v *View) Digest() uint64 { return v.digest }
 
 // Stats returns the counters so far.
-func (v *View) Figures() Stats {
+func (v *View) Stats() Stats {
 	s := v.stats
 	s.Health = v.health
 	return s
@@ -408,7 +408,7 @@
 
 // TakeOutput returns the datagrams to send, the state changes and the application messages received since the
 // last call. The caller owns the slices.
-func (v *View) Take() ([]Send, []Change, []AppMessage) {
+func (v *View) TakeOutput() ([]Datagram, []Change, []AppMessage) {
 	s, c, a := v.outgoing, v.changes, v.appMessages
 	v.outgoing, v.changes, v.appMessages = nil, nil, nil
 	return s, c, a
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -19,7 +19,7 @@
 	order     []*View
 	lastBirth uint64
 	blocked   func(from, to *View) bool
-	onSend    func(from *View, s Send)
+	onSend    func(from *View, s Datagram)
 }
 
 func newTestFleet(t testing.TB) *testFleet {
@@ -27,7 +27,7 @@
 		_ *View) bool {
 		return false
 	},
-		onSend: func(*View, Send) {}}
+		onSend: func(*View, Datagram) {}}
 }
 
 func addr(i int) netip.AddrPort {
@@ -74,7 +74,7 @@
 		}
 		more = false
 		for _, v := range tf.order {
-			sends, _, _ := v.Take()
+			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				more = true
 				tf.onSend(v, s)
@@ -105,7 +105,7 @@
 		tf.run(1)
 	}
 	for _, v := range tf.order {
-		tf.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Figures())
+		tf.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Stats())
 	}
 	tf.t.Fatalf("%s: not reached within %d periods", what, maxPeriods)
 	return 0
@@ -243,7 +243,7 @@
 		}
 	}
 	datagrams := 0
-	tf.onSend = func(_ *View, s Send) {
+	tf.onSend = func(_ *View, s Datagram) {
 		if s.To == addr(3) {
 			datagrams++
 		}
@@ -261,15 +261,15 @@
 func TestForgottenMembersDoNotReturn(t *testing.T) {
 	tf := newTestFleet(t)
 	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
-	var recorded []Send
-	tf.onSend = func(_ *View, s Send) { recorded = append(recorded, s) }
+	var recorded []Datagram
+	tf.onSend = func(_ *View, s Datagram) { recorded = append(recorded, s) }
 	tf.waitFor("start", 30, tf.converged)
 	tf.run(5)
 	d := tf.add("d", 4)
 	tf.waitFor("d", 30, tf.converged)
 	tf.remove(d) // simulates a stopped process
 	tf.remove(c)
-	tf.onSend = func(*View, Send) {}
+	tf.onSend = func(*View, Datagram) {}
 	tf.waitFor("death", 40, func() bool { return stateOf(a, "c") == "dead1" && stateOf(b, "c") == "dead1" })
 	tf.run(ForgetDead + 10)
 	if s := stateOf(a, "c") + stateOf(b, "c"); s != "unknownunknown" {
@@ -293,8 +293,8 @@
 	tf.attach(d) // resumes, and still knows c as alive
 	tf.waitFor("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
 	requireForgotten("after d resumed")
-	if f := d.Figures(); f.Rejoins != 1 || a.Figures().Dropped[Replayed]+a.Figures().Dropped[Unknown] == 0 {
-		t.Fatalf("%+v, %+v", f, a.Figures())
+	if f := d.Stats(); f.Rejoins != 1 || a.Stats().Dropped[Replayed]+a.Stats().Dropped[Unknown] == 0 {
+		t.Fatalf("%+v, %+v", f, a.Stats())
 	}
 }
 
@@ -332,8 +332,8 @@
 	tf.add("b", 2, names)
 	x := tf.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
 	tf.run(30)
-	if stateOf(a, "x") != "unknown" || a.Figures().Dropped[NotAdmitted] == 0 || x.Figures().Rejections == 0 {
-		t.Fatalf("%s, %+v, %+v", stateOf(a, "x"), a.Figures(), x.Figures())
+	if stateOf(a, "x") != "unknown" || a.Stats().Dropped[NotAdmitted] == 0 || x.Stats().Rejections == 0 {
+		t.Fatalf("%s, %+v, %+v", stateOf(a, "x"), a.Stats(), x.Stats())
 	}
 	if stateOf(a, "b") != "alive1" || stateOf(x, "b") == "" {
 		t.Fatal("members of the roster are missing")
@@ -393,7 +393,7 @@
 	tf := newTestFleet(f)
 	tf.add("a", 1)
 	tf.add("b", 2)
-	tf.onSend = func(_ *View, s Send) { f.Add(s.Data) }
+	tf.onSend = func(_ *View, s Datagram) { f.Add(s.Data) }
 	tf.waitFor("start", 30, tf.converged)
 	c := tf.add("c", 3)
 	tf.run(3)
@@ -406,7 +406,7 @@
 		tf.waitFor("start", 30, tf.converged)
 		for range 2 {
 			v.Receive(tf.now, data)
-			sends, _, _ := v.Take()
+			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				if len(s.Data) > MaxPlain {
 					t.Fatalf("%d bytes", len(s.Data))
@@ -446,7 +446,7 @@
 		}
 		r := newReader(b)
 		got := r.entry()
-		if r.Bad || len(r.B) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
+		if r.Bad || len(r.Rest) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
 			t.Fatalf("%+v was decoded as %+v", e, got)
 		}
 		r = newReader(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
@@ -476,7 +476,7 @@
 func TestRunIsDeterministic(t *testing.T) {
 	run := func() (log string) {
 		tf := newTestFleet(t)
-		tf.onSend = func(_ *View, s Send) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
+		tf.onSend = func(_ *View, s Datagram) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
 		for i := range 5 {
 			tf.add(fmt.Sprint("m", i), i+1)
 		}
@@ -521,7 +521,7 @@
 			}
 		}
 		v.probes = v.probes[:0]
-		v.Take()
+		v.TakeOutput()
 	}
 }
 
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -33,7 +33,7 @@
 	if c.Fleet == nil {
 		return 0
 	}
-	return fleet.Sockets
+	return fleet.MaxSockets
 }
 
 // fleetCarriesPeers tells that the fleet's socket is the one for other coordinators, and carries what the
@@ -67,7 +67,7 @@
 	if k.fleet == nil || k.upgrade.place != nil {
 		return nil
 	}
-	if err := k.fleet.Begin(nil, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(nil, k.fleetHost()); err != nil {
 		return err
 	}
 	return k.awaitFleet()
@@ -81,26 +81,26 @@
 	}
 	name, _ := c.Verdict.Node()
 	id := core.ServerID(name)
-	by := core.ByFleet
+	by := core.ByFleetOperator
 	switch c.Verdict.Kind {
-	case verdict.Sick:
-		by = core.Judged
-	case verdict.Path:
-		by = core.JudgedHere
+	case verdict.SickNode:
+		by = core.ByFleetEvidence
+	case verdict.SickPath:
+		by = core.ByZoneEvidence
 	}
-	if !k.core.Bar(id, by, c.Holds, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, by, c.InForce, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleet { // what is judged the next process hears with the table
-		k.upgrade.pass(id, by, c.Holds)
+	if by == core.ByFleetOperator { // what is judged the next process hears with the table
+		k.upgrade.pass(id, by, c.InForce)
 	}
 	return true
 }
 
 // fleetHost is this process as the fleet's part needs it.
 func (k *Coordinator) fleetHost() fleet.Host {
-	return fleet.Host{Carry: k.carryVerdict, Name: k.nodeName,
-		Nodes: func() int { return int(k.core.Counts().Listed.Load()) }}
+	return fleet.Host{Apply: k.carryVerdict, NodeName: k.nodeName,
+		NodeCount: func() int { return int(k.core.Counts().ListedServers.Load()) }}
 }
 
 // nodeName is the name of a data node, on whichever way it is reached.
@@ -121,32 +121,32 @@
 }
 
 // witness has the fleet hear how attempts end, as far as that says something of the node.
-func (k *Coordinator) witness(s core.Seen) {
-	end := verdict.Broken
+func (k *Coordinator) witness(s core.AttemptResult) {
+	end := verdict.Failed
 	switch {
 	case s.Outcome == balance.OK:
 		end = verdict.Served
 	case s.Outcome == balance.TimedOut:
-		end = verdict.Unheard
-	case s.Beaten:
-		end = verdict.Beaten
+		end = verdict.TimedOut
+	case s.Superseded:
+		end = verdict.HedgeWon
 	case s.Outcome == balance.Cancelled:
-		end = verdict.GivenUp
+		end = verdict.Cancelled
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Took)
+	k.fleet.ObserveAttempt(uint64(s.Replica), s.Class, end, s.Elapsed)
 }
 
 // judge has evidence against data nodes count, where the fleet's file says so.
 func (k *Coordinator) judge(conf *core.Config) {
-	if !k.cfg.Fleet.Judges() {
+	if !k.cfg.Fleet.EvidenceEnabled() {
 		return
 	}
 	m := &k.cfg.Module
-	conf.Saw = k.witness
-	conf.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
-		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
+	conf.OnAttemptEnd = k.witness
+	conf.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.EvidenceShare())
 	}
 }
 
@@ -157,9 +157,11 @@
 		return // from a member of another version: nothing to carry out
 	}
 	for _, x := range k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
-			if c.Holds {
-				g.Gate().Hold(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Left)*time.Microsecond)
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
+			if c.InForce {
+				g.Gate().BanOrPin(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Remaining)*time.Microsecond)
 			} else {
 				g.Gate().Lift(p)
 			}
@@ -173,14 +175,14 @@
 	defer late.Stop()
 	select {
 	case <-k.fleet.Joined():
-	case err := <-k.fleet.Refused():
+	case err := <-k.fleet.NameTaken():
 		k.fleet.Close()
 		return err
 	case <-late.C:
 		k.log.Warn("not let into the fleet in time: serving all the same")
 		return nil
 	}
-	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(toldLook) {
+	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.VerdictsSynced(); time.Sleep(toldLook) {
 		if time.Now().After(end) {
 			k.log.Warn("nobody has told the fleet's verdicts in time: serving without what they may be")
 			break
@@ -194,9 +196,9 @@
 func (k *Coordinator) hearFleet() {
 	for {
 		select {
-		case h := <-k.fleet.Heard():
+		case h := <-k.fleet.Messages():
 			k.core.Post(core.PeerMessage{Data: h.Data})
-		case err := <-k.fleet.Refused():
+		case err := <-k.fleet.NameTaken():
 			k.failed <- fmt.Errorf("refusing to serve: %w", err)
 			return
 		case <-k.stop:
@@ -205,8 +207,8 @@
 	}
 }
 
-// limits asks the fleet's level and limits.
-type limits struct {
+// fleetGate asks the fleet's level and limits.
+type fleetGate struct {
 	k      *Coordinator
 	ranked *atomic.Pointer[ranked]
 }
@@ -218,30 +220,30 @@
 }
 
 // rank is the place of a class by worth.
-func (l limits) rank(conf *Config, class int) int {
+func (l fleetGate) rank(conf *Config, class int) int {
 	r := l.ranked.Load()
 	if r == nil || r.conf != conf {
 		worth := make([]float64, len(conf.Module.Classes))
 		for i := range worth {
 			worth[i] = conf.Module.Classes[i].Worth
 		}
-		r = &ranked{conf, overload.Rank(worth)}
+		r = &ranked{conf, overload.RankByWorth(worth)}
 		l.ranked.Store(r)
 	}
 	return r.ranks[class]
 }
 
 // Admit asks whether a query may be let in.
-func (l limits) Admit(q *core.Query) (bool, time.Duration, string) {
+func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
 	conf := l.k.front.conf.Load()
 	class, who := conf.Classes[q.Class], q.Name
 	if q.Key != "" {
 		who = q.Key // the same for all tries of it
 	}
-	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
+	if ok, after := l.k.fleet.Admit(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
-	t, ok, after, limit := l.k.fleet.Allow(class, q.Caller, q.Deadline)
+	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
 	if !ok {
 		return false, after, "limit " + limit + " of the fleet"
 	}
@@ -251,35 +253,35 @@
 	return true, 0, ""
 }
 
-// Ended gives back what a query held, and tells how it ended.
-func (l limits) Ended(q *core.Query, e core.Ending) {
-	l.k.fleet.HasEnded(e == core.Answered)
+// QueryEnded gives back what a query held, and tells how it ended.
+func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
+	l.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
-// Send asks whether an attempt may be sent.
-func (l limits) Send(a *core.Attempt) (bool, balance.Outcome) {
-	if !l.k.fleet.MaySend(a.First()) {
+// AllowSend asks whether an attempt may be sent.
+func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
 	}
-	if !l.k.fleet.LimitsServers() {
+	if !l.k.fleet.HasServerLimits() {
 		return true, 0
 	}
-	t, ok := l.k.fleet.AllowSend(uint64(a.Replica), time.Now().Add(a.Timeout))
+	t, ok := l.k.fleet.AllowAttempt(uint64(a.Replica), time.Now().Add(a.Timeout))
 	if !t.Empty() {
 		a.Ticket = t
 	}
 	return ok, balance.Busy // to the module the node is full
 }
 
-// Over gives back what an attempt held.
-func (l limits) Over(a *core.Attempt) {
+// AttemptEnded gives back what an attempt held.
+func (l fleetGate) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
@@ -300,7 +302,7 @@
 	case <-k.stop:
 		return
 	}
-	if err := k.fleet.Begin(from, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(from, k.fleetHost()); err != nil {
 		k.log.Error("no part in the fleet", "err", err)
 	}
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -60,7 +60,7 @@
 
 func (d *discovery) reply(x *lnet.Exchange, whole bool, hosts []host) {
 	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Whole: whole, Hosts: hosts})
-	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b})
+	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b})
 }
 
 func (d *discovery) serve(r *lnet.Request, x *lnet.Exchange) func() {
@@ -292,10 +292,10 @@
 		all = append(all, a)
 	}
 	c.frames[0].begun = true // the writer has it
-	if !n.Withdraw(all[2]) || n.Withdraw(all[0]) {
+	if !n.Cancel(all[2]) || n.Cancel(all[0]) {
 		t.Fatal("only what is not begun has never run")
 	}
-	if back := n.Stop(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
+	if back := n.CancelQueued(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
 		t.Fatalf("%v", back)
 	}
 	if c.calls != len(c.waiting) {
@@ -412,7 +412,7 @@
 	for n := range 2 {
 		r, err := c.Do("POST", "/rate-check", k.Addr(), [][2]string{{"X-Call-Id", fmt.Sprint("kept", n)}},
 			[]byte(`{"slices":[{"slice":1,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
-		if err != nil || r.Status != 200 || !c.Sound() {
+		if err != nil || r.Status != 200 || !c.Reusable() {
 			t.Fatalf("request %d on a connection in use: %v %v", n, r, err)
 		}
 	}
@@ -779,7 +779,7 @@
 		r.Size != 1.5 || r.Started != 1_000_000 {
 		t.Fatalf("%+v", r)
 	}
-	if got[1].State != balance.Draining || got[1].Zone != -1 || got[2].State != balance.Gone {
+	if got[1].State != balance.Draining || got[1].Zone != -1 || got[2].State != balance.Removed {
 		t.Fatalf("%+v", got)
 	}
 }
@@ -787,7 +787,7 @@
 // figures asks the operators' door.
 func figures(t *testing.T, k *Coordinator) admin.Figures {
 	t.Helper()
-	r := standin.Call(t, k.Door(), "GET", "/admin/stats", nil, "")
+	r := standin.Call(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
 	var f admin.Figures
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
@@ -848,7 +848,7 @@
 	k := run(t, door(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
-		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, id); r.Status != want {
+		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
 			t.Fatalf("%s %s: %d %s", name, id, r.Status, r.Body)
 		}
 	}
