--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -54,8 +54,8 @@
 	f.Require(l.Class != Each, key+".class", "%q is for tenants and servers: give each class its limit", Each)
 	if l.Concurrent != 0 {
 		f.Require(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
-		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
-			key+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
+		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 &&
+			l.Concurrent == math.Trunc(l.Concurrent), key+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
 			l.Concurrent, members)
 		f.Require(!l.each(), key+".concurrent", "is for one name, not for each")
 		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
@@ -226,8 +226,8 @@
 // AllowRequest reports whether a request of a class and a tenant that ends by the given time may be admitted
 // now. If not, it returns the limit that refused it and the time after which to retry. It never waits for a
 // message.
-func (f *Fleet) AllowRequest(class, tenant string, endsAt time.Time) (t Ticket, ok bool, retryAfter time.Duration,
-	limit string) {
+func (f *Fleet) AllowRequest(class, tenant string, endsAt time.Time) (t Ticket, ok bool,
+	retryAfter time.Duration, limit string) {
 	now := f.now()
 	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -37,11 +37,12 @@
 
 // Snapshot returns the state that the successor needs.
 func (v *View) Snapshot() Snapshot {
-	s := Snapshot{Birth: v.self.birth, Incarnation: v.self.inc, Seq: v.seq, Age: v.now - v.startedAt, Joined: !v.joining}
+	s := Snapshot{Birth: v.self.birth, Incarnation: v.self.inc, Seq: v.seq, Age: v.now - v.startedAt,
+		Joined: !v.joining}
 	for _, m := range v.members {
 		s.Members = append(s.Members, MemberSnapshot{Name: m.name, Zone: m.zone, Addr: m.addr, Birth: m.birth,
-			Incarnation: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.endedAt, Top: m.replay.highest,
-			Votes: slices.Clone(m.votes), Stamp: m.stamp})
+			Incarnation: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.endedAt,
+			Top: m.replay.highest, Votes: slices.Clone(m.votes), Stamp: m.stamp})
 	}
 	return s
 }
