--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -135,10 +135,10 @@
 		f.Require(loopback, "fleet.keys", "is missing: without it loopback addresses only")
 	}
 	for i := range c.Limits {
-		at := fmt.Sprintf("limit[%d]", i+1)
-		c.Limits[i].validate(f, at, c.MaxMembers(), len(x.Roster))
+		key := fmt.Sprintf("limit[%d]", i+1)
+		c.Limits[i].validate(f, key, c.MaxMembers(), len(x.Roster))
 		for _, preceding := range c.Limits[:i] {
-			f.Require(preceding.Name != c.Limits[i].Name, at+".name", "%q is there twice", preceding.Name)
+			f.Require(preceding.Name != c.Limits[i].Name, key+".name", "%q is there twice", preceding.Name)
 		}
 	}
 	c.view.Roster, c.view.Most, c.view.Stamp = x.Roster, x.Most, c.stamp()
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Evidence on data nodes: passes this member's observations to the judges. The jury of internal/verdict
-// decides which nodes are sick.
+// Evidence on data nodes: passes this member's observations to the outlier detection of internal/verdict,
+// which decides which nodes are sick.
 
 import (
 	"fmt"
@@ -30,19 +30,19 @@
 	NodeCount func() int
 }
 
-// evidenceState is this member's jury and its counters.
+// evidenceState is this member's outlier detector and its counters.
 type evidenceState struct {
-	mu       sync.Mutex // guards jury: the core reports attempts from its own goroutine
-	jury     *verdict.OutlierDetector
+	mu       sync.Mutex // guards detector: the core reports attempts from its own goroutine
+	detector *verdict.OutlierDetector
 	zones    map[string]string // owner goroutine only: zones of alive members, by name
 	issued   int64             // verdicts issued by this member
-	withheld int64             // judgements withheld because too many nodes were out
+	withheld int64             // verdicts withheld because too many nodes were out
 }
 
 // ServerID returns the ID of a data node by its name. It is the module's ID, which peers use in messages.
 func ServerID(name string) uint64 { return uint64(core.ServerID(name)) }
 
-// EvidenceEnabled reports whether this member takes part in judging nodes by evidence.
+// EvidenceEnabled reports whether this member takes part in outlier detection by evidence.
 func (c *Config) EvidenceEnabled() bool {
 	return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0
 }
@@ -51,58 +51,59 @@
 func (c *Config) EvidenceShare() float64 { return *c.Fleet.Evidence.Share }
 
 // ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
-func (f *Fleet) ObserveAttempt(node uint64, class int, ending verdict.Outcome, elapsed time.Duration) {
+func (f *Fleet) ObserveAttempt(node uint64, class int, outcome verdict.Outcome, elapsed time.Duration) {
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	f.evidence.jury.Observe(f.now(), node, class, ending, elapsed.Microseconds())
+	f.evidence.detector.Observe(f.now(), node, class, outcome, elapsed.Microseconds())
 }
 
-// tickJury runs the jury's periodic work and issues verdicts on its judgements.
-func (f *Fleet) tickJury(v *membership.View, now membership.Micros) {
+// tickEvidence runs the detector's periodic work and issues verdicts on the outliers that it finds.
+func (f *Fleet) tickEvidence(v *membership.View, now membership.Micros) {
 	if !f.cfg.EvidenceEnabled() {
 		return
 	}
-	j := &f.evidence
+	e := &f.evidence
 	self := f.cfg.Fleet.Name
 	var others []verdict.Member
 	size := 0
-	clear(j.zones)
+	clear(e.zones)
 	for _, m := range v.Members() {
 		if m.State <= membership.Dead {
 			size++
 		}
 		if m.State <= membership.Suspect && m.Name != self {
 			others = append(others, verdict.Member{Name: m.Name, Zone: m.Zone})
-			j.zones[m.Name] = m.Zone
+			e.zones[m.Name] = m.Zone
 		}
 	}
-	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Stats().Health <= maxObserverHealth)
-	judgements := j.jury.Outliers(now)
-	j.mu.Unlock()
+	e.mu.Lock()
+	sends := e.detector.Tick(now, others, size, v.Stats().Health <= maxObserverHealth)
+	outliers := e.detector.Outliers(now)
+	e.mu.Unlock()
 	for _, s := range sends {
 		v.SendApp(s.To, kindEvidence, s.Data)
 	}
-	for _, judgement := range judgements {
-		f.issueSick(now, judgement, len(others)+1, size)
+	for _, outlier := range outliers {
+		f.issueSick(now, outlier, len(others)+1, size)
 	}
 }
 
-// issueSick issues the verdict for a judgement, unless it is barred or too many nodes are out already.
-func (f *Fleet) issueSick(now membership.Micros, j verdict.Outlier, alive, size int) {
+// issueSick issues the verdict on an outlier, unless it is barred or too many nodes are out already.
+func (f *Fleet) issueSick(now membership.Micros, outlier verdict.Outlier, alive, size int) {
 	host := f.host.Load()
 	if host.NodeName == nil || host.NodeCount == nil {
 		return
 	}
-	name, ok := host.NodeName(j.Node)
+	name, ok := host.NodeName(outlier.Node)
 	if !ok {
 		return
 	}
-	v, allowed := f.store.SickVerdict(now, f.cfg.Period().Microseconds(), name, j)
+	v, allowed := f.store.SickVerdict(now, f.cfg.Period().Microseconds(), name, outlier)
 	if !allowed {
 		return
 	}
-	if f.store.CountSick(now, j.Zone) >= verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
+	if f.store.CountSick(now, outlier.Zone) >=
+		verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
 		f.evidence.withheld++
 		return
 	}
@@ -123,7 +124,7 @@
 		return // it joined after the last period's update of zones
 	}
 	f.evidence.mu.Lock()
-	sends, ok := f.evidence.jury.Receive(f.now(), verdict.Member{Name: msg.From, Zone: zone}, msg.Data)
+	sends, ok := f.evidence.detector.Receive(f.now(), verdict.Member{Name: msg.From, Zone: zone}, msg.Data)
 	f.evidence.mu.Unlock()
 	if !ok {
 		f.countDrop(errBadMessage)
@@ -141,7 +142,7 @@
 	name, _ := c.Verdict.Node()
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	f.evidence.jury.ClearEvidence(ServerID(name))
+	f.evidence.detector.ClearEvidence(ServerID(name))
 }
 
 // evidenceStatus returns this member's observations of nodes that may be sick, for the admin endpoint.
@@ -150,8 +151,8 @@
 	now := f.now()
 	f.evidence.mu.Lock()
 	defer f.evidence.mu.Unlock()
-	for _, id := range f.evidence.jury.FailingNodes() {
-		t := f.evidence.jury.Tally(now, id, 0)
+	for _, id := range f.evidence.detector.FailingNodes() {
+		t := f.evidence.detector.Tally(now, id, 0)
 		s := EvidenceStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
 			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
 		if host := f.host.Load(); host.NodeName != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -37,8 +37,8 @@
 	kindVerdict byte = 2 // between verdict tables
 	kindQuota   byte = 3 // between limit shares
 
-	kindEvidence byte = 4 // between evidence juries
-	kindOverload byte = 5 // between overload guards
+	kindEvidence byte = 4 // between outlier detectors
+	kindOverload byte = 5 // between overload controllers
 )
 
 // Status is the body of GET /admin/fleet.
@@ -155,11 +155,11 @@
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
 	f.store.Gossiper = verdict.NewGossiper(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
 		membership.MaxAppMessage)
-	f.evidence.jury = verdict.NewOutlierDetector(verdict.Member{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
+	f.evidence.detector = verdict.NewOutlierDetector(verdict.Member{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
 		cfg.Period().Microseconds(), membership.MaxAppMessage)
 	f.evidence.zones = map[string]string{}
 	f.host.Store(&Host{})
-	f.overload.guard = overload.NewController(cfg.Fleet.Name, cfg.Period().Microseconds())
+	f.overload.controller = overload.NewController(cfg.Fleet.Name, cfg.Period().Microseconds())
 	f.overload.shedCounts = map[string]int64{}
 	f.createLimits(inherited != nil)
 	f.status.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -55,8 +55,8 @@
 	if l.Concurrent != 0 {
 		f.Require(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
 		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 &&
-			l.Concurrent == math.Trunc(l.Concurrent), key+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
-			l.Concurrent, members)
+			l.Concurrent == math.Trunc(l.Concurrent), key+".concurrent",
+			"%g is no whole number, or less than 1 for each of %d members, or over 1e6", l.Concurrent, members)
 		f.Require(!l.each(), key+".concurrent", "is for one name, not for each")
 		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
@@ -149,7 +149,7 @@
 
 type heldSlot struct {
 	limiter *limiter
-	place   quota.Slot
+	slot    quota.Slot
 }
 
 // createLimits creates the limits. A process that takes over may use none before it has received their state.
@@ -184,29 +184,29 @@
 }
 
 // take requests one unit, of the given key if the limit is for each.
-func (l *limiter) take(now, endsAt quota.Micros, key uint64) (place quota.Slot, ok bool, wait quota.Micros) {
+func (l *limiter) take(now, endsAt quota.Micros, key uint64) (slot quota.Slot, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		ok, wait = l.share.Take(now)
 	case l.slots != nil:
-		place, ok, wait = l.slots.Take(now, endsAt)
+		slot, ok, wait = l.slots.Take(now, endsAt)
 	default:
 		ok, wait = l.keys.Take(now, key)
 	}
-	return place, ok, wait
+	return slot, ok, wait
 }
 
 // giveBack returns a unit that was taken from this limit.
-func (l *limiter) giveBack(now quota.Micros, key uint64, place quota.Slot) {
+func (l *limiter) giveBack(now quota.Micros, key uint64, slot quota.Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		l.share.Refund()
 	case l.slots != nil:
-		l.slots.Release(now, place)
+		l.slots.Release(now, slot)
 	default:
 		l.keys.Refund(key)
 	}
@@ -235,10 +235,10 @@
 		if !applies {
 			continue
 		}
-		place, ok, wait := l.take(now, endsMicros, key)
+		slot, ok, wait := l.take(now, endsMicros, key)
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, heldSlot{l, place})
+				t.held = append(t.held, heldSlot{l, slot})
 			}
 			continue
 		}
@@ -261,10 +261,10 @@
 		if !l.matchesServer(server) {
 			continue
 		}
-		place, ok, _ := l.take(now, endsMicros, quota.KeyIDFromNumber(l.id, server))
+		slot, ok, _ := l.take(now, endsMicros, quota.KeyIDFromNumber(l.id, server))
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, heldSlot{l, place})
+				t.held = append(t.held, heldSlot{l, slot})
 			}
 			continue
 		}
@@ -293,7 +293,7 @@
 func (f *Fleet) ReleaseTicket(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
-		h.limiter.giveBack(now, 0, h.place)
+		h.limiter.giveBack(now, 0, h.slot)
 	}
 }
 
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Fleet-wide load shedding: connects members, fronts and operators to the guard of internal/overload, which
-// decides what is shed.
+// Fleet-wide load shedding: connects members, fronts and operators to the controller of internal/overload,
+// which decides what is shed.
 
 import (
 	"sync"
@@ -20,10 +20,10 @@
 	maxTenantLen = 64
 )
 
-// overloadState is the guard with its lock, as fronts and the core use it from their own goroutines.
+// overloadState is the controller with its lock, as fronts and the core call it from their own goroutines.
 type overloadState struct {
 	mu         sync.Mutex // guards what follows
-	guard      *overload.Controller
+	controller *overload.Controller
 	shedCounts map[string]int64 // requests shed, by class and by class/tenant
 }
 
@@ -42,7 +42,7 @@
 	priority := overload.Priority(rank, requestID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, wait := s.guard.Admit(priority, xxhash.Sum64String(requestID)^uint64(f.now()), repeat)
+	ok, wait := s.controller.Admit(priority, xxhash.Sum64String(requestID)^uint64(f.now()), repeat)
 	if ok {
 		return true, 0
 	}
@@ -58,7 +58,7 @@
 // RequestFinished records the end of an admitted request. inTime: it was answered in time.
 func (f *Fleet) RequestFinished(inTime bool) {
 	f.overload.mu.Lock()
-	f.overload.guard.Finished(inTime)
+	f.overload.controller.Finished(inTime)
 	f.overload.mu.Unlock()
 }
 
@@ -69,18 +69,18 @@
 	}
 	f.overload.mu.Lock()
 	defer f.overload.mu.Unlock()
-	return f.overload.guard.AllowSend(first)
+	return f.overload.controller.AllowSend(first)
 }
 
-// tickOverload runs the guard's periodic work.
+// tickOverload runs the controller's periodic work.
 func (f *Fleet) tickOverload(v *membership.View, now membership.Micros, peers []string) {
 	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.overload.mu.Lock()
-	before := f.overload.guard.Level()
-	sends := f.overload.guard.Tick(now, peers)
-	after := f.overload.guard.Level()
+	before := f.overload.controller.Level()
+	sends := f.overload.controller.Tick(now, peers)
+	after := f.overload.controller.Level()
 	f.overload.mu.Unlock()
 	for _, s := range sends {
 		v.SendApp(s.To, kindOverload, s.Data)
@@ -96,7 +96,7 @@
 		return
 	}
 	f.overload.mu.Lock()
-	sends, ok := f.overload.guard.Receive(f.now(), msg.From, msg.Data)
+	sends, ok := f.overload.controller.Receive(f.now(), msg.From, msg.Data)
 	f.overload.mu.Unlock()
 	if !ok {
 		f.countDrop(errBadMessage)
@@ -131,15 +131,15 @@
 	now := f.now()
 	f.overload.mu.Lock()
 	defer f.overload.mu.Unlock()
-	g := f.overload.guard
-	o := Overload{Level: g.Level(), HeardMS: g.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
+	c := f.overload.controller
+	o := Overload{Level: c.Level(), HeardMS: c.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
 	for name, n := range f.overload.shedCounts {
 		o.Shed[name] = n
 	}
-	o.Retries.Spent, o.Retries.Denied = g.RetriesSent, g.RetriesDenied
-	o.Retries.Allowed = g.RetryBudget()
-	if keeper, since := g.LevelOwner(); keeper != "" {
-		o.Duties = append(o.Duties, Duty{"level", keeper, (now - since) / 1000})
+	o.Retries.Spent, o.Retries.Denied = c.RetriesSent, c.RetriesDenied
+	o.Retries.Allowed = c.RetryBudget()
+	if owner, since := c.LevelOwner(); owner != "" {
+		o.Duties = append(o.Duties, Duty{"level", owner, (now - since) / 1000})
 	}
 	return o
 }
--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -116,7 +116,7 @@
 		}
 		store.Tick(now, peers)
 		f.tickLimits(v, now, names)
-		f.tickJury(v, now)
+		f.tickEvidence(v, now)
 		f.tickOverload(v, now, names)
 	}
 	sends, changes := store.TakePending()
