--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,5 +1,5 @@
-// Package fleet owns the fleet's socket: its file, the keys that seal its datagrams, and the one goroutine
-// that holds a membership.View. It must never decide who is a member.
+// Package fleet connects a coordinator to its fleet: it owns the settings file, the UDP socket, the keys that
+// seal datagrams, and the goroutine that owns the membership.View. It makes no decisions on membership.
 package fleet
 
 import (
@@ -22,11 +22,11 @@
 
 const (
 	defaultPeriod = 200 // ms
-	mostKeys      = 8
-	mostMembers   = 10_000
+	maxKeys       = 8
+	maxMembers    = 10_000
 )
 
-// Config is the file.
+// Config is the content of the fleet's settings file.
 type Config struct {
 	Fleet struct {
 		Name   string            `toml:"name"`
@@ -41,10 +41,10 @@
 			Period int `toml:"period_ms,omitempty"`
 		} `toml:"detect,omitempty"`
 		Overload struct {
-			Off bool `toml:"off,omitempty"` // each member turns away by itself alone
+			Off bool `toml:"off,omitempty"` // each member sheds load on its own only
 		} `toml:"overload,omitempty"`
 		Evidence struct {
-			Share *float64 `toml:"share,omitempty"` // of all nodes, that may be out by evidence; 0: none is
+			Share *float64 `toml:"share,omitempty"` // maximum share of all nodes that evidence may take out; 0: none
 		} `toml:"evidence,omitempty"`
 	} `toml:"fleet"`
 	Limits []Limit `toml:"limit,omitempty"`
@@ -54,23 +54,23 @@
 	view   membership.Settings
 }
 
-// Load reads the file and the keys that it names. All faults are told at once.
+// Load reads the settings file and the key file that it names. The error lists all faults.
 func Load(path string) (*Config, error) {
 	c := &Config{}
 	f, err := settings.Load(path, c)
 	if err != nil {
 		return nil, err
 	}
-	return c, c.check(f, filepath.Dir(path))
+	return c, c.validate(f, filepath.Dir(path))
 }
 
-var nameForm = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9._-]+$`)
 
-// check notes all that is wrong and makes of the texts what is needed.
-func (c *Config) check(f *settings.File, dir string) error {
+// validate records all faults and converts the texts to addresses and keys.
+func (c *Config) validate(f *settings.File, dir string) error {
 	x := &c.Fleet
 	name := func(key, s string, most int) {
-		f.Require(nameForm.MatchString(s) && len(s) <= most, key,
+		f.Require(namePattern.MatchString(s) && len(s) <= most, key,
 			"%q is not 1 to %d letters, digits, dots, dashes or underscores", s, most)
 	}
 	name("fleet.name", x.Name, membership.MaxName)
@@ -96,17 +96,17 @@
 		f.Require(!slices.Contains(x.Join[:i], text), "fleet.join", "%s is there twice", text)
 	}
 	c.view.Route = map[string]netip.AddrPort{}
-	for who, text := range x.Route {
-		name("fleet.route."+who, who, membership.MaxName)
-		c.view.Route[who] = address("fleet.route."+who, text)
+	for member, text := range x.Route {
+		name("fleet.route."+member, member, membership.MaxName)
+		c.view.Route[member] = address("fleet.route."+member, text)
 	}
 	f.Require(len(x.Roster) > 0 || x.Most > 0, "fleet.roster", "is missing, and most too: one has to be there")
 	f.Require(len(x.Roster) == 0 || x.Most == 0, "fleet.most", "goes without roster")
-	f.Require(x.Most >= 0 && x.Most <= mostMembers, "fleet.most", "%d is not within 1 and %d", x.Most, mostMembers)
-	f.Require(len(x.Roster) <= mostMembers, "fleet.roster", "has over %d names", mostMembers)
-	for i, who := range x.Roster {
-		name("fleet.roster", who, membership.MaxName)
-		f.Require(!slices.Contains(x.Roster[:i], who), "fleet.roster", "%s is there twice", who)
+	f.Require(x.Most >= 0 && x.Most <= maxMembers, "fleet.most", "%d is not within 1 and %d", x.Most, maxMembers)
+	f.Require(len(x.Roster) <= maxMembers, "fleet.roster", "has over %d names", maxMembers)
+	for i, member := range x.Roster {
+		name("fleet.roster", member, membership.MaxName)
+		f.Require(!slices.Contains(x.Roster[:i], member), "fleet.roster", "%s is there twice", member)
 	}
 	f.Require(len(x.Roster) == 0 || slices.Contains(x.Roster, x.Name), "fleet.roster", "lacks this member, %s",
 		x.Name)
@@ -116,7 +116,7 @@
 	f.Require(x.Detect.Period >= 20 && x.Detect.Period <= 60_000, "fleet.detect.period_ms",
 		"%d is not within 20 and 60000", x.Detect.Period)
 	if x.Evidence.Share == nil {
-		share := defaultShare
+		share := defaultEvidenceShare
 		x.Evidence.Share = &share
 	}
 	f.Require(*x.Evidence.Share >= 0 && *x.Evidence.Share <= 0.5, "fleet.evidence.share",
@@ -135,22 +135,22 @@
 		f.Require(loopback, "fleet.keys", "is missing: without it loopback addresses only")
 	}
 	for i := range c.Limits {
-		at := fmt.Sprintf("limit[%d]", i+1)
-		c.Limits[i].check(f, at, c.MaxMembers(), len(x.Roster))
-		for _, before := range c.Limits[:i] {
-			f.Require(before.Name != c.Limits[i].Name, at+".name", "%q is there twice", before.Name)
+		key := fmt.Sprintf("limit[%d]", i+1)
+		c.Limits[i].validate(f, key, c.MaxMembers(), len(x.Roster))
+		for _, preceding := range c.Limits[:i] {
+			f.Require(preceding.Name != c.Limits[i].Name, key+".name", "%q is there twice", preceding.Name)
 		}
 	}
 	c.view.Roster, c.view.Most, c.view.Stamp = x.Roster, x.Most, c.stamp()
 	return f.Err()
 }
 
-// Period is the time that all of the fleet's are stated in.
+// Period is the protocol period, the unit of all other times of the fleet.
 func (c *Config) Period() time.Duration {
 	return time.Duration(c.Fleet.Detect.Period) * time.Millisecond
 }
 
-// MaxMembers is how many members there may be.
+// MaxMembers is the maximum number of members.
 func (c *Config) MaxMembers() int {
 	if n := len(c.Fleet.Roster); n > 0 {
 		return n
@@ -158,15 +158,15 @@
 	return c.Fleet.Most
 }
 
-// RosterIndex is this member's among the roster, by name, or 0.
-func (c *Config) RosterIndex() int { return max(0, c.place()) }
+// RosterIndex is this member's index in the sorted roster, or 0 without a roster.
+func (c *Config) RosterIndex() int { return max(0, c.rosterIndexOrNone()) }
 
-// place is the same, or -1 where there is no roster.
-func (c *Config) place() int {
+// rosterIndexOrNone is this member's index in the sorted roster, or -1 without a roster.
+func (c *Config) rosterIndexOrNone() int {
 	return slices.Index(slices.Sorted(slices.Values(c.Fleet.Roster)), c.Fleet.Name)
 }
 
-// stamp sums up what has to be equal at all members. It is never 0.
+// stamp returns a hash of the settings that must be equal on all members. It is never 0.
 func (c *Config) stamp() uint32 {
 	h := xxhash.New()
 	for _, name := range slices.Sorted(slices.Values(c.Fleet.Roster)) {
@@ -179,7 +179,7 @@
 	return uint32(h.Sum64()) | 1
 }
 
-// loadKeys reads a file with a key a line.
+// loadKeys reads a file with one key per line.
 func loadKeys(path string) (*keyring, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -198,12 +198,12 @@
 		if err == nil {
 			err = k.add(key)
 		}
-		if err != nil { // a key's text is no matter for a log
+		if err != nil { // without the key's text, which must not reach a log
 			return nil, fmt.Errorf("%s:%d: no base64 key of %d bytes", path, i+1, keySize)
 		}
 	}
-	if len(k.keys) == 0 || len(k.keys) > mostKeys {
-		return nil, fmt.Errorf("%s: %d keys, not 1 to %d", path, len(k.keys), mostKeys)
+	if len(k.keys) == 0 || len(k.keys) > maxKeys {
+		return nil, fmt.Errorf("%s: %d keys, not 1 to %d", path, len(k.keys), maxKeys)
 	}
 	return k, nil
 }
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -1,7 +1,7 @@
 package fleet
 
-// What this member sees of data nodes, on its way to those who judge them. Who is sick is the jury's to say:
-// internal/verdict.
+// Evidence on data nodes: passes this member's observations to the outlier detection of internal/verdict,
+// which decides which nodes are sick.
 
 import (
 	"fmt"
@@ -13,146 +13,147 @@
 	"lapislever/internal/verdict"
 )
 
-// defaultShare is how many of all nodes may be out by evidence at a time.
-const defaultShare = 0.25
+// defaultEvidenceShare is the default maximum share of all nodes that evidence may take out at a time.
+const defaultEvidenceShare = 0.25
 
-// soundHealth is the greatest local health at which a member's word on nodes counts: one that gets too little
-// processor time sees all of them late.
-const soundHealth = 1
+// maxObserverHealth is the highest local health score at which a member's observations of nodes count: a
+// process that gets too little CPU time sees late answers from all nodes.
+const maxObserverHealth = 1
 
-// Host is what the fleet's part needs of the process around it. Functions that are nil are not called.
+// Host is the set of callbacks into the process that a Fleet runs in. Nil functions are not called.
 type Host struct {
-	// Apply carries verdicts out here.
-	Apply Apply
-	// NodeName is the name of a data node by its number; false: it is not known here.
+	// Apply enforces verdicts in this process.
+	Apply ApplyFunc
+	// NodeName returns the name of a data node by its ID; false: it is not known here.
 	NodeName func(node uint64) (string, bool)
-	// NodeCount is how many data nodes are listed.
+	// NodeCount returns the number of listed data nodes.
 	NodeCount func() int
 }
 
-// jurors is the part of the fleet that judges.
-type jurors struct {
-	mu    sync.Mutex // guards jury: the core tells what it sees from its own goroutine
-	jury  *verdict.OutlierDetector
-	zones map[string]string // the view's owner's: of members that are alive
-	given int64             // judgements given here
-	held  int64             // and held back, as too many were out
+// evidenceState is this member's outlier detector and its counters.
+type evidenceState struct {
+	mu       sync.Mutex // guards detector: the core reports attempts from its own goroutine
+	detector *verdict.OutlierDetector
+	zones    map[string]string // owner goroutine only: zones of alive members, by name
+	issued   int64             // verdicts issued by this member
+	withheld int64             // verdicts withheld because too many nodes were out
 }
 
-// ServerNumber is the number of a data node by its name: the module's, as peers name nodes by it.
-func ServerNumber(name string) uint64 { return uint64(core.ServerID(name)) }
+// ServerID returns the ID of a data node by its name. It is the module's ID, which peers use in messages.
+func ServerID(name string) uint64 { return uint64(core.ServerID(name)) }
 
-// EvidenceEnabled tells that evidence counts at this member.
+// EvidenceEnabled reports whether this member takes part in outlier detection by evidence.
 func (c *Config) EvidenceEnabled() bool {
 	return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0
 }
 
-// EvidenceShare is how many of all nodes may be out by evidence at a time, as a share.
+// EvidenceShare is the maximum share of all nodes that evidence may take out at a time.
 func (c *Config) EvidenceShare() float64 { return *c.Fleet.Evidence.Share }
 
-// ObserveAttempt takes in how an attempt at a node ended that took so long. It does not wait.
-func (f *Fleet) ObserveAttempt(node uint64, class int, e verdict.Outcome, took time.Duration) {
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	f.jurors.jury.Observe(f.now(), node, class, e, took.Microseconds())
+// ObserveAttempt records the result and the duration of an attempt to a node. It does not block.
+func (f *Fleet) ObserveAttempt(node uint64, class int, outcome verdict.Outcome, elapsed time.Duration) {
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	f.evidence.detector.Observe(f.now(), node, class, outcome, elapsed.Microseconds())
 }
 
-// tendJury has the jury its turn, once a period.
-func (f *Fleet) tendJury(v *membership.View, now membership.Micros) {
+// tickEvidence runs the detector's periodic work and issues verdicts on the outliers that it finds.
+func (f *Fleet) tickEvidence(v *membership.View, now membership.Micros) {
 	if !f.cfg.EvidenceEnabled() {
 		return
 	}
-	j := &f.jurors
+	e := &f.evidence
 	self := f.cfg.Fleet.Name
 	var others []verdict.Member
 	size := 0
-	clear(j.zones)
+	clear(e.zones)
 	for _, m := range v.Members() {
 		if m.State <= membership.Dead {
 			size++
 		}
 		if m.State <= membership.Suspect && m.Name != self {
 			others = append(others, verdict.Member{Name: m.Name, Zone: m.Zone})
-			j.zones[m.Name] = m.Zone
+			e.zones[m.Name] = m.Zone
 		}
 	}
-	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Stats().Health <= soundHealth)
-	judged := j.jury.Outliers(now)
-	j.mu.Unlock()
+	e.mu.Lock()
+	sends := e.detector.Tick(now, others, size, v.Stats().Health <= maxObserverHealth)
+	outliers := e.detector.Outliers(now)
+	e.mu.Unlock()
 	for _, s := range sends {
-		v.Say(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, kindEvidence, s.Data)
 	}
-	for _, x := range judged {
-		f.judge(now, x, len(others)+1, size)
+	for _, outlier := range outliers {
+		f.issueSick(now, outlier, len(others)+1, size)
 	}
 }
 
-// judge gives the verdict that a judgement is, if it may be given and there is room for it.
-func (f *Fleet) judge(now membership.Micros, x verdict.Outlier, alive, size int) {
+// issueSick issues the verdict on an outlier, unless it is barred or too many nodes are out already.
+func (f *Fleet) issueSick(now membership.Micros, outlier verdict.Outlier, alive, size int) {
 	host := f.host.Load()
 	if host.NodeName == nil || host.NodeCount == nil {
 		return
 	}
-	name, ok := host.NodeName(x.Node)
+	name, ok := host.NodeName(outlier.Node)
 	if !ok {
 		return
 	}
-	said, may := f.keep.SickVerdict(now, f.cfg.Period().Microseconds(), name, x)
-	if !may {
+	v, allowed := f.store.SickVerdict(now, f.cfg.Period().Microseconds(), name, outlier)
+	if !allowed {
 		return
 	}
-	if f.keep.CountSick(now, x.Zone) >= verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
-		f.jurors.held++
+	if f.store.CountSick(now, outlier.Zone) >=
+		verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
+		f.evidence.withheld++
 		return
 	}
-	if _, err := f.keep.Issue(now, time.Now().UnixMilli(), said); err != nil {
-		f.log.Warn("a sick node stays in", "node", name, "err", err)
+	if _, err := f.store.Issue(now, time.Now().UnixMilli(), v); err != nil {
+		f.log.Warn("no verdict issued on a sick node", "node", name, "err", err)
 		return
 	}
-	f.jurors.given++
+	f.evidence.issued++
 }
 
-// hearEvidence takes in another member's message on what it has seen.
-func (f *Fleet) hearEvidence(v *membership.View, h membership.Heard) {
+// receiveEvidence handles another member's evidence message.
+func (f *Fleet) receiveEvidence(v *membership.View, msg membership.AppMessage) {
 	if !f.cfg.EvidenceEnabled() {
 		return
 	}
-	zone, ok := f.jurors.zones[h.From]
+	zone, ok := f.evidence.zones[msg.From]
 	if !ok {
-		return // it has come up since the last period
+		return // it joined after the last period's update of zones
 	}
-	f.jurors.mu.Lock()
-	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Member{Name: h.From, Zone: zone}, h.Data)
-	f.jurors.mu.Unlock()
+	f.evidence.mu.Lock()
+	sends, ok := f.evidence.detector.Receive(f.now(), verdict.Member{Name: msg.From, Zone: zone}, msg.Data)
+	f.evidence.mu.Unlock()
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 	}
 	for _, s := range sends {
-		v.Say(s.To, toEvidence, s.Data)
+		v.SendApp(s.To, kindEvidence, s.Data)
 	}
 }
 
-// acquit drops the evidence against a node that is back: it has to be found sick anew.
-func (f *Fleet) acquit(c verdict.Change) {
+// clearEvidence drops the evidence against a node that is back in use, so that only new evidence counts.
+func (f *Fleet) clearEvidence(c verdict.Change) {
 	if c.InForce || c.Verdict.Kind != verdict.SickNode && c.Verdict.Kind != verdict.SickPath {
 		return
 	}
 	name, _ := c.Verdict.Node()
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	f.jurors.jury.ClearEvidence(ServerNumber(name))
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	f.evidence.detector.ClearEvidence(ServerID(name))
 }
 
-// seen is what this member has seen of nodes that may be sick, for the door.
-func (f *Fleet) seen() []SeenStatus {
-	out := []SeenStatus{}
+// evidenceStatus returns this member's observations of nodes that may be sick, for the admin endpoint.
+func (f *Fleet) evidenceStatus() []EvidenceStatus {
+	out := []EvidenceStatus{}
 	now := f.now()
-	f.jurors.mu.Lock()
-	defer f.jurors.mu.Unlock()
-	for _, id := range f.jurors.jury.FailingNodes() {
-		t := f.jurors.jury.Tally(now, id, 0)
-		s := SeenStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
+	f.evidence.mu.Lock()
+	defer f.evidence.mu.Unlock()
+	for _, id := range f.evidence.detector.FailingNodes() {
+		t := f.evidence.detector.Tally(now, id, 0)
+		s := EvidenceStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
 			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
 		if host := f.host.Load(); host.NodeName != nil {
 			if name, ok := host.NodeName(id); ok {
@@ -164,8 +165,8 @@
 	return out
 }
 
-// concerns tells that a verdict is to be carried out at this member.
-func (f *Fleet) concerns(x *verdict.Verdict) bool {
-	_, zone := x.Node()
-	return x.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
+// appliesHere reports whether a verdict has to be enforced at this member.
+func (f *Fleet) appliesHere(v *verdict.Verdict) bool {
+	_, zone := v.Node()
+	return v.Kind != verdict.Setting && (zone == "" || zone == f.cfg.Fleet.Zone)
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Limits on the way between members, fronts and operators. What may be let in is the share's to say:
-// internal/quota.
+// Limits: connects members, fronts and operators to the shares of internal/quota, which decide what is
+// admitted.
 
 import (
 	"fmt"
@@ -18,16 +18,16 @@
 	"lapislever/internal/verdict"
 )
 
-// Each is what a limit's tenant or server may be instead of a name: the limit holds for each on its own.
+// Each may stand for the name of a limit's tenant or server: the limit then applies to each one separately.
 const Each = "*"
 
 const (
-	defaultLongest = 5 * time.Second
-	defaultFloor   = 0.5 // of a share, where there is a roster that votes
-	leastFloor     = 0.1
+	defaultMaxDuration = 5 * time.Second
+	defaultFloor       = 0.5 // of a share, if the roster votes
+	minFloor           = 0.1
 )
 
-// Limit is a limit of the file.
+// Limit is a limit in the settings file.
 type Limit struct {
 	Name       string  `toml:"name"`
 	Class      string  `toml:"class,omitempty"`
@@ -36,13 +36,13 @@
 	Rate       float64 `toml:"rate,omitempty"`
 	Burst      float64 `toml:"burst,omitempty"`
 	Concurrent float64 `toml:"concurrent,omitempty"`
-	LongestMS  int     `toml:"longest_ms,omitempty"` // what lasts longer never counts on another's unit
-	Floor      float64 `toml:"floor,omitempty"`      // of a member's share, that nobody else ever has
+	LongestMS  int     `toml:"longest_ms,omitempty"` // requests that last longer never use a borrowed unit
+	Floor      float64 `toml:"floor,omitempty"`      // part of a member's share that no other member ever uses
 }
 
-// check notes what is wrong with a limit, and fills in what is left out.
-func (l *Limit) check(f *settings.File, at string, members, roster int) {
-	f.Require(nameForm.MatchString(l.Name) && len(l.Name) <= membership.MaxName, at+".name",
+// validate records the faults of a limit and sets defaults.
+func (l *Limit) validate(f *settings.File, key string, members, roster int) {
+	f.Require(namePattern.MatchString(l.Name) && len(l.Name) <= membership.MaxName, key+".name",
 		"%q is not 1 to %d letters, digits, dots, dashes or underscores", l.Name, membership.MaxName)
 	subjects := 0
 	for _, s := range []string{l.Class, l.Tenant, l.Server} {
@@ -50,66 +50,66 @@
 			subjects++
 		}
 	}
-	f.Require(subjects == 1, at+".class", "one of class, tenant and server has to be there")
-	f.Require(l.Class != Each, at+".class", "%q is for tenants and servers: give each class its limit", Each)
+	f.Require(subjects == 1, key+".class", "one of class, tenant and server has to be there")
+	f.Require(l.Class != Each, key+".class", "%q is for tenants and servers: give each class its limit", Each)
 	if l.Concurrent != 0 {
-		f.Require(l.Rate == 0 && l.Burst == 0, at+".concurrent", "goes without rate and burst")
-		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 && l.Concurrent == math.Trunc(l.Concurrent),
-			at+".concurrent", "%g is no whole number, or less than 1 for each of %d members, or over 1e6",
-			l.Concurrent, members)
-		f.Require(!l.each(), at+".concurrent", "is for one name, not for each")
-		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, at+".longest_ms", "%d is not within 0 and 600000",
+		f.Require(l.Rate == 0 && l.Burst == 0, key+".concurrent", "goes without rate and burst")
+		f.Require(l.Concurrent >= float64(members) && l.Concurrent <= 1e6 &&
+			l.Concurrent == math.Trunc(l.Concurrent), key+".concurrent",
+			"%g is no whole number, or less than 1 for each of %d members, or over 1e6", l.Concurrent, members)
+		f.Require(!l.each(), key+".concurrent", "is for one name, not for each")
+		f.Require(l.LongestMS >= 0 && l.LongestMS <= 600_000, key+".longest_ms", "%d is not within 0 and 600000",
 			l.LongestMS)
 		if l.LongestMS == 0 {
-			l.LongestMS = int(defaultLongest.Milliseconds())
+			l.LongestMS = int(defaultMaxDuration.Milliseconds())
 		}
 	} else {
-		f.Require(l.Rate > 0 && l.Rate <= 1e9, at+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
-		f.Require(l.Burst >= float64(members) && l.Burst <= 1e9, at+".burst",
+		f.Require(l.Rate > 0 && l.Rate <= 1e9, key+".rate", "%g a second is not above 0 and within 1e9", l.Rate)
+		f.Require(l.Burst >= float64(members) && l.Burst <= 1e9, key+".burst",
 			"%g leaves less than 1 for each of %d members, or is over 1e9", l.Burst, members)
-		f.Require(l.LongestMS == 0, at+".longest_ms", "goes with concurrent")
+		f.Require(l.LongestMS == 0, key+".longest_ms", "goes with concurrent")
 	}
-	votes := roster >= 3 && roster <= quota.MaxVoters
-	f.Require(l.Floor == 0 || l.Floor >= leastFloor && l.Floor <= 1, at+".floor", "%g is not within %g and 1",
-		l.Floor, leastFloor)
-	f.Require(votes || l.Floor == 0 || l.Floor == 1, at+".floor",
+	canVote := roster >= 3 && roster <= quota.MaxVoters
+	f.Require(l.Floor == 0 || l.Floor >= minFloor && l.Floor <= 1, key+".floor", "%g is not within %g and 1",
+		l.Floor, minFloor)
+	f.Require(canVote || l.Floor == 0 || l.Floor == 1, key+".floor",
 		"under 1 takes a roster of 3 to %d, whose majority says who has the rest", quota.MaxVoters)
 	if l.Floor == 0 {
-		if l.Floor = 1; votes && !l.each() {
+		if l.Floor = 1; canVote && !l.each() {
 			l.Floor = defaultFloor
 		}
 	}
-	f.Require(l.Floor == 1 || !l.each(), at+".floor", "is 1 where the limit is for each")
+	f.Require(l.Floor == 1 || !l.each(), key+".floor", "is 1 where the limit is for each")
 }
 
-// each tells that the limit holds for each tenant or server on its own.
+// each reports whether the limit applies to each tenant or server separately.
 func (l *Limit) each() bool { return l.Tenant == Each || l.Server == Each }
 
-// amount is what is limited, a second or at a time.
+// amount returns the limit: requests per second, or concurrent requests.
 func (l *Limit) amount() float64 { return max(l.Rate, l.Concurrent) }
 
-// id is the limit's number at all members. Those whose files differ in what must be the same do not lend to
-// one another.
+// id returns the limit's ID, which is the same on all members. Members whose files differ in settings that
+// must be equal get different IDs and so do not lend to one another.
 func (l *Limit) id() uint64 {
 	return quota.LimitID(fmt.Sprintf("%s/%t/%d/%g", l.Name, l.Concurrent > 0, l.LongestMS, l.Floor))
 }
 
-// LimitStatus is one limit as the door shows it. Rates are a second.
+// LimitStatus is one limit in Limits. Rates are per second.
 type LimitStatus struct {
 	Name       string  `json:"name"`
 	Limit      float64 `json:"limit"`
-	Share      float64 `json:"share"`        // that this member may use now
-	Used       float64 `json:"used"`         // that it let in during the last second, or has open
-	InDoubt    float64 `json:"in_doubt"`     // of its own share: lent, or may have been before its start
-	OverAtMost float64 `json:"over_at_most"` // by which all together may be over the limit
-	StaleMS    int64   `json:"stale_ms"`     // since the oldest loan here was granted anew
+	Share      float64 `json:"share"`        // what this member may use now
+	Used       float64 `json:"used"`         // admitted by this member during the last second, or in flight
+	InDoubt    float64 `json:"in_doubt"`     // of its own share: lent, or possibly lent before its start
+	OverAtMost float64 `json:"over_at_most"` // by how much all members together may exceed the limit
+	StaleMS    int64   `json:"stale_ms"`     // time since the renewal of the oldest loan to this member
 	Granted    int64   `json:"granted"`
 	Refused    int64   `json:"refused"`
 	Kind       string  `json:"kind"`           // rate, concurrent or each
-	Keys       int     `json:"keys,omitempty"` // of a limit for each: those with a share of their own
+	Keys       int     `json:"keys,omitempty"` // limits for each: number of keys that have a share
 }
 
-// limitState is a member's part in a limit of any kind.
+// limitState is this member's state of a limit of any kind.
 type limitState interface {
 	Tick(now quota.Micros, peers []string) []quota.Message
 	Receive(now quota.Micros, from string, data []byte) []quota.Message
@@ -120,99 +120,100 @@
 	SetDisabled(now quota.Micros, on bool)
 }
 
-// limiter is one limit with its lock: fronts ask from their goroutines. One of share, slots and keys is
-// there.
+// limiter is one limit with its lock, as fronts use it from their own goroutines. Exactly one of share, slots
+// and keys is set.
 type limiter struct {
-	mu     sync.Mutex // guards the part
-	part   limitState
-	share  *quota.Share
-	slots  *quota.Slots
-	keys   *quota.KeyedShares
-	conf   Limit // of the start
-	id     uint64
-	server uint64 // the number of the one that is limited
-
-	saidAt membership.Micros // the view's owner's: when this member last told what its file says
+	mu       sync.Mutex // guards state
+	state    limitState
+	share    *quota.Share
+	slots    *quota.Slots
+	keys     *quota.KeyedShares
+	conf     Limit // as of the start
+	id       uint64
+	serverID uint64 // ID of the limited server
+
+	announcedAt membership.Micros // owner goroutine only: when this member last announced its settings
 }
 
-// Handed is what of one limit the next process has to know.
-type Handed struct {
+// LimitHandover is the state of one limit that the successor needs.
+type LimitHandover struct {
 	Lent []quota.SavedLoan            `json:"lent,omitempty"`
 	Keys map[uint64][]quota.SavedLoan `json:"keys,omitempty"`
 }
 
-// Ticket is what a request that was let in holds until it ends. The zero Ticket holds nothing.
-type Ticket struct{ held []hold }
+// Ticket holds the concurrency slots of an admitted request or attempt. The zero Ticket holds none.
+type Ticket struct{ held []heldSlot }
 
-// Empty tells that it holds nothing.
+// Empty reports whether the ticket holds no slot.
 func (t Ticket) Empty() bool { return len(t.held) == 0 }
 
-type hold struct {
-	l  *limiter
-	at quota.Slot
+type heldSlot struct {
+	limiter *limiter
+	slot    quota.Slot
 }
 
-// openLimits makes the parts. Those of a process that takes over are nothing until it has been told.
-func (f *Fleet) openLimits(takesOver bool) {
+// createLimits creates the limits. A process that takes over may use none before it has received their state.
+func (f *Fleet) createLimits(takesOver bool) {
 	period, now, seed := f.cfg.Period().Microseconds(), f.now(), f.viewConfig().Seed
-	f.tenure = f.newTenure()
+	f.leases = f.newLeases()
 	for i := range f.cfg.Limits {
 		l := &limiter{conf: f.cfg.Limits[i]}
 		l.id = l.conf.id()
 		if l.conf.Server != "" {
-			l.server = ServerNumber(l.conf.Server)
+			l.serverID = ServerID(l.conf.Server)
 		}
 		q := quota.Limit{Name: l.conf.Name, ID: l.id, Rate: l.conf.amount(), Burst: l.conf.Burst,
 			Floor: l.conf.Floor}
 		switch seed++; {
 		case l.conf.each():
 			l.keys = quota.NewKeyedShares(q, f.cfg.MaxMembers(), period, seed, now)
-			l.part = l.keys
+			l.state = l.keys
 		case l.conf.Concurrent > 0:
-			l.slots = quota.NewSlots(q, f.cfg.MaxMembers(), f.cfg.place(), period, int64(l.conf.LongestMS)*1000, seed, now)
-			l.part = l.slots
+			l.slots = quota.NewSlots(q, f.cfg.MaxMembers(), f.cfg.rosterIndexOrNone(), period,
+				int64(l.conf.LongestMS)*1000, seed, now)
+			l.state = l.slots
 		default:
 			l.share = quota.NewShare(q, f.cfg.MaxMembers(), period, seed, now)
-			l.part = l.share
+			l.state = l.share
 		}
 		if takesOver {
-			l.part.Suspend(now)
+			l.state.Suspend(now)
 		}
 		f.limits = append(f.limits, l)
 	}
 }
 
-// take asks for one more, of a key where the limit is for each.
-func (l *limiter) take(now, ends quota.Micros, key uint64) (at quota.Slot, ok bool, wait quota.Micros) {
+// take requests one unit, of the given key if the limit is for each.
+func (l *limiter) take(now, endsAt quota.Micros, key uint64) (slot quota.Slot, ok bool, wait quota.Micros) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		ok, wait = l.share.Take(now)
 	case l.slots != nil:
-		at, ok, wait = l.slots.Take(now, ends)
+		slot, ok, wait = l.slots.Take(now, endsAt)
 	default:
 		ok, wait = l.keys.Take(now, key)
 	}
-	return at, ok, wait
+	return slot, ok, wait
 }
 
-// give takes back what was let in by this limit and turned away by another.
-func (l *limiter) give(now quota.Micros, key uint64, at quota.Slot) {
+// giveBack returns a unit that was taken from this limit.
+func (l *limiter) giveBack(now quota.Micros, key uint64, slot quota.Slot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.share != nil:
 		l.share.Refund()
 	case l.slots != nil:
-		l.slots.Release(now, at)
+		l.slots.Release(now, slot)
 	default:
 		l.keys.Refund(key)
 	}
 }
 
-// binds tells whether a limit binds a request of a class and a tenant, and under which key.
-func (l *limiter) binds(class, tenant string) (key uint64, ok bool) {
+// matches reports whether the limit applies to a request, and under which key.
+func (l *limiter) matches(class, tenant string) (key uint64, ok bool) {
 	switch {
 	case l.conf.Class != "":
 		return 0, l.conf.Class == class
@@ -222,27 +223,28 @@
 	return 0, l.conf.Tenant != "" && l.conf.Tenant == tenant
 }
 
-// AllowRequest asks whether one more request of a class and a tenant that ends by the time given may be let in now.
-// If not, it names the limit and tells after how long it may be. It never waits for a message.
-func (f *Fleet) AllowRequest(class, tenant string, ends time.Time) (t Ticket, ok bool, after time.Duration,
-	limit string) {
+// AllowRequest reports whether a request of a class and a tenant that ends by the given time may be admitted
+// now. If not, it returns the limit that refused it and the time after which to retry. It never waits for a
+// message.
+func (f *Fleet) AllowRequest(class, tenant string, endsAt time.Time) (t Ticket, ok bool,
+	retryAfter time.Duration, limit string) {
 	now := f.now()
-	until := now + time.Until(ends).Microseconds()
+	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
-		key, binds := l.binds(class, tenant)
-		if !binds {
+		key, applies := l.matches(class, tenant)
+		if !applies {
 			continue
 		}
-		at, ok, wait := l.take(now, until, key)
+		slot, ok, wait := l.take(now, endsMicros, key)
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, hold{l, at})
+				t.held = append(t.held, heldSlot{l, slot})
 			}
 			continue
 		}
-		for _, before := range f.limits[:i] { // what others that bind it have let in is not used
-			if key, binds := before.binds(class, tenant); binds && before.slots == nil {
-				before.give(now, key, quota.Slot{})
+		for _, preceding := range f.limits[:i] { // return the units that the preceding limits have granted
+			if key, applies := preceding.matches(class, tenant); applies && preceding.slots == nil {
+				preceding.giveBack(now, key, quota.Slot{})
 			}
 		}
 		f.ReleaseTicket(t)
@@ -251,24 +253,24 @@
 	return t, true, 0, ""
 }
 
-// AllowAttempt asks whether an attempt at a server that ends by the time given may be sent now.
-func (f *Fleet) AllowAttempt(server uint64, ends time.Time) (t Ticket, ok bool) {
+// AllowAttempt reports whether an attempt to a server that ends by the given time may be sent now.
+func (f *Fleet) AllowAttempt(server uint64, endsAt time.Time) (t Ticket, ok bool) {
 	now := f.now()
-	until := now + time.Until(ends).Microseconds()
+	endsMicros := now + time.Until(endsAt).Microseconds()
 	for i, l := range f.limits {
-		if !l.serves(server) {
+		if !l.matchesServer(server) {
 			continue
 		}
-		at, ok, _ := l.take(now, until, quota.KeyIDFromNumber(l.id, server))
+		slot, ok, _ := l.take(now, endsMicros, quota.KeyIDFromNumber(l.id, server))
 		if ok {
 			if l.slots != nil {
-				t.held = append(t.held, hold{l, at})
+				t.held = append(t.held, heldSlot{l, slot})
 			}
 			continue
 		}
-		for _, before := range f.limits[:i] {
-			if before.serves(server) && before.slots == nil {
-				before.give(now, quota.KeyIDFromNumber(before.id, server), quota.Slot{})
+		for _, preceding := range f.limits[:i] {
+			if preceding.matchesServer(server) && preceding.slots == nil {
+				preceding.giveBack(now, quota.KeyIDFromNumber(preceding.id, server), quota.Slot{})
 			}
 		}
 		f.ReleaseTicket(t)
@@ -277,26 +279,26 @@
 	return t, true
 }
 
-// serves tells that a limit binds attempts at a server.
-func (l *limiter) serves(server uint64) bool {
-	return l.conf.Server == Each || l.conf.Server != "" && l.server == server
+// matchesServer reports whether the limit applies to attempts to a server.
+func (l *limiter) matchesServer(server uint64) bool {
+	return l.conf.Server == Each || l.conf.Server != "" && l.serverID == server
 }
 
-// HasServerLimits tells that attempts are limited, and not just requests.
+// HasServerLimits reports whether any limit applies to attempts and not only to requests.
 func (f *Fleet) HasServerLimits() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Server != "" })
 }
 
-// ReleaseTicket gives back what a request or an attempt that has ended held.
+// ReleaseTicket releases the slots of a request or an attempt that has ended.
 func (f *Fleet) ReleaseTicket(t Ticket) {
 	now := f.now()
 	for _, h := range t.held {
-		h.l.give(now, 0, h.at)
+		h.limiter.giveBack(now, 0, h.slot)
 	}
 }
 
-// each calls a function for every limit, under its lock.
-func (f *Fleet) each(do func(l *limiter)) {
+// forEachLimit calls a function for every limit, with the limit's lock held.
+func (f *Fleet) forEachLimit(do func(l *limiter)) {
 	for _, l := range f.limits {
 		l.mu.Lock()
 		do(l)
@@ -304,35 +306,36 @@
 	}
 }
 
-// handLimits gives this process's limits up, and returns what the next one has to know.
-func (f *Fleet) handLimits(h *Handover) {
+// handOverLimits reduces this process's limits to the part that it keeps for requests still in flight here,
+// and adds the state that the successor needs to the handover.
+func (f *Fleet) handOverLimits(h *Handover) {
 	now := f.now()
-	h.Lent = map[string]Handed{}
-	f.each(func(l *limiter) {
+	h.Limits = map[string]LimitHandover{}
+	f.forEachLimit(func(l *limiter) {
 		switch {
 		case l.share != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.share.HandOver(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.share.HandOver(now)}
 		case l.slots != nil:
-			h.Lent[l.conf.Name] = Handed{Lent: l.slots.HandOver(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Lent: l.slots.HandOver(now)}
 		default:
-			h.Lent[l.conf.Name] = Handed{Keys: l.keys.HandOver(now)}
+			h.Limits[l.conf.Name] = LimitHandover{Keys: l.keys.HandOver(now)}
 		}
 	})
-	if f.tenure != nil {
-		held := f.tenure.HandOver(now)
-		h.Tenure = &held
+	if f.leases != nil {
+		held := f.leases.HandOver(now)
+		h.Leases = &held
 	}
 }
 
-// beginLimits takes over what another process of this member has handed over; nil: there was none.
-func (f *Fleet) beginLimits(from *Handover) {
+// startLimits restores the limits from a handover; nil: there was none.
+func (f *Fleet) startLimits(from *Handover) {
 	now := f.now()
-	f.each(func(l *limiter) {
+	f.forEachLimit(func(l *limiter) {
 		if from == nil {
-			l.part.OtherProcessEnded(now, true)
+			l.state.OtherProcessEnded(now, true)
 			return
 		}
-		switch h := from.Lent[l.conf.Name]; {
+		switch h := from.Limits[l.conf.Name]; {
 		case l.share != nil:
 			l.share.TakeOver(now, h.Lent)
 		case l.slots != nil:
@@ -341,22 +344,22 @@
 			l.keys.TakeOver(now, h.Keys)
 		}
 	})
-	if from != nil && from.Tenure != nil && f.tenure != nil {
-		f.tenure.TakeOver(now, *from.Tenure)
+	if from != nil && from.Leases != nil && f.leases != nil {
+		f.leases.TakeOver(now, *from.Leases)
 	}
 }
 
-// againLimits goes on in this process's own place after the next one has failed: nobody knows what that one
-// has lent or voted.
-func (f *Fleet) againLimits() {
+// reclaimLimits continues with this process's limits after the successor has failed. What the successor has
+// lent or voted is unknown.
+func (f *Fleet) reclaimLimits() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.OtherProcessEnded(now, true) })
-	f.tenure = f.newTenure()
+	f.forEachLimit(func(l *limiter) { l.state.OtherProcessEnded(now, true) })
+	f.leases = f.newLeases()
 }
 
-// newTenure is one of a process that knows of no votes. Members whose floors differ do not vote with one
-// another.
-func (f *Fleet) newTenure() *quota.Leases {
+// newLeases returns the voting state of a process that knows of no votes. Members whose floors differ do not
+// count one another's votes.
+func (f *Fleet) newLeases() *quota.Leases {
 	h := xxhash.New()
 	for _, l := range f.cfg.Limits {
 		_, _ = fmt.Fprintf(h, "%s %g\n", l.Name, l.Floor)
@@ -365,41 +368,42 @@
 		f.cfg.Period().Microseconds(), f.now())
 }
 
-// mostDiffer is for how many periods being turned down by somebody counts.
-const mostDiffer = 10
+// rejectionPeriods is the number of periods for which a rejection by another member voids the limits.
+const rejectionPeriods = 10
 
-// sayAgain is after how long a member tells its settings anew; they end after twice that, as it may be gone.
-const sayAgain = time.Hour
+// reannounceInterval is how often a member announces its settings. They expire after twice that, because the
+// member may be gone.
+const reannounceInterval = time.Hour
 
-// agree has the strictest of what the members that are alive say of each limit hold here, and tells them what
-// is said here.
-func (f *Fleet) agree(v *membership.View, now membership.Micros, peers []string) {
-	if n := v.Stats().TurnedDown; n != f.turnedDown {
-		f.turnedDown, f.turnedAt = n, now
+// reconcileLimits applies the strictest of the settings that the alive members announce for each limit, and
+// announces this member's own.
+func (f *Fleet) reconcileLimits(v *membership.View, now membership.Micros, peers []string) {
+	if n := v.Stats().Rejections; n != f.rejections {
+		f.rejections, f.rejectedAt = n, now
 	}
-	void := f.turnedDown > 0 && now-f.turnedAt < mostDiffer*f.cfg.Period().Microseconds()
-	conf := f.conf.Load()
+	void := f.rejections > 0 && now-f.rejectedAt < rejectionPeriods*f.cfg.Period().Microseconds()
+	conf := f.current.Load()
 	for _, l := range f.limits {
 		own, ok := conf.limit(l.conf.Name)
 		if !ok {
-			continue // its last word holds until a restart
+			continue // the last announced settings hold until a restart
 		}
-		text := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.MaxMembers())
+		value := fmt.Sprintf("%g %g %d", own.amount(), own.Burst, conf.MaxMembers())
 		key := "limit." + l.conf.Name
-		said, self := f.keep.Settings(now, key), f.cfg.Fleet.Name
-		if said[self] != text || now-l.saidAt > sayAgain.Microseconds() {
-			l.saidAt = now
-			what := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: text,
-				Span: 2 * sayAgain.Microseconds()}
-			if _, err := f.keep.Issue(now, time.Now().UnixMilli(), what); err != nil {
-				f.log.Warn("the others are not told of a limit", "limit", l.conf.Name, "err", err)
+		announced, self := f.store.Settings(now, key), f.cfg.Fleet.Name
+		if announced[self] != value || now-l.announcedAt > reannounceInterval.Microseconds() {
+			l.announcedAt = now
+			setting := verdict.Verdict{Kind: verdict.Setting, What: key + "@" + self, On: true, Reason: value,
+				Span: 2 * reannounceInterval.Microseconds()}
+			if _, err := f.store.Issue(now, time.Now().UnixMilli(), setting); err != nil {
+				f.log.Warn("cannot announce the settings of a limit", "limit", l.conf.Name, "err", err)
 			}
 		}
 		amount, burst, members := own.amount(), own.Burst, conf.MaxMembers()
-		for _, who := range peers {
+		for _, peer := range peers {
 			var r, b float64
 			var n int
-			if k, _ := fmt.Sscanf(said[who], "%g %g %d", &r, &b, &n); k == 3 && r > 0 && b >= 0 && n > 0 {
+			if k, _ := fmt.Sscanf(announced[peer], "%g %g %d", &r, &b, &n); k == 3 && r > 0 && b >= 0 && n > 0 {
 				amount, burst, members = min(amount, r), min(burst, b), max(members, n)
 			}
 		}
@@ -408,16 +412,16 @@
 		case l.share != nil:
 			l.share.Configure(now, amount, burst, members)
 		case l.slots != nil:
-			l.slots.Configure(now, amount, members, conf.place())
+			l.slots.Configure(now, amount, members, conf.rosterIndexOrNone())
 		default:
 			l.keys.Configure(now, amount, burst, members)
 		}
-		l.part.SetDisabled(now, void)
+		l.state.SetDisabled(now, void)
 		l.mu.Unlock()
 	}
 }
 
-// limit is a limit of the file by its name.
+// limit returns a limit of the settings file by name.
 func (c *Config) limit(name string) (Limit, bool) {
 	for _, l := range c.Limits {
 		if l.Name == name {
@@ -427,85 +431,86 @@
 	return Limit{}, false
 }
 
-// sameLimits tells that two files have the same limits, whatever their figures.
+// sameLimits reports whether two files have the same limits, regardless of rate, burst and concurrency.
 func sameLimits(a, b []Limit) bool {
 	return slices.EqualFunc(a, b, func(x, y Limit) bool {
 		return x.id() == y.id() && x.Class == y.Class && x.Tenant == y.Tenant && x.Server == y.Server
 	})
 }
 
-// tendLimits has the parts look once a period whom to ask.
-func (f *Fleet) tendLimits(v *membership.View, now membership.Micros, peers []string) {
+// tickLimits runs the periodic work of the limits: votes, loan requests and renewals.
+func (f *Fleet) tickLimits(v *membership.View, now membership.Micros, peers []string) {
 	if len(f.limits) == 0 {
 		return
 	}
-	f.agree(v, now, peers)
+	f.reconcileLimits(v, now, peers)
 	var e quota.Entitlement
-	if f.tenure != nil && f.votes() {
-		for _, m := range f.tenure.Tick(now, append([]string{f.cfg.Fleet.Name}, peers...)) {
-			v.Say(m.To, toQuota, m.Data)
+	if f.leases != nil && f.usesVotes() {
+		for _, m := range f.leases.Tick(now, append([]string{f.cfg.Fleet.Name}, peers...)) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
-		e = f.tenure.Entitlement(now)
-		holds := f.tenure.Held(now)
-		f.holds.Store(&holds)
+		e = f.leases.Entitlement(now)
+		held := f.leases.Held(now)
+		f.leasesHeld.Store(&held)
 	}
-	f.each(func(l *limiter) {
-		l.part.SetEntitlement(now, e)
-		for _, m := range l.part.Tick(now, peers) {
-			v.Say(m.To, toQuota, m.Data)
+	f.forEachLimit(func(l *limiter) {
+		l.state.SetEntitlement(now, e)
+		for _, m := range l.state.Tick(now, peers) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
 	})
 }
 
-// votes tells that any limit has a rest that is voted on.
-func (f *Fleet) votes() bool {
+// usesVotes reports whether any limit has a floor below 1, so that the rest of the shares is voted on.
+func (f *Fleet) usesVotes() bool {
 	return slices.ContainsFunc(f.limits, func(l *limiter) bool { return l.conf.Floor < 1 })
 }
 
-// hearLimit takes in another member's message on a limit. One that this member does not have is no fault:
-// settings change at different times.
-func (f *Fleet) hearLimit(v *membership.View, h membership.Heard) {
+// receiveLimit handles another member's message on a limit. A limit that this member does not have is no
+// fault, because members change their settings at different times.
+func (f *Fleet) receiveLimit(v *membership.View, msg membership.AppMessage) {
 	now := f.now()
-	if quota.IsLeaseMessage(h.Data) {
-		if f.tenure != nil {
-			for _, m := range f.tenure.Receive(now, h.From, h.Data) {
-				v.Say(m.To, toQuota, m.Data)
+	if quota.IsLeaseMessage(msg.Data) {
+		if f.leases != nil {
+			for _, m := range f.leases.Receive(now, msg.From, msg.Data) {
+				v.SendApp(m.To, kindQuota, m.Data)
 			}
 		}
 		return
 	}
-	id, ok := quota.MessageLimitID(h.Data)
+	id, ok := quota.MessageLimitID(msg.Data)
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 		return
 	}
-	f.each(func(l *limiter) {
+	f.forEachLimit(func(l *limiter) {
 		if quota.LimitIDOf(id) != l.id {
 			return
 		}
-		for _, m := range l.part.Receive(now, h.From, h.Data) {
-			v.Say(m.To, toQuota, m.Data)
+		for _, m := range l.state.Receive(now, msg.From, msg.Data) {
+			v.SendApp(m.To, kindQuota, m.Data)
 		}
 	})
 }
 
-// Limits is the form of GET /admin/limits.
+// Limits is the body of GET /admin/limits.
 type Limits struct {
 	Limits []LimitStatus `json:"limits"`
-	// Holds are the members whose rest of all shares this one has by a majority's votes, itself among them.
-	Holds []string `json:"holds"`
+	// LeasesHeld names the members whose shares above the floor this member uses by a majority vote, possibly
+	// including itself.
+	LeasesHeld []string `json:"holds"`
 }
 
-// Limits are this member's shares.
+// Limits returns the state of this member's shares.
 func (f *Fleet) Limits() Limits {
-	out := Limits{Limits: []LimitStatus{}, Holds: []string{}}
-	if h := f.holds.Load(); h != nil {
-		out.Holds = *h
+	out := Limits{Limits: []LimitStatus{}, LeasesHeld: []string{}}
+	if h := f.leasesHeld.Load(); h != nil {
+		out.LeasesHeld = *h
 	}
 	now := f.now()
-	differ := len(f.show.Load().Figures.Differ) > 0
-	f.each(func(l *limiter) {
-		g := l.part.Stats(now)
+	differ := len(f.status.Load().Stats.SettingsDiffer) > 0
+	f.forEachLimit(func(l *limiter) {
+		g := l.state.Stats(now)
 		s := LimitStatus{Name: l.conf.Name, Share: g.Share, Used: g.Used, InDoubt: g.InDoubt,
 			StaleMS: g.Stale / 1000}
 		switch {
@@ -517,7 +522,7 @@
 			s.Kind, s.Limit, s.Granted, s.Refused = "each", l.keys.Rate, l.keys.Granted, l.keys.Refused
 			s.Keys = l.keys.Len()
 		}
-		if differ { // rosters or floors may differ, and with them who votes on what
+		if differ { // rosters or floors may differ between members, and so the voters of the rests
 			s.OverAtMost = (1 - l.conf.Floor) * s.Limit
 		}
 		out.Limits = append(out.Limits, s)
@@ -525,8 +530,8 @@
 	return out
 }
 
-// PredecessorGone tells that the process that this one took over from is over.
+// PredecessorGone reports that the process from which this one took over has ended.
 func (f *Fleet) PredecessorGone() {
 	now := f.now()
-	f.each(func(l *limiter) { l.part.OtherProcessEnded(now, false) })
+	f.forEachLimit(func(l *limiter) { l.state.OtherProcessEnded(now, false) })
 }
--- a/internal/membership/snapshot.go
+++ b/internal/membership/snapshot.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Snapshot is what one process hands to the next one of the same member, which goes on as the same process:
-// no other member notices.
+// Snapshot is the state that a process hands over to its successor. The successor continues with the same
+// identity, so other members do not notice the change.
 type Snapshot struct {
 	Birth       uint64           `json:"birth"`
 	Incarnation uint32           `json:"inc"`
@@ -16,7 +16,7 @@
 	Members     []MemberSnapshot `json:"members"`
 }
 
-// MemberSnapshot is one member of a snapshot. Times are spans before it was taken.
+// MemberSnapshot is one member in a snapshot. Times are durations before the snapshot was taken.
 type MemberSnapshot struct {
 	Name        string         `json:"name"`
 	Zone        string         `json:"zone"`
@@ -31,55 +31,56 @@
 	Stamp       uint32         `json:"stamp"`
 }
 
-// seqJump is what a process that goes on leaves out of the numbers, for what the other one may have sent
-// meanwhile.
+// seqJump is the number of sequence numbers that a successor skips, for datagrams that its predecessor may
+// still have sent after the snapshot.
 const seqJump = 1 << 24
 
-// Snapshot is what the next process needs.
+// Snapshot returns the state that the successor needs.
 func (v *View) Snapshot() Snapshot {
-	s := Snapshot{Birth: v.self.birth, Incarnation: v.self.inc, Seq: v.seq, Age: v.now - v.begun, Joined: !v.joining}
-	for _, m := range v.list {
+	s := Snapshot{Birth: v.self.birth, Incarnation: v.self.inc, Seq: v.seq, Age: v.now - v.startedAt,
+		Joined: !v.joining}
+	for _, m := range v.members {
 		s.Members = append(s.Members, MemberSnapshot{Name: m.name, Zone: m.zone, Addr: m.addr, Birth: m.birth,
-			Incarnation: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.ended, Top: m.window.top,
-			Votes: slices.Clone(m.votes), Stamp: m.stamp})
+			Incarnation: m.inc, State: m.state, Since: v.now - m.since, Ended: v.now - m.endedAt,
+			Top: m.replay.highest, Votes: slices.Clone(m.votes), Stamp: m.stamp})
 	}
 	return s
 }
 
-// Resume returns a view that goes on where another process of this member has stopped. Config.Birth does not
-// count.
+// Resume returns a view that continues from the snapshot of another process of this member. Config.Birth is
+// ignored.
 func Resume(cfg Config, s Snapshot, now Micros) (*View, error) {
 	cfg.Birth = s.Birth
 	v, err := New(cfg, now)
 	if err != nil {
 		return nil, err
 	}
-	v.begun, v.seq, v.joining = now-s.Age, s.Seq+seqJump, !s.Joined
+	v.startedAt, v.seq, v.joining = now-s.Age, s.Seq+seqJump, !s.Joined
 	v.joinIDs[0] = uint32(v.rng.Uint64())
 	v.digest -= v.self.sum()
 	v.self.inc = s.Incarnation
 	v.digest += v.self.sum()
 	for _, h := range s.Members {
-		if h.Birth == 0 || h.Name == "" || h.State == Suspect || h.State > Left || !v.welcome(h.Name) {
+		if h.Birth == 0 || h.Name == "" || h.State == Suspect || h.State > Left || !v.allowsName(h.Name) {
 			continue
 		}
 		r := record{name: h.Name, zone: h.Zone, addr: h.Addr, birth: h.Birth, inc: h.Incarnation, state: h.State}
-		if m := v.set(r, now-h.Ended); m != nil {
-			m.since, m.window, m.stamp = now-h.Since, window{top: h.Top, seen: 1<<64 - 1}, h.Stamp
+		if m := v.setRecord(r, now-h.Ended); m != nil {
+			m.since, m.replay, m.stamp = now-h.Since, replayWindow{highest: h.Top, seen: 1<<64 - 1}, h.Stamp
 			if h.State == Dead {
 				m.votes = h.Votes
 			}
 		}
 	}
-	v.changes = nil // the process before has told
+	v.changes = nil // the predecessor has already reported them
 	return v, nil
 }
 
-// Again goes on after another process of this member has had its place for a while and is gone.
-func (v *View) Again(now Micros) {
+// Reclaim continues this process's membership after a successor that had taken it over has ended.
+func (v *View) Reclaim(now Micros) {
 	v.Tick(now)
 	v.seq += 2 * seqJump
 	if !v.joining && !v.left {
-		v.setSelf(v.self.inc + 1) // the other one may have borne a later one; it is learnt like any accusation
+		v.setOwnIncarnation(v.self.inc + 1) // a later one of the successor is learned like any accusation
 	}
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -11,109 +11,109 @@
 
 const testPeriod = 200_000
 
-// lab is a few views that hear one another at once, on one clock.
-type lab struct {
-	t     testing.TB
-	now   Micros
-	views map[netip.AddrPort]*View
-	order []*View
-	born  uint64
-	cut   func(from, to *View) bool
-	tap   func(from *View, s Datagram)
+// testFleet connects several views that share a clock; datagrams are delivered at once.
+type testFleet struct {
+	t         testing.TB
+	now       Micros
+	views     map[netip.AddrPort]*View
+	order     []*View
+	lastBirth uint64
+	blocked   func(from, to *View) bool
+	onSend    func(from *View, s Datagram)
 }
 
-func newLab(t testing.TB) *lab {
-	return &lab{t: t, now: 1_000_000, views: map[netip.AddrPort]*View{}, cut: func(_,
+func newTestFleet(t testing.TB) *testFleet {
+	return &testFleet{t: t, now: 1_000_000, views: map[netip.AddrPort]*View{}, blocked: func(_,
 		_ *View) bool {
 		return false
 	},
-		tap: func(*View, Datagram) {}}
+		onSend: func(*View, Datagram) {}}
 }
 
 func addr(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 7946)
 }
 
-func (l *lab) add(name string, at int, edit ...func(*Config)) *View {
-	l.t.Helper()
-	l.born += 0x1_0000_0001
-	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: l.born, Seed: uint64(at),
+func (tf *testFleet) add(name string, at int, edit ...func(*Config)) *View {
+	tf.t.Helper()
+	tf.lastBirth += 0x1_0000_0001
+	c := Config{Name: name, Zone: "z", Addr: addr(at), Birth: tf.lastBirth, Seed: uint64(at),
 		Period: testPeriod, Settings: Settings{Most: 16, Join: []netip.AddrPort{addr(1), addr(2)}, Stamp: 7}}
 	for _, e := range edit {
 		e(&c)
 	}
-	v, err := New(c, l.now)
+	v, err := New(c, tf.now)
 	if err != nil {
-		l.t.Fatal(err)
+		tf.t.Fatal(err)
 	}
-	l.put(v)
+	tf.attach(v)
 	return v
 }
 
-func (l *lab) put(v *View) {
-	l.views[v.self.addr] = v
-	l.order = append(l.order, v)
+func (tf *testFleet) attach(v *View) {
+	tf.views[v.self.addr] = v
+	tf.order = append(tf.order, v)
 }
 
-func (l *lab) remove(v *View) {
-	if l.views[v.self.addr] == v {
-		delete(l.views, v.self.addr)
+func (tf *testFleet) remove(v *View) {
+	if tf.views[v.self.addr] == v {
+		delete(tf.views, v.self.addr)
 	}
-	for i, x := range l.order {
+	for i, x := range tf.order {
 		if x == v {
-			l.order = append(l.order[:i:i], l.order[i+1:]...)
+			tf.order = append(tf.order[:i:i], tf.order[i+1:]...)
 		}
 	}
 }
 
-// flush delivers until nothing is on its way.
-func (l *lab) flush() {
+// flush delivers datagrams until none is in flight.
+func (tf *testFleet) flush() {
 	for n, more := 0, true; more; n++ {
 		if n > 10_000 {
-			l.t.Fatal("datagrams without end")
+			tf.t.Fatal("datagrams never stop")
 		}
 		more = false
-		for _, v := range l.order {
+		for _, v := range tf.order {
 			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				more = true
-				l.tap(v, s)
-				if to := l.views[s.To]; to != nil && !l.cut(v, to) {
-					to.Receive(l.now, s.Data)
+				tf.onSend(v, s)
+				if to := tf.views[s.To]; to != nil && !tf.blocked(v, to) {
+					to.Receive(tf.now, s.Data)
 				}
 			}
 		}
 	}
 }
 
-func (l *lab) run(periods int) {
-	for range periods * slots {
-		l.now += testPeriod / slots
-		for _, v := range append([]*View(nil), l.order...) {
-			v.Tick(l.now)
-			l.flush()
+func (tf *testFleet) run(periods int) {
+	for range periods * slotsPerPeriod {
+		tf.now += testPeriod / slotsPerPeriod
+		for _, v := range append([]*View(nil), tf.order...) {
+			v.Tick(tf.now)
+			tf.flush()
 		}
 	}
 }
 
-func (l *lab) until(what string, most int, ok func() bool) int {
-	l.t.Helper()
-	for n := range most {
+func (tf *testFleet) waitFor(what string, maxPeriods int, ok func() bool) int {
+	tf.t.Helper()
+	for n := range maxPeriods {
 		if ok() {
 			return n
 		}
-		l.run(1)
+		tf.run(1)
 	}
-	for _, v := range l.order {
-		l.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Stats())
+	for _, v := range tf.order {
+		tf.t.Logf("%s: %+v %+v", v.self.name, v.Members(), v.Stats())
 	}
-	l.t.Fatalf("%s: not within %d periods", what, most)
+	tf.t.Fatalf("%s: not reached within %d periods", what, maxPeriods)
 	return 0
 }
 
-func (l *lab) agree() bool {
-	for _, v := range l.order {
-		if alive, trusted := v.alive(); v.digest != l.order[0].digest || alive != len(l.order) ||
+func (tf *testFleet) converged() bool {
+	for _, v := range tf.order {
+		if alive, trusted := v.liveCounts(); v.digest != tf.order[0].digest || alive != len(tf.order) ||
 			trusted != alive ||
 			v.joining {
 			return false
@@ -122,16 +122,16 @@
 	return true
 }
 
-func state(v *View, name string) string {
+func stateOf(v *View, name string) string {
 	if m := v.find(name); m != nil {
-		return fmt.Sprintf("%v%d", m.shown().State, m.inc)
+		return fmt.Sprintf("%v%d", m.export().State, m.inc)
 	}
 	return "unknown"
 }
 
 func TestConfigIsChecked(t *testing.T) {
-	sound := Config{Name: "a", Addr: addr(1), Birth: 1, Period: testPeriod, Settings: Settings{Most: 2}}
-	if _, err := New(sound, 0); err != nil {
+	valid := Config{Name: "a", Addr: addr(1), Birth: 1, Period: testPeriod, Settings: Settings{Most: 2}}
+	if _, err := New(valid, 0); err != nil {
 		t.Fatal(err)
 	}
 	for what, edit := range map[string]func(*Config){
@@ -144,7 +144,7 @@
 		"roster":  func(c *Config) { c.Roster = []string{"b"} },
 		"room":    func(c *Config) { c.Most = 0 },
 	} {
-		c := sound
+		c := valid
 		edit(&c)
 		if _, err := New(c, 0); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: %v", what, err)
@@ -152,260 +152,260 @@
 	}
 }
 
-// A new process of a member's name goes behind its predecessor, whatever the members remember of that one,
-// and although it starts from nothing each time.
-func TestARestartGoesBehindItsPredecessor(t *testing.T) {
-	l := newLab(t)
-	a := l.add("a", 1)
-	l.add("b", 2)
-	c := l.add("c", 3)
-	l.until("start", 30, l.agree)
+// A restarted process supersedes its predecessor, whether the members know it as alive or dead, although the
+// new process starts without any state.
+func TestRestartSupersedesPredecessor(t *testing.T) {
+	tf := newTestFleet(t)
+	a := tf.add("a", 1)
+	tf.add("b", 2)
+	c := tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
 	for round := range 3 {
-		l.remove(c)
+		tf.remove(c)
 		if round == 1 { // known to be dead before it is back
-			l.until("death", 20, func() bool { return strings.HasPrefix(state(a, "c"), "dead") })
+			tf.waitFor("death", 20, func() bool { return strings.HasPrefix(stateOf(a, "c"), "dead") })
 		}
-		was := a.find("c").inc
-		c = l.add("c", 3)
-		l.until("return", 20, l.agree)
-		if m := a.find("c"); m.birth != c.self.birth || m.inc <= was || a.births[c.self.birth] != m {
-			t.Fatalf("a holds c for %+v", m)
+		oldInc := a.find("c").inc
+		c = tf.add("c", 3)
+		tf.waitFor("return", 20, tf.converged)
+		if m := a.find("c"); m.birth != c.self.birth || m.inc <= oldInc || a.byBirth[c.self.birth] != m {
+			t.Fatalf("a sees c as %+v", m)
 		}
 	}
 	if c.conflict != nil || a.conflict != nil {
-		t.Fatal("a restart was taken for a stranger")
+		t.Fatal("a restart was reported as a name conflict")
 	}
 }
 
-// At another address too, where the predecessor does not answer any more.
-func TestARestartElsewhere(t *testing.T) {
-	l := newLab(t)
-	a, c := l.add("a", 1), l.add("c", 3)
-	l.until("start", 30, l.agree)
-	l.remove(c)
-	c = l.add("c", 9)
-	l.until("return", 30, l.agree)
+// A restart at another address supersedes the predecessor too, since the predecessor no longer answers.
+func TestRestartAtAnotherAddress(t *testing.T) {
+	tf := newTestFleet(t)
+	a, c := tf.add("a", 1), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	tf.remove(c)
+	c = tf.add("c", 9)
+	tf.waitFor("return", 30, tf.converged)
 	if m := a.find("c"); m.addr != addr(9) || c.conflict != nil {
 		t.Fatalf("%+v, %+v", m, c.conflict)
 	}
 }
 
-// Of two that run under one name the later one has to give way, at once where it joins, and after a cut as
-// well; the elder one stays what it was to everybody.
-func TestTwoOfOneName(t *testing.T) {
-	for _, later := range []string{"joins", "was cut off", "is heard of through others only"} {
-		l := newLab(t)
-		a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-		l.until("start", 30, l.agree)
+// Of two running processes with one name the later one has to stop: when it joins, after a partition, and
+// when the two reach each other only through other members. The older one keeps its membership.
+func TestTwoProcessesWithOneName(t *testing.T) {
+	for _, scenario := range []string{"joins", "was partitioned", "is known through others only"} {
+		tf := newTestFleet(t)
+		a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+		tf.waitFor("start", 30, tf.converged)
 		var d *View
 		side := func(v *View) bool { return v == d }
-		if later == "was cut off" {
-			l.cut = func(x, y *View) bool { return side(x) != side(y) }
+		if scenario == "was partitioned" {
+			tf.blocked = func(x, y *View) bool { return side(x) != side(y) }
 		}
-		d = l.add("c", 9)
-		if later == "is heard of through others only" {
-			l.cut = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
+		d = tf.add("c", 9)
+		if scenario == "is known through others only" {
+			tf.blocked = func(x, y *View) bool { return x == d && y == c || x == c && y == d }
 		}
-		if later == "was cut off" {
-			l.until("d alone", 30, func() bool { return !d.joining })
-			l.run(10)
-			l.cut = func(_, _ *View) bool { return false }
+		if scenario == "was partitioned" {
+			tf.waitFor("d alone", 30, func() bool { return !d.joining })
+			tf.run(10)
+			tf.blocked = func(_, _ *View) bool { return false }
 		}
-		l.until("verdict: "+later, 60, func() bool { return d.conflict != nil && d.conflict.Refused })
-		if c.conflict == nil || c.conflict.Refused {
-			t.Fatalf("%s: the elder one: %+v", later, c.conflict)
+		tf.waitFor("verdict: "+scenario, 60, func() bool { return d.conflict != nil && d.conflict.MustStop })
+		if c.conflict == nil || c.conflict.MustStop {
+			t.Fatalf("%s: the older process: %+v", scenario, c.conflict)
 		}
-		l.remove(d) // its process ends
-		l.until("calm: "+later, 60, l.agree)
+		tf.remove(d) // its process ends
+		tf.waitFor("agreement: "+scenario, 60, tf.converged)
 		for _, v := range []*View{a, b} {
 			if m := v.find("c"); m.birth != c.self.birth || m.addr != addr(3) {
-				t.Fatalf("%s: %s holds c for %+v", later, v.self.name, m)
+				t.Fatalf("%s: %s sees c as %+v", scenario, v.self.name, m)
 			}
 		}
 	}
 }
 
-// Who leaves is no dead one, is not called on, and comes back as a new process.
+// A member that left is not dead, is not contacted any more, and can return as a new process.
 func TestLeaving(t *testing.T) {
-	l := newLab(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.until("start", 30, l.agree)
-	c.Leave(l.now)
-	l.flush()
-	if !c.LeaveKnown() {
-		t.Fatal("nobody heard")
-	}
-	l.remove(c)
-	l.run(30)
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	c.Leave(tf.now)
+	tf.flush()
+	if !c.LeaveAcknowledged() {
+		t.Fatal("no member acknowledged the leave")
+	}
+	tf.remove(c)
+	tf.run(30)
 	for _, v := range []*View{a, b} {
-		if s := state(v, "c"); s != "left1" {
-			t.Fatalf("%s holds c for %s", v.self.name, s)
+		if s := stateOf(v, "c"); s != "left1" {
+			t.Fatalf("%s sees c as %s", v.self.name, s)
 		}
 	}
-	calls := 0
-	l.tap = func(_ *View, s Datagram) {
+	datagrams := 0
+	tf.onSend = func(_ *View, s Datagram) {
 		if s.To == addr(3) {
-			calls++
+			datagrams++
 		}
 	}
-	l.run(20)
-	if calls > 0 {
-		t.Fatalf("%d calls on one that has left", calls)
+	tf.run(20)
+	if datagrams > 0 {
+		t.Fatalf("%d datagrams to a member that has left", datagrams)
 	}
-	l.add("c", 3)
-	l.until("return", 30, l.agree)
+	tf.add("c", 3)
+	tf.waitFor("return", 30, tf.converged)
 }
 
-// What has been forgotten does not come back: not by all the datagrams that it ever sent, nor by a member's
-// that were late, nor by one that was stopped while the others forgot.
-func TestTheForgottenStayAway(t *testing.T) {
-	l := newLab(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	var tape []Datagram
-	l.tap = func(_ *View, s Datagram) { tape = append(tape, s) }
-	l.until("start", 30, l.agree)
-	l.run(5)
-	d := l.add("d", 4)
-	l.until("d", 30, l.agree)
-	l.remove(d) // stopped
-	l.remove(c)
-	l.tap = func(*View, Datagram) {}
-	l.until("death", 40, func() bool { return state(a, "c") == "dead1" && state(b, "c") == "dead1" })
-	l.run(ForgetDead + 10)
-	if s := state(a, "c") + state(b, "c"); s != "unknownunknown" {
+// A forgotten member does not reappear: not when all datagrams ever sent are replayed, nor when a member that
+// was stopped while the others forgot it resumes and still knows it as alive.
+func TestForgottenMembersDoNotReturn(t *testing.T) {
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	var recorded []Datagram
+	tf.onSend = func(_ *View, s Datagram) { recorded = append(recorded, s) }
+	tf.waitFor("start", 30, tf.converged)
+	tf.run(5)
+	d := tf.add("d", 4)
+	tf.waitFor("d", 30, tf.converged)
+	tf.remove(d) // simulates a stopped process
+	tf.remove(c)
+	tf.onSend = func(*View, Datagram) {}
+	tf.waitFor("death", 40, func() bool { return stateOf(a, "c") == "dead1" && stateOf(b, "c") == "dead1" })
+	tf.run(ForgetDead + 10)
+	if s := stateOf(a, "c") + stateOf(b, "c"); s != "unknownunknown" {
 		t.Fatalf("not forgotten: %s", s)
 	}
-	back := func(when string) {
+	requireForgotten := func(when string) {
 		t.Helper()
-		for _, v := range l.order {
-			if s := state(v, "c"); s != "unknown" {
-				t.Fatalf("%s: %s holds c for %s", when, v.self.name, s)
+		for _, v := range tf.order {
+			if s := stateOf(v, "c"); s != "unknown" {
+				t.Fatalf("%s: %s sees c as %s", when, v.self.name, s)
 			}
 		}
 	}
-	for _, s := range tape {
-		if v := l.views[s.To]; v != nil {
-			v.Receive(l.now, s.Data)
-			l.flush()
+	for _, s := range recorded {
+		if v := tf.views[s.To]; v != nil {
+			v.Receive(tf.now, s.Data)
+			tf.flush()
 		}
 	}
-	back("after the replay")
-	l.put(d) // thaws, and knows c alive
-	l.until("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
-	back("after the thaw")
+	requireForgotten("after the replay")
+	tf.attach(d) // resumes, and still knows c as alive
+	tf.waitFor("d back", 60, func() bool { return !d.joining && a.digest == d.digest && b.digest == d.digest })
+	requireForgotten("after d resumed")
 	if f := d.Stats(); f.Rejoins != 1 || a.Stats().Dropped[Replayed]+a.Stats().Dropped[Unknown] == 0 {
 		t.Fatalf("%+v, %+v", f, a.Stats())
 	}
 }
 
-// A member that hears nobody is not believed by anybody: none is dead but for itself.
-func TestTheDeafAreNotBelieved(t *testing.T) {
-	l := newLab(t)
+// A member that receives nothing is not trusted: no other member is declared dead, only the deaf one.
+func TestDeafMemberIsNotTrusted(t *testing.T) {
+	tf := newTestFleet(t)
 	var all []*View
 	for i := range 6 {
-		all = append(all, l.add(string(rune('a'+i)), i+1))
+		all = append(all, tf.add(string(rune('a'+i)), i+1))
 	}
-	l.until("start", 40, l.agree)
+	tf.waitFor("start", 40, tf.converged)
 	deaf := all[5]
-	l.cut = func(_, to *View) bool { return to == deaf }
+	tf.blocked = func(_, to *View) bool { return to == deaf }
 	died := false
 	for range 60 {
-		l.run(1)
+		tf.run(1)
 		for _, v := range all[:5] {
 			for _, w := range all[:5] {
-				died = died || v != w && strings.HasPrefix(state(v, w.self.name), "dead")
+				died = died || v != w && strings.HasPrefix(stateOf(v, w.self.name), "dead")
 			}
 		}
 	}
-	if died || !strings.HasPrefix(state(all[0], "f"), "dead") {
-		t.Fatalf("a sound member died: %v; the deaf one is %s", died, state(all[0], "f"))
+	if died || !strings.HasPrefix(stateOf(all[0], "f"), "dead") {
+		t.Fatalf("a healthy member was declared dead: %v; the deaf one is %s", died, stateOf(all[0], "f"))
 	}
-	l.cut = func(_, _ *View) bool { return false }
-	l.until("return", 30, l.agree)
+	tf.blocked = func(_, _ *View) bool { return false }
+	tf.waitFor("return", 30, tf.converged)
 }
 
-// The roster and its size bound what is kept, whatever arrives.
-func TestTheRosterBoundsTheView(t *testing.T) {
-	l := newLab(t)
+// The roster and the maximum size bound the view.
+func TestRosterBoundsView(t *testing.T) {
+	tf := newTestFleet(t)
 	names := func(c *Config) { c.Roster, c.Most = []string{"a", "b"}, 0 }
-	a := l.add("a", 1, names)
-	l.add("b", 2, names)
-	x := l.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
-	l.run(30)
-	if state(a, "x") != "unknown" || a.Stats().Dropped[Stranger] == 0 || x.Stats().TurnedDown == 0 {
-		t.Fatalf("%s, %+v, %+v", state(a, "x"), a.Stats(), x.Stats())
+	a := tf.add("a", 1, names)
+	tf.add("b", 2, names)
+	x := tf.add("x", 3, func(c *Config) { c.Roster, c.Most = []string{"a", "b", "x"}, 0 })
+	tf.run(30)
+	if stateOf(a, "x") != "unknown" || a.Stats().Dropped[NotAdmitted] == 0 || x.Stats().Rejections == 0 {
+		t.Fatalf("%s, %+v, %+v", stateOf(a, "x"), a.Stats(), x.Stats())
 	}
-	if state(a, "b") != "alive1" || state(x, "b") == "" {
-		t.Fatal("the roster's own are not there")
+	if stateOf(a, "b") != "alive1" || stateOf(x, "b") == "" {
+		t.Fatal("members of the roster are missing")
 	}
 
-	l = newLab(t)
-	a = l.add("a", 1, func(c *Config) { c.Most = 4 })
+	tf = newTestFleet(t)
+	a = tf.add("a", 1, func(c *Config) { c.Most = 4 })
 	for i := range 12 {
-		v := l.add(fmt.Sprint("p", i), 10+i)
-		l.run(6)
-		if n := len(a.list) + 1; n > 4 {
-			t.Fatalf("%d members, where 4 have room", n)
+		v := tf.add(fmt.Sprint("p", i), 10+i)
+		tf.run(6)
+		if n := len(a.members) + 1; n > 4 {
+			t.Fatalf("%d members, maximum is 4", n)
 		}
-		l.remove(v)
-		l.run(20)
+		tf.remove(v)
+		tf.run(20)
 	}
-	if state(a, "p11") == "unknown" {
-		t.Fatal("the oldest dead ones did not make way")
+	if stateOf(a, "p11") == "unknown" {
+		t.Fatal("the members that died first were not evicted")
 	}
 }
 
-// A process that takes over goes on as the same member; if it fails, the old one goes on.
-func TestTakingOver(t *testing.T) {
-	l := newLab(t)
-	a, b, c := l.add("a", 1), l.add("b", 2), l.add("c", 3)
-	l.until("start", 30, l.agree)
-	l.run(20)
+// A successor continues as the same member without others noticing; if it fails, the old process continues.
+func TestHandover(t *testing.T) {
+	tf := newTestFleet(t)
+	a, b, c := tf.add("a", 1), tf.add("b", 2), tf.add("c", 3)
+	tf.waitFor("start", 30, tf.converged)
+	tf.run(20)
 	inc, birth := b.self.inc, b.self.birth
-	next, err := Resume(b.cfg, b.Snapshot(), l.now)
+	successor, err := Resume(b.cfg, b.Snapshot(), tf.now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.remove(b)
-	l.put(next)
+	tf.remove(b)
+	tf.attach(successor)
 	for range 30 {
-		l.run(1)
+		tf.run(1)
 		for _, v := range []*View{a, c} {
 			if m := v.find("b"); m.state != Alive || m.suspect || m.birth != birth || m.inc != inc {
 				t.Fatalf("%s noticed: %+v", v.self.name, m)
 			}
 		}
 	}
-	if !l.agree() {
-		t.Fatal("no one view")
+	if !tf.converged() {
+		t.Fatal("the views differ")
 	}
-	l.remove(next)
-	l.put(b)
-	b.Again(l.now)
-	l.until("the old one is back", 30, l.agree)
+	tf.remove(successor)
+	tf.attach(b)
+	b.Reclaim(tf.now)
+	tf.waitFor("the old one is back", 30, tf.converged)
 	if a.find("b").birth != birth {
-		t.Fatal("taken for another process")
+		t.Fatal("the old process has another identity")
 	}
 }
 
-// Whatever arrives: no panic, and no more kept than there is room for.
+// No input causes a panic, an oversized datagram or a view above its maximum size.
 func FuzzReceive(f *testing.F) {
-	l := newLab(f)
-	l.add("a", 1)
-	l.add("b", 2)
-	l.tap = func(_ *View, s Datagram) { f.Add(s.Data) }
-	l.until("start", 30, l.agree)
-	c := l.add("c", 3)
-	l.run(3)
-	c.Leave(l.now)
-	l.run(3)
+	tf := newTestFleet(f)
+	tf.add("a", 1)
+	tf.add("b", 2)
+	tf.onSend = func(_ *View, s Datagram) { f.Add(s.Data) }
+	tf.waitFor("start", 30, tf.converged)
+	c := tf.add("c", 3)
+	tf.run(3)
+	c.Leave(tf.now)
+	tf.run(3)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		l := newLab(t)
-		v := l.add("a", 1, func(c *Config) { c.Most = 4 })
-		l.add("b", 2)
-		l.until("start", 30, l.agree)
+		tf := newTestFleet(t)
+		v := tf.add("a", 1, func(c *Config) { c.Most = 4 })
+		tf.add("b", 2)
+		tf.waitFor("start", 30, tf.converged)
 		for range 2 {
-			v.Receive(l.now, data)
+			v.Receive(tf.now, data)
 			sends, _, _ := v.TakeOutput()
 			for _, s := range sends {
 				if len(s.Data) > MaxPlain {
@@ -413,25 +413,25 @@
 				}
 			}
 		}
-		if len(v.list)+1 > 4 {
-			t.Fatalf("%d members", len(v.list)+1)
+		if len(v.members)+1 > 4 {
+			t.Fatalf("%d members", len(v.members)+1)
 		}
-		l.run(2)
+		tf.run(2)
 	})
 }
 
-// What is written is read back the same, and cut anywhere it is turned down whole or read as less.
-func TestEntriesReadBack(t *testing.T) {
+// Encoded entries decode to the same values; a truncated entry is rejected.
+func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := entry{record: record{birth: rapid.Uint64Range(1, 1<<63).Draw(t, "birth"),
-			inc: rapid.Uint32Range(0, incMost).Draw(t, "inc")}, what: rapid.ByteMax(isVote).Draw(t, "what")}
-		switch e.what {
-		case isVote:
+			inc: rapid.Uint32Range(0, maxIncarnation).Draw(t, "inc")}, typ: rapid.ByteMax(typeVote).Draw(t, "what")}
+		switch e.typ {
+		case typeVote:
 			e.votes = []uint32{rapid.Uint32().Draw(t, "vote")}
-		case isDead:
+		case typeDead:
 			e.state, e.age = Dead, Micros(rapid.Uint16().Draw(t, "age"))
-			e.votes = rapid.SliceOfN(rapid.Uint32(), 0, votesMost).Draw(t, "votes")
-		case isLeft:
+			e.votes = rapid.SliceOfN(rapid.Uint32(), 0, maxVotes).Draw(t, "votes")
+		case typeLeft:
 			e.state, e.age = Left, Micros(rapid.Uint16().Draw(t, "age"))
 		}
 		if rapid.Bool().Draw(t, "full") {
@@ -442,28 +442,28 @@
 		}
 		b := e.append(nil)
 		if len(b) != e.size() {
-			t.Fatalf("%d bytes, said to be %d", len(b), e.size())
+			t.Fatalf("%d bytes, size() is %d", len(b), e.size())
 		}
-		r := read(b)
+		r := newReader(b)
 		got := r.entry()
 		if r.Bad || len(r.Rest) > 0 || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", e) {
-			t.Fatalf("%+v became %+v", e, got)
+			t.Fatalf("%+v was decoded as %+v", e, got)
 		}
-		r = read(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
+		r = newReader(b[:rapid.IntRange(0, len(b)-1).Draw(t, "cut")])
 		if list := r.entries(); len(list) > 0 {
-			t.Fatalf("a cut entry was read: %+v", list)
+			t.Fatalf("a truncated entry was decoded: %+v", list)
 		}
 	})
 }
 
-// A number is taken once, in whatever order and however often it comes, unless it is too old to tell.
-func TestWindow(t *testing.T) {
+// Each sequence number is accepted once, in any order, unless it is too old for the window.
+func TestReplayWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var w window
+		var w replayWindow
 		taken, top := map[uint64]bool{}, uint64(0)
 		for _, n := range rapid.SliceOf(rapid.Uint64Range(1, 300)).Draw(t, "numbers") {
 			want := !taken[n] && (n > top || top-n < 64)
-			if got := w.fresh(n); got != want {
+			if got := w.accept(n); got != want {
 				t.Fatalf("%d after %d: %v", n, top, got)
 			}
 			taken[n] = taken[n] || want
@@ -472,17 +472,17 @@
 	})
 }
 
-// The same inputs and seed give the same datagrams to the byte.
-func TestARunReplays(t *testing.T) {
+// The same inputs and seed produce byte-identical datagrams.
+func TestRunIsDeterministic(t *testing.T) {
 	run := func() (log string) {
-		l := newLab(t)
-		l.tap = func(_ *View, s Datagram) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
+		tf := newTestFleet(t)
+		tf.onSend = func(_ *View, s Datagram) { log += fmt.Sprintf("%v %x\n", s.To, s.Data) }
 		for i := range 5 {
-			l.add(fmt.Sprint("m", i), i+1)
+			tf.add(fmt.Sprint("m", i), i+1)
 		}
-		l.run(20)
-		l.remove(l.order[4])
-		l.run(20)
+		tf.run(20)
+		tf.remove(tf.order[4])
+		tf.run(20)
 		return log
 	}
 	if a, b := run(), run(); a != b || len(a) < 1000 {
@@ -499,24 +499,25 @@
 	}
 	v.Tick(0)
 	for i := range n - 1 {
-		v.set(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2), inc: 1}, 0)
+		v.setRecord(record{name: fmt.Sprintf("m%04d", i), zone: "z", addr: addr(i + 1), birth: uint64(i + 2),
+			inc: 1}, 0)
 	}
 	return v
 }
 
-// BenchmarkProbeRound is one period of a member of 300: its probe and what keeps house.
+// BenchmarkProbeRound measures one period of a member in a fleet of 300: its probe and its housekeeping.
 func BenchmarkProbeRound(b *testing.B) {
 	v := fullView(b, 300)
 	now := Micros(0)
 	b.ReportAllocs()
 	for b.Loop() {
-		for range slots {
-			now += testPeriod / slots
+		for range slotsPerPeriod {
+			now += testPeriod / slotsPerPeriod
 			v.Tick(now)
 		}
 		for i := range v.probes { // all are answered
-			if m := v.births[v.probes[i].birth]; m != nil {
-				v.evidence(m, v.probes[i])
+			if m := v.byBirth[v.probes[i].birth]; m != nil {
+				v.probeAnswered(m, v.probes[i])
 			}
 		}
 		v.probes = v.probes[:0]
@@ -524,12 +525,12 @@
 	}
 }
 
-// BenchmarkMerge is one datagram's worth of entries taken in by a member of 300.
+// BenchmarkMerge measures merging one datagram's worth of entries in a fleet of 300.
 func BenchmarkMerge(b *testing.B) {
 	v := fullView(b, 300)
 	var list []entry
 	for i := range 14 {
-		e := v.entryOf(v.list[i*20], false)
+		e := v.entryOf(v.members[i*20], false)
 		list = append(list, e)
 	}
 	b.ReportAllocs()
@@ -538,6 +539,6 @@
 			list[i].inc++
 			v.merge(list[i])
 		}
-		v.news = news{}
+		v.updates = updateQueue{}
 	}
 }
