--- a/balance/api.go
+++ b/balance/api.go
@@ -1,93 +1,95 @@
-// Package balance decides for a co-ordinator of queries over replicated shards: which replica gets each
-// part, when a part is copied or tried again, when a query is answered, and which queries are refused.
+// Package balance makes the decisions of a coordinator for queries over replicated shards: which replica
+// serves each part, when a part is hedged or retried, when a query is answered, and which queries are
+// refused.
 //
-// This file is the whole interface; balance.go holds every decision. The package does no input or output
-// and reads no clock: the host hands events to Step and carries out the actions that it returns.
+// This file is the complete interface; balance.go holds every decision. The package does no I/O and reads
+// no clock: the host passes events to Step and carries out the actions that it returns.
 package balance
 
 import "fmt"
 
-// Micros is a time or a span in microseconds. Times come from the host's clock, which only goes forward.
+// Micros is a time or a duration in microseconds. Times come from the host's clock, which never goes back.
 type Micros = int64
 
-// ReplicaID names a replica. It is opaque: nothing is read into it but equality.
+// ReplicaID identifies a replica. It is opaque: IDs are only compared for equality.
 type ReplicaID uint64
 
-// Effect tells what a repeated part may do.
+// Effect states whether a part may be executed more than once.
 type Effect uint8
 
-// The kinds of effect.
+// The effects.
 const (
 	Safe   Effect = iota // may be repeated at will
-	Keyed                // a repeat is dropped by the shard's holders within Class.Window
-	Unsafe               // may be repeated only when no earlier attempt ran
+	Keyed                // the shard's holders drop repeats within Class.Window
+	Unsafe               // may be repeated only if no earlier attempt ran
 )
 
-// Class describes one kind of query.
+// Class describes one class of queries.
 type Class struct {
-	Aim        Micros  // an answer within this earns full worth
-	Deadline   Micros  // the client waits this long over all its tries
-	AimStretch float64 // the aim grows by this multiple of the query's own work
+	Aim        Micros  // latency objective: an answer within this time earns the full worth
+	Deadline   Micros  // total time that a client waits, over all its tries
+	AimStretch float64 // the aim is extended by this multiple of the query's expected work
 	Effect     Effect
-	Window     Micros // Keyed: repeats are dropped for this long after the first send that may have run
+	Window     Micros // Keyed: how long repeats are dropped, from the first send that may have run
 	Worth      float64
-	LateWorth  float64 // share of the worth that an answer earns after the aim
-	Need       float64 // share of the first step's weight that makes a whole answer
-	Floor      float64 // least share for any answer
-	Partial    float64 // share of the worth that an answer earns which is not whole, times its share / Need
-	SecondStep int     // parts of a second step; 0 for one step only
-	Dropped    bool    // not asked for any more: it keeps its place, and no scale is taken from it
+	LateWorth  float64 // share of the worth that an answer after the aim earns
+	Need       float64 // share of the first step's weight required for a complete answer
+	Floor      float64 // minimum share required for any answer
+	Partial    float64 // share of the worth that a partial answer earns, multiplied by its share / Need
+	SecondStep int     // number of parts in the second step; 0: there is only one step
+	Dropped    bool    // removed from the settings: it keeps its index, and its aim no longer sets a scale
 }
 
-// Tenant is one of those who share the service.
+// Tenant is one of the customers that share the service.
 type Tenant struct {
-	Quota float64 // requests a second over all co-ordinators that count in full
+	Quota float64 // requests per second, over all coordinators, that earn the full worth
 }
 
-// Settings is what an instance is told at its start.
+// Settings configures an instance.
 type Settings struct {
 	Classes        []Class
 	Tenants        []Tenant
-	OverShareWorth float64 // worth of a query beyond its tenant's quota
-	WorthByWork    bool    // worth counts by work, not by query
-	Peers          int     // co-ordinators in this tier
-	Number         int     // this instance's own, from 0
-	Zone           int     // this instance's zone
-	Tick           Micros  // least time between two Steps
+	OverShareWorth float64 // factor on the worth of queries beyond their tenant's quota
+	WorthByWork    bool    // worth is per unit of work instead of per query
+	Peers          int     // number of coordinators in this tier
+	Number         int     // index of this instance among them, from 0
+	Zone           int     // zone of this instance
+	Tick           Micros  // minimum time between two Steps
 
-	Cells     int // a shard s is held by the replicas of cells (s+j) mod Cells, j < Reach
+	Cells     int // shard s is held by the replicas of cells (s+j) mod Cells, for j < Reach
 	Reach     int
-	BatchMax  int     // sends of one Step to one replica that share a call
-	CallCost  Micros  // work of a call beside that of its parts
-	CrossCost float64 // price of a part that crosses zones, in shares of the worth asked for
-	Subscribe bool    // list changes come only after Watch or Fetch
-	MustAsk   Micros
+	BatchMax  int     // maximum number of sends of one Step to one replica that share a call
+	CallCost  Micros  // work of a call in addition to that of its parts
+	CrossCost float64 // cost of a part sent to another zone, as a share of the worth requested
+	Subscribe bool    // list changes arrive only after Watch or Fetch
+	MustAsk   Micros  // upper bound of the delay before a failed list call is retried; 0: MaxListRetryDelay
 
-	DialTimeout   Micros // a connection that takes longer is given up as NoConnection; 0: not known
-	MaxOpen       int    // queries and parts held at once
-	MaxAttempts   int    // attempts for one part
+	DialTimeout   Micros // after this time a connection attempt is given up as NoConnection; 0: unknown
+	MaxOpen       int    // maximum number of queries and parts open at once
+	MaxAttempts   int    // maximum number of attempts for one part
 	CanCancel     bool
-	CanCopy       bool // a part may have two attempts out at once
+	CanCopy       bool // a part may have several attempts in flight
 	CanProbe      bool
-	CanTell       bool   // peers hear Tell
-	TellMost      int    // bytes of a Tell's text; 0: 256
-	MarksRepeat   bool   // clients mark their repeats, see Event.Repeat
-	CanAdvise     bool   // clients hear Action.After of a Refuse
-	MaxRetryAfter Micros // longest advice that a client follows
+	CanTell       bool   // peers receive the text of Tell
+	TellMost      int    // maximum size of a Tell's text in bytes; 0: 256
+	MarksRepeat   bool   // clients mark their retries, see Event.Repeat
+	CanAdvise     bool   // clients receive Action.After of a Refuse
+	MaxRetryAfter Micros // longest retry delay that clients follow
 
-	ColdShare    float64 // a replica that starts has at least this share of its capacity
-	Ramp         Micros  // and all of it after this long
-	FallMultiple float64 // sent more than this multiple of its present capacity
-	FallSpan     Micros  // for this long, a cold replica falls over
+	ColdShare    float64 // minimum share of its capacity that a replica has when it starts;
+	Ramp         Micros  // it reaches full capacity after this time
+	FallMultiple float64 // a cold replica fails when sent more than this multiple of its current capacity
+	FallSpan     Micros  // for this long
 
-	SpareAttempts float64 // attempts beyond a part's first within ResendSpan: at most SpareAttempts
-	ResendRatio   float64 // plus ResendRatio x the queries and parts taken in that span
-	ResendSpan    Micros  // 0: no such limit
+	SpareAttempts float64 // limit on attempts beyond a part's first, in any ResendSpan: SpareAttempts
+	ResendRatio   float64 // plus ResendRatio x the queries and parts that arrived in that span
+	ResendSpan    Micros  // 0: no limit
 
-	ReportQueue int // place of the waiting count in a load report, or -1
+	ReportQueue int // index of the queue length in a load report, or -1
 }
 
-// check names the first field that contradicts itself or leaves out what a rule needs.
+// validate returns an error that names the first field that is out of range, contradicts another, or is
+// required by another and missing.
 func (s *Settings) check() error {
 	fault := func(bad bool, field string, why string) error {
 		if !bad {
@@ -128,7 +130,7 @@
 	return nil
 }
 
-// State is what the list says of a replica.
+// State is the state of a replica according to the list.
 type State uint8
 
 // The states of a replica.
@@ -138,33 +140,33 @@
 	Draining
 )
 
-// Replica is one line of a list.
+// Replica is one entry of a list.
 type Replica struct {
 	ID      ReplicaID
 	Zone    int
 	Cell    int
 	State   State
-	Size    float64 // listed size, for comparison among replicas
-	Started Micros  // when it last started; 0: long ago
-	Domain  int     // replicas of one domain know of each other's repeats of keyed parts
+	Size    float64 // relative capacity as listed, comparable among replicas
+	Started Micros  // time of the last start; 0: long ago
+	Domain  int     // replicas of one domain drop each other's repeats of keyed parts
 }
 
-// ListMode tells how a List event is to be read.
+// ListMode states how the entries of a List event apply.
 type ListMode uint8
 
-// The modes of a list.
+// The list modes.
 const (
-	Delta  ListMode = iota // changed lines only
-	Full                   // every line
-	Cached                 // every line, as held before a restart: it may be stale
-	Failed                 // a Watch or Fetch failed, or the subscription broke; no lines
-	Local                  // changed lines only, by the host's own word and not discovery's
+	Delta  ListMode = iota // only the changed entries
+	Full                   // all entries
+	Cached                 // all entries, as stored before a restart: possibly stale
+	Failed                 // a Watch or Fetch failed, or the subscription broke; there are no entries
+	Local                  // only changed entries, changed by the host itself and not by discovery
 )
 
-// Outcome is how an attempt or a probe ended.
+// Outcome is the result of an attempt or a probe.
 type Outcome uint8
 
-// String is the outcome's name in the log.
+// String returns the name of the outcome as written to the log.
 func (o Outcome) String() string {
 	names := [...]string{Error: "error", OK: "ok", Busy: "busy", TimedOut: "timed out",
 		NoConnection: "no connection",
@@ -175,23 +177,23 @@
 	return "unknown"
 }
 
-// The outcomes of an attempt. NotSent, Full and NoConnection prove that it never ran.
+// The outcomes. NotSent, Busy and NoConnection prove that an attempt never ran.
 const (
 	Error        Outcome = iota // the replica answered with an error
-	OK                          // served
-	Busy                        // sent back unseen: its queue is full, or it drains
-	TimedOut                    // no answer in the time allowed
-	NoConnection                // no connection came about
+	OK                          // the replica served it
+	Busy                        // rejected by the replica without running: its queue is full, or it is draining
+	TimedOut                    // no answer within the time allowed
+	NoConnection                // no connection could be established
 	Reset                       // the connection broke
-	Cancelled                   // withdrawn
+	Cancelled                   // cancelled by this instance
 	NotSent                     // never transmitted
-	Spoilt                      // the replica answered, but what came cannot be read, nor what would come after
+	Spoilt                      // the answer, and whatever follows it on the connection, cannot be read
 )
 
-// EventKind tells which fields of an Event count.
+// EventKind identifies the type of an Event and thereby which of its fields are set.
 type EventKind uint8
 
-// The kinds of event.
+// The event kinds, with the fields that each one sets.
 const (
 	Query       EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
 	Part                         // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
@@ -200,28 +202,28 @@
 	ClientGone                   // ID of a query
 	List                         // Mode, Replicas
 	ProbeResult                  // Replica, Outcome, Elapsed, Report
-	Message                      // From, Data: from a peer
-	Awake                        // a wake-up that was asked for
-	Ending                       // Deadline: this instance ends then, and holds no query beyond it
-	Changed                      // Settings: the new ones; classes keep their places, and none goes
-	Recalled                     // Memory: of an instance that this one takes over from; before any List
+	Message                      // From, Data: a peer sent a message
+	Awake                        // a requested wake-up is due
+	Ending                       // Deadline: this instance shuts down then and must hold no query beyond it
+	Changed                      // Settings: the new ones; classes keep their indexes, and none is removed
+	Recalled                     // Memory: of the instance that this one replaces; comes before any List
 )
 
 // Event is something that happened to this instance.
 type Event struct {
 	Kind     EventKind
 	ID       uint32
-	Number   float32 // a query's number here; its parts carry the same
+	Number   float32 // identifies a query on this instance; its parts carry the same number
 	Class    int
 	Tenant   int
 	Shard    int
 	Weight   float64
-	Hint     Micros // expected work, 0 if unknown
+	Hint     Micros // expected work; 0: unknown
 	Key      uint64
-	Deadline Micros // when the client abandons this try
-	Repeat   bool   // of a Query: marked by its client as asked before
-	Rules    *Class // of a Query: what binds it where that is not its class; nil: the class
-	Most     int    // of a Query: attempts for a part where that differs from the settings; 0: it does not
+	Deadline Micros // when the client gives up this try
+	Repeat   bool   // Query: the client marked it as a retry
+	Rules    *Class // Query: rules that apply instead of its class's; nil: those of the class
+	Most     int    // Query: maximum attempts for a part, if different from the settings; 0: as in the settings
 	Attempt  int
 	Closed   bool
 	Outcome  Outcome
@@ -236,34 +238,34 @@
 	Memory   *Memory
 }
 
-// Memory is what an instance hands to the one that takes its place, on the same clock: how much cold replicas
-// may be given, and which are known to be cold.
+// Memory is what an instance hands to its successor, on the same clock: the measured capacity, which
+// bounds what cold replicas may be sent, and the start times of the replicas known to be cold.
 type Memory struct {
 	Carried, UsualSize float64
 	Starts             map[ReplicaID]Micros
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind identifies the type of an Action and thereby which of its fields are set.
 type ActionKind uint8
 
-// The kinds of action.
+// The action kinds, with the fields that each one sets.
 const (
-	Send    ActionKind = iota // ID of a part, Replica, After (its time-out), Before (of a repeat)
+	Send    ActionKind = iota // ID of a part, Replica, After (the time-out), StartBy (for a repeat)
 	Cancel                    // ID of a part, Attempt
-	Answer                    // ID of a query, Whole
-	Refuse                    // ID of a query, After (advice when to come back; 0: none)
+	Answer                    // ID of a query, Complete
+	Refuse                    // ID of a query, After (suggested delay before a retry; 0: none)
 	Fail                      // ID of a query
 	Probe                     // Replica
 	Wake                      // After
 	Watch                     // subscribe to list changes
-	Fetch                     // ask for the whole list once
-	Note                      // Text, a line for the operators
-	Tell                      // To (a peer's number, or AllPeers), Text: at most 256 bytes
-	Close                     // Replica: shut this instance's idle connections to it
+	Fetch                     // request the complete list once
+	Note                      // Text: a log line for operators
+	Tell                      // To (a peer's number, or AllPeers), Text of at most 256 bytes
+	Close                     // Replica: close this instance's idle connections to it
 	Unwatch                   // end the subscription to list changes
 )
 
-// Action is something the host is to do, in the order given.
+// Action is an instruction to the host. Actions are carried out in the order given.
 type Action struct {
 	Kind    ActionKind
 	ID      uint32
@@ -271,17 +273,17 @@
 	Replica ReplicaID
 	Whole   bool
 	After   Micros
-	Before  Micros // of a Send: it must not begin later than this; 0: it may
+	Before  Micros // Send: latest time at which it may begin; 0: no limit
 	Text    string
 	To      uint32
 }
 
-// Why a query is refused or failed, as the Text of a Refuse or a Fail, for the log.
+// The reasons given in the Text of a Refuse or a Fail, for the log.
 const (
 	WhyLate      = "no time is left"
 	WhyOverload  = "overload: not expected in time"
 	WhyExhausted = "no replica is left to try"
 )
 
-// AllPeers addresses a Tell to every peer.
+// AllPeers as the To of a Tell addresses every peer.
 const AllPeers = ^uint32(0)
