--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,9 +1,10 @@
 package balance
 
-// The decisions of a co-ordinator. api.go in this folder is the interface: read it first.
+// The decisions of a coordinator. The interface is in api.go; read that first.
 //
-// Step books what happened and then advances every open query in order of arrival. Everything follows from
-// the settings, the seed and the events: no clock, no goroutine, nothing ordered by a map.
+// Step records the events and then advances every open query in order of arrival. Decisions depend only on
+// the settings, the seed and the events: there is no clock and no goroutine, and no result depends on the
+// iteration order of a map.
 
 import (
 	"math"
@@ -11,8 +12,9 @@
 	"slices"
 )
 
-// How long a failed call for the list is waited with, in us: at first, and after many failures. What was
-// missed counts as told after 6 s, however the calls ended; the host's own limits on a call come on top.
+// Delay before a failed list call is retried, in us: the initial value and the maximum of its exponential
+// back-off. Missed changes count as announced after 6 s, however the calls ended; the host's own time limit
+// of a call adds to these delays.
 const (
 	AskAgain Micros = 1_000_000
 	AskMost  Micros = 4_000_000
@@ -20,91 +22,92 @@
 
 // Tuned constants.
 const (
-	// Weights, as the design has them.
+	// Replica weights.
 	minWeight, midWeight, maxWeight = 1.0, 50.0, 100.0
-	weightStep                      = 5.0        // gained by a success, lost x the multipliers below
-	halfLife                        = 10_000_000 // us in which half of a weight's distance to the middle goes
-	lossTimeout, lossError          = 1.0, 2.0   // multipliers of a lost step
+	weightStep                      = 5.0        // gain per success; a failure costs this times its penalty
+	halfLife                        = 10_000_000 // us in which a weight moves half of its distance to midWeight
+	lossTimeout, lossError          = 1.0, 2.0   // multiples of weightStep
 	lossRefused, lossBusy           = 3.0, 0.2
 
-	// Time per part, and what goes by it.
-	speedLife      = 4_000_000 // us in which half of what was seen of a replica's speed is forgotten
-	fewPeers       = 4.0       // of more peers, what all have seen comes faster, ages faster and counts more
-	ownTrust       = 3.0       // own outcomes count as so many seen by others
-	classTrust     = 1.0       // and those of the class itself so many times more
-	peerTrust      = 3.0       // what messages have mixed counts as so many, and less the more is seen here
-	lostTime       = 0.5       // share of the shortest aim that a part without an answer counts as
-	hotShare       = 1.3       // times the share, of the time to the aim, for the slowest needed part
-	firstCost      = 0.1       // share of the shortest aim that a part is taken to need at first
-	pacePrior      = 3.0       // the mean of all replicas starts as if from so many parts
-	paceParts      = 30.0      // parts over which the share of lost ones is taken
-	speedPower     = 4.0       // the draw goes by weight over time per part to this power
-	capShare       = 0.25      // share of the shortest aim that a replica may need for what we have out there
-	minCap, maxCap = 0, 16
-	joinShare      = 0.5     // share of the shortest aim that a call may take, for a part to join it
-	crossChance    = 0.25    // of a replica in another zone, in the draw, where crossing has a price
-	callPower      = 2.0     // the draw goes by the parts that could share a call to this power
-	tellGap        = 250_000 // us between messages to a peer drawn at random
-	maxHeard       = 8.0     // a replica's tally from messages is cut to so many parts
-	workGain       = 0.2     // EWMA gain of the parts that a query of a class needs
+	// Latency per part, and the decisions based on it.
+	speedLife      = 4_000_000 // us, half-life of latency samples
+	fewPeers       = 4.0       // peers; in larger fleets samples of peers arrive and decay faster and weigh more
+	ownTrust       = 3.0       // weight of an own sample, where a plain one weighs 1
+	classTrust     = 1.0       // additional multiple of that for samples of the same class
+	peerTrust      = 3.0       // weight of a sample mixed from peers, divided by 1 + the number of own samples
+	lostTime       = 0.5       // share of the shortest aim that is recorded for a part without an answer
+	hotShare       = 1.3       // the slowest required part may take this multiple of the share admitted
+	firstCost      = 0.1       // share of the shortest aim that a part is expected to take before any sample
+	pacePrior      = 3.0       // samples that the initial value of a mean counts as
+	paceParts      = 30.0      // parts over which shares and means are smoothed
+	speedPower     = 4.0       // draw probability is proportional to weight / latency to this power
+	capShare       = 0.25      // share of the shortest aim that our calls open at a replica may need
+	minCap, maxCap = 0, 16     // bounds of that number of calls
+	joinShare      = 0.5       // share of the shortest aim that a call may take for further parts to join it
+	crossChance    = 0.25      // factor on the draw weight of a replica in another zone if crossing has a cost
+	callPower      = 2.0       // exponent of the number of parts that could share a call, in the draw weight
+	tellGap        = 250_000   // us between messages, each to a randomly chosen peer
+	maxHeard       = 8.0       // samples; bounds the weight of what peers report of a replica
+	workGain       = 0.2       // EWMA gain of the number of parts per query of a class
 
 	// Hedging.
-	firstDelayShare = 0.25      // the delay starts at this share of the aim
-	delayQuantile   = 0.95      // and then tracks this quantile of the class's part latency
+	firstDelayShare = 0.25      // share of the aim: the initial hedge delay
+	delayQuantile   = 0.95      // quantile of the class's part latency that the hedge delay then tracks
 	quantileGain    = 0.1       // relative step of the quantile tracker
-	maxDelayShare   = 0.5       // the delay stays within this share of the aim
+	maxDelayShare   = 0.5       // share of the aim: the maximum hedge delay
 	maxInFlight     = 3         // attempts of one part at a time
-	copyShare       = 0.1       // copies stay under this share of recent parts
-	lateCopyShare   = 0.2       // and those of overdue parts with them under this one
-	copySpare       = 1.0       // and this many more, so that a quiet instance may copy at all
-	copySpan        = 5_000_000 // us that count as recent, where no span is told
-	overdueFactor   = 2.5       // an attempt older than this x the delay counts as a time-out at once
-	overdueShare    = 0.6       // or older than this share of the aim
+	copyShare       = 0.1       // hedged attempts per recent part,
+	lateCopyShare   = 0.2       // and per recent part if the last attempt is overdue,
+	copySpare       = 1.0       // plus this number, so that an instance with little traffic can hedge at all
+	copySpan        = 5_000_000 // us that count as recent if the settings give no ResendSpan
+	overdueFactor   = 2.5       // hedge delays after which an attempt is overdue and counts as timed out,
+	overdueShare    = 0.6       // or share of the aim, whichever is shorter
 
-	// Admission, by the time that parts are expected to take.
-	admitShare, admitAlone = 0.45, 0.25 // the share, and what comes on top while few peers hide what waits
-	admitPeers             = 3.0        // with so many; with more it shrinks
-	admitLeast             = 0.55       // of the share is left for work of no worth
-	admitTail              = 2.6        // times the share, of the time to the aim, for the last needed part
-	hopeShare              = 1.0        // of the time to the aim that a part may be expected to take
-	vainParts              = 60.0       // parts over which the share of those sent in vain is taken
-	vainCut, vainMost      = 3.0, 0.5   // times that share comes off the admitted one, and at the most
-	proveAfter             = 3_000_000  // us of refusals alone; then one query is let in to see (page: 4 s)
-	admitQuantile          = 0.8        // of the needed parts: of few the slowest, of many not the odd one
-	overPart, farOver      = 1.2, 1.8   // times its part of the quotas that a tenant has of the traffic here
-	quotaLeast             = 8.0        // queries of a tenant that tell of its part
-	quotaSpan              = 5_000_000  // us over which a tenant's rate is measured against its quota
+	// Admission, by the expected latency of the parts.
+	admitShare, admitAlone = 0.45, 0.25 // share of the aim to admit by; the second is added with up to
+	admitPeers             = 3.0        // this many peers, which hide little waiting work, and shrinks beyond
+	admitLeast             = 0.55       // part of that share left for work without worth
+	admitTail              = 2.6        // multiple of that share allowed to the last required part
+	hopeShare              = 1.0        // share of the time to the aim that a part may be expected to take
+	vainParts              = 60.0       // parts over which the share of rejected ones is smoothed
+	vainCut, vainMost      = 3.0, 0.5   // multiple of that share cut from admission, and the maximum cut
+	proveAfter             = 3_000_000  // us of refusing all queries, after which one is admitted as a trial;
+	//                                     the limit documented for this is 4 s
+	admitQuantile     = 0.8       // of the required parts: the slowest of few, not the one outlier of many
+	overPart, farOver = 1.2, 1.8  // a tenant's share of the local traffic over its share of the quotas
+	quotaLeast        = 8.0       // queries of a tenant needed to judge its share
+	quotaSpan         = 5_000_000 // us over which a tenant's rate is compared with its quota
 
 	// Cold replicas.
-	leastCold   = 1e-6       // parts a us from all peers, times the cold share, where nothing is known
-	coldBoost   = 1.0        // share of what the told multiple leaves above 1 that a cold replica may get
-	coldBurst   = 0.6        // share of what the told multiple leaves above the rate that may be saved up
-	gaugeSpan   = 2_000_000  // us over which served parts are counted, at the least
-	gaugeParts  = 64.0       // of fewer, among many peers, the count goes on, less what is chance:
-	gaugeMost   = 8.0        // the largest of small counts is over what is carried; spans at most
-	gaugeCrowd  = 2.0        // times a few peers: from there on
-	carriedLife = 60_000_000 // us after which half of what was carried is forgotten
+	leastCold   = 1e-6       // parts per us from all peers, times the cold share, without any measurement
+	coldBoost   = 1.0        // share of FallMultiple - 1 by which a cold replica may exceed its capacity
+	coldBurst   = 0.6        // share of FallMultiple - 1, times rate and FallSpan, that tokens may accumulate
+	gaugeSpan   = 2_000_000  // us over which served parts are counted, at least
+	gaugeParts  = 64.0       // with fewer parts counting continues in large fleets, less the standard error:
+	gaugeMost   = 8.0        // the maximum of small counts is biased upwards; maximum number of spans
+	gaugeCrowd  = 2.0        // fleet scale above which that applies, see updateEvidenceScale
+	carriedLife = 60_000_000 // us, half-life of the measured capacity
 
 	// Idle connections.
 	staleAfter = 300_000    // us without use after which a connection counts as idle
-	reapLoss   = 0.05       // losses on idle connections over this share
-	reapTimes  = 2.0        // and so many times those on connections in use tell that idle ones are dropped
-	reapLife   = 10_000_000 // us in which half of that evidence is forgotten
+	reapLoss   = 0.05       // idle connections are being dropped if more than this share of sends on them is
+	reapTimes  = 2.0        // lost, plus this multiple of the share lost on connections in use
+	reapLife   = 10_000_000 // us, half-life of these samples
 
 	// Probes.
-	probeLoss = 0.05      // share of parts without an answer that makes them worth their cost
-	sweepSpan = 3_000_000 // us that one look at all replicas takes
+	probeLoss = 0.05      // share of unanswered parts above which probes are worth their cost
+	sweepSpan = 3_000_000 // us in which all replicas are probed once
 
-	noteSlow, noteWell    = 3.0, 1.5 // times the mean time per part: reported as avoided, as used again
-	sweep                 = 10_000   // us between looks at the open queries
-	advice                = 0.3      // of the shortest aim is the longest advice, half of it the shortest
-	patienceSlack         = 50_000.0 // us that a client's own time may differ from what others wait
-	stepShare, stepDelays = 0.5, 2.0 // of the aim, and hedge delays: the most that is left for a second step
-	aimMargin             = 0.03     // share of the aim kept for the way back to the client
-	tolerance             = 5e-5     // by which a sum of weights may fall short
+	noteSlow, noteWell    = 3.0, 1.5 // multiples of the mean latency: reported as avoided, as used again
+	sweep                 = 10_000   // us between two passes over the open queries
+	advice                = 0.3      // share of the shortest aim: the longest retry advice; half is the shortest
+	patienceSlack         = 50_000.0 // us by which a client may wait less than others without counting as late
+	stepShare, stepDelays = 0.5, 2.0 // share of the aim, and hedge delays: the most reserved for a second step
+	aimMargin             = 0.03     // share of the aim reserved for the way back to the client
+	tolerance             = 5e-5     // absolute error allowed in a sum of part weights
 )
 
-// New returns an instance that starts now with these settings. The seed must differ between instances.
+// New returns an instance that starts now with the given settings. The seed must differ between instances.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	if err := s.check(); err != nil {
 		return nil, err
@@ -118,7 +121,7 @@
 	return b, nil
 }
 
-// Step takes the events of this moment in their order, appends the actions to out and returns it.
+// Step processes the events of this moment in order, appends the resulting actions to out and returns it.
 func (b *Balancer) Step(now Micros, events []Event, out []Action) []Action {
 	b.now, b.out = max(now, b.now), out
 	b.steps++
@@ -214,17 +217,17 @@
 	}
 }
 
-// limit keeps a query within the life of an instance that ends: what is not served by then gets its final
-// answer while there is still somebody to give it.
+// capDeadline limits the aim and deadline of a query to the shutdown of this instance: a query that is not
+// served by then still gets its final answer while the process exists.
 func (b *Balancer) limit(q *query) {
 	if b.until > 0 {
 		q.deadline, q.aim = min(q.deadline, b.until), min(q.aim, b.until)
 	}
 }
 
-// age finds out whether a query repeats one whose aim has passed, so that it earns its late worth at most.
-// Clients wait the same share of a class's time for each try, or what is left of it: who waits less began
-// earlier.
+// detectLateRepeat finds out whether a query repeats one whose aim has passed, so that it earns at most
+// its late worth. Clients wait the same share of a class's deadline for each try, or what is left of it,
+// so a client that waits less has started earlier.
 func (b *Balancer) age(q *query, repeat bool) {
 	c := q.rules
 	left := q.deadline - b.now
@@ -235,16 +238,16 @@
 	q.late = q.deadline-c.Deadline+c.Aim <= b.now
 }
 
-// list takes in what discovery says of the replicas.
+// applyList updates the replicas from a List event.
 func (b *Balancer) list(e *Event) {
 	if e.Mode != Cached && e.Mode != Local {
 		b.asked = false
 		b.watching = e.Mode != Failed
-		b.askGap = min(2*b.askGap, AskMost) // growing and random: it may be down
+		b.askGap = min(2*b.askGap, AskMost) // exponential back-off with jitter: discovery may be down
 		if b.watching || b.askGap == 0 {
 			b.askGap = AskAgain
 		}
-		if b.s.MustAsk > 0 { // after a failed call four times that may pass
+		if b.s.MustAsk > 0 { // up to four times this may pass after a failed call
 			b.askGap = min(b.askGap, b.s.MustAsk)
 		}
 		b.askAt = b.now + b.askGap/2 + b.rng.Int64N(b.askGap/2+1)
@@ -254,14 +257,14 @@
 	}
 	if e.Mode != Delta && e.Mode != Local {
 		for _, r := range b.replicas {
-			r.State = Gone // unless the list names it below
+			r.State = Gone // unless the list contains it, see below
 		}
 	}
 	for _, l := range e.Replicas {
-		if l.Size = min(1e9, l.Size); !(l.Size > 0) { // absent or absurd: no size may break a sum
+		if l.Size = min(1e9, l.Size); !(l.Size > 0) { // sums must stay finite and positive
 			l.Size = 1e-9
 		}
-		l.Started = min(l.Started, b.now) // a clock ahead of ours means just now
+		l.Started = min(l.Started, b.now) // a time in the future, by a clock ahead of ours, means now
 		r := b.byID[l.ID]
 		if r == nil {
 			r = &replica{classes: make([]tally, len(b.s.Classes))}
@@ -283,22 +286,25 @@
 	b.index()
 }
 
-// restart begins a replica's record anew. What may be sent it while it is cold begins at a random level: many
-// instances that hear of a start together must neither send together at once nor come ripe together later.
+// resetReplica discards what is known of a replica after its restart. Its tokens, which limit the parts it
+// may receive while it is cold, start at a random level: instances that learn of a restart at the same
+// time must neither all send at once nor all accumulate their next token at the same time later.
 func (b *Balancer) restart(r *replica, at Micros) {
 	r.weight, r.lost, r.down, r.own, r.pool = midWeight, false, false, tally{}, tally{}
 	clear(r.classes)
 	r.start, r.tokens, r.updated, r.refilled = at, b.rng.Float64(), b.now, b.now
 }
 
-// saw books the time that a part took at a replica. Where there is no answer it is what it took at the least.
+// recordLatency records the latency of a part at a replica. For a part without an answer it is the time
+// waited so far, a lower bound.
 func (b *Balancer) saw(r *replica, class int, took float64) {
 	b.blame(r, class, took)
 	b.all.decay(b.now, b.life)
 	b.all.add(min(took, b.minAim), 1)
 }
 
-// blame books it for the replica alone: what fails at once tells nothing of how long parts take elsewhere.
+// recordReplicaLatency records a latency for the replica only, not in the mean of all replicas: immediate
+// failures say nothing about the latency elsewhere.
 func (b *Balancer) blame(r *replica, class int, took float64) {
 	b.fade(r)
 	r.classes[class].add(min(took, b.minAim), 1)
@@ -306,17 +312,19 @@
 	r.pool.add(min(took, b.minAim), 1)
 }
 
-// pace is the mean time per part. Without news it fades: what keeps an instance from sending must not last.
+// meanLatency returns the mean latency per part over all replicas. Without new samples it decays towards
+// its initial value, because a value that keeps an instance from sending must not persist.
 func (b *Balancer) pace() float64 {
 	b.all.decay(b.now, b.life)
 	return (b.all.sum + pacePrior*firstCost*b.minAim) / (b.all.n + pacePrior)
 }
 
-// mix finds how old evidence may get, and for how many instances' evidence a peer's message stands. Of many
-// instances each meets a replica seldom, but together they meet it often: evidence ages as fast as messages
-// spread it to all of them, and what a message says counts by how many are mixed in it. Where there are so
-// many replicas that messages are no faster than forgetting they bring no news, and all would act on the past
-// together.
+// updateEvidenceScale sets the half-life of latency samples, and how many instances' samples a peer's
+// message represents. In a large fleet each instance uses a replica rarely, but together they use it
+// often: samples decay as fast as messages spread them to all instances, and a message weighs by the
+// number of instances mixed into it. With so many replicas that messages spread no faster than samples
+// decay, messages carry no news, and all instances would act together on outdated samples; they then weigh
+// as in a small fleet.
 func (b *Balancer) mix() {
 	peers := max(1, float64(b.s.Peers))
 	turn := tellGap * max(1, float64(len(b.replicas))*entrySize/maxMessage) // between messages on one replica
@@ -327,7 +335,7 @@
 	}
 }
 
-// fade forgets with time what was seen of a replica.
+// decayEvidence decays the latency samples of a replica to the present.
 func (b *Balancer) fade(r *replica) {
 	r.own.decay(b.now, b.life)
 	r.pool.decay(b.now, b.life)
@@ -336,10 +344,10 @@
 	}
 }
 
-// expect is the time that a part of a class is expected to take at a replica, waiting included. Own outcomes
-// outrank all else, and those of the class the others: one may be left unanswered while others are served. Of
-// many instances each meets a replica seldom, and its own evidence is old: what they have seen together
-// counts by how many of them it stands for.
+// expectedLatency returns the expected latency of a part of a class at a replica, queueing included. Own
+// samples outweigh all others, and own samples of the class outweigh those of other classes: a replica may
+// serve some classes and leave another unanswered. In a large fleet own samples are few and old, so the
+// samples shared by peers weigh by the number of instances that they represent.
 func (b *Balancer) expect(r *replica, class int) float64 {
 	b.fade(r)
 	heed, c := b.heed*peerTrust/(1+r.own.n), r.classes[class]
@@ -347,8 +355,9 @@
 		(1 + ownTrust*(r.own.n+classTrust*c.n) + heed*r.pool.n)
 }
 
-// probe looks at replicas that we have seen little of lately, while a good share of our parts gets no answer.
-// The fault may lie between us and some of them, and peers' experience then misleads.
+// sendProbes probes replicas with few recent own samples while a significant share of our parts gets no
+// answer. The fault may be on the path between this instance and some replicas, in which case the peers'
+// samples are misleading.
 func (b *Balancer) probe() {
 	if !b.s.CanProbe || b.now < b.probeAt || b.lossShare < probeLoss || len(b.replicas) == 0 {
 		return
@@ -364,8 +373,9 @@
 	b.probeAt = b.now + sweepSpan/Micros(len(b.replicas))
 }
 
-// probeEnd books a probe. A pass counts as what it took, at least as a part that did not wait, and as nothing
-// against parts that went unanswered: it may tell of the path only.
+// recordProbe records the result of a probe. A success counts as a sample of its duration, at least that
+// of a part without queueing. It is ignored if the last part decided there went unanswered, because it may
+// show only that the path works.
 func (b *Balancer) probeEnd(e *Event) {
 	r := b.byID[e.Replica]
 	if r == nil {
@@ -381,8 +391,9 @@
 	}
 }
 
-// tell gives half of the tally of some replicas to a peer drawn at random. That mixes until every instance
-// holds about the mean of what all have seen; a lost message takes weight from all alike, so the mean stands.
+// sendGossip sends half of the sample weight of some replicas to a randomly chosen peer. This averages
+// until every instance holds about the mean of all samples. A lost message removes weight from all samples
+// in it alike, so the mean is unaffected.
 func (b *Balancer) tell() {
 	if !b.s.CanTell || b.s.Peers < 2 || len(b.replicas) == 0 || b.now < b.tellAt {
 		return
@@ -409,7 +420,8 @@
 	}
 }
 
-// hear takes in a peer's message. Whatever it says is bounded, and own outcomes outrank it.
+// mergeGossip adds a peer's message to the shared samples. Values and weights are bounded, and own samples
+// outweigh them.
 func (b *Balancer) hear(data []byte) {
 	entries(data, func(h uint32, took, n float64) {
 		if r := b.byHash[h]; r != nil {
@@ -422,9 +434,9 @@
 	})
 }
 
-// chance is a replica's part in the draw: the design's weight, times listed size, over its expected time. It
-// grows with the parts that could share a call there, where calls cost, and falls for other zones, where
-// crossing does.
+// drawWeight returns the weight of a replica in the random draw: its replica weight times its listed size,
+// divided by a power of its expected latency. It grows with the number of parts that could share a call
+// there if calls have a cost, and is reduced for other zones if crossing has a cost.
 func (b *Balancer) chance(r *replica, class int) float64 {
 	c := r.weight * r.Size * math.Pow(b.minAim/max(b.expect(r, class), 1), speedPower)
 	if r.Zone != b.s.Zone && b.s.CrossCost > 0 {
@@ -436,9 +448,10 @@
 	return c
 }
 
-// reaped tells that connections are dropped unseen while idle: what is sent on an idle one is lost far more
-// often than on one in use. That is no replica's fault, and closing it before a send opens a sound one. It
-// costs handshakes for a while where a silent replica merely happens to be met on idle connections.
+// idleDropsDetected reports whether connections are silently dropped while idle: sends on idle connections
+// are lost far more often than sends on connections in use. The replica is not at fault, and closing the
+// idle connection before a send opens a working one. If a silent replica is merely met on idle connections
+// more often, this costs unnecessary handshakes for a while.
 func (b *Balancer) reaped() bool {
 	b.idle.decay(b.now, reapLife)
 	b.busy.decay(b.now, reapLife)
@@ -446,7 +459,8 @@
 	return rate(&b.idle) > reapLoss+reapTimes*rate(&b.busy)
 }
 
-// reaps books whether an attempt was lost, and tells whether the connection is to blame for it.
+// recordConnLoss records whether an attempt was lost (1) or not (0), and reports whether the connection
+// rather than the replica is to blame for a loss.
 func (b *Balancer) reaps(t *attempt, lost float64) bool {
 	blame := b.reaped() && t.stale
 	if t.stale {
@@ -457,7 +471,7 @@
 	return blame
 }
 
-// settle books the end of an attempt.
+// recordResult records the end of an attempt.
 func (b *Balancer) settle(p *part, t *attempt, e *Event) {
 	b.release(p, t)
 	r, c := t.r, &b.classes[p.q.class]
@@ -468,18 +482,19 @@
 	switch e.Outcome {
 	case OK:
 		b.vain -= b.vain / vainParts
-	case Error, Busy, Spoilt: // silence takes no room that others could have
+	case Error, Busy, Spoilt: // time-outs are left out: an unanswered part takes no capacity from others
 		b.vain += (1 - b.vain) / vainParts
 	}
 	switch e.Outcome {
 	case OK:
-		if r.down && t.sent >= r.since { // back before the list says so; a full connection table looks alike
+		// Restarted before the list says so. A full connection table at the replica looks the same.
+		if r.down && t.sent >= r.since {
 			b.restart(r, b.now)
 		}
 		if !b.cold(r) {
 			b.served++
 		}
-		if age > c.delay { // the delay follows a quantile of the class's part latency
+		if age > c.delay { // the hedge delay tracks a quantile of the class's part latency
 			c.delay *= 1 + quantileGain*delayQuantile
 		} else {
 			c.delay *= 1 - quantileGain*(1-delayQuantile)
@@ -494,7 +509,7 @@
 			b.adjust(r, weightStep)
 		}
 	case Cancelled:
-		if age > b.expect(r, p.q.class) { // the other copy was faster, and this one is slow
+		if age > b.expect(r, p.q.class) { // another attempt was faster, and this one is slower than expected
 			b.saw(r, p.q.class, age/t.load())
 		}
 	case Error, Reset:
@@ -503,7 +518,7 @@
 		}
 		b.blame(r, p.q.class, lostTime*b.minAim)
 		b.adjust(r, -weightStep*lossError)
-	case Spoilt: // tells nothing of how fast it is: of a replica that only ever spoils the weight takes care
+	case Spoilt: // no latency sample; the weight drops for a replica that only sends malformed answers
 		b.adjust(r, -weightStep*lossTimeout)
 	case TimedOut:
 		if !t.overdue {
@@ -511,13 +526,14 @@
 		}
 	case NoConnection:
 		b.blame(r, p.q.class, lostTime*b.minAim)
-		if b.s.DialTimeout <= 0 || b.now-t.sent < b.s.DialTimeout { // refused, so its process is not there
+		// Refused rather than timed out: the process is not running.
+		if b.s.DialTimeout <= 0 || b.now-t.sent < b.s.DialTimeout {
 			r.down, r.since = true, b.now
 		}
 		b.adjust(r, -weightStep*lossRefused)
-	case Busy: // its queue is full: what we send now would wait behind all of that
+	case Busy: // its queue is full: a part sent now would wait behind all of it
 		b.saw(r, p.q.class, b.minAim)
-		r.pool.add(b.minAim, 1/b.crowd-1) // all peers meet the same queue at the same moment
+		r.pool.add(b.minAim, 1/b.crowd-1) // all peers see the same full queue at the same time
 		b.adjust(r, -weightStep*lossBusy)
 	}
 	if t.never = e.Outcome == Busy || e.Outcome == NoConnection || e.Outcome == NotSent; t.never {
@@ -534,7 +550,7 @@
 	}
 }
 
-// drop withdraws the attempts of a part that are still out: the first success cancels the others.
+// cancelAttempts cancels the attempts of a part that are still in flight.
 func (b *Balancer) drop(p *part) {
 	for i := range p.tries {
 		if p.tries[i].live && b.s.CanCancel {
@@ -543,7 +559,7 @@
 	}
 }
 
-// adjust decays a replica's weight toward the middle and then changes it.
+// adjustWeight decays a replica's weight towards midWeight and then changes it.
 func (b *Balancer) adjust(r *replica, by float64) {
 	keep := math.Exp2(-float64(b.now-r.updated) / halfLife)
 	r.weight = midWeight + (r.weight-midWeight)*keep
@@ -551,12 +567,13 @@
 	r.updated = b.now
 }
 
-// slots is the cap on our calls at a replica: what it has lately done in a share of the shortest aim.
+// slotLimit returns the maximum number of open calls to a replica: the number of parts that it is expected
+// to serve in slotLatencyShare of the shortest aim.
 func (b *Balancer) slots(r *replica, class int) int {
 	return int(min(maxCap, max(minCap, capShare*b.minAim/max(b.expect(r, class), 1))))
 }
 
-// shares returns what a whole answer and any answer need in the present step.
+// thresholds returns the weight required for a complete answer and for any answer in the current step.
 func (b *Balancer) shares(q *query) (need, floor float64) {
 	c := q.rules
 	need, floor = c.Need, c.Floor
@@ -569,7 +586,7 @@
 	return need - tolerance, floor - tolerance
 }
 
-// answer gives the answer of this step.
+// answer answers the current step of a query.
 func (b *Balancer) answer(q *query) {
 	need, _ := b.shares(q)
 	whole := q.got >= need && (!q.second || q.whole && q.in == len(q.parts))
@@ -582,8 +599,8 @@
 	b.end(q)
 }
 
-// giveUp gives the final answer of a query that cannot be served in full: what is in where that is enough,
-// else a refusal where nothing may have run or a repeat is safe, else a failure.
+// giveUp gives the final answer of a query that cannot be served completely: a partial answer if enough
+// parts are in; otherwise a refusal if no part may have run or a repeat is safe, and a failure if not.
 func (b *Balancer) giveUp(q *query, why string) {
 	_, floor := b.shares(q)
 	if q.got >= floor && q.in > 0 {
@@ -610,7 +627,7 @@
 	b.end(q)
 }
 
-// advance does what a query needs now.
+// advance takes the next actions for a query.
 func (b *Balancer) advance(q *query) {
 	need, floor := b.shares(q)
 	switch {
@@ -641,7 +658,7 @@
 		k.work += workGain * (float64(len(q.parts)) - k.work)
 	}
 	b.mark(q)
-	hope, under := 0.0, 0.0 // weight that can still come in, and that is in or well under way
+	hope, under := 0.0, 0.0 // weight that can still arrive; weight that has arrived or is on track
 	for _, p := range q.parts {
 		if p.done || p.live > 0 || len(p.tries) < q.most && b.mayRepeat(p) {
 			hope += p.weight
@@ -663,7 +680,7 @@
 				continue
 			}
 			if pass == 0 && need < 1-2*tolerance && !b.roomy(p) {
-				continue // where not every part is needed, those with a free replica go first
+				continue // if not every part is required, those with a free replica go first
 			}
 			if len(p.tries) < q.most && b.mayRepeat(p) && b.send(p, false) {
 				under += p.weight
@@ -677,8 +694,9 @@
 	}
 }
 
-// partialAt is when a query is answered from less than the whole. A first step leaves the second time for a
-// part and its copy: begun at the aim it would fail, and take what the first step earned with it.
+// partialAnswerAt returns when a query is answered partially. A first step leaves the second one time for
+// a part and a hedged attempt: a second step begun at the aim would fail, and the worth of the first step
+// would be lost with it.
 func (b *Balancer) partialAt(q *query) Micros {
 	if c := q.rules; c.SecondStep > 0 && !q.second {
 		return q.aim - Micros(min(stepShare*float64(c.Aim), stepDelays*b.classes[q.class].delay))
@@ -686,24 +704,24 @@
 	return q.aim
 }
 
-// worthLate tells that a query past its aim is worth going on with: its late worth over the parts that it
-// still needs beats what the best class earns a part in time. Given up, it would be asked for again, and late
-// too.
+// worthContinuing reports whether a query past its aim should continue: its late worth per part that it
+// still needs exceeds what the best class earns per part in time. If given up, the client would repeat the
+// query, and the repeat would be late too.
 func (b *Balancer) worthLate(q *query, floor float64) bool {
 	lacks := max(1, (floor-q.got)*float64(len(q.parts)))
 	return q.rules.LateWorth*b.value(q)*b.classes[q.class].work >= lacks
 }
 
-// admit tells whether a query is to be tried. In overload this keeps queues short: work that cannot earn is
-// turned away before it costs anything, the least worth for its work first. What is expected fades without
-// news, so an instance that turns all away tries again.
+// admit reports whether a query is to be served. Under overload this keeps queues short: work that cannot
+// earn its worth is refused before it costs anything, that of the least worth per work first. Expected
+// latencies decay without new samples, so an instance that refuses everything tries again.
 func (b *Balancer) admit(q *query) bool {
 	_, floor := b.shares(q)
 	waits := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
 		best := math.Inf(1)
 		b.holders(p.shard, func(r *replica) {
-			if b.admits(r) { // a part held for a cold replica would hold up all the others
+			if b.admits(r) { // a part that waits for a cold replica would delay the whole query
 				best = min(best, b.expect(r, q.class)*(float64(r.parts)+1+b.beside))
 			}
 		})
@@ -719,24 +737,25 @@
 	wait := waits[min(len(waits)-1, int(admitQuantile*floor*float64(len(waits))))]
 	few := min(1, admitPeers/float64(max(1, b.s.Peers)))
 	share := admitShare + admitAlone*few
-	// What was sent in vain is sent again, and takes room twice. Few see that in their own queues.
+	// Rejected parts are sent again and use capacity twice. In a small fleet that shows in the own queues.
 	share *= 1 - (1-few)*min(vainMost, vainCut*b.vain)
-	tail := math.Log(float64(len(q.parts)) / (1 + b.beside)) // by which the last needed part is later
+	// Relative delay of the last required part.
+	tail := math.Log(float64(len(q.parts)) / (1 + b.beside))
 	if floor < 1-2*tolerance {
 		tail = min(tail, -math.Log(1-floor))
 	}
-	// Two limits: queues are kept short against the classes' own aims, and a client that waits less than that
-	// is turned away only where it would hardly be served in its time.
+	// There are two limits: queues are kept short relative to the aims of the classes, and a query whose
+	// client waits less than that is refused only if it is unlikely to be served in that time.
 	left := float64(q.aim - b.now)
 	own := max(left, min(b.minAim, float64(q.rules.Aim)))
 	limit := min(share*min(b.minAim, own), admitTail*share*own/(1+tail))
-	last := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // it may be at a hot shard
+	last := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // possibly at a hot shard
 	return wait <= hopeShare*left &&
 		max(wait, last*limit/(hotShare*share*own)) <= limit*(admitLeast+(1-admitLeast)*b.value(q)) ||
-		b.denied > 0 && b.now-b.denied >= proveAfter // what peers tell may be old, or of others' way there
+		b.denied > 0 && b.now-b.denied >= proveAfter // peers' samples may be old, or of another path
 }
 
-// value is the worth of a query for its work, as a share of the best class's.
+// relativeWorth returns the worth of a query per unit of work, as a share of that of the best class.
 func (b *Balancer) value(q *query) float64 {
 	best, own := 1e-9, 0.0
 	for i := range b.s.Classes {
@@ -748,7 +767,7 @@
 		if !b.s.WorthByWork {
 			v /= max(1, b.classes[i].work)
 		}
-		// Of a class that was not met yet the parts are not known.
+		// The number of parts of a class is unknown until its first query.
 		if i == q.class || !c.Dropped && (b.s.WorthByWork || b.classes[i].work > 0) {
 			best = max(best, v)
 		}
@@ -765,9 +784,10 @@
 	return own / best
 }
 
-// overShare tells that a tenant asks for more than its quota, as far as one instance can tell. Callers are
-// uneven, so this one's rate times the peers counts only for a tenant that also has more than its part of the
-// traffic here; far more than its part counts by itself. It might hurt where tenants use different instances.
+// overQuota reports whether a tenant exceeds its quota, as far as one instance can tell. Callers are
+// distributed unevenly, so the local rate times the number of peers counts only for a tenant that also has
+// more than its share of the local traffic; far more than its share counts by itself. This can be wrong if
+// tenants use different instances.
 func (b *Balancer) overShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(b.tenants) || b.s.Tenants[tenant].Quota <= 0 {
 		return false
@@ -778,13 +798,14 @@
 		quotas += b.s.Tenants[i].Quota
 	}
 	own, quota := float64(b.tenants[tenant].count(since)), b.s.Tenants[tenant].Quota
-	part := own / all * quotas / quota // its part of the traffic here over its part of the quotas
+	part := own / all * quotas / quota // its share of the local traffic over its share of the quotas
 	over := own*float64(max(1, b.s.Peers)) > quota*quotaSpan/1e6
 	return part > overPart && over || part > farOver && own > quotaLeast
 }
 
-// sound tells that a part has an attempt out that is not overdue, or, where other parts may stand in for it
-// and are free of the budget, not even past the hedge delay.
+// onTrack reports whether a part has an attempt in flight that is not overdue. If strict, the attempt must
+// not have reached the hedge delay either: other parts can replace this one, without using the retry
+// budget.
 func (b *Balancer) sound(p *part, strict bool) bool {
 	for i := range p.tries {
 		t := &p.tries[i]
@@ -795,8 +816,8 @@
 	return false
 }
 
-// mark finds the attempts that are overdue and counts each as a time-out at once: a replica that takes
-// parts and answers none would else be found only at the deadline.
+// markOverdue finds the attempts that are overdue and counts each as timed out immediately. Otherwise a
+// replica that accepts parts and answers none would be detected only at the deadline.
 func (b *Balancer) mark(q *query) {
 	limit := min(overdueFactor*b.classes[q.class].delay, overdueShare*float64(q.rules.Aim))
 	for _, p := range q.parts {
@@ -816,7 +837,7 @@
 	}
 }
 
-// mayRepeat tells whether the class allows another attempt of a part.
+// mayRepeat reports whether the class allows another attempt of a part.
 func (b *Balancer) mayRepeat(p *part) bool {
 	c := p.q.rules
 	if p.ran == 0 || c.Effect == Safe {
@@ -825,7 +846,7 @@
 	return c.Effect == Keyed && b.now < p.ran+c.Window
 }
 
-// hedge copies a part that has waited past the delay.
+// hedge sends another attempt of a part that has waited longer than the hedge delay.
 func (b *Balancer) hedge(p *part) {
 	q := p.q
 	last := p.tries[len(p.tries)-1]
@@ -844,7 +865,8 @@
 	b.send(p, true)
 }
 
-// budget tells whether one more attempt beyond a part's first keeps the told budget.
+// withinRetryBudget reports whether the settings' retry budget allows one more attempt beyond a part's
+// first.
 func (b *Balancer) budget() bool {
 	if b.s.ResendSpan <= 0 {
 		return true
@@ -854,7 +876,7 @@
 	return float64(b.extras.count(since)+1) <= allowed
 }
 
-// send starts an attempt of a part if a replica may have it and the budget allows.
+// send starts an attempt of a part if the budget allows it and a replica is available.
 func (b *Balancer) send(p *part, copied bool) bool {
 	if len(p.tries) > 0 {
 		if !b.budget() {
@@ -872,7 +894,7 @@
 		b.copies.add(b.now)
 	}
 	b.denied = 0
-	r.tokens-- // it counts while the replica is cold
+	r.tokens-- // only relevant while the replica is cold
 	if !b.joins(r) {
 		r.open = &call{step: b.steps, before: r.parts}
 		r.tokens -= float64(b.s.CallCost) / (firstCost * b.minAim)
@@ -908,14 +930,14 @@
 	return true
 }
 
-// cold tells that a replica may still be starting.
+// isCold reports whether a replica may still be warming up.
 func (b *Balancer) cold(r *replica) bool {
 	return r.start > 0 && b.now-r.start < b.s.Ramp
 }
 
-// gauge remembers what warm replicas have served this instance, per unit of listed size: the guide to what a
-// cold one can take, held well past the present, as after a mass restart there is nothing warm to compare
-// with.
+// updateCapacity tracks how many parts per unit of listed size the warm replicas have served this
+// instance, as an estimate of the capacity of a cold one. It is kept long beyond the present because after
+// a mass restart no warm replica is left to compare with.
 func (b *Balancer) gauge() {
 	if b.now < b.gaugeAt {
 		return
@@ -929,7 +951,7 @@
 	b.carried *= math.Exp2(-float64(gaugeSpan) / carriedLife)
 	b.usualSize = max(size, b.usualSize*math.Exp2(-float64(gaugeSpan)/carriedLife))
 	n := b.served
-	if n < gaugeParts { // by its root a count differs by chance, which adds up over many peers
+	if n < gaugeParts { // the standard error of a count is its square root, and adds up over many peers
 		n -= max(0, 1-gaugeCrowd/b.crowd) * math.Sqrt(n)
 	}
 	if b.counted++; b.usualSize > 0 {
@@ -941,12 +963,12 @@
 	b.gaugeAt = b.now + gaugeSpan
 	b.report()
 	for _, w := range []*window{&b.taken, &b.extras, &b.copies} {
-		w.count(b.now - b.span) // forget what no limit looks at any more
+		w.count(b.now - b.span) // discard what no limit considers any more
 	}
 }
 
-// report writes what operators want to know, in two lines a gauge at most: a replica that is avoided and used
-// again, overload begun and ended.
+// reportChanges logs for operators, with at most two lines per capacity span, that a replica is avoided or
+// used again and that overload has begun or ended.
 func (b *Balancer) report() {
 	if over := b.refused > 0; over != b.overload {
 		b.overload = over
@@ -965,8 +987,8 @@
 	}
 }
 
-// Avoided counts the replicas that could get work and are avoided at present: what report tells of, but at
-// once.
+// AvoidedCount returns the number of replicas that are ready and currently avoided: those that
+// reportChanges logs, but without its delay and hysteresis.
 func (b *Balancer) Avoided() int {
 	n, usual := 0, b.pace()
 	for _, r := range b.replicas {
@@ -977,10 +999,10 @@
 	return n
 }
 
-// admits tells whether a cold replica may have one more part: no more than its share of what a like warm one
-// has served this instance. The share climbs from the one told for the start, evenly over the ramp: a replica
-// is never slower than that.
-// Each instance keeps that by itself, so all together they keep it too.
+// coldBudgetAllows reports whether a replica that may be cold can receive one more part: at most its share
+// of what a warm one of the same size has served this instance. The share rises linearly over the ramp,
+// from ColdShare; a replica never warms up more slowly than that. Each instance keeps to its own share, so
+// all of them together do too.
 func (b *Balancer) admits(r *replica) bool {
 	if !b.cold(r) {
 		return true
@@ -994,7 +1016,7 @@
 	return r.tokens >= 1
 }
 
-// roomy tells that a replica of the part's shard has a free slot.
+// hasFreeReplica reports whether a replica of the part's shard has a free slot.
 func (b *Balancer) roomy(p *part) bool {
 	found := false
 	b.holders(p.shard, func(r *replica) {
@@ -1003,8 +1025,9 @@
 	return found
 }
 
-// pick chooses the replica for an attempt: by weight among those with a free slot; when all are full, the
-// one with the fewest of our calls out; last one that has failed this part before.
+// pickReplica chooses the replica for an attempt: a weighted random one among those with a free slot; if
+// none has one, the one with the shortest expected wait; a replica that has already failed this part only
+// as a last resort.
 func (b *Balancer) pick(p *part, copied bool) *replica {
 	b.free = b.free[:0]
 	var least, last, shared *replica
@@ -1012,9 +1035,9 @@
 	domain, bound := p.bound()
 	b.holders(p.shard, func(r *replica) {
 		if b.adjust(r, 0); bound && r.Domain != domain {
-			return // a repeat would be executed there
+			return // a replica of another domain would execute the repeat
 		}
-		failed := false // it has failed this part before
+		failed := false // it has already failed this part
 		for i := range p.tries {
 			if p.tries[i].r == r && (p.tries[i].live || copied) {
 				return
@@ -1044,7 +1067,7 @@
 		}
 	})
 	if shared != nil {
-		return shared // it costs the parts there no call of its own
+		return shared // the part needs no call of its own
 	}
 	if len(b.free) > 0 {
 		x := b.rng.Float64() * total
@@ -1056,7 +1079,7 @@
 		return b.free[len(b.free)-1]
 	}
 	if copied && !(p.tries[len(p.tries)-1].overdue && soonest <= float64(p.q.aim-b.now)) {
-		return nil // a copy waits behind others only for a part that is else lost: it would just add load
+		return nil // queueing a hedged attempt would only add load, unless the part is otherwise lost
 	}
 	if least != nil {
 		return least
--- a/balance/message.go
+++ b/balance/message.go
@@ -5,23 +5,23 @@
 	"math"
 )
 
-// The form of a message between peers: a byte of check, then entries of five bytes: three of the hash of a
-// replica's id, one of its time per part and one of the count that stands behind it.
+// A message between peers consists of a checksum byte and entries of five bytes: three of the hash of a
+// replica's ID, one of its latency per part and one of the sample weight behind that.
 
 const (
 	maxMessage = 256
 	entrySize  = 5
-	timeUnit   = 1_000.0 // us, the least time that an entry can name
-	timeSteps  = 16.0    // for each doubling
-	countSteps = 16.0    // for each part
+	timeUnit   = 1_000.0 // us, the smallest latency that an entry can encode
+	timeSteps  = 16.0    // per doubling of the latency
+	countSteps = 16.0    // per sample
 )
 
 type message struct {
 	b    []byte
-	most int // bytes; 0: maxMessage
+	most int // maximum size in bytes; 0: maxMessageSize
 }
 
-// add writes an entry and reports whether its count is large enough to be written.
+// add appends an entry. It returns false if the message is full or n is too small to be encoded.
 func (m *message) add(h uint32, took, n float64) bool {
 	c := byte(min(255, n*countSteps))
 	if c == 0 || m.full() {
@@ -39,7 +39,7 @@
 	return len(m.b)+entrySize > min(maxMessage, cmp.Or(m.most, maxMessage))
 }
 
-// text closes the message; it is empty where nothing was added.
+// encode sets the checksum and returns the message; it is empty if nothing was added.
 func (m *message) text() string {
 	if len(m.b) > 0 {
 		m.b[0] = check(m.b[1:])
@@ -47,7 +47,8 @@
 	return string(m.b)
 }
 
-// entries calls f for each entry. A message that is cut, or does not fit its check, has none.
+// forEachEntry calls f for each entry of a message. It ignores a message that is truncated or has a wrong
+// checksum.
 func entries(b []byte, f func(h uint32, took, n float64)) {
 	if len(b)%entrySize != 1 || check(b[1:]) != b[0] {
 		return
@@ -58,7 +59,7 @@
 	}
 }
 
-// hash shortens a replica's id.
+// replicaHash shortens a replica's ID to 24 bits.
 func hash(id ReplicaID) uint32 { return uint32(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
 
 func check(b []byte) byte {
--- a/balance/state.go
+++ b/balance/state.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 )
 
-// The plain types of an instance's state. Nothing here decides or is tuned.
+// The state of an instance and its bookkeeping. Decisions and tuned constants are in balance.go.
 
-// Balancer is one co-ordinator's decisions. It is not safe for concurrent use.
+// Balancer makes the decisions of one coordinator. It is not safe for concurrent use.
 type Balancer struct {
 	s          Settings
 	rng        *rand.Rand
@@ -16,47 +16,47 @@
 	steps      int
 	replicas   []*replica
 	byID       map[ReplicaID]*replica
-	byHash     map[uint32]*replica // by the hash that messages name it by
-	tellAt     Micros              // next message to a peer
-	tellNext   int                 // replica that was told of last
-	idle, busy tally               // attempts lost, of those on idle connections and on others
-	refused    int                 // by admission since the last gauge
-	denied     Micros              // since when queries were refused and nothing was sent; 0: they are not
-	overload   bool                // reported
-	lossShare  float64             // EWMA of attempts that got no timely answer
-	vain       float64             // EWMA of attempts that were answered, but not served
+	byHash     map[uint32]*replica // by the hash used in messages
+	tellAt     Micros              // time of the next message to a peer
+	tellNext   int                 // index of the replica reported last
+	idle, busy tally               // share of attempts lost on idle connections, and on those in use
+	refused    int                 // queries refused by admission since the last capacity update
+	denied     Micros              // since when all queries have been refused and nothing sent; 0: not the case
+	overload   bool                // overload was reported
+	lossShare  float64             // EWMA of the share of attempts without an answer in time
+	vain       float64             // EWMA of the share of answered attempts that were rejected or failed
 	probeAt    Micros
-	probeNext  int // replica that was looked at last
+	probeNext  int // index of the replica considered last
 	cells      [][]*replica
 	queries    []*query
 	byQuery    map[uint32]*query
 	byNumber   map[float32]*query
 	parts      map[uint32]*part
 	classes    []class
-	taken      window   // queries and parts
-	tenants    []window // queries of each
+	taken      window   // arrivals of queries and parts
+	tenants    []window // arrivals of each tenant's queries
 	extras     window   // attempts beyond a part's first
 	copies     window
-	served     float64 // successes of warm replicas while they are counted
-	counted    int     // spans that the count has lasted
-	span       Micros  // that limits of further attempts look at
+	served     float64 // successes of warm replicas in the current count
+	counted    int     // capacity spans covered by the current count
+	span       Micros  // sliding span that the limits on further attempts consider
 	gaugeAt    Micros
-	carried    float64 // parts a us and unit of size that warm replicas have served us
-	usualSize  float64 // of all warm replicas
+	carried    float64 // parts per us and unit of size that warm replicas have served this instance
+	usualSize  float64 // total size of the warm replicas, decaying
 	out        []Action
-	patience   float64 // largest share of a class's time that a client was seen to wait for a try
-	beside     float64 // EWMA of the other parts in a part's call
+	patience   float64 // largest share of a class's deadline that a client has waited for a try
+	beside     float64 // EWMA of the number of other parts in a part's call
 	wakeAt     Micros
-	asked      bool // a list call is out
+	asked      bool // a list call is pending
 	watching   bool
 	askAt      Micros
-	askGap     Micros // wait after the next failure, twice the last one
-	minAim     float64
-	crowd      float64 // peers for each of a few, at least 1
-	heed       float64 // the same of those whose evidence a message stands for
-	life       float64 // us in which half of what was seen of a replica's speed is forgotten
-	until      Micros  // no query is held beyond this, as the instance ends; 0: it does not
-	all        tally   // time per part over all replicas
+	askGap     Micros  // delay after the next failure, twice the previous one
+	minAim     float64 // shortest aim of all classes
+	crowd      float64 // number of peers as a multiple of smallFleet, at least 1
+	heed       float64 // the same for the number of peers whose samples a message represents
+	life       float64 // us, half-life of latency samples
+	until      Micros  // shutdown time, beyond which no query is held; 0: none
+	all        tally   // latency per part over all replicas
 	free       []*replica
 }
 
@@ -64,27 +64,27 @@
 	Replica
 	weight   float64
 	updated  Micros // when weight was last decayed
-	calls    int    // our calls out, the slots in use
-	parts    int    // and the parts in them
-	wanted   int    // parts of the query at hand that it could be sent
-	wantedAt int    // the Step of that count
-	start    Micros // when it last started, as listed or as seen here; 0: long ago
-	down     bool   // its process was found dead, and has served nothing since
-	since    Micros // when that was last seen
+	calls    int    // our calls in flight, i.e. the slots in use
+	parts    int    // our parts in flight
+	wanted   int    // number of parts of the current query that it could be sent
+	wantedAt int    // Step in which wantedParts was counted
+	start    Micros // time of the last start, as listed or observed; 0: long ago
+	down     bool   // its process refused connections and has served nothing since
+	since    Micros // when a connection was last refused
 	tokens   float64
 	refilled Micros
-	used     Micros  // when our connection to it last carried something
-	noted    bool    // reported as avoided
-	lost     bool    // the last part that was decided went unanswered
-	own      tally   // time per part as seen here
+	used     Micros  // when our connection to it was last used
+	noted    bool    // it was reported as avoided
+	lost     bool    // the last part decided there went unanswered
+	own      tally   // latency per part as measured by this instance
 	classes  []tally // the same for each class
-	pool     tally   // as seen by all, as far as messages have spread it
-	open     *call   // the call that further sends of this Step may share
+	pool     tally   // latency per part as shared among all instances
+	open     *call   // call that further sends of this Step may share
 }
 
 type call struct {
 	step, sent, live int
-	before           int // parts out at the replica when the call began
+	before           int // our parts in flight at the replica when the call began
 }
 
 type attempt struct {
@@ -95,7 +95,7 @@
 	never   bool // proved not to have run
 	overdue bool
 	stale   bool // sent on a connection that had been idle
-	domain  int  // of its replica at that time
+	domain  int  // domain of its replica when it was sent
 }
 
 type part struct {
@@ -106,35 +106,35 @@
 	done   bool
 	tries  []attempt
 	live   int
-	ran    Micros // when the first attempt was sent that may have run; 0: none
+	ran    Micros // when the first attempt that may have run was sent; 0: none
 }
 
 type query struct {
 	id       uint32
 	number   float32
 	class    int
-	rules    *Class // that it began with; what is changed later binds later queries
-	most     int    // attempts for one part
+	rules    *Class // rules in force when it arrived; later changes apply to later queries
+	most     int    // maximum attempts for one part
 	tenant   int
 	aim      Micros
 	deadline Micros
 	parts    []*part
-	got      float64 // weight of the parts that are in
+	got      float64 // weight of the parts that were answered
 	in       int
 	second   bool
-	whole    bool // the first step's answer was whole
+	whole    bool // the first step's answer was complete
 	ended    bool
 	admitted bool
 	began    bool
-	late     bool // a repeat of one whose aim has passed
+	late     bool // it repeats a query whose aim has passed
 }
 
 type class struct {
-	delay float64 // tracked quantile of part latency, us
-	work  float64 // EWMA of the parts that a query needs
+	delay float64 // us, tracked quantile of part latency after which a part is hedged
+	work  float64 // EWMA of the number of parts per query; 0: no query yet
 }
 
-// tally sums what was seen, older entries counting less.
+// decayingMean is the sum and the number of samples, both of which decay exponentially.
 type tally struct {
 	sum, n float64
 	at     Micros
@@ -150,7 +150,7 @@
 	t.n += n
 }
 
-// window counts moments within a sliding span, which only ever moves forward.
+// slidingWindow counts events within a span of time that only moves forward.
 type window struct {
 	at   []Micros
 	head int
@@ -158,8 +158,8 @@
 
 func (w *window) add(t Micros) { w.at = append(w.at, t) }
 
-// count forgets the moments before since and returns how many are left. What is kept moves at most once,
-// so the cost of an event does not grow with what the span holds.
+// count discards the times before since and returns the number of the remaining ones. The remaining times
+// are copied at most once, so the cost per event does not grow with the number of events in the span.
 func (w *window) count(since Micros) int {
 	for w.head < len(w.at) && w.at[w.head] < since {
 		w.head++
@@ -171,7 +171,7 @@
 	return len(w.at) - w.head
 }
 
-// recount finds again when the first attempt that may have run was sent.
+// updateFirstRun determines when the first attempt that may have run was sent.
 func (p *part) recount() {
 	p.ran = 0
 	for i := range p.tries {
@@ -181,7 +181,8 @@
 	}
 }
 
-// bound is the domain that a keyed part may have run in, if any: no other knows of its repeats.
+// boundDomain returns the domain in which a keyed part may have run, if any: no other domain would
+// recognize its repeats.
 func (p *part) bound() (domain int, bound bool) {
 	if p.q.rules.Effect != Keyed {
 		return 0, false
@@ -194,7 +195,7 @@
 	return 0, false
 }
 
-// release frees the slot of an attempt.
+// release frees the slot of a finished attempt.
 func (b *Balancer) release(p *part, t *attempt) {
 	t.live = false
 	p.live--
@@ -208,7 +209,7 @@
 	}
 }
 
-// holders calls f for every ready replica of a shard.
+// forEachHolder calls f for every ready replica of a shard.
 func (b *Balancer) holders(shard int, f func(*replica)) {
 	for j := range min(b.s.Reach, b.s.Cells) {
 		for _, r := range b.cells[((shard+j)%b.s.Cells+b.s.Cells)%b.s.Cells] {
@@ -217,7 +218,7 @@
 	}
 }
 
-// index sorts the replicas that may get work by cell, and all by the hash that messages name them by.
+// reindex groups the replicas that are ready by cell, and maps all of them by the hash used in messages.
 func (b *Balancer) index() {
 	for i := range b.cells {
 		b.cells[i] = b.cells[i][:0]
@@ -232,7 +233,7 @@
 	}
 }
 
-// end closes a query: nothing of it goes out any more.
+// end closes a query: no further attempt of it is sent.
 func (b *Balancer) end(q *query) {
 	q.ended = true
 	delete(b.byQuery, q.id)
@@ -242,7 +243,8 @@
 	b.close(q)
 }
 
-// close withdraws what the parts of a query still have out and forgets the parts that have nothing.
+// closeParts cancels the attempts of a query's parts that are in flight and removes the parts that have
+// none.
 func (b *Balancer) close(q *query) {
 	for _, p := range q.parts {
 		if !p.done {
@@ -256,7 +258,7 @@
 	q.parts = nil
 }
 
-// Memory is what the instance that takes this one's place has to know.
+// Memory returns the state for the successor of this instance.
 func (b *Balancer) Memory() Memory {
 	m := Memory{Carried: b.carried, UsualSize: b.usualSize, Starts: map[ReplicaID]Micros{}}
 	for _, r := range b.replicas {
@@ -267,8 +269,9 @@
 	return m
 }
 
-// adopt takes settings in. Classes keep their places; the records of new ones begin anew. What is open holds
-// on to the rules that it began with, which stand in the list of classes that was there before.
+// applySettings puts settings into force. Classes keep their indexes; new ones start without measurements.
+// Open queries keep the rules with which they arrived, because they point into the previous slice of
+// classes.
 func (b *Balancer) adopt(s *Settings) {
 	b.s = *s
 	b.s.BatchMax = max(1, s.BatchMax)
@@ -293,7 +296,7 @@
 	b.index()
 }
 
-// want counts for each replica the parts of a query that it could be sent now, in one call.
+// countWanted counts for each replica the parts of a query that could be sent to it now, in one call.
 func (b *Balancer) want(q *query) {
 	for _, p := range q.parts {
 		if !p.done && p.live == 0 {
@@ -307,15 +310,16 @@
 	}
 }
 
-// joins tells that a further part of this Step shares a call that is open to the replica.
+// sharesOpenCall reports whether a further part of this Step shares a call already opened to the replica.
 func (b *Balancer) joins(r *replica) bool {
 	return r.open != nil && r.open.step == b.steps && r.open.sent < b.s.BatchMax
 }
 
-// load is what a replica had to do for us until an attempt's end, in parts: those out before, and its call's.
+// load returns the number of our parts that the replica had to serve until the end of an attempt: those in
+// flight when its call began, and those of the call.
 func (t *attempt) load() float64 { return float64(t.call.before + t.call.sent) }
 
-// note writes a line for the operators.
+// note writes a log line for operators.
 func (b *Balancer) note(format string, args ...any) {
 	b.out = append(b.out, Action{Kind: Note, Text: fmt.Sprintf(format, args...)})
 }
