--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -8,7 +8,7 @@
 
 const ms = Micros(1000)
 
-// settings returns a plain deployment: one cell of replicas that hold every shard, one safe class.
+// settings returns a minimal deployment: one cell of replicas that hold every shard, and one safe class.
 func settings() Settings {
 	return Settings{
 		Classes: []Class{{Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, Need: 1, Floor: 1}},
@@ -18,7 +18,7 @@
 	}
 }
 
-// bench drives one instance by hand.
+// instance is a Balancer under test, driven step by step.
 type bench struct {
 	t   *testing.T
 	b   *Balancer
@@ -51,7 +51,7 @@
 	return k.out
 }
 
-// wait moves the clock on with a wake-up each sweep and returns all actions.
+// wait advances the clock, with a wake-up every 10 ms, and returns all actions.
 func (k *bench) wait(d Micros) []Action {
 	var all []Action
 	for end := k.now + d; k.now < end; {
@@ -61,7 +61,8 @@
 	return all
 }
 
-// query hands in a query of n equal parts on shards 0 and up; its id is returned, its parts' ids follow it.
+// query submits a query of n equal parts on shards 0 to n-1 and returns its ID; the IDs of its parts
+// follow it.
 func (k *bench) query(class, n int) uint32 {
 	id := k.ids + 1
 	k.ids += uint32(n) + 1
@@ -121,11 +122,11 @@
 	id := k.query(0, 1)
 	first := one(t, Send, k.out)
 	if got := of(Send, k.wait(240*ms)); len(got) != 0 {
-		t.Fatalf("copied before a quarter of the aim: %+v", got)
+		t.Fatalf("hedged before a quarter of the aim: %+v", got)
 	}
 	second := one(t, Send, k.wait(30*ms))
 	if second.Replica == first.Replica {
-		t.Fatal("the copy went to the same replica")
+		t.Fatal("the hedged attempt went to the same replica")
 	}
 	acts := k.result(id+1, 1, second.Replica, OK)
 	if c := one(t, Cancel, acts); c.Attempt != 0 || c.ID != id+1 {
@@ -183,8 +184,8 @@
 	}
 }
 
-// A keyed part that may have run in one domain is repeated there only, also when its replica has moved to
-// another one meanwhile: what it would be sent to has never heard of it.
+// A keyed part that may have run in one domain is repeated only there, even if its replica has since moved to
+// another domain: a replica of another domain would not recognize the repeat and would execute it.
 func TestKeyedRepeatStaysInItsDomain(t *testing.T) {
 	for _, effect := range []Effect{Keyed, Safe} {
 		s := settings()
@@ -222,7 +223,7 @@
 			}
 		}
 	}
-	// Of a part that never ran nothing is bound; and a replica that moved is in its new domain.
+	// A part that never ran is not bound to a domain, and a replica that moved counts as in its new one.
 	s := settings()
 	s.Classes[0].Effect, s.Classes[0].Window, s.MaxAttempts = Keyed, 2000*ms, 4
 	rs := ready(2)
@@ -232,12 +233,12 @@
 	first := one(t, Send, k.out).Replica
 	second := one(t, Send, k.result(id+1, 0, first, Busy)).Replica
 	if second == first {
-		t.Fatal("not sent to the other domain though it never ran")
+		t.Fatal("not sent to the other domain although it never ran")
 	}
 	rs[second-1].Domain = rs[first-1].Domain
 	k.step(Event{Kind: List, Mode: Delta, Replicas: rs})
 	if sends := of(Send, k.result(id+1, 1, second, Reset)); len(sends) != 0 {
-		t.Fatalf("repeated at %d, which never heard of it", sends[0].Replica)
+		t.Fatalf("repeated at replica %d of another domain", sends[0].Replica)
 	}
 }
 
@@ -275,7 +276,7 @@
 		k.now += 10 * ms
 	}
 	if per := warm / 3; cold > 0.5*per+2 {
-		t.Fatalf("cold got %v, a warm one %v", cold, per)
+		t.Fatalf("the cold replica got %v parts, a warm one %v", cold, per)
 	}
 }
 
@@ -292,7 +293,7 @@
 	k := start(t, settings())
 	k.query(0, 2)
 	if r := one(t, Refuse, k.out); r.After <= 0 {
-		t.Fatal("no retry advice")
+		t.Fatal("refusal without retry advice")
 	}
 }
 
@@ -303,7 +304,7 @@
 	id := k.query(0, 2)
 	k.result(id+1, 0, of(Send, k.out)[0].Replica, OK)
 	if a := one(t, Answer, k.wait(1000*ms)); a.Whole {
-		t.Fatal("a part of the answer was called whole")
+		t.Fatal("a partial answer was marked complete")
 	}
 }
 
@@ -314,7 +315,7 @@
 	id := k.query(0, 5)
 	sends := of(Send, k.out)
 	if len(sends) < 3 || len(sends) > 4 {
-		t.Fatalf("%d parts sent, want what is needed and one to spare", len(sends))
+		t.Fatalf("%d parts sent, want the required ones and one spare", len(sends))
 	}
 	for i, a := range sends[:3] {
 		k.result(a.ID, 0, a.Replica, OK)
@@ -331,12 +332,12 @@
 	k := start(t, s, ready(2)...)
 	id := k.query(0, 1)
 	if a := one(t, Answer, k.result(id+1, 0, one(t, Send, k.out).Replica, OK)); !a.Whole {
-		t.Fatal("first step not whole")
+		t.Fatal("first step not complete")
 	}
 	k.now += 5 * ms
 	acts := k.step(Event{Kind: Part, ID: 900, Number: float32(id), Weight: 1})
 	if a := one(t, Answer, k.result(900, 0, one(t, Send, acts).Replica, OK)); !a.Whole {
-		t.Fatal("second step not whole")
+		t.Fatal("second step not complete")
 	}
 }
 
@@ -350,7 +351,7 @@
 	order := []Outcome{OK, Busy, TimedOut, Error, NoConnection}
 	for i := 1; i < len(order); i++ {
 		if a, b := weight(order[i-1]), weight(order[i]); a <= b {
-			t.Errorf("outcome %d leaves weight %v, outcome %d %v", order[i-1], a, order[i], b)
+			t.Errorf("weight %v after outcome %d, %v after outcome %d", a, order[i-1], b, order[i])
 		}
 	}
 }
@@ -367,7 +368,8 @@
 	}
 }
 
-// A replica that takes parts and answers none is found when its first part is overdue, not at the deadline.
+// A replica that accepts parts and answers none is detected when its first part is overdue, not at the
+// deadline.
 func TestSilentReplicaGetsTrialsOnly(t *testing.T) {
 	k := start(t, settings(), ready(2)...)
 	toSilent := 0
@@ -390,11 +392,11 @@
 		}
 	}
 	if toSilent == 0 || toSilent > 200 {
-		t.Fatalf("%d of the last 800 parts went to the silent replica, want a few trials", toSilent)
+		t.Fatalf("%d of the last 800 parts went to the silent replica, want a few", toSilent)
 	}
 }
 
-// tries lists a part's attempts, none when it is no longer held.
+// attempts returns the attempts of a part, or none if the part is no longer held.
 func (b *Balancer) tries(id uint32) []attempt {
 	if p := b.parts[id]; p != nil {
 		return p.tries
@@ -412,13 +414,13 @@
 	k := &bench{t: t, b: b, now: 20_000 * ms}
 	one(t, Watch, k.step(Event{Kind: List, Mode: Cached, Replicas: ready(1)}))
 	if got := of(Watch, k.wait(500*ms)); len(got) != 0 {
-		t.Fatal("asked twice while a call is out")
+		t.Fatal("second list call while one is pending")
 	}
 	k.step(Event{Kind: List, Mode: Failed})
 	one(t, Watch, k.wait(1100*ms))
 	k.step(Event{Kind: List, Mode: Delta})
 	if got := of(Watch, k.wait(3000*ms)); len(got) != 0 {
-		t.Fatal("asked while subscribed")
+		t.Fatal("list call while subscribed")
 	}
 }
 
@@ -439,8 +441,8 @@
 	}
 }
 
-// New settings bind what comes after them: a query that is open keeps its class's rules and its number of
-// attempts, a class that comes has records of its own, and one that is dropped sets no scale any more.
+// New settings apply to later queries only: an open query keeps the rules of its class and its number of
+// attempts. A new class has its own measurements, and the aim of a dropped class is no longer considered.
 func TestChangedSettingsBindNewQueriesOnly(t *testing.T) {
 	k := start(t, settings(), ready(4)...)
 	open := k.query(0, 1)
@@ -452,24 +454,25 @@
 	s.Classes = append(s.Classes, Class{Aim: 400 * ms, Deadline: 800 * ms, Worth: 1, Need: 1, Floor: 1})
 	k.step(Event{Kind: Changed, Settings: &s})
 	if k.b.minAim != float64(400*ms) {
-		t.Errorf("the scale is %.0f us", k.b.minAim)
+		t.Errorf("the shortest aim is %.0f us", k.b.minAim)
 	}
 	second := k.query(1, 1)
 	sent := one(t, Send, k.out)
 	if got := of(Send, k.result(open+1, 0, first.Replica, Error)); len(got) != 1 {
-		t.Errorf("an open query may not be tried again: %+v", got)
+		t.Errorf("an open query is not retried: %+v", got)
 	}
 	if got := k.result(second+1, 0, sent.Replica, Error); len(of(Send, got)) != 0 || len(of(Refuse, got)) != 1 {
-		t.Errorf("one attempt is all that a new query has: %+v", got)
+		t.Errorf("a new query is not refused after its only attempt: %+v", got)
 	}
 	s.MaxAttempts = 0
 	k.step(Event{Kind: Changed, Settings: &s})
 	if k.b.s.MaxAttempts != 1 {
-		t.Error("settings that cannot be were taken")
+		t.Error("invalid settings were applied")
 	}
 }
 
-// A query may be bound by rules that differ from its class's, while it is not known by which it was asked.
+// A query can carry its own rules instead of those of its class. The host uses this while it cannot tell
+// which version of the rules the client assumed.
 func TestQueryWithRulesOfItsOwn(t *testing.T) {
 	k := start(t, settings(), ready(4)...)
 	rules := settings().Classes[0]
@@ -478,6 +481,6 @@
 		Event{Kind: Query, ID: 1, Number: 1, Weight: 1, Deadline: k.now + 3000*ms, Rules: &rules},
 		Event{Kind: Part, ID: 2, Number: 1, Weight: 1, Deadline: k.now + 3000*ms}))
 	if got := k.result(2, 0, sends[0].Replica, Error); len(of(Fail, got)) != 1 {
-		t.Fatalf("what may have run is tried again or refused: %+v", got)
+		t.Fatalf("a part that may have run is retried or refused: %+v", got)
 	}
 }
--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// ring returns a deployment where each cell has one replica and a shard is held by three cells in a row, and
-// where calls cost.
+// ringDeployment returns a deployment with one replica per cell, every shard held by three consecutive
+// cells, and a cost per call.
 func ring(cells int) (Settings, []Replica) {
 	s := settings()
 	s.Cells, s.Reach, s.BatchMax, s.CallCost = cells, 3, 16, 60*ms
@@ -14,8 +14,8 @@
 	return s, rs
 }
 
-// Parts of neighbouring shards share calls up to the number told: with three holders each, drawn one by one
-// they made 1.4 parts a call (matricula, 0.50 untouched).
+// Parts of neighbouring shards share calls up to BatchMax. When the replicas of parts with three holders each
+// were drawn independently, calls had only 1.4 parts on average (scenario matricula, 0.50 untouched).
 func TestPartsOfAStepShareCalls(t *testing.T) {
 	for most, want := range map[int]float64{16: 2, 1: 1} {
 		s, rs := ring(40)
@@ -31,7 +31,7 @@
 			}
 			for r, n := range at {
 				if n > 3*most {
-					t.Fatalf("%d parts at replica %d, which holds three of their shards", n, r)
+					t.Fatalf("%d parts sent to replica %d, which holds three of their shards", n, r)
 				}
 				calls += (n + most - 1) / most
 			}
@@ -42,12 +42,12 @@
 			k.now += 200 * ms
 		}
 		if got := float64(parts) / float64(calls); got < want {
-			t.Errorf("at most %d parts a call: %.2f on average, want %.1f", most, got, want)
+			t.Errorf("with at most %d parts per call: %.2f on average, want at least %.1f", most, got, want)
 		}
 	}
 }
 
-// A call with many parts takes longer; that is no slowness of its replica.
+// A call with many parts takes longer; its replica must not be considered slow for that.
 func TestLargeCallIsNoSlowness(t *testing.T) {
 	s, rs := ring(3) // every replica holds every shard
 	k := start(t, s, rs...)
@@ -70,13 +70,14 @@
 	}
 	for _, r := range k.b.replicas {
 		if e := k.b.expect(r, 0); e > 60_000 {
-			t.Errorf("replica %d is expected to take %.0f ms a part, not 40", r.ID, e/1000)
+			t.Errorf("replica %d: expected latency %.0f ms per part, want about 40", r.ID, e/1000)
 		}
 	}
 }
 
-// A class that this instance has not met yet is not taken to be worth most: sparse instances held
-// all they saw for worthless and refused it at half the limit (matricula big-1, value 0.01).
+// A class without any query so far must not count as the class of the highest worth per work: instances with
+// little traffic valued all their queries at almost nothing and refused them at half the limit (scenario
+// matricula big-1, value 0.01).
 func TestClassNotMetYetDoesNotCount(t *testing.T) {
 	s := settings()
 	s.Classes = append(s.Classes, s.Classes[0])
@@ -84,18 +85,18 @@
 	k := start(t, s, ready(3)...)
 	k.query(0, 20)
 	if v := k.b.value(&query{rules: &k.b.s.Classes[0], class: 0, tenant: -1}); v < 0.99 {
-		t.Fatalf("value %v of the only class met", v)
+		t.Fatalf("relative worth %v of the only class with queries", v)
 	}
 }
 
-// A replica that leaves one class unanswered while it serves the other and its probes pass is avoided for
-// that class, keeps the other, and is found again once it answers (duplicados big-1).
+// A replica that leaves one class unanswered while it serves the other and passes probes is avoided for that
+// class, still used for the other, and used for both once it answers again (scenario duplicados big-1).
 func TestOneClassUnansweredIsAvoidedForThatClass(t *testing.T) {
 	s := settings()
 	s.CanProbe = true
 	s.Classes = append(s.Classes, s.Classes[0])
 	k := start(t, s, ready(3)...)
-	// run plays queries of both classes by turns and returns the share of each that went to replica 1 first.
+	// run alternates queries of both classes and returns the share of each that went to replica 1 first.
 	run := func(queries int, silent bool) (share [2]float64) {
 		for i := range queries {
 			class := i % 2
@@ -133,11 +134,12 @@
 	}
 	run(600, false)
 	if got := run(300, false); got[0] < 0.15 {
-		t.Errorf("%.2f of the class's parts half a minute after it was answered again", got[0])
+		t.Errorf("%.2f of the parts went to the replica half a minute after it answered again", got[0])
 	}
 }
 
-// Where calls cost, a cold replica is charged for them: it gets fewer parts that come one by one.
+// If calls have a cost, it counts against the budget of a cold replica: it gets fewer parts when each comes
+// in a call of its own.
 func TestColdReplicaIsChargedForCalls(t *testing.T) {
 	sent := map[Micros]int{}
 	for _, cost := range []Micros{0, 60 * ms} {
@@ -165,12 +167,11 @@
 		}
 	}
 	if free, dear := sent[0], sent[60*ms]; dear == 0 || float64(dear) > 0.65*float64(free) {
-		t.Fatalf("%d parts where calls cost, %d where they don't", dear, free)
+		t.Fatalf("%d parts with a cost per call, %d without", dear, free)
 	}
 }
 
-// Where crossing zones has a price the draw keeps most parts in the instance's own zone, and leaves it as
-// soon as the replica there is slow.
+// If crossing zones has a cost, most parts stay in the instance's own zone, unless the replica there is slow.
 func TestOwnZoneIsPreferredWhereCrossingCosts(t *testing.T) {
 	for _, c := range []struct {
 		cost      float64
@@ -197,7 +198,7 @@
 			k.result(id+1, 0, a.Replica, OK)
 		}
 		if own < c.low || own > c.high {
-			t.Errorf("price %v, slow %v: %.2f of the parts stay in the zone", c.cost, c.slow, own)
+			t.Errorf("cost %v, slow %v: %.2f of the parts stay in the zone", c.cost, c.slow, own)
 		}
 	}
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// coldFleet plays instances that know nothing of one another before one replica that starts, and returns the
-// largest use of its budget: what all send it in any FallSpan over N + 2 x root of N + 2, N being
-// FallMultiple x its present capacity x FallSpan by the told climb, in parts of mean work.
+// coldFleet simulates independent instances, without messages between them, around the restart of one
+// replica. It determines the largest utilization of the replica's budget: the number of parts that all
+// instances send it in any FallSpan, divided by N + 2 x sqrt(N) + 2, where N is FallMultiple x its current
+// capacity x FallSpan with the linear climb from ColdShare, in parts of mean work.
 type coldFleet struct {
 	instances int
-	anew      bool // all of them start with the replica: none knows what a warm one carries
+	anew      bool // all instances start together with the replica and have no capacity estimate
 	shift     bool // the traffic moves to other instances while the replica is cold
-	alone     bool // nothing else holds the shard from then on: it gets all that it may
+	alone     bool // from the restart on no other replica holds the shard, so it gets all it may
 }
 
 const (
-	coldWarm  = 4    // warm replicas beside it
-	fullRate  = 13.8 // parts a second of a warm replica
-	loadShare = 0.55 // of that is asked for
-	burstMore = 1.5  // times that, for some seconds
-	hotOne    = 4.0  // times the mean traffic, of one instance in ten
+	coldWarm  = 4    // warm replicas in addition to the restarted one
+	fullRate  = 13.8 // parts per second that a warm replica can serve
+	loadShare = 0.55 // share of that rate that is requested
+	burstMore = 1.5  // factor on the load for some seconds after the restart
+	hotOne    = 4.0  // traffic of one instance in ten, as a multiple of the others'
 	servedIn  = 80 * ms
 )
 
@@ -150,9 +151,9 @@
 			w, n := f.play(t, seed)
 			worst, sum = max(worst, w), sum+n
 		}
-		t.Logf("%+v: at most %.2f of the budget, %d parts", f, worst, sum/5)
+		t.Logf("%+v: at most %.2f of the budget used, %d parts", f, worst, sum/5)
 		if worst > 1 {
-			t.Errorf("%+v: %.2f of the budget", f, worst)
+			t.Errorf("%+v: %.2f of the budget used", f, worst)
 		}
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -6,8 +6,8 @@
 	"lapislever/balance"
 )
 
-// A host loads the module, hands it a list and a query, reports the outcome of each attempt and carries out
-// the actions that come back. Times are the host's own, in microseconds.
+// A host creates an instance, passes it a list and a query, reports the outcome of each attempt and carries
+// out the actions that Step returns. Times come from the host's clock, in microseconds.
 func Example() {
 	b, err := balance.New(balance.Settings{
 		Classes: []balance.Class{{Aim: 1_000_000, Deadline: 3_000_000, Worth: 1, Need: 1, Floor: 1}},
@@ -24,7 +24,7 @@
 			case balance.Send:
 				fmt.Println("send part", a.ID, "to replica", a.Replica)
 			case balance.Answer:
-				fmt.Println("answer query", a.ID, "whole:", a.Whole)
+				fmt.Println("answer query", a.ID, "complete:", a.Whole)
 			case balance.Wake:
 				fmt.Println("wake me in", a.After, "us")
 			}
@@ -44,5 +44,5 @@
 	// Output:
 	// send part 2 to replica 7
 	// wake me in 10000 us
-	// answer query 1 whole: true
+	// answer query 1 complete: true
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// Guards that large fleets needed, each with the failure that it answers.
+// Regression tests for large fleets, each with the failure that it guards against.
 
-// serve hands in queries of one part and answers each attempt as reply says; it returns the actions.
+// serveQueries submits n queries of one part, ends each attempt with the outcome that reply returns, and
+// returns all actions.
 func serve(k *bench, n int, gap Micros, reply func(k *bench, id uint32, a Action) Outcome) []Action {
 	var all []Action
 	for range n {
@@ -29,12 +30,12 @@
 	return all
 }
 
-// A reset on a connection long idle is the connection's fault (i7aeccf, days with dropped connections): the
-// replica is not blamed, and an idle connection is closed before the next send.
+// A reset on a connection that has been idle for long is the connection's fault: the replica is not blamed,
+// and idle connections are closed before the next send (incident i7aeccf, days with dropped connections).
 func TestStaleConnectionIsNotTheReplicasFault(t *testing.T) {
 	k := start(t, settings(), ready(1)...)
 	resets := 0
-	opened := false // a connection that was closed by us is opened anew for the next send
+	opened := false // a Close was requested, so that the next send opens a new connection
 	all := serve(k, 60, 2000*ms, func(k *bench, id uint32, a Action) Outcome {
 		opened = opened || len(of(Close, k.out)) > 0
 		p := k.b.parts[a.ID]
@@ -45,7 +46,7 @@
 		return OK
 	})
 	if resets == 0 || resets > 15 {
-		t.Fatalf("%d resets in 60 queries, want a few until the cause is found", resets)
+		t.Fatalf("%d resets in 60 queries, want a few until the cause is detected", resets)
 	}
 	if n := len(of(Close, all)); n < 40 {
 		t.Fatalf("%d idle connections closed before a send, want most of 60", n)
@@ -55,7 +56,7 @@
 	}
 }
 
-// Where busy connections lose as many, the replica is at fault and no connection is closed.
+// If connections in use lose as many attempts, the replica is at fault and no connection is closed.
 func TestLossesOnBusyConnectionsAreTheReplicas(t *testing.T) {
 	k := start(t, settings(), ready(1)...)
 	n := 0
@@ -73,7 +74,7 @@
 	}
 }
 
-// A probe that passes does not win over parts that went unanswered: load reports and shallow probes may lie.
+// Successful probes do not outweigh parts that went unanswered: load reports and shallow probes can be wrong.
 func TestPassedProbeDoesNotWinOverOwnOutcomes(t *testing.T) {
 	s := settings()
 	s.CanProbe = true
@@ -92,7 +93,7 @@
 	}
 }
 
-// Probes start with losses and end with them: they cost the replicas work.
+// Probes are sent only while parts go unanswered, because they cost the replicas work.
 func TestProbesOnlyWhilePartsGoUnanswered(t *testing.T) {
 	s := settings()
 	s.CanProbe = true
@@ -102,13 +103,13 @@
 		t.Fatalf("%d probes without any loss", n)
 	}
 	k.b.lossShare = 0.3
-	k.now += 30_000 * ms // what was seen before is forgotten
+	k.now += 30_000 * ms // earlier samples have decayed
 	if n := len(of(Probe, serve(k, 3, 100*ms, ok))); n == 0 {
-		t.Fatal("no probe though three in ten parts went unanswered")
+		t.Fatal("no probe although 30% of the parts went unanswered")
 	}
 }
 
-// What one instance saw reaches another through messages, and the draw there heeds it.
+// The samples of one instance reach another through messages and change its expected latencies.
 func TestMessagesTellOfASlowReplica(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 2, true
@@ -136,8 +137,8 @@
 	}
 }
 
-// An instance of many meets a replica seldom: what it has seen itself of a jam must not keep it away once its
-// peers are served at once again. Of a few instances each has evidence enough of its own.
+// In a large fleet each instance uses a replica rarely: its own old samples of an overload must not keep it
+// away once its peers are served without delay again. In a small fleet own samples suffice.
 func TestManyPeersOutweighOldEvidence(t *testing.T) {
 	expected := func(peers int) float64 {
 		s := settings()
@@ -155,30 +156,30 @@
 		return k.b.expect(k.b.byID[1], 0)
 	}
 	if few, many := expected(3), expected(80); few < 3*many {
-		t.Fatalf("%.0f us expected among 3 instances, %.0f among 80", few, many)
+		t.Fatalf("%.0f us expected with 3 instances, %.0f with 80", few, many)
 	}
 }
 
-// Where there are so many replicas that messages come no faster than evidence is forgotten, they stand for
-// little: with 200 replicas a calm day of 300 instances lost half its score to what all of them held for true
-// too late.
+// With so many replicas that messages arrive no faster than samples decay, messages have little weight: with
+// 200 replicas and 300 instances a run without faults lost half its score because all instances acted on
+// outdated samples.
 func TestWordThatComesLateCountsAsOfFew(t *testing.T) {
 	for n, want := range map[int]float64{2: 20, 60: 20, 400: 1} {
 		s := settings()
 		s.Peers = 80
 		if k := start(t, s, ready(n)...); k.b.heed != want {
-			t.Errorf("%d replicas: counts %v times", n, k.b.heed)
+			t.Errorf("%d replicas: gossip scale %v, want %v", n, k.b.heed, want)
 		}
 	}
 	s := settings()
 	s.Peers = 4
 	if k := start(t, s, ready(16)...); k.b.heed != 1 || k.b.life != speedLife {
-		t.Errorf("4 peers: counts %v times, ages in %v", k.b.heed, k.b.life)
+		t.Errorf("4 peers: gossip scale %v, half-life %v us", k.b.heed, k.b.life)
 	}
 }
 
-// A queue that is full for half a second turns parts of every instance away. That is one thing seen by many,
-// not many things: it must not stand for seconds against all that is served afterwards.
+// A queue that is full for half a second rejects parts of every instance. That is one event seen by many
+// instances, not many events: it must not outweigh the parts served afterwards for seconds.
 func TestFullQueueCountsOnceForAllPeers(t *testing.T) {
 	shared := func(peers int) float64 {
 		s := settings()
@@ -190,19 +191,19 @@
 		return k.b.byID[send.Replica].pool.n
 	}
 	if few, many := shared(4), shared(80); few != 1 || many > 0.06 {
-		t.Fatalf("a refusal counts %v for 4 peers, %v for 80", few, many)
+		t.Fatalf("a rejection has weight %v with 4 peers, %v with 80", few, many)
 	}
 }
 
-// A cold replica gets more as it warms, and never more than the told least climb gives it: its share of what
-// a warm one carries, times the multiple that it bears.
+// A cold replica gets more as it warms up, and never more than the configured linear climb allows: its share
+// of what a warm one serves, times FallMultiple.
 func TestColdShareClimbs(t *testing.T) {
 	s := settings()
 	s.Ramp, s.Reach = 10_000*ms, 1
 	rs := ready(1)
 	rs[0].Started = 20_000 * ms
 	k := start(t, s, rs...)
-	const carried = 20.0 / 1e6 // parts a us for its size
+	const carried = 20.0 / 1e6 // parts per us for its size
 	var parts [10]float64
 	for i := range parts {
 		for end := k.now + 1000*ms; k.now < end; k.now += 10 * ms {
@@ -216,12 +217,12 @@
 	for i, n := range parts[1:] {
 		share := 0.25 + 0.75*float64(i+2)/10 // at the end of that second
 		if most := share * s.FallMultiple * carried * 1e6; n > most+1 || n < 0.8*most-2 {
-			t.Errorf("second %d: %v parts, want about %.0f and no more: %v", i+1, n, most, parts)
+			t.Errorf("second %d: %v parts, want about and at most %.0f: %v", i+1, n, most, parts)
 		}
 	}
 }
 
-// Where nothing is known yet, all instances together send a cold replica about as much however many they are.
+// Without any measurement the total that all instances send to a cold replica hardly depends on their number.
 func TestColdFloorIsSharedByPeers(t *testing.T) {
 	sent := func(peers int) (n int) {
 		for seed := range uint64(peers) {
@@ -247,11 +248,12 @@
 		return n
 	}
 	if few, many := sent(2), sent(40); few == 0 || many > 2*few+4 {
-		t.Fatalf("2 instances send a cold replica %d parts together, 40 send %d", few, many)
+		t.Fatalf("2 instances send a cold replica %d parts in total, 40 instances %d", few, many)
 	}
 }
 
-// A tenant whose clients repeat without end does not starve the others, at a quiet instance and at a hot one.
+// A tenant whose clients retry without limit is detected as over its quota and does not starve the others, at
+// low and at high traffic.
 func TestFloodingTenantIsToldApart(t *testing.T) {
 	for _, scale := range []int{1, 10} {
 		s := settings()
@@ -268,13 +270,14 @@
 			k.now += 40 * ms / Micros(scale)
 		}
 		if !k.b.overShare(0) || k.b.overShare(1) {
-			t.Errorf("at %d queries a second: flooding tenant over its share: %v, the other: %v", 25*scale,
+			t.Errorf("at %d queries per second: flooding tenant over its quota: %v, the other: %v", 25*scale,
 				k.b.overShare(0), k.b.overShare(1))
 		}
 	}
 }
 
-// Copies of overdue parts are capped where no budget is told: in overload all is overdue (grown reduit).
+// Hedged attempts of overdue parts are limited even if the settings give no retry budget: under overload
+// every part is overdue (scenario grown reduit).
 func TestLateCopiesAreCapped(t *testing.T) {
 	k := start(t, settings(), ready(40)...)
 	first, copies, parts := 0, 0, 0
@@ -286,11 +289,11 @@
 	}
 	copies += len(of(Send, k.wait(900*ms)))
 	if copies == 0 || first < 20 || float64(copies) > (copyShare+lateCopyShare)*float64(5*parts/4)+copySpare {
-		t.Fatalf("%d copies of %d parts sent that all go unanswered, %d taken", copies, first, parts)
+		t.Fatalf("%d hedged attempts for %d parts sent, none answered, %d arrived", copies, first, parts)
 	}
 }
 
-// The report lines are few: one when a replica is avoided, one when it is used again, and two of overload.
+// Few lines are logged: one when a replica is avoided, one when it is used again, and two about overload.
 func TestReportLinesAreFew(t *testing.T) {
 	k := start(t, settings(), ready(3)...)
 	bad := true
@@ -312,7 +315,7 @@
 	}
 }
 
-// BenchmarkStep is a Step at a large fleet: 170 replicas, a query of 100 parts, and the outcome of each.
+// BenchmarkStep measures Steps in a large fleet: 170 replicas, a query of 100 parts, and the outcome of each.
 func BenchmarkStep(b *testing.B) {
 	s := settings()
 	s.Peers, s.CanTell, s.CanProbe, s.Cells, s.Reach = 48, true, true, 170, 3
@@ -349,7 +352,7 @@
 	}
 }
 
-// A replica that has started anew is not judged by what it did before (icdcc6d).
+// The samples of a replica are discarded when it restarts (incident icdcc6d).
 func TestRestartWipesTheRecord(t *testing.T) {
 	k := start(t, settings(), ready(3)...)
 	drive(k, 60, func(r ReplicaID) Outcome {
@@ -367,8 +370,8 @@
 	}
 }
 
-// coldSends tells how many parts instances send a replica that starts now within a while, when each
-// has one part for it every gap.
+// coldSends returns how many parts a number of instances send to a replica within a time after its restart,
+// if each of them has one part for it every gap.
 func coldSends(t *testing.T, instances int, gap, while Micros) (sent int) {
 	for seed := range uint64(instances) {
 		s := settings()
@@ -391,19 +394,19 @@
 	return sent
 }
 
-// Many instances of little traffic that hear of a start together must not each send a first part at once: 79
-// of them, each with half a part a second to a warm replica, may together send a cold one 3 x 0.25 of what
-// they sent a warm one, in the first second and later (fail-back came to 86% of its limit).
+// Many instances with little traffic that learn of a restart at the same time must not all send a first part
+// immediately: 79 instances that each send a warm replica half a part per second may together send a cold one
+// 3 x 0.25 of that, in the first second and later (scenario fail-back reached 86% of its limit).
 func TestManyInstancesDoNotMeetAtAColdReplica(t *testing.T) {
 	for _, while := range []Micros{1000 * ms, 4000 * ms} {
 		limit := 0.75 * 79 * 0.5 * float64(while) / 1e6
 		if n := coldSends(t, 79, 250*ms, while); n == 0 || float64(n) > limit {
-			t.Errorf("%d parts within %d ms of the start, want some and at most %.0f", n, while/ms, limit)
+			t.Errorf("%d parts within %d ms of the restart, want some and at most %.0f", n, while/ms, limit)
 		}
 	}
 }
 
-// A replica that refused connections and then serves has started anew, whatever the list says; what was slow
+// A replica that refused connections and then serves has restarted, whatever the list says; one that was slow
 // to connect has not.
 func TestUnlistedRestartIsAStart(t *testing.T) {
 	for took, cold := range map[Micros]bool{2 * ms: true, 250 * ms: false} {
@@ -421,17 +424,17 @@
 		k.now += 50 * ms
 		k.result(id+1, 0, 1, OK)
 		if k.b.cold(r) != cold {
-			t.Errorf("no connection after %d ms: cold %v, want %v", took/ms, k.b.cold(r), cold)
+			t.Errorf("connection failed after %d ms: cold %v, want %v", took/ms, k.b.cold(r), cold)
 		}
 		late := Replica{ID: 1, State: Ready, Size: 2, Started: k.now - 900*ms}
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{late}})
 		if begun := r.start; cold && begun != k.now {
-			t.Errorf("the listed start, earlier than the one seen, moved it from %d to %d", k.now, begun)
+			t.Errorf("a listed start earlier than the observed one moved it from %d to %d", k.now, begun)
 		}
 	}
 }
 
-// A probe that passes slowly tells of waiting or of a slow way, one that passes at once does not.
+// A slow successful probe indicates queueing or a slow path; a fast one does not.
 func TestSlowProbeCounts(t *testing.T) {
 	expected := map[Micros]float64{}
 	for _, took := range []Micros{ms, 240 * ms} {
@@ -448,8 +451,9 @@
 	}
 }
 
-// An instance with a query of nine parts a second and no peers leaves a lost site within seconds, and is back
-// on it within half a minute of its return, whether connections are refused or parts get no answer.
+// An instance without messages from peers, with one query of nine parts per second, stops using a failed site
+// within seconds and uses it again within half a minute of its recovery, whether connections are refused or
+// parts get no answer.
 func TestLostSiteIsLeftAndFoundAgain(t *testing.T) {
 	for _, o := range []Outcome{NoConnection, TimedOut} {
 		s := settings()
@@ -465,7 +469,7 @@
 				id := k.query(0, 9)
 				todo := append([]Action(nil), k.out...)
 				for tries, begun := map[uint32]int{}, k.now; k.now < begun+1000*ms; {
-					next := k.wait(50 * ms) // what was sent is answered after it
+					next := k.wait(50 * ms) // parts already sent are answered after this time
 					for _, a := range todo {
 						if a.Kind == Probe && lost && a.Replica <= 9 {
 							next = append(next, k.step(Event{Kind: ProbeResult, Replica: a.Replica, Outcome: o})...)
@@ -495,12 +499,12 @@
 		lost = true
 		run(8)
 		if all, there := run(10); there > 0.15*all {
-			t.Errorf("outcome %d: %v of %v parts still go to the lost site", o, there, all)
+			t.Errorf("outcome %d: %v of %v parts still go to the failed site", o, there, all)
 		}
 		lost = false
 		run(30)
 		if all, there := run(20); there < 0.15*all {
-			t.Errorf("outcome %d: %v of %v parts go to the site after its return", o, there, all)
+			t.Errorf("outcome %d: %v of %v parts go to the site after its recovery", o, there, all)
 		}
 	}
 }
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// The guards, each with the failure that it answers.
+// Regression tests, each with the failure that it guards against.
 
-// Overload: a query that cannot make its aim is refused before it costs anything (incident i999af7).
+// Under overload a query that cannot meet its aim is refused before it costs anything (incident i999af7).
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
 	k := start(t, settings(), ready(1)...)
 	refused := 0
@@ -18,11 +18,12 @@
 		}
 	}
 	if refused == 0 || refused == 40 {
-		t.Fatalf("%d of 40 queries refused at one replica, want the excess only", refused)
+		t.Fatalf("%d of 40 queries refused with one replica, want only the excess", refused)
 	}
 }
 
-// A high learned time per part must not lock a replica out for good: it fades without news (i93e8b7).
+// A high measured latency must not exclude a replica forever: it decays without new samples (incident
+// i93e8b7).
 func TestLearnedTimeFades(t *testing.T) {
 	k := start(t, settings(), ready(1)...)
 	for range 20 {
@@ -35,7 +36,8 @@
 	one(t, Send, k.out)
 }
 
-// The class whose work is worth least goes first, and traffic beyond a tenant's quota before other (i02387c).
+// Queries of the class of the lowest worth per work are refused first, and those beyond a tenant's quota
+// before others (incident i02387c).
 func TestValueOrdersRefusals(t *testing.T) {
 	s := settings()
 	s.WorthByWork, s.OverShareWorth, s.Peers = true, 0.1, 1
@@ -47,7 +49,7 @@
 	low, high := k.b.value(&query{rules: &rules[0], class: 0, tenant: 1}),
 		k.b.value(&query{rules: &rules[1], class: 1, tenant: 1})
 	if low >= high {
-		t.Fatalf("value %v of the class of less worth, %v of the other", low, high)
+		t.Fatalf("relative worth %v of the class of lower worth, %v of the other", low, high)
 	}
 	for range 20 {
 		k.step(Event{Kind: Query, ID: 5000 + k.ids, Number: 5000 + float32(k.ids), Tenant: 0, Deadline: k.now})
@@ -56,11 +58,12 @@
 	over, under := k.b.value(&query{rules: &rules[1], class: 1}),
 		k.b.value(&query{rules: &rules[1], class: 1, tenant: 1})
 	if over >= under {
-		t.Fatalf("value %v beyond the quota, %v within", over, under)
+		t.Fatalf("relative worth %v beyond the quota, %v within", over, under)
 	}
 }
 
-// drive serves queries of one part, each attempt ending as outcome says, and counts the sends by replica.
+// countSends serves n queries of one part, ends each attempt with the outcome for its replica, and counts
+// the sends to each replica.
 func drive(k *bench, n int, outcome func(ReplicaID) Outcome) map[ReplicaID]int {
 	sent := map[ReplicaID]int{}
 	for range n {
@@ -75,8 +78,8 @@
 	return sent
 }
 
-// A replica that turns parts away or fails at once looks idle for ever; it is all but left alone while it
-// does so (i897b66, i0fb731), and found again after.
+// A replica that rejects parts or fails immediately always looks idle. It gets almost no parts while it does
+// so, and is used again afterwards (incidents i897b66 and i0fb731).
 func TestFailingReplicaIsLeftAlone(t *testing.T) {
 	for _, o := range []Outcome{Busy, Error, NoConnection, Reset} {
 		k := start(t, settings(), ready(3)...)
@@ -92,12 +95,12 @@
 		ok := func(ReplicaID) Outcome { return OK }
 		drive(k, 300, ok)
 		if sent = drive(k, 200, ok); sent[1] < 30 {
-			t.Errorf("outcome %d: %d of 200 parts half a minute after it was mended", o, sent[1])
+			t.Errorf("outcome %d: %d of 200 parts half a minute after it recovered", o, sent[1])
 		}
 	}
 }
 
-// A path that loses half its attempts never misses many in a row, and is avoided all the same.
+// A path that loses half of the attempts is avoided although it never loses several in a row.
 func TestLossyPathIsAvoided(t *testing.T) {
 	k := start(t, settings(), ready(3)...)
 	n := 0
@@ -112,7 +115,8 @@
 	}
 }
 
-// After a mass restart nothing warm is left to compare with: what was carried before still counts (icdcc6d).
+// After a restart of all replicas no warm one is left to compare with: the capacity measured before still
+// counts (incident icdcc6d).
 func TestMassRestartIsServedFromMemory(t *testing.T) {
 	k := start(t, settings(), ready(4)...)
 	serve := func() (n int) {
@@ -138,7 +142,7 @@
 	}
 }
 
-// A query is not started when a part of it would wait for a cold holder (icdcc6d).
+// A query is refused if a part of it would have to wait for a cold replica (incident icdcc6d).
 func TestColdOnlyHolderRefusesAtOnce(t *testing.T) {
 	rs := ready(2)
 	rs[1].Cell, rs[1].Started = 1, 19_990*ms
@@ -148,11 +152,12 @@
 	k.query(0, 2)
 	one(t, Refuse, k.out)
 	if len(of(Send, k.out)) > 0 {
-		t.Fatal("a part was sent of a query that cannot be served")
+		t.Fatal("sent a part of a query that cannot be served")
 	}
 }
 
-// Where not every part is needed, an unsent part stands in for a late one, free of the budget (if370bf).
+// If not every part is required, an unsent part replaces a late one without using the retry budget (incident
+// if370bf).
 func TestUnsentPartStandsIn(t *testing.T) {
 	s := settings()
 	s.Classes[0].Need, s.Classes[0].Floor = 0.5, 0.5
@@ -161,7 +166,7 @@
 	first := len(of(Send, k.out))
 	for _, a := range of(Send, k.wait(300*ms)) {
 		if p := k.b.parts[a.ID]; len(p.tries) > 1 {
-			t.Fatal("a part was copied while others were unsent")
+			t.Fatal("a part was hedged while others were unsent")
 		}
 		first++
 	}
@@ -170,7 +175,7 @@
 	}
 }
 
-// Further attempts stay within the told budget in any window.
+// Further attempts stay within the configured retry budget.
 func TestBudgetHolds(t *testing.T) {
 	s := settings()
 	s.ResendSpan, s.ResendRatio, s.SpareAttempts = 2000*ms, 0.05, 3
@@ -188,7 +193,7 @@
 	}
 }
 
-// Counts of the past do not pile up where no budget is told and no copy is ever made.
+// The sliding windows do not grow without bound when no budget is configured and no attempt is hedged.
 func TestWindowsAreFreed(t *testing.T) {
 	s := settings()
 	s.CanCopy = false
@@ -205,12 +210,12 @@
 		k.now += 20 * ms
 	}
 	if n := len(k.b.taken.at) + len(k.b.extras.at); n > 1500 {
-		t.Fatalf("%d moments kept after 40 s at 100 queries and parts a second", n)
+		t.Fatalf("%d times kept after 40 s at 100 queries and parts per second", n)
 	}
 }
 
-// An instance that ends answers all that it holds while it still can: neither what it holds nor what still
-// comes is kept beyond its end, however long the client would wait.
+// An instance that shuts down answers all its queries in time: neither open queries nor new ones are held
+// beyond the shutdown, however long their clients would wait.
 func TestEndingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
 	k := start(t, settings(), ready(3)...)
 	held := k.query(0, 1)
@@ -225,8 +230,9 @@
 	}
 }
 
-// Spoilt answers come from any replica alike and tell nothing of its speed: it is not shunned for one, and
-// the part goes elsewhere at once. One that only ever spoils loses its weight.
+// A malformed answer can come from any replica and says nothing about its latency: the replica is not avoided
+// for one, and the part is immediately sent to another. A replica that only sends malformed answers loses its
+// weight.
 func TestSpoiltAnswerIsNoLoad(t *testing.T) {
 	k := start(t, settings(), ready(2)...)
 	id := k.query(0, 1)
@@ -246,12 +252,13 @@
 			&Event{Kind: Result, Outcome: Spoilt})
 	}
 	if r.weight > midWeight/4 {
-		t.Errorf("weight %.0f after twenty spoilt answers in a row", r.weight)
+		t.Errorf("weight %.0f after twenty malformed answers in a row", r.weight)
 	}
 }
 
-// A client that waits less than its class's aim says nothing of the queues: it is turned away only where it
-// would hardly be served in its time (churn day: 8% refused in 15 s, of those let in 60 to 75% were served).
+// A client that waits less than its class's aim says nothing about the queues: its query is refused only if
+// it is unlikely to be served in that time (churn day: 8% refused in 15 s, while 60 to 75% of those
+// admitted were served).
 func TestLittlePatienceIsNoOverload(t *testing.T) {
 	for share, sent := range map[float64]int{0.8: 0, 1.2: 1} {
 		k := start(t, settings(), ready(1)...)
@@ -262,14 +269,14 @@
 		k.step(Event{Kind: Query, ID: 1, Number: 1, Weight: 1, Deadline: k.now + left},
 			Event{Kind: Part, ID: 2, Number: 1, Weight: 1, Deadline: k.now + left})
 		if got := len(of(Send, k.out)); got != sent {
-			t.Errorf("%.1f of the time that a part takes left: %d sent, want %d", share, got, sent)
+			t.Errorf("deadline at %.1f of the expected latency: %d sent, want %d", share, got, sent)
 		}
 	}
 }
 
-// An overdue part at a replica that answers nothing is copied to the other one even where that has no free
-// slot, if it would come in time; a part that is only slow is not (churn day, 51 to 52 s: a node stood still,
-// its parts ran into the aim with a single attempt each).
+// An overdue part at a silent replica is hedged at the other one even if that has no free slot, provided that
+// it would be served in time; a part that is only slow is not (churn day, 51 to 52 s: the parts of a stalled
+// node reached the aim with a single attempt each).
 func TestOverduePartIsCopiedBeyondTheSlots(t *testing.T) {
 	k := start(t, settings(), ready(2)...)
 	k.query(0, 1)
@@ -277,16 +284,17 @@
 	other := k.b.byID[3-first.Replica]
 	other.calls = maxCap
 	if got := of(Send, k.wait(550*ms)); len(got) != 0 {
-		t.Fatalf("a slow part was copied to a full replica: %+v", got)
+		t.Fatalf("a slow part was hedged at a full replica: %+v", got)
 	}
 	if got := of(Send, k.wait(100*ms)); len(got) != 1 || got[0].Replica != other.ID {
 		t.Fatalf("sends of the overdue part: %+v", got)
 	}
 }
 
-// What is sent in vain is sent again: while much is, fewer queries are let in, and as it ends as many as
-// before. Else the repeats of all fill the queues of those that still serve (join+mass, seed 789946599629:
-// 12% of the parts in vain, 47% of the queries refused, and less served than by random choice).
+// Rejected parts are sent again: while many are rejected, fewer queries are admitted, and afterwards as
+// many as before. Otherwise the retries fill the queues of the replicas that still serve (scenario
+// join+mass, seed 789946599629: 12% of the parts rejected, 47% of the queries refused, and fewer served
+// than with random choice).
 func TestMuchInVainLetsFewerIn(t *testing.T) {
 	admitted := func(k *bench) (n int) {
 		for range 60 {
@@ -301,29 +309,30 @@
 	failing.b.vain = 0.1
 	full, cut := admitted(sound), admitted(failing)
 	if cut >= full || cut < full/2 {
-		t.Fatalf("%d let in where nothing fails, %d where a tenth does", full, cut)
+		t.Fatalf("%d admitted without rejections, %d with a tenth of the parts rejected", full, cut)
 	}
 	k := start(t, settings(), ready(4)...)
 	drive(k, 60, func(ReplicaID) Outcome { return Busy })
 	if k.b.vain < 0.05 {
-		t.Fatalf("all are full: %.2f held to be in vain", k.b.vain)
+		t.Fatalf("all replicas are full: rejected share %.2f", k.b.vain)
 	}
-	// A cut or a lost room is silent: what is sent there takes no room at those that serve, and says nothing of
-	// how much they can take (split+mass: 0.88 of the way while time-outs counted, 0.97 without).
+	// A network partition or a lost site is silent: parts sent there use no capacity of the replicas that
+	// serve, and say nothing about that capacity (scenario split+mass: score 0.88 when time-outs counted,
+	// 0.97 without).
 	quiet := start(t, settings(), ready(4)...)
 	drive(quiet, 60, func(ReplicaID) Outcome { return TimedOut })
 	if quiet.b.vain > 0 {
-		t.Fatalf("all are silent: %.2f held to be in vain", quiet.b.vain)
+		t.Fatalf("all replicas are silent: rejected share %.2f", quiet.b.vain)
 	}
 	drive(k, 300, func(ReplicaID) Outcome { return OK })
 	if k.b.vain > 0.01 {
-		t.Fatalf("all is served: %.2f held to be in vain", k.b.vain)
+		t.Fatalf("all parts are served: rejected share %.2f", k.b.vain)
 	}
 }
 
-// Peers go on telling of a jam, so that an instance turns all away: it still lets one query in every three
-// seconds, and no more, to see for itself. On the whole fleet 39 and 46 of 315 instances sent nothing for 4 s
-// on a calm day.
+// While peers keep reporting high latencies, an instance refuses all queries. It still admits one query every
+// three seconds, and no more, as a trial. Before, 39 and 46 of the fleet's 315 instances sent nothing for 4 s
+// in runs without faults.
 func TestInstanceThatTurnsAllAwayGoesOnLooking(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 300, true
@@ -336,7 +345,7 @@
 		m.add(hash(2), 990_000, 8)
 		k.step(Event{Kind: Message, From: 1, Data: []byte(m.text())})
 		if k.now < begun+1000*ms {
-			continue // until the word has come
+			continue // until the messages take effect
 		}
 		id := k.query(0, 1)
 		refused += len(of(Refuse, k.out))
@@ -347,10 +356,10 @@
 		}
 	}
 	if refused < 150 {
-		t.Fatalf("only %d of 190 queries were refused: there is no jam to speak of", refused)
+		t.Fatalf("only %d of 190 queries were refused: the reports have no effect", refused)
 	}
 	if len(sent) < 5 || len(sent) > 7 {
-		t.Fatalf("%d queries were let in over 19 s", len(sent))
+		t.Fatalf("%d queries were admitted over 19 s", len(sent))
 	}
 	for i := 1; i < len(sent); i++ {
 		if gap := sent[i] - sent[i-1]; gap > 4000*ms {
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Bad input: no panic, no rule broken, and the rest of the Step is served.
+// Invalid input: no panic, no rule violated, and the rest of the Step is processed.
 
 func TestBadInputIsPassedOver(t *testing.T) {
 	s := settings()
@@ -35,14 +35,14 @@
 		id := k.query(0, 1)
 		sends := of(Send, k.out)
 		if len(sends) != 1 {
-			t.Errorf("%s: %d sends for a good query after it", name, len(sends))
+			t.Errorf("%s: %d sends for a valid query after it", name, len(sends))
 			continue
 		}
 		if k.result(id+1, 0, sends[0].Replica, OK); len(of(Answer, k.out)) != 1 {
-			t.Errorf("%s: a good query has no answer", name)
+			t.Errorf("%s: a valid query has no answer", name)
 		}
 		k.wait(4000 * ms)
-		k.now -= 10_000 * ms // a clock that goes back
+		k.now -= 10_000 * ms // the clock goes back
 		k.query(0, 1)
 	}
 }
@@ -55,7 +55,7 @@
 	x := uint32(1)
 	for n := range 700 {
 		k.step(Event{Kind: Message, From: uint32(n), Data: msg})
-		if n%2 == 0 && len(msg)%entrySize == 1 { // fits its check, and names a replica that is there
+		if n%2 == 0 && len(msg)%entrySize == 1 { // with a valid checksum and the hash of an existing replica
 			h := hash(1)
 			for i := 1; i < len(msg); i += entrySize {
 				msg[i], msg[i+1], msg[i+2] = byte(h), byte(h>>8), byte(h>>16)
@@ -68,13 +68,14 @@
 	}
 	r := k.b.byID[1]
 	if e := k.b.expect(r, 0); math.IsNaN(e) || e <= 0 || e > k.b.minAim || r.pool.n > maxHeard+1 {
-		t.Fatalf("nonsense led to an expected time of %v with a count of %v", e, r.pool.n)
+		t.Fatalf("random messages led to an expected latency of %v with a sample weight of %v", e, r.pool.n)
 	}
 	k.query(0, 1)
 	one(t, Send, k.out)
 }
 
-// Own outcomes outrank what peers say: a replica praised by messages and failing here is left alone.
+// Own samples outweigh those of peers: a replica that fails for this instance is avoided although peers
+// report low latencies.
 func TestOwnOutcomesOutrankMessages(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 3, true
@@ -90,7 +91,7 @@
 		return OK
 	})
 	if sent[1] > 40 {
-		t.Fatalf("%d of 200 parts went to a replica that fails here and is praised by a peer", sent[1])
+		t.Fatalf("%d of 200 parts went to a replica that fails here and is fast for a peer", sent[1])
 	}
 }
 
@@ -116,13 +117,13 @@
 		spoil(&s)
 		want := "balance: Settings." + field + " "
 		if _, err := New(s, 1); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
-			t.Errorf("%s spoilt: error %v", field, err)
+			t.Errorf("%s invalid: error %v", field, err)
 		}
 	}
 }
 
-// Odd but possible input around second steps, starts and lists: one final answer each, and the rest is
-// served.
+// Unusual but possible input around second steps, restarts and lists: each query gets one final answer, and
+// later queries are served.
 func TestOddSecondStepsStartsAndLists(t *testing.T) {
 	s := settings()
 	s.Classes[0].SecondStep, s.Classes[0].LateWorth, s.Subscribe = 2, 0.3, true
@@ -131,7 +132,7 @@
 		return len(of(Answer, acts)) + len(of(Refuse, acts)) + len(of(Fail, acts))
 	}
 
-	id := k.query(0, 1) // its second step never gets a part
+	id := k.query(0, 1) // its second step never receives a part
 	k.result(id+1, 0, one(t, Send, k.out).Replica, OK)
 	one(t, Answer, k.out)
 	if n := finals(k.wait(3100 * ms)); n != 1 {
@@ -148,7 +149,7 @@
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 1, State: Ready, Started: at}}})
 	}
 	if !k.b.cold(k.b.byID[1]) {
-		t.Error("a start that moved back ended the care for a cold replica")
+		t.Error("a replica is no longer cold after an earlier start was listed")
 	}
 	for range 50 {
 		k.step(Event{Kind: List, Mode: Failed})
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// two returns a deployment whose only class has a second step and partial answers from 0.75.
+// twoStepSettings returns a deployment whose only class has a second step and partial answers from 0.75.
 func two() Settings {
 	s := settings()
 	s.Classes = []Class{{Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 5, LateWorth: 0.3, Need: 1, Floor: 0.75,
@@ -10,8 +10,8 @@
 	return s
 }
 
-// A first step that lacks one part is answered in time for the second (duplicados big-1: 16% failed
-// because the second step began at the aim).
+// A first step that lacks one part is answered early enough for the second step (scenario duplicados big-1:
+// 16% failed because the second step began at the aim).
 func TestFirstStepLeavesTimeForTheSecond(t *testing.T) {
 	k := start(t, two(), ready(3)...)
 	id := k.query(0, 4)
@@ -24,14 +24,15 @@
 		k.step(Event{Kind: Awake})
 	}
 	if one(t, Answer, k.out).Whole {
-		t.Fatal("an answer that lacks a part was called whole")
+		t.Fatal("an answer that lacks a part was marked complete")
 	}
 	if left := begun + 1000*ms - k.now; left < 300*ms || left > 600*ms {
 		t.Fatalf("the second step begins %d ms before the aim", left/ms)
 	}
 }
 
-// A second step not in at the aim goes on: at stake is the worth of the whole query, and it lacks little.
+// A second step that is incomplete at the aim continues: the worth of the whole query is at stake, and only
+// little is missing.
 func TestSecondStepGoesOnPastTheAim(t *testing.T) {
 	k := start(t, two(), ready(3)...)
 	id := k.query(0, 4)
@@ -44,16 +45,16 @@
 	k.result(901, 0, first[0].Replica, OK)
 	for _, a := range k.wait(1200 * ms) {
 		if a.Kind == Refuse || a.Kind == Fail || a.Kind == Answer {
-			t.Fatalf("ended with half of the second step in: %+v", a)
+			t.Fatalf("ended with half of the second step missing: %+v", a)
 		}
 	}
 	if a := one(t, Answer, k.result(902, 0, first[1].Replica, OK)); !a.Whole {
-		t.Fatal("all is in, but the answer is not whole")
+		t.Fatal("all parts were answered, but the answer is not complete")
 	}
 }
 
-// Past the aim a query goes on only where what it lacks is little beside its late worth; else it ends in the
-// Step in which that is decided, and the client is told when to come back.
+// Past the aim a query continues only if its late worth exceeds what its missing parts cost. Otherwise it
+// ends in the Step that decides so, with advice when to retry.
 func TestLateWorkGoesOnOnlyWhereItEarns(t *testing.T) {
 	for lacks, goesOn := range map[int]bool{1: true, 8: false} {
 		s := settings()
@@ -66,17 +67,18 @@
 		}
 		ended := of(Refuse, k.wait(1000*ms))
 		if goesOn != (len(ended) == 0) {
-			t.Errorf("%d of 10 parts lacking at the aim: %d refused", lacks, len(ended))
+			t.Errorf("%d of 10 parts missing at the aim: %d refused", lacks, len(ended))
 		}
 		if len(ended) == 1 && ended[0].After == 0 {
-			t.Error("no advice when to come back")
+			t.Error("no advice when to retry")
 		}
 	}
 }
 
-// Clients wait the same share of their class's time for every try, so one that waits less began earlier: a
-// repeat of what is past its aim. Of no late worth it is refused before it costs anything (matricula rough-2:
-// 34 attempts a query went to repeats that could earn nothing).
+// Clients wait the same share of their class's deadline for every try, so one that waits less started
+// earlier, and its query may repeat one that is past its aim. Without late worth such a query is refused
+// before it costs anything (scenario matricula rough-2: 34 attempts per query went to repeats that could
+// earn nothing).
 func TestRepeatPastItsAimIsToldByItsTime(t *testing.T) {
 	for worth, sends := range map[float64]int{0: 0, 0.3: 1} {
 		s := settings()
@@ -89,12 +91,12 @@
 				Event{Kind: Part, ID: id + 1, Number: float32(id), Weight: 1, Deadline: k.now + left})
 			return k.out
 		}
-		for _, left := range []Micros{2400 * ms, 2380 * ms, 2400 * ms} { // 0.8 of the class's time
+		for _, left := range []Micros{2400 * ms, 2380 * ms, 2400 * ms} { // 0.8 of the class's deadline
 			if n := len(of(Send, ask(left))); n != 1 {
 				t.Fatalf("%d sends for a first try that waits %d ms", n, left/ms)
 			}
 		}
-		if n := len(of(Send, ask(1900*ms))); n != sends { // began 1.1 s ago, the aim is 1 s
+		if n := len(of(Send, ask(1900*ms))); n != sends { // started 1.1 s ago, the aim is 1 s
 			t.Errorf("late worth %v: %d sends for a repeat past its aim, want %d", worth, n, sends)
 		}
 		if n := len(of(Send, ask(2200*ms))); n != 1 {
@@ -103,8 +105,9 @@
 	}
 }
 
-// A query with one part at a hot shard, whose replicas send all back as full, is refused at once; queries
-// without such a part are served (duplicados big-2: 230 queries given up at their aim with 90% in).
+// A query with one part at a hot shard, whose replicas reject everything as busy, is refused immediately;
+// queries without such a part are served (scenario duplicados big-2: 230 queries were given up at their aim
+// with 90% of the parts answered).
 func TestHotShardShedsItsOwnQueriesOnly(t *testing.T) {
 	s := settings()
 	s.Cells, s.Peers = 8, 60
@@ -113,7 +116,7 @@
 		rs = append(rs, Replica{ID: ReplicaID(i + 1), Cell: i % 8, State: Ready, Size: 1})
 	}
 	k := start(t, s, rs...)
-	for i := range 60 { // shard 7 lives in cell 7, on replicas 8 and 16
+	for i := range 60 { // shard 7 is held by cell 7, which has replicas 8 and 16
 		r := k.b.byID[ReplicaID(i%16+1)]
 		if r.Cell != 7 {
 			k.b.saw(r, 0, 60_000)
@@ -130,12 +133,12 @@
 	one(t, Refuse, k.out)
 	k.query(0, 7)
 	if n := len(of(Send, k.out)); n != 7 {
-		t.Fatalf("%d of 7 parts sent by a query that does not need the hot shard", n)
+		t.Fatalf("%d of 7 parts sent of a query that does not need the hot shard", n)
 	}
 }
 
-// List calls that fail are made again with growing, random waits, within the told limit for drains: instances
-// that lost the list together must not ask together for ever.
+// Failed list calls are retried with exponential back-off and jitter, within MustAsk: instances that lost
+// discovery at the same time must not keep calling it at the same times.
 func TestListCallsBackOff(t *testing.T) {
 	for _, must := range []Micros{0, 3000 * ms, 8000 * ms} {
 		var first []Micros
@@ -158,28 +161,28 @@
 				gaps = append(gaps, k.now-failed)
 			}
 			if must == 0 && gaps[7] < 2*gaps[0] { // 2 to 4 s after 0.5 to 1 s
-				t.Errorf("waits %v do not grow", gaps)
+				t.Errorf("delays %v do not grow", gaps)
 			}
-			// Four times the limit may pass after a failed call, but what was missed counts as told 6 s after
-			// discovery could be reached. Retries at a quarter of 8 s kept discovery overbooked for as long as 80
-			// instances asked.
+			// Up to four times MustAsk may pass after a failed call, but missed changes count as announced 6 s after
+			// discovery became reachable. Retries at a quarter of 8 s kept discovery overloaded for as long as 80
+			// instances called it.
 			most := AskMost
 			if must > 0 {
 				most = min(most, must)
 			}
 			if gaps[7] > most+20*ms || gaps[7] < most/2-20*ms {
-				t.Errorf("waited %d ms where half of %d is the least and all of it the most", gaps[7]/ms, most/ms)
+				t.Errorf("delay %d ms, want between half of %d ms and all of it", gaps[7]/ms, most/ms)
 			}
 			first = append(first, gaps[0])
 		}
 		if first[0] == first[1] {
-			t.Errorf("two instances waited the same %d ms", first[0]/ms)
+			t.Errorf("two instances had the same delay of %d ms", first[0]/ms)
 		}
 	}
 }
 
-// The advice with a refusal goes by the shortest aim, within what clients follow, and differs between
-// instances: clients that were turned away together must not come back together.
+// The retry advice of a refusal is derived from the shortest aim, within what clients follow, and random:
+// clients that were refused at the same time must not come back at the same time.
 func TestAdviceIsDerivedAndSpread(t *testing.T) {
 	for _, most := range []Micros{0, 200 * ms, 5000 * ms} {
 		seen := map[Micros]bool{}
@@ -191,21 +194,21 @@
 				t.Fatal(err)
 			}
 			k := &bench{t: t, b: b, now: 20_000 * ms}
-			k.query(0, 1) // there is no replica
+			k.query(0, 1) // refused, as there is no replica
 			after := one(t, Refuse, k.out).After
 			if after > min(most, s.Classes[0].Aim) || most > 0 && after < min(most, 100*ms) {
-				t.Errorf("told to wait %d ms where %d is the most that clients follow", after/ms, most/ms)
+				t.Errorf("advised to retry after %d ms, clients follow at most %d ms", after/ms, most/ms)
 			}
 			seen[after] = true
 		}
 		if most > 0 && len(seen) < 10 {
-			t.Errorf("20 instances gave %d different times", len(seen))
+			t.Errorf("only %d different delays from 20 instances", len(seen))
 		}
 	}
 }
 
-// Where clients mark repeats, a first try of a client of little patience is not taken for a late repeat
-// (i2cbad8: 350 refused in five seconds that could have been served).
+// If clients mark repeats, the first try of a client with a short deadline is not taken for a late repeat
+// (incident i2cbad8: 350 queries that could have been served were refused in five seconds).
 func TestImpatientFirstTryIsNotLate(t *testing.T) {
 	for repeat, sends := range map[bool]int{false: 1, true: 0} {
 		s := settings()
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// world plays a legal history of events against one instance and checks every action against the rules. The
-// figures come from a fixed seed: the same history each time.
+// simulation runs a random but valid history of events against one instance and checks every action
+// against the rules. All random values come from a seed, so a seed always gives the same history.
 type world struct {
 	s        Settings
 	rng      *rand.Rand
@@ -24,13 +24,13 @@
 	nextID   uint32
 	ended    int
 	sends    []simSend
-	spoil    func([]Action) []Action // plants a breach
+	spoil    func([]Action) []Action // injects a violation
 	broken   []string
 }
 
 type simReplica struct {
 	Replica
-	told Micros // when it was told to drain or gone
+	told Micros // when it was listed as draining or removed
 	mood int
 }
 
@@ -55,7 +55,7 @@
 type simSend struct {
 	at      Micros
 	replica ReplicaID
-	share   float64 // of its capacity that a cold replica has, 1 when warm
+	share   float64 // share of its capacity that a cold replica has, 1 when warm
 }
 
 type simAttempt struct {
@@ -118,7 +118,7 @@
 	return w
 }
 
-// apply hands a batch over and checks what comes back.
+// apply passes a batch of events to the instance and checks the resulting actions.
 func (w *world) apply(events []Event) {
 	actions := w.b.Step(w.now, events, nil)
 	if w.spoil != nil {
@@ -144,7 +144,7 @@
 	case Cancel:
 		p := w.parts[a.ID]
 		if p == nil || a.Attempt >= len(p.attempts) {
-			w.breach("cancel of an attempt that was never made: %+v", a)
+			w.breach("cancelled an attempt that was never made: %+v", a)
 			return
 		}
 		if p.attempts[a.Attempt].out {
@@ -159,18 +159,18 @@
 func (w *world) send(a Action) {
 	p := w.parts[a.ID]
 	if p == nil {
-		w.breach("sent %d, which is no part", a.ID)
+		w.breach("sent %d, which is not a part", a.ID)
 		return
 	}
 	q, r, c := w.queries[p.query], w.replicas[a.Replica], w.s.Classes[w.queries[p.query].class]
 	if q.over || p.in {
-		w.breach("sent a part after its end")
+		w.breach("sent a part that is finished")
 	}
 	if (r.Cell-p.shard%w.s.Cells+w.s.Cells)%w.s.Cells >= w.s.Reach {
 		w.breach("shard %d is not held by cell %d", p.shard, r.Cell)
 	}
 	if r.State != Ready && w.now > r.told {
-		w.breach("sent to a replica that drains or is gone")
+		w.breach("sent to a draining or removed replica")
 	}
 	if len(p.attempts) >= w.s.MaxAttempts {
 		w.breach("attempt %d of a part", len(p.attempts)+1)
@@ -192,12 +192,12 @@
 	if c.Effect == Keyed && ran > 0 && w.now > ran+c.Window {
 		w.breach("a keyed part was repeated after its window")
 	}
-	var before Micros // the host has to know it: it may be a while until the attempt begins
+	var before Micros // passed to the host, because the attempt may begin with a delay
 	if c.Effect == Keyed && ran > 0 {
 		before = ran + c.Window
 	}
 	if a.Before != before {
-		w.breach("an attempt may begin until %d, its window ends at %d", a.Before, before)
+		w.breach("StartBy of an attempt is %d, its window ends at %d", a.Before, before)
 	}
 	if len(p.attempts) > 0 && w.s.ResendSpan > 0 {
 		w.extras = append(w.extras, w.now)
@@ -225,7 +225,8 @@
 	return n
 }
 
-// outcome draws how an attempt will end: each replica has a mood that changes now and then.
+// outcome draws the result of an attempt, according to the replica's failure mode, which changes
+// occasionally.
 func (w *world) outcome(a Action, r *simReplica, attempt int) pending {
 	took, o := Micros(20+w.rng.IntN(200))*ms, OK
 	switch {
@@ -262,10 +263,10 @@
 	switch a.Kind {
 	case Answer:
 		if q.in < floor-1e-4 {
-			w.breach("answered with %.2f in, %.2f is the least", q.in, floor)
+			w.breach("answered with weight %.2f, the minimum is %.2f", q.in, floor)
 		}
 		if a.Whole && (q.in < need-1e-4 || q.second && (!all || !q.whole)) {
-			w.breach("an answer was called whole that is not")
+			w.breach("an incomplete answer was marked complete")
 		}
 		if c.SecondStep > 0 && !q.second {
 			q.second, q.whole, q.in = true, a.Whole, 0
@@ -288,7 +289,7 @@
 		for _, id := range q.parts {
 			for _, t := range w.parts[id].attempts {
 				if c.Effect == Unsafe && !t.neverRan {
-					w.breach("refused a query of which an unsafe part may have run")
+					w.breach("refused a query although an unsafe part of it may have run")
 				}
 			}
 		}
@@ -309,7 +310,7 @@
 		Deadline: q.deadline}
 }
 
-// query makes the events of a new query.
+// query returns the events of a new query.
 func (w *world) query() []Event {
 	w.nextID++
 	id, class := w.nextID, w.rng.IntN(len(w.s.Classes))
@@ -326,7 +327,7 @@
 	return events
 }
 
-// play runs the history for a while and then lets everything end.
+// run simulates the history for a number of steps and then lets all pending events happen.
 func (w *world) play(steps int) {
 	for i := 0; i < steps || len(w.pending) > 0 && i < steps+2000; i++ {
 		w.now += 5 * ms
@@ -355,7 +356,8 @@
 	}
 }
 
-// settle books a result in the world's own record; false where the attempt had ended already.
+// recordResult records a result in the simulation's own state. It returns false if the attempt had already
+// ended.
 func (w *world) settle(ev *Event) bool {
 	p := w.parts[ev.ID]
 	t := &p.attempts[ev.Attempt]
@@ -373,7 +375,7 @@
 	return true
 }
 
-// change makes a replica drain, go, come back cold or stay as it is.
+// changeReplica makes a replica drain, go away or come back cold.
 func (w *world) change() Event {
 	r := w.replicas[w.ids[w.rng.IntN(len(w.ids))]]
 	switch {
@@ -385,7 +387,7 @@
 	return Event{Kind: List, Mode: Delta, Replicas: []Replica{r.Replica}}
 }
 
-// close checks what must hold at the end of a history.
+// checkEnd checks what must hold at the end of a history.
 func (w *world) close() {
 	for id, q := range w.queries {
 		if !q.over {
@@ -394,7 +396,7 @@
 	}
 	w.closeCold()
 	if n := len(w.b.queries) + len(w.b.parts) + len(w.b.byQuery) + len(w.b.byNumber); n > 0 {
-		w.breach("%d pieces of state kept after everything ended", n)
+		w.breach("%d queries and parts kept after everything ended", n)
 	}
 	for _, r := range w.b.replicas {
 		if r.calls != 0 {
@@ -403,7 +405,8 @@
 	}
 }
 
-// closeCold checks that no cold replica got much more than its share of what a warm one got at its busiest.
+// checkColdLoad checks that no cold replica received much more than its share of the maximum load of a
+// warm one.
 func (w *world) closeCold() {
 	type bucket struct {
 		replica ReplicaID
@@ -430,7 +433,7 @@
 				cold, share = cold+1, max(share, o.share)
 			}
 		}
-		if float64(cold) > 1.3*share*float64(most)+4 { // two spans, and what may be saved up before
+		if float64(cold) > 1.3*share*float64(most)+4 { // two spans, and the tokens saved before them
 			w.breach("cold replica %d got %d parts in two spans, the busiest warm one %d", c.replica, cold, most)
 			return
 		}
@@ -443,7 +446,7 @@
 		w.play(4000)
 		w.close()
 		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d breaches, the first: %s", seed, len(w.broken), w.broken[0])
+			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(w.broken), w.broken[0])
 		}
 		if w.ended < 1000 {
 			t.Fatalf("seed %d: only %d queries ended", seed, w.ended)
@@ -451,7 +454,7 @@
 	}
 }
 
-// The checks above must be able to fail: each planted breach has to be seen.
+// The checks above must be able to fail: each injected violation has to be detected.
 func TestPlantedBreachesAreSeen(t *testing.T) {
 	edit := func(f func(w *world, a Action) []Action) func(w *world) {
 		return func(w *world) {
@@ -524,7 +527,7 @@
 			seen = len(w.broken) > 0
 		}
 		if !seen {
-			t.Errorf("%s: the planted breach was not seen", name)
+			t.Errorf("%s: the injected violation was not detected", name)
 		}
 	}
 }
@@ -538,7 +541,7 @@
 		return out
 	}
 	if a, b := trace(), trace(); !slices.Equal(a, b) {
-		t.Fatal("two runs of one history differ")
+		t.Fatal("two runs of the same history differ")
 	}
 }
 
