--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,6 +1,6 @@
 package core
 
-// Carrying out what the module says.
+// Execution of the module's actions.
 
 import (
 	"container/heap"
@@ -10,8 +10,8 @@
 	"lapislever/balance"
 )
 
-// carryOut does what the module said, in its order, but for sends: those of this Step to one server go
-// together, in calls of as many parts as one may hold.
+// execute executes the module's actions in order. Sends are collected, so that those of this Step to one
+// server share calls of at most BatchMax parts.
 func (c *Core) carryOut() {
 	for i := range c.actions {
 		a := &c.actions[i]
@@ -84,7 +84,8 @@
 	c.flush()
 }
 
-// withdraw gives an attempt up. One of this very Step that has not been handed over is just taken out.
+// cancelAttempt cancels an attempt. An attempt of the current Step that has not been passed to its backend
+// is only removed.
 func (c *Core) withdraw(a *Attempt) bool {
 	for i, s := range c.sends {
 		if s == a {
@@ -95,11 +96,11 @@
 	return a.Query.Via.Withdraw(a)
 }
 
-// send makes an attempt and keeps it until the Step's other actions are read.
+// send creates an attempt and holds it until the other actions of the Step are executed.
 func (c *Core) send(act *balance.Action) {
 	p := c.parts[act.ID]
 	if p == nil || !p.q.open || p.over {
-		c.cfg.Log.Error("module sent a part that is over", "id", act.ID)
+		c.cfg.Log.Error("module sent a part that is already finished", "id", act.ID)
 		return
 	}
 	after := min(max(act.After, 0), math.MaxInt32)
@@ -127,7 +128,7 @@
 	c.sends = append(c.sends, a)
 }
 
-// flush hands the sends of this Step to their backends.
+// flushSends passes the sends of this Step to their backends.
 func (c *Core) flush() {
 	for len(c.sends) > 0 {
 		first := c.sends[0]
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -7,48 +7,49 @@
 	"lapislever/internal/watchdog"
 )
 
-// Attempt is one send of a part. Backends keep the pointer and hand it back with the outcome.
+// Attempt is one send of a part. Backends keep the pointer and return it with the outcome.
 type Attempt struct {
 	Query   *Query
 	Shard   int
 	Replica balance.ReplicaID
-	Timeout time.Duration // how long the core will wait
-	Until   time.Time     // and up to when
-	Before  time.Time     // it must not begin later, as its key is forgotten then; zero: it may
-	Ticket  any           // the gate's
+	Timeout time.Duration // how long the core waits for it
+	Until   time.Time     // when the core stops waiting
+	Before  time.Time     // latest time at which it may begin, as its key expires then; zero: no limit
+	Ticket  any           // belongs to the admission controller
 
-	watch  *watchdog.Watchdog // looks at writes that are under way; nil: nobody does
-	write  *watchdog.Call     // the writer's, while one is
-	passed bool               // by the gate
+	watch  *watchdog.Watchdog // watches its writes; nil: none
+	write  *watchdog.Call     // the write under way; belongs to the writer
+	passed bool               // allowed by the admission controller
 	p      *part
 	number int
 	sent   balance.Micros
 	over   bool
-	// Of one that is over:
+	// Set when done:
 	ended   balance.Micros
 	outcome balance.Outcome
 }
 
-// heldTicks is how many whole ticks of the watchdog a write may be held.
+// maxHeldTicks is the number of full ticks of the watchdog for which a write may be held up.
 const heldTicks = 4
 
-// Hold is why an attempt may not begin.
+// HoldReason states why an attempt may not begin.
 type Hold string
 
-// The reasons why an attempt may not begin.
+// The reasons why an attempt may not begin. The texts are written to the log.
 const (
 	MayBegin     Hold = ""
-	HoldOverdue  Hold = "its time is over"
-	HoldWindow   Hold = "the window for repeats of its key is over"
+	HoldOverdue  Hold = "its deadline has passed"
+	HoldWindow   Hold = "the window of its key has passed"
 	HoldLeft     Hold = "its client has left"
-	HoldAnswered Hold = "its request is over"
-	HoldDraining Hold = "its server drains"
+	HoldAnswered Hold = "its request has ended"
+	HoldDraining Hold = "its server is draining"
 )
 
-// BeginWrite asks whether the attempt's first byte may be written now, and how long the core will wait for
-// the attempt from there. Where it may, the caller makes the system call at once and then calls EndWrite: in
-// between the query's end waits for the call or aborts it. Nothing may come between the two, in particular no
-// look at a clock and nothing that waits; the time given has been read before.
+// BeginWrite reports whether the attempt's first byte may be written now, and how long the core will wait
+// for the attempt from then on. If it may, the caller must make the system call immediately and then call
+// EndWrite. In between, the end of the query waits for the write or aborts it. Nothing may happen between
+// BeginWrite and the system call, in particular no reading of a clock and nothing that blocks; now has
+// been read before.
 func (a *Attempt) BeginWrite(w Writer, now time.Time) (wait time.Duration, hold Hold) {
 	wait = a.Until.Sub(now)
 	switch {
@@ -67,7 +68,7 @@
 	return wait, MayBegin
 }
 
-// EndWrite tells that the write which BeginWrite has allowed has returned.
+// EndWrite reports that the write permitted by BeginWrite has returned.
 func (a *Attempt) EndWrite(w Writer) {
 	if a.watch != nil {
 		a.watch.End(a.write)
@@ -75,8 +76,8 @@
 	a.Query.writes.leave(w)
 }
 
-// writeHeld aborts a write whose thread is held up, once it may not have begun any more, or has been held
-// for so long that the time it tells its server is wrong.
+// onWriteHeld aborts a write whose thread is held up, if the attempt may no longer begin, or if the write
+// has been held for so long that the time-out it announces to the server is wrong.
 func (a *Attempt) writeHeld(w Writer, ticks int) {
 	now := time.Now()
 	left := a.Query.ClientLeft != nil && a.Query.ClientLeft()
@@ -86,7 +87,7 @@
 	}
 }
 
-// beaten tells that an attempt of the same part that was sent later has been answered.
+// superseded reports whether a later attempt of the same part has been answered.
 func (a *Attempt) beaten() bool {
 	for _, later := range a.p.tries[a.number+1:] {
 		if later.over && later.outcome == balance.OK {
@@ -96,5 +97,5 @@
 	return false
 }
 
-// First tells that the attempt is the first of its part.
+// IsFirst reports whether this is the first attempt of its part.
 func (a *Attempt) First() bool { return a.number == 0 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core holds the one goroutine that owns the decision module, and with it each query's life and
-// values. Fronts hand it queries and backends hand it outcomes, all through one bounded queue; it steps the
-// module and carries out what the module says. It must never know a wire: what a query looks like to its
-// client and a part to its server is behind the interfaces that this file defines. It must never decide
-// either, beyond the bounds that the settings place on it.
+// Package core runs the single goroutine that owns the decision module and the state of all open queries.
+// Fronts submit queries and backends report outcomes through one bounded queue; the core steps the module
+// and executes its actions. It is independent of any protocol: the interfaces in this file hide the
+// representation of a query towards its client and of a part towards its server. It makes no decisions of
+// its own beyond enforcing limits from the settings.
 package core
 
 import (
@@ -19,73 +19,76 @@
 	"lapislever/internal/watchdog"
 )
 
-// Sizes of the core.
+// Limits and intervals of the core.
 const (
 	queueSize   = 4096
-	maxBatch    = 1024                   // events of one Step
-	guardSlack  = 10 * time.Millisecond  // past its time a query is ended without the module
-	fullAdvice  = 250 * time.Millisecond // when to come back after the queue or the table was full
-	countSpan   = 100 * time.Millisecond // between looks at what the module avoids
-	numberLimit = 1 << 24                // a query's number must be exact as a float32
+	maxBatch    = 1024                   // maximum events per Step
+	guardSlack  = 10 * time.Millisecond  // after its deadline plus this a query is ended without the module
+	fullAdvice  = 250 * time.Millisecond // retry advice when the queue or the table of queries is full
+	countSpan   = 100 * time.Millisecond // interval for updating the counts of listed and avoided servers
+	numberLimit = 1 << 24                // query numbers must be exactly representable as a float32
 )
 
-// ServerID is the module's name for a server: the same at every coordinator, as peers name servers by it.
+// ServerID returns the module's ID of a server. It is the same at every coordinator, because messages
+// between peers refer to servers by it.
 func ServerID(name string) balance.ReplicaID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return balance.ReplicaID(h.Sum64())
 }
 
-// Backend takes attempts to servers. The core's goroutine calls it: no method may block, none may queue an
-// event from inside the call.
+// Backend sends attempts to servers. Its methods are called by the core's goroutine: they must not block
+// and must not call Post.
 type Backend interface {
-	// Send passes on attempts that share a call. It returns false where they cannot even be queued; they
-	// have then never run.
+	// Send sends attempts that share a call. It returns false if they cannot even be queued; they have
+	// then never run.
 	Send(to balance.ReplicaID, call []*Attempt) bool
-	// Withdraw gives an attempt up. It returns true where it is certain that it never ran.
+	// Cancel cancels an attempt. It returns true if the attempt certainly never ran.
 	Withdraw(a *Attempt) bool
-	// Probe looks at a server; the outcome comes as ProbeDone.
+	// Probe starts a probe of a server; its outcome is posted as ProbeDone. It returns false if the server
+	// cannot be probed.
 	Probe(to balance.ReplicaID) bool
-	// CloseIdle closes connections that carry nothing.
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle(to balance.ReplicaID)
-	// Stop withdraws what is queued for a server and not begun, and returns it.
+	// CancelQueued removes the attempts that are queued for a server and not yet begun, and returns them.
 	Stop(to balance.ReplicaID) []*Attempt
 }
 
-// Peers carries messages to other coordinators.
+// Peers sends messages to other coordinators.
 type Peers interface {
 	Tell(to uint32, text string)
 }
 
-// Lister asks discovery, where the list does not come by itself.
+// Discovery requests the list of servers from discovery, if it does not arrive by itself.
 type Lister interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Gate limits what is let in and sent beside what the module decides. No method may block.
+// AdmissionController limits queries and attempts in addition to the decisions of the module. Its methods
+// must not block.
 type Gate interface {
-	// Admit is asked before a query is queued, from any goroutine: whether it may be let in, and if not after
-	// how long and why. Ended is called once for each that was, when it has its final answer or its client is
-	// gone, which counts as Failed.
+	// Admit is called before a query is queued, from any goroutine. It returns whether the query is
+	// admitted and, if not, the suggested retry delay and the reason. QueryEnded is called once for each
+	// admitted query, when it has its final answer or its client has left, which counts as Failed.
 	Admit(q *Query) (ok bool, after time.Duration, why string)
 	Ended(q *Query, e Ending)
-	// Send is asked before an attempt is handed to its backend, by the core's goroutine; one that may not be
-	// ends as told. Over is called once for each that may, at its end.
+	// AllowSend is called by the core's goroutine before an attempt is passed to its backend. An attempt that is
+	// not allowed ends with the outcome returned. AttemptEnded is called once for each allowed attempt.
 	Send(a *Attempt) (ok bool, otherwise balance.Outcome)
 	Over(a *Attempt)
 }
 
-// Seen is how an attempt at a server ended.
+// AttemptResult describes how an attempt ended.
 type Seen struct {
 	Replica balance.ReplicaID
 	Class   int
 	Outcome balance.Outcome
 	Took    time.Duration
-	Beaten  bool // it was given up, and an attempt of its part that was sent later has been answered
+	Beaten  bool // it was cancelled, and a later attempt of the same part has been answered
 }
 
-// Config is what a core is made of.
+// Config configures a core.
 type Config struct {
 	Settings balance.Settings
 	Seed     uint64
@@ -93,23 +96,24 @@
 	Peers    Peers
 	Lister   Lister
 	Log      *slog.Logger
-	Counts   *Counts // where this core's figures go; nil: nowhere
-	// Gate is asked before a query is queued and before an attempt is sent. Nil: all may.
+	Counts   *Counts // counters to update; nil: none
+	// Admission limits queries and attempts; nil: no limit.
 	Gate Gate
-	// Saw is told how each attempt ended, by the core's goroutine. It must not wait. Nil: nobody is.
+	// OnAttemptEnd is called by the core's goroutine at the end of each attempt. It must not block. Nil: not
+	// called.
 	Saw func(Seen)
-	// Guard chooses which of the servers that are out by evidence, the first to be judged first, may be so.
-	// Nil: none.
+	// LimitCordons selects which of the servers with evidence against them, given in the order of their
+	// verdicts, are actually cordoned. Nil: none.
 	Guard func(listed []verdict.Holder, sick []uint64) map[uint64]bool
-	// Named is a server's name for the log; nil: its number stands for it.
+	// ServerName returns the name of a server for the log; nil: its ID is logged.
 	Named func(id balance.ReplicaID) (string, bool)
-	// Listed is called after the first Step that knew a server.
+	// OnFirstList is called after the first Step with a listed server.
 	Listed func()
-	// Delays hears of Steps that came late; nil: nobody does.
+	// Delays records Steps that ran late; nil: not recorded.
 	Delays *delay.Recorder
 }
 
-// Core is the owner of the module.
+// Core owns the decision module and the open queries.
 type Core struct {
 	cfg    Config
 	module *balance.Balancer
@@ -119,33 +123,33 @@
 	epoch  time.Time
 	base   balance.Micros
 	watch  watchdog.Watchdog
-	advice atomic.Int64 // the longest that clients follow, a time.Duration; 0: they are told nothing
+	advice atomic.Int64 // longest retry delay that clients follow, a time.Duration; 0: they receive none
 
-	// What follows belongs to the goroutine of Run alone.
+	// The following fields are used only by the goroutine of Run.
 	now      balance.Micros
-	logs     []func() // lines put off to the end of the Step
+	logs     []func() // log lines deferred to the end of the Step
 	events   []balance.Event
 	actions  []balance.Action
 	sends    []*Attempt
 	timers   timers
-	wakeAt   balance.Micros // earliest wake-up that was asked for; 0: none
+	wakeAt   balance.Micros // earliest wake-up requested by the module; 0: none
 	queries  map[uint32]*Query
 	parts    map[uint32]*part
 	names    map[string]*Query
 	numbers  map[float32]bool
 	nextID   uint32
 	nextNum  uint32
-	held     int // queries and parts
+	held     int // number of open queries and parts
 	until    balance.Micros
 	sawList  bool
-	listed   map[balance.ReplicaID]balance.Replica         // as discovery tells
-	outs     [authors]map[balance.ReplicaID]balance.Micros // put out, by whom and when
-	order    map[balance.ReplicaID]uint64                  // of those that are judged
-	judged   map[uint64]bool                               // of those, the ones that are out
-	since    map[balance.ReplicaID]balance.Micros          // put back then: started no earlier
+	listed   map[balance.ReplicaID]balance.Replica         // as listed by discovery
+	outs     [authors]map[balance.ReplicaID]balance.Micros // cordoned servers, by source, and since when
+	order    map[balance.ReplicaID]uint64                  // order of the verdicts by evidence
+	judged   map[uint64]bool                               // cordoned by evidence, within LimitCordons
+	since    map[balance.ReplicaID]balance.Micros          // when uncordoned: counts as a start
 	starts   startTimes
-	countAt  balance.Micros // when the list's figures are next due
-	idle     chan struct{}  // closed once nothing is open while stopping
+	countAt  balance.Micros // when the list counts are next updated
+	idle     chan struct{}  // closed when no query is open during shutdown
 	idleDone bool
 }
 
@@ -174,18 +178,18 @@
 	return c, nil
 }
 
-// clock is the module's time: Unix microseconds at the start, and monotonic from there.
+// toMicros converts a time to the module's clock: Unix microseconds at the start, monotonic from there.
 func (c *Core) clock(t time.Time) balance.Micros {
 	return c.base + t.Sub(c.epoch).Microseconds()
 }
 
-// moment is the module's time on the clock that clock reads.
+// toTime is the inverse of toMicros.
 func (c *Core) moment(at balance.Micros) time.Time {
 	return c.epoch.Add(time.Duration(at-c.base) * time.Microsecond)
 }
 
-// Post queues an event and waits for room in the queue, so that a socket that brings more than the module
-// takes is read no further. It must not be called from inside a Backend's methods.
+// Post queues an event and blocks while the queue is full, so that a socket is not read faster than the
+// module processes its events. It must not be called from a Backend's methods.
 func (c *Core) Post(e Event) {
 	select {
 	case c.queue <- e:
@@ -193,8 +197,8 @@
 	}
 }
 
-// Submit queues a query. It returns false where the queue is full; the query was then not taken. One that a
-// limit turns away has had its final answer by then.
+// Submit queues a query. It returns false if the queue is full; the query was then not accepted. A query
+// that the admission controller refuses has already received its final answer.
 func (c *Core) Submit(q *Query) bool {
 	if !c.admit(q) {
 		return true
@@ -208,14 +212,14 @@
 	}
 }
 
-// Leave tells that the client of a query has left. From here on no attempt of it begins, also where the queue
+// Abandon ends a query whose client has left. From this call on no attempt of it begins, even if the queue
 // is long.
 func (c *Core) Leave(q *Query) {
 	q.writes.close(nil)
 	c.Post(Gone{Query: q})
 }
 
-// admit asks the gate. One that it turns away has had its final answer.
+// admit asks the admission controller, and gives a refused query its final answer.
 func (c *Core) admit(q *Query) bool {
 	c.cfg.Counts.Active.Add(1)
 	if c.cfg.Gate == nil {
@@ -228,19 +232,19 @@
 	return ok
 }
 
-// Counts are this process's figures.
+// Counts returns the counters of this process.
 func (c *Core) Counts() *Counts { return c.cfg.Counts }
 
-// FullAdvice is when to come back where there was no room.
+// FullRetryAfter returns the retry advice for a request that found the queue or the table of queries full.
 func (c *Core) FullAdvice() time.Duration { return c.Advise(fullAdvice) }
 
-// Advise is what a client may be told of when to come back: no longer than the settings in force say that it
-// follows, and nothing, 0, where they let it hear nothing.
+// CapRetryAfter limits a retry delay to the longest that clients follow according to the current settings.
+// It returns 0 if clients receive no advice.
 func (c *Core) Advise(after time.Duration) time.Duration {
 	return min(after, time.Duration(c.advice.Load()))
 }
 
-// adopt notes the settings in force.
+// applySettings stores the settings in force.
 func (c *Core) adopt(s balance.Settings) {
 	c.cfg.Settings = s
 	longest := time.Duration(0)
@@ -250,14 +254,14 @@
 	c.advice.Store(int64(longest))
 }
 
-// Finish tells the module that this instance ends at the time given, and returns a channel that is closed
-// once no query is open.
+// Shutdown tells the module that this instance shuts down at the given time, and returns a channel that is
+// closed once no query is open.
 func (c *Core) Finish(until time.Time) <-chan struct{} {
 	c.Post(stopping{until: until})
 	return c.idle
 }
 
-// ask queues an event that is answered on done, and waits for that for as long as is given.
+// request queues an event that is answered on done, and waits up to the given time for the answer.
 func ask[T any](c *Core, e Event, done <-chan T, within time.Duration) (answer T, inTime bool) {
 	late := time.NewTimer(within)
 	defer late.Stop()
@@ -277,10 +281,10 @@
 	return answer, false
 }
 
-// Close ends Run.
+// Close stops Run.
 func (c *Core) Close() { close(c.quit) }
 
-// timer is a moment at which the core has to look at an attempt or at a query.
+// timer is the time at which an attempt or a query has to be checked.
 type timer struct {
 	at balance.Micros
 	a  *Attempt
@@ -305,18 +309,19 @@
 	return x
 }
 
-// Run owns the module until Close. One Step takes all that is queued, and there is at most one a tick.
+// Run runs the core until Close. Each Step takes all queued events, and there is at most one Step per
+// tick.
 func (c *Core) Run() {
 	defer close(c.done)
 	tick := time.Duration(c.cfg.Settings.Tick) * time.Microsecond
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	last := time.Now()
-	// Where the list has to be asked for, the module says so in a Step, and without a list from before nothing
-	// else may ever call for one.
+	// If the list has to be requested, the module does so in a Step, and without a cached list no other
+	// event may ever cause one.
 	c.step(c.clock(last))
 	for {
-		// Wait for something to do.
+		// Wait for an event or a timer.
 		if len(c.events) == 0 {
 			if at := c.nextTime(); at > 0 {
 				alarm.Reset(time.Duration(at-c.clock(time.Now())) * time.Microsecond)
@@ -331,7 +336,7 @@
 				return
 			}
 		}
-		// At most one Step a tick: what comes until then goes into the same one.
+		// There is at most one Step per tick: events that arrive before it are part of the same Step.
 		if wait := tick - time.Since(last); wait > 0 {
 			alarm.Reset(wait)
 			for waiting := true; waiting; {
@@ -362,7 +367,7 @@
 	}
 }
 
-// nextTime is the next moment at which there is something to do; 0: none.
+// nextTime returns the time of the next timer or wake-up; 0: none.
 func (c *Core) nextTime() balance.Micros {
 	at := c.wakeAt
 	if len(c.timers) > 0 && (at == 0 || c.timers[0].at < at) {
@@ -371,7 +376,7 @@
 	return at
 }
 
-// take turns what sockets said into the module's events.
+// handle processes an event, and translates it to events of the module.
 func (c *Core) take(e Event) {
 	switch e := e.(type) {
 	case *Query:
@@ -391,12 +396,12 @@
 		c.tell(e.Mode, e.Replicas)
 	case Cordon:
 		c.cordon(e)
-	case Inherited: // it comes before any list
+	case Inherited: // arrives before any list
 		e.shift(e.Now, c.clock(time.Now()))
 		maps.Copy(c.outs[Here], e.Out)
 		maps.Copy(c.outs[ByFleet], e.Barred)
 		maps.Copy(c.since, e.Since)
-		for id, at := range e.Memory.Starts { // some of them the list may not tell yet
+		for id, at := range e.Memory.Starts { // some may be missing in the list so far
 			c.since[id] = max(c.since[id], at)
 		}
 		c.events = append(c.events, balance.Event{Kind: balance.Recalled, Memory: &e.Memory})
@@ -423,14 +428,14 @@
 	}
 }
 
-// begin takes a query and gives the module what it needs to know of it.
+// openQuery opens a query and passes it to the module.
 func (c *Core) begin(q *Query) {
-	if q.Over() { // its client left while it was queued
+	if q.Over() { // the client left while the query was queued
 		c.left(q, Failed)
 		return
 	}
-	if c.names[q.Name] != nil { // its parts could not be told from those of the other one
-		c.logEnd(q, Failed.String(), "an open query bears the same name")
+	if c.names[q.Name] != nil { // parts of two queries of one name cannot be told apart
+		c.logEnd(q, Failed.String(), "a query with the same name is open")
 		c.reply(q, Final{Ending: Failed, NameTaken: true})
 		return
 	}
@@ -471,7 +476,7 @@
 	heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
 }
 
-// freshID returns an id that nothing open bears.
+// newID returns an ID that no open query or part has.
 func (c *Core) freshID() uint32 {
 	for {
 		c.nextID++
@@ -481,8 +486,8 @@
 	}
 }
 
-// settle books the end of an attempt and tells the module. Only the first end counts: what comes after a
-// time-out or a withdrawal is late, and dropped.
+// endAttempt records the end of an attempt and tells the module. Only the first outcome counts: anything
+// after a time-out or a cancellation is late and ignored.
 func (c *Core) settle(a *Attempt, o balance.Outcome, report []float32, v *Value) {
 	if a.over {
 		return
@@ -505,14 +510,14 @@
 	c.forget(p)
 }
 
-// forget drops a part that nothing more can come of.
+// dropPart removes a part once its query is closed and none of its attempts is pending.
 func (c *Core) forget(p *part) {
 	if !p.q.open && p.live == 0 {
 		delete(c.parts, p.id)
 	}
 }
 
-// step runs the module once and carries out its actions.
+// step runs the module once and executes its actions.
 func (c *Core) step(now balance.Micros) {
 	var overdue []*Query
 	late := time.Duration(0)
@@ -531,8 +536,8 @@
 			}
 			c.settle(t.a, o, nil, nil)
 		case t.q != nil && t.q.open:
-			// The module answers in time by itself; this guards the rule against whatever keeps it from
-			// that, such as a clock that stood still: an overdue query gets its answer all the same.
+			// Normally the module answers in time. This ensures a final answer even if something keeps it from
+			// doing so, such as a clock that stood still.
 			overdue = append(overdue, t.q)
 		}
 	}
@@ -565,6 +570,7 @@
 	c.flushLogs()
 }
 
+// overdueAt returns when a query is ended without the module.
 func (c *Core) guardAt(q *Query) balance.Micros {
 	at := q.deadline
 	if c.until > 0 {
@@ -573,7 +579,8 @@
 	return at + guardSlack.Microseconds()
 }
 
-// final gives a query its final answer. It is the only place that does, and a query is open only once.
+// finish gives an open query its final answer. Only this function does so, and a query is opened only
+// once.
 func (c *Core) final(q *Query, f Final) {
 	if !q.open {
 		return
@@ -583,16 +590,17 @@
 	c.reply(q, f)
 }
 
-// reply hands out the final answer of a query that is not open, or not any more. The client hears it once no
-// write can put out the first byte of an attempt any more: what is sent on for a request that has its answer
-// is a request lost, however long a writer's thread is held up.
+// reply delivers the final answer of a query that is not open, or no longer open. The client receives it
+// only when no write can send the first byte of an attempt any more: an attempt sent after the final
+// answer would execute a request that has already been reported as ended, however long a writer's thread
+// is held up.
 func (c *Core) reply(q *Query, f Final) {
 	c.left(q, f.Ending)
 	f.RetryAfter = c.Advise(f.RetryAfter)
 	q.writes.close(func() { q.Client.Final(f) })
 }
 
-// left books that a query that was submitted is over.
+// queryEnded records that a submitted query has ended.
 func (c *Core) left(q *Query, e Ending) {
 	c.cfg.Counts.Active.Add(-1)
 	if q.admitted {
@@ -601,7 +609,7 @@
 	}
 }
 
-// end forgets a query. What it still has out is withdrawn by the module or runs into its time-out.
+// closeQuery removes a query. Its pending attempts are cancelled by the module or time out.
 func (c *Core) end(q *Query) {
 	q.open = false
 	delete(c.queries, q.id)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -11,14 +11,14 @@
 	"lapislever/internal/verdict"
 )
 
-// fake is a backend that notes what it is told, and a client that notes its answers.
+// fakeBackend is a Backend and a Client that records calls and final answers.
 type fake struct {
 	mu        sync.Mutex
 	calls     [][]*Attempt
 	withdrawn []*Attempt
-	unsent    bool // what Withdraw says
+	unsent    bool // result of Cancel
 	refuses   bool
-	queued    []*Attempt // what Stop gives back
+	queued    []*Attempt // result of CancelQueued
 	probes    int
 	finals    []Final
 }
@@ -53,7 +53,7 @@
 
 const ms = 1000
 
-// settings are a plain deployment: two shards on one cell of two servers.
+// settings returns a minimal deployment: one cell of two servers that hold every shard.
 func settings() balance.Settings {
 	return balance.Settings{
 		Classes: []balance.Class{{Aim: 1000 * ms, Deadline: 3000 * ms, Worth: 1, Need: 1, Floor: 1}},
@@ -62,7 +62,7 @@
 	}
 }
 
-// rig drives a core by hand, without Run: each Step is at a moment of the test's own.
+// testCore drives a core step by step, without Run: the test chooses the time of each Step.
 type rig struct {
 	*Core
 	f  *fake
@@ -83,7 +83,7 @@
 	return k
 }
 
-// tell hands in events and steps once.
+// process passes events to the core and runs one Step.
 func (k *rig) tell(events ...Event) {
 	for _, e := range events {
 		k.take(e)
@@ -92,7 +92,7 @@
 	k.step(k.at)
 }
 
-// wait steps as time goes by.
+// wait runs Steps until the given time has passed.
 func (k *rig) wait(d balance.Micros) {
 	for end := k.at + d; k.at < end; {
 		k.tell()
@@ -130,7 +130,7 @@
 		t.Fatalf("%+v", f)
 	}
 	if len(k.queries)+len(k.parts)+len(k.names)+len(k.numbers)+k.held != 0 {
-		t.Fatal("something is kept after the end")
+		t.Fatal("state is kept after the end")
 	}
 }
 
@@ -156,8 +156,8 @@
 	}
 }
 
-// A silent server: the attempt ends by its time-out, is withdrawn, and what it answers later is dropped.
-// The query gets its one final answer in time, with advice when to come back.
+// An attempt at a silent server times out and is cancelled, and a later answer is ignored. The query gets its
+// only final answer in time, with retry advice.
 func TestTimeOutAndLateAnswer(t *testing.T) {
 	k := start(t, settings())
 	k.tell(k.query("a", 1))
@@ -167,7 +167,7 @@
 		t.Fatalf("%+v", k.f.finals)
 	}
 	if len(k.f.withdrawn) != len(k.f.calls) {
-		t.Fatalf("%d of %d attempts withdrawn", len(k.f.withdrawn), len(k.f.calls))
+		t.Fatalf("%d of %d attempts cancelled", len(k.f.withdrawn), len(k.f.calls))
 	}
 	k.tell(Outcome{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
 	if k.wait(100 * ms); len(k.f.finals) != 1 || len(k.parts) != 0 {
@@ -175,8 +175,7 @@
 	}
 }
 
-// The module's clock may stand still for as long as it likes: an overdue query gets its answer at the next
-// Step.
+// If the core has not run for any length of time, an overdue query gets its answer in the next Step.
 func TestOverdueQueryIsAnswered(t *testing.T) {
 	k := start(t, settings())
 	k.tell(k.query("a", 1))
@@ -197,12 +196,11 @@
 	k.tell(q)
 	k.tell(Gone{Query: q}, Gone{Query: q})
 	if k.wait(4000 * ms); len(k.f.finals) != 0 || len(k.f.withdrawn) != 2 || len(k.parts) != 0 || k.held != 0 {
-		t.Fatalf("%d answers, %d withdrawn, %d parts", len(k.f.finals), len(k.f.withdrawn), len(k.parts))
+		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.f.finals), len(k.f.withdrawn), len(k.parts))
 	}
 }
 
-// A client that leaves while its query waits in the queue: nothing of it is sent, and its place is given
-// back.
+// If a client leaves while its query is queued, no part of the query is sent and its place is freed.
 func TestClientThatLeavesWhileItsQueryIsQueued(t *testing.T) {
 	k := start(t, settings())
 	q := k.query("a", 2)
@@ -210,7 +208,7 @@
 		t.Fatal("not queued")
 	}
 	k.Leave(q)
-	k.tell(<-k.queue) // word of its end is still behind others
+	k.tell(<-k.queue) // the event of its end is still queued
 	k.tell(<-k.queue)
 	if len(k.f.calls) != 0 || len(k.f.finals) != 0 || k.held != 0 || k.cfg.Counts.Active.Load() != 0 {
 		t.Fatalf("%d calls, %d answers, %d held, %d active", len(k.f.calls), len(k.f.finals), k.held,
@@ -218,8 +216,7 @@
 	}
 }
 
-// An attempt bears the moments that its backend has to look at, on the clock that it reads; the end of its
-// query holds it back too.
+// An attempt begins only before its deadline, within the window of its key and while its query is open.
 func TestAttemptTellsWhetherItMayBegin(t *testing.T) {
 	s := settings()
 	s.Classes[0].Effect, s.Classes[0].Window = balance.Keyed, 300*ms
@@ -228,7 +225,7 @@
 	k.tell(q)
 	first := k.f.calls[0][0]
 	if !first.Before.IsZero() {
-		t.Fatal("a first attempt is bound to no window")
+		t.Fatal("a first attempt is limited to a window")
 	}
 	k.tell(Outcome{Attempt: first, Outcome: balance.Error})
 	again := k.f.calls[1][0]
@@ -238,7 +235,7 @@
 	}
 	var w abortCounter
 	if _, hold := again.BeginWrite(&w, window); hold != MayBegin {
-		t.Fatal("it may begin up to the end of its window")
+		t.Fatal("it may not begin at the end of its window")
 	}
 	again.EndWrite(&w)
 	if _, hold := again.BeginWrite(&w, window.Add(time.Microsecond)); hold != HoldWindow {
@@ -246,11 +243,11 @@
 	}
 	wait, hold := first.BeginWrite(&w, first.Until.Add(-time.Second))
 	if hold != MayBegin || wait != time.Second {
-		t.Fatalf("%v are left, %v", wait, hold)
+		t.Fatalf("wait of %v, hold %q", wait, hold)
 	}
 	first.EndWrite(&w)
 	if _, hold := first.BeginWrite(&w, first.Until); hold != HoldOverdue {
-		t.Fatal("it began when its time was over")
+		t.Fatal("it began at its deadline")
 	}
 	k.tell(Gone{Query: q})
 	if _, hold := again.BeginWrite(&w, window); hold != HoldAnswered {
@@ -258,7 +255,8 @@
 	}
 }
 
-// What is queued for a server that drains is taken back; as it never ran, it goes to another one at once.
+// Attempts queued for a server that starts draining are cancelled. As they never ran, they are immediately
+// sent to another server.
 func TestDrainTakesQueuedSendsBack(t *testing.T) {
 	k := start(t, settings())
 	k.tell(k.query("a", 1))
@@ -291,14 +289,14 @@
 	}
 }
 
-// What a client is told of when to come back is bounded by the settings in force, whoever turns it away.
+// Retry advice is bounded by the settings in force, whoever refuses the query.
 func TestAdviceGoesByTheSettings(t *testing.T) {
 	s := settings()
 	s.MaxOpen = 2
 	k := start(t, s)
 	told := func(name string) time.Duration {
 		t.Helper()
-		k.tell(k.query(name, 2)) // more than may be open
+		k.tell(k.query(name, 2)) // exceeds MaxOpen
 		f := k.f.finals[len(k.f.finals)-1]
 		if f.Ending != Refused {
 			t.Fatalf("%+v", f)
@@ -306,17 +304,17 @@
 		return f.RetryAfter
 	}
 	if got := told("a"); got != fullAdvice || k.FullAdvice() != fullAdvice {
-		t.Errorf("told %v, %v", got, k.FullAdvice())
+		t.Errorf("advice %v and %v, want %v", got, k.FullAdvice(), fullAdvice)
 	}
 	s.MaxRetryAfter = 100 * ms
 	k.tell(Reconfigured{Settings: s})
 	if got := told("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
-		t.Errorf("clients follow 0.1 s, told %v, %v", got, k.FullAdvice())
+		t.Errorf("clients follow 0.1 s, advice %v and %v", got, k.FullAdvice())
 	}
 	s.CanAdvise = false
 	k.tell(Reconfigured{Settings: s})
 	if got := told("c"); got != 0 || k.FullAdvice() != 0 {
-		t.Errorf("clients hear nothing, told %v, %v", got, k.FullAdvice())
+		t.Errorf("clients receive no advice, but got %v and %v", got, k.FullAdvice())
 	}
 }
 
@@ -337,7 +335,7 @@
 	}
 }
 
-// The real loop: what many goroutines post is handled by one, and each query gets one final answer.
+// With Run, events posted by many goroutines are processed by one, and all queries end.
 func TestRunWithManyPosters(t *testing.T) {
 	s := settings()
 	s.CanCopy = false
@@ -366,16 +364,16 @@
 	}
 }
 
-// cordon says an operator's word, and returns whether the server was known.
+// cordon submits an operator's cordon or uncordon, and returns whether the server was known.
 func (k *rig) cordon(id balance.ReplicaID, out bool) bool {
 	done := make(chan bool, 1)
 	k.tell(Cordon{Server: id, Out: out, Done: done})
 	return <-done
 }
 
-// A process that takes over from another knows what that one has found: which servers are out or cold, though
-// its list may not tell, and how much cold ones may be given. It began with next to nothing for them, and
-// refused what only they could serve (upgrade+hand+scrape).
+// A process that takes over from another one knows which servers are cordoned or cold, even if its list does
+// not show that, and the measured capacity. Without it the process gave cold servers almost nothing, and
+// refused queries that only they could serve (scenario upgrade+hand+scrape).
 func TestInheritedIsKept(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
@@ -402,18 +400,19 @@
 	fresh.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	if got := fresh.overlay(fresh.listed[1]).Started; got != said.Memory.Starts[1] {
-		t.Errorf("a cold server counts as started at %d", got)
+		t.Errorf("a cold server counts as started at %d, not %d", got, said.Memory.Starts[1])
 	}
 	if got := fresh.overlay(fresh.listed[2]).State; got != balance.Draining {
-		t.Errorf("a server that is out is in state %d", got)
+		t.Errorf("a cordoned server is in state %d", got)
 	}
 	if got := fresh.module.Memory().Carried; got < said.Memory.Carried/2 {
-		t.Errorf("%g is carried, not %g", got, said.Memory.Carried)
+		t.Errorf("capacity %g, not %g", got, said.Memory.Carried)
 	}
 }
 
-// What is queued for a server that operators put out is taken back before they hear the yes, and nothing new
-// goes there, also when the list tells of it anew. Back, it is cold though the list says otherwise.
+// Attempts queued for a server that an operator cordons are cancelled before the operator gets the
+// confirmation, and no new ones are sent to it, even after a new list. When uncordoned the server is cold,
+// whatever the list says.
 func TestCordonTakesQueuedSendsBack(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
@@ -422,7 +421,7 @@
 	first := k.f.calls[0][0]
 	k.f.queued = []*Attempt{first}
 	if k.cordon(9, true) || !k.cordon(first.Replica, true) {
-		t.Fatal("only what is listed is known")
+		t.Fatal("an unlisted server is known, or a listed one unknown")
 	}
 	if len(k.f.calls) != 2 || k.f.calls[1][0].Replica == first.Replica || !first.over {
 		t.Fatalf("%d calls", len(k.f.calls))
@@ -435,29 +434,29 @@
 	}
 	for _, c := range k.f.calls[1:] {
 		if c[0].Replica == first.Replica {
-			t.Fatal("a send to a server that is out")
+			t.Fatal("sent to a cordoned server")
 		}
 	}
 	if !k.cordon(first.Replica, false) || k.overlay(k.listed[first.Replica]).Started == 0 {
-		t.Fatal("a server that is back counts as warm")
+		t.Fatal("an uncordoned server counts as warm")
 	}
-	started := k.clock(time.Now()) // a start that the list has told of is known better than by the call back
+	started := k.clock(time.Now()) // a listed start is more accurate than the time of the uncordon
 	k.cordon(first.Replica, true)
 	k.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: first.Replica, State: balance.Ready, Size: 1, Started: started + 1000*ms}}})
 	k.cordon(first.Replica, false)
 	if got := k.overlay(k.listed[first.Replica]).Started; got != started+1000*ms {
-		t.Fatalf("started %d us after the list's word", got-started-1000*ms)
+		t.Fatalf("started %d us after the listed start", got-started-1000*ms)
 	}
 	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
 	if len(k.since) != 0 {
-		t.Fatal("servers that are gone pile up")
+		t.Fatal("state of removed servers is kept")
 	}
 }
 
-// A server that is judged sick drains as one that operators put out, but for what the guard leaves in: the
-// partner of one that an operator puts out is in again at once, and out once that one is back. Back from a
-// judgement it counts as just started.
+// A server with evidence against it is cordoned as by an operator, unless LimitCordons prevents that: if an
+// operator cordons its only partner, it is uncordoned immediately, and cordoned again when the partner is
+// back. After the verdict is lifted it counts as just started.
 func TestJudgedServersAreGuarded(t *testing.T) {
 	k := start(t, settings())
 	k.cfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
@@ -477,9 +476,9 @@
 	judge(2, Judged, true, 7)
 	states(balance.Ready, balance.Draining)
 	judge(1, JudgedHere, true, 9)
-	states(balance.Ready, balance.Draining) // later: the last one stays
+	states(balance.Ready, balance.Draining) // the later verdict does not apply: one server must remain
 	k.cordon(1, true)
-	states(balance.Draining, balance.Ready) // an operator's word goes before evidence
+	states(balance.Draining, balance.Ready) // an operator's cordon has precedence over evidence
 	k.f.calls = nil
 	k.tell(k.query("a", 1))
 	if len(k.f.calls) != 1 || k.f.calls[0][0].Replica != 2 {
@@ -490,16 +489,16 @@
 	judge(2, Judged, false, 7)
 	states(balance.Draining, balance.Ready)
 	if k.overlay(k.listed[2]).Started == 0 {
-		t.Error("one that is back counts as warm")
+		t.Error("an uncordoned server counts as warm")
 	}
 	judge(1, JudgedHere, false, 9)
 	states(balance.Ready, balance.Ready)
 	if len(k.order)+len(k.judged) > 0 {
-		t.Errorf("%d orders, %d judged are kept", len(k.order), len(k.judged))
+		t.Errorf("%d orders and %d evidence cordons are kept", len(k.order), len(k.judged))
 	}
 }
 
-// BenchmarkOverlay is the look-up of verdicts on the way of a list's line to the module, with a hundred out.
+// BenchmarkOverlay measures the look-up of cordons for one entry of a list, with a hundred servers cordoned.
 func BenchmarkOverlay(b *testing.B) {
 	k := &Core{since: map[balance.ReplicaID]balance.Micros{}, judged: map[uint64]bool{}}
 	for i := range k.outs {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -1,38 +1,36 @@
 package core
 
-// The figures of a process.
-
 import (
 	"maps"
 	"sync"
 	"sync/atomic"
 )
 
-// Counts are the figures of this process since its start. Each is written where the thing happens and may be
-// read at any time from any goroutine.
+// Counts holds the counters of this process since its start. Each is updated where the event happens and
+// may be read by any goroutine at any time.
 type Counts struct {
 	Tries    atomic.Int64 // attempts whose last byte was written to a server
-	Active   atomic.Int64 // queries taken and not yet ended
+	Active   atomic.Int64 // queries submitted and not yet ended
 	Listed   atomic.Int64 // servers in the list
-	Avoided  atomic.Int64 // of those, the ones that get nothing: put out by hand, or avoided by the module
-	Applied  atomic.Int64 // configurations taken in while running
-	Rejected atomic.Int64 // and turned down
+	Avoided  atomic.Int64 // those of them that are cordoned or avoided by the module
+	Applied  atomic.Int64 // configurations applied while running
+	Rejected atomic.Int64 // configurations rejected while running
 
 	mu      sync.Mutex // guards the map; the counts in it are atomics
 	classes map[string]*ClassCount
 }
 
-// ClassCount counts the replies to a class's queries. Whoever words the reply counts it, as only there it is
-// known what the client is told.
+// ClassCount counts the replies to queries of a class by outcome. A front counts a reply when it writes
+// it, because only the front knows what the client receives.
 type ClassCount struct{ ends [Failed + 1]atomic.Int64 }
 
 // Add counts one reply.
 func (c *ClassCount) Add(e Ending) { c.ends[e].Add(1) }
 
-// Of is how many ended in a way.
+// Count returns the number of replies with an outcome.
 func (c *ClassCount) Of(e Ending) int64 { return c.ends[e].Load() }
 
-// Class is the count of a class by its name, the same for as long as the process runs.
+// Class returns the counter of a class by name. It is the same for the lifetime of the process.
 func (c *Counts) Class(name string) *ClassCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,7 +45,7 @@
 	return x
 }
 
-// Classes are the counts of all classes that were ever named.
+// Classes returns the counters of all classes used so far.
 func (c *Counts) Classes() map[string]*ClassCount {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -1,6 +1,6 @@
 package core
 
-// What sockets, operators and other processes have to say to the core.
+// Events from sockets, operators and other processes.
 
 import (
 	"time"
@@ -8,10 +8,10 @@
 	"lapislever/balance"
 )
 
-// Event is something that sockets have to say. The types below are all there are.
+// Event is an input of the core. The types below are the only implementations.
 type Event interface{ isEvent() }
 
-// Outcome tells how an attempt ended.
+// AttemptDone reports how an attempt ended.
 type Outcome struct {
 	Attempt *Attempt
 	Outcome balance.Outcome
@@ -19,18 +19,19 @@
 	Value   Value
 }
 
-// Gone tells that the client of a query has left.
+// ClientGone reports that the client of a query has left.
 type Gone struct{ Query *Query }
 
-// Listed brings news of the servers.
+// ListUpdate carries changes of the list of servers.
 type Listed struct {
 	Mode     balance.ListMode
 	Replicas []balance.Replica
-	// Heard is when, where the starts of the servers are told by the wall clock; zero: by the module's.
+	// ReceivedAt is the time of reception if the servers' start times are by the wall clock; zero if they are by
+	// the module's clock.
 	Heard time.Time
 }
 
-// ProbeDone tells how a probe ended.
+// ProbeDone reports how a probe ended.
 type ProbeDone struct {
 	Replica balance.ReplicaID
 	Outcome balance.Outcome
@@ -38,58 +39,60 @@
 	Report  []float32
 }
 
-// PeerMessage is a message of another coordinator.
+// PeerMessage is a message from another coordinator.
 type PeerMessage struct {
 	From uint32
 	Data []byte
 }
 
-// Reconfigured brings new settings. Classes keep their places and none goes; open queries keep their rules.
+// SettingsChanged carries new settings. Classes keep their indexes and none is removed; open queries keep
+// their rules.
 type Reconfigured struct{ Settings balance.Settings }
 
-// stopping tells that this instance ends: no query may be held beyond until.
+// shutdown announces that this instance shuts down: no query may be held beyond until.
 type stopping struct{ until time.Time }
 
-// Cordon is an operator's call to put a server out, or back. While out it gets nothing new, whatever the list
-// says: the module is told that it drains. Back, it counts as started at that moment, for it may have been
-// restarted without the list's telling yet, unless the list has told of a start while it was out.
+// Cordon cordons or uncordons a server. A cordoned server gets no new attempts, whatever the list says:
+// the module is told that it is draining. An uncordoned server counts as started at that time, because it
+// may have been restarted without the list reporting it yet, unless the list reported a start while it was
+// cordoned.
 type Cordon struct {
 	Server balance.ReplicaID
 	Out    bool
-	By     Author         // each who has put it out has to put it back
-	At     balance.Micros // when it was called, in Unix microseconds; 0: now
-	Sure   bool           // another process of this coordinator knows the server: no question
-	Order  uint64         // of a Judged one: which goes first where not all may be out
-	Done   chan<- bool    // hears once whether the server is known; it has room. Or nil
+	By     Author         // a server stays cordoned until each source that cordoned it has uncordoned it
+	At     balance.Micros // when it was requested, in Unix microseconds; 0: now
+	Sure   bool           // accept a server that is not listed, as another process of this coordinator knows it
+	Order  uint64         // by evidence: precedence when not all servers may be cordoned, lowest first
+	Done   chan<- bool    // receives once whether the server is known; must be buffered; may be nil
 }
 
-// Author is who puts servers out.
+// CordonSource is who cordons servers.
 type Author uint8
 
-// The authors: an operator at this coordinator, one for the whole fleet, and the fleet by evidence.
+// The sources: an operator at this coordinator, an operator for the whole fleet, and the fleet by evidence.
 const (
 	Here Author = iota
 	ByFleet
-	Judged // by evidence, for the whole fleet and for a zone: the only ones that the guard may leave in
+	Judged // by evidence, for the whole fleet or for a zone: LimitCordons may override only these
 	JudgedHere
 	authors
 )
 
-// Inherited is what another process of this coordinator has been told by operators, and what its module hands
-// over.
+// HandoverState is what a process of this coordinator passes to its successor: the cordons and the state
+// of the module.
 type Inherited struct {
-	Out    map[balance.ReplicaID]balance.Micros // and when
-	Barred map[balance.ReplicaID]balance.Micros // the same by operators for the whole fleet
+	Out    map[balance.ReplicaID]balance.Micros // cordoned by operators here, and when
+	Barred map[balance.ReplicaID]balance.Micros // cordoned by operators for the whole fleet, and when
 	Since  map[balance.ReplicaID]balance.Micros
 	Memory balance.Memory
-	// Now is what the module's clock read there, which the moments are told by; 0: the same as here.
+	// Clock is the time on the sender's module clock, by which all times here are measured; 0: the clocks agree.
 	Now balance.Micros
 }
 
-// cordons asks for what Inherited tells the next process.
+// handoverRequest requests the HandoverState for the next process.
 type cordons struct{ done chan<- Inherited }
 
-// knows asks whether a server is listed.
+// isListedRequest asks whether a server is listed.
 type knows struct {
 	server balance.ReplicaID
 	done   chan<- bool
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -1,14 +1,12 @@
 package core
 
-// Queries, and what their clients hear.
-
 import (
 	"time"
 
 	"lapislever/balance"
 )
 
-// Ending is the kind of a final answer.
+// QueryOutcome is the kind of a final answer.
 type Ending uint8
 
 // The kinds of final answer.
@@ -18,31 +16,32 @@
 	Failed
 )
 
-// Value is what a server gave for a part.
+// Value is a server's answer to a part.
 type Value struct {
 	Shard int
 	Body  []byte
-	Data  any // what a backend has made of it, for its own front
+	Data  any // set by a backend for its own front
 }
 
-// Final is the one final answer of a query.
+// FinalAnswer is the only final answer of a query.
 type Final struct {
 	Ending     Ending
 	Whole      bool
-	Values     []Value       // in the order of the parts; those that are in
-	RetryAfter time.Duration // of a refusal: when to come back
-	Overdue    bool          // the time was over before there was a decision
-	Why        string        // of a refusal that the module did not make
-	NameTaken  bool          // an open query bears the same name
-	Decided    time.Time     // zero: not by a Step
+	Values     []Value       // of the answered parts, in the order of the parts
+	RetryAfter time.Duration // of a refusal: suggested delay before a retry
+	Overdue    bool          // the deadline passed without a decision
+	Why        string        // of a refusal by the admission controller: the reason
+	NameTaken  bool          // an open query has the same name
+	Decided    time.Time     // time of the Step that decided; zero: not decided by a Step
 }
 
-// Client hears the final answer of its query, exactly once, from any goroutine, and must not block.
+// Client receives the final answer of its query, exactly once and from any goroutine. Final must not
+// block.
 type Client interface {
 	Final(Final)
 }
 
-// PartSpec is one part of a query as its front describes it.
+// PartSpec describes one part of a query.
 type PartSpec struct {
 	Shard  int
 	Weight float64
@@ -50,25 +49,24 @@
 	Key    uint64
 }
 
-// Query is one query as its front hands it over. Nothing of it may be changed afterwards.
+// Query is a query as submitted by its front. Its exported fields must not change afterwards.
 type Query struct {
-	Name     string // what its parts are named by on a wire; unique among those that are open
+	Name     string // identifies its parts on the wire; unique among the open queries
 	Class    int
 	Tenant   int
-	Deadline time.Time // when the client gives this try up
+	Deadline time.Time // when the client gives up this try
 	Repeat   bool
 	Key      string         // idempotency key
-	Rules    *balance.Class // what binds it where that is not its class; nil: the class
-	Most     int            // attempts for a part, where that differs from the settings; 0: it does not
-	Text     []byte         // what each part carries
+	Rules    *balance.Class // rules that apply instead of its class's; nil: those of the class
+	Most     int            // maximum attempts for a part, if different from the settings; 0: as in the settings
+	Text     []byte         // payload of each part
 	Parts    []PartSpec
 	Client   Client
-	Via      Backend // takes the parts to their servers
-	Data     any     // what the front and its backend share
-	Caller   string  // who asks, by the name that limits know; empty: nobody has said
-	Ticket   any     // the gate's
-	// ClientLeft looks whether the client's connection has been closed by it, without waiting. Nil: nobody can
-	// tell.
+	Via      Backend // sends the parts to their servers
+	Data     any     // shared by the front and its backend
+	Caller   string  // caller as known to the limits; empty: unknown
+	Ticket   any     // belongs to the admission controller
+	// ClientLeft reports without blocking whether the client has closed its connection. Nil: unknown.
 	ClientLeft func() bool
 
 	admitted bool
@@ -76,12 +74,13 @@
 	number   float32
 	parts    []*part
 	open     bool
-	began    balance.Micros // when the core took it
+	began    balance.Micros // when the core opened it
 	deadline balance.Micros
-	writes   writeBarrier // closed once it has its final answer or its client has left
+	writes   writeBarrier // closed when it has its final answer or its client has left
 }
 
-// Over tells that the query has its final answer, or that its client has left: nothing of it may begin.
+// Finished reports whether the query has its final answer or its client has left. No attempt of it may
+// begin then.
 func (q *Query) Over() bool { return q.writes.closed.Load() }
 
 type part struct {
--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -11,7 +11,7 @@
 	"lapislever/balance"
 )
 
-// String is the ending's name in the log.
+// String returns the name of the outcome as written to the log.
 func (e Ending) String() string {
 	switch e {
 	case Answered:
@@ -22,11 +22,11 @@
 	return "failed"
 }
 
-// logLater has a line logged behind the Step, when all is carried out: to log takes a look at the clock, and
-// may be held up.
+// deferLog defers a log line until all actions of the Step are executed: logging reads the clock and may
+// block.
 func (c *Core) logLater(line func()) { c.logs = append(c.logs, line) }
 
-// flushLogs logs what was put off.
+// flushLogs writes the deferred log lines.
 func (c *Core) flushLogs() {
 	for i, line := range c.logs {
 		line()
@@ -35,8 +35,8 @@
 	c.logs = c.logs[:0]
 }
 
-// logEnd logs how a query that was not answered ended and why, with all its attempts: one line tells each
-// retry and what came before it.
+// logEnd logs how and why a query ended without an answer, with all its attempts, so that one line shows
+// each retry and what came before it.
 func (c *Core) logEnd(q *Query, how, why string) {
 	if !c.cfg.Log.Enabled(context.Background(), slog.LevelInfo) {
 		return
@@ -52,8 +52,8 @@
 	})
 }
 
-// attemptsText lists a query's attempts as shard, replica, and when each began and ended how, in ms of the
-// query's age.
+// attemptsText lists the attempts of a query: shard and server, then for each attempt its start and, if it
+// has ended, its end and outcome. Times are in ms since the query was opened.
 func (c *Core) attemptsText(q *Query) string {
 	var text strings.Builder
 	for _, p := range q.parts {
@@ -68,7 +68,7 @@
 	return text.String()
 }
 
-// serverText is a server's name, or its number where nobody knows that.
+// serverText returns the name of a server, or its ID if the name is unknown.
 func (c *Core) serverText(id balance.ReplicaID) string {
 	if c.cfg.Named != nil {
 		if name, ok := c.cfg.Named(id); ok {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -1,6 +1,6 @@
 package core
 
-// The servers as discovery lists them, with what operators and evidence have put out laid over.
+// The list of servers from discovery, combined with cordons by operators and by evidence.
 
 import (
 	"cmp"
@@ -12,22 +12,22 @@
 	"lapislever/internal/verdict"
 )
 
-// Cordon puts a server out or back, and returns once that holds. It gives up waiting after the time given;
-// the call may then be carried out all the same.
+// Cordon cordons or uncordons a server and returns when that is in force. It stops waiting after the given
+// time; the request may still be carried out then.
 func (c *Core) Cordon(id balance.ReplicaID, out bool, within time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
 	return ask(c, Cordon{Server: id, Out: out, Done: done}, done, within)
 }
 
-// Knows tells that a server is listed; false too where the core does not say so in time.
+// IsListed reports whether a server is listed. It returns false if the core does not answer in time.
 func (c *Core) Knows(id balance.ReplicaID, within time.Duration) bool {
 	done := make(chan bool, 1)
 	known, _ := ask(c, knows{server: id, done: done}, done, within)
 	return known
 }
 
-// Bar puts a server out or back by the fleet's word, and returns once that holds here, or false once the core
-// has ended. The server need not be listed: it may be yet.
+// ApplyVerdict cordons or uncordons a server by a fleet-wide decision. It returns true when that is in
+// force here, and false if the core has stopped. The server need not be listed: it may be listed later.
 func (c *Core) Bar(id balance.ReplicaID, by Author, out bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
@@ -38,18 +38,19 @@
 		select {
 		case <-c.done:
 			return false
-		default: // it is busy: once more, which does no more than once
+		default: // the core is busy: try again, as the request is idempotent
 		}
 	}
 }
 
-// Cordoned is what operators have said so far. What was queued before has then been taken in.
+// HandoverState returns the cordons and the state of the module. Events queued before the call have been
+// processed by then.
 func (c *Core) Cordoned(within time.Duration) (Inherited, bool) {
 	done := make(chan Inherited, 1)
 	return ask(c, cordons{done: done}, done, within)
 }
 
-// learn remembers what discovery lists, and lays over it what operators have said.
+// applyList stores the list from discovery, and passes it to the module with the cordons applied.
 func (c *Core) learn(e *Listed) {
 	if !e.Heard.IsZero() {
 		c.starts.take(e.Replicas, c.clock(e.Heard), wallMicros(e.Heard), e.Mode == balance.Cached)
@@ -71,7 +72,7 @@
 		replicas = append(replicas, c.overlay(r))
 	}
 	e.Replicas = replicas
-	if e.Mode != balance.Cached { // ids never come again, and would else pile up
+	if e.Mode != balance.Cached { // IDs of removed servers are not reused and would accumulate
 		maps.DeleteFunc(c.since, func(id balance.ReplicaID, _ balance.Micros) bool {
 			_, ok := c.listed[id]
 			return !ok
@@ -80,7 +81,7 @@
 	}
 }
 
-// overlay is what the module is told of a listed server.
+// applyCordons returns the entry of a listed server as it is passed to the module.
 func (c *Core) overlay(r balance.Replica) balance.Replica {
 	r.Started = max(r.Started, c.since[r.ID])
 	if c.isOut(r.ID) && r.State == balance.Ready {
@@ -89,7 +90,8 @@
 	return r
 }
 
-// tell has the module hear of servers. What is queued for one that must stop does not go out any more.
+// notifyModule passes list entries to the module. Queued attempts for servers that are not ready are
+// cancelled.
 func (c *Core) tell(mode balance.ListMode, replicas []balance.Replica) {
 	for i := range replicas {
 		if r := &replicas[i]; r.State != balance.Ready {
@@ -100,12 +102,12 @@
 	c.events = append(c.events, balance.Event{Kind: balance.List, Mode: mode, Replicas: replicas})
 }
 
-// isOut tells that somebody has put a server out.
+// isCordoned reports whether a server is cordoned by any source.
 func (c *Core) isOut(id balance.ReplicaID) bool {
 	return c.byHand(id) || c.judged[uint64(id)]
 }
 
-// byHand tells that an operator has.
+// cordonedByOperator reports whether an operator has cordoned a server.
 func (c *Core) byHand(id balance.ReplicaID) bool {
 	for _, by := range c.outs[:Judged] {
 		if _, out := by[id]; out {
@@ -115,15 +117,16 @@
 	return false
 }
 
-// isJudged tells that evidence speaks against a server, whether or not it is out for that.
+// hasEvidence reports whether there is a verdict by evidence against a server, whether or not it is
+// cordoned for that.
 func (c *Core) isJudged(id balance.ReplicaID) bool {
 	_, all := c.outs[Judged][id]
 	_, here := c.outs[JudgedHere][id]
 	return all || here
 }
 
-// guard chooses anew which of the servers that are judged are out, and has the module hear of those for which
-// that has changed, but for what it is about to hear of anyway.
+// limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
+// changes to the module, except for the server given: the caller is about to do that.
 func (c *Core) guard(but balance.ReplicaID) {
 	if c.cfg.Guard == nil || len(c.outs[Judged])+len(c.outs[JudgedHere])+len(c.judged) == 0 {
 		return
@@ -149,7 +152,7 @@
 	for id, r := range c.listed {
 		if out := c.judged[uint64(id)]; out != was[uint64(id)] {
 			if !out {
-				c.since[id] = now // nobody knows in what state it comes back
+				c.since[id] = now // its state on return is unknown
 			}
 			if id != but {
 				told = append(told, c.overlay(r))
@@ -161,7 +164,7 @@
 	}
 }
 
-// cordon puts a server out or back. Called twice it does no more than once.
+// cordon cordons or uncordons a server. It is idempotent.
 func (c *Core) cordon(e Cordon) {
 	r, listed := c.listed[e.Server]
 	by := c.outs[e.By]
@@ -175,7 +178,7 @@
 			by[e.Server] = e.At
 		} else {
 			delete(by, e.Server)
-			// Else the list has told of the start, and knows better when that was, or it is the guard's to say.
+			// Otherwise the list has reported a start since, which is more accurate, or limitCordons decides.
 			if r.Started <= since && e.By < Judged {
 				c.since[e.Server] = e.At
 			}
@@ -196,7 +199,7 @@
 	}
 }
 
-// countList writes the list's figures, now and then and after each change.
+// updateListCounts updates the counts of listed and avoided servers, at intervals and after each change.
 func (c *Core) countList() {
 	if c.now < c.countAt {
 		return
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -6,17 +6,18 @@
 	"lapislever/balance"
 )
 
-// stepLeast is the least difference between the wall clock and the module's at which the wall clock counts as
-// stepped.
+// minClockStep is the minimum change of the difference between the wall clock and the module's clock that
+// counts as a step of the wall clock.
 const stepLeast = balance.Micros(500_000)
 
-// startTimes keeps when servers started on the module's clock. Lists tell it by the wall clock, which may be
-// stepped while this process runs: a server that has just started would pass for one that is long warm.
+// startTimes converts the start times of servers to the module's clock. Lists give them by the wall clock,
+// which may be stepped while this process runs: without the conversion a server that has just started
+// could count as warm for long.
 type startTimes struct {
-	told  map[balance.ReplicaID]balance.Micros // as the last list told it
+	told  map[balance.ReplicaID]balance.Micros // as given by the last list
 	start map[balance.ReplicaID]balance.Micros // on the module's clock
-	skew  balance.Micros                       // of the wall clock against the module's, at the last list
-	heard balance.Micros                       // when discovery was last heard; 0: never
+	skew  balance.Micros                       // wall clock minus module clock at the last list
+	heard balance.Micros                       // time of the last list from discovery; 0: none yet
 }
 
 func newStartTimes() startTimes {
@@ -24,8 +25,8 @@
 		start: map[balance.ReplicaID]balance.Micros{}}
 }
 
-// take translates the starts of a list that was heard at a moment of the module's clock, when the wall clock
-// read wall. What was told before a step keeps the moment that it had then.
+// translate converts the start times of a list that was received at now by the module's clock and at wall
+// by the wall clock. Start times already known before a step of the wall clock keep their converted value.
 func (s *startTimes) take(list []balance.Replica, now, wall balance.Micros, cached bool) {
 	skew := wall - now
 	if -stepLeast < skew && skew < stepLeast {
@@ -43,7 +44,7 @@
 			continue
 		}
 		start := r.Started - skew
-		if stepped { // it may be from before the step; news since the last list is no older than that
+		if stepped { // possibly a time before the step; but a start new in this list is later than the last one
 			start = max(start, s.heard)
 		}
 		s.told[r.ID], s.start[r.ID] = r.Started, start
@@ -54,7 +55,7 @@
 	}
 }
 
-// forget drops servers that are not listed any more.
+// prune removes servers that are no longer listed.
 func (s *startTimes) forget(listed map[balance.ReplicaID]balance.Replica) {
 	for id := range s.told {
 		if _, ok := listed[id]; !ok {
@@ -64,8 +65,9 @@
 	}
 }
 
-// shift moves what another process has told from its module's clock, which read from, to this one's, which
-// reads to: the two differ by as much as the wall clock was stepped between their starts.
+// shift converts the times received from another process to this process's module clock. The clock read
+// from there when it reads to here; the two differ if the wall clock was stepped between the starts of the
+// processes.
 func (in *Inherited) shift(from, to balance.Micros) {
 	by := to - from
 	if from == 0 || -stepLeast < by && by < stepLeast {
@@ -79,5 +81,5 @@
 	}
 }
 
-// wallMicros is the wall clock's reading that a moment bears.
+// wallMicros returns the wall-clock reading of a time.
 func wallMicros(t time.Time) balance.Micros { return t.UnixMicro() }
--- a/internal/core/virtual.go
+++ b/internal/core/virtual.go
@@ -6,14 +6,14 @@
 	"lapislever/balance"
 )
 
-// Virtual is a core without its goroutine, for emulators: who drives it hands in events, says what time it is
-// and steps it. Given the same events at the same times it does the same.
+// Simulated is a core without a goroutine, for simulators: the caller passes in events, provides the time
+// and runs the Steps. The same events at the same times give the same actions.
 type Virtual struct {
 	c    *Core
-	last balance.Micros // of the last Step; 0: none yet
+	last balance.Micros // time of the last Step; 0: none yet
 }
 
-// NewVirtual returns a core whose module starts at the moment given.
+// NewSimulated returns a core whose module starts at the given time.
 func NewVirtual(cfg Config, begin time.Time) (*Virtual, error) {
 	c, err := New(cfg)
 	if err != nil {
@@ -23,18 +23,19 @@
 	return &Virtual{c: c}, nil
 }
 
-// Take takes in an event.
+// Handle processes an event.
 func (v *Virtual) Take(e Event) { v.c.take(e) }
 
-// Submit takes in a query, if the gate lets it in; else that has had its final answer.
+// Submit submits a query. If the admission controller refuses it, it has already received its final
+// answer.
 func (v *Virtual) Submit(q *Query) {
 	if v.c.admit(q) {
 		v.c.take(q)
 	}
 }
 
-// Due is when the next Step is: at once where there are events, but a tick after the last one, or when
-// something asked for it; 0: there is nothing to do.
+// NextStep returns when the next Step is due: immediately if there are events, but at least a tick after
+// the last Step, or at the next timer or wake-up; 0: nothing to do.
 func (v *Virtual) Due(now balance.Micros) balance.Micros {
 	at := v.c.nextTime()
 	if len(v.c.events) > 0 {
--- a/internal/core/writebarrier.go
+++ b/internal/core/writebarrier.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// WriteGrace is how long a write that must not go out any more, and is under way, may take before it is
-// aborted. It is well under the time in which an attempt may still begin after its client has left.
+// WriteGrace is how long a write in progress may continue after its query has ended before it is aborted.
+// It is well below the time within which an attempt may still begin after its client has left.
 const WriteGrace = 50 * time.Millisecond
 
-// Writer puts the bytes of attempts on a socket.
+// Writer writes the bytes of attempts to a socket.
 type Writer interface {
-	// Abort makes it impossible that the write under way puts out another byte, and returns once that holds. It
-	// must not wait, and must not take a lock under which a write is begun.
+	// Abort ensures that the write in progress sends no further byte, and returns once that is certain. It must
+	// not block, and must not take a lock that is held while a write begins.
 	Abort()
 }
 
-// writeBarrier orders the writes that begin a query's attempts against the query's end. A writer enters
-// before the system call and leaves after it; once the barrier is closed nobody enters. A check alone, made
-// before the system call, would not do: the writer's thread may be held up in between for any time, and the
-// query's end would be told while the write is still to come.
+// writeBarrier orders the writes that begin a query's attempts and the end of the query. A writer enters
+// before the system call and leaves after it; no writer can enter once the barrier is closed. A check
+// before the system call would not suffice: the writer's thread may be held up in between for any time,
+// and the client would be told of the query's end while the write is still to come.
 type writeBarrier struct {
 	closed  atomic.Bool
 	mu      sync.Mutex // guards what follows, and changes of closed
-	inside  []Writer   // one entry for each write under way
-	drained func()     // to be called once no write is under way; nil: nobody waits
-	armed   bool       // the abort is due
+	inside  []Writer   // one entry for each write in progress
+	drained func()     // called when no write is in progress; nil: none
+	armed   bool       // abort is scheduled
 }
 
-// enter begins a write, or returns false once the barrier is closed.
+// enter begins a write. It returns false if the barrier is closed.
 func (b *writeBarrier) enter(w Writer) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,8 +50,8 @@
 	b.unlock()
 }
 
-// close lets no further write begin and calls drained once none can put out a byte any more: at once where
-// none is under way, else as the last one returns or has been aborted.
+// close prevents further writes and calls drained once none can send a byte any more: immediately if no
+// write is in progress, otherwise when the last one has returned or been aborted.
 func (b *writeBarrier) close(drained func()) {
 	b.mu.Lock()
 	b.closed.Store(true)
@@ -72,7 +72,7 @@
 	}
 }
 
-// abortWriter ends the writes of one writer that are still under way.
+// abortWriter aborts the writes of one writer that are in progress.
 func (b *writeBarrier) abortWriter(w Writer) {
 	b.mu.Lock()
 	inside := slices.DeleteFunc(b.inside, func(x Writer) bool { return x == w })
@@ -84,8 +84,8 @@
 	b.unlock()
 }
 
-// abort ends the writes that are still under way. It holds the lock meanwhile: a writer that has returned is
-// not to lose its connection.
+// abort aborts all writes in progress. It holds the lock meanwhile: a writer that has returned must not
+// lose its connection.
 func (b *writeBarrier) abort() {
 	b.mu.Lock()
 	for _, w := range b.inside {
@@ -95,7 +95,7 @@
 	b.unlock()
 }
 
-// unlock gives the lock back, and then tells who waits for it that no write is under way, if that is so.
+// unlockAndNotify releases the lock, and calls drained if no write is in progress.
 func (b *writeBarrier) unlock() {
 	var drained func()
 	if len(b.inside) == 0 {
--- a/internal/core/writebarrier_test.go
+++ b/internal/core/writebarrier_test.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// abortCounter is a writer that counts how often it is aborted.
+// abortCounter is a Writer that counts calls of Abort.
 type abortCounter struct{ n atomic.Int32 }
 
 func (a *abortCounter) Abort() { a.n.Add(1) }
 
-// The end of a query is told at once where nothing is being written for it, behind the last write where they
-// return, and with the rest aborted where one does not; whatever comes, once, and nothing begins after it.
+// The end of a query is reported immediately if no write is in progress, after the last write if they return,
+// and after aborting those that do not. It is reported once, and no write begins after it.
 func TestEndOfAQueryComesBehindItsWrites(t *testing.T) {
 	var b writeBarrier
 	told := make(chan struct{}, 4)
@@ -20,29 +20,29 @@
 	one, two := &abortCounter{}, &abortCounter{}
 	for _, w := range []*abortCounter{one, two, two} {
 		if !b.enter(w) {
-			t.Fatal("a write of an open query may not begin")
+			t.Fatal("a write of an open query cannot begin")
 		}
 	}
 	b.leave(two)
-	b.close(nil) // its client has left
+	b.close(nil) // the client has left
 	b.close(tell)
 	if b.enter(one) {
-		t.Fatal("a write begins behind the end")
+		t.Fatal("a write begins after the end")
 	}
 	b.leave(one)
 	select {
 	case <-told:
-		t.Fatal("told while a write is under way")
+		t.Fatal("end reported while a write is in progress")
 	default:
 	}
 	select {
 	case <-told:
 	case <-time.After(10 * time.Second):
-		t.Fatal("never told: a writer does not return")
+		t.Fatal("end not reported although the held write must be aborted")
 	}
-	b.leave(two) // it returns at last
+	b.leave(two) // the aborted write returns
 	if one.n.Load() != 0 || two.n.Load() != 1 || len(told) != 0 {
-		t.Fatalf("aborted %d and %d times, told %d times more", one.n.Load(), two.n.Load(), len(told))
+		t.Fatalf("aborted %d and %d times, end reported %d more times", one.n.Load(), two.n.Load(), len(told))
 	}
 	var c writeBarrier
 	c.enter(one)
@@ -50,6 +50,6 @@
 	c.leave(one)
 	c.close(nil)
 	if len(told) != 1 {
-		t.Fatal("not told as the last write returned")
+		t.Fatal("end not reported when the last write returned")
 	}
 }
