--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -1,5 +1,5 @@
-// Package delay counts and logs what the process carries out later than it decided to. It must never make
-// anybody wait, and is told of an action behind it, not before.
+// Package delay counts and logs actions of the process that are executed later than decided. It must never
+// block an action, so an action is reported after it has ended.
 package delay
 
 import (
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// Notable is how late an action has to be to be counted and logged.
+// Threshold is the delay from which an action is counted and logged.
 const Notable = 50 * time.Millisecond
 
-// Action is a kind of action.
+// Action is the type of an action.
 type Action string
 
 // The actions whose delay is recorded.
 const (
-	Reply   Action = "reply"   // from the final answer until the system has taken the reply's last byte
-	Attempt Action = "attempt" // from the last look whether an attempt may begin until its bytes are taken
-	Step    Action = "step"    // from when the core has something to do until it does it
+	Reply   Action = "reply"   // from the final answer until the kernel has accepted the last byte of the reply
+	Attempt Action = "attempt" // from the last check whether it may begin until the kernel has accepted it
+	Step    Action = "step"    // from when the core has something to do until it runs a Step
 )
 
-// Figures are what is counted of one kind of action.
+// Stats are the counts for one type of action.
 type Figures struct {
 	Late      int64 `json:"late"`
 	LongestMS int64 `json:"longest_ms"`
@@ -31,16 +31,17 @@
 // Recorder records delays. A nil Recorder records nothing.
 type Recorder struct {
 	log *slog.Logger
-	mu  sync.Mutex // guards all
+	mu  sync.Mutex // guards stats
 	all map[Action]Figures
 }
 
-// NewRecorder returns a recorder that writes to a log.
+// NewRecorder returns a Recorder that writes to log.
 func NewRecorder(log *slog.Logger) *Recorder {
 	return &Recorder{log: log, all: map[Action]Figures{Reply: {}, Attempt: {}, Step: {}}}
 }
 
-// Note records an action that is over and took so long. What names it in the log comes as for slog.
+// Record records an action that has ended and was delayed by took. The args are logged as attributes, as
+// with slog.
 func (r *Recorder) Note(action Action, took time.Duration, args ...any) {
 	if r == nil || took < Notable {
 		return
@@ -54,7 +55,7 @@
 	r.log.Warn("carried out late", append([]any{"action", string(action), "took", took}, args...)...)
 }
 
-// Figures are the counts since the start.
+// Stats returns the counts since the start.
 func (r *Recorder) Figures() map[Action]Figures {
 	if r == nil {
 		return nil
--- a/internal/delay/delay_test.go
+++ b/internal/delay/delay_test.go
@@ -22,6 +22,6 @@
 		t.Errorf("log: %s", text)
 	}
 	if (*Recorder)(nil).Figures() != nil {
-		t.Error("none has figures")
+		t.Error("a nil Recorder has counts")
 	}
 }
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -1,6 +1,6 @@
-// Package watchdog notices system calls that do not return because their thread is held up. Whoever makes
-// such a call says so before and behind it; neither waits, reads a clock or sets a timer, as what comes
-// between a decision and its system call delays it.
+// Package watchdog detects system calls that do not return because their thread is held up. The caller
+// reports a call before and after it; neither report blocks, reads a clock or sets a timer, because
+// anything between a decision and its system call delays the call.
 package watchdog
 
 import (
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// Tick is the time between two looks at the calls under way.
+// Tick is the interval between two scans of the calls in progress.
 const Tick = 25 * time.Millisecond
 
-// Call is a call under way.
+// Call is a call in progress.
 type Call struct {
 	held  func(ticks int)
-	looks int // at which it was under way
+	looks int // number of scans that found it in progress
 }
 
-// Watchdog looks at the calls under way, as long as there are any. Its zero value is ready for use.
+// Watchdog scans the calls in progress, as long as there are any. Its zero value is ready to use.
 type Watchdog struct {
-	mu      sync.Mutex // guards all
+	mu      sync.Mutex // guards the other fields
 	calls   map[*Call]struct{}
 	running bool
 }
 
-// Begin says that a call is about to be made. At each look that finds it under way again, held is called
-// with how many whole ticks it has lasted for certain, on a goroutine of its own, as it may be held up,
-// too. By then the call may just have ended.
+// Begin reports that a call is about to be made. At every scan but the first that finds it in progress,
+// held is called with the number of full ticks that it has certainly lasted. This happens in a separate
+// goroutine, because held may block too. The call may have ended by then.
 func (w *Watchdog) Begin(held func(ticks int)) *Call {
 	c := &Call{held: held}
 	w.mu.Lock()
@@ -42,14 +42,14 @@
 	return c
 }
 
-// End says that a call has returned.
+// End reports that a call has returned.
 func (w *Watchdog) End(c *Call) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.calls, c)
 }
 
-// run looks at the calls until there are none.
+// run scans the calls until there are none.
 func (w *Watchdog) run() {
 	for {
 		time.Sleep(Tick)
@@ -63,7 +63,8 @@
 	}
 }
 
-// look returns the calls that were under way at the last look, too, and whether there are any.
+// scan returns the calls that were already in progress at the previous scan, and whether there are any
+// calls.
 func (w *Watchdog) look() (held []*Call, more bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// A call that does not return is told of at each look, for longer each time; one that has returned is not.
+// A call that does not return is reported at each scan, with a growing number of ticks; one that has
+// returned is not reported.
 func TestHeldCallsAreToldUntilTheyEnd(t *testing.T) {
 	var w Watchdog
 	told := make(chan int, 100)
-	quick := w.Begin(func(int) { t.Error("a call that has returned is told of") })
+	quick := w.Begin(func(int) { t.Error("a call that has returned is reported") })
 	w.End(quick)
 	held := w.Begin(func(ticks int) { told <- ticks })
 	for want := 1; want <= 3; want++ {
@@ -19,7 +20,7 @@
 				t.Fatalf("%d ticks, want %d", got, want)
 			}
 		case <-time.After(10 * time.Second):
-			t.Fatal("a held call is not told of")
+			t.Fatal("a held call is not reported")
 		}
 	}
 	w.End(held)
@@ -31,7 +32,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("it goes on looking at nothing")
+			t.Fatal("it keeps scanning without any call")
 		}
 	}
 	again := make(chan int, 100)
@@ -39,6 +40,6 @@
 	select {
 	case <-again:
 	case <-time.After(10 * time.Second):
-		t.Error("a call behind a time without any is not told of")
+		t.Error("a call after a time without calls is not reported")
 	}
 }
