--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,5 @@
-// Command adapter hosts instances of the decision module on the bench's wire: batches on standard input,
-// one reply for each on standard output. It ends when its input ends.
+// Command adapter runs instances of the decision module for the bench's wire protocol: it reads batches
+// from standard input and writes one reply for each to standard output. It exits when its input ends.
 package main
 
 import (
@@ -20,16 +20,16 @@
 	}
 }
 
-// hosted is one running instance and the events that this batch brought it.
+// instance is a running instance and its events in the current batch.
 type hosted struct {
 	b      *balance.Balancer
 	events []balance.Event
-	listed bool // already among the batch's instances
+	listed bool // already in host.active
 }
 
 type host struct {
 	instances map[uint32]*hosted
-	order     []uint32 // instances with an event in this batch, in order of their first
+	order     []uint32 // instances with an event in this batch, in the order of their first one
 }
 
 func (h *host) touch(id uint32, in *hosted) {
@@ -67,7 +67,7 @@
 func (h *host) Event(id uint32, ev balance.Event) error {
 	in := h.instances[id]
 	if in == nil || in.b == nil {
-		return nil // nothing runs there: the event concerns nobody
+		return nil // no instance is running, so nobody receives the event
 	}
 	in.events = append(in.events, ev)
 	h.touch(id, in)
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -18,7 +18,7 @@
 lanes.0.idempotency=read_like
 `
 
-// batch builds one frame from its records.
+// batch encodes one frame with the given records.
 func batch(seq uint32, now uint64, records ...[]byte) []byte {
 	body := binary.LittleEndian.AppendUint64(nil, now)
 	body = binary.LittleEndian.AppendUint32(body, seq)
@@ -79,7 +79,7 @@
 		t.Fatalf("the part was not sent: %x", replies[1])
 	}
 	if len(replies[3]) != 4 {
-		t.Fatalf("the restarted instance acted for what its forerunner held: %x", replies[3])
+		t.Fatalf("the restarted instance acted on queries of its predecessor: %x", replies[3])
 	}
 }
 
