--- a/balance/api.go
+++ b/balance/api.go
@@ -90,7 +90,7 @@
 
 // validate returns an error that names the first field that is out of range, contradicts another, or is
 // required by another and missing.
-func (s *Settings) check() error {
+func (s *Settings) validate() error {
 	fault := func(bad bool, field string, why string) error {
 		if !bad {
 			return nil
@@ -280,9 +280,9 @@
 
 // The reasons given in the Text of a Refuse or a Fail, for the log.
 const (
-	WhyLate      = "no time is left"
-	WhyOverload  = "overload: not expected in time"
-	WhyExhausted = "no replica is left to try"
+	ReasonNoTime    = "no time is left"
+	ReasonOverload  = "overload: not expected in time"
+	ReasonNoReplica = "no replica is left to try"
 )
 
 // AllPeers as the To of a Tell addresses every peer.
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -19,26 +19,26 @@
 }
 
 // instance is a Balancer under test, driven step by step.
-type bench struct {
-	t   *testing.T
-	b   *Balancer
-	now Micros
-	out []Action
-	ids uint32
+type instance struct {
+	t        *testing.T
+	balancer *Balancer
+	now      Micros
+	actions  []Action
+	lastID   uint32
 }
 
-func start(t *testing.T, s Settings, replicas ...Replica) *bench {
+func start(t *testing.T, s Settings, replicas ...Replica) *instance {
 	t.Helper()
 	b, err := New(s, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &bench{t: t, b: b, now: 20_000 * ms}
+	k := &instance{t: t, balancer: b, now: 20_000 * ms}
 	k.step(Event{Kind: List, Mode: Full, Replicas: replicas})
 	return k
 }
 
-func ready(n int) []Replica {
+func readyReplicas(n int) []Replica {
 	var rs []Replica
 	for i := range n {
 		rs = append(rs, Replica{ID: ReplicaID(i + 1), State: Ready, Size: 2})
@@ -46,13 +46,13 @@
 	return rs
 }
 
-func (k *bench) step(events ...Event) []Action {
-	k.out = k.b.Step(k.now, events, nil)
-	return k.out
+func (k *instance) step(events ...Event) []Action {
+	k.actions = k.balancer.Step(k.now, events, nil)
+	return k.actions
 }
 
 // wait advances the clock, with a wake-up every 10 ms, and returns all actions.
-func (k *bench) wait(d Micros) []Action {
+func (k *instance) wait(d Micros) []Action {
 	var all []Action
 	for end := k.now + d; k.now < end; {
 		k.now = min(end, k.now+10*ms)
@@ -63,10 +63,10 @@
 
 // query submits a query of n equal parts on shards 0 to n-1 and returns its ID; the IDs of its parts
 // follow it.
-func (k *bench) query(class, n int) uint32 {
-	id := k.ids + 1
-	k.ids += uint32(n) + 1
-	c := k.b.s.Classes[class]
+func (k *instance) query(class, n int) uint32 {
+	id := k.lastID + 1
+	k.lastID += uint32(n) + 1
+	c := k.balancer.settings.Classes[class]
 	events := []Event{{Kind: Query, ID: id, Number: float32(id), Class: class, Weight: float64(n),
 		Deadline: k.now + c.Deadline}}
 	for i := range n {
@@ -77,11 +77,11 @@
 	return id
 }
 
-func (k *bench) result(id uint32, attempt int, r ReplicaID, o Outcome) []Action {
+func (k *instance) result(id uint32, attempt int, r ReplicaID, o Outcome) []Action {
 	return k.step(Event{Kind: Result, ID: id, Attempt: attempt, Replica: r, Outcome: o, Closed: o == OK})
 }
 
-func of(kind ActionKind, actions []Action) (found []Action) {
+func ofKind(kind ActionKind, actions []Action) (found []Action) {
 	for _, a := range actions {
 		if a.Kind == kind {
 			found = append(found, a)
@@ -90,9 +90,9 @@
 	return found
 }
 
-func one(t *testing.T, kind ActionKind, actions []Action) Action {
+func exactlyOne(t *testing.T, kind ActionKind, actions []Action) Action {
 	t.Helper()
-	found := of(kind, actions)
+	found := ofKind(kind, actions)
 	if len(found) != 1 {
 		t.Fatalf("%d actions of kind %d, want 1: %+v", len(found), kind, actions)
 	}
@@ -100,47 +100,47 @@
 }
 
 func TestFirstSendAtOnceAndAnswer(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
+	k := start(t, settings(), readyReplicas(3)...)
 	id := k.query(0, 2)
-	sends := of(Send, k.out)
+	sends := ofKind(Send, k.actions)
 	if len(sends) != 2 {
 		t.Fatalf("sends %+v, want 2", sends)
 	}
-	if got := of(Answer, k.result(id+1, 0, sends[0].Replica, OK)); len(got) != 0 {
+	if got := ofKind(Answer, k.result(id+1, 0, sends[0].Replica, OK)); len(got) != 0 {
 		t.Fatal("answered with half the parts in")
 	}
-	if a := one(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Whole || a.ID != id {
+	if a := exactlyOne(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Whole || a.ID != id {
 		t.Fatalf("answer %+v", a)
 	}
-	if len(k.b.parts)+len(k.b.byQuery)+len(k.b.byNumber)+len(k.b.queries) != 0 {
+	if len(k.balancer.parts)+len(k.balancer.byQuery)+len(k.balancer.byNumber)+len(k.balancer.queries) != 0 {
 		t.Fatal("state kept after the end")
 	}
 }
 
 func TestCopyAfterDelayAndCancelOfLoser(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
+	k := start(t, settings(), readyReplicas(3)...)
 	id := k.query(0, 1)
-	first := one(t, Send, k.out)
-	if got := of(Send, k.wait(240*ms)); len(got) != 0 {
+	first := exactlyOne(t, Send, k.actions)
+	if got := ofKind(Send, k.wait(240*ms)); len(got) != 0 {
 		t.Fatalf("hedged before a quarter of the aim: %+v", got)
 	}
-	second := one(t, Send, k.wait(30*ms))
+	second := exactlyOne(t, Send, k.wait(30*ms))
 	if second.Replica == first.Replica {
 		t.Fatal("the hedged attempt went to the same replica")
 	}
 	acts := k.result(id+1, 1, second.Replica, OK)
-	if c := one(t, Cancel, acts); c.Attempt != 0 || c.ID != id+1 {
+	if c := exactlyOne(t, Cancel, acts); c.Attempt != 0 || c.ID != id+1 {
 		t.Fatalf("cancel %+v", c)
 	}
-	one(t, Answer, acts)
+	exactlyOne(t, Answer, acts)
 }
 
 func TestNextCandidateAtOnce(t *testing.T) {
 	for _, o := range []Outcome{Busy, NoConnection, Error, Reset} {
-		k := start(t, settings(), ready(2)...)
+		k := start(t, settings(), readyReplicas(2)...)
 		id := k.query(0, 1)
-		first := one(t, Send, k.out)
-		if again := one(t, Send, k.result(id+1, 0, first.Replica, o)); again.ID != id+1 {
+		first := exactlyOne(t, Send, k.actions)
+		if again := exactlyOne(t, Send, k.result(id+1, 0, first.Replica, o)); again.ID != id+1 {
 			t.Fatalf("outcome %d: %+v", o, again)
 		}
 	}
@@ -154,18 +154,18 @@
 	}{{Busy, 1, Refuse}, {NoConnection, 1, Refuse}, {Error, 0, Fail}, {Reset, 0, Fail}, {TimedOut, 0, Fail}} {
 		s := settings()
 		s.Classes[0].Effect = Unsafe
-		k := start(t, s, ready(4)...)
+		k := start(t, s, readyReplicas(4)...)
 		id := k.query(0, 1)
-		acts := k.result(id+1, 0, one(t, Send, k.out).Replica, c.o)
-		if got := len(of(Send, acts)); got != c.again {
+		acts := k.result(id+1, 0, exactlyOne(t, Send, k.actions).Replica, c.o)
+		if got := len(ofKind(Send, acts)); got != c.again {
 			t.Errorf("outcome %d: %d further sends, want %d", c.o, got, c.again)
 		}
 		if c.again == 1 {
 			for i := 1; i < 3; i++ {
-				acts = append(acts, k.result(id+1, i, one(t, Send, k.out).Replica, c.o)...)
+				acts = append(acts, k.result(id+1, i, exactlyOne(t, Send, k.actions).Replica, c.o)...)
 			}
 		}
-		one(t, c.end, acts)
+		exactlyOne(t, c.end, acts)
 	}
 }
 
@@ -173,14 +173,14 @@
 	s := settings()
 	s.Classes[0].Effect, s.Classes[0].Window = Keyed, 300*ms
 	s.CanCopy = false
-	k := start(t, s, ready(2)...)
+	k := start(t, s, readyReplicas(2)...)
 	id := k.query(0, 1)
-	first := one(t, Send, k.out)
+	first := exactlyOne(t, Send, k.actions)
 	k.wait(310 * ms)
-	if acts := k.result(id+1, 0, first.Replica, Error); len(of(Send, acts)) != 0 {
+	if acts := k.result(id+1, 0, first.Replica, Error); len(ofKind(Send, acts)) != 0 {
 		t.Fatal("repeated after the window")
 	} else {
-		one(t, Fail, acts)
+		exactlyOne(t, Fail, acts)
 	}
 }
 
@@ -190,7 +190,7 @@
 	for _, effect := range []Effect{Keyed, Safe} {
 		s := settings()
 		s.Classes[0].Effect, s.Classes[0].Window, s.MaxAttempts = effect, 2000*ms, 4
-		rs := ready(4)
+		rs := readyReplicas(4)
 		for i := range rs {
 			rs[i].Domain = i % 2
 		}
@@ -199,13 +199,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := &bench{t: t, b: b, now: 20_000 * ms}
+			k := &instance{t: t, balancer: b, now: 20_000 * ms}
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			id := k.query(0, 1)
-			first := one(t, Send, k.out).Replica
+			first := exactlyOne(t, Send, k.actions).Replica
 			var others []ReplicaID
 			for try, at := 0, first; try < 3; try++ {
-				sends := of(Send, k.result(id+1, try, at, Reset))
+				sends := ofKind(Send, k.result(id+1, try, at, Reset))
 				if len(sends) == 0 {
 					break
 				}
@@ -226,29 +226,29 @@
 	// A part that never ran is not bound to a domain, and a replica that moved counts as in its new one.
 	s := settings()
 	s.Classes[0].Effect, s.Classes[0].Window, s.MaxAttempts = Keyed, 2000*ms, 4
-	rs := ready(2)
+	rs := readyReplicas(2)
 	rs[1].Domain = 1
 	k := start(t, s, rs...)
 	id := k.query(0, 1)
-	first := one(t, Send, k.out).Replica
-	second := one(t, Send, k.result(id+1, 0, first, Busy)).Replica
+	first := exactlyOne(t, Send, k.actions).Replica
+	second := exactlyOne(t, Send, k.result(id+1, 0, first, Busy)).Replica
 	if second == first {
 		t.Fatal("not sent to the other domain although it never ran")
 	}
 	rs[second-1].Domain = rs[first-1].Domain
 	k.step(Event{Kind: List, Mode: Delta, Replicas: rs})
-	if sends := of(Send, k.result(id+1, 1, second, Reset)); len(sends) != 0 {
+	if sends := ofKind(Send, k.result(id+1, 1, second, Reset)); len(sends) != 0 {
 		t.Fatalf("repeated at replica %d of another domain", sends[0].Replica)
 	}
 }
 
 func TestDrainStopsSendsAtOnce(t *testing.T) {
 	for _, st := range []State{Draining, Gone} {
-		k := start(t, settings(), ready(2)...)
+		k := start(t, settings(), readyReplicas(2)...)
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 1, State: st, Size: 2}}})
 		for range 20 {
 			id := k.query(0, 1)
-			for _, a := range of(Send, k.out) {
+			for _, a := range ofKind(Send, k.actions) {
 				if a.Replica == 1 {
 					t.Fatalf("sent to a replica in state %d", st)
 				}
@@ -259,13 +259,13 @@
 }
 
 func TestColdReplicaGetsItsShareOnly(t *testing.T) {
-	rs := ready(4)
+	rs := readyReplicas(4)
 	rs[0].Started = 19_900 * ms
 	k := start(t, settings(), rs...)
 	var cold, warm float64
 	for range 200 {
 		id := k.query(0, 1)
-		for _, a := range of(Send, k.out) {
+		for _, a := range ofKind(Send, k.actions) {
 			if a.Replica == 1 {
 				cold++
 			} else {
@@ -281,10 +281,10 @@
 }
 
 func TestAnswerBeforeDeadline(t *testing.T) {
-	k := start(t, settings(), ready(2)...)
+	k := start(t, settings(), readyReplicas(2)...)
 	k.query(0, 1)
 	acts := k.wait(3000 * ms)
-	if n := len(of(Refuse, acts)) + len(of(Fail, acts)); n != 1 {
+	if n := len(ofKind(Refuse, acts)) + len(ofKind(Fail, acts)); n != 1 {
 		t.Fatalf("%d final answers, want 1", n)
 	}
 }
@@ -292,7 +292,7 @@
 func TestNoReplicaIsRefusedAtOnce(t *testing.T) {
 	k := start(t, settings())
 	k.query(0, 2)
-	if r := one(t, Refuse, k.out); r.After <= 0 {
+	if r := exactlyOne(t, Refuse, k.actions); r.After <= 0 {
 		t.Fatal("refusal without retry advice")
 	}
 }
@@ -300,10 +300,10 @@
 func TestPartialAnswerJustBeforeAim(t *testing.T) {
 	s := settings()
 	s.Classes[0].Floor, s.Classes[0].Partial = 0.5, 0.9
-	k := start(t, s, ready(2)...)
+	k := start(t, s, readyReplicas(2)...)
 	id := k.query(0, 2)
-	k.result(id+1, 0, of(Send, k.out)[0].Replica, OK)
-	if a := one(t, Answer, k.wait(1000*ms)); a.Whole {
+	k.result(id+1, 0, ofKind(Send, k.actions)[0].Replica, OK)
+	if a := exactlyOne(t, Answer, k.wait(1000*ms)); a.Whole {
 		t.Fatal("a partial answer was marked complete")
 	}
 }
@@ -311,15 +311,15 @@
 func TestNeedUnderOneAnswersEarly(t *testing.T) {
 	s := settings()
 	s.Classes[0].Need, s.Classes[0].Floor = 0.6, 0.6
-	k := start(t, s, ready(4)...)
+	k := start(t, s, readyReplicas(4)...)
 	id := k.query(0, 5)
-	sends := of(Send, k.out)
+	sends := ofKind(Send, k.actions)
 	if len(sends) < 3 || len(sends) > 4 {
 		t.Fatalf("%d parts sent, want the required ones and one spare", len(sends))
 	}
 	for i, a := range sends[:3] {
 		k.result(a.ID, 0, a.Replica, OK)
-		if got := len(of(Answer, k.out)); (got == 1) != (i == 2) {
+		if got := len(ofKind(Answer, k.actions)); (got == 1) != (i == 2) {
 			t.Fatalf("answers after part %d: %d", i, got)
 		}
 	}
@@ -329,24 +329,24 @@
 func TestSecondStep(t *testing.T) {
 	s := settings()
 	s.Classes[0].SecondStep = 1
-	k := start(t, s, ready(2)...)
+	k := start(t, s, readyReplicas(2)...)
 	id := k.query(0, 1)
-	if a := one(t, Answer, k.result(id+1, 0, one(t, Send, k.out).Replica, OK)); !a.Whole {
+	if a := exactlyOne(t, Answer, k.result(id+1, 0, exactlyOne(t, Send, k.actions).Replica, OK)); !a.Whole {
 		t.Fatal("first step not complete")
 	}
 	k.now += 5 * ms
 	acts := k.step(Event{Kind: Part, ID: 900, Number: float32(id), Weight: 1})
-	if a := one(t, Answer, k.result(900, 0, one(t, Send, acts).Replica, OK)); !a.Whole {
+	if a := exactlyOne(t, Answer, k.result(900, 0, exactlyOne(t, Send, acts).Replica, OK)); !a.Whole {
 		t.Fatal("second step not complete")
 	}
 }
 
 func TestFailuresWeighByKind(t *testing.T) {
 	weight := func(o Outcome) float64 {
-		k := start(t, settings(), ready(1)...)
+		k := start(t, settings(), readyReplicas(1)...)
 		id := k.query(0, 1)
 		k.result(id+1, 0, 1, o)
-		return k.b.byID[1].weight
+		return k.balancer.byID[1].weight
 	}
 	order := []Outcome{OK, Busy, TimedOut, Error, NoConnection}
 	for i := 1; i < len(order); i++ {
@@ -357,12 +357,12 @@
 }
 
 func TestWeightDecaysTowardTheMiddle(t *testing.T) {
-	k := start(t, settings(), ready(1)...)
-	r := k.b.byID[1]
+	k := start(t, settings(), readyReplicas(1)...)
+	r := k.balancer.byID[1]
 	r.weight = 100
-	r.updated = k.now
-	k.b.now = k.now + halfLife
-	k.b.adjust(r, 0)
+	r.weightAt = k.now
+	k.balancer.now = k.now + weightHalfLife
+	k.balancer.adjustWeight(r, 0)
 	if math.Abs(r.weight-75) > 1e-9 {
 		t.Fatalf("weight %v after one half-life, want 75", r.weight)
 	}
@@ -370,13 +370,13 @@
 
 // A replica that accepts parts and answers none is detected when its first part is overdue, not at the
 // deadline.
-func TestSilentReplicaGetsTrialsOnly(t *testing.T) {
-	k := start(t, settings(), ready(2)...)
+func TestSilentReplicaGetsFewParts(t *testing.T) {
+	k := start(t, settings(), readyReplicas(2)...)
 	toSilent := 0
 	var todo []Action
 	for i := range 900 {
 		k.query(0, 1)
-		todo = append(todo, k.out...)
+		todo = append(todo, k.actions...)
 		todo = append(todo, k.wait(100*ms)...)
 		work := todo
 		todo = nil
@@ -385,7 +385,7 @@
 			case a.Kind == Cancel:
 				todo = append(todo, k.result(a.ID, a.Attempt, 1, Cancelled)...)
 			case a.Kind == Send && a.Replica == 2:
-				todo = append(todo, k.result(a.ID, len(k.b.tries(a.ID))-1, 2, OK)...)
+				todo = append(todo, k.result(a.ID, len(k.balancer.attempts(a.ID))-1, 2, OK)...)
 			case a.Kind == Send && i >= 100:
 				toSilent++
 			}
@@ -397,9 +397,9 @@
 }
 
 // attempts returns the attempts of a part, or none if the part is no longer held.
-func (b *Balancer) tries(id uint32) []attempt {
+func (b *Balancer) attempts(id uint32) []attempt {
 	if p := b.parts[id]; p != nil {
-		return p.tries
+		return p.attempts
 	}
 	return nil
 }
@@ -411,15 +411,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &bench{t: t, b: b, now: 20_000 * ms}
-	one(t, Watch, k.step(Event{Kind: List, Mode: Cached, Replicas: ready(1)}))
-	if got := of(Watch, k.wait(500*ms)); len(got) != 0 {
+	k := &instance{t: t, balancer: b, now: 20_000 * ms}
+	exactlyOne(t, Watch, k.step(Event{Kind: List, Mode: Cached, Replicas: readyReplicas(1)}))
+	if got := ofKind(Watch, k.wait(500*ms)); len(got) != 0 {
 		t.Fatal("second list call while one is pending")
 	}
 	k.step(Event{Kind: List, Mode: Failed})
-	one(t, Watch, k.wait(1100*ms))
+	exactlyOne(t, Watch, k.wait(1100*ms))
 	k.step(Event{Kind: List, Mode: Delta})
-	if got := of(Watch, k.wait(3000*ms)); len(got) != 0 {
+	if got := ofKind(Watch, k.wait(3000*ms)); len(got) != 0 {
 		t.Fatal("list call while subscribed")
 	}
 }
@@ -444,29 +444,29 @@
 // New settings apply to later queries only: an open query keeps the rules of its class and its number of
 // attempts. A new class has its own measurements, and the aim of a dropped class is no longer considered.
 func TestChangedSettingsBindNewQueriesOnly(t *testing.T) {
-	k := start(t, settings(), ready(4)...)
+	k := start(t, settings(), readyReplicas(4)...)
 	open := k.query(0, 1)
-	first := one(t, Send, k.out)
+	first := exactlyOne(t, Send, k.actions)
 	s := settings()
 	s.MaxAttempts = 1
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].Effect, s.Classes[0].Dropped = Unsafe, true
 	s.Classes = append(s.Classes, Class{Aim: 400 * ms, Deadline: 800 * ms, Worth: 1, Need: 1, Floor: 1})
 	k.step(Event{Kind: Changed, Settings: &s})
-	if k.b.minAim != float64(400*ms) {
-		t.Errorf("the shortest aim is %.0f us", k.b.minAim)
+	if k.balancer.minAim != float64(400*ms) {
+		t.Errorf("the shortest aim is %.0f us", k.balancer.minAim)
 	}
 	second := k.query(1, 1)
-	sent := one(t, Send, k.out)
-	if got := of(Send, k.result(open+1, 0, first.Replica, Error)); len(got) != 1 {
+	sent := exactlyOne(t, Send, k.actions)
+	if got := ofKind(Send, k.result(open+1, 0, first.Replica, Error)); len(got) != 1 {
 		t.Errorf("an open query is not retried: %+v", got)
 	}
-	if got := k.result(second+1, 0, sent.Replica, Error); len(of(Send, got)) != 0 || len(of(Refuse, got)) != 1 {
+	if got := k.result(second+1, 0, sent.Replica, Error); len(ofKind(Send, got)) != 0 || len(ofKind(Refuse, got)) != 1 {
 		t.Errorf("a new query is not refused after its only attempt: %+v", got)
 	}
 	s.MaxAttempts = 0
 	k.step(Event{Kind: Changed, Settings: &s})
-	if k.b.s.MaxAttempts != 1 {
+	if k.balancer.settings.MaxAttempts != 1 {
 		t.Error("invalid settings were applied")
 	}
 }
@@ -474,13 +474,13 @@
 // A query can carry its own rules instead of those of its class. The host uses this while it cannot tell
 // which version of the rules the client assumed.
 func TestQueryWithRulesOfItsOwn(t *testing.T) {
-	k := start(t, settings(), ready(4)...)
+	k := start(t, settings(), readyReplicas(4)...)
 	rules := settings().Classes[0]
 	rules.Effect = Unsafe
-	sends := of(Send, k.step(
+	sends := ofKind(Send, k.step(
 		Event{Kind: Query, ID: 1, Number: 1, Weight: 1, Deadline: k.now + 3000*ms, Rules: &rules},
 		Event{Kind: Part, ID: 2, Number: 1, Weight: 1, Deadline: k.now + 3000*ms}))
-	if got := k.result(2, 0, sends[0].Replica, Error); len(of(Fail, got)) != 1 {
+	if got := k.result(2, 0, sends[0].Replica, Error); len(ofKind(Fail, got)) != 1 {
 		t.Fatalf("a part that may have run is retried or refused: %+v", got)
 	}
 }
--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -4,7 +4,7 @@
 
 // ringDeployment returns a deployment with one replica per cell, every shard held by three consecutive
 // cells, and a cost per call.
-func ring(cells int) (Settings, []Replica) {
+func ringDeployment(cells int) (Settings, []Replica) {
 	s := settings()
 	s.Cells, s.Reach, s.BatchMax, s.CallCost = cells, 3, 16, 60*ms
 	var rs []Replica
@@ -18,14 +18,14 @@
 // were drawn independently, calls had only 1.4 parts on average (scenario matricula, 0.50 untouched).
 func TestPartsOfAStepShareCalls(t *testing.T) {
 	for most, want := range map[int]float64{16: 2, 1: 1} {
-		s, rs := ring(40)
+		s, rs := ringDeployment(40)
 		s.BatchMax = most
 		k := start(t, s, rs...)
 		parts, calls := 0, 0
 		for range 20 {
 			id := k.query(0, 30)
 			at := map[ReplicaID]int{}
-			for _, a := range of(Send, k.out) {
+			for _, a := range ofKind(Send, k.actions) {
 				at[a.Replica]++
 				parts++
 			}
@@ -35,7 +35,7 @@
 				}
 				calls += (n + most - 1) / most
 			}
-			for i, a := range of(Send, k.out) {
+			for i, a := range ofKind(Send, k.actions) {
 				k.now += ms
 				k.result(id+1+uint32(i), 0, a.Replica, OK)
 			}
@@ -49,11 +49,11 @@
 
 // A call with many parts takes longer; its replica must not be considered slow for that.
 func TestLargeCallIsNoSlowness(t *testing.T) {
-	s, rs := ring(3) // every replica holds every shard
+	s, rs := ringDeployment(3) // every replica holds every shard
 	k := start(t, s, rs...)
 	for range 10 {
 		id := k.query(0, 6)
-		sends := of(Send, k.out)
+		sends := ofKind(Send, k.actions)
 		at := map[ReplicaID]Micros{}
 		for _, a := range sends {
 			at[a.Replica]++
@@ -68,8 +68,8 @@
 		}
 		k.now += 100 * ms
 	}
-	for _, r := range k.b.replicas {
-		if e := k.b.expect(r, 0); e > 60_000 {
+	for _, r := range k.balancer.replicas {
+		if e := k.balancer.expectedLatency(r, 0); e > 60_000 {
 			t.Errorf("replica %d: expected latency %.0f ms per part, want about 40", r.ID, e/1000)
 		}
 	}
@@ -82,9 +82,9 @@
 	s := settings()
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Worth = 3
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	k.query(0, 20)
-	if v := k.b.value(&query{rules: &k.b.s.Classes[0], class: 0, tenant: -1}); v < 0.99 {
+	if v := k.balancer.relativeWorth(&query{rules: &k.balancer.settings.Classes[0], class: 0, tenant: -1}); v < 0.99 {
 		t.Fatalf("relative worth %v of the only class with queries", v)
 	}
 }
@@ -95,13 +95,13 @@
 	s := settings()
 	s.CanProbe = true
 	s.Classes = append(s.Classes, s.Classes[0])
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	// run alternates queries of both classes and returns the share of each that went to replica 1 first.
 	run := func(queries int, silent bool) (share [2]float64) {
 		for i := range queries {
 			class := i % 2
 			id := k.query(class, 1)
-			todo := append([]Action(nil), k.out...)
+			todo := append([]Action(nil), k.actions...)
 			for first, ended := true, false; !ended; first = false {
 				todo = append(todo, k.wait(60*ms)...)
 				work := todo
@@ -120,7 +120,7 @@
 						if a.Replica == 1 && first {
 							share[class] += 2 / float64(queries)
 						}
-						todo = append(todo, k.result(id+1, len(k.b.tries(id+1))-1, a.Replica, OK)...)
+						todo = append(todo, k.result(id+1, len(k.balancer.attempts(id+1))-1, a.Replica, OK)...)
 					}
 				}
 			}
@@ -150,15 +150,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := &bench{t: t, b: b, now: 20_000 * ms}
-			rs := ready(2)
+			k := &instance{t: t, balancer: b, now: 20_000 * ms}
+			rs := readyReplicas(2)
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
-			serve(k, 100, 150*ms, func(*bench, uint32, Action) Outcome { return OK })
+			serveQueries(k, 100, 150*ms, func(*instance, uint32, Action) Outcome { return OK })
 			rs[0].Started, rs[1].State = k.now, Gone
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			for range 550 {
 				id := k.query(0, 1)
-				for _, a := range of(Send, k.out) {
+				for _, a := range ofKind(Send, k.actions) {
 					sent[cost]++
 					k.result(id+1, 0, a.Replica, OK)
 				}
@@ -180,7 +180,7 @@
 	}{{0, false, 0.2, 0.5}, {0.02, false, 0.55, 0.9}, {0.02, true, 0, 0.2}} {
 		s := settings()
 		s.CrossCost, s.Zone = c.cost, 1
-		rs := ready(3)
+		rs := readyReplicas(3)
 		for i := range rs {
 			rs[i].Zone = i
 		}
@@ -188,7 +188,7 @@
 		own := 0.0
 		for range 300 {
 			id := k.query(0, 1)
-			a := one(t, Send, k.out)
+			a := exactlyOne(t, Send, k.actions)
 			if a.Replica == 2 {
 				own += 1.0 / 300
 			}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -11,38 +11,38 @@
 // instances send it in any FallSpan, divided by N + 2 x sqrt(N) + 2, where N is FallMultiple x its current
 // capacity x FallSpan with the linear climb from ColdShare, in parts of mean work.
 type coldFleet struct {
-	instances int
-	anew      bool // all instances start together with the replica and have no capacity estimate
-	shift     bool // the traffic moves to other instances while the replica is cold
-	alone     bool // from the restart on no other replica holds the shard, so it gets all it may
+	instances    int
+	newInstances bool // all instances start together with the replica and have no capacity estimate
+	shiftTraffic bool // the traffic moves to other instances while the replica is cold
+	onlyHolder   bool // from the restart on no other replica holds the shard, so it gets all it may
 }
 
 const (
-	coldWarm  = 4    // warm replicas in addition to the restarted one
-	fullRate  = 13.8 // parts per second that a warm replica can serve
-	loadShare = 0.55 // share of that rate that is requested
-	burstMore = 1.5  // factor on the load for some seconds after the restart
-	hotOne    = 4.0  // traffic of one instance in ten, as a multiple of the others'
-	servedIn  = 80 * ms
+	warmReplicas      = 4    // warm replicas in addition to the restarted one
+	fullRate          = 13.8 // parts per second that a warm replica can serve
+	baseLoad          = 0.55 // share of that rate that is requested
+	burstFactor       = 1.5  // factor on the load for some seconds after the restart
+	hotInstanceFactor = 4.0  // traffic of one instance in ten, as a multiple of the others'
+	serviceTime       = 80 * ms
 )
 
-func (f coldFleet) play(t *testing.T, seed uint64) (worst float64, sent int) {
+func (f coldFleet) simulate(t *testing.T, seed uint64) (worst float64, sent int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := settings()
 	s.Peers, s.FallMultiple, s.FallSpan, s.ColdShare, s.Ramp = f.instances, 2.5, 2000*ms, 0.18, 12_000*ms
 	s.Classes[0] = Class{Aim: 1500 * ms, Deadline: 4000 * ms, Worth: 1, Need: 1, Floor: 1}
-	replicas := ready(coldWarm + 1)
+	replicas := readyReplicas(warmReplicas + 1)
 	begun := 20_000 * ms
-	var all []*bench
+	var all []*instance
 	var weights []float64
-	fresh := func(i int, now Micros) *bench {
+	fresh := func(i int, now Micros) *instance {
 		s.Number = i
 		b, err := New(s, rng.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &bench{t: t, b: b, now: now}
+		k := &instance{t: t, balancer: b, now: now}
 		k.step(Event{Kind: List, Mode: Full, Replicas: replicas})
 		return k
 	}
@@ -51,7 +51,7 @@
 		all = append(all, fresh(i, begun))
 		w := 1.0
 		if i%10 == 9 {
-			w = hotOne
+			w = hotInstanceFactor
 		}
 		weights = append(weights, w)
 		total += w
@@ -67,7 +67,7 @@
 	}
 	type due struct {
 		at   Micros
-		k    *bench
+		k    *instance
 		id   uint32
 		to   ReplicaID
 		tryN int
@@ -76,9 +76,9 @@
 	var times []Micros
 	started := begun + 15_000*ms
 	cold := replicas[0].ID
-	book := func(k *bench, acts []Action, now Micros) {
-		for _, a := range of(Send, acts) {
-			pending = append(pending, due{now + servedIn, k, a.ID, a.Replica, 0})
+	book := func(k *instance, acts []Action, now Micros) {
+		for _, a := range ofKind(Send, acts) {
+			pending = append(pending, due{now + serviceTime, k, a.ID, a.Replica, 0})
 			if a.Replica == cold && now >= started {
 				times = append(times, now)
 			}
@@ -88,27 +88,27 @@
 		if now == started {
 			replicas[0].Started = now
 			for i := range replicas[1:] {
-				if f.alone {
+				if f.onlyHolder {
 					replicas[i+1].State = Gone
 				}
 			}
 			for i, k := range all {
-				if f.anew {
+				if f.newInstances {
 					all[i] = fresh(i, now)
 				} else {
 					k.now = now
 					k.step(Event{Kind: List, Mode: Delta, Replicas: replicas})
 				}
 			}
-			if f.anew {
+			if f.newInstances {
 				pending = nil
 			}
 		}
-		rate := loadShare * fullRate * (coldWarm + 1)
+		rate := baseLoad * fullRate * (warmReplicas + 1)
 		if burst := now - started; burst >= 1500*ms && burst < 8000*ms {
-			rate *= burstMore
+			rate *= burstFactor
 		}
-		if f.shift && now == started+4000*ms {
+		if f.shiftTraffic && now == started+4000*ms {
 			rng.Shuffle(len(weights), func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
 		}
 		for len(pending) > 0 && pending[0].at <= now {
@@ -121,7 +121,7 @@
 			k := all[draw()]
 			k.now = now
 			k.query(0, 1)
-			book(k, k.out, now)
+			book(k, k.actions, now)
 		}
 	}
 	for i, from := range times {
@@ -148,7 +148,7 @@
 	} {
 		worst, sum := 0.0, 0
 		for seed := range uint64(5) {
-			w, n := f.play(t, seed)
+			w, n := f.simulate(t, seed)
 			worst, sum = max(worst, w), sum+n
 		}
 		t.Logf("%+v: at most %.2f of the budget used, %d parts", f, worst, sum/5)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,15 +9,15 @@
 
 // serveQueries submits n queries of one part, ends each attempt with the outcome that reply returns, and
 // returns all actions.
-func serve(k *bench, n int, gap Micros, reply func(k *bench, id uint32, a Action) Outcome) []Action {
+func serveQueries(k *instance, n int, gap Micros, reply func(k *instance, id uint32, a Action) Outcome) []Action {
 	var all []Action
 	for range n {
 		id := k.query(0, 1)
-		todo := append([]Action(nil), k.out...)
+		todo := append([]Action(nil), k.actions...)
 		all = append(all, todo...)
 		k.now += 50 * ms
 		for try := 0; try < 3; {
-			sends := of(Send, todo)
+			sends := ofKind(Send, todo)
 			if len(sends) == 0 {
 				break
 			}
@@ -33,13 +33,13 @@
 // A reset on a connection that has been idle for long is the connection's fault: the replica is not blamed,
 // and idle connections are closed before the next send (incident i7aeccf, days with dropped connections).
 func TestStaleConnectionIsNotTheReplicasFault(t *testing.T) {
-	k := start(t, settings(), ready(1)...)
+	k := start(t, settings(), readyReplicas(1)...)
 	resets := 0
 	opened := false // a Close was requested, so that the next send opens a new connection
-	all := serve(k, 60, 2000*ms, func(k *bench, id uint32, a Action) Outcome {
-		opened = opened || len(of(Close, k.out)) > 0
-		p := k.b.parts[a.ID]
-		if t := p.tries[len(p.tries)-1]; t.stale {
+	all := serveQueries(k, 60, 2000*ms, func(k *instance, id uint32, a Action) Outcome {
+		opened = opened || len(ofKind(Close, k.actions)) > 0
+		p := k.balancer.parts[a.ID]
+		if t := p.attempts[len(p.attempts)-1]; t.onIdleConn {
 			resets++
 			return Reset
 		}
@@ -48,28 +48,28 @@
 	if resets == 0 || resets > 15 {
 		t.Fatalf("%d resets in 60 queries, want a few until the cause is detected", resets)
 	}
-	if n := len(of(Close, all)); n < 40 {
+	if n := len(ofKind(Close, all)); n < 40 {
 		t.Fatalf("%d idle connections closed before a send, want most of 60", n)
 	}
-	if e := k.b.expect(k.b.byID[1], 0); e > 0.3*k.b.minAim {
+	if e := k.balancer.expectedLatency(k.balancer.byID[1], 0); e > 0.3*k.balancer.minAim {
 		t.Fatalf("the replica is blamed: %v us expected", e)
 	}
 }
 
 // If connections in use lose as many attempts, the replica is at fault and no connection is closed.
 func TestLossesOnBusyConnectionsAreTheReplicas(t *testing.T) {
-	k := start(t, settings(), ready(1)...)
+	k := start(t, settings(), readyReplicas(1)...)
 	n := 0
-	all := serve(k, 200, 20*ms, func(*bench, uint32, Action) Outcome {
+	all := serveQueries(k, 200, 20*ms, func(*instance, uint32, Action) Outcome {
 		if n++; n%3 == 0 {
 			return Reset
 		}
 		return OK
 	})
-	if c := len(of(Close, all)); c > 0 {
+	if c := len(ofKind(Close, all)); c > 0 {
 		t.Fatalf("%d connections closed", c)
 	}
-	if e := k.b.expect(k.b.byID[1], 0); e < 0.1*k.b.minAim {
+	if e := k.balancer.expectedLatency(k.balancer.byID[1], 0); e < 0.1*k.balancer.minAim {
 		t.Fatalf("the replica is not blamed: %v us expected", e)
 	}
 }
@@ -78,17 +78,17 @@
 func TestPassedProbeDoesNotWinOverOwnOutcomes(t *testing.T) {
 	s := settings()
 	s.CanProbe = true
-	k := start(t, s, ready(2)...)
-	slow := k.b.byID[1]
+	k := start(t, s, readyReplicas(2)...)
+	slow := k.balancer.byID[1]
 	for range 4 {
-		k.b.saw(slow, 0, 900_000)
+		k.balancer.recordLatency(slow, 0, 900_000)
 	}
-	slow.lost = true
-	before := k.b.expect(slow, 0)
+	slow.unanswered = true
+	before := k.balancer.expectedLatency(slow, 0)
 	for range 50 {
 		k.step(Event{Kind: ProbeResult, Replica: 1, Outcome: OK, Report: []float32{0, 0}})
 	}
-	if after := k.b.expect(slow, 0); after < 0.9*before {
+	if after := k.balancer.expectedLatency(slow, 0); after < 0.9*before {
 		t.Fatalf("50 reports of idleness took the expected time from %v to %v", before, after)
 	}
 }
@@ -97,33 +97,33 @@
 func TestProbesOnlyWhilePartsGoUnanswered(t *testing.T) {
 	s := settings()
 	s.CanProbe = true
-	k := start(t, s, ready(6)...)
-	ok := func(*bench, uint32, Action) Outcome { return OK }
-	if n := len(of(Probe, serve(k, 50, 100*ms, ok))); n > 0 {
+	k := start(t, s, readyReplicas(6)...)
+	ok := func(*instance, uint32, Action) Outcome { return OK }
+	if n := len(ofKind(Probe, serveQueries(k, 50, 100*ms, ok))); n > 0 {
 		t.Fatalf("%d probes without any loss", n)
 	}
-	k.b.lossShare = 0.3
+	k.balancer.lossShare = 0.3
 	k.now += 30_000 * ms // earlier samples have decayed
-	if n := len(of(Probe, serve(k, 3, 100*ms, ok))); n == 0 {
+	if n := len(ofKind(Probe, serveQueries(k, 3, 100*ms, ok))); n == 0 {
 		t.Fatal("no probe although 30% of the parts went unanswered")
 	}
 }
 
 // The samples of one instance reach another through messages and change its expected latencies.
-func TestMessagesTellOfASlowReplica(t *testing.T) {
+func TestMessagesReportASlowReplica(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 2, true
-	a := start(t, s, ready(2)...)
+	a := start(t, s, readyReplicas(2)...)
 	s.Number = 1
-	b := start(t, s, ready(2)...)
+	b := start(t, s, readyReplicas(2)...)
 	for range 8 {
-		a.b.saw(a.b.byID[1], 0, 900_000)
-		a.b.saw(a.b.byID[2], 0, 50_000)
+		a.balancer.recordLatency(a.balancer.byID[1], 0, 900_000)
+		a.balancer.recordLatency(a.balancer.byID[2], 0, 50_000)
 	}
 	heard := 0
 	for range 10 {
-		a.now += tellGap
-		for _, m := range of(Tell, a.step(Event{Kind: Awake})) {
+		a.now += gossipInterval
+		for _, m := range ofKind(Tell, a.step(Event{Kind: Awake})) {
 			if m.To != 1 || len(m.Text) > 256 {
 				t.Fatalf("message of %d bytes to peer %d", len(m.Text), m.To)
 			}
@@ -132,7 +132,7 @@
 			heard++
 		}
 	}
-	if slow, quick := b.b.expect(b.b.byID[1], 0), b.b.expect(b.b.byID[2], 0); heard == 0 || slow < 2*quick {
+	if slow, quick := b.balancer.expectedLatency(b.balancer.byID[1], 0), b.balancer.expectedLatency(b.balancer.byID[2], 0); heard == 0 || slow < 2*quick {
 		t.Fatalf("after %d messages %v us expected of the slow replica, %v of the other", heard, slow, quick)
 	}
 }
@@ -143,17 +143,17 @@
 	expected := func(peers int) float64 {
 		s := settings()
 		s.Peers, s.CanTell = peers, true
-		k := start(t, s, ready(2)...)
+		k := start(t, s, readyReplicas(2)...)
 		for range 3 {
-			k.b.saw(k.b.byID[1], 0, 800_000)
+			k.balancer.recordLatency(k.balancer.byID[1], 0, 800_000)
 		}
 		for range 8 { // two seconds of peers' messages
-			k.wait(tellGap)
+			k.wait(gossipInterval)
 			var m message
-			m.add(hash(1), 20_000, 0.5)
-			k.step(Event{Kind: Message, From: 1, Data: []byte(m.text())})
+			m.add(replicaHash(1), 20_000, 0.5)
+			k.step(Event{Kind: Message, From: 1, Data: []byte(m.encode())})
 		}
-		return k.b.expect(k.b.byID[1], 0)
+		return k.balancer.expectedLatency(k.balancer.byID[1], 0)
 	}
 	if few, many := expected(3), expected(80); few < 3*many {
 		t.Fatalf("%.0f us expected with 3 instances, %.0f with 80", few, many)
@@ -163,18 +163,18 @@
 // With so many replicas that messages arrive no faster than samples decay, messages have little weight: with
 // 200 replicas and 300 instances a run without faults lost half its score because all instances acted on
 // outdated samples.
-func TestWordThatComesLateCountsAsOfFew(t *testing.T) {
+func TestSlowGossipCountsForFewInstances(t *testing.T) {
 	for n, want := range map[int]float64{2: 20, 60: 20, 400: 1} {
 		s := settings()
 		s.Peers = 80
-		if k := start(t, s, ready(n)...); k.b.heed != want {
-			t.Errorf("%d replicas: gossip scale %v, want %v", n, k.b.heed, want)
+		if k := start(t, s, readyReplicas(n)...); k.balancer.gossipScale != want {
+			t.Errorf("%d replicas: gossip scale %v, want %v", n, k.balancer.gossipScale, want)
 		}
 	}
 	s := settings()
 	s.Peers = 4
-	if k := start(t, s, ready(16)...); k.b.heed != 1 || k.b.life != speedLife {
-		t.Errorf("4 peers: gossip scale %v, half-life %v us", k.b.heed, k.b.life)
+	if k := start(t, s, readyReplicas(16)...); k.balancer.gossipScale != 1 || k.balancer.evidenceHalfLife != latencyHalfLife {
+		t.Errorf("4 peers: gossip scale %v, half-life %v us", k.balancer.gossipScale, k.balancer.evidenceHalfLife)
 	}
 }
 
@@ -184,11 +184,11 @@
 	shared := func(peers int) float64 {
 		s := settings()
 		s.Peers, s.CanTell = peers, true
-		k := start(t, s, ready(2)...)
+		k := start(t, s, readyReplicas(2)...)
 		id := k.query(0, 1)
-		send := one(t, Send, k.out)
+		send := exactlyOne(t, Send, k.actions)
 		k.result(id+1, 0, send.Replica, Busy)
-		return k.b.byID[send.Replica].pool.n
+		return k.balancer.byID[send.Replica].peerLatency.n
 	}
 	if few, many := shared(4), shared(80); few != 1 || many > 0.06 {
 		t.Fatalf("a rejection has weight %v with 4 peers, %v with 80", few, many)
@@ -200,16 +200,16 @@
 func TestColdShareClimbs(t *testing.T) {
 	s := settings()
 	s.Ramp, s.Reach = 10_000*ms, 1
-	rs := ready(1)
+	rs := readyReplicas(1)
 	rs[0].Started = 20_000 * ms
 	k := start(t, s, rs...)
 	const carried = 20.0 / 1e6 // parts per us for its size
 	var parts [10]float64
 	for i := range parts {
 		for end := k.now + 1000*ms; k.now < end; k.now += 10 * ms {
-			k.b.now, k.b.carried = k.now, carried/rs[0].Size
-			for k.b.admits(k.b.byID[1]) {
-				k.b.byID[1].tokens--
+			k.balancer.now, k.balancer.warmRate = k.now, carried/rs[0].Size
+			for k.balancer.coldBudgetAllows(k.balancer.byID[1]) {
+				k.balancer.byID[1].tokens--
 				parts[i]++
 			}
 		}
@@ -232,13 +232,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			k := &bench{t: t, b: b, now: 20_000 * ms}
-			rs := ready(1)
+			k := &instance{t: t, balancer: b, now: 20_000 * ms}
+			rs := readyReplicas(1)
 			rs[0].Started = k.now
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			for range 100 {
 				id := k.query(0, 1)
-				for _, a := range of(Send, k.out) {
+				for _, a := range ofKind(Send, k.actions) {
 					k.result(id+1, a.Attempt, a.Replica, OK)
 					n++
 				}
@@ -254,12 +254,12 @@
 
 // A tenant whose clients retry without limit is detected as over its quota and does not starve the others, at
 // low and at high traffic.
-func TestFloodingTenantIsToldApart(t *testing.T) {
+func TestFloodingTenantIsDetected(t *testing.T) {
 	for _, scale := range []int{1, 10} {
 		s := settings()
 		s.Peers, s.OverShareWorth = 30, 0.1
 		s.Tenants = []Tenant{{Quota: 30}, {Quota: 30}}
-		k := start(t, s, ready(4)...)
+		k := start(t, s, readyReplicas(4)...)
 		for i := range 100 * scale {
 			tenant := 0
 			if i%10 == 0 {
@@ -269,9 +269,9 @@
 			k.step(Event{Kind: Query, ID: id, Number: float32(id), Tenant: tenant, Deadline: k.now})
 			k.now += 40 * ms / Micros(scale)
 		}
-		if !k.b.overShare(0) || k.b.overShare(1) {
+		if !k.balancer.overQuota(0) || k.balancer.overQuota(1) {
 			t.Errorf("at %d queries per second: flooding tenant over its quota: %v, the other: %v", 25*scale,
-				k.b.overShare(0), k.b.overShare(1))
+				k.balancer.overQuota(0), k.balancer.overQuota(1))
 		}
 	}
 }
@@ -279,34 +279,34 @@
 // Hedged attempts of overdue parts are limited even if the settings give no retry budget: under overload
 // every part is overdue (scenario grown reduit).
 func TestLateCopiesAreCapped(t *testing.T) {
-	k := start(t, settings(), ready(40)...)
+	k := start(t, settings(), readyReplicas(40)...)
 	first, copies, parts := 0, 0, 0
 	for range 40 {
 		k.query(0, 4)
 		parts += 4
-		first += len(of(Send, k.out))
-		copies += len(of(Send, k.wait(100*ms)))
+		first += len(ofKind(Send, k.actions))
+		copies += len(ofKind(Send, k.wait(100*ms)))
 	}
-	copies += len(of(Send, k.wait(900*ms)))
-	if copies == 0 || first < 20 || float64(copies) > (copyShare+lateCopyShare)*float64(5*parts/4)+copySpare {
+	copies += len(ofKind(Send, k.wait(900*ms)))
+	if copies == 0 || first < 20 || float64(copies) > (hedgeShare+overdueHedgeShare)*float64(5*parts/4)+spareHedges {
 		t.Fatalf("%d hedged attempts for %d parts sent, none answered, %d arrived", copies, first, parts)
 	}
 }
 
 // Few lines are logged: one when a replica is avoided, one when it is used again, and two about overload.
 func TestReportLinesAreFew(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
+	k := start(t, settings(), readyReplicas(3)...)
 	bad := true
-	reply := func(k *bench, id uint32, a Action) Outcome {
+	reply := func(k *instance, id uint32, a Action) Outcome {
 		if a.Replica == 1 && bad {
 			return Reset
 		}
 		return OK
 	}
-	all := serve(k, 300, 10*ms, reply)
+	all := serveQueries(k, 300, 10*ms, reply)
 	bad = false
-	all = append(all, serve(k, 600, 10*ms, reply)...)
-	lines := of(Note, all)
+	all = append(all, serveQueries(k, 600, 10*ms, reply)...)
+	lines := ofKind(Note, all)
 	if len(lines) < 2 || len(lines) > 12 {
 		t.Fatalf("%d lines in a minute: %v", len(lines), lines)
 	}
@@ -323,7 +323,7 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	rs := ready(170)
+	rs := readyReplicas(170)
 	for i := range rs {
 		rs[i].Cell = i
 	}
@@ -354,18 +354,18 @@
 
 // The samples of a replica are discarded when it restarts (incident icdcc6d).
 func TestRestartWipesTheRecord(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
-	drive(k, 60, func(r ReplicaID) Outcome {
+	k := start(t, settings(), readyReplicas(3)...)
+	countSends(k, 60, func(r ReplicaID) Outcome {
 		if r == 1 {
 			return NoConnection
 		}
 		return OK
 	})
-	rs := ready(3)
+	rs := readyReplicas(3)
 	rs[0].Started = k.now
-	before := k.b.expect(k.b.byID[1], 0)
+	before := k.balancer.expectedLatency(k.balancer.byID[1], 0)
 	k.step(Event{Kind: List, Mode: Full, Replicas: rs})
-	if after := k.b.expect(k.b.byID[1], 0); after > before/2 {
+	if after := k.balancer.expectedLatency(k.balancer.byID[1], 0); after > before/2 {
 		t.Fatalf("%v us expected before the restart, %v after", before, after)
 	}
 }
@@ -380,15 +380,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &bench{t: t, b: b, now: 20_000 * ms}
-		rs := ready(2)
+		k := &instance{t: t, balancer: b, now: 20_000 * ms}
+		rs := readyReplicas(2)
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
-		serve(k, 40, 950*ms, func(*bench, uint32, Action) Outcome { return OK })
+		serveQueries(k, 40, 950*ms, func(*instance, uint32, Action) Outcome { return OK })
 		rs[0].Started, rs[1].State = k.now, Gone // nothing else holds the shard
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 		for end := k.now + while; k.now < end; k.now += gap {
 			k.query(0, 1)
-			sent += len(of(Send, k.out))
+			sent += len(ofKind(Send, k.actions))
 		}
 	}
 	return sent
@@ -397,7 +397,7 @@
 // Many instances with little traffic that learn of a restart at the same time must not all send a first part
 // immediately: 79 instances that each send a warm replica half a part per second may together send a cold one
 // 3 x 0.25 of that, in the first second and later (scenario fail-back reached 86% of its limit).
-func TestManyInstancesDoNotMeetAtAColdReplica(t *testing.T) {
+func TestManyInstancesDoNotOverloadAColdReplica(t *testing.T) {
 	for _, while := range []Micros{1000 * ms, 4000 * ms} {
 		limit := 0.75 * 79 * 0.5 * float64(while) / 1e6
 		if n := coldSends(t, 79, 250*ms, while); n == 0 || float64(n) > limit {
@@ -412,23 +412,23 @@
 	for took, cold := range map[Micros]bool{2 * ms: true, 250 * ms: false} {
 		s := settings()
 		s.DialTimeout = 250 * ms
-		k := start(t, s, ready(1)...)
-		r := k.b.byID[1]
+		k := start(t, s, readyReplicas(1)...)
+		r := k.balancer.byID[1]
 		id := k.query(0, 1)
 		k.now += took
 		k.result(id+1, 0, 1, NoConnection)
 		k.now += 20_000 * ms
-		for id = k.query(0, 1); len(of(Send, k.out)) == 0; id = k.query(0, 1) {
+		for id = k.query(0, 1); len(ofKind(Send, k.actions)) == 0; id = k.query(0, 1) {
 			k.now += 500 * ms
 		}
 		k.now += 50 * ms
 		k.result(id+1, 0, 1, OK)
-		if k.b.cold(r) != cold {
-			t.Errorf("connection failed after %d ms: cold %v, want %v", took/ms, k.b.cold(r), cold)
+		if k.balancer.isCold(r) != cold {
+			t.Errorf("connection failed after %d ms: cold %v, want %v", took/ms, k.balancer.isCold(r), cold)
 		}
 		late := Replica{ID: 1, State: Ready, Size: 2, Started: k.now - 900*ms}
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{late}})
-		if begun := r.start; cold && begun != k.now {
+		if begun := r.startedAt; cold && begun != k.now {
 			t.Errorf("a listed start earlier than the observed one moved it from %d to %d", k.now, begun)
 		}
 	}
@@ -440,11 +440,11 @@
 	for _, took := range []Micros{ms, 240 * ms} {
 		s := settings()
 		s.CanProbe = true
-		k := start(t, s, ready(2)...)
+		k := start(t, s, readyReplicas(2)...)
 		for range 5 {
 			k.step(Event{Kind: ProbeResult, Replica: 1, Outcome: OK, Elapsed: took})
 		}
-		expected[took] = k.b.expect(k.b.byID[1], 0)
+		expected[took] = k.balancer.expectedLatency(k.balancer.byID[1], 0)
 	}
 	if quick, slow := expected[ms], expected[240*ms]; slow < 1.5*quick {
 		t.Fatalf("%.0f us expected after slow probes, %.0f after quick ones", slow, quick)
@@ -454,7 +454,7 @@
 // An instance without messages from peers, with one query of nine parts per second, stops using a failed site
 // within seconds and uses it again within half a minute of its recovery, whether connections are refused or
 // parts get no answer.
-func TestLostSiteIsLeftAndFoundAgain(t *testing.T) {
+func TestLostSiteIsAvoidedAndUsedAgain(t *testing.T) {
 	for _, o := range []Outcome{NoConnection, TimedOut} {
 		s := settings()
 		s.Cells, s.CanProbe, s.Peers, s.MaxAttempts = 9, true, 60, 4
@@ -467,7 +467,7 @@
 		run := func(queries int) (first, there float64) {
 			for range queries {
 				id := k.query(0, 9)
-				todo := append([]Action(nil), k.out...)
+				todo := append([]Action(nil), k.actions...)
 				for tries, begun := map[uint32]int{}, k.now; k.now < begun+1000*ms; {
 					next := k.wait(50 * ms) // parts already sent are answered after this time
 					for _, a := range todo {
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -6,13 +6,13 @@
 
 // Under overload a query that cannot meet its aim is refused before it costs anything (incident i999af7).
 func TestOverloadIsRefusedAtOnce(t *testing.T) {
-	k := start(t, settings(), ready(1)...)
+	k := start(t, settings(), readyReplicas(1)...)
 	refused := 0
 	for i := range 40 {
 		k.query(0, 1)
-		if n := len(of(Refuse, k.out)); n > 0 {
+		if n := len(ofKind(Refuse, k.actions)); n > 0 {
 			refused += n
-			if len(of(Send, k.out)) > 0 {
+			if len(ofKind(Send, k.actions)) > 0 {
 				t.Fatalf("query %d was refused after it had been sent", i)
 			}
 		}
@@ -25,15 +25,15 @@
 // A high measured latency must not exclude a replica forever: it decays without new samples (incident
 // i93e8b7).
 func TestLearnedTimeFades(t *testing.T) {
-	k := start(t, settings(), ready(1)...)
+	k := start(t, settings(), readyReplicas(1)...)
 	for range 20 {
-		k.b.saw(k.b.byID[1], 0, 100e6)
+		k.balancer.recordLatency(k.balancer.byID[1], 0, 100e6)
 	}
 	k.query(0, 1)
-	one(t, Refuse, k.out)
+	exactlyOne(t, Refuse, k.actions)
 	k.now += 60_000 * ms
 	k.query(0, 1)
-	one(t, Send, k.out)
+	exactlyOne(t, Send, k.actions)
 }
 
 // Queries of the class of the lowest worth per work are refused first, and those beyond a tenant's quota
@@ -44,19 +44,19 @@
 	s.Classes = append(s.Classes, s.Classes[0])
 	s.Classes[1].Worth = 2
 	s.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
-	k := start(t, s, ready(1)...)
-	rules := k.b.s.Classes
-	low, high := k.b.value(&query{rules: &rules[0], class: 0, tenant: 1}),
-		k.b.value(&query{rules: &rules[1], class: 1, tenant: 1})
+	k := start(t, s, readyReplicas(1)...)
+	rules := k.balancer.settings.Classes
+	low, high := k.balancer.relativeWorth(&query{rules: &rules[0], class: 0, tenant: 1}),
+		k.balancer.relativeWorth(&query{rules: &rules[1], class: 1, tenant: 1})
 	if low >= high {
 		t.Fatalf("relative worth %v of the class of lower worth, %v of the other", low, high)
 	}
 	for range 20 {
-		k.step(Event{Kind: Query, ID: 5000 + k.ids, Number: 5000 + float32(k.ids), Tenant: 0, Deadline: k.now})
-		k.ids++
+		k.step(Event{Kind: Query, ID: 5000 + k.lastID, Number: 5000 + float32(k.lastID), Tenant: 0, Deadline: k.now})
+		k.lastID++
 	}
-	over, under := k.b.value(&query{rules: &rules[1], class: 1}),
-		k.b.value(&query{rules: &rules[1], class: 1, tenant: 1})
+	over, under := k.balancer.relativeWorth(&query{rules: &rules[1], class: 1}),
+		k.balancer.relativeWorth(&query{rules: &rules[1], class: 1, tenant: 1})
 	if over >= under {
 		t.Fatalf("relative worth %v beyond the quota, %v within", over, under)
 	}
@@ -64,15 +64,15 @@
 
 // countSends serves n queries of one part, ends each attempt with the outcome for its replica, and counts
 // the sends to each replica.
-func drive(k *bench, n int, outcome func(ReplicaID) Outcome) map[ReplicaID]int {
+func countSends(k *instance, n int, outcome func(ReplicaID) Outcome) map[ReplicaID]int {
 	sent := map[ReplicaID]int{}
 	for range n {
 		id := k.query(0, 1)
-		sends := of(Send, k.out)
+		sends := ofKind(Send, k.actions)
 		k.now += 100 * ms
 		for try := 0; len(sends) == 1; try++ {
 			sent[sends[0].Replica]++
-			sends = of(Send, k.result(id+1, try, sends[0].Replica, outcome(sends[0].Replica)))
+			sends = ofKind(Send, k.result(id+1, try, sends[0].Replica, outcome(sends[0].Replica)))
 		}
 	}
 	return sent
@@ -80,10 +80,10 @@
 
 // A replica that rejects parts or fails immediately always looks idle. It gets almost no parts while it does
 // so, and is used again afterwards (incidents i897b66 and i0fb731).
-func TestFailingReplicaIsLeftAlone(t *testing.T) {
+func TestFailingReplicaIsAvoided(t *testing.T) {
 	for _, o := range []Outcome{Busy, Error, NoConnection, Reset} {
-		k := start(t, settings(), ready(3)...)
-		sent := drive(k, 200, func(r ReplicaID) Outcome {
+		k := start(t, settings(), readyReplicas(3)...)
+		sent := countSends(k, 200, func(r ReplicaID) Outcome {
 			if r == 1 {
 				return o
 			}
@@ -93,8 +93,8 @@
 			t.Errorf("outcome %d: %d of 200 parts went to the failing replica", o, sent[1])
 		}
 		ok := func(ReplicaID) Outcome { return OK }
-		drive(k, 300, ok)
-		if sent = drive(k, 200, ok); sent[1] < 30 {
+		countSends(k, 300, ok)
+		if sent = countSends(k, 200, ok); sent[1] < 30 {
 			t.Errorf("outcome %d: %d of 200 parts half a minute after it recovered", o, sent[1])
 		}
 	}
@@ -102,9 +102,9 @@
 
 // A path that loses half of the attempts is avoided although it never loses several in a row.
 func TestLossyPathIsAvoided(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
+	k := start(t, settings(), readyReplicas(3)...)
 	n := 0
-	sent := drive(k, 300, func(r ReplicaID) Outcome {
+	sent := countSends(k, 300, func(r ReplicaID) Outcome {
 		if n++; r == 1 && n%2 == 0 {
 			return Reset
 		}
@@ -117,12 +117,12 @@
 
 // After a restart of all replicas no warm one is left to compare with: the capacity measured before still
 // counts (incident icdcc6d).
-func TestMassRestartIsServedFromMemory(t *testing.T) {
-	k := start(t, settings(), ready(4)...)
+func TestMassRestartUsesRememberedCapacity(t *testing.T) {
+	k := start(t, settings(), readyReplicas(4)...)
 	serve := func() (n int) {
 		for range 400 {
 			id := k.query(0, 1)
-			for _, a := range of(Send, k.out) {
+			for _, a := range ofKind(Send, k.actions) {
 				k.result(id+1, a.Attempt, a.Replica, OK)
 				n++
 			}
@@ -131,7 +131,7 @@
 		return n
 	}
 	before := serve()
-	rs := ready(4)
+	rs := readyReplicas(4)
 	for i := range rs {
 		rs[i].Started = k.now
 	}
@@ -144,28 +144,28 @@
 
 // A query is refused if a part of it would have to wait for a cold replica (incident icdcc6d).
 func TestColdOnlyHolderRefusesAtOnce(t *testing.T) {
-	rs := ready(2)
+	rs := readyReplicas(2)
 	rs[1].Cell, rs[1].Started = 1, 19_990*ms
 	s := settings()
 	s.Cells = 2
 	k := start(t, s, rs...)
 	k.query(0, 2)
-	one(t, Refuse, k.out)
-	if len(of(Send, k.out)) > 0 {
+	exactlyOne(t, Refuse, k.actions)
+	if len(ofKind(Send, k.actions)) > 0 {
 		t.Fatal("sent a part of a query that cannot be served")
 	}
 }
 
 // If not every part is required, an unsent part replaces a late one without using the retry budget (incident
 // if370bf).
-func TestUnsentPartStandsIn(t *testing.T) {
+func TestUnsentPartReplacesLatePart(t *testing.T) {
 	s := settings()
 	s.Classes[0].Need, s.Classes[0].Floor = 0.5, 0.5
-	k := start(t, s, ready(4)...)
+	k := start(t, s, readyReplicas(4)...)
 	k.query(0, 8)
-	first := len(of(Send, k.out))
-	for _, a := range of(Send, k.wait(300*ms)) {
-		if p := k.b.parts[a.ID]; len(p.tries) > 1 {
+	first := len(ofKind(Send, k.actions))
+	for _, a := range ofKind(Send, k.wait(300*ms)) {
+		if p := k.balancer.parts[a.ID]; len(p.attempts) > 1 {
 			t.Fatal("a part was hedged while others were unsent")
 		}
 		first++
@@ -179,13 +179,13 @@
 func TestBudgetHolds(t *testing.T) {
 	s := settings()
 	s.ResendSpan, s.ResendRatio, s.SpareAttempts = 2000*ms, 0.05, 3
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	extra := 0
 	for range 30 {
 		id := k.query(0, 1)
-		for try, sends := 0, of(Send, k.out); len(sends) == 1; try++ {
+		for try, sends := 0, ofKind(Send, k.actions); len(sends) == 1; try++ {
 			extra += min(try, 1)
-			sends = of(Send, k.result(id+1, try, sends[0].Replica, Reset))
+			sends = ofKind(Send, k.result(id+1, try, sends[0].Replica, Reset))
 		}
 	}
 	if extra == 0 || extra > 6 {
@@ -197,19 +197,19 @@
 func TestWindowsAreFreed(t *testing.T) {
 	s := settings()
 	s.CanCopy = false
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	for i := range 2000 {
 		id := k.query(0, 1)
-		for try, sends := 0, of(Send, k.out); len(sends) == 1; try++ {
+		for try, sends := 0, ofKind(Send, k.actions); len(sends) == 1; try++ {
 			o := OK
 			if i%20 == 0 && try == 0 {
 				o = Error
 			}
-			sends = of(Send, k.result(id+1, try, sends[0].Replica, o))
+			sends = ofKind(Send, k.result(id+1, try, sends[0].Replica, o))
 		}
 		k.now += 20 * ms
 	}
-	if n := len(k.b.taken.at) + len(k.b.extras.at); n > 1500 {
+	if n := len(k.balancer.arrivals.times) + len(k.balancer.retries.times); n > 1500 {
 		t.Fatalf("%d times kept after 40 s at 100 queries and parts per second", n)
 	}
 }
@@ -217,12 +217,12 @@
 // An instance that shuts down answers all its queries in time: neither open queries nor new ones are held
 // beyond the shutdown, however long their clients would wait.
 func TestEndingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
-	k := start(t, settings(), ready(3)...)
+	k := start(t, settings(), readyReplicas(3)...)
 	held := k.query(0, 1)
 	k.step(Event{Kind: Ending, Deadline: k.now + 500*ms})
 	late := k.query(0, 1)
 	done := map[uint32]bool{}
-	for _, a := range of(Refuse, k.wait(500*ms)) {
+	for _, a := range ofKind(Refuse, k.wait(500*ms)) {
 		done[a.ID] = a.After > 0
 	}
 	if !done[held] || !done[late] {
@@ -233,22 +233,22 @@
 // A malformed answer can come from any replica and says nothing about its latency: the replica is not avoided
 // for one, and the part is immediately sent to another. A replica that only sends malformed answers loses its
 // weight.
-func TestSpoiltAnswerIsNoLoad(t *testing.T) {
-	k := start(t, settings(), ready(2)...)
+func TestMalformedAnswerIsNotLoad(t *testing.T) {
+	k := start(t, settings(), readyReplicas(2)...)
 	id := k.query(0, 1)
-	first := one(t, Send, k.out)
-	r := k.b.byID[first.Replica]
-	before := k.b.expect(r, 0)
-	if next := one(t, Send, k.result(id+1, 0, first.Replica, Spoilt)); next.Replica == first.Replica {
+	first := exactlyOne(t, Send, k.actions)
+	r := k.balancer.byID[first.Replica]
+	before := k.balancer.expectedLatency(r, 0)
+	if next := exactlyOne(t, Send, k.result(id+1, 0, first.Replica, Spoilt)); next.Replica == first.Replica {
 		t.Error("the part went to the same replica")
 	}
-	if after := k.b.expect(r, 0); after != before {
+	if after := k.balancer.expectedLatency(r, 0); after != before {
 		t.Errorf("a part there is now expected to take %.0f us, not %.0f", after, before)
 	}
 	for range 20 {
-		k.b.adjust(r, 0)
-		q := &query{rules: &k.b.s.Classes[0]}
-		k.b.settle(&part{q: q, live: 1}, &attempt{r: r, call: &call{live: 1}, sent: k.now},
+		k.balancer.adjustWeight(r, 0)
+		q := &query{rules: &k.balancer.settings.Classes[0]}
+		k.balancer.recordResult(&part{query: q, pending: 1}, &attempt{replica: r, call: &call{pending: 1}, sent: k.now},
 			&Event{Kind: Result, Outcome: Spoilt})
 	}
 	if r.weight > midWeight/4 {
@@ -259,16 +259,16 @@
 // A client that waits less than its class's aim says nothing about the queues: its query is refused only if
 // it is unlikely to be served in that time (churn day: 8% refused in 15 s, while 60 to 75% of those
 // admitted were served).
-func TestLittlePatienceIsNoOverload(t *testing.T) {
+func TestShortDeadlineIsNotOverload(t *testing.T) {
 	for share, sent := range map[float64]int{0.8: 0, 1.2: 1} {
-		k := start(t, settings(), ready(1)...)
+		k := start(t, settings(), readyReplicas(1)...)
 		for range 20 {
-			k.b.saw(k.b.byID[1], 0, float64(100*ms))
+			k.balancer.recordLatency(k.balancer.byID[1], 0, float64(100*ms))
 		}
-		left := Micros(share * k.b.expect(k.b.byID[1], 0))
+		left := Micros(share * k.balancer.expectedLatency(k.balancer.byID[1], 0))
 		k.step(Event{Kind: Query, ID: 1, Number: 1, Weight: 1, Deadline: k.now + left},
 			Event{Kind: Part, ID: 2, Number: 1, Weight: 1, Deadline: k.now + left})
-		if got := len(of(Send, k.out)); got != sent {
+		if got := len(ofKind(Send, k.actions)); got != sent {
 			t.Errorf("deadline at %.1f of the expected latency: %d sent, want %d", share, got, sent)
 		}
 	}
@@ -278,15 +278,15 @@
 // it would be served in time; a part that is only slow is not (churn day, 51 to 52 s: the parts of a stalled
 // node reached the aim with a single attempt each).
 func TestOverduePartIsCopiedBeyondTheSlots(t *testing.T) {
-	k := start(t, settings(), ready(2)...)
+	k := start(t, settings(), readyReplicas(2)...)
 	k.query(0, 1)
-	first := one(t, Send, k.out)
-	other := k.b.byID[3-first.Replica]
-	other.calls = maxCap
-	if got := of(Send, k.wait(550*ms)); len(got) != 0 {
+	first := exactlyOne(t, Send, k.actions)
+	other := k.balancer.byID[3-first.Replica]
+	other.openCalls = maxSlots
+	if got := ofKind(Send, k.wait(550*ms)); len(got) != 0 {
 		t.Fatalf("a slow part was hedged at a full replica: %+v", got)
 	}
-	if got := of(Send, k.wait(100*ms)); len(got) != 1 || got[0].Replica != other.ID {
+	if got := ofKind(Send, k.wait(100*ms)); len(got) != 1 || got[0].Replica != other.ID {
 		t.Fatalf("sends of the overdue part: %+v", got)
 	}
 }
@@ -295,61 +295,61 @@
 // many as before. Otherwise the retries fill the queues of the replicas that still serve (scenario
 // join+mass, seed 789946599629: 12% of the parts rejected, 47% of the queries refused, and fewer served
 // than with random choice).
-func TestMuchInVainLetsFewerIn(t *testing.T) {
-	admitted := func(k *bench) (n int) {
+func TestManyRejectionsLowerAdmission(t *testing.T) {
+	admitted := func(k *instance) (n int) {
 		for range 60 {
 			k.query(0, 1)
-			n += len(of(Send, k.out))
+			n += len(ofKind(Send, k.actions))
 		}
 		return n
 	}
 	many := settings()
 	many.Peers = 80
-	sound, failing := start(t, many, ready(4)...), start(t, many, ready(4)...)
-	failing.b.vain = 0.1
+	sound, failing := start(t, many, readyReplicas(4)...), start(t, many, readyReplicas(4)...)
+	failing.balancer.rejectedShare = 0.1
 	full, cut := admitted(sound), admitted(failing)
 	if cut >= full || cut < full/2 {
 		t.Fatalf("%d admitted without rejections, %d with a tenth of the parts rejected", full, cut)
 	}
-	k := start(t, settings(), ready(4)...)
-	drive(k, 60, func(ReplicaID) Outcome { return Busy })
-	if k.b.vain < 0.05 {
-		t.Fatalf("all replicas are full: rejected share %.2f", k.b.vain)
+	k := start(t, settings(), readyReplicas(4)...)
+	countSends(k, 60, func(ReplicaID) Outcome { return Busy })
+	if k.balancer.rejectedShare < 0.05 {
+		t.Fatalf("all replicas are full: rejected share %.2f", k.balancer.rejectedShare)
 	}
 	// A network partition or a lost site is silent: parts sent there use no capacity of the replicas that
 	// serve, and say nothing about that capacity (scenario split+mass: score 0.88 when time-outs counted,
 	// 0.97 without).
-	quiet := start(t, settings(), ready(4)...)
-	drive(quiet, 60, func(ReplicaID) Outcome { return TimedOut })
-	if quiet.b.vain > 0 {
-		t.Fatalf("all replicas are silent: rejected share %.2f", quiet.b.vain)
+	quiet := start(t, settings(), readyReplicas(4)...)
+	countSends(quiet, 60, func(ReplicaID) Outcome { return TimedOut })
+	if quiet.balancer.rejectedShare > 0 {
+		t.Fatalf("all replicas are silent: rejected share %.2f", quiet.balancer.rejectedShare)
 	}
-	drive(k, 300, func(ReplicaID) Outcome { return OK })
-	if k.b.vain > 0.01 {
-		t.Fatalf("all parts are served: rejected share %.2f", k.b.vain)
+	countSends(k, 300, func(ReplicaID) Outcome { return OK })
+	if k.balancer.rejectedShare > 0.01 {
+		t.Fatalf("all parts are served: rejected share %.2f", k.balancer.rejectedShare)
 	}
 }
 
 // While peers keep reporting high latencies, an instance refuses all queries. It still admits one query every
 // three seconds, and no more, as a trial. Before, 39 and 46 of the fleet's 315 instances sent nothing for 4 s
 // in runs without faults.
-func TestInstanceThatTurnsAllAwayGoesOnLooking(t *testing.T) {
+func TestInstanceRefusingAllStillTriesQueries(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 300, true
-	k := start(t, s, ready(2)...)
+	k := start(t, s, readyReplicas(2)...)
 	var sent []Micros
 	refused := 0
 	for begun := k.now; k.now < begun+20_000*ms; k.now += 100 * ms {
 		var m message
-		m.add(hash(1), 990_000, 8)
-		m.add(hash(2), 990_000, 8)
-		k.step(Event{Kind: Message, From: 1, Data: []byte(m.text())})
+		m.add(replicaHash(1), 990_000, 8)
+		m.add(replicaHash(2), 990_000, 8)
+		k.step(Event{Kind: Message, From: 1, Data: []byte(m.encode())})
 		if k.now < begun+1000*ms {
 			continue // until the messages take effect
 		}
 		id := k.query(0, 1)
-		refused += len(of(Refuse, k.out))
-		for _, a := range of(Send, k.out) {
+		refused += len(ofKind(Refuse, k.actions))
+		for _, a := range ofKind(Send, k.actions) {
 			sent = append(sent, k.now)
 			k.result(id+1, 0, a.Replica, Busy)
 			k.step(Event{Kind: ClientGone, ID: id})
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -7,7 +7,7 @@
 
 // Invalid input: no panic, no rule violated, and the rest of the Step is processed.
 
-func TestBadInputIsPassedOver(t *testing.T) {
+func TestBadInputIsIgnored(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell, s.CanProbe, s.Cells = 3, true, true, 2
 	s.Tenants = []Tenant{{Quota: 1}}
@@ -26,19 +26,19 @@
 		"kind": {{Kind: 200}},
 	}
 	for name, events := range bad {
-		k := start(t, s, ready(3)...)
+		k := start(t, s, readyReplicas(3)...)
 		for shard := range 4 {
 			events = append(events, Event{Kind: Part, ID: 910 + uint32(shard), Number: 902, Shard: shard - 2,
 				Weight: math.NaN()})
 		}
 		k.step(events...)
 		id := k.query(0, 1)
-		sends := of(Send, k.out)
+		sends := ofKind(Send, k.actions)
 		if len(sends) != 1 {
 			t.Errorf("%s: %d sends for a valid query after it", name, len(sends))
 			continue
 		}
-		if k.result(id+1, 0, sends[0].Replica, OK); len(of(Answer, k.out)) != 1 {
+		if k.result(id+1, 0, sends[0].Replica, OK); len(ofKind(Answer, k.actions)) != 1 {
 			t.Errorf("%s: a valid query has no answer", name)
 		}
 		k.wait(4000 * ms)
@@ -50,28 +50,28 @@
 func TestMessagesOfAnyBytes(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 3, true
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	msg := []byte{}
 	x := uint32(1)
 	for n := range 700 {
 		k.step(Event{Kind: Message, From: uint32(n), Data: msg})
 		if n%2 == 0 && len(msg)%entrySize == 1 { // with a valid checksum and the hash of an existing replica
-			h := hash(1)
+			h := replicaHash(1)
 			for i := 1; i < len(msg); i += entrySize {
 				msg[i], msg[i+1], msg[i+2] = byte(h), byte(h>>8), byte(h>>16)
 			}
-			msg[0] = check(msg[1:])
+			msg[0] = checksum(msg[1:])
 			k.step(Event{Kind: Message, From: uint32(n), Data: msg})
 		}
 		x = x*1664525 + 1013904223
 		msg = append(msg, byte(x>>24))
 	}
-	r := k.b.byID[1]
-	if e := k.b.expect(r, 0); math.IsNaN(e) || e <= 0 || e > k.b.minAim || r.pool.n > maxHeard+1 {
-		t.Fatalf("random messages led to an expected latency of %v with a sample weight of %v", e, r.pool.n)
+	r := k.balancer.byID[1]
+	if e := k.balancer.expectedLatency(r, 0); math.IsNaN(e) || e <= 0 || e > k.balancer.minAim || r.peerLatency.n > maxPeerSamples+1 {
+		t.Fatalf("random messages led to an expected latency of %v with a sample weight of %v", e, r.peerLatency.n)
 	}
 	k.query(0, 1)
-	one(t, Send, k.out)
+	exactlyOne(t, Send, k.actions)
 }
 
 // Own samples outweigh those of peers: a replica that fails for this instance is avoided although peers
@@ -79,11 +79,11 @@
 func TestOwnOutcomesOutrankMessages(t *testing.T) {
 	s := settings()
 	s.Peers, s.CanTell = 3, true
-	k := start(t, s, ready(3)...)
+	k := start(t, s, readyReplicas(3)...)
 	var m message
-	m.add(hash(1), 10_000, maxHeard)
-	praise := []byte(m.text())
-	sent := drive(k, 200, func(r ReplicaID) Outcome {
+	m.add(replicaHash(1), 10_000, maxPeerSamples)
+	praise := []byte(m.encode())
+	sent := countSends(k, 200, func(r ReplicaID) Outcome {
 		k.step(Event{Kind: Message, Data: praise})
 		if r == 1 {
 			return Reset
@@ -127,20 +127,20 @@
 func TestOddSecondStepsStartsAndLists(t *testing.T) {
 	s := settings()
 	s.Classes[0].SecondStep, s.Classes[0].LateWorth, s.Subscribe = 2, 0.3, true
-	k := start(t, s, ready(2)...)
+	k := start(t, s, readyReplicas(2)...)
 	finals := func(acts []Action) int {
-		return len(of(Answer, acts)) + len(of(Refuse, acts)) + len(of(Fail, acts))
+		return len(ofKind(Answer, acts)) + len(ofKind(Refuse, acts)) + len(ofKind(Fail, acts))
 	}
 
 	id := k.query(0, 1) // its second step never receives a part
-	k.result(id+1, 0, one(t, Send, k.out).Replica, OK)
-	one(t, Answer, k.out)
+	k.result(id+1, 0, exactlyOne(t, Send, k.actions).Replica, OK)
+	exactlyOne(t, Answer, k.actions)
 	if n := finals(k.wait(3100 * ms)); n != 1 {
 		t.Errorf("%d final answers of a query whose second step has no parts, want 1", n)
 	}
 	k.step(Event{Kind: Part, ID: 500, Number: float32(id), Weight: 1}, Event{Kind: Query, ID: 600, Number: 600,
 		Deadline: k.now + 3000*ms}, Event{Kind: Part, ID: 601, Number: 600, Weight: 1})
-	if a := one(t, Send, k.out); a.ID != 601 {
+	if a := exactlyOne(t, Send, k.actions); a.ID != 601 {
 		t.Errorf("part %d sent, want that of the open query", a.ID)
 	}
 
@@ -148,7 +148,7 @@
 	for _, at := range []Micros{begun, begun - 90_000*ms} {
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 1, State: Ready, Started: at}}})
 	}
-	if !k.b.cold(k.b.byID[1]) {
+	if !k.balancer.isCold(k.balancer.byID[1]) {
 		t.Error("a replica is no longer cold after an earlier start was listed")
 	}
 	for range 50 {
@@ -156,5 +156,5 @@
 		k.wait(9000 * ms)
 	}
 	k.query(0, 1)
-	one(t, Send, k.out)
+	exactlyOne(t, Send, k.actions)
 }
--- a/balance/message.go
+++ b/balance/message.go
@@ -9,16 +9,16 @@
 // replica's ID, one of its latency per part and one of the sample weight behind that.
 
 const (
-	maxMessage = 256
-	entrySize  = 5
-	timeUnit   = 1_000.0 // us, the smallest latency that an entry can encode
-	timeSteps  = 16.0    // per doubling of the latency
-	countSteps = 16.0    // per sample
+	maxMessageSize    = 256
+	entrySize         = 5
+	minEncodedLatency = 1_000.0 // us, the smallest latency that an entry can encode
+	latencySteps      = 16.0    // per doubling of the latency
+	countSteps        = 16.0    // per sample
 )
 
 type message struct {
-	b    []byte
-	most int // maximum size in bytes; 0: maxMessageSize
+	buf   []byte
+	limit int // maximum size in bytes; 0: maxMessageSize
 }
 
 // add appends an entry. It returns false if the message is full or n is too small to be encoded.
@@ -27,42 +27,42 @@
 	if c == 0 || m.full() {
 		return false
 	}
-	if m.b == nil {
-		m.b = make([]byte, 1, maxMessage)
+	if m.buf == nil {
+		m.buf = make([]byte, 1, maxMessageSize)
 	}
-	x := byte(min(255, max(0, timeSteps*math.Log2(took/timeUnit))))
-	m.b = append(m.b, byte(h), byte(h>>8), byte(h>>16), x, c)
+	x := byte(min(255, max(0, latencySteps*math.Log2(took/minEncodedLatency))))
+	m.buf = append(m.buf, byte(h), byte(h>>8), byte(h>>16), x, c)
 	return true
 }
 
 func (m *message) full() bool {
-	return len(m.b)+entrySize > min(maxMessage, cmp.Or(m.most, maxMessage))
+	return len(m.buf)+entrySize > min(maxMessageSize, cmp.Or(m.limit, maxMessageSize))
 }
 
 // encode sets the checksum and returns the message; it is empty if nothing was added.
-func (m *message) text() string {
-	if len(m.b) > 0 {
-		m.b[0] = check(m.b[1:])
+func (m *message) encode() string {
+	if len(m.buf) > 0 {
+		m.buf[0] = checksum(m.buf[1:])
 	}
-	return string(m.b)
+	return string(m.buf)
 }
 
 // forEachEntry calls f for each entry of a message. It ignores a message that is truncated or has a wrong
 // checksum.
-func entries(b []byte, f func(h uint32, took, n float64)) {
-	if len(b)%entrySize != 1 || check(b[1:]) != b[0] {
+func forEachEntry(b []byte, f func(h uint32, took, n float64)) {
+	if len(b)%entrySize != 1 || checksum(b[1:]) != b[0] {
 		return
 	}
 	for e := b[1:]; len(e) > 0; e = e[entrySize:] {
-		took := timeUnit * math.Exp2((float64(e[3])+0.5)/timeSteps)
+		took := minEncodedLatency * math.Exp2((float64(e[3])+0.5)/latencySteps)
 		f(uint32(e[0])|uint32(e[1])<<8|uint32(e[2])<<16, took, float64(e[4])/countSteps)
 	}
 }
 
 // replicaHash shortens a replica's ID to 24 bits.
-func hash(id ReplicaID) uint32 { return uint32(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
+func replicaHash(id ReplicaID) uint32 { return uint32(uint64(id) * 0x9e3779b97f4a7c15 >> 40) }
 
-func check(b []byte) byte {
+func checksum(b []byte) byte {
 	sum := byte(len(b))
 	for _, x := range b {
 		sum = sum*31 + x
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -9,72 +9,72 @@
 
 // simulation runs a random but valid history of events against one instance and checks every action
 // against the rules. All random values come from a seed, so a seed always gives the same history.
-type world struct {
-	s        Settings
-	rng      *rand.Rand
-	now      Micros
-	b        *Balancer
-	replicas map[ReplicaID]*simReplica
-	ids      []ReplicaID
-	queries  map[uint32]*simQuery
-	parts    map[uint32]*simPart
-	pending  []pending
-	extras   []Micros
-	taken    []Micros
-	nextID   uint32
-	ended    int
-	sends    []simSend
-	spoil    func([]Action) []Action // injects a violation
-	broken   []string
+type simulation struct {
+	s          Settings
+	rng        *rand.Rand
+	now        Micros
+	b          *Balancer
+	replicas   map[ReplicaID]*simReplica
+	ids        []ReplicaID
+	queries    map[uint32]*simQuery
+	parts      map[uint32]*simPart
+	pending    []pendingEvent
+	retries    []Micros
+	arrivals   []Micros
+	nextID     uint32
+	ended      int
+	sends      []simSend
+	tamper     func([]Action) []Action // injects a violation
+	violations []string
 }
 
 type simReplica struct {
 	Replica
-	told Micros // when it was listed as draining or removed
-	mood int
+	stateChangedAt Micros // when it was listed as draining or removed
+	failureMode    int
 }
 
 type simQuery struct {
-	class    int
-	deadline Micros
-	parts    []uint32
-	in       float64
-	over     bool
-	second   bool
-	whole    bool
+	class          int
+	deadline       Micros
+	parts          []uint32
+	receivedWeight float64
+	finished       bool
+	inSecondStep   bool
+	firstComplete  bool
 }
 
 type simPart struct {
 	query    uint32
 	shard    int
 	weight   float64
-	in       bool
+	received bool
 	attempts []simAttempt
 }
 
 type simSend struct {
-	at      Micros
-	replica ReplicaID
-	share   float64 // share of its capacity that a cold replica has, 1 when warm
+	at            Micros
+	replica       ReplicaID
+	capacityShare float64 // share of its capacity that a cold replica has, 1 when warm
 }
 
 type simAttempt struct {
 	replica  ReplicaID
 	sent     Micros
-	out      bool
+	pending  bool
 	neverRan bool
 }
 
-type pending struct {
-	at Micros
-	ev Event
+type pendingEvent struct {
+	at    Micros
+	event Event
 }
 
-func (w *world) breach(format string, args ...any) {
-	w.broken = append(w.broken, fmt.Sprintf(format, args...))
+func (w *simulation) violation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-func newWorld(seed uint64) *world {
+func newSimulation(seed uint64) *simulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := Settings{
 		Tick: 5 * ms, Cells: 2 + rng.IntN(4), Reach: 1 + rng.IntN(2), BatchMax: 1 + rng.IntN(3), Peers: 2,
@@ -100,7 +100,7 @@
 		}
 		s.Classes = append(s.Classes, c)
 	}
-	w := &world{s: s, rng: rng, now: 50_000 * ms, replicas: map[ReplicaID]*simReplica{},
+	w := &simulation{s: s, rng: rng, now: 50_000 * ms, replicas: map[ReplicaID]*simReplica{},
 		queries: map[uint32]*simQuery{}, parts: map[uint32]*simPart{}}
 	b, err := New(s, seed)
 	if err != nil {
@@ -119,92 +119,92 @@
 }
 
 // apply passes a batch of events to the instance and checks the resulting actions.
-func (w *world) apply(events []Event) {
+func (w *simulation) apply(events []Event) {
 	actions := w.b.Step(w.now, events, nil)
-	if w.spoil != nil {
-		actions = w.spoil(actions)
+	if w.tamper != nil {
+		actions = w.tamper(actions)
 	}
 	for _, a := range actions {
 		w.check(a)
 	}
 }
 
-func (w *world) check(a Action) {
+func (w *simulation) check(a Action) {
 	switch a.Kind {
 	case Wake:
-		w.pending = append(w.pending, pending{w.now + max(a.After, w.s.Tick), Event{Kind: Awake}})
+		w.pending = append(w.pending, pendingEvent{w.now + max(a.After, w.s.Tick), Event{Kind: Awake}})
 	case Watch, Fetch:
 		mode := Delta
 		if w.rng.IntN(3) == 0 {
 			mode = Failed
 		}
-		w.pending = append(w.pending, pending{w.now + 50*ms, Event{Kind: List, Mode: mode}})
+		w.pending = append(w.pending, pendingEvent{w.now + 50*ms, Event{Kind: List, Mode: mode}})
 	case Send:
-		w.send(a)
+		w.checkSend(a)
 	case Cancel:
 		p := w.parts[a.ID]
 		if p == nil || a.Attempt >= len(p.attempts) {
-			w.breach("cancelled an attempt that was never made: %+v", a)
+			w.violation("cancelled an attempt that was never made: %+v", a)
 			return
 		}
-		if p.attempts[a.Attempt].out {
-			w.pending = append(w.pending, pending{w.now + ms, Event{Kind: Result, ID: a.ID, Attempt: a.Attempt,
+		if p.attempts[a.Attempt].pending {
+			w.pending = append(w.pending, pendingEvent{w.now + ms, Event{Kind: Result, ID: a.ID, Attempt: a.Attempt,
 				Replica: p.attempts[a.Attempt].replica, Outcome: Cancelled}})
 		}
 	case Answer, Refuse, Fail:
-		w.final(a)
+		w.checkFinal(a)
 	}
 }
 
-func (w *world) send(a Action) {
+func (w *simulation) checkSend(a Action) {
 	p := w.parts[a.ID]
 	if p == nil {
-		w.breach("sent %d, which is not a part", a.ID)
+		w.violation("sent %d, which is not a part", a.ID)
 		return
 	}
 	q, r, c := w.queries[p.query], w.replicas[a.Replica], w.s.Classes[w.queries[p.query].class]
-	if q.over || p.in {
-		w.breach("sent a part that is finished")
+	if q.finished || p.received {
+		w.violation("sent a part that is finished")
 	}
 	if (r.Cell-p.shard%w.s.Cells+w.s.Cells)%w.s.Cells >= w.s.Reach {
-		w.breach("shard %d is not held by cell %d", p.shard, r.Cell)
+		w.violation("shard %d is not held by cell %d", p.shard, r.Cell)
 	}
-	if r.State != Ready && w.now > r.told {
-		w.breach("sent to a draining or removed replica")
+	if r.State != Ready && w.now > r.stateChangedAt {
+		w.violation("sent to a draining or removed replica")
 	}
 	if len(p.attempts) >= w.s.MaxAttempts {
-		w.breach("attempt %d of a part", len(p.attempts)+1)
+		w.violation("attempt %d of a part", len(p.attempts)+1)
 	}
 	var ran Micros
 	for _, t := range p.attempts {
-		if t.out && !w.s.CanCopy {
-			w.breach("two attempts of a part at once")
+		if t.pending && !w.s.CanCopy {
+			w.violation("two attempts of a part at once")
 		}
 		if !t.neverRan {
 			if ran == 0 {
 				ran = t.sent
 			}
 			if c.Effect == Unsafe {
-				w.breach("an unsafe part that may have run was sent again")
+				w.violation("an unsafe part that may have run was sent again")
 			}
 		}
 	}
 	if c.Effect == Keyed && ran > 0 && w.now > ran+c.Window {
-		w.breach("a keyed part was repeated after its window")
+		w.violation("a keyed part was repeated after its window")
 	}
 	var before Micros // passed to the host, because the attempt may begin with a delay
 	if c.Effect == Keyed && ran > 0 {
 		before = ran + c.Window
 	}
 	if a.Before != before {
-		w.breach("StartBy of an attempt is %d, its window ends at %d", a.Before, before)
+		w.violation("StartBy of an attempt is %d, its window ends at %d", a.Before, before)
 	}
 	if len(p.attempts) > 0 && w.s.ResendSpan > 0 {
-		w.extras = append(w.extras, w.now)
-		used := count(w.extras, w.now-w.s.ResendSpan)
-		allowed := w.s.SpareAttempts + w.s.ResendRatio*float64(count(w.taken, w.now-w.s.ResendSpan))
+		w.retries = append(w.retries, w.now)
+		used := countSince(w.retries, w.now-w.s.ResendSpan)
+		allowed := w.s.SpareAttempts + w.s.ResendRatio*float64(countSince(w.arrivals, w.now-w.s.ResendSpan))
 		if float64(used) > allowed {
-			w.breach("%d further attempts in the span, %.1f allowed", used, allowed)
+			w.violation("%d further attempts in the span, %.1f allowed", used, allowed)
 		}
 	}
 	share := 1.0
@@ -212,11 +212,11 @@
 		share = w.s.ColdShare + (1-w.s.ColdShare)*float64(age)/float64(w.s.Ramp)
 	}
 	w.sends = append(w.sends, simSend{w.now, r.ID, share})
-	w.parts[a.ID].attempts = append(p.attempts, simAttempt{replica: a.Replica, sent: w.now, out: true})
+	w.parts[a.ID].attempts = append(p.attempts, simAttempt{replica: a.Replica, sent: w.now, pending: true})
 	w.pending = append(w.pending, w.outcome(a, r, len(p.attempts)-1))
 }
 
-func count(at []Micros, since Micros) (n int) {
+func countSince(at []Micros, since Micros) (n int) {
 	for _, t := range at {
 		if t >= since {
 			n++
@@ -227,61 +227,61 @@
 
 // outcome draws the result of an attempt, according to the replica's failure mode, which changes
 // occasionally.
-func (w *world) outcome(a Action, r *simReplica, attempt int) pending {
+func (w *simulation) outcome(a Action, r *simReplica, attempt int) pendingEvent {
 	took, o := Micros(20+w.rng.IntN(200))*ms, OK
 	switch {
-	case r.mood == 1:
+	case r.failureMode == 1:
 		took, o = 2*ms, []Outcome{Error, Busy, NoConnection, Reset}[w.rng.IntN(4)]
-	case r.mood == 2:
+	case r.failureMode == 2:
 		took, o = a.After, TimedOut
-	case r.mood == 3:
+	case r.failureMode == 3:
 		took *= 8
 	}
 	if took >= a.After {
 		took, o = a.After, TimedOut
 	}
 	ev := Event{Kind: Result, ID: a.ID, Attempt: attempt, Replica: r.ID, Outcome: o}
-	return pending{w.now + max(took, w.s.Tick), ev}
+	return pendingEvent{w.now + max(took, w.s.Tick), ev}
 }
 
-func (w *world) final(a Action) {
+func (w *simulation) checkFinal(a Action) {
 	q := w.queries[a.ID]
-	if q == nil || q.over {
-		w.breach("final answer for %d, which is not open", a.ID)
+	if q == nil || q.finished {
+		w.violation("final answer for %d, which is not open", a.ID)
 		return
 	}
 	c := w.s.Classes[q.class]
 	need, floor, all := c.Need, c.Floor, true
-	if q.second {
+	if q.inSecondStep {
 		if need, floor = 1, c.Floor; c.Floor >= c.Need {
 			floor = 1
 		}
 	}
 	for _, id := range q.parts {
-		all = all && w.parts[id].in
+		all = all && w.parts[id].received
 	}
 	switch a.Kind {
 	case Answer:
-		if q.in < floor-1e-4 {
-			w.breach("answered with weight %.2f, the minimum is %.2f", q.in, floor)
+		if q.receivedWeight < floor-1e-4 {
+			w.violation("answered with weight %.2f, the minimum is %.2f", q.receivedWeight, floor)
 		}
-		if a.Whole && (q.in < need-1e-4 || q.second && (!all || !q.whole)) {
-			w.breach("an incomplete answer was marked complete")
+		if a.Whole && (q.receivedWeight < need-1e-4 || q.inSecondStep && (!all || !q.firstComplete)) {
+			w.violation("an incomplete answer was marked complete")
 		}
-		if c.SecondStep > 0 && !q.second {
-			q.second, q.whole, q.in = true, a.Whole, 0
+		if c.SecondStep > 0 && !q.inSecondStep {
+			q.inSecondStep, q.firstComplete, q.receivedWeight = true, a.Whole, 0
 			old := q.parts
 			q.parts = nil
 			var events []Event
 			for _, id := range old {
-				if w.parts[id].in && len(events) < c.SecondStep {
+				if w.parts[id].received && len(events) < c.SecondStep {
 					events = append(events, w.part(a.ID, q, w.parts[id].shard, 0))
 				}
 			}
 			for i := range events {
 				events[i].Weight = 1 / float64(len(events))
 				w.parts[events[i].ID].weight = events[i].Weight
-				w.pending = append(w.pending, pending{w.now + w.s.Tick, events[i]})
+				w.pending = append(w.pending, pendingEvent{w.now + w.s.Tick, events[i]})
 			}
 			return
 		}
@@ -289,35 +289,35 @@
 		for _, id := range q.parts {
 			for _, t := range w.parts[id].attempts {
 				if c.Effect == Unsafe && !t.neverRan {
-					w.breach("refused a query although an unsafe part of it may have run")
+					w.violation("refused a query although an unsafe part of it may have run")
 				}
 			}
 		}
 	}
 	if w.now > q.deadline {
-		w.breach("final answer %d us late", w.now-q.deadline)
+		w.violation("final answer %d us late", w.now-q.deadline)
 	}
-	q.over = true
+	q.finished = true
 	w.ended++
 }
 
-func (w *world) part(qid uint32, q *simQuery, shard int, weight float64) Event {
+func (w *simulation) part(qid uint32, q *simQuery, shard int, weight float64) Event {
 	w.nextID++
 	w.parts[w.nextID] = &simPart{query: qid, shard: shard, weight: weight}
 	q.parts = append(q.parts, w.nextID)
-	w.taken = append(w.taken, w.now)
+	w.arrivals = append(w.arrivals, w.now)
 	return Event{Kind: Part, ID: w.nextID, Number: float32(qid), Class: q.class, Shard: shard, Weight: weight,
 		Deadline: q.deadline}
 }
 
 // query returns the events of a new query.
-func (w *world) query() []Event {
+func (w *simulation) query() []Event {
 	w.nextID++
 	id, class := w.nextID, w.rng.IntN(len(w.s.Classes))
 	share := 0.6 + 0.4*w.rng.Float64()
 	q := &simQuery{class: class, deadline: w.now + Micros(share*float64(w.s.Classes[class].Deadline))}
 	w.queries[id] = q
-	w.taken = append(w.taken, w.now)
+	w.arrivals = append(w.arrivals, w.now)
 	n := 1 + w.rng.IntN(5)
 	events := []Event{{Kind: Query, ID: id, Number: float32(id), Class: class, Weight: float64(n),
 		Deadline: q.deadline}}
@@ -328,15 +328,15 @@
 }
 
 // run simulates the history for a number of steps and then lets all pending events happen.
-func (w *world) play(steps int) {
+func (w *simulation) run(steps int) {
 	for i := 0; i < steps || len(w.pending) > 0 && i < steps+2000; i++ {
 		w.now += 5 * ms
 		var events []Event
-		slices.SortStableFunc(w.pending, func(a, b pending) int { return int(a.at - b.at) })
+		slices.SortStableFunc(w.pending, func(a, b pendingEvent) int { return int(a.at - b.at) })
 		for len(w.pending) > 0 && w.pending[0].at <= w.now {
-			ev := w.pending[0].ev
+			ev := w.pending[0].event
 			w.pending = w.pending[1:]
-			if ev.Kind == Result && !w.settle(&ev) {
+			if ev.Kind == Result && !w.recordResult(&ev) {
 				continue
 			}
 			events = append(events, ev)
@@ -346,10 +346,10 @@
 				events = append(events, w.query()...)
 			}
 			if w.rng.IntN(100) == 0 {
-				events = append(events, w.change())
+				events = append(events, w.changeReplica())
 			}
 			if r := w.replicas[w.ids[w.rng.IntN(len(w.ids))]]; w.rng.IntN(50) == 0 {
-				r.mood = max(0, w.rng.IntN(8)-4)
+				r.failureMode = max(0, w.rng.IntN(8)-4)
 			}
 		}
 		w.apply(events)
@@ -358,29 +358,29 @@
 
 // recordResult records a result in the simulation's own state. It returns false if the attempt had already
 // ended.
-func (w *world) settle(ev *Event) bool {
+func (w *simulation) recordResult(ev *Event) bool {
 	p := w.parts[ev.ID]
 	t := &p.attempts[ev.Attempt]
-	if !t.out {
+	if !t.pending {
 		return false
 	}
-	t.out = false
+	t.pending = false
 	t.neverRan = ev.Outcome == Busy || ev.Outcome == NoConnection || ev.Outcome == NotSent
 	q := w.queries[p.query]
-	ev.Closed = p.in || q.over || ev.Outcome == OK
-	if ev.Outcome == OK && !p.in && !q.over && slices.Contains(q.parts, ev.ID) {
-		p.in = true
-		q.in += p.weight
+	ev.Closed = p.received || q.finished || ev.Outcome == OK
+	if ev.Outcome == OK && !p.received && !q.finished && slices.Contains(q.parts, ev.ID) {
+		p.received = true
+		q.receivedWeight += p.weight
 	}
 	return true
 }
 
 // changeReplica makes a replica drain, go away or come back cold.
-func (w *world) change() Event {
+func (w *simulation) changeReplica() Event {
 	r := w.replicas[w.ids[w.rng.IntN(len(w.ids))]]
 	switch {
 	case r.State == Ready && w.rng.IntN(2) == 0:
-		r.State, r.told = []State{Draining, Gone}[w.rng.IntN(2)], w.now
+		r.State, r.stateChangedAt = []State{Draining, Gone}[w.rng.IntN(2)], w.now
 	default:
 		r.State, r.Started = Ready, w.now-Micros(w.rng.IntN(500))*ms
 	}
@@ -388,40 +388,40 @@
 }
 
 // checkEnd checks what must hold at the end of a history.
-func (w *world) close() {
+func (w *simulation) checkEnd() {
 	for id, q := range w.queries {
-		if !q.over {
-			w.breach("query %d got no final answer", id)
+		if !q.finished {
+			w.violation("query %d got no final answer", id)
 		}
 	}
-	w.closeCold()
+	w.checkColdLoad()
 	if n := len(w.b.queries) + len(w.b.parts) + len(w.b.byQuery) + len(w.b.byNumber); n > 0 {
-		w.breach("%d queries and parts kept after everything ended", n)
+		w.violation("%d queries and parts kept after everything ended", n)
 	}
 	for _, r := range w.b.replicas {
-		if r.calls != 0 {
-			w.breach("replica %d has %d calls out after everything ended", r.ID, r.calls)
+		if r.openCalls != 0 {
+			w.violation("replica %d has %d calls out after everything ended", r.ID, r.openCalls)
 		}
 	}
 }
 
 // checkColdLoad checks that no cold replica received much more than its share of the maximum load of a
 // warm one.
-func (w *world) closeCold() {
+func (w *simulation) checkColdLoad() {
 	type bucket struct {
 		replica ReplicaID
 		at      Micros
 	}
 	warm, most := map[bucket]int{}, 0
 	for _, o := range w.sends {
-		if o.share == 1 {
+		if o.capacityShare == 1 {
 			k := bucket{o.replica, o.at / (2 * w.s.FallSpan)}
 			warm[k]++
 			most = max(most, warm[k])
 		}
 	}
 	for i, c := range w.sends {
-		if c.share == 1 {
+		if c.capacityShare == 1 {
 			continue
 		}
 		cold, share := 0, 0.0
@@ -429,12 +429,12 @@
 			if o.at >= c.at+2*w.s.FallSpan {
 				break
 			}
-			if o.replica == c.replica && o.share < 1 {
-				cold, share = cold+1, max(share, o.share)
+			if o.replica == c.replica && o.capacityShare < 1 {
+				cold, share = cold+1, max(share, o.capacityShare)
 			}
 		}
 		if float64(cold) > 1.3*share*float64(most)+4 { // two spans, and the tokens saved before them
-			w.breach("cold replica %d got %d parts in two spans, the busiest warm one %d", c.replica, cold, most)
+			w.violation("cold replica %d got %d parts in two spans, the busiest warm one %d", c.replica, cold, most)
 			return
 		}
 	}
@@ -442,11 +442,11 @@
 
 func TestRulesOverLongHistories(t *testing.T) {
 	for seed := range uint64(60) {
-		w := newWorld(seed)
-		w.play(4000)
-		w.close()
-		if len(w.broken) > 0 {
-			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(w.broken), w.broken[0])
+		w := newSimulation(seed)
+		w.run(4000)
+		w.checkEnd()
+		if len(w.violations) > 0 {
+			t.Fatalf("seed %d: %d violations, the first: %s", seed, len(w.violations), w.violations[0])
 		}
 		if w.ended < 1000 {
 			t.Fatalf("seed %d: only %d queries ended", seed, w.ended)
@@ -455,10 +455,10 @@
 }
 
 // The checks above must be able to fail: each injected violation has to be detected.
-func TestPlantedBreachesAreSeen(t *testing.T) {
-	edit := func(f func(w *world, a Action) []Action) func(w *world) {
-		return func(w *world) {
-			w.spoil = func(in []Action) (out []Action) {
+func TestInjectedViolationsAreDetected(t *testing.T) {
+	edit := func(f func(w *simulation, a Action) []Action) func(w *simulation) {
+		return func(w *simulation) {
+			w.tamper = func(in []Action) (out []Action) {
 				for _, a := range in {
 					out = append(out, f(w, a)...)
 				}
@@ -466,34 +466,34 @@
 			}
 		}
 	}
-	for name, plant := range map[string]func(w *world){
-		"lost": edit(func(w *world, a Action) []Action {
+	for name, plant := range map[string]func(w *simulation){
+		"lost": edit(func(w *simulation, a Action) []Action {
 			if a.Kind == Answer && a.ID%50 == 0 {
 				return nil
 			}
 			return []Action{a}
 		}),
-		"twice": edit(func(w *world, a Action) []Action {
+		"twice": edit(func(w *simulation, a Action) []Action {
 			if a.Kind == Refuse {
 				return []Action{a, a}
 			}
 			return []Action{a}
 		}),
-		"duplicate": edit(func(w *world, a Action) []Action {
+		"duplicate": edit(func(w *simulation, a Action) []Action {
 			if a.Kind == Send && w.s.Classes[w.queries[w.parts[a.ID].query].class].Effect == Unsafe {
 				return []Action{a, a}
 			}
 			return []Action{a}
 		}),
-		"drain": edit(func(w *world, a Action) []Action {
+		"drain": edit(func(w *simulation, a Action) []Action {
 			for _, id := range w.ids {
-				if r := w.replicas[id]; a.Kind == Send && r.State != Ready && r.told < w.now {
+				if r := w.replicas[id]; a.Kind == Send && r.State != Ready && r.stateChangedAt < w.now {
 					a.Replica = id
 				}
 			}
 			return []Action{a}
 		}),
-		"cold": edit(func(w *world, a Action) []Action {
+		"cold": edit(func(w *simulation, a Action) []Action {
 			for _, id := range w.ids {
 				r := w.replicas[id]
 				if a.Kind == Send && r.State == Ready && r.Started > 0 && w.now-r.Started < w.s.Ramp {
@@ -502,29 +502,29 @@
 			}
 			return []Action{a}
 		}),
-		"whole": edit(func(w *world, a Action) []Action {
+		"whole": edit(func(w *simulation, a Action) []Action {
 			if a.Kind == Refuse {
 				return []Action{{Kind: Answer, ID: a.ID, Whole: true}}
 			}
 			return []Action{a}
 		}),
-		"budget": func(w *world) {
-			w.b.s.ResendSpan = 0
+		"budget": func(w *simulation) {
+			w.b.settings.ResendSpan = 0
 			w.s.ResendSpan, w.s.ResendRatio, w.s.SpareAttempts = 2000*ms, 0, 1
 		},
 	} {
 		seen := false
 		for seed := uint64(0); seed < 5 && !seen; seed++ {
-			w := newWorld(seed)
+			w := newSimulation(seed)
 			plant(w)
-			w.play(1500)
+			w.run(1500)
 			for id, q := range w.queries {
-				if !q.over {
-					w.breach("query %d got no final answer", id)
+				if !q.finished {
+					w.violation("query %d got no final answer", id)
 				}
 			}
-			w.closeCold()
-			seen = len(w.broken) > 0
+			w.checkColdLoad()
+			seen = len(w.violations) > 0
 		}
 		if !seen {
 			t.Errorf("%s: the injected violation was not detected", name)
@@ -535,9 +535,9 @@
 // The same events give the same actions.
 func TestDeterministic(t *testing.T) {
 	trace := func() (out []Action) {
-		w := newWorld(3)
-		w.spoil = func(a []Action) []Action { out = append(out, a...); return a }
-		w.play(1500)
+		w := newSimulation(3)
+		w.tamper = func(a []Action) []Action { out = append(out, a...); return a }
+		w.run(1500)
 		return out
 	}
 	if a, b := trace(), trace(); !slices.Equal(a, b) {
@@ -546,7 +546,7 @@
 }
 
 func TestClockBackAndStrangeEventsAreHarmless(t *testing.T) {
-	k := start(t, settings(), ready(2)...)
+	k := start(t, settings(), readyReplicas(2)...)
 	id := k.query(0, 2)
 	k.now -= 5000 * ms
 	k.step(Event{Kind: Result, ID: 9999, Outcome: OK}, Event{Kind: Result, ID: id + 1, Attempt: 7, Outcome: OK},
@@ -556,7 +556,7 @@
 		Event{Kind: Result, ID: id + 1, Attempt: -1, Outcome: OK})
 	k.now += 9000 * ms
 	acts := k.wait(100 * ms)
-	if n := len(of(Refuse, acts)) + len(of(Fail, acts)) + len(of(Answer, acts)); n != 1 {
+	if n := len(ofKind(Refuse, acts)) + len(ofKind(Fail, acts)) + len(ofKind(Answer, acts)); n != 1 {
 		t.Fatalf("%d final answers after the deadline, want 1", n)
 	}
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -10,185 +10,185 @@
 
 // Balancer makes the decisions of one coordinator. It is not safe for concurrent use.
 type Balancer struct {
-	s          Settings
-	rng        *rand.Rand
-	now        Micros
-	steps      int
-	replicas   []*replica
-	byID       map[ReplicaID]*replica
-	byHash     map[uint32]*replica // by the hash used in messages
-	tellAt     Micros              // time of the next message to a peer
-	tellNext   int                 // index of the replica reported last
-	idle, busy tally               // share of attempts lost on idle connections, and on those in use
-	refused    int                 // queries refused by admission since the last capacity update
-	denied     Micros              // since when all queries have been refused and nothing sent; 0: not the case
-	overload   bool                // overload was reported
-	lossShare  float64             // EWMA of the share of attempts without an answer in time
-	vain       float64             // EWMA of the share of answered attempts that were rejected or failed
-	probeAt    Micros
-	probeNext  int // index of the replica considered last
-	cells      [][]*replica
-	queries    []*query
-	byQuery    map[uint32]*query
-	byNumber   map[float32]*query
-	parts      map[uint32]*part
-	classes    []class
-	taken      window   // arrivals of queries and parts
-	tenants    []window // arrivals of each tenant's queries
-	extras     window   // attempts beyond a part's first
-	copies     window
-	served     float64 // successes of warm replicas in the current count
-	counted    int     // capacity spans covered by the current count
-	span       Micros  // sliding span that the limits on further attempts consider
-	gaugeAt    Micros
-	carried    float64 // parts per us and unit of size that warm replicas have served this instance
-	usualSize  float64 // total size of the warm replicas, decaying
-	out        []Action
-	patience   float64 // largest share of a class's deadline that a client has waited for a try
-	beside     float64 // EWMA of the number of other parts in a part's call
-	wakeAt     Micros
-	asked      bool // a list call is pending
-	watching   bool
-	askAt      Micros
-	askGap     Micros  // delay after the next failure, twice the previous one
-	minAim     float64 // shortest aim of all classes
-	crowd      float64 // number of peers as a multiple of smallFleet, at least 1
-	heed       float64 // the same for the number of peers whose samples a message represents
-	life       float64 // us, half-life of latency samples
-	until      Micros  // shutdown time, beyond which no query is held; 0: none
-	all        tally   // latency per part over all replicas
-	free       []*replica
+	settings           Settings
+	rng                *rand.Rand
+	now                Micros
+	steps              int
+	replicas           []*replica
+	byID               map[ReplicaID]*replica
+	byHash             map[uint32]*replica // by the hash used in messages
+	nextGossip         Micros              // time of the next message to a peer
+	gossipCursor       int                 // index of the replica reported last
+	idleLoss, busyLoss decayingMean        // share of attempts lost on idle connections, and on those in use
+	refused            int                 // queries refused by admission since the last capacity update
+	refusingSince      Micros              // since when all queries have been refused and nothing sent; 0: not the case
+	overloadReported   bool                // overload was reported
+	lossShare          float64             // EWMA of the share of attempts without an answer in time
+	rejectedShare      float64             // EWMA of the share of answered attempts that were rejected or failed
+	nextProbe          Micros
+	probeCursor        int // index of the replica considered last
+	cells              [][]*replica
+	queries            []*query
+	byQuery            map[uint32]*query
+	byNumber           map[float32]*query
+	parts              map[uint32]*part
+	classes            []classState
+	arrivals           slidingWindow   // arrivals of queries and parts
+	tenantArrivals     []slidingWindow // arrivals of each tenant's queries
+	retries            slidingWindow   // attempts beyond a part's first
+	hedges             slidingWindow
+	warmServed         float64 // successes of warm replicas in the current count
+	capacitySpans      int     // capacity spans covered by the current count
+	retrySpan          Micros  // sliding span that the limits on further attempts consider
+	nextCapacityUpdate Micros
+	warmRate           float64 // parts per us and unit of size that warm replicas have served this instance
+	warmSize           float64 // total size of the warm replicas, decaying
+	out                []Action
+	maxPatience        float64 // largest share of a class's deadline that a client has waited for a try
+	callmates          float64 // EWMA of the number of other parts in a part's call
+	wakeAt             Micros
+	listPending        bool // a list call is pending
+	subscribed         bool
+	nextListCall       Micros
+	listBackoff        Micros       // delay after the next failure, twice the previous one
+	minAim             float64      // shortest aim of all classes
+	fleetScale         float64      // number of peers as a multiple of smallFleet, at least 1
+	gossipScale        float64      // the same for the number of peers whose samples a message represents
+	evidenceHalfLife   float64      // us, half-life of latency samples
+	shutdownAt         Micros       // shutdown time, beyond which no query is held; 0: none
+	latency            decayingMean // latency per part over all replicas
+	candidates         []*replica
 }
 
 type replica struct {
 	Replica
-	weight   float64
-	updated  Micros // when weight was last decayed
-	calls    int    // our calls in flight, i.e. the slots in use
-	parts    int    // our parts in flight
-	wanted   int    // number of parts of the current query that it could be sent
-	wantedAt int    // Step in which wantedParts was counted
-	start    Micros // time of the last start, as listed or observed; 0: long ago
-	down     bool   // its process refused connections and has served nothing since
-	since    Micros // when a connection was last refused
-	tokens   float64
-	refilled Micros
-	used     Micros  // when our connection to it was last used
-	noted    bool    // it was reported as avoided
-	lost     bool    // the last part decided there went unanswered
-	own      tally   // latency per part as measured by this instance
-	classes  []tally // the same for each class
-	pool     tally   // latency per part as shared among all instances
-	open     *call   // call that further sends of this Step may share
+	weight          float64
+	weightAt        Micros // when weight was last decayed
+	openCalls       int    // our calls in flight, i.e. the slots in use
+	openParts       int    // our parts in flight
+	wantedParts     int    // number of parts of the current query that it could be sent
+	wantedStep      int    // Step in which wantedParts was counted
+	startedAt       Micros // time of the last start, as listed or observed; 0: long ago
+	down            bool   // its process refused connections and has served nothing since
+	downAt          Micros // when a connection was last refused
+	tokens          float64
+	refilledAt      Micros
+	lastUsed        Micros         // when our connection to it was last used
+	reportedAvoided bool           // it was reported as avoided
+	unanswered      bool           // the last part decided there went unanswered
+	ownLatency      decayingMean   // latency per part as measured by this instance
+	classLatency    []decayingMean // the same for each class
+	peerLatency     decayingMean   // latency per part as shared among all instances
+	openCall        *call          // call that further sends of this Step may share
 }
 
 type call struct {
-	step, sent, live int
-	before           int // our parts in flight at the replica when the call began
+	step, sent, pending int
+	partsBefore         int // our parts in flight at the replica when the call began
 }
 
 type attempt struct {
-	r       *replica
-	call    *call
-	sent    Micros
-	live    bool
-	never   bool // proved not to have run
-	overdue bool
-	stale   bool // sent on a connection that had been idle
-	domain  int  // domain of its replica when it was sent
+	replica    *replica
+	call       *call
+	sent       Micros
+	pending    bool
+	neverRan   bool // proved not to have run
+	overdue    bool
+	onIdleConn bool // sent on a connection that had been idle
+	domain     int  // domain of its replica when it was sent
 }
 
 type part struct {
-	id     uint32
-	q      *query
-	shard  int
-	weight float64
-	done   bool
-	tries  []attempt
-	live   int
-	ran    Micros // when the first attempt that may have run was sent; 0: none
+	id       uint32
+	query    *query
+	shard    int
+	weight   float64
+	done     bool
+	attempts []attempt
+	pending  int
+	firstRun Micros // when the first attempt that may have run was sent; 0: none
 }
 
 type query struct {
-	id       uint32
-	number   float32
-	class    int
-	rules    *Class // rules in force when it arrived; later changes apply to later queries
-	most     int    // maximum attempts for one part
-	tenant   int
-	aim      Micros
-	deadline Micros
-	parts    []*part
-	got      float64 // weight of the parts that were answered
-	in       int
-	second   bool
-	whole    bool // the first step's answer was complete
-	ended    bool
-	admitted bool
-	began    bool
-	late     bool // it repeats a query whose aim has passed
+	id             uint32
+	number         float32
+	class          int
+	rules          *Class // rules in force when it arrived; later changes apply to later queries
+	maxAttempts    int    // maximum attempts for one part
+	tenant         int
+	aim            Micros
+	deadline       Micros
+	parts          []*part
+	receivedWeight float64 // weight of the parts that were answered
+	receivedParts  int
+	inSecondStep   bool
+	firstComplete  bool // the first step's answer was complete
+	ended          bool
+	admitted       bool
+	streaming      bool
+	late           bool // it repeats a query whose aim has passed
 }
 
-type class struct {
-	delay float64 // us, tracked quantile of part latency after which a part is hedged
-	work  float64 // EWMA of the number of parts per query; 0: no query yet
+type classState struct {
+	hedgeDelay float64 // us, tracked quantile of part latency after which a part is hedged
+	meanParts  float64 // EWMA of the number of parts per query; 0: no query yet
 }
 
 // decayingMean is the sum and the number of samples, both of which decay exponentially.
-type tally struct {
-	sum, n float64
-	at     Micros
+type decayingMean struct {
+	sum, n    float64
+	updatedAt Micros
 }
 
-func (t *tally) decay(now Micros, life float64) {
-	keep := math.Exp2(-float64(now-t.at) / life)
-	t.sum, t.n, t.at = t.sum*keep, t.n*keep, now
+func (t *decayingMean) decay(now Micros, life float64) {
+	keep := math.Exp2(-float64(now-t.updatedAt) / life)
+	t.sum, t.n, t.updatedAt = t.sum*keep, t.n*keep, now
 }
 
-func (t *tally) add(x, n float64) {
+func (t *decayingMean) add(x, n float64) {
 	t.sum += x * n
 	t.n += n
 }
 
 // slidingWindow counts events within a span of time that only moves forward.
-type window struct {
-	at   []Micros
-	head int
+type slidingWindow struct {
+	times []Micros
+	head  int
 }
 
-func (w *window) add(t Micros) { w.at = append(w.at, t) }
+func (w *slidingWindow) add(t Micros) { w.times = append(w.times, t) }
 
 // count discards the times before since and returns the number of the remaining ones. The remaining times
 // are copied at most once, so the cost per event does not grow with the number of events in the span.
-func (w *window) count(since Micros) int {
-	for w.head < len(w.at) && w.at[w.head] < since {
+func (w *slidingWindow) count(since Micros) int {
+	for w.head < len(w.times) && w.times[w.head] < since {
 		w.head++
 	}
-	if 2*w.head > len(w.at) {
-		w.at = append(w.at[:0], w.at[w.head:]...)
+	if 2*w.head > len(w.times) {
+		w.times = append(w.times[:0], w.times[w.head:]...)
 		w.head = 0
 	}
-	return len(w.at) - w.head
+	return len(w.times) - w.head
 }
 
 // updateFirstRun determines when the first attempt that may have run was sent.
-func (p *part) recount() {
-	p.ran = 0
-	for i := range p.tries {
-		if t := &p.tries[i]; !t.never && (p.ran == 0 || t.sent < p.ran) {
-			p.ran = t.sent
+func (p *part) updateFirstRun() {
+	p.firstRun = 0
+	for i := range p.attempts {
+		if t := &p.attempts[i]; !t.neverRan && (p.firstRun == 0 || t.sent < p.firstRun) {
+			p.firstRun = t.sent
 		}
 	}
 }
 
 // boundDomain returns the domain in which a keyed part may have run, if any: no other domain would
 // recognize its repeats.
-func (p *part) bound() (domain int, bound bool) {
-	if p.q.rules.Effect != Keyed {
+func (p *part) boundDomain() (domain int, bound bool) {
+	if p.query.rules.Effect != Keyed {
 		return 0, false
 	}
-	for i := range p.tries {
-		if t := &p.tries[i]; !t.never {
+	for i := range p.attempts {
+		if t := &p.attempts[i]; !t.neverRan {
 			return t.domain, true
 		}
 	}
@@ -197,36 +197,36 @@
 
 // release frees the slot of a finished attempt.
 func (b *Balancer) release(p *part, t *attempt) {
-	t.live = false
-	p.live--
-	t.call.live--
-	t.r.parts--
-	if t.call.live == 0 {
-		t.r.calls--
+	t.pending = false
+	p.pending--
+	t.call.pending--
+	t.replica.openParts--
+	if t.call.pending == 0 {
+		t.replica.openCalls--
 	}
-	if p.live == 0 && (p.q.ended || p.done) {
+	if p.pending == 0 && (p.query.ended || p.done) {
 		delete(b.parts, p.id)
 	}
 }
 
 // forEachHolder calls f for every ready replica of a shard.
-func (b *Balancer) holders(shard int, f func(*replica)) {
-	for j := range min(b.s.Reach, b.s.Cells) {
-		for _, r := range b.cells[((shard+j)%b.s.Cells+b.s.Cells)%b.s.Cells] {
+func (b *Balancer) forEachHolder(shard int, f func(*replica)) {
+	for j := range min(b.settings.Reach, b.settings.Cells) {
+		for _, r := range b.cells[((shard+j)%b.settings.Cells+b.settings.Cells)%b.settings.Cells] {
 			f(r)
 		}
 	}
 }
 
 // reindex groups the replicas that are ready by cell, and maps all of them by the hash used in messages.
-func (b *Balancer) index() {
+func (b *Balancer) reindex() {
 	for i := range b.cells {
 		b.cells[i] = b.cells[i][:0]
 	}
 	clear(b.byHash)
-	b.mix()
+	b.updateEvidenceScale()
 	for _, r := range b.replicas {
-		b.byHash[hash(r.ID)] = r
+		b.byHash[replicaHash(r.ID)] = r
 		if r.State == Ready && r.Cell >= 0 && r.Cell < len(b.cells) {
 			b.cells[r.Cell] = append(b.cells[r.Cell], r)
 		}
@@ -240,18 +240,18 @@
 	if b.byNumber[q.number] == q {
 		delete(b.byNumber, q.number)
 	}
-	b.close(q)
+	b.closeParts(q)
 }
 
 // closeParts cancels the attempts of a query's parts that are in flight and removes the parts that have
 // none.
-func (b *Balancer) close(q *query) {
+func (b *Balancer) closeParts(q *query) {
 	for _, p := range q.parts {
 		if !p.done {
-			b.drop(p)
+			b.cancelAttempts(p)
 			p.done = true
 		}
-		if p.live == 0 {
+		if p.pending == 0 {
 			delete(b.parts, p.id)
 		}
 	}
@@ -260,10 +260,10 @@
 
 // Memory returns the state for the successor of this instance.
 func (b *Balancer) Memory() Memory {
-	m := Memory{Carried: b.carried, UsualSize: b.usualSize, Starts: map[ReplicaID]Micros{}}
+	m := Memory{Carried: b.warmRate, UsualSize: b.warmSize, Starts: map[ReplicaID]Micros{}}
 	for _, r := range b.replicas {
-		if b.cold(r) {
-			m.Starts[r.ID] = r.start
+		if b.isCold(r) {
+			m.Starts[r.ID] = r.startedAt
 		}
 	}
 	return m
@@ -272,52 +272,52 @@
 // applySettings puts settings into force. Classes keep their indexes; new ones start without measurements.
 // Open queries keep the rules with which they arrived, because they point into the previous slice of
 // classes.
-func (b *Balancer) adopt(s *Settings) {
-	b.s = *s
-	b.s.BatchMax = max(1, s.BatchMax)
+func (b *Balancer) applySettings(s *Settings) {
+	b.settings = *s
+	b.settings.BatchMax = max(1, s.BatchMax)
 	b.minAim = math.Inf(1)
 	for i, c := range s.Classes {
 		if !c.Dropped {
 			b.minAim = min(b.minAim, float64(c.Aim))
 		}
 		if i >= len(b.classes) {
-			b.classes = append(b.classes, class{delay: firstDelayShare * float64(c.Aim)})
+			b.classes = append(b.classes, classState{hedgeDelay: initialHedgeDelay * float64(c.Aim)})
 		}
 	}
 	for _, r := range b.replicas {
-		r.classes = append(r.classes, make([]tally, len(s.Classes)-len(r.classes))...)
+		r.classLatency = append(r.classLatency, make([]decayingMean, len(s.Classes)-len(r.classLatency))...)
 	}
-	b.tenants = append(b.tenants[:min(len(b.tenants), len(s.Tenants))],
-		make([]window, max(0, len(s.Tenants)-len(b.tenants)))...)
-	if b.span = s.ResendSpan; b.span == 0 {
-		b.span = copySpan
+	b.tenantArrivals = append(b.tenantArrivals[:min(len(b.tenantArrivals), len(s.Tenants))],
+		make([]slidingWindow, max(0, len(s.Tenants)-len(b.tenantArrivals)))...)
+	if b.retrySpan = s.ResendSpan; b.retrySpan == 0 {
+		b.retrySpan = defaultHedgeSpan
 	}
 	b.cells = make([][]*replica, s.Cells)
-	b.index()
+	b.reindex()
 }
 
 // countWanted counts for each replica the parts of a query that could be sent to it now, in one call.
-func (b *Balancer) want(q *query) {
+func (b *Balancer) countWanted(q *query) {
 	for _, p := range q.parts {
-		if !p.done && p.live == 0 {
-			b.holders(p.shard, func(r *replica) {
-				if r.wantedAt != b.steps {
-					r.wanted, r.wantedAt = 0, b.steps
+		if !p.done && p.pending == 0 {
+			b.forEachHolder(p.shard, func(r *replica) {
+				if r.wantedStep != b.steps {
+					r.wantedParts, r.wantedStep = 0, b.steps
 				}
-				r.wanted++
+				r.wantedParts++
 			})
 		}
 	}
 }
 
 // sharesOpenCall reports whether a further part of this Step shares a call already opened to the replica.
-func (b *Balancer) joins(r *replica) bool {
-	return r.open != nil && r.open.step == b.steps && r.open.sent < b.s.BatchMax
+func (b *Balancer) sharesOpenCall(r *replica) bool {
+	return r.openCall != nil && r.openCall.step == b.steps && r.openCall.sent < b.settings.BatchMax
 }
 
 // load returns the number of our parts that the replica had to serve until the end of an attempt: those in
 // flight when its call began, and those of the call.
-func (t *attempt) load() float64 { return float64(t.call.before + t.call.sent) }
+func (t *attempt) load() float64 { return float64(t.call.partsBefore + t.call.sent) }
 
 // note writes a log line for operators.
 func (b *Balancer) note(format string, args ...any) {
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -206,7 +206,7 @@
 	}
 	c.countAt = c.now + countSpan.Microseconds()
 	c.cfg.Counts.Listed.Store(int64(len(c.listed)))
-	avoided := c.module.Avoided()
+	avoided := c.module.AvoidedCount()
 	for id := range c.listed {
 		if c.isOut(id) {
 			avoided++
