--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -21,21 +21,21 @@
 }
 
 // instance is a running instance and its events in the current batch.
-type hosted struct {
-	b      *balance.Balancer
-	events []balance.Event
-	listed bool // already in host.active
+type instance struct {
+	balancer *balance.Balancer
+	events   []balance.Event
+	queued   bool // already in host.active
 }
 
 type host struct {
-	instances map[uint32]*hosted
-	order     []uint32 // instances with an event in this batch, in the order of their first one
+	instances map[uint32]*instance
+	active    []uint32 // instances with an event in this batch, in the order of their first one
 }
 
-func (h *host) touch(id uint32, in *hosted) {
-	if !in.listed {
-		in.listed = true
-		h.order = append(h.order, id)
+func (h *host) markActive(id uint32, in *instance) {
+	if !in.queued {
+		in.queued = true
+		h.active = append(h.active, id)
 	}
 }
 
@@ -50,34 +50,34 @@
 	}
 	in := h.instances[id]
 	if in == nil {
-		in = &hosted{}
+		in = &instance{}
 		h.instances[id] = in
 	}
-	in.b, in.events = b, in.events[:0]
-	h.touch(id, in)
+	in.balancer, in.events = b, in.events[:0]
+	h.markActive(id, in)
 	return nil
 }
 
 func (h *host) Killed(id uint32) {
 	if in := h.instances[id]; in != nil {
-		in.b, in.events = nil, in.events[:0]
+		in.balancer, in.events = nil, in.events[:0]
 	}
 }
 
 func (h *host) Event(id uint32, ev balance.Event) error {
 	in := h.instances[id]
-	if in == nil || in.b == nil {
+	if in == nil || in.balancer == nil {
 		return nil // no instance is running, so nobody receives the event
 	}
 	in.events = append(in.events, ev)
-	h.touch(id, in)
+	h.markActive(id, in)
 	return nil
 }
 
 func run(r io.Reader, w io.Writer) error {
 	dec := wire.NewDecoder(bufio.NewReaderSize(r, 1<<16))
 	out := bufio.NewWriterSize(w, 1<<16)
-	h := &host{instances: map[uint32]*hosted{}}
+	h := &host{instances: map[uint32]*instance{}}
 	var reply wire.Reply
 	var actions []balance.Action
 	for {
@@ -90,13 +90,13 @@
 			return err
 		}
 		reply.Begin(batch.Seq)
-		for _, id := range h.order {
+		for _, id := range h.active {
 			in := h.instances[id]
-			in.listed = false
-			if in.b == nil {
+			in.queued = false
+			if in.balancer == nil {
 				continue
 			}
-			actions = in.b.Step(batch.Now, in.events, actions[:0])
+			actions = in.balancer.Step(batch.Now, in.events, actions[:0])
 			in.events = in.events[:0]
 			if len(actions) > 0 {
 				reply.From(id)
@@ -105,7 +105,7 @@
 				reply.Action(a)
 			}
 		}
-		h.order = h.order[:0]
+		h.active = h.active[:0]
 		if _, err := out.Write(reply.Bytes()); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -12,20 +12,20 @@
 
 // execute executes the module's actions in order. Sends are collected, so that those of this Step to one
 // server share calls of at most BatchMax parts.
-func (c *Core) carryOut() {
+func (c *Core) execute() {
 	for i := range c.actions {
 		a := &c.actions[i]
 		switch a.Kind {
 		case balance.Send:
 			c.send(a)
 		case balance.Cancel:
-			if p := c.parts[a.ID]; p != nil && a.Attempt >= 0 && a.Attempt < len(p.tries) {
-				if t := p.tries[a.Attempt]; !t.over {
+			if p := c.parts[a.ID]; p != nil && a.Attempt >= 0 && a.Attempt < len(p.attempts) {
+				if t := p.attempts[a.Attempt]; !t.done {
 					o := balance.Cancelled
-					if c.withdraw(t) {
+					if c.cancelAttempt(t) {
 						o = balance.NotSent
 					}
-					c.settle(t, o, nil, nil)
+					c.endAttempt(t, o, nil, nil)
 				}
 			}
 		case balance.Answer:
@@ -36,7 +36,7 @@
 						f.Values = append(f.Values, *p.value)
 					}
 				}
-				c.final(q, f)
+				c.finish(q, f)
 			}
 		case balance.Refuse, balance.Fail:
 			if q := c.queries[a.ID]; q != nil {
@@ -45,7 +45,7 @@
 					f = Final{Ending: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
 				}
 				c.logEnd(q, f.Ending.String(), a.Text)
-				c.final(q, f)
+				c.finish(q, f)
 			}
 		case balance.Probe:
 			sent := false
@@ -70,7 +70,7 @@
 			}
 		case balance.Note:
 			text := a.Text
-			c.logLater(func() { c.cfg.Log.Info("module", "note", text) })
+			c.deferLog(func() { c.cfg.Log.Info("module", "note", text) })
 		case balance.Tell:
 			if c.cfg.Peers != nil {
 				c.cfg.Peers.Tell(a.To, a.Text)
@@ -81,12 +81,12 @@
 			}
 		}
 	}
-	c.flush()
+	c.flushSends()
 }
 
 // cancelAttempt cancels an attempt. An attempt of the current Step that has not been passed to its backend
 // is only removed.
-func (c *Core) withdraw(a *Attempt) bool {
+func (c *Core) cancelAttempt(a *Attempt) bool {
 	for i, s := range c.sends {
 		if s == a {
 			c.sends = append(c.sends[:i], c.sends[i+1:]...)
@@ -99,37 +99,37 @@
 // send creates an attempt and holds it until the other actions of the Step are executed.
 func (c *Core) send(act *balance.Action) {
 	p := c.parts[act.ID]
-	if p == nil || !p.q.open || p.over {
+	if p == nil || !p.query.open || p.answered {
 		c.cfg.Log.Error("module sent a part that is already finished", "id", act.ID)
 		return
 	}
 	after := min(max(act.After, 0), math.MaxInt32)
-	a := &Attempt{Query: p.q, Shard: p.spec.Shard, Replica: act.Replica, p: p, number: len(p.tries), sent: c.now,
-		watch: &c.watch}
-	until := min(c.now+after, p.q.deadline)
+	a := &Attempt{Query: p.query, Shard: p.spec.Shard, Replica: act.Replica, part: p, number: len(p.attempts), sent: c.now,
+		watchdog: &c.watchdog}
+	until := min(c.now+after, p.query.deadline)
 	if after == 0 {
-		until = p.q.deadline
+		until = p.query.deadline
 	}
 	a.Timeout = time.Duration(max(0, until-c.now)) * time.Microsecond
-	a.Until = c.moment(until)
+	a.Until = c.toTime(until)
 	if act.Before > 0 {
-		a.Before = c.moment(act.Before)
+		a.Before = c.toTime(act.Before)
 	}
-	p.tries = append(p.tries, a)
-	p.live++
+	p.attempts = append(p.attempts, a)
+	p.pending++
 	if c.cfg.Gate != nil {
 		var otherwise balance.Outcome
-		if a.passed, otherwise = c.cfg.Gate.Send(a); !a.passed {
-			c.settle(a, otherwise, nil, nil)
+		if a.admitted, otherwise = c.cfg.Gate.Send(a); !a.admitted {
+			c.endAttempt(a, otherwise, nil, nil)
 			return
 		}
 	}
-	heap.Push(&c.timers, timer{at: until, a: a})
+	heap.Push(&c.timers, timer{at: until, attempt: a})
 	c.sends = append(c.sends, a)
 }
 
 // flushSends passes the sends of this Step to their backends.
-func (c *Core) flush() {
+func (c *Core) flushSends() {
 	for len(c.sends) > 0 {
 		first := c.sends[0]
 		var call, rest []*Attempt
@@ -144,7 +144,7 @@
 		c.sends = rest
 		if !first.Query.Via.Send(first.Replica, call) {
 			for _, a := range call {
-				c.settle(a, balance.NoConnection, nil, nil)
+				c.endAttempt(a, balance.NoConnection, nil, nil)
 			}
 		}
 	}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -17,20 +17,20 @@
 	Before  time.Time     // latest time at which it may begin, as its key expires then; zero: no limit
 	Ticket  any           // belongs to the admission controller
 
-	watch  *watchdog.Watchdog // watches its writes; nil: none
-	write  *watchdog.Call     // the write under way; belongs to the writer
-	passed bool               // allowed by the admission controller
-	p      *part
-	number int
-	sent   balance.Micros
-	over   bool
+	watchdog  *watchdog.Watchdog // watches its writes; nil: none
+	writeCall *watchdog.Call     // the write under way; belongs to the writer
+	admitted  bool               // allowed by the admission controller
+	part      *part
+	number    int
+	sent      balance.Micros
+	done      bool
 	// Set when done:
-	ended   balance.Micros
+	endedAt balance.Micros
 	outcome balance.Outcome
 }
 
 // maxHeldTicks is the number of full ticks of the watchdog for which a write may be held up.
-const heldTicks = 4
+const maxHeldTicks = 4
 
 // HoldReason states why an attempt may not begin.
 type Hold string
@@ -62,35 +62,35 @@
 	case !a.Query.writes.enter(w):
 		return wait, HoldAnswered
 	}
-	if a.watch != nil {
-		a.write = a.watch.Begin(func(ticks int) { a.writeHeld(w, ticks) })
+	if a.watchdog != nil {
+		a.writeCall = a.watchdog.Begin(func(ticks int) { a.onWriteHeld(w, ticks) })
 	}
 	return wait, MayBegin
 }
 
 // EndWrite reports that the write permitted by BeginWrite has returned.
 func (a *Attempt) EndWrite(w Writer) {
-	if a.watch != nil {
-		a.watch.End(a.write)
+	if a.watchdog != nil {
+		a.watchdog.End(a.writeCall)
 	}
 	a.Query.writes.leave(w)
 }
 
 // onWriteHeld aborts a write whose thread is held up, if the attempt may no longer begin, or if the write
 // has been held for so long that the time-out it announces to the server is wrong.
-func (a *Attempt) writeHeld(w Writer, ticks int) {
+func (a *Attempt) onWriteHeld(w Writer, ticks int) {
 	now := time.Now()
 	left := a.Query.ClientLeft != nil && a.Query.ClientLeft()
 	windowOver := !a.Before.IsZero() && now.After(a.Before)
-	if left || windowOver || now.After(a.Until) || ticks >= heldTicks {
+	if left || windowOver || now.After(a.Until) || ticks >= maxHeldTicks {
 		a.Query.writes.abortWriter(w)
 	}
 }
 
 // superseded reports whether a later attempt of the same part has been answered.
-func (a *Attempt) beaten() bool {
-	for _, later := range a.p.tries[a.number+1:] {
-		if later.over && later.outcome == balance.OK {
+func (a *Attempt) superseded() bool {
+	for _, later := range a.part.attempts[a.number+1:] {
+		if later.done && later.outcome == balance.OK {
 			return true
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,12 +21,12 @@
 
 // Limits and intervals of the core.
 const (
-	queueSize   = 4096
-	maxBatch    = 1024                   // maximum events per Step
-	guardSlack  = 10 * time.Millisecond  // after its deadline plus this a query is ended without the module
-	fullAdvice  = 250 * time.Millisecond // retry advice when the queue or the table of queries is full
-	countSpan   = 100 * time.Millisecond // interval for updating the counts of listed and avoided servers
-	numberLimit = 1 << 24                // query numbers must be exactly representable as a float32
+	queueSize      = 4096
+	maxStepEvents  = 1024                   // maximum events per Step
+	overdueSlack   = 10 * time.Millisecond  // after its deadline plus this a query is ended without the module
+	fullRetryAfter = 250 * time.Millisecond // retry advice when the queue or the table of queries is full
+	countInterval  = 100 * time.Millisecond // interval for updating the counts of listed and avoided servers
+	numberLimit    = 1 << 24                // query numbers must be exactly representable as a float32
 )
 
 // ServerID returns the module's ID of a server. It is the same at every coordinator, because messages
@@ -115,42 +115,42 @@
 
 // Core owns the decision module and the open queries.
 type Core struct {
-	cfg    Config
-	module *balance.Balancer
-	queue  chan Event
-	done   chan struct{}
-	quit   chan struct{}
-	epoch  time.Time
-	base   balance.Micros
-	watch  watchdog.Watchdog
-	advice atomic.Int64 // longest retry delay that clients follow, a time.Duration; 0: they receive none
+	cfg           Config
+	module        *balance.Balancer
+	queue         chan Event
+	done          chan struct{}
+	quit          chan struct{}
+	epoch         time.Time
+	base          balance.Micros
+	watchdog      watchdog.Watchdog
+	maxRetryAfter atomic.Int64 // longest retry delay that clients follow, a time.Duration; 0: they receive none
 
 	// The following fields are used only by the goroutine of Run.
-	now      balance.Micros
-	logs     []func() // log lines deferred to the end of the Step
-	events   []balance.Event
-	actions  []balance.Action
-	sends    []*Attempt
-	timers   timers
-	wakeAt   balance.Micros // earliest wake-up requested by the module; 0: none
-	queries  map[uint32]*Query
-	parts    map[uint32]*part
-	names    map[string]*Query
-	numbers  map[float32]bool
-	nextID   uint32
-	nextNum  uint32
-	held     int // number of open queries and parts
-	until    balance.Micros
-	sawList  bool
-	listed   map[balance.ReplicaID]balance.Replica         // as listed by discovery
-	outs     [authors]map[balance.ReplicaID]balance.Micros // cordoned servers, by source, and since when
-	order    map[balance.ReplicaID]uint64                  // order of the verdicts by evidence
-	judged   map[uint64]bool                               // cordoned by evidence, within LimitCordons
-	since    map[balance.ReplicaID]balance.Micros          // when uncordoned: counts as a start
-	starts   startTimes
-	countAt  balance.Micros // when the list counts are next updated
-	idle     chan struct{}  // closed when no query is open during shutdown
-	idleDone bool
+	now             balance.Micros
+	deferredLogs    []func() // log lines deferred to the end of the Step
+	events          []balance.Event
+	actions         []balance.Action
+	sends           []*Attempt
+	timers          timers
+	wakeAt          balance.Micros // earliest wake-up requested by the module; 0: none
+	queries         map[uint32]*Query
+	parts           map[uint32]*part
+	byName          map[string]*Query
+	numbers         map[float32]bool
+	nextID          uint32
+	nextNumber      uint32
+	openCount       int // number of open queries and parts
+	shutdownAt      balance.Micros
+	listSeen        bool
+	servers         map[balance.ReplicaID]balance.Replica               // as listed by discovery
+	cordons         [cordonSources]map[balance.ReplicaID]balance.Micros // cordoned servers, by source, and since when
+	verdictOrder    map[balance.ReplicaID]uint64                        // order of the verdicts by evidence
+	evidenceCordons map[uint64]bool                                     // cordoned by evidence, within LimitCordons
+	restoredAt      map[balance.ReplicaID]balance.Micros                // when uncordoned: counts as a start
+	starts          startTimes
+	nextCount       balance.Micros // when the list counts are next updated
+	drained         chan struct{}  // closed when no query is open during shutdown
+	drainedClosed   bool
 }
 
 // New returns a core whose module starts now.
@@ -165,26 +165,26 @@
 	now := time.Now()
 	c := &Core{
 		cfg: cfg, module: m, queue: make(chan Event, queueSize), done: make(chan struct{}),
-		quit: make(chan struct{}), idle: make(chan struct{}),
+		quit: make(chan struct{}), drained: make(chan struct{}),
 		epoch: now, base: now.UnixMicro(), queries: map[uint32]*Query{}, parts: map[uint32]*part{},
-		names: map[string]*Query{}, numbers: map[float32]bool{}, listed: map[balance.ReplicaID]balance.Replica{},
-		since: map[balance.ReplicaID]balance.Micros{}, starts: newStartTimes(),
-		order: map[balance.ReplicaID]uint64{},
+		byName: map[string]*Query{}, numbers: map[float32]bool{}, servers: map[balance.ReplicaID]balance.Replica{},
+		restoredAt: map[balance.ReplicaID]balance.Micros{}, starts: newStartTimes(),
+		verdictOrder: map[balance.ReplicaID]uint64{},
 	}
-	c.adopt(cfg.Settings)
-	for i := range c.outs {
-		c.outs[i] = map[balance.ReplicaID]balance.Micros{}
+	c.applySettings(cfg.Settings)
+	for i := range c.cordons {
+		c.cordons[i] = map[balance.ReplicaID]balance.Micros{}
 	}
 	return c, nil
 }
 
 // toMicros converts a time to the module's clock: Unix microseconds at the start, monotonic from there.
-func (c *Core) clock(t time.Time) balance.Micros {
+func (c *Core) toMicros(t time.Time) balance.Micros {
 	return c.base + t.Sub(c.epoch).Microseconds()
 }
 
 // toTime is the inverse of toMicros.
-func (c *Core) moment(at balance.Micros) time.Time {
+func (c *Core) toTime(at balance.Micros) time.Time {
 	return c.epoch.Add(time.Duration(at-c.base) * time.Microsecond)
 }
 
@@ -207,7 +207,7 @@
 	case c.queue <- q:
 		return true
 	default:
-		c.left(q, Refused)
+		c.queryEnded(q, Refused)
 		return false
 	}
 }
@@ -236,33 +236,33 @@
 func (c *Core) Counts() *Counts { return c.cfg.Counts }
 
 // FullRetryAfter returns the retry advice for a request that found the queue or the table of queries full.
-func (c *Core) FullAdvice() time.Duration { return c.Advise(fullAdvice) }
+func (c *Core) FullAdvice() time.Duration { return c.Advise(fullRetryAfter) }
 
 // CapRetryAfter limits a retry delay to the longest that clients follow according to the current settings.
 // It returns 0 if clients receive no advice.
 func (c *Core) Advise(after time.Duration) time.Duration {
-	return min(after, time.Duration(c.advice.Load()))
+	return min(after, time.Duration(c.maxRetryAfter.Load()))
 }
 
 // applySettings stores the settings in force.
-func (c *Core) adopt(s balance.Settings) {
+func (c *Core) applySettings(s balance.Settings) {
 	c.cfg.Settings = s
 	longest := time.Duration(0)
 	if s.CanAdvise {
 		longest = time.Duration(s.MaxRetryAfter) * time.Microsecond
 	}
-	c.advice.Store(int64(longest))
+	c.maxRetryAfter.Store(int64(longest))
 }
 
 // Shutdown tells the module that this instance shuts down at the given time, and returns a channel that is
 // closed once no query is open.
 func (c *Core) Finish(until time.Time) <-chan struct{} {
-	c.Post(stopping{until: until})
-	return c.idle
+	c.Post(shutdown{until: until})
+	return c.drained
 }
 
 // request queues an event that is answered on done, and waits up to the given time for the answer.
-func ask[T any](c *Core, e Event, done <-chan T, within time.Duration) (answer T, inTime bool) {
+func request[T any](c *Core, e Event, done <-chan T, within time.Duration) (answer T, inTime bool) {
 	late := time.NewTimer(within)
 	defer late.Stop()
 	select {
@@ -286,9 +286,9 @@
 
 // timer is the time at which an attempt or a query has to be checked.
 type timer struct {
-	at balance.Micros
-	a  *Attempt
-	q  *Query
+	at      balance.Micros
+	attempt *Attempt
+	query   *Query
 }
 
 type timers []timer
@@ -319,18 +319,18 @@
 	last := time.Now()
 	// If the list has to be requested, the module does so in a Step, and without a cached list no other
 	// event may ever cause one.
-	c.step(c.clock(last))
+	c.step(c.toMicros(last))
 	for {
 		// Wait for an event or a timer.
 		if len(c.events) == 0 {
 			if at := c.nextTime(); at > 0 {
-				alarm.Reset(time.Duration(at-c.clock(time.Now())) * time.Microsecond)
+				alarm.Reset(time.Duration(at-c.toMicros(time.Now())) * time.Microsecond)
 			} else {
 				alarm.Reset(time.Hour)
 			}
 			select {
 			case e := <-c.queue:
-				c.take(e)
+				c.handle(e)
 			case <-alarm.C:
 			case <-c.quit:
 				return
@@ -341,12 +341,12 @@
 			alarm.Reset(wait)
 			for waiting := true; waiting; {
 				in := c.queue
-				if len(c.events) >= maxBatch {
+				if len(c.events) >= maxStepEvents {
 					in = nil
 				}
 				select {
 				case e := <-in:
-					c.take(e)
+					c.handle(e)
 				case <-alarm.C:
 					waiting = false
 				case <-c.quit:
@@ -354,16 +354,16 @@
 				}
 			}
 		}
-		for more := true; more && len(c.events) < maxBatch; {
+		for more := true; more && len(c.events) < maxStepEvents; {
 			select {
 			case e := <-c.queue:
-				c.take(e)
+				c.handle(e)
 			default:
 				more = false
 			}
 		}
 		last = time.Now()
-		c.step(c.clock(last))
+		c.step(c.toMicros(last))
 	}
 }
 
@@ -377,80 +377,80 @@
 }
 
 // handle processes an event, and translates it to events of the module.
-func (c *Core) take(e Event) {
+func (c *Core) handle(e Event) {
 	switch e := e.(type) {
 	case *Query:
-		c.begin(e)
+		c.openQuery(e)
 	case Outcome:
-		c.settle(e.Attempt, e.Outcome, e.Report, &e.Value)
+		c.endAttempt(e.Attempt, e.Outcome, e.Report, &e.Value)
 	case Gone:
 		if e.Query.open {
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: e.Query.id})
 			c.logEnd(e.Query, "abandoned", "its client has left")
 			e.Query.writes.close(nil)
-			c.end(e.Query)
-			c.left(e.Query, Failed)
+			c.closeQuery(e.Query)
+			c.queryEnded(e.Query, Failed)
 		}
 	case Listed:
-		c.learn(&e)
-		c.tell(e.Mode, e.Replicas)
+		c.applyList(&e)
+		c.notifyModule(e.Mode, e.Replicas)
 	case Cordon:
 		c.cordon(e)
 	case Inherited: // arrives before any list
-		e.shift(e.Now, c.clock(time.Now()))
-		maps.Copy(c.outs[Here], e.Out)
-		maps.Copy(c.outs[ByFleet], e.Barred)
-		maps.Copy(c.since, e.Since)
+		e.shift(e.Now, c.toMicros(time.Now()))
+		maps.Copy(c.cordons[Here], e.Out)
+		maps.Copy(c.cordons[ByFleet], e.Barred)
+		maps.Copy(c.restoredAt, e.Since)
 		for id, at := range e.Memory.Starts { // some may be missing in the list so far
-			c.since[id] = max(c.since[id], at)
+			c.restoredAt[id] = max(c.restoredAt[id], at)
 		}
 		c.events = append(c.events, balance.Event{Kind: balance.Recalled, Memory: &e.Memory})
 	case Reconfigured:
-		c.adopt(e.Settings)
+		c.applySettings(e.Settings)
 		c.events = append(c.events, balance.Event{Kind: balance.Changed, Settings: &e.Settings})
-	case cordons:
-		e.done <- Inherited{Out: maps.Clone(c.outs[Here]), Barred: maps.Clone(c.outs[ByFleet]),
-			Since: maps.Clone(c.since), Memory: c.module.Memory(), Now: c.clock(time.Now())}
-	case knows:
-		_, ok := c.listed[e.server]
+	case handoverRequest:
+		e.done <- Inherited{Out: maps.Clone(c.cordons[Here]), Barred: maps.Clone(c.cordons[ByFleet]),
+			Since: maps.Clone(c.restoredAt), Memory: c.module.Memory(), Now: c.toMicros(time.Now())}
+	case isListedRequest:
+		_, ok := c.servers[e.server]
 		e.done <- ok
 	case ProbeDone:
 		c.events = append(c.events, balance.Event{Kind: balance.ProbeResult, Replica: e.Replica,
 			Outcome: e.Outcome, Elapsed: e.Elapsed.Microseconds(), Report: e.Report})
 	case PeerMessage:
 		c.events = append(c.events, balance.Event{Kind: balance.Message, From: e.From, Data: e.Data})
-	case stopping:
-		c.until = c.clock(e.until)
-		c.events = append(c.events, balance.Event{Kind: balance.Ending, Deadline: c.until})
+	case shutdown:
+		c.shutdownAt = c.toMicros(e.until)
+		c.events = append(c.events, balance.Event{Kind: balance.Ending, Deadline: c.shutdownAt})
 		for _, q := range c.queries {
-			heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
+			heap.Push(&c.timers, timer{at: c.overdueAt(q), query: q})
 		}
 	}
 }
 
 // openQuery opens a query and passes it to the module.
-func (c *Core) begin(q *Query) {
+func (c *Core) openQuery(q *Query) {
 	if q.Over() { // the client left while the query was queued
-		c.left(q, Failed)
+		c.queryEnded(q, Failed)
 		return
 	}
-	if c.names[q.Name] != nil { // parts of two queries of one name cannot be told apart
+	if c.byName[q.Name] != nil { // parts of two queries of one name cannot be told apart
 		c.logEnd(q, Failed.String(), "a query with the same name is open")
 		c.reply(q, Final{Ending: Failed, NameTaken: true})
 		return
 	}
-	if most := c.cfg.Settings.MaxOpen; most > 0 && c.held+1+len(q.Parts) > most {
+	if most := c.cfg.Settings.MaxOpen; most > 0 && c.openCount+1+len(q.Parts) > most {
 		c.logEnd(q, Refused.String(), "too many queries are open")
-		c.reply(q, Final{Ending: Refused, RetryAfter: fullAdvice})
+		c.reply(q, Final{Ending: Refused, RetryAfter: fullRetryAfter})
 		return
 	}
-	q.open, q.deadline, q.began = true, c.clock(q.Deadline), c.clock(time.Now())
-	for c.nextNum++; c.numbers[float32(c.nextNum%numberLimit)]; c.nextNum++ {
+	q.open, q.deadline, q.openedAt = true, c.toMicros(q.Deadline), c.toMicros(time.Now())
+	for c.nextNumber++; c.numbers[float32(c.nextNumber%numberLimit)]; c.nextNumber++ {
 	}
-	q.number = float32(c.nextNum % numberLimit)
+	q.number = float32(c.nextNumber % numberLimit)
 	c.numbers[q.number] = true
-	q.id = c.freshID()
-	c.queries[q.id], c.names[q.Name] = q, q
+	q.id = c.newID()
+	c.queries[q.id], c.byName[q.Name] = q, q
 	total, hints, all := 0.0, balance.Micros(0), true
 	for i := range q.Parts {
 		total += q.Parts[i].Weight
@@ -465,19 +465,19 @@
 		Rules: q.Rules, Most: q.Most})
 	for i := range q.Parts {
 		s := &q.Parts[i]
-		p := &part{q: q, spec: s, id: c.freshID()}
+		p := &part{query: q, spec: s, id: c.newID()}
 		q.parts = append(q.parts, p)
 		c.parts[p.id] = p
 		c.events = append(c.events, balance.Event{Kind: balance.Part, ID: p.id, Number: q.number, Class: q.Class,
 			Tenant: q.Tenant, Shard: s.Shard, Weight: s.Weight / total, Hint: s.Hint, Key: s.Key,
 			Deadline: q.deadline, Repeat: q.Repeat})
 	}
-	c.held += 1 + len(q.Parts)
-	heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
+	c.openCount += 1 + len(q.Parts)
+	heap.Push(&c.timers, timer{at: c.overdueAt(q), query: q})
 }
 
 // newID returns an ID that no open query or part has.
-func (c *Core) freshID() uint32 {
+func (c *Core) newID() uint32 {
 	for {
 		c.nextID++
 		if c.queries[c.nextID] == nil && c.parts[c.nextID] == nil {
@@ -488,31 +488,31 @@
 
 // endAttempt records the end of an attempt and tells the module. Only the first outcome counts: anything
 // after a time-out or a cancellation is late and ignored.
-func (c *Core) settle(a *Attempt, o balance.Outcome, report []float32, v *Value) {
-	if a.over {
+func (c *Core) endAttempt(a *Attempt, o balance.Outcome, report []float32, v *Value) {
+	if a.done {
 		return
 	}
-	a.over, a.ended, a.outcome = true, c.now, o
-	if a.passed {
+	a.done, a.endedAt, a.outcome = true, c.now, o
+	if a.admitted {
 		c.cfg.Gate.Over(a)
 	}
 	if c.cfg.Saw != nil {
-		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, micros(c.now - a.sent), o == balance.Cancelled && a.beaten()})
+		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent), o == balance.Cancelled && a.superseded()})
 	}
-	p := a.p
-	p.live--
-	if o == balance.OK && !p.over && v != nil {
+	p := a.part
+	p.pending--
+	if o == balance.OK && !p.answered && v != nil {
 		v.Shard = a.Shard
-		p.value, p.over = v, true
+		p.value, p.answered = v, true
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Result, ID: p.id, Attempt: a.number,
-		Closed: p.over || !p.q.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent, Report: report})
-	c.forget(p)
+		Closed: p.answered || !p.query.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent, Report: report})
+	c.dropPart(p)
 }
 
 // dropPart removes a part once its query is closed and none of its attempts is pending.
-func (c *Core) forget(p *part) {
-	if !p.q.open && p.live == 0 {
+func (c *Core) dropPart(p *part) {
+	if !p.query.open && p.pending == 0 {
 		delete(c.parts, p.id)
 	}
 }
@@ -522,23 +522,23 @@
 	var overdue []*Query
 	late := time.Duration(0)
 	if due := c.nextTime(); due > 0 && c.now > 0 {
-		late = micros(now - max(due, c.now))
+		late = toDuration(now - max(due, c.now))
 	}
-	c.logLater(func() { c.cfg.Delays.Note(delay.Step, late, "open", len(c.queries)) })
+	c.deferLog(func() { c.cfg.Delays.Note(delay.Step, late, "open", len(c.queries)) })
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		switch {
-		case t.a != nil && !t.a.over:
+		case t.attempt != nil && !t.attempt.done:
 			o := balance.TimedOut
-			if t.a.Query.Via.Withdraw(t.a) {
+			if t.attempt.Query.Via.Withdraw(t.attempt) {
 				o = balance.NotSent
 			}
-			c.settle(t.a, o, nil, nil)
-		case t.q != nil && t.q.open:
+			c.endAttempt(t.attempt, o, nil, nil)
+		case t.query != nil && t.query.open:
 			// Normally the module answers in time. This ensures a final answer even if something keeps it from
 			// doing so, such as a clock that stood still.
-			overdue = append(overdue, t.q)
+			overdue = append(overdue, t.query)
 		}
 	}
 	if c.wakeAt > 0 && c.wakeAt <= now {
@@ -549,44 +549,44 @@
 	c.actions = c.module.Step(now, events, c.actions[:0])
 	clear(events)
 	c.events = events[:0]
-	c.carryOut()
-	c.countList()
-	if c.sawList && c.cfg.Listed != nil {
+	c.execute()
+	c.updateListCounts()
+	if c.listSeen && c.cfg.Listed != nil {
 		c.cfg.Listed()
 		c.cfg.Listed = nil
 	}
 	for _, q := range overdue {
 		if q.open {
 			c.logEnd(q, Failed.String(), "no decision in time")
-			c.logLater(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
+			c.deferLog(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: q.id})
-			c.final(q, Final{Ending: Failed, Overdue: true})
+			c.finish(q, Final{Ending: Failed, Overdue: true})
 		}
 	}
-	if c.until > 0 && len(c.queries) == 0 && !c.idleDone {
-		c.idleDone = true
-		close(c.idle)
+	if c.shutdownAt > 0 && len(c.queries) == 0 && !c.drainedClosed {
+		c.drainedClosed = true
+		close(c.drained)
 	}
 	c.flushLogs()
 }
 
 // overdueAt returns when a query is ended without the module.
-func (c *Core) guardAt(q *Query) balance.Micros {
+func (c *Core) overdueAt(q *Query) balance.Micros {
 	at := q.deadline
-	if c.until > 0 {
-		at = min(at, c.until)
+	if c.shutdownAt > 0 {
+		at = min(at, c.shutdownAt)
 	}
-	return at + guardSlack.Microseconds()
+	return at + overdueSlack.Microseconds()
 }
 
 // finish gives an open query its final answer. Only this function does so, and a query is opened only
 // once.
-func (c *Core) final(q *Query, f Final) {
+func (c *Core) finish(q *Query, f Final) {
 	if !q.open {
 		return
 	}
-	c.end(q)
-	f.Decided = c.moment(c.now)
+	c.closeQuery(q)
+	f.Decided = c.toTime(c.now)
 	c.reply(q, f)
 }
 
@@ -595,13 +595,13 @@
 // answer would execute a request that has already been reported as ended, however long a writer's thread
 // is held up.
 func (c *Core) reply(q *Query, f Final) {
-	c.left(q, f.Ending)
+	c.queryEnded(q, f.Ending)
 	f.RetryAfter = c.Advise(f.RetryAfter)
 	q.writes.close(func() { q.Client.Final(f) })
 }
 
 // queryEnded records that a submitted query has ended.
-func (c *Core) left(q *Query, e Ending) {
+func (c *Core) queryEnded(q *Query, e Ending) {
 	c.cfg.Counts.Active.Add(-1)
 	if q.admitted {
 		q.admitted = false
@@ -610,14 +610,14 @@
 }
 
 // closeQuery removes a query. Its pending attempts are cancelled by the module or time out.
-func (c *Core) end(q *Query) {
+func (c *Core) closeQuery(q *Query) {
 	q.open = false
 	delete(c.queries, q.id)
-	delete(c.names, q.Name)
+	delete(c.byName, q.Name)
 	delete(c.numbers, q.number)
-	c.held -= 1 + len(q.parts)
+	c.openCount -= 1 + len(q.parts)
 	for _, p := range q.parts {
 		p.value = nil
-		c.forget(p)
+		c.dropPart(p)
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -12,40 +12,40 @@
 )
 
 // fakeBackend is a Backend and a Client that records calls and final answers.
-type fake struct {
+type fakeBackend struct {
 	mu        sync.Mutex
 	calls     [][]*Attempt
-	withdrawn []*Attempt
-	unsent    bool // result of Cancel
+	cancelled []*Attempt
+	neverSent bool // result of Cancel
 	refuses   bool
 	queued    []*Attempt // result of CancelQueued
 	probes    int
 	finals    []Final
 }
 
-func (f *fake) Send(_ balance.ReplicaID, call []*Attempt) bool {
+func (f *fakeBackend) Send(_ balance.ReplicaID, call []*Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, call)
 	return !f.refuses
 }
 
-func (f *fake) Withdraw(a *Attempt) bool {
+func (f *fakeBackend) Withdraw(a *Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.withdrawn = append(f.withdrawn, a)
-	return f.unsent
+	f.cancelled = append(f.cancelled, a)
+	return f.neverSent
 }
 
-func (f *fake) Probe(balance.ReplicaID) bool { f.probes++; return true }
-func (f *fake) CloseIdle(balance.ReplicaID)  {}
-func (f *fake) Stop(balance.ReplicaID) []*Attempt {
+func (f *fakeBackend) Probe(balance.ReplicaID) bool { f.probes++; return true }
+func (f *fakeBackend) CloseIdle(balance.ReplicaID)  {}
+func (f *fakeBackend) Stop(balance.ReplicaID) []*Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.queued
 }
 
-func (f *fake) Final(x Final) {
+func (f *fakeBackend) Final(x Final) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.finals = append(f.finals, x)
@@ -63,45 +63,45 @@
 }
 
 // testCore drives a core step by step, without Run: the test chooses the time of each Step.
-type rig struct {
+type testCore struct {
 	*Core
-	f  *fake
-	at balance.Micros
+	backend *fakeBackend
+	at      balance.Micros
 }
 
-func start(t *testing.T, s balance.Settings) *rig {
+func newTestCore(t *testing.T, s balance.Settings) *testCore {
 	t.Helper()
-	f := &fake{}
+	f := &fakeBackend{}
 	c, err := New(Config{Settings: s, Seed: 7, Backends: []Backend{f},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k := &rig{Core: c, f: f, at: c.base}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{
+	k := &testCore{Core: c, backend: f, at: c.base}
+	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1}, {ID: 2, State: balance.Ready, Size: 1}}})
 	return k
 }
 
 // process passes events to the core and runs one Step.
-func (k *rig) tell(events ...Event) {
+func (k *testCore) process(events ...Event) {
 	for _, e := range events {
-		k.take(e)
+		k.handle(e)
 	}
 	k.at += 5 * ms
 	k.step(k.at)
 }
 
 // wait runs Steps until the given time has passed.
-func (k *rig) wait(d balance.Micros) {
+func (k *testCore) wait(d balance.Micros) {
 	for end := k.at + d; k.at < end; {
-		k.tell()
+		k.process()
 	}
 }
 
-func (k *rig) query(name string, parts int) *Query {
+func (k *testCore) query(name string, parts int) *Query {
 	q := &Query{Name: name, Deadline: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 3*time.Second),
-		Client: k.f, Via: k.f}
+		Client: k.backend, Via: k.backend}
 	for s := range parts {
 		q.Parts = append(q.Parts, PartSpec{Shard: s, Weight: 2})
 	}
@@ -109,27 +109,27 @@
 }
 
 func TestAnswerHoldsTheValuesOfAllParts(t *testing.T) {
-	k := start(t, settings())
-	k.tell(k.query("a", 2))
-	if len(k.f.calls) != 2 {
-		t.Fatalf("%d calls", len(k.f.calls))
-	}
-	one, two := k.f.calls[0][0], k.f.calls[1][0]
-	k.tell(Outcome{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
-	if len(k.f.finals) != 0 {
+	k := newTestCore(t, settings())
+	k.process(k.query("a", 2))
+	if len(k.backend.calls) != 2 {
+		t.Fatalf("%d calls", len(k.backend.calls))
+	}
+	one, two := k.backend.calls[0][0], k.backend.calls[1][0]
+	k.process(Outcome{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
+	if len(k.backend.finals) != 0 {
 		t.Fatal("answered from half of the parts")
 	}
-	k.tell(Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
+	k.process(Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
 		Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("again")}})
-	if len(k.f.finals) != 1 {
-		t.Fatalf("%d final answers", len(k.f.finals))
+	if len(k.backend.finals) != 1 {
+		t.Fatalf("%d final answers", len(k.backend.finals))
 	}
-	f := k.f.finals[0]
+	f := k.backend.finals[0]
 	if f.Ending != Answered || !f.Whole || len(f.Values) != 2 || string(f.Values[0].Body) != "v0" ||
 		f.Values[0].Shard != 0 || string(f.Values[1].Body) != "v1" {
 		t.Fatalf("%+v", f)
 	}
-	if len(k.queries)+len(k.parts)+len(k.names)+len(k.numbers)+k.held != 0 {
+	if len(k.queries)+len(k.parts)+len(k.byName)+len(k.numbers)+k.openCount != 0 {
 		t.Fatal("state is kept after the end")
 	}
 }
@@ -137,11 +137,11 @@
 func TestSendsOfOneStepShareACall(t *testing.T) {
 	s := settings()
 	s.BatchMax, s.CallCost = 3, 1
-	k := start(t, s)
-	k.take(k.query("a", 4))
-	k.tell(k.query("b", 1))
+	k := newTestCore(t, s)
+	k.handle(k.query("a", 4))
+	k.process(k.query("b", 1))
 	parts := 0
-	for _, c := range k.f.calls {
+	for _, c := range k.backend.calls {
 		if parts += len(c); len(c) > 3 {
 			t.Fatalf("a call of %d parts", len(c))
 		}
@@ -151,84 +151,84 @@
 			}
 		}
 	}
-	if parts != 5 || len(k.f.calls) > 3 {
-		t.Fatalf("%d parts in %d calls", parts, len(k.f.calls))
+	if parts != 5 || len(k.backend.calls) > 3 {
+		t.Fatalf("%d parts in %d calls", parts, len(k.backend.calls))
 	}
 }
 
 // An attempt at a silent server times out and is cancelled, and a later answer is ignored. The query gets its
 // only final answer in time, with retry advice.
 func TestTimeOutAndLateAnswer(t *testing.T) {
-	k := start(t, settings())
-	k.tell(k.query("a", 1))
-	first := k.f.calls[0][0]
+	k := newTestCore(t, settings())
+	k.process(k.query("a", 1))
+	first := k.backend.calls[0][0]
 	k.wait(3000 * ms)
-	if len(k.f.finals) != 1 || k.f.finals[0].Ending != Refused || k.f.finals[0].RetryAfter <= 0 {
-		t.Fatalf("%+v", k.f.finals)
+	if len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused || k.backend.finals[0].RetryAfter <= 0 {
+		t.Fatalf("%+v", k.backend.finals)
 	}
-	if len(k.f.withdrawn) != len(k.f.calls) {
-		t.Fatalf("%d of %d attempts cancelled", len(k.f.withdrawn), len(k.f.calls))
+	if len(k.backend.cancelled) != len(k.backend.calls) {
+		t.Fatalf("%d of %d attempts cancelled", len(k.backend.cancelled), len(k.backend.calls))
 	}
-	k.tell(Outcome{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
-	if k.wait(100 * ms); len(k.f.finals) != 1 || len(k.parts) != 0 {
-		t.Fatalf("%+v, %d parts", k.f.finals, len(k.parts))
+	k.process(Outcome{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
+	if k.wait(100 * ms); len(k.backend.finals) != 1 || len(k.parts) != 0 {
+		t.Fatalf("%+v, %d parts", k.backend.finals, len(k.parts))
 	}
 }
 
 // If the core has not run for any length of time, an overdue query gets its answer in the next Step.
 func TestOverdueQueryIsAnswered(t *testing.T) {
-	k := start(t, settings())
-	k.tell(k.query("a", 1))
+	k := newTestCore(t, settings())
+	k.process(k.query("a", 1))
 	k.at += 60_000 * ms
-	if k.tell(); len(k.f.finals) != 1 {
-		t.Fatalf("%+v", k.f.finals)
+	if k.process(); len(k.backend.finals) != 1 {
+		t.Fatalf("%+v", k.backend.finals)
 	}
 	q := k.query("b", 1)
 	q.Deadline = k.epoch // long past
-	if k.tell(q); len(k.f.finals) != 2 || k.f.finals[1].Ending == Answered {
-		t.Fatalf("%+v", k.f.finals)
+	if k.process(q); len(k.backend.finals) != 2 || k.backend.finals[1].Ending == Answered {
+		t.Fatalf("%+v", k.backend.finals)
 	}
 }
 
 func TestClientThatLeftEndsItsQuery(t *testing.T) {
-	k := start(t, settings())
+	k := newTestCore(t, settings())
 	q := k.query("a", 2)
-	k.tell(q)
-	k.tell(Gone{Query: q}, Gone{Query: q})
-	if k.wait(4000 * ms); len(k.f.finals) != 0 || len(k.f.withdrawn) != 2 || len(k.parts) != 0 || k.held != 0 {
-		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.f.finals), len(k.f.withdrawn), len(k.parts))
+	k.process(q)
+	k.process(Gone{Query: q}, Gone{Query: q})
+	if k.wait(4000 * ms); len(k.backend.finals) != 0 || len(k.backend.cancelled) != 2 || len(k.parts) != 0 || k.openCount != 0 {
+		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.backend.finals), len(k.backend.cancelled), len(k.parts))
 	}
 }
 
 // If a client leaves while its query is queued, no part of the query is sent and its place is freed.
 func TestClientThatLeavesWhileItsQueryIsQueued(t *testing.T) {
-	k := start(t, settings())
+	k := newTestCore(t, settings())
 	q := k.query("a", 2)
 	if !k.Submit(q) {
 		t.Fatal("not queued")
 	}
 	k.Leave(q)
-	k.tell(<-k.queue) // the event of its end is still queued
-	k.tell(<-k.queue)
-	if len(k.f.calls) != 0 || len(k.f.finals) != 0 || k.held != 0 || k.cfg.Counts.Active.Load() != 0 {
-		t.Fatalf("%d calls, %d answers, %d held, %d active", len(k.f.calls), len(k.f.finals), k.held,
+	k.process(<-k.queue) // the event of its end is still queued
+	k.process(<-k.queue)
+	if len(k.backend.calls) != 0 || len(k.backend.finals) != 0 || k.openCount != 0 || k.cfg.Counts.Active.Load() != 0 {
+		t.Fatalf("%d calls, %d answers, %d held, %d active", len(k.backend.calls), len(k.backend.finals), k.openCount,
 			k.cfg.Counts.Active.Load())
 	}
 }
 
 // An attempt begins only before its deadline, within the window of its key and while its query is open.
-func TestAttemptTellsWhetherItMayBegin(t *testing.T) {
+func TestAttemptBeginsOnlyInItsTime(t *testing.T) {
 	s := settings()
 	s.Classes[0].Effect, s.Classes[0].Window = balance.Keyed, 300*ms
-	k := start(t, s)
+	k := newTestCore(t, s)
 	q := k.query("a", 1)
-	k.tell(q)
-	first := k.f.calls[0][0]
+	k.process(q)
+	first := k.backend.calls[0][0]
 	if !first.Before.IsZero() {
 		t.Fatal("a first attempt is limited to a window")
 	}
-	k.tell(Outcome{Attempt: first, Outcome: balance.Error})
-	again := k.f.calls[1][0]
+	k.process(Outcome{Attempt: first, Outcome: balance.Error})
+	again := k.backend.calls[1][0]
 	window := first.Until.Add(-first.Timeout).Add(300 * time.Millisecond)
 	if !again.Before.Equal(window) {
 		t.Fatalf("a repeat may begin until %v, its window ends at %v", again.Before, window)
@@ -249,7 +249,7 @@
 	if _, hold := first.BeginWrite(&w, first.Until); hold != HoldOverdue {
 		t.Fatal("it began at its deadline")
 	}
-	k.tell(Gone{Query: q})
+	k.process(Gone{Query: q})
 	if _, hold := again.BeginWrite(&w, window); hold != HoldAnswered {
 		t.Fatal("it began after its client had left")
 	}
@@ -258,80 +258,80 @@
 // Attempts queued for a server that starts draining are cancelled. As they never ran, they are immediately
 // sent to another server.
 func TestDrainTakesQueuedSendsBack(t *testing.T) {
-	k := start(t, settings())
-	k.tell(k.query("a", 1))
-	a := k.f.calls[0][0]
-	k.f.queued = []*Attempt{a}
+	k := newTestCore(t, settings())
+	k.process(k.query("a", 1))
+	a := k.backend.calls[0][0]
+	k.backend.queued = []*Attempt{a}
 	drains := balance.Replica{ID: a.Replica, State: balance.Draining, Size: 1}
-	k.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
-	if len(k.f.calls) != 2 || k.f.calls[1][0].Replica == a.Replica {
-		t.Fatalf("%d calls", len(k.f.calls))
+	k.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
+	if len(k.backend.calls) != 2 || k.backend.calls[1][0].Replica == a.Replica {
+		t.Fatalf("%d calls", len(k.backend.calls))
 	}
 }
 
 func TestBackendThatCannotQueue(t *testing.T) {
-	k := start(t, settings())
-	k.f.refuses = true
-	k.tell(k.query("a", 1))
-	if k.wait(200 * ms); len(k.f.finals) != 1 || k.f.finals[0].Ending != Refused || len(k.f.calls) != 3 {
-		t.Fatalf("%+v after %d calls", k.f.finals, len(k.f.calls))
+	k := newTestCore(t, settings())
+	k.backend.refuses = true
+	k.process(k.query("a", 1))
+	if k.wait(200 * ms); len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused || len(k.backend.calls) != 3 {
+		t.Fatalf("%+v after %d calls", k.backend.finals, len(k.backend.calls))
 	}
 }
 
 func TestFullTableRefusesAndSameNameFails(t *testing.T) {
 	s := settings()
 	s.MaxOpen = 5
-	k := start(t, s)
-	k.tell(k.query("a", 2), k.query("a", 1), k.query("b", 2))
-	if len(k.f.finals) != 2 || k.f.finals[0].Ending != Failed || k.f.finals[1].Ending != Refused ||
-		k.f.finals[1].RetryAfter <= 0 {
-		t.Fatalf("%+v", k.f.finals)
+	k := newTestCore(t, s)
+	k.process(k.query("a", 2), k.query("a", 1), k.query("b", 2))
+	if len(k.backend.finals) != 2 || k.backend.finals[0].Ending != Failed || k.backend.finals[1].Ending != Refused ||
+		k.backend.finals[1].RetryAfter <= 0 {
+		t.Fatalf("%+v", k.backend.finals)
 	}
 }
 
 // Retry advice is bounded by the settings in force, whoever refuses the query.
-func TestAdviceGoesByTheSettings(t *testing.T) {
+func TestRetryAdviceIsBoundedBySettings(t *testing.T) {
 	s := settings()
 	s.MaxOpen = 2
-	k := start(t, s)
+	k := newTestCore(t, s)
 	told := func(name string) time.Duration {
 		t.Helper()
-		k.tell(k.query(name, 2)) // exceeds MaxOpen
-		f := k.f.finals[len(k.f.finals)-1]
+		k.process(k.query(name, 2)) // exceeds MaxOpen
+		f := k.backend.finals[len(k.backend.finals)-1]
 		if f.Ending != Refused {
 			t.Fatalf("%+v", f)
 		}
 		return f.RetryAfter
 	}
-	if got := told("a"); got != fullAdvice || k.FullAdvice() != fullAdvice {
-		t.Errorf("advice %v and %v, want %v", got, k.FullAdvice(), fullAdvice)
+	if got := told("a"); got != fullRetryAfter || k.FullAdvice() != fullRetryAfter {
+		t.Errorf("advice %v and %v, want %v", got, k.FullAdvice(), fullRetryAfter)
 	}
 	s.MaxRetryAfter = 100 * ms
-	k.tell(Reconfigured{Settings: s})
+	k.process(Reconfigured{Settings: s})
 	if got := told("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
 		t.Errorf("clients follow 0.1 s, advice %v and %v", got, k.FullAdvice())
 	}
 	s.CanAdvise = false
-	k.tell(Reconfigured{Settings: s})
+	k.process(Reconfigured{Settings: s})
 	if got := told("c"); got != 0 || k.FullAdvice() != 0 {
 		t.Errorf("clients receive no advice, but got %v and %v", got, k.FullAdvice())
 	}
 }
 
 func TestFinishAnswersAllBeforeTheEnd(t *testing.T) {
-	k := start(t, settings())
-	k.tell(k.query("a", 1))
-	k.tell(stopping{until: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 400*time.Millisecond)})
-	k.tell(k.query("b", 1))
+	k := newTestCore(t, settings())
+	k.process(k.query("a", 1))
+	k.process(shutdown{until: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 400*time.Millisecond)})
+	k.process(k.query("b", 1))
 	select {
-	case <-k.idle:
+	case <-k.drained:
 		t.Fatal("idle with queries open")
 	default:
 	}
 	k.wait(400 * ms)
-	<-k.idle
-	if len(k.f.finals) != 2 {
-		t.Fatalf("%+v", k.f.finals)
+	<-k.drained
+	if len(k.backend.finals) != 2 {
+		t.Fatalf("%+v", k.backend.finals)
 	}
 }
 
@@ -339,7 +339,7 @@
 func TestRunWithManyPosters(t *testing.T) {
 	s := settings()
 	s.CanCopy = false
-	k := start(t, s)
+	k := newTestCore(t, s)
 	go k.Run()
 	defer k.Close()
 	var wg sync.WaitGroup
@@ -347,7 +347,7 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.f, Via: k.f,
+			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.backend, Via: k.backend,
 				Parts: []PartSpec{{Shard: 0, Weight: 1}}}
 			if !k.Submit(q) {
 				t.Error("no room")
@@ -365,44 +365,44 @@
 }
 
 // cordon submits an operator's cordon or uncordon, and returns whether the server was known.
-func (k *rig) cordon(id balance.ReplicaID, out bool) bool {
+func (k *testCore) cordon(id balance.ReplicaID, out bool) bool {
 	done := make(chan bool, 1)
-	k.tell(Cordon{Server: id, Out: out, Done: done})
+	k.process(Cordon{Server: id, Out: out, Done: done})
 	return <-done
 }
 
 // A process that takes over from another one knows which servers are cordoned or cold, even if its list does
 // not show that, and the measured capacity. Without it the process gave cold servers almost nothing, and
 // refused queries that only they could serve (scenario upgrade+hand+scrape).
-func TestInheritedIsKept(t *testing.T) {
+func TestHandoverStateIsApplied(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
-	old := start(t, s)
+	old := newTestCore(t, s)
 	for i := range 40 {
-		old.tell(old.query(string(rune('a'+i)), 1))
-		for _, c := range old.f.calls {
-			old.tell(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
+		old.process(old.query(string(rune('a'+i)), 1))
+		for _, c := range old.backend.calls {
+			old.process(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
 		}
-		old.f.calls = nil
+		old.backend.calls = nil
 		old.wait(100 * ms)
 	}
-	old.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	old.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1, Started: old.at}}})
 	done := make(chan Inherited, 1)
 	old.cordon(2, true)
-	old.tell(cordons{done: done})
+	old.process(handoverRequest{done: done})
 	said := <-done
 	if said.Memory.Carried <= 0 || said.Memory.Starts[1] == 0 {
 		t.Fatalf("%+v", said)
 	}
-	fresh := start(t, s)
-	fresh.tell(said)
-	fresh.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	fresh := newTestCore(t, s)
+	fresh.process(said)
+	fresh.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
-	if got := fresh.overlay(fresh.listed[1]).Started; got != said.Memory.Starts[1] {
+	if got := fresh.applyCordons(fresh.servers[1]).Started; got != said.Memory.Starts[1] {
 		t.Errorf("a cold server counts as started at %d, not %d", got, said.Memory.Starts[1])
 	}
-	if got := fresh.overlay(fresh.listed[2]).State; got != balance.Draining {
+	if got := fresh.applyCordons(fresh.servers[2]).State; got != balance.Draining {
 		t.Errorf("a cordoned server is in state %d", got)
 	}
 	if got := fresh.module.Memory().Carried; got < said.Memory.Carried/2 {
@@ -416,40 +416,40 @@
 func TestCordonTakesQueuedSendsBack(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
-	k := start(t, s)
-	k.tell(k.query("a", 1))
-	first := k.f.calls[0][0]
-	k.f.queued = []*Attempt{first}
+	k := newTestCore(t, s)
+	k.process(k.query("a", 1))
+	first := k.backend.calls[0][0]
+	k.backend.queued = []*Attempt{first}
 	if k.cordon(9, true) || !k.cordon(first.Replica, true) {
 		t.Fatal("an unlisted server is known, or a listed one unknown")
 	}
-	if len(k.f.calls) != 2 || k.f.calls[1][0].Replica == first.Replica || !first.over {
-		t.Fatalf("%d calls", len(k.f.calls))
+	if len(k.backend.calls) != 2 || k.backend.calls[1][0].Replica == first.Replica || !first.done {
+		t.Fatalf("%d calls", len(k.backend.calls))
 	}
-	k.f.queued = nil
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.backend.queued = nil
+	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	for i := range 20 {
-		k.tell(k.query(string(rune('b'+i)), 1))
+		k.process(k.query(string(rune('b'+i)), 1))
 	}
-	for _, c := range k.f.calls[1:] {
+	for _, c := range k.backend.calls[1:] {
 		if c[0].Replica == first.Replica {
 			t.Fatal("sent to a cordoned server")
 		}
 	}
-	if !k.cordon(first.Replica, false) || k.overlay(k.listed[first.Replica]).Started == 0 {
+	if !k.cordon(first.Replica, false) || k.applyCordons(k.servers[first.Replica]).Started == 0 {
 		t.Fatal("an uncordoned server counts as warm")
 	}
-	started := k.clock(time.Now()) // a listed start is more accurate than the time of the uncordon
+	started := k.toMicros(time.Now()) // a listed start is more accurate than the time of the uncordon
 	k.cordon(first.Replica, true)
-	k.tell(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	k.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: first.Replica, State: balance.Ready, Size: 1, Started: started + 1000*ms}}})
 	k.cordon(first.Replica, false)
-	if got := k.overlay(k.listed[first.Replica]).Started; got != started+1000*ms {
+	if got := k.applyCordons(k.servers[first.Replica]).Started; got != started+1000*ms {
 		t.Fatalf("started %d us after the listed start", got-started-1000*ms)
 	}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
-	if len(k.since) != 0 {
+	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
+	if len(k.restoredAt) != 0 {
 		t.Fatal("state of removed servers is kept")
 	}
 }
@@ -457,19 +457,19 @@
 // A server with evidence against it is cordoned as by an operator, unless LimitCordons prevents that: if an
 // operator cordons its only partner, it is uncordoned immediately, and cordoned again when the partner is
 // back. After the verdict is lifted it counts as just started.
-func TestJudgedServersAreGuarded(t *testing.T) {
-	k := start(t, settings())
+func TestEvidenceCordonsAreLimited(t *testing.T) {
+	k := newTestCore(t, settings())
 	k.cfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
 		return verdict.Guard(listed, sick, 1, 1, 0.5)
 	}
-	k.tell(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	judge := func(id balance.ReplicaID, by Author, out bool, order uint64) {
-		k.tell(Cordon{Server: id, By: by, Out: out, Order: order, Sure: true})
+		k.process(Cordon{Server: id, By: by, Out: out, Order: order, Sure: true})
 	}
 	states := func(one, two balance.State) {
 		t.Helper()
-		if a, b := k.overlay(k.listed[1]).State, k.overlay(k.listed[2]).State; a != one || b != two {
+		if a, b := k.applyCordons(k.servers[1]).State, k.applyCordons(k.servers[2]).State; a != one || b != two {
 			t.Fatalf("states %d and %d, not %d and %d", a, b, one, two)
 		}
 	}
@@ -479,36 +479,36 @@
 	states(balance.Ready, balance.Draining) // the later verdict does not apply: one server must remain
 	k.cordon(1, true)
 	states(balance.Draining, balance.Ready) // an operator's cordon has precedence over evidence
-	k.f.calls = nil
-	k.tell(k.query("a", 1))
-	if len(k.f.calls) != 1 || k.f.calls[0][0].Replica != 2 {
-		t.Fatalf("%d calls", len(k.f.calls))
+	k.backend.calls = nil
+	k.process(k.query("a", 1))
+	if len(k.backend.calls) != 1 || k.backend.calls[0][0].Replica != 2 {
+		t.Fatalf("%d calls", len(k.backend.calls))
 	}
 	k.cordon(1, false)
 	states(balance.Ready, balance.Draining)
 	judge(2, Judged, false, 7)
 	states(balance.Draining, balance.Ready)
-	if k.overlay(k.listed[2]).Started == 0 {
+	if k.applyCordons(k.servers[2]).Started == 0 {
 		t.Error("an uncordoned server counts as warm")
 	}
 	judge(1, JudgedHere, false, 9)
 	states(balance.Ready, balance.Ready)
-	if len(k.order)+len(k.judged) > 0 {
-		t.Errorf("%d orders and %d evidence cordons are kept", len(k.order), len(k.judged))
+	if len(k.verdictOrder)+len(k.evidenceCordons) > 0 {
+		t.Errorf("%d orders and %d evidence cordons are kept", len(k.verdictOrder), len(k.evidenceCordons))
 	}
 }
 
 // BenchmarkOverlay measures the look-up of cordons for one entry of a list, with a hundred servers cordoned.
 func BenchmarkOverlay(b *testing.B) {
-	k := &Core{since: map[balance.ReplicaID]balance.Micros{}, judged: map[uint64]bool{}}
-	for i := range k.outs {
-		k.outs[i] = map[balance.ReplicaID]balance.Micros{}
+	k := &Core{restoredAt: map[balance.ReplicaID]balance.Micros{}, evidenceCordons: map[uint64]bool{}}
+	for i := range k.cordons {
+		k.cordons[i] = map[balance.ReplicaID]balance.Micros{}
 	}
 	for i := range balance.ReplicaID(100) {
-		k.outs[ByFleet][i] = 1
+		k.cordons[ByFleet][i] = 1
 	}
 	b.ReportAllocs()
 	for i := range b.N {
-		k.overlay(balance.Replica{ID: balance.ReplicaID(i % 200), State: balance.Ready})
+		k.applyCordons(balance.Replica{ID: balance.ReplicaID(i % 200), State: balance.Ready})
 	}
 }
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -22,13 +22,13 @@
 
 // ClassCount counts the replies to queries of a class by outcome. A front counts a reply when it writes
 // it, because only the front knows what the client receives.
-type ClassCount struct{ ends [Failed + 1]atomic.Int64 }
+type ClassCount struct{ counts [Failed + 1]atomic.Int64 }
 
 // Add counts one reply.
-func (c *ClassCount) Add(e Ending) { c.ends[e].Add(1) }
+func (c *ClassCount) Add(e Ending) { c.counts[e].Add(1) }
 
 // Count returns the number of replies with an outcome.
-func (c *ClassCount) Of(e Ending) int64 { return c.ends[e].Load() }
+func (c *ClassCount) Of(e Ending) int64 { return c.counts[e].Load() }
 
 // Class returns the counter of a class by name. It is the same for the lifetime of the process.
 func (c *Counts) Class(name string) *ClassCount {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -50,7 +50,7 @@
 type Reconfigured struct{ Settings balance.Settings }
 
 // shutdown announces that this instance shuts down: no query may be held beyond until.
-type stopping struct{ until time.Time }
+type shutdown struct{ until time.Time }
 
 // Cordon cordons or uncordons a server. A cordoned server gets no new attempts, whatever the list says:
 // the module is told that it is draining. An uncordoned server counts as started at that time, because it
@@ -75,7 +75,7 @@
 	ByFleet
 	Judged // by evidence, for the whole fleet or for a zone: LimitCordons may override only these
 	JudgedHere
-	authors
+	cordonSources
 )
 
 // HandoverState is what a process of this coordinator passes to its successor: the cordons and the state
@@ -90,23 +90,23 @@
 }
 
 // handoverRequest requests the HandoverState for the next process.
-type cordons struct{ done chan<- Inherited }
+type handoverRequest struct{ done chan<- Inherited }
 
 // isListedRequest asks whether a server is listed.
-type knows struct {
+type isListedRequest struct {
 	server balance.ReplicaID
 	done   chan<- bool
 }
 
-func (*Query) isEvent()       {}
-func (Cordon) isEvent()       {}
-func (Inherited) isEvent()    {}
-func (cordons) isEvent()      {}
-func (Reconfigured) isEvent() {}
-func (Outcome) isEvent()      {}
-func (Gone) isEvent()         {}
-func (Listed) isEvent()       {}
-func (ProbeDone) isEvent()    {}
-func (PeerMessage) isEvent()  {}
-func (stopping) isEvent()     {}
-func (knows) isEvent()        {}
+func (*Query) isEvent()          {}
+func (Cordon) isEvent()          {}
+func (Inherited) isEvent()       {}
+func (handoverRequest) isEvent() {}
+func (Reconfigured) isEvent()    {}
+func (Outcome) isEvent()         {}
+func (Gone) isEvent()            {}
+func (Listed) isEvent()          {}
+func (ProbeDone) isEvent()       {}
+func (PeerMessage) isEvent()     {}
+func (shutdown) isEvent()        {}
+func (isListedRequest) isEvent() {}
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -74,7 +74,7 @@
 	number   float32
 	parts    []*part
 	open     bool
-	began    balance.Micros // when the core opened it
+	openedAt balance.Micros // when the core opened it
 	deadline balance.Micros
 	writes   writeBarrier // closed when it has its final answer or its client has left
 }
@@ -84,11 +84,11 @@
 func (q *Query) Over() bool { return q.writes.closed.Load() }
 
 type part struct {
-	q     *Query
-	spec  *PartSpec
-	id    uint32
-	tries []*Attempt
-	live  int
-	value *Value
-	over  bool
+	query    *Query
+	spec     *PartSpec
+	id       uint32
+	attempts []*Attempt
+	pending  int
+	value    *Value
+	answered bool
 }
--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -24,15 +24,15 @@
 
 // deferLog defers a log line until all actions of the Step are executed: logging reads the clock and may
 // block.
-func (c *Core) logLater(line func()) { c.logs = append(c.logs, line) }
+func (c *Core) deferLog(line func()) { c.deferredLogs = append(c.deferredLogs, line) }
 
 // flushLogs writes the deferred log lines.
 func (c *Core) flushLogs() {
-	for i, line := range c.logs {
+	for i, line := range c.deferredLogs {
 		line()
-		c.logs[i] = nil
+		c.deferredLogs[i] = nil
 	}
-	c.logs = c.logs[:0]
+	c.deferredLogs = c.deferredLogs[:0]
 }
 
 // logEnd logs how and why a query ended without an answer, with all its attempts, so that one line shows
@@ -42,10 +42,10 @@
 		return
 	}
 	open := q.open
-	c.logLater(func() {
+	c.deferLog(func() {
 		age, left := time.Duration(0), time.Duration(0)
 		if open {
-			age, left = micros(c.now-q.began), micros(q.deadline-c.now)
+			age, left = toDuration(c.now-q.openedAt), toDuration(q.deadline-c.now)
 		}
 		c.cfg.Log.Info("request ended", "query", q.Name, "class", q.Class, "how", how, "why", why, "age", age,
 			"left", left, "attempts", c.attemptsText(q))
@@ -57,10 +57,10 @@
 func (c *Core) attemptsText(q *Query) string {
 	var text strings.Builder
 	for _, p := range q.parts {
-		for _, a := range p.tries {
-			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica), micros(a.sent-q.began).Milliseconds())
-			if a.over {
-				fmt.Fprintf(&text, "-%d:%s", micros(a.ended-q.began).Milliseconds(), a.outcome)
+		for _, a := range p.attempts {
+			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica), toDuration(a.sent-q.openedAt).Milliseconds())
+			if a.done {
+				fmt.Fprintf(&text, "-%d:%s", toDuration(a.endedAt-q.openedAt).Milliseconds(), a.outcome)
 			}
 			text.WriteString("; ")
 		}
@@ -78,4 +78,4 @@
 	return strconv.FormatUint(uint64(id), 16)
 }
 
-func micros(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -16,13 +16,13 @@
 // time; the request may still be carried out then.
 func (c *Core) Cordon(id balance.ReplicaID, out bool, within time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
-	return ask(c, Cordon{Server: id, Out: out, Done: done}, done, within)
+	return request(c, Cordon{Server: id, Out: out, Done: done}, done, within)
 }
 
 // IsListed reports whether a server is listed. It returns false if the core does not answer in time.
 func (c *Core) Knows(id balance.ReplicaID, within time.Duration) bool {
 	done := make(chan bool, 1)
-	known, _ := ask(c, knows{server: id, done: done}, done, within)
+	known, _ := request(c, isListedRequest{server: id, done: done}, done, within)
 	return known
 }
 
@@ -31,7 +31,7 @@
 func (c *Core) Bar(id balance.ReplicaID, by Author, out bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := ask(c, Cordon{Server: id, Out: out, By: by, Sure: true, Order: order, Done: done}, done,
+		if _, inTime := request(c, Cordon{Server: id, Out: out, By: by, Sure: true, Order: order, Done: done}, done,
 			time.Second); inTime {
 			return true
 		}
@@ -47,44 +47,44 @@
 // processed by then.
 func (c *Core) Cordoned(within time.Duration) (Inherited, bool) {
 	done := make(chan Inherited, 1)
-	return ask(c, cordons{done: done}, done, within)
+	return request(c, handoverRequest{done: done}, done, within)
 }
 
 // applyList stores the list from discovery, and passes it to the module with the cordons applied.
-func (c *Core) learn(e *Listed) {
+func (c *Core) applyList(e *Listed) {
 	if !e.Heard.IsZero() {
-		c.starts.take(e.Replicas, c.clock(e.Heard), wallMicros(e.Heard), e.Mode == balance.Cached)
+		c.starts.translate(e.Replicas, c.toMicros(e.Heard), wallMicros(e.Heard), e.Mode == balance.Cached)
 	}
 	if e.Mode == balance.Full || e.Mode == balance.Cached {
-		clear(c.listed)
+		clear(c.servers)
 	}
-	c.sawList = c.sawList || len(e.Replicas) > 0
+	c.listSeen = c.listSeen || len(e.Replicas) > 0
 	for _, r := range e.Replicas {
 		if r.State == balance.Gone {
-			delete(c.listed, r.ID)
+			delete(c.servers, r.ID)
 		} else {
-			c.listed[r.ID] = r
+			c.servers[r.ID] = r
 		}
 	}
-	c.guard(0)
+	c.limitCordons(0)
 	replicas := make([]balance.Replica, 0, len(e.Replicas))
 	for _, r := range e.Replicas {
-		replicas = append(replicas, c.overlay(r))
+		replicas = append(replicas, c.applyCordons(r))
 	}
 	e.Replicas = replicas
 	if e.Mode != balance.Cached { // IDs of removed servers are not reused and would accumulate
-		maps.DeleteFunc(c.since, func(id balance.ReplicaID, _ balance.Micros) bool {
-			_, ok := c.listed[id]
+		maps.DeleteFunc(c.restoredAt, func(id balance.ReplicaID, _ balance.Micros) bool {
+			_, ok := c.servers[id]
 			return !ok
 		})
-		c.starts.forget(c.listed)
+		c.starts.prune(c.servers)
 	}
 }
 
 // applyCordons returns the entry of a listed server as it is passed to the module.
-func (c *Core) overlay(r balance.Replica) balance.Replica {
-	r.Started = max(r.Started, c.since[r.ID])
-	if c.isOut(r.ID) && r.State == balance.Ready {
+func (c *Core) applyCordons(r balance.Replica) balance.Replica {
+	r.Started = max(r.Started, c.restoredAt[r.ID])
+	if c.isCordoned(r.ID) && r.State == balance.Ready {
 		r.State = balance.Draining
 	}
 	return r
@@ -92,24 +92,24 @@
 
 // notifyModule passes list entries to the module. Queued attempts for servers that are not ready are
 // cancelled.
-func (c *Core) tell(mode balance.ListMode, replicas []balance.Replica) {
+func (c *Core) notifyModule(mode balance.ListMode, replicas []balance.Replica) {
 	for i := range replicas {
 		if r := &replicas[i]; r.State != balance.Ready {
-			c.stopSends(r.ID)
+			c.cancelQueued(r.ID)
 		}
 	}
-	c.countAt = 0
+	c.nextCount = 0
 	c.events = append(c.events, balance.Event{Kind: balance.List, Mode: mode, Replicas: replicas})
 }
 
 // isCordoned reports whether a server is cordoned by any source.
-func (c *Core) isOut(id balance.ReplicaID) bool {
-	return c.byHand(id) || c.judged[uint64(id)]
+func (c *Core) isCordoned(id balance.ReplicaID) bool {
+	return c.cordonedByOperator(id) || c.evidenceCordons[uint64(id)]
 }
 
 // cordonedByOperator reports whether an operator has cordoned a server.
-func (c *Core) byHand(id balance.ReplicaID) bool {
-	for _, by := range c.outs[:Judged] {
+func (c *Core) cordonedByOperator(id balance.ReplicaID) bool {
+	for _, by := range c.cordons[:Judged] {
 		if _, out := by[id]; out {
 			return true
 		}
@@ -119,60 +119,60 @@
 
 // hasEvidence reports whether there is a verdict by evidence against a server, whether or not it is
 // cordoned for that.
-func (c *Core) isJudged(id balance.ReplicaID) bool {
-	_, all := c.outs[Judged][id]
-	_, here := c.outs[JudgedHere][id]
+func (c *Core) hasEvidence(id balance.ReplicaID) bool {
+	_, all := c.cordons[Judged][id]
+	_, here := c.cordons[JudgedHere][id]
 	return all || here
 }
 
 // limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
 // changes to the module, except for the server given: the caller is about to do that.
-func (c *Core) guard(but balance.ReplicaID) {
-	if c.cfg.Guard == nil || len(c.outs[Judged])+len(c.outs[JudgedHere])+len(c.judged) == 0 {
+func (c *Core) limitCordons(but balance.ReplicaID) {
+	if c.cfg.Guard == nil || len(c.cordons[Judged])+len(c.cordons[JudgedHere])+len(c.evidenceCordons) == 0 {
 		return
 	}
-	nodes := make([]verdict.Holder, 0, len(c.listed))
-	for id, r := range c.listed {
+	nodes := make([]verdict.Holder, 0, len(c.servers))
+	for id, r := range c.servers {
 		nodes = append(nodes, verdict.Holder{ID: uint64(id), Cell: r.Cell,
-			Up: r.State == balance.Ready && !c.byHand(id)})
+			Up: r.State == balance.Ready && !c.cordonedByOperator(id)})
 	}
 	var sick []uint64
-	for _, by := range c.outs[Judged:] {
+	for _, by := range c.cordons[Judged:] {
 		for id := range by {
 			sick = append(sick, uint64(id))
 		}
 	}
 	slices.SortFunc(sick, func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(c.order[balance.ReplicaID(a)], c.order[balance.ReplicaID(b)]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(c.verdictOrder[balance.ReplicaID(a)], c.verdictOrder[balance.ReplicaID(b)]), cmp.Compare(a, b))
 	})
-	was := c.judged
-	c.judged = c.cfg.Guard(nodes, slices.Compact(sick))
-	now := c.clock(time.Now())
+	was := c.evidenceCordons
+	c.evidenceCordons = c.cfg.Guard(nodes, slices.Compact(sick))
+	now := c.toMicros(time.Now())
 	var told []balance.Replica
-	for id, r := range c.listed {
-		if out := c.judged[uint64(id)]; out != was[uint64(id)] {
+	for id, r := range c.servers {
+		if out := c.evidenceCordons[uint64(id)]; out != was[uint64(id)] {
 			if !out {
-				c.since[id] = now // its state on return is unknown
+				c.restoredAt[id] = now // its state on return is unknown
 			}
 			if id != but {
-				told = append(told, c.overlay(r))
+				told = append(told, c.applyCordons(r))
 			}
 		}
 	}
 	if len(told) > 0 {
-		c.tell(balance.Local, told)
+		c.notifyModule(balance.Local, told)
 	}
 }
 
 // cordon cordons or uncordons a server. It is idempotent.
 func (c *Core) cordon(e Cordon) {
-	r, listed := c.listed[e.Server]
-	by := c.outs[e.By]
+	r, listed := c.servers[e.Server]
+	by := c.cordons[e.By]
 	since, out := by[e.Server]
 	known := listed || out || e.Sure
 	if known && e.Out != out {
 		if e.At == 0 {
-			e.At = c.clock(time.Now())
+			e.At = c.toMicros(time.Now())
 		}
 		if e.Out {
 			by[e.Server] = e.At
@@ -180,18 +180,18 @@
 			delete(by, e.Server)
 			// Otherwise the list has reported a start since, which is more accurate, or limitCordons decides.
 			if r.Started <= since && e.By < Judged {
-				c.since[e.Server] = e.At
+				c.restoredAt[e.Server] = e.At
 			}
 		}
 		if e.By >= Judged {
-			c.order[e.Server] = e.Order
-			if !e.Out && !c.isJudged(e.Server) {
-				delete(c.order, e.Server)
+			c.verdictOrder[e.Server] = e.Order
+			if !e.Out && !c.hasEvidence(e.Server) {
+				delete(c.verdictOrder, e.Server)
 			}
 		}
-		c.guard(e.Server)
+		c.limitCordons(e.Server)
 		if listed {
-			c.tell(balance.Local, []balance.Replica{c.overlay(r)})
+			c.notifyModule(balance.Local, []balance.Replica{c.applyCordons(r)})
 		}
 	}
 	if e.Done != nil {
@@ -200,25 +200,25 @@
 }
 
 // updateListCounts updates the counts of listed and avoided servers, at intervals and after each change.
-func (c *Core) countList() {
-	if c.now < c.countAt {
+func (c *Core) updateListCounts() {
+	if c.now < c.nextCount {
 		return
 	}
-	c.countAt = c.now + countSpan.Microseconds()
-	c.cfg.Counts.Listed.Store(int64(len(c.listed)))
+	c.nextCount = c.now + countInterval.Microseconds()
+	c.cfg.Counts.Listed.Store(int64(len(c.servers)))
 	avoided := c.module.AvoidedCount()
-	for id := range c.listed {
-		if c.isOut(id) {
+	for id := range c.servers {
+		if c.isCordoned(id) {
 			avoided++
 		}
 	}
 	c.cfg.Counts.Avoided.Store(int64(avoided))
 }
 
-func (c *Core) stopSends(to balance.ReplicaID) {
+func (c *Core) cancelQueued(to balance.ReplicaID) {
 	for _, b := range c.cfg.Backends {
 		for _, a := range b.Stop(to) {
-			c.settle(a, balance.NotSent, nil, nil)
+			c.endAttempt(a, balance.NotSent, nil, nil)
 		}
 	}
 }
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -8,59 +8,59 @@
 
 // minClockStep is the minimum change of the difference between the wall clock and the module's clock that
 // counts as a step of the wall clock.
-const stepLeast = balance.Micros(500_000)
+const minClockStep = balance.Micros(500_000)
 
 // startTimes converts the start times of servers to the module's clock. Lists give them by the wall clock,
 // which may be stepped while this process runs: without the conversion a server that has just started
 // could count as warm for long.
 type startTimes struct {
-	told  map[balance.ReplicaID]balance.Micros // as given by the last list
-	start map[balance.ReplicaID]balance.Micros // on the module's clock
-	skew  balance.Micros                       // wall clock minus module clock at the last list
-	heard balance.Micros                       // time of the last list from discovery; 0: none yet
+	reported map[balance.ReplicaID]balance.Micros // as given by the last list
+	started  map[balance.ReplicaID]balance.Micros // on the module's clock
+	skew     balance.Micros                       // wall clock minus module clock at the last list
+	lastList balance.Micros                       // time of the last list from discovery; 0: none yet
 }
 
 func newStartTimes() startTimes {
-	return startTimes{told: map[balance.ReplicaID]balance.Micros{},
-		start: map[balance.ReplicaID]balance.Micros{}}
+	return startTimes{reported: map[balance.ReplicaID]balance.Micros{},
+		started: map[balance.ReplicaID]balance.Micros{}}
 }
 
 // translate converts the start times of a list that was received at now by the module's clock and at wall
 // by the wall clock. Start times already known before a step of the wall clock keep their converted value.
-func (s *startTimes) take(list []balance.Replica, now, wall balance.Micros, cached bool) {
+func (s *startTimes) translate(list []balance.Replica, now, wall balance.Micros, cached bool) {
 	skew := wall - now
-	if -stepLeast < skew && skew < stepLeast {
+	if -minClockStep < skew && skew < minClockStep {
 		skew = 0
 	}
 	step := skew - s.skew
-	stepped := s.heard > 0 && (step >= stepLeast || step <= -stepLeast)
+	stepped := s.lastList > 0 && (step >= minClockStep || step <= -minClockStep)
 	for i := range list {
 		r := &list[i]
 		if r.Started == 0 {
 			continue
 		}
-		if at, known := s.told[r.ID]; known && at == r.Started {
-			r.Started = s.start[r.ID]
+		if at, known := s.reported[r.ID]; known && at == r.Started {
+			r.Started = s.started[r.ID]
 			continue
 		}
 		start := r.Started - skew
 		if stepped { // possibly a time before the step; but a start new in this list is later than the last one
-			start = max(start, s.heard)
+			start = max(start, s.lastList)
 		}
-		s.told[r.ID], s.start[r.ID] = r.Started, start
+		s.reported[r.ID], s.started[r.ID] = r.Started, start
 		r.Started = start
 	}
 	if !cached {
-		s.skew, s.heard = skew, now
+		s.skew, s.lastList = skew, now
 	}
 }
 
 // prune removes servers that are no longer listed.
-func (s *startTimes) forget(listed map[balance.ReplicaID]balance.Replica) {
-	for id := range s.told {
+func (s *startTimes) prune(listed map[balance.ReplicaID]balance.Replica) {
+	for id := range s.reported {
 		if _, ok := listed[id]; !ok {
-			delete(s.told, id)
-			delete(s.start, id)
+			delete(s.reported, id)
+			delete(s.started, id)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 // processes.
 func (in *Inherited) shift(from, to balance.Micros) {
 	by := to - from
-	if from == 0 || -stepLeast < by && by < stepLeast {
+	if from == 0 || -minClockStep < by && by < minClockStep {
 		return
 	}
 	all := []map[balance.ReplicaID]balance.Micros{in.Out, in.Barred, in.Since, in.Memory.Starts}
--- a/internal/core/starts_test.go
+++ b/internal/core/starts_test.go
@@ -9,14 +9,14 @@
 // After a step of the wall clock in either direction, a server that has just started is cold, a server
 // listed before the step keeps its age, and a server whose start was stamped before the step but listed
 // after it is no older than the last list.
-func TestStartsOutliveAStepOfTheWallClock(t *testing.T) {
+func TestStartTimesSurviveAStepOfTheWallClock(t *testing.T) {
 	const second, hour = balance.Micros(1_000_000), 3600 * balance.Micros(1_000_000)
 	for _, step := range []balance.Micros{-hour, hour, 3 * second, -3 * second} {
 		s := newStartTimes()
 		now := 1000 * hour
 		take := func(wall balance.Micros, id balance.ReplicaID, born balance.Micros) balance.Micros {
 			list := []balance.Replica{{ID: id, Started: born}}
-			s.take(list, now, wall, false)
+			s.translate(list, now, wall, false)
 			return list[0].Started
 		}
 		if at := take(now, 1, now-20*second); at != now-20*second {
@@ -28,7 +28,7 @@
 		if at := take(now+step, 1, now-40*second); at != now-40*second {
 			t.Errorf("step %d: listed before it, the server is %d s old, not 40", step/second, (now-at)/second)
 		}
-		s.heard, s.skew = now-20*second, 0 // as if the previous list were the last one before the step
+		s.lastList, s.skew = now-20*second, 0 // as if the previous list were the last one before the step
 		if at := take(now+step, 2, before); at < now-20*second {
 			t.Errorf("step %d: a start after the last list counts as %d s old", step/second, (now-at)/second)
 		}
--- a/internal/core/virtual.go
+++ b/internal/core/virtual.go
@@ -9,8 +9,8 @@
 // Simulated is a core without a goroutine, for simulators: the caller passes in events, provides the time
 // and runs the Steps. The same events at the same times give the same actions.
 type Virtual struct {
-	c    *Core
-	last balance.Micros // time of the last Step; 0: none yet
+	core     *Core
+	lastStep balance.Micros // time of the last Step; 0: none yet
 }
 
 // NewSimulated returns a core whose module starts at the given time.
@@ -20,35 +20,35 @@
 		return nil, err
 	}
 	c.epoch, c.base = begin, begin.UnixMicro()
-	return &Virtual{c: c}, nil
+	return &Virtual{core: c}, nil
 }
 
 // Handle processes an event.
-func (v *Virtual) Take(e Event) { v.c.take(e) }
+func (v *Virtual) Take(e Event) { v.core.handle(e) }
 
 // Submit submits a query. If the admission controller refuses it, it has already received its final
 // answer.
 func (v *Virtual) Submit(q *Query) {
-	if v.c.admit(q) {
-		v.c.take(q)
+	if v.core.admit(q) {
+		v.core.handle(q)
 	}
 }
 
 // NextStep returns when the next Step is due: immediately if there are events, but at least a tick after
 // the last Step, or at the next timer or wake-up; 0: nothing to do.
 func (v *Virtual) Due(now balance.Micros) balance.Micros {
-	at := v.c.nextTime()
-	if len(v.c.events) > 0 {
+	at := v.core.nextTime()
+	if len(v.core.events) > 0 {
 		at = now
 	}
 	if at == 0 {
 		return 0
 	}
-	return max(at, v.last+v.c.cfg.Settings.Tick, now)
+	return max(at, v.lastStep+v.core.cfg.Settings.Tick, now)
 }
 
 // Step runs the module once.
 func (v *Virtual) Step(now balance.Micros) {
-	v.last = now
-	v.c.step(now)
+	v.lastStep = now
+	v.core.step(now)
 }
--- a/internal/core/writebarrier.go
+++ b/internal/core/writebarrier.go
@@ -23,11 +23,11 @@
 // before the system call would not suffice: the writer's thread may be held up in between for any time,
 // and the client would be told of the query's end while the write is still to come.
 type writeBarrier struct {
-	closed  atomic.Bool
-	mu      sync.Mutex // guards what follows, and changes of closed
-	inside  []Writer   // one entry for each write in progress
-	drained func()     // called when no write is in progress; nil: none
-	armed   bool       // abort is scheduled
+	closed         atomic.Bool
+	mu             sync.Mutex // guards what follows, and changes of closed
+	active         []Writer   // one entry for each write in progress
+	drained        func()     // called when no write is in progress; nil: none
+	abortScheduled bool       // abort is scheduled
 }
 
 // enter begins a write. It returns false if the barrier is closed.
@@ -37,17 +37,17 @@
 	if b.closed.Load() {
 		return false
 	}
-	b.inside = append(b.inside, w)
+	b.active = append(b.active, w)
 	return true
 }
 
 // leave ends a write.
 func (b *writeBarrier) leave(w Writer) {
 	b.mu.Lock()
-	if i := slices.Index(b.inside, w); i >= 0 {
-		b.inside = slices.Delete(b.inside, i, i+1)
+	if i := slices.Index(b.active, w); i >= 0 {
+		b.active = slices.Delete(b.active, i, i+1)
 	}
-	b.unlock()
+	b.unlockAndNotify()
 }
 
 // close prevents further writes and calls drained once none can send a byte any more: immediately if no
@@ -55,12 +55,12 @@
 func (b *writeBarrier) close(drained func()) {
 	b.mu.Lock()
 	b.closed.Store(true)
-	if len(b.inside) > 0 {
+	if len(b.active) > 0 {
 		if drained != nil {
 			b.drained = drained
 		}
-		if !b.armed {
-			b.armed = true
+		if !b.abortScheduled {
+			b.abortScheduled = true
 			time.AfterFunc(WriteGrace, b.abort)
 		}
 		b.mu.Unlock()
@@ -75,30 +75,30 @@
 // abortWriter aborts the writes of one writer that are in progress.
 func (b *writeBarrier) abortWriter(w Writer) {
 	b.mu.Lock()
-	inside := slices.DeleteFunc(b.inside, func(x Writer) bool { return x == w })
-	aborted := len(inside) < len(b.inside)
-	b.inside = inside
+	inside := slices.DeleteFunc(b.active, func(x Writer) bool { return x == w })
+	aborted := len(inside) < len(b.active)
+	b.active = inside
 	if aborted {
 		w.Abort()
 	}
-	b.unlock()
+	b.unlockAndNotify()
 }
 
 // abort aborts all writes in progress. It holds the lock meanwhile: a writer that has returned must not
 // lose its connection.
 func (b *writeBarrier) abort() {
 	b.mu.Lock()
-	for _, w := range b.inside {
+	for _, w := range b.active {
 		w.Abort()
 	}
-	b.inside = nil
-	b.unlock()
+	b.active = nil
+	b.unlockAndNotify()
 }
 
 // unlockAndNotify releases the lock, and calls drained if no write is in progress.
-func (b *writeBarrier) unlock() {
+func (b *writeBarrier) unlockAndNotify() {
 	var drained func()
-	if len(b.inside) == 0 {
+	if len(b.active) == 0 {
 		drained, b.drained = b.drained, nil
 	}
 	b.mu.Unlock()
--- a/internal/core/writebarrier_test.go
+++ b/internal/core/writebarrier_test.go
@@ -13,7 +13,7 @@
 
 // The end of a query is reported immediately if no write is in progress, after the last write if they return,
 // and after aborting those that do not. It is reported once, and no write begins after it.
-func TestEndOfAQueryComesBehindItsWrites(t *testing.T) {
+func TestQueryEndWaitsForItsWrites(t *testing.T) {
 	var b writeBarrier
 	told := make(chan struct{}, 4)
 	tell := func() { told <- struct{}{} }
--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -30,14 +30,14 @@
 
 // Recorder records delays. A nil Recorder records nothing.
 type Recorder struct {
-	log *slog.Logger
-	mu  sync.Mutex // guards stats
-	all map[Action]Figures
+	log   *slog.Logger
+	mu    sync.Mutex // guards stats
+	stats map[Action]Figures
 }
 
 // NewRecorder returns a Recorder that writes to log.
 func NewRecorder(log *slog.Logger) *Recorder {
-	return &Recorder{log: log, all: map[Action]Figures{Reply: {}, Attempt: {}, Step: {}}}
+	return &Recorder{log: log, stats: map[Action]Figures{Reply: {}, Attempt: {}, Step: {}}}
 }
 
 // Record records an action that has ended and was delayed by took. The args are logged as attributes, as
@@ -47,10 +47,10 @@
 		return
 	}
 	r.mu.Lock()
-	f := r.all[action]
+	f := r.stats[action]
 	f.Late++
 	f.LongestMS = max(f.LongestMS, took.Milliseconds())
-	r.all[action] = f
+	r.stats[action] = f
 	r.mu.Unlock()
 	r.log.Warn("carried out late", append([]any{"action", string(action), "took", took}, args...)...)
 }
@@ -62,5 +62,5 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return maps.Clone(r.all)
+	return maps.Clone(r.stats)
 }
--- a/internal/delay/delay_test.go
+++ b/internal/delay/delay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestOnlyWhatIsLateIsRecorded(t *testing.T) {
+func TestOnlyLateActionsAreRecorded(t *testing.T) {
 	var log bytes.Buffer
 	r := NewRecorder(slog.New(slog.NewTextHandler(&log, nil)))
 	r.Note(Reply, Notable-time.Millisecond, "query", "q1")
--- a/internal/watchdog/watchdog.go
+++ b/internal/watchdog/watchdog.go
@@ -13,8 +13,8 @@
 
 // Call is a call in progress.
 type Call struct {
-	held  func(ticks int)
-	looks int // number of scans that found it in progress
+	onHeld func(ticks int)
+	scans  int // number of scans that found it in progress
 }
 
 // Watchdog scans the calls in progress, as long as there are any. Its zero value is ready to use.
@@ -28,7 +28,7 @@
 // held is called with the number of full ticks that it has certainly lasted. This happens in a separate
 // goroutine, because held may block too. The call may have ended by then.
 func (w *Watchdog) Begin(held func(ticks int)) *Call {
-	c := &Call{held: held}
+	c := &Call{onHeld: held}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.calls == nil {
@@ -53,9 +53,9 @@
 func (w *Watchdog) run() {
 	for {
 		time.Sleep(Tick)
-		held, more := w.look()
+		held, more := w.scan()
 		for _, c := range held {
-			go c.held(c.looks - 1)
+			go c.onHeld(c.scans - 1)
 		}
 		if !more {
 			return
@@ -65,11 +65,11 @@
 
 // scan returns the calls that were already in progress at the previous scan, and whether there are any
 // calls.
-func (w *Watchdog) look() (held []*Call, more bool) {
+func (w *Watchdog) scan() (held []*Call, more bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for c := range w.calls {
-		if c.looks++; c.looks > 1 {
+		if c.scans++; c.scans > 1 {
 			held = append(held, c)
 		}
 	}
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -7,7 +7,7 @@
 
 // A call that does not return is reported at each scan, with a growing number of ticks; one that has
 // returned is not reported.
-func TestHeldCallsAreToldUntilTheyEnd(t *testing.T) {
+func TestHeldCallsAreReportedUntilTheyEnd(t *testing.T) {
 	var w Watchdog
 	told := make(chan int, 100)
 	quick := w.Begin(func(int) { t.Error("a call that has returned is reported") })
