--- a/balance/balance.go
+++ b/balance/balance.go
@@ -25,86 +25,90 @@
 	// Replica weights.
 	minWeight, midWeight, maxWeight  = 1.0, 50.0, 100.0
 	weightStep                       = 5.0        // gain per success; a failure costs this times its penalty
-	weightHalfLife                   = 10_000_000 // us in which a weight moves half of its distance to midWeight
+	weightHalfLife                   = 10_000_000 // us, half-life of a weight's distance to midWeight
 	timeoutPenalty, errorPenalty     = 1.0, 2.0   // multiples of weightStep
 	noConnectionPenalty, busyPenalty = 3.0, 0.2
 
-	// Latency per part, and the decisions based on it.
-	latencyHalfLife    = 4_000_000 // us, half-life of latency samples
-	smallFleet         = 4.0       // peers; in larger fleets samples of peers arrive and decay faster and weigh more
-	ownSampleWeight    = 3.0       // weight of an own sample, where a plain one weighs 1
-	classSampleWeight  = 1.0       // additional multiple of that for samples of the same class
-	peerSampleWeight   = 3.0       // weight of a sample mixed from peers, divided by 1 + the number of own samples
-	lostPartLatency    = 0.5       // share of the shortest aim that is recorded for a part without an answer
-	hotShardFactor     = 1.3       // the slowest required part may take this multiple of the share admitted
-	initialLatency     = 0.1       // share of the shortest aim that a part is expected to take before any sample
-	priorSamples       = 3.0       // samples that the initial value of a mean counts as
+	// Latency per part, and the decisions based on it. Plain samples have a weight of 1.
+	latencyHalfLife    = 4_000_000 // us, half-life of samples
+	smallFleet         = 4.0       // peers; with more, shared samples spread and decay faster and weigh more
+	ownSampleWeight    = 3.0       // of this instance's samples
+	classSampleWeight  = 1.0       // multiple of that in addition, for samples of the same class
+	peerSampleWeight   = 3.0       // of shared samples, divided by 1 + the number of own ones
+	lostPartLatency    = 0.5       // share of the shortest aim, recorded for a part without an answer
+	hotShardFactor     = 1.3       // multiple of the admitted share for the slowest required part
+	initialLatency     = 0.1       // share of the shortest aim, assumed for a part before any sample
+	priorSamples       = 3.0       // weight of the initial value in a mean
 	ewmaParts          = 30.0      // parts over which shares and means are smoothed
-	latencyExponent    = 4.0       // draw probability is proportional to weight / latency to this power
-	slotLatencyShare   = 0.25      // share of the shortest aim that our calls open at a replica may need
-	minSlots, maxSlots = 0, 16     // bounds of that number of calls
-	joinLatencyShare   = 0.5       // share of the shortest aim that a call may take for further parts to join it
-	crossZoneFactor    = 0.25      // factor on the draw weight of a replica in another zone if crossing has a cost
-	sharedCallExponent = 2.0       // exponent of the number of parts that could share a call, in the draw weight
+	latencyExponent    = 4.0       // draw weights are proportional to 1 / latency to this power
+	slotLatencyShare   = 0.25      // share of the shortest aim that our open calls at a replica may need
+	minSlots, maxSlots = 0, 16     // bounds of the number of those calls
+	joinLatencyShare   = 0.5       // share of the shortest aim that a call may take if more parts join it
+	crossZoneFactor    = 0.25      // on the draw weight of a replica in another zone, if crossing has a cost
+	sharedCallExponent = 2.0       // draw weights grow with the parts that could share a call, to this power
 	gossipInterval     = 250_000   // us between messages, each to a randomly chosen peer
-	maxPeerSamples     = 8.0       // samples; bounds the weight of what peers report of a replica
+	maxPeerSamples     = 8.0       // bounds the number of shared samples of a replica
 	workGain           = 0.2       // EWMA gain of the number of parts per query of a class
 
 	// Hedging.
-	initialHedgeDelay   = 0.25      // share of the aim: the initial hedge delay
-	hedgeQuantile       = 0.95      // quantile of the class's part latency that the hedge delay then tracks
+	initialHedgeDelay   = 0.25      // share of the aim; from there on
+	hedgeQuantile       = 0.95      // the hedge delay tracks this quantile of the class's part latency
 	quantileStep        = 0.1       // relative step of the quantile tracker
-	maxHedgeDelay       = 0.5       // share of the aim: the maximum hedge delay
-	maxParallelAttempts = 3         // attempts of one part at a time
-	hedgeShare          = 0.1       // hedged attempts per recent part,
-	overdueHedgeShare   = 0.2       // and per recent part if the last attempt is overdue,
-	spareHedges         = 1.0       // plus this number, so that an instance with little traffic can hedge at all
+	maxHedgeDelay       = 0.5       // share of the aim
+	maxParallelAttempts = 3         // attempts of one part in flight
+	hedgeShare          = 0.1       // hedged attempts per recent query or part,
+	overdueHedgeShare   = 0.2       // and if the last attempt is overdue,
+	spareHedges         = 1.0       // plus this number, so that an instance with little traffic can hedge
 	defaultHedgeSpan    = 5_000_000 // us that count as recent if the settings give no ResendSpan
 	overdueFactor       = 2.5       // hedge delays after which an attempt is overdue and counts as timed out,
 	overdueShare        = 0.6       // or share of the aim, whichever is shorter
 
-	// Admission, by the expected latency of the parts.
-	admitShare, smallFleetAdmitShare = 0.45, 0.25 // share of the aim to admit by; the second is added with up to
-	smallFleetAdmitPeers             = 3.0        // this many peers, which hide little waiting work, and shrinks beyond
-	minAdmitShare                    = 0.55       // part of that share left for work without worth
-	tailAllowance                    = 2.6        // multiple of that share allowed to the last required part
-	maxWaitShare                     = 1.0        // share of the time to the aim that a part may be expected to take
-	rejectedEWMAParts                = 60.0       // parts over which the share of rejected ones is smoothed
-	rejectedCut, maxRejectedCut      = 3.0, 0.5   // multiple of that share cut from admission, and the maximum cut
-	trialInterval                    = 3_000_000  // us of refusing all queries, after which one is admitted as a trial;
-	//                                     the limit documented for this is 4 s
-	admitQuantile                     = 0.8       // of the required parts: the slowest of few, not the one outlier of many
-	overQuotaRatio, farOverQuotaRatio = 1.2, 1.8  // a tenant's share of the local traffic over its share of the quotas
-	minQuotaQueries                   = 8.0       // queries of a tenant needed to judge its share
+	// Admission, by the expected latency of the parts. The admitted share is the share of the aim that the
+	// required parts may take: admitShare, plus smallFleetAdmitShare with up to smallFleetAdmitPeers peers
+	// and less with more, because the waiting work of many peers is not visible here.
+	admitShare, smallFleetAdmitShare  = 0.45, 0.25
+	smallFleetAdmitPeers              = 3.0
+	minAdmitShare                     = 0.55      // part of the admitted share left for queries without worth
+	tailAllowance                     = 2.6       // multiple of the admitted share for the last required part
+	maxWaitShare                      = 1.0       // share of the time to the aim that a part may take
+	rejectedEWMAParts                 = 60.0      // parts over which the share of rejected ones is smoothed
+	rejectedCut, maxRejectedCut       = 3.0, 0.5  // multiple of that cut from the admitted share; maximum cut
+	trialInterval                     = 3_000_000 // us of refusing all before a trial; the limit is 4 s
+	admitQuantile                     = 0.8       // of the required parts: one outlier of many is ignored
+	overQuotaRatio, farOverQuotaRatio = 1.2, 1.8  // share of local traffic / share of quotas, see overQuota
+	minQuotaQueries                   = 8.0       // queries of a tenant that make farOverQuotaRatio apply
 	quotaSpan                         = 5_000_000 // us over which a tenant's rate is compared with its quota
 
 	// Cold replicas.
-	minColdRate        = 1e-6       // parts per us from all peers, times the cold share, without any measurement
-	coldRateBoost      = 1.0        // share of FallMultiple - 1 by which a cold replica may exceed its capacity
-	coldBurst          = 0.6        // share of FallMultiple - 1, times rate and FallSpan, that tokens may accumulate
+	minColdRate        = 1e-6       // parts per us of all peers, times the cold share, if unmeasured
+	coldRateBoost      = 1.0        // share of FallMultiple - 1 by which a cold replica's share is exceeded
+	coldBurst          = 0.6        // tokens that may accumulate, over (FallMultiple - 1) x rate x FallSpan
 	capacitySpan       = 2_000_000  // us over which served parts are counted, at least
-	minCapacityParts   = 64.0       // with fewer parts counting continues in large fleets, less the standard error:
-	maxCapacitySpans   = 8.0        // the maximum of small counts is biased upwards; maximum number of spans
-	capacityFleetScale = 2.0        // fleet scale above which that applies, see updateEvidenceScale
+	minCapacityParts   = 64.0       // with fewer, large fleets count on and deduct the standard error:
+	maxCapacitySpans   = 8.0        // the maximum of small counts is biased upwards; limit of spans
+	capacityFleetScale = 2.0        // fleet scale from which this applies, see updateEvidenceScale
 	capacityHalfLife   = 60_000_000 // us, half-life of the measured capacity
 
-	// Idle connections.
-	idleAfter        = 300_000    // us without use after which a connection counts as idle
-	idleLossShare    = 0.05       // idle connections are being dropped if more than this share of sends on them is
-	idleLossRatio    = 2.0        // lost, plus this multiple of the share lost on connections in use
+	// Idle connections. They are considered dropped while idle if the share of lost sends on them exceeds
+	// idleLossShare plus idleLossRatio times the share lost on connections in use.
+	idleAfter        = 300_000 // us without use
+	idleLossShare    = 0.05
+	idleLossRatio    = 2.0
 	idleLossHalfLife = 10_000_000 // us, half-life of these samples
 
 	// Probes.
 	probeLossShare = 0.05      // share of unanswered parts above which probes are worth their cost
-	probeRound     = 3_000_000 // us in which all replicas are probed once
+	probeRound     = 3_000_000 // us in which all replicas are considered once
 
-	avoidedRatio, recoveredRatio      = 3.0, 1.5 // multiples of the mean latency: reported as avoided, as used again
-	scanInterval                      = 10_000   // us between two passes over the open queries
-	maxAdviceShare                    = 0.3      // share of the shortest aim: the longest retry advice; half is the shortest
-	patienceSlack                     = 50_000.0 // us by which a client may wait less than others without counting as late
-	secondStepShare, secondStepDelays = 0.5, 2.0 // share of the aim, and hedge delays: the most reserved for a second step
-	aimMargin                         = 0.03     // share of the aim reserved for the way back to the client
-	weightTolerance                   = 5e-5     // absolute error allowed in a sum of part weights
+	// Multiples of the mean latency at which a replica is reported as avoided and as used again.
+	avoidedRatio, recoveredRatio = 3.0, 1.5
+	scanInterval                 = 10_000   // us between two passes over the open queries
+	maxAdviceShare               = 0.3      // share of the shortest aim; the shortest advice is half of it
+	patienceSlack                = 50_000.0 // us that a first try may wait less than those of other clients
+	// Share of the aim, and number of hedge delays: the most that a first step reserves for the second one.
+	secondStepShare, secondStepDelays = 0.5, 2.0
+	aimMargin                         = 0.03 // share of the aim reserved for the way back to the client
+	weightTolerance                   = 5e-5 // absolute error allowed in a sum of part weights
 )
 
 // New returns an instance that starts now with the given settings. The seed must differ between instances.
@@ -243,7 +247,7 @@
 	if e.Mode != Cached && e.Mode != Local {
 		b.listPending = false
 		b.subscribed = e.Mode != Failed
-		b.listBackoff = min(2*b.listBackoff, AskMost) // exponential back-off with jitter: discovery may be down
+		b.listBackoff = min(2*b.listBackoff, AskMost) // back-off with jitter: discovery may be down
 		if b.subscribed || b.listBackoff == 0 {
 			b.listBackoff = ListRetryDelay
 		}
@@ -260,28 +264,28 @@
 			r.State = Gone // unless the list contains it, see below
 		}
 	}
-	for _, l := range e.Replicas {
-		if l.Size = min(1e9, l.Size); !(l.Size > 0) { // sums must stay finite and positive
-			l.Size = 1e-9
+	for _, entry := range e.Replicas {
+		if entry.Size = min(1e9, entry.Size); !(entry.Size > 0) { // sums must stay finite and positive
+			entry.Size = 1e-9
 		}
-		l.Started = min(l.Started, b.now) // a time in the future, by a clock ahead of ours, means now
-		r := b.byID[l.ID]
+		entry.Started = min(entry.Started, b.now) // a time in the future, by a clock ahead of ours, means now
+		r := b.byID[entry.ID]
 		if r == nil {
 			r = &replica{classLatency: make([]decayingMean, len(b.settings.Classes))}
-			b.byID[l.ID] = r
+			b.byID[entry.ID] = r
 			b.replicas = append(b.replicas, r)
-			b.resetReplica(r, l.Started)
-		} else if l.Started > r.startedAt {
-			b.resetReplica(r, l.Started)
+			b.resetReplica(r, entry.Started)
+		} else if entry.Started > r.startedAt {
+			b.resetReplica(r, entry.Started)
 		}
-		r.Replica = l
+		r.Replica = entry
 	}
 	b.replicas = slices.DeleteFunc(b.replicas, func(r *replica) bool {
-		dead := r.State == Gone && r.openCalls == 0
-		if dead {
+		unused := r.State == Gone && r.openCalls == 0
+		if unused {
 			delete(b.byID, r.ID)
 		}
-		return dead
+		return unused
 	})
 	b.reindex()
 }
@@ -290,26 +294,27 @@
 // may receive while it is cold, start at a random level: instances that learn of a restart at the same
 // time must neither all send at once nor all accumulate their next token at the same time later.
 func (b *Balancer) resetReplica(r *replica, at Micros) {
-	r.weight, r.unanswered, r.down, r.ownLatency, r.peerLatency = midWeight, false, false, decayingMean{}, decayingMean{}
+	r.weight, r.unanswered, r.down, r.ownLatency, r.peerLatency =
+		midWeight, false, false, decayingMean{}, decayingMean{}
 	clear(r.classLatency)
 	r.startedAt, r.tokens, r.weightAt, r.refilledAt = at, b.rng.Float64(), b.now, b.now
 }
 
 // recordLatency records the latency of a part at a replica. For a part without an answer it is the time
 // waited so far, a lower bound.
-func (b *Balancer) recordLatency(r *replica, class int, took float64) {
-	b.recordReplicaLatency(r, class, took)
+func (b *Balancer) recordLatency(r *replica, class int, latency float64) {
+	b.recordReplicaLatency(r, class, latency)
 	b.latency.decay(b.now, b.evidenceHalfLife)
-	b.latency.add(min(took, b.minAim), 1)
+	b.latency.add(min(latency, b.minAim), 1)
 }
 
 // recordReplicaLatency records a latency for the replica only, not in the mean of all replicas: immediate
 // failures say nothing about the latency elsewhere.
-func (b *Balancer) recordReplicaLatency(r *replica, class int, took float64) {
+func (b *Balancer) recordReplicaLatency(r *replica, class int, latency float64) {
 	b.decayEvidence(r)
-	r.classLatency[class].add(min(took, b.minAim), 1)
-	r.ownLatency.add(min(took, b.minAim), 1)
-	r.peerLatency.add(min(took, b.minAim), 1)
+	r.classLatency[class].add(min(latency, b.minAim), 1)
+	r.ownLatency.add(min(latency, b.minAim), 1)
+	r.peerLatency.add(min(latency, b.minAim), 1)
 }
 
 // meanLatency returns the mean latency per part over all replicas. Without new samples it decays towards
@@ -327,11 +332,12 @@
 // as in a small fleet.
 func (b *Balancer) updateEvidenceScale() {
 	peers := max(1, float64(b.settings.Peers))
-	turn := gossipInterval * max(1, float64(len(b.replicas))*entrySize/maxMessageSize) // between messages on one replica
+	// Interval between two messages about one replica.
+	interval := gossipInterval * max(1, float64(len(b.replicas))*entrySize/maxMessageSize)
 	b.fleetScale = max(1, peers/smallFleet)
-	b.evidenceHalfLife = min(latencyHalfLife, max(latencyHalfLife/b.fleetScale, turn*math.Log2(peers)))
+	b.evidenceHalfLife = min(latencyHalfLife, max(latencyHalfLife/b.fleetScale, interval*math.Log2(peers)))
 	if b.gossipScale = 1; b.evidenceHalfLife < latencyHalfLife {
-		b.gossipScale = max(1, min(peers, math.Exp2(b.evidenceHalfLife/turn))/smallFleet)
+		b.gossipScale = max(1, min(peers, math.Exp2(b.evidenceHalfLife/interval))/smallFleet)
 	}
 }
 
@@ -350,9 +356,10 @@
 // samples shared by peers weigh by the number of instances that they represent.
 func (b *Balancer) expectedLatency(r *replica, class int) float64 {
 	b.decayEvidence(r)
-	heed, c := b.gossipScale*peerSampleWeight/(1+r.ownLatency.n), r.classLatency[class]
-	return (b.meanLatency() + ownSampleWeight*(r.ownLatency.sum+classSampleWeight*c.sum) + heed*r.peerLatency.sum) /
-		(1 + ownSampleWeight*(r.ownLatency.n+classSampleWeight*c.n) + heed*r.peerLatency.n)
+	peerWeight, c := b.gossipScale*peerSampleWeight/(1+r.ownLatency.n), r.classLatency[class]
+	return (b.meanLatency() + ownSampleWeight*(r.ownLatency.sum+classSampleWeight*c.sum) +
+		peerWeight*r.peerLatency.sum) /
+		(1 + ownSampleWeight*(r.ownLatency.n+classSampleWeight*c.n) + peerWeight*r.peerLatency.n)
 }
 
 // sendProbes probes replicas with few recent own samples while a significant share of our parts gets no
@@ -404,7 +411,8 @@
 		b.gossipCursor = (b.gossipCursor + 1) % len(b.replicas)
 		r := b.replicas[b.gossipCursor]
 		b.decayEvidence(r)
-		if b.byHash[replicaHash(r.ID)] == r && m.add(replicaHash(r.ID), r.peerLatency.sum/r.peerLatency.n, r.peerLatency.n/2) {
+		if b.byHash[replicaHash(r.ID)] == r &&
+			m.add(replicaHash(r.ID), r.peerLatency.sum/r.peerLatency.n, r.peerLatency.n/2) {
 			r.peerLatency.sum, r.peerLatency.n = r.peerLatency.sum/2, r.peerLatency.n/2
 		}
 		if m.full() {
@@ -423,12 +431,12 @@
 // mergeGossip adds a peer's message to the shared samples. Values and weights are bounded, and own samples
 // outweigh them.
 func (b *Balancer) mergeGossip(data []byte) {
-	forEachEntry(data, func(h uint32, took, n float64) {
-		if r := b.byHash[h]; r != nil {
+	forEachEntry(data, func(hash uint32, latency, n float64) {
+		if r := b.byHash[hash]; r != nil {
 			b.decayEvidence(r)
-			r.peerLatency.add(min(b.minAim, took), n)
-			if over := r.peerLatency.n / maxPeerSamples; over > 1 {
-				r.peerLatency.sum, r.peerLatency.n = r.peerLatency.sum/over, r.peerLatency.n/over
+			r.peerLatency.add(min(b.minAim, latency), n)
+			if excess := r.peerLatency.n / maxPeerSamples; excess > 1 {
+				r.peerLatency.sum, r.peerLatency.n = r.peerLatency.sum/excess, r.peerLatency.n/excess
 			}
 		}
 	})
@@ -462,13 +470,13 @@
 // recordConnLoss records whether an attempt was lost (1) or not (0), and reports whether the connection
 // rather than the replica is to blame for a loss.
 func (b *Balancer) recordConnLoss(t *attempt, lost float64) bool {
-	blame := b.idleDropsDetected() && t.onIdleConn
+	connBlamed := b.idleDropsDetected() && t.onIdleConn
 	if t.onIdleConn {
 		b.idleLoss.add(lost, 1)
 	} else {
 		b.busyLoss.add(lost, 1)
 	}
-	return blame
+	return connBlamed
 }
 
 // recordResult records the end of an attempt.
@@ -509,7 +517,7 @@
 			b.adjustWeight(r, weightStep)
 		}
 	case Cancelled:
-		if age > b.expectedLatency(r, p.query.class) { // another attempt was faster, and this one is slower than expected
+		if age > b.expectedLatency(r, p.query.class) { // slower than the other attempt and than expected
 			b.recordLatency(r, p.query.class, age/t.load())
 		}
 	case Error, Reset:
@@ -589,11 +597,12 @@
 // answer answers the current step of a query.
 func (b *Balancer) answer(q *query) {
 	need, _ := b.thresholds(q)
-	whole := q.receivedWeight >= need && (!q.inSecondStep || q.firstComplete && q.receivedParts == len(q.parts))
-	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Whole: whole})
+	complete := q.receivedWeight >= need &&
+		(!q.inSecondStep || q.firstComplete && q.receivedParts == len(q.parts))
+	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Whole: complete})
 	if q.rules.SecondStep > 0 && !q.inSecondStep {
 		b.closeParts(q)
-		q.inSecondStep, q.firstComplete, q.receivedWeight, q.receivedParts = true, whole, 0, 0
+		q.inSecondStep, q.firstComplete, q.receivedWeight, q.receivedParts = true, complete, 0, 0
 		return
 	}
 	b.end(q)
@@ -601,7 +610,7 @@
 
 // giveUp gives the final answer of a query that cannot be served completely: a partial answer if enough
 // parts are in; otherwise a refusal if no part may have run or a repeat is safe, and a failure if not.
-func (b *Balancer) giveUp(q *query, why string) {
+func (b *Balancer) giveUp(q *query, reason string) {
 	_, floor := b.thresholds(q)
 	if q.receivedWeight >= floor && q.receivedParts > 0 {
 		b.answer(q)
@@ -609,18 +618,19 @@
 			return
 		}
 	}
-	safe := q.rules.Effect == Safe
-	if !safe && !q.inSecondStep {
-		safe = true
+	refusable := q.rules.Effect == Safe
+	if !refusable && !q.inSecondStep {
+		refusable = true
 		for _, p := range q.parts {
-			safe = safe && p.firstRun == 0 && !p.done
+			refusable = refusable && p.firstRun == 0 && !p.done
 		}
 	}
-	a := Action{Kind: Fail, ID: q.id, Text: why}
-	if safe {
+	a := Action{Kind: Fail, ID: q.id, Text: reason}
+	if refusable {
 		a.Kind = Refuse
 		if b.settings.CanAdvise {
-			a.After = Micros((1 + b.rng.Float64()) / 2 * min(maxAdviceShare*b.minAim, float64(b.settings.MaxRetryAfter)))
+			a.After = Micros((1 + b.rng.Float64()) / 2 *
+				min(maxAdviceShare*b.minAim, float64(b.settings.MaxRetryAfter)))
 		}
 	}
 	b.out = append(b.out, a)
@@ -658,16 +668,16 @@
 		k.meanParts += workGain * (float64(len(q.parts)) - k.meanParts)
 	}
 	b.markOverdue(q)
-	hope, under := 0.0, 0.0 // weight that can still arrive; weight that has arrived or is on track
+	reachable, covered := 0.0, 0.0 // weight that can still arrive; weight that has arrived or is on track
 	for _, p := range q.parts {
 		if p.done || p.pending > 0 || len(p.attempts) < q.maxAttempts && b.mayRepeat(p) {
-			hope += p.weight
+			reachable += p.weight
 		}
 		if p.done || b.onTrack(p, need < 1-2*weightTolerance) {
-			under += p.weight
+			covered += p.weight
 		}
 	}
-	if len(q.parts) > 0 && hope < floor {
+	if len(q.parts) > 0 && reachable < floor {
 		b.giveUp(q, ReasonNoReplica)
 		return
 	}
@@ -676,19 +686,19 @@
 	}
 	for pass := range 2 {
 		for _, p := range q.parts {
-			if p.done || p.pending > 0 || need < 1-2*weightTolerance && under >= need+p.weight {
+			if p.done || p.pending > 0 || need < 1-2*weightTolerance && covered >= need+p.weight {
 				continue
 			}
 			if pass == 0 && need < 1-2*weightTolerance && !b.hasFreeReplica(p) {
 				continue // if not every part is required, those with a free replica go first
 			}
 			if len(p.attempts) < q.maxAttempts && b.mayRepeat(p) && b.send(p, false) {
-				under += p.weight
+				covered += p.weight
 			}
 		}
 	}
 	for _, p := range q.parts {
-		if !p.done && p.pending > 0 && (need >= 1-2*weightTolerance || under < need) {
+		if !p.done && p.pending > 0 && (need >= 1-2*weightTolerance || covered < need) {
 			b.hedge(p)
 		}
 	}
@@ -699,7 +709,8 @@
 // would be lost with it.
 func (b *Balancer) partialAnswerAt(q *query) Micros {
 	if c := q.rules; c.SecondStep > 0 && !q.inSecondStep {
-		return q.aim - Micros(min(secondStepShare*float64(c.Aim), secondStepDelays*b.classes[q.class].hedgeDelay))
+		return q.aim -
+			Micros(min(secondStepShare*float64(c.Aim), secondStepDelays*b.classes[q.class].hedgeDelay))
 	}
 	return q.aim
 }
@@ -719,14 +730,14 @@
 	_, floor := b.thresholds(q)
 	waits := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
-		best := math.Inf(1)
+		leastWait := math.Inf(1)
 		b.forEachHolder(p.shard, func(r *replica) {
 			if b.coldBudgetAllows(r) { // a part that waits for a cold replica would delay the whole query
-				best = min(best, b.expectedLatency(r, q.class)*(float64(r.openParts)+1+b.callmates))
+				leastWait = min(leastWait, b.expectedLatency(r, q.class)*(float64(r.openParts)+1+b.callmates))
 			}
 		})
-		if !math.IsInf(best, 1) {
-			waits = append(waits, best)
+		if !math.IsInf(leastWait, 1) {
+			waits = append(waits, leastWait)
 		}
 	}
 	if float64(len(waits)) < floor*float64(len(q.parts)) || len(waits) == 0 ||
@@ -735,10 +746,10 @@
 	}
 	slices.Sort(waits)
 	wait := waits[min(len(waits)-1, int(admitQuantile*floor*float64(len(waits))))]
-	few := min(1, smallFleetAdmitPeers/float64(max(1, b.settings.Peers)))
-	share := admitShare + smallFleetAdmitShare*few
-	// Rejected parts are sent again and use capacity twice. In a small fleet that shows in the own queues.
-	share *= 1 - (1-few)*min(maxRejectedCut, rejectedCut*b.rejectedShare)
+	smallness := min(1, smallFleetAdmitPeers/float64(max(1, b.settings.Peers)))
+	share := admitShare + smallFleetAdmitShare*smallness
+	// Rejected parts are sent again and use capacity twice. In a small fleet the own queues reflect that.
+	share *= 1 - (1-smallness)*min(maxRejectedCut, rejectedCut*b.rejectedShare)
 	// Relative delay of the last required part.
 	tail := math.Log(float64(len(q.parts)) / (1 + b.callmates))
 	if floor < 1-2*weightTolerance {
@@ -747,12 +758,14 @@
 	// There are two limits: queues are kept short relative to the aims of the classes, and a query whose
 	// client waits less than that is refused only if it is unlikely to be served in that time.
 	left := float64(q.aim - b.now)
-	own := max(left, min(b.minAim, float64(q.rules.Aim)))
-	limit := min(share*min(b.minAim, own), tailAllowance*share*own/(1+tail))
-	last := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // possibly at a hot shard
+	horizon := max(left, min(b.minAim, float64(q.rules.Aim)))
+	limit := min(share*min(b.minAim, horizon), tailAllowance*share*horizon/(1+tail))
+	lastWait := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // possibly at a hot shard
 	return wait <= maxWaitShare*left &&
-		max(wait, last*limit/(hotShardFactor*share*own)) <= limit*(minAdmitShare+(1-minAdmitShare)*b.relativeWorth(q)) ||
-		b.refusingSince > 0 && b.now-b.refusingSince >= trialInterval // peers' samples may be old, or of another path
+		max(wait, lastWait*limit/(hotShardFactor*share*horizon)) <=
+			limit*(minAdmitShare+(1-minAdmitShare)*b.relativeWorth(q)) ||
+		// A trial: peers' samples may be outdated, or reflect another path.
+		b.refusingSince > 0 && b.now-b.refusingSince >= trialInterval
 }
 
 // relativeWorth returns the worth of a query per unit of work, as a share of that of the best class.
@@ -792,15 +805,17 @@
 	if tenant < 0 || tenant >= len(b.tenantArrivals) || b.settings.Tenants[tenant].Quota <= 0 {
 		return false
 	}
-	since, all, quotas := b.now-quotaSpan, 0.0, 0.0
+	since, total, quotas := b.now-quotaSpan, 0.0, 0.0
 	for i := range b.tenantArrivals {
-		all += float64(b.tenantArrivals[i].count(since))
+		total += float64(b.tenantArrivals[i].count(since))
 		quotas += b.settings.Tenants[i].Quota
 	}
 	own, quota := float64(b.tenantArrivals[tenant].count(since)), b.settings.Tenants[tenant].Quota
-	part := own / all * quotas / quota // its share of the local traffic over its share of the quotas
-	over := own*float64(max(1, b.settings.Peers)) > quota*quotaSpan/1e6
-	return part > overQuotaRatio && over || part > farOverQuotaRatio && own > minQuotaQueries
+	// The tenant's share of the local traffic over its share of the quotas.
+	relativeShare := own / total * quotas / quota
+	aboveQuota := own*float64(max(1, b.settings.Peers)) > quota*quotaSpan/1e6
+	return relativeShare > overQuotaRatio && aboveQuota ||
+		relativeShare > farOverQuotaRatio && own > minQuotaQueries
 }
 
 // onTrack reports whether a part has an attempt in flight that is not overdue. If strict, the attempt must
@@ -809,7 +824,8 @@
 func (b *Balancer) onTrack(p *part, strict bool) bool {
 	for i := range p.attempts {
 		t := &p.attempts[i]
-		if t.pending && !t.overdue && (!strict || float64(b.now-t.sent) < b.classes[p.query.class].hedgeDelay) {
+		if t.pending && !t.overdue &&
+			(!strict || float64(b.now-t.sent) < b.classes[p.query.class].hedgeDelay) {
 			return true
 		}
 	}
@@ -859,7 +875,8 @@
 	if last.overdue {
 		share = overdueHedgeShare
 	}
-	if float64(b.hedges.count(b.now-b.retrySpan)+1) > spareHedges+share*float64(b.arrivals.count(b.now-b.retrySpan)) {
+	if float64(b.hedges.count(b.now-b.retrySpan)+1) >
+		spareHedges+share*float64(b.arrivals.count(b.now-b.retrySpan)) {
 		return
 	}
 	b.send(p, true)
@@ -877,20 +894,20 @@
 }
 
 // send starts an attempt of a part if the budget allows it and a replica is available.
-func (b *Balancer) send(p *part, copied bool) bool {
+func (b *Balancer) send(p *part, hedged bool) bool {
 	if len(p.attempts) > 0 {
 		if !b.withinRetryBudget() {
 			return false
 		}
 	}
-	r := b.pickReplica(p, copied)
+	r := b.pickReplica(p, hedged)
 	if r == nil {
 		return false
 	}
 	if len(p.attempts) > 0 {
 		b.retries.add(b.now)
 	}
-	if copied {
+	if hedged {
 		b.hedges.add(b.now)
 	}
 	b.refusingSince = 0
@@ -906,27 +923,28 @@
 	if b.settings.CallCost > 0 {
 		b.forEachHolder(p.shard, func(r *replica) { r.wantedParts-- })
 	}
-	stale := r.openCalls == 1 && b.now-r.lastUsed > idleAfter
-	if stale && b.idleDropsDetected() {
+	onIdleConn := r.openCalls == 1 && b.now-r.lastUsed > idleAfter
+	if onIdleConn && b.idleDropsDetected() {
 		b.out = append(b.out, Action{Kind: Close, Replica: r.ID})
-		stale = false
+		onIdleConn = false
 	}
 	r.lastUsed = b.now
-	t := attempt{replica: r, call: r.openCall, sent: b.now, pending: true, onIdleConn: stale, domain: r.Domain}
+	t := attempt{replica: r, call: r.openCall, sent: b.now, pending: true, onIdleConn: onIdleConn,
+		domain: r.Domain}
 	p.attempts = append(p.attempts, t)
 	p.pending++
-	c, before := p.query.rules, Micros(0)
+	c, startBy := p.query.rules, Micros(0)
 	if p.firstRun == 0 {
 		p.firstRun = b.now
 	} else if c.Effect == Keyed {
-		before = p.firstRun + c.Window
+		startBy = p.firstRun + c.Window
 	}
 	until := p.query.aim
 	if b.now+Micros(c.LateWorth*float64(c.Aim)) > until {
 		until = min(p.query.deadline, b.now+c.Aim)
 	}
-	after := max(until-b.now, scanInterval)
-	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: after, Before: before})
+	timeout := max(until-b.now, scanInterval)
+	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: timeout, Before: startBy})
 	return true
 }
 
@@ -957,7 +975,8 @@
 	if b.capacitySpans++; b.warmSize > 0 {
 		b.warmRate = max(b.warmRate, n/float64(b.capacitySpans*capacitySpan)/b.warmSize)
 	}
-	if b.warmServed >= minCapacityParts || float64(b.capacitySpans) >= min(maxCapacitySpans, b.fleetScale/capacityFleetScale) {
+	if b.warmServed >= minCapacityParts ||
+		float64(b.capacitySpans) >= min(maxCapacitySpans, b.fleetScale/capacityFleetScale) {
 		b.warmServed, b.capacitySpans = 0, 0
 	}
 	b.nextCapacityUpdate = b.now + capacitySpan
@@ -970,18 +989,18 @@
 // reportChanges logs for operators, with at most two lines per capacity span, that a replica is avoided or
 // used again and that overload has begun or ended.
 func (b *Balancer) reportChanges() {
-	if over := b.refused > 0; over != b.overloadReported {
-		b.overloadReported = over
-		b.note("overload: %v (%d queries refused in %d s)", over, b.refused, capacitySpan/1_000_000)
+	if overloaded := b.refused > 0; overloaded != b.overloadReported {
+		b.overloadReported = overloaded
+		b.note("overload: %v (%d queries refused in %d s)", overloaded, b.refused, capacitySpan/1_000_000)
 	}
 	b.refused = 0
 	for _, r := range b.replicas {
-		took, usual := b.expectedLatency(r, 0), b.meanLatency()
-		avoided := took > avoidedRatio*usual
-		if r.State == Ready && avoided != r.reportedAvoided && (avoided || took < recoveredRatio*usual) {
+		latency, mean := b.expectedLatency(r, 0), b.meanLatency()
+		avoided := latency > avoidedRatio*mean
+		if r.State == Ready && avoided != r.reportedAvoided && (avoided || latency < recoveredRatio*mean) {
 			r.reportedAvoided = avoided
 			b.note("replica %012x avoided: %v (%.0f ms a part, mean %.0f)",
-				uint64(r.ID), avoided, took/1000, usual/1000)
+				uint64(r.ID), avoided, latency/1000, mean/1000)
 			return
 		}
 	}
@@ -990,9 +1009,9 @@
 // AvoidedCount returns the number of replicas that are ready and currently avoided: those that
 // reportChanges logs, but without its delay and hysteresis.
 func (b *Balancer) AvoidedCount() int {
-	n, usual := 0, b.meanLatency()
+	n, mean := 0, b.meanLatency()
 	for _, r := range b.replicas {
-		if r.State == Ready && (r.down || b.expectedLatency(r, 0) > avoidedRatio*usual) {
+		if r.State == Ready && (r.down || b.expectedLatency(r, 0) > avoidedRatio*mean) {
 			n++
 		}
 	}
@@ -1008,7 +1027,8 @@
 		return true
 	}
 	boost := 1 + coldRateBoost*max(0, b.settings.FallMultiple-1)
-	share := b.settings.ColdShare + (1-b.settings.ColdShare)*float64(b.now-r.startedAt)/float64(b.settings.Ramp)
+	share := b.settings.ColdShare +
+		(1-b.settings.ColdShare)*float64(b.now-r.startedAt)/float64(b.settings.Ramp)
 	rate := boost * share * max(minColdRate/float64(max(1, b.settings.Peers)), r.Size*b.warmRate)
 	burst := max(1, coldBurst*(b.settings.FallMultiple-1)*rate*float64(b.settings.FallSpan))
 	r.tokens = min(burst, r.tokens+rate*float64(b.now-r.refilledAt))
@@ -1028,18 +1048,18 @@
 // pickReplica chooses the replica for an attempt: a weighted random one among those with a free slot; if
 // none has one, the one with the shortest expected wait; a replica that has already failed this part only
 // as a last resort.
-func (b *Balancer) pickReplica(p *part, copied bool) *replica {
+func (b *Balancer) pickReplica(p *part, hedged bool) *replica {
 	b.candidates = b.candidates[:0]
-	var least, last, shared *replica
-	total, soonest := 0.0, 0.0
-	domain, bound := p.boundDomain()
+	var soonest, fallback, shared *replica
+	total, leastWait := 0.0, 0.0
+	domain, isBound := p.boundDomain()
 	b.forEachHolder(p.shard, func(r *replica) {
-		if b.adjustWeight(r, 0); bound && r.Domain != domain {
+		if b.adjustWeight(r, 0); isBound && r.Domain != domain {
 			return // a replica of another domain would execute the repeat
 		}
 		failed := false // it has already failed this part
 		for i := range p.attempts {
-			if p.attempts[i].replica == r && (p.attempts[i].pending || copied) {
+			if p.attempts[i].replica == r && (p.attempts[i].pending || hedged) {
 				return
 			}
 			failed = failed || p.attempts[i].replica == r
@@ -1048,12 +1068,13 @@
 			return
 		}
 		if failed {
-			if last == nil || r.openCalls < last.openCalls {
-				last = r
+			if fallback == nil || r.openCalls < fallback.openCalls {
+				fallback = r
 			}
 			return
 		}
-		if b.settings.CallCost > 0 && b.sharesOpenCall(r) && b.expectedLatency(r, p.query.class)*float64(r.openParts+1) <= joinLatencyShare*b.minAim {
+		if b.settings.CallCost > 0 && b.sharesOpenCall(r) &&
+			b.expectedLatency(r, p.query.class)*float64(r.openParts+1) <= joinLatencyShare*b.minAim {
 			if shared == nil || b.drawWeight(r, p.query.class) > b.drawWeight(shared, p.query.class) {
 				shared = r
 			}
@@ -1062,8 +1083,9 @@
 			b.candidates = append(b.candidates, r)
 			total += b.drawWeight(r, p.query.class)
 		}
-		if late := b.expectedLatency(r, p.query.class) * float64(r.openParts+1); least == nil || late < soonest {
-			least, soonest = r, late
+		if wait := b.expectedLatency(r, p.query.class) * float64(r.openParts+1); soonest == nil ||
+			wait < leastWait {
+			soonest, leastWait = r, wait
 		}
 	})
 	if shared != nil {
@@ -1078,11 +1100,11 @@
 		}
 		return b.candidates[len(b.candidates)-1]
 	}
-	if copied && !(p.attempts[len(p.attempts)-1].overdue && soonest <= float64(p.query.aim-b.now)) {
+	if hedged && !(p.attempts[len(p.attempts)-1].overdue && leastWait <= float64(p.query.aim-b.now)) {
 		return nil // queueing a hedged attempt would only add load, unless the part is otherwise lost
 	}
-	if least != nil {
-		return least
+	if soonest != nil {
+		return soonest
 	}
-	return last
+	return fallback
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -461,7 +461,8 @@
 	if got := ofKind(Send, k.result(open+1, 0, first.Replica, Error)); len(got) != 1 {
 		t.Errorf("an open query is not retried: %+v", got)
 	}
-	if got := k.result(second+1, 0, sent.Replica, Error); len(ofKind(Send, got)) != 0 || len(ofKind(Refuse, got)) != 1 {
+	if got := k.result(second+1, 0, sent.Replica, Error); len(ofKind(Send, got)) != 0 ||
+		len(ofKind(Refuse, got)) != 1 {
 		t.Errorf("a new query is not refused after its only attempt: %+v", got)
 	}
 	s.MaxAttempts = 0
--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -84,7 +84,8 @@
 	s.Classes[1].Worth = 3
 	k := start(t, s, readyReplicas(3)...)
 	k.query(0, 20)
-	if v := k.balancer.relativeWorth(&query{rules: &k.balancer.settings.Classes[0], class: 0, tenant: -1}); v < 0.99 {
+	if v := k.balancer.relativeWorth(
+		&query{rules: &k.balancer.settings.Classes[0], class: 0, tenant: -1}); v < 0.99 {
 		t.Fatalf("relative worth %v of the only class with queries", v)
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -9,7 +9,8 @@
 
 // serveQueries submits n queries of one part, ends each attempt with the outcome that reply returns, and
 // returns all actions.
-func serveQueries(k *instance, n int, gap Micros, reply func(k *instance, id uint32, a Action) Outcome) []Action {
+func serveQueries(k *instance, n int, gap Micros,
+	reply func(k *instance, id uint32, a Action) Outcome) []Action {
 	var all []Action
 	for range n {
 		id := k.query(0, 1)
@@ -132,7 +133,8 @@
 			heard++
 		}
 	}
-	if slow, quick := b.balancer.expectedLatency(b.balancer.byID[1], 0), b.balancer.expectedLatency(b.balancer.byID[2], 0); heard == 0 || slow < 2*quick {
+	if slow, quick := b.balancer.expectedLatency(b.balancer.byID[1], 0),
+		b.balancer.expectedLatency(b.balancer.byID[2], 0); heard == 0 || slow < 2*quick {
 		t.Fatalf("after %d messages %v us expected of the slow replica, %v of the other", heard, slow, quick)
 	}
 }
@@ -173,7 +175,8 @@
 	}
 	s := settings()
 	s.Peers = 4
-	if k := start(t, s, readyReplicas(16)...); k.balancer.gossipScale != 1 || k.balancer.evidenceHalfLife != latencyHalfLife {
+	if k := start(t, s, readyReplicas(16)...); k.balancer.gossipScale != 1 ||
+		k.balancer.evidenceHalfLife != latencyHalfLife {
 		t.Errorf("4 peers: gossip scale %v, half-life %v us", k.balancer.gossipScale, k.balancer.evidenceHalfLife)
 	}
 }
@@ -288,7 +291,8 @@
 		copies += len(ofKind(Send, k.wait(100*ms)))
 	}
 	copies += len(ofKind(Send, k.wait(900*ms)))
-	if copies == 0 || first < 20 || float64(copies) > (hedgeShare+overdueHedgeShare)*float64(5*parts/4)+spareHedges {
+	if copies == 0 || first < 20 ||
+		float64(copies) > (hedgeShare+overdueHedgeShare)*float64(5*parts/4)+spareHedges {
 		t.Fatalf("%d hedged attempts for %d parts sent, none answered, %d arrived", copies, first, parts)
 	}
 }
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -52,7 +52,8 @@
 		t.Fatalf("relative worth %v of the class of lower worth, %v of the other", low, high)
 	}
 	for range 20 {
-		k.step(Event{Kind: Query, ID: 5000 + k.lastID, Number: 5000 + float32(k.lastID), Tenant: 0, Deadline: k.now})
+		k.step(Event{Kind: Query, ID: 5000 + k.lastID, Number: 5000 + float32(k.lastID), Tenant: 0,
+			Deadline: k.now})
 		k.lastID++
 	}
 	over, under := k.balancer.relativeWorth(&query{rules: &rules[1], class: 1}),
@@ -248,7 +249,8 @@
 	for range 20 {
 		k.balancer.adjustWeight(r, 0)
 		q := &query{rules: &k.balancer.settings.Classes[0]}
-		k.balancer.recordResult(&part{query: q, pending: 1}, &attempt{replica: r, call: &call{pending: 1}, sent: k.now},
+		k.balancer.recordResult(&part{query: q, pending: 1},
+			&attempt{replica: r, call: &call{pending: 1}, sent: k.now},
 			&Event{Kind: Result, Outcome: Spoilt})
 	}
 	if r.weight > midWeight/4 {
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -67,7 +67,8 @@
 		msg = append(msg, byte(x>>24))
 	}
 	r := k.balancer.byID[1]
-	if e := k.balancer.expectedLatency(r, 0); math.IsNaN(e) || e <= 0 || e > k.balancer.minAim || r.peerLatency.n > maxPeerSamples+1 {
+	if e := k.balancer.expectedLatency(r, 0); math.IsNaN(e) || e <= 0 || e > k.balancer.minAim ||
+		r.peerLatency.n > maxPeerSamples+1 {
 		t.Fatalf("random messages led to an expected latency of %v with a sample weight of %v", e, r.peerLatency.n)
 	}
 	k.query(0, 1)
--- a/balance/state.go
+++ b/balance/state.go
@@ -21,7 +21,7 @@
 	gossipCursor       int                 // index of the replica reported last
 	idleLoss, busyLoss decayingMean        // share of attempts lost on idle connections, and on those in use
 	refused            int                 // queries refused by admission since the last capacity update
-	refusingSince      Micros              // since when all queries have been refused and nothing sent; 0: not the case
+	refusingSince      Micros              // since when every query was refused and nothing sent; 0: no
 	overloadReported   bool                // overload was reported
 	lossShare          float64             // EWMA of the share of attempts without an answer in time
 	rejectedShare      float64             // EWMA of the share of answered attempts that were rejected or failed
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -104,8 +104,8 @@
 		return
 	}
 	after := min(max(act.After, 0), math.MaxInt32)
-	a := &Attempt{Query: p.query, Shard: p.spec.Shard, Replica: act.Replica, part: p, number: len(p.attempts), sent: c.now,
-		watchdog: &c.watchdog}
+	a := &Attempt{Query: p.query, Shard: p.spec.Shard, Replica: act.Replica, part: p, number: len(p.attempts),
+		sent: c.now, watchdog: &c.watchdog}
 	until := min(c.now+after, p.query.deadline)
 	if after == 0 {
 		until = p.query.deadline
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -143,9 +143,9 @@
 	shutdownAt      balance.Micros
 	listSeen        bool
 	servers         map[balance.ReplicaID]balance.Replica               // as listed by discovery
-	cordons         [cordonSources]map[balance.ReplicaID]balance.Micros // cordoned servers, by source, and since when
+	cordons         [cordonSources]map[balance.ReplicaID]balance.Micros // by source: since when
 	verdictOrder    map[balance.ReplicaID]uint64                        // order of the verdicts by evidence
-	evidenceCordons map[uint64]bool                                     // cordoned by evidence, within LimitCordons
+	evidenceCordons map[uint64]bool                                     // within LimitCordons
 	restoredAt      map[balance.ReplicaID]balance.Micros                // when uncordoned: counts as a start
 	starts          startTimes
 	nextCount       balance.Micros // when the list counts are next updated
@@ -497,7 +497,8 @@
 		c.cfg.Gate.Over(a)
 	}
 	if c.cfg.Saw != nil {
-		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent), o == balance.Cancelled && a.superseded()})
+		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent),
+			o == balance.Cancelled && a.superseded()})
 	}
 	p := a.part
 	p.pending--
@@ -506,7 +507,8 @@
 		p.value, p.answered = v, true
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Result, ID: p.id, Attempt: a.number,
-		Closed: p.answered || !p.query.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent, Report: report})
+		Closed: p.answered || !p.query.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent,
+		Report: report})
 	c.dropPart(p)
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -163,7 +163,8 @@
 	k.process(k.query("a", 1))
 	first := k.backend.calls[0][0]
 	k.wait(3000 * ms)
-	if len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused || k.backend.finals[0].RetryAfter <= 0 {
+	if len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused ||
+		k.backend.finals[0].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.backend.finals)
 	}
 	if len(k.backend.cancelled) != len(k.backend.calls) {
@@ -195,8 +196,10 @@
 	q := k.query("a", 2)
 	k.process(q)
 	k.process(Gone{Query: q}, Gone{Query: q})
-	if k.wait(4000 * ms); len(k.backend.finals) != 0 || len(k.backend.cancelled) != 2 || len(k.parts) != 0 || k.openCount != 0 {
-		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.backend.finals), len(k.backend.cancelled), len(k.parts))
+	if k.wait(4000 * ms); len(k.backend.finals) != 0 || len(k.backend.cancelled) != 2 || len(k.parts) != 0 ||
+		k.openCount != 0 {
+		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.backend.finals), len(k.backend.cancelled),
+			len(k.parts))
 	}
 }
 
@@ -210,9 +213,10 @@
 	k.Leave(q)
 	k.process(<-k.queue) // the event of its end is still queued
 	k.process(<-k.queue)
-	if len(k.backend.calls) != 0 || len(k.backend.finals) != 0 || k.openCount != 0 || k.cfg.Counts.Active.Load() != 0 {
-		t.Fatalf("%d calls, %d answers, %d held, %d active", len(k.backend.calls), len(k.backend.finals), k.openCount,
-			k.cfg.Counts.Active.Load())
+	if len(k.backend.calls) != 0 || len(k.backend.finals) != 0 || k.openCount != 0 ||
+		k.cfg.Counts.Active.Load() != 0 {
+		t.Fatalf("%d calls, %d answers, %d open, %d active", len(k.backend.calls), len(k.backend.finals),
+			k.openCount, k.cfg.Counts.Active.Load())
 	}
 }
 
@@ -273,7 +277,8 @@
 	k := newTestCore(t, settings())
 	k.backend.refuses = true
 	k.process(k.query("a", 1))
-	if k.wait(200 * ms); len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused || len(k.backend.calls) != 3 {
+	if k.wait(200 * ms); len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused ||
+		len(k.backend.calls) != 3 {
 		t.Fatalf("%+v after %d calls", k.backend.finals, len(k.backend.calls))
 	}
 }
@@ -283,8 +288,8 @@
 	s.MaxOpen = 5
 	k := newTestCore(t, s)
 	k.process(k.query("a", 2), k.query("a", 1), k.query("b", 2))
-	if len(k.backend.finals) != 2 || k.backend.finals[0].Ending != Failed || k.backend.finals[1].Ending != Refused ||
-		k.backend.finals[1].RetryAfter <= 0 {
+	if len(k.backend.finals) != 2 || k.backend.finals[0].Ending != Failed ||
+		k.backend.finals[1].Ending != Refused || k.backend.finals[1].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.backend.finals)
 	}
 }
@@ -347,8 +352,8 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.backend, Via: k.backend,
-				Parts: []PartSpec{{Shard: 0, Weight: 1}}}
+			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.backend,
+				Via: k.backend, Parts: []PartSpec{{Shard: 0, Weight: 1}}}
 			if !k.Submit(q) {
 				t.Error("no room")
 			}
--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -58,7 +58,8 @@
 	var text strings.Builder
 	for _, p := range q.parts {
 		for _, a := range p.attempts {
-			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica), toDuration(a.sent-q.openedAt).Milliseconds())
+			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica),
+				toDuration(a.sent-q.openedAt).Milliseconds())
 			if a.done {
 				fmt.Fprintf(&text, "-%d:%s", toDuration(a.endedAt-q.openedAt).Milliseconds(), a.outcome)
 			}
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -143,7 +143,8 @@
 		}
 	}
 	slices.SortFunc(sick, func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(c.verdictOrder[balance.ReplicaID(a)], c.verdictOrder[balance.ReplicaID(b)]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(c.verdictOrder[balance.ReplicaID(a)], c.verdictOrder[balance.ReplicaID(b)]),
+			cmp.Compare(a, b))
 	})
 	was := c.evidenceCordons
 	c.evidenceCordons = c.cfg.Guard(nodes, slices.Compact(sick))
