--- a/balance/balance.go
+++ b/balance/balance.go
@@ -73,7 +73,7 @@
 	maxWaitShare                      = 1.0       // share of the time to the aim that a part may take
 	rejectedEWMAParts                 = 60.0      // parts over which the share of rejected ones is smoothed
 	rejectedCut, maxRejectedCut       = 3.0, 0.5  // multiple of that cut from the admitted share; maximum cut
-	trialInterval                     = 3_000_000 // us of refusing all before a trial; the limit is 4 s
+	trialInterval                     = 3_000_000 // us of refusing all before a trial; documented as 4 s
 	admitQuantile                     = 0.8       // of the required parts: one outlier of many is ignored
 	overQuotaRatio, farOverQuotaRatio = 1.2, 1.8  // share of local traffic / share of quotas, see overQuota
 	minQuotaQueries                   = 8.0       // queries of a tenant that make farOverQuotaRatio apply
@@ -609,7 +609,7 @@
 }
 
 // giveUp gives the final answer of a query that cannot be served completely: a partial answer if enough
-// parts are in; otherwise a refusal if no part may have run or a repeat is safe, and a failure if not.
+// parts were answered; otherwise a refusal if no part may have run or a repeat is safe, and a failure if not.
 func (b *Balancer) giveUp(q *query, reason string) {
 	_, floor := b.thresholds(q)
 	if q.receivedWeight >= floor && q.receivedParts > 0 {
@@ -719,8 +719,8 @@
 // still needs exceeds what the best class earns per part in time. If given up, the client would repeat the
 // query, and the repeat would be late too.
 func (b *Balancer) worthContinuing(q *query, floor float64) bool {
-	lacks := max(1, (floor-q.receivedWeight)*float64(len(q.parts)))
-	return q.rules.LateWorth*b.relativeWorth(q)*b.classes[q.class].meanParts >= lacks
+	missing := max(1, (floor-q.receivedWeight)*float64(len(q.parts)))
+	return q.rules.LateWorth*b.relativeWorth(q)*b.classes[q.class].meanParts >= missing
 }
 
 // admit reports whether a query is to be served. Under overload this keeps queues short: work that cannot
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -83,7 +83,7 @@
 type Inherited struct {
 	Out    map[balance.ReplicaID]balance.Micros // cordoned by operators here, and when
 	Barred map[balance.ReplicaID]balance.Micros // cordoned by operators for the whole fleet, and when
-	Since  map[balance.ReplicaID]balance.Micros
+	Since  map[balance.ReplicaID]balance.Micros // when servers were uncordoned
 	Memory balance.Memory
 	// Clock is the time on the sender's module clock, by which all times here are measured; 0: the clocks agree.
 	Now balance.Micros
