--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -351,7 +351,7 @@
 	order := []Outcome{OK, Busy, TimedOut, Error, NoConnection}
 	for i := 1; i < len(order); i++ {
 		if a, b := weight(order[i-1]), weight(order[i]); a <= b {
-			t.Errorf("weight %v after outcome %d, %v after outcome %d", a, order[i-1], b, order[i])
+			t.Errorf("outcome %d leaves weight %v, outcome %d leaves %v", order[i-1], a, order[i], b)
 		}
 	}
 }
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -170,7 +170,7 @@
 		s := settings()
 		s.Peers = 80
 		if k := start(t, s, readyReplicas(n)...); k.balancer.gossipScale != want {
-			t.Errorf("%d replicas: gossip scale %v, want %v", n, k.balancer.gossipScale, want)
+			t.Errorf("%d replicas: gossip scale %v", n, k.balancer.gossipScale)
 		}
 	}
 	s := settings()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -309,7 +309,7 @@
 		return f.RetryAfter
 	}
 	if got := told("a"); got != fullRetryAfter || k.FullAdvice() != fullRetryAfter {
-		t.Errorf("advice %v and %v, want %v", got, k.FullAdvice(), fullRetryAfter)
+		t.Errorf("advice %v and %v", got, k.FullAdvice())
 	}
 	s.MaxRetryAfter = 100 * ms
 	k.process(Reconfigured{Settings: s})
@@ -405,7 +405,7 @@
 	fresh.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	if got := fresh.applyCordons(fresh.servers[1]).Started; got != said.Memory.Starts[1] {
-		t.Errorf("a cold server counts as started at %d, not %d", got, said.Memory.Starts[1])
+		t.Errorf("a cold server counts as started at %d", got)
 	}
 	if got := fresh.applyCordons(fresh.servers[2]).State; got != balance.Draining {
 		t.Errorf("a cordoned server is in state %d", got)
