--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -167,8 +167,9 @@
 			}
 		}
 	}
-	if free, dear := sent[0], sent[60*ms]; dear == 0 || float64(dear) > 0.65*float64(free) {
-		t.Fatalf("%d parts with a cost per call, %d without", dear, free)
+	if withoutCost, withCost := sent[0], sent[60*ms]; withCost == 0 ||
+		float64(withCost) > 0.65*float64(withoutCost) {
+		t.Fatalf("%d parts with a cost per call, %d without", withCost, withoutCost)
 	}
 }
 
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -26,17 +26,17 @@
 	serviceTime       = 80 * ms
 )
 
-func (f coldFleet) simulate(t *testing.T, seed uint64) (worst float64, sent int) {
+func (f coldFleet) simulate(t *testing.T, seed uint64) (maxUse float64, sent int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := settings()
 	s.Peers, s.FallMultiple, s.FallSpan, s.ColdShare, s.Ramp = f.instances, 2.5, 2000*ms, 0.18, 12_000*ms
 	s.Classes[0] = Class{Aim: 1500 * ms, Deadline: 4000 * ms, Worth: 1, Need: 1, Floor: 1}
 	replicas := readyReplicas(warmReplicas + 1)
-	begun := 20_000 * ms
+	startTime := 20_000 * ms
 	var all []*instance
 	var weights []float64
-	fresh := func(i int, now Micros) *instance {
+	newInstance := func(i int, now Micros) *instance {
 		s.Number = i
 		b, err := New(s, rng.Uint64())
 		if err != nil {
@@ -48,7 +48,7 @@
 	}
 	total := 0.0
 	for i := range f.instances {
-		all = append(all, fresh(i, begun))
+		all = append(all, newInstance(i, startTime))
 		w := 1.0
 		if i%10 == 9 {
 			w = hotInstanceFactor
@@ -74,18 +74,18 @@
 	}
 	var pending []due
 	var times []Micros
-	started := begun + 15_000*ms
+	restartTime := startTime + 15_000*ms
 	cold := replicas[0].ID
-	book := func(k *instance, acts []Action, now Micros) {
+	recordSends := func(k *instance, acts []Action, now Micros) {
 		for _, a := range ofKind(Send, acts) {
 			pending = append(pending, due{now + serviceTime, k, a.ID, a.Replica, 0})
-			if a.Replica == cold && now >= started {
+			if a.Replica == cold && now >= restartTime {
 				times = append(times, now)
 			}
 		}
 	}
-	for now := begun; now < started+s.Ramp; now += s.Tick {
-		if now == started {
+	for now := startTime; now < restartTime+s.Ramp; now += s.Tick {
+		if now == restartTime {
 			replicas[0].Started = now
 			for i := range replicas[1:] {
 				if f.onlyHolder {
@@ -94,7 +94,7 @@
 			}
 			for i, k := range all {
 				if f.newInstances {
-					all[i] = fresh(i, now)
+					all[i] = newInstance(i, now)
 				} else {
 					k.now = now
 					k.step(Event{Kind: List, Mode: Delta, Replicas: replicas})
@@ -105,23 +105,23 @@
 			}
 		}
 		rate := baseLoad * fullRate * (warmReplicas + 1)
-		if burst := now - started; burst >= 1500*ms && burst < 8000*ms {
+		if burst := now - restartTime; burst >= 1500*ms && burst < 8000*ms {
 			rate *= burstFactor
 		}
-		if f.shiftTraffic && now == started+4000*ms {
+		if f.shiftTraffic && now == restartTime+4000*ms {
 			rng.Shuffle(len(weights), func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
 		}
 		for len(pending) > 0 && pending[0].at <= now {
 			d := pending[0]
 			pending = pending[1:]
 			d.k.now = now
-			book(d.k, d.k.result(d.id, d.tryN, d.to, OK), now)
+			recordSends(d.k, d.k.result(d.id, d.tryN, d.to, OK), now)
 		}
 		for x := rng.ExpFloat64(); x < rate*float64(s.Tick)/1e6; x += rng.ExpFloat64() {
 			k := all[draw()]
 			k.now = now
 			k.query(0, 1)
-			book(k, k.actions, now)
+			recordSends(k, k.actions, now)
 		}
 	}
 	for i, from := range times {
@@ -131,11 +131,11 @@
 				n++
 			}
 		}
-		share := s.ColdShare + (1-s.ColdShare)*float64(from-started)/float64(s.Ramp)
+		share := s.ColdShare + (1-s.ColdShare)*float64(from-restartTime)/float64(s.Ramp)
 		allowed := s.FallMultiple * share * fullRate * float64(s.FallSpan) / 1e6
-		worst = max(worst, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
+		maxUse = max(maxUse, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
 	}
-	return worst, len(times)
+	return maxUse, len(times)
 }
 
 func TestColdBudgetHoldsForTheFleet(t *testing.T) {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -206,11 +206,11 @@
 	rs := readyReplicas(1)
 	rs[0].Started = 20_000 * ms
 	k := start(t, s, rs...)
-	const carried = 20.0 / 1e6 // parts per us for its size
+	const rate = 20.0 / 1e6 // parts per us for its size
 	var parts [10]float64
 	for i := range parts {
 		for end := k.now + 1000*ms; k.now < end; k.now += 10 * ms {
-			k.balancer.now, k.balancer.warmRate = k.now, carried/rs[0].Size
+			k.balancer.now, k.balancer.warmRate = k.now, rate/rs[0].Size
 			for k.balancer.coldBudgetAllows(k.balancer.byID[1]) {
 				k.balancer.byID[1].tokens--
 				parts[i]++
@@ -219,7 +219,7 @@
 	}
 	for i, n := range parts[1:] {
 		share := 0.25 + 0.75*float64(i+2)/10 // at the end of that second
-		if most := share * s.FallMultiple * carried * 1e6; n > most+1 || n < 0.8*most-2 {
+		if most := share * s.FallMultiple * rate * 1e6; n > most+1 || n < 0.8*most-2 {
 			t.Errorf("second %d: %v parts, want about and at most %.0f: %v", i+1, n, most, parts)
 		}
 	}
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -307,9 +307,9 @@
 	}
 	many := settings()
 	many.Peers = 80
-	sound, failing := start(t, many, readyReplicas(4)...), start(t, many, readyReplicas(4)...)
+	healthy, failing := start(t, many, readyReplicas(4)...), start(t, many, readyReplicas(4)...)
 	failing.balancer.rejectedShare = 0.1
-	full, cut := admitted(sound), admitted(failing)
+	full, cut := admitted(healthy), admitted(failing)
 	if cut >= full || cut < full/2 {
 		t.Fatalf("%d admitted without rejections, %d with a tenth of the parts rejected", full, cut)
 	}
@@ -321,10 +321,10 @@
 	// A network partition or a lost site is silent: parts sent there use no capacity of the replicas that
 	// serve, and say nothing about that capacity (scenario split+mass: score 0.88 when time-outs counted,
 	// 0.97 without).
-	quiet := start(t, settings(), readyReplicas(4)...)
-	countSends(quiet, 60, func(ReplicaID) Outcome { return TimedOut })
-	if quiet.balancer.rejectedShare > 0 {
-		t.Fatalf("all replicas are silent: rejected share %.2f", quiet.balancer.rejectedShare)
+	silent := start(t, settings(), readyReplicas(4)...)
+	countSends(silent, 60, func(ReplicaID) Outcome { return TimedOut })
+	if silent.balancer.rejectedShare > 0 {
+		t.Fatalf("all replicas are silent: rejected share %.2f", silent.balancer.rejectedShare)
 	}
 	countSends(k, 300, func(ReplicaID) Outcome { return OK })
 	if k.balancer.rejectedShare > 0.01 {
@@ -341,12 +341,12 @@
 	k := start(t, s, readyReplicas(2)...)
 	var sent []Micros
 	refused := 0
-	for begun := k.now; k.now < begun+20_000*ms; k.now += 100 * ms {
+	for startTime := k.now; k.now < startTime+20_000*ms; k.now += 100 * ms {
 		var m message
 		m.add(replicaHash(1), 990_000, 8)
 		m.add(replicaHash(2), 990_000, 8)
 		k.step(Event{Kind: Message, From: 1, Data: []byte(m.encode())})
-		if k.now < begun+1000*ms {
+		if k.now < startTime+1000*ms {
 			continue // until the messages take effect
 		}
 		id := k.query(0, 1)
--- a/balance/message.go
+++ b/balance/message.go
@@ -22,7 +22,7 @@
 }
 
 // add appends an entry. It returns false if the message is full or n is too small to be encoded.
-func (m *message) add(h uint32, took, n float64) bool {
+func (m *message) add(hash uint32, latency, n float64) bool {
 	c := byte(min(255, n*countSteps))
 	if c == 0 || m.full() {
 		return false
@@ -30,8 +30,8 @@
 	if m.buf == nil {
 		m.buf = make([]byte, 1, maxMessageSize)
 	}
-	x := byte(min(255, max(0, latencySteps*math.Log2(took/minEncodedLatency))))
-	m.buf = append(m.buf, byte(h), byte(h>>8), byte(h>>16), x, c)
+	x := byte(min(255, max(0, latencySteps*math.Log2(latency/minEncodedLatency))))
+	m.buf = append(m.buf, byte(hash), byte(hash>>8), byte(hash>>16), x, c)
 	return true
 }
 
@@ -49,13 +49,13 @@
 
 // forEachEntry calls f for each entry of a message. It ignores a message that is truncated or has a wrong
 // checksum.
-func forEachEntry(b []byte, f func(h uint32, took, n float64)) {
+func forEachEntry(b []byte, f func(h uint32, latency, n float64)) {
 	if len(b)%entrySize != 1 || checksum(b[1:]) != b[0] {
 		return
 	}
 	for e := b[1:]; len(e) > 0; e = e[entrySize:] {
-		took := minEncodedLatency * math.Exp2((float64(e[3])+0.5)/latencySteps)
-		f(uint32(e[0])|uint32(e[1])<<8|uint32(e[2])<<16, took, float64(e[4])/countSteps)
+		latency := minEncodedLatency * math.Exp2((float64(e[3])+0.5)/latencySteps)
+		f(uint32(e[0])|uint32(e[1])<<8|uint32(e[2])<<16, latency, float64(e[4])/countSteps)
 	}
 }
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -103,15 +103,15 @@
 		c.cfg.Log.Error("module sent a part that is already finished", "id", act.ID)
 		return
 	}
-	after := min(max(act.After, 0), math.MaxInt32)
+	timeout := min(max(act.After, 0), math.MaxInt32)
 	a := &Attempt{Query: p.query, Shard: p.spec.Shard, Replica: act.Replica, part: p, number: len(p.attempts),
 		sent: c.now, watchdog: &c.watchdog}
-	until := min(c.now+after, p.query.deadline)
-	if after == 0 {
-		until = p.query.deadline
+	deadline := min(c.now+timeout, p.query.deadline)
+	if timeout == 0 {
+		deadline = p.query.deadline
 	}
-	a.Timeout = time.Duration(max(0, until-c.now)) * time.Microsecond
-	a.Until = c.toTime(until)
+	a.Timeout = time.Duration(max(0, deadline-c.now)) * time.Microsecond
+	a.Until = c.toTime(deadline)
 	if act.Before > 0 {
 		a.Before = c.toTime(act.Before)
 	}
@@ -124,7 +124,7 @@
 			return
 		}
 	}
-	heap.Push(&c.timers, timer{at: until, attempt: a})
+	heap.Push(&c.timers, timer{at: deadline, attempt: a})
 	c.sends = append(c.sends, a)
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -247,11 +247,11 @@
 // applySettings stores the settings in force.
 func (c *Core) applySettings(s balance.Settings) {
 	c.cfg.Settings = s
-	longest := time.Duration(0)
+	maxDelay := time.Duration(0)
 	if s.CanAdvise {
-		longest = time.Duration(s.MaxRetryAfter) * time.Microsecond
+		maxDelay = time.Duration(s.MaxRetryAfter) * time.Microsecond
 	}
-	c.maxRetryAfter.Store(int64(longest))
+	c.maxRetryAfter.Store(int64(maxDelay))
 }
 
 // Shutdown tells the module that this instance shuts down at the given time, and returns a channel that is
@@ -262,12 +262,12 @@
 }
 
 // request queues an event that is answered on done, and waits up to the given time for the answer.
-func request[T any](c *Core, e Event, done <-chan T, within time.Duration) (answer T, inTime bool) {
-	late := time.NewTimer(within)
-	defer late.Stop()
+func request[T any](c *Core, e Event, done <-chan T, timeout time.Duration) (answer T, inTime bool) {
+	timeoutTimer := time.NewTimer(timeout)
+	defer timeoutTimer.Stop()
 	select {
 	case c.queue <- e:
-	case <-late.C:
+	case <-timeoutTimer.C:
 		return answer, false
 	case <-c.done:
 		return answer, false
@@ -275,7 +275,7 @@
 	select {
 	case answer = <-done:
 		return answer, true
-	case <-late.C:
+	case <-timeoutTimer.C:
 	case <-c.done:
 	}
 	return answer, false
@@ -314,8 +314,8 @@
 func (c *Core) Run() {
 	defer close(c.done)
 	tick := time.Duration(c.cfg.Settings.Tick) * time.Microsecond
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	last := time.Now()
 	// If the list has to be requested, the module does so in a Step, and without a cached list no other
 	// event may ever cause one.
@@ -324,21 +324,21 @@
 		// Wait for an event or a timer.
 		if len(c.events) == 0 {
 			if at := c.nextTime(); at > 0 {
-				alarm.Reset(time.Duration(at-c.toMicros(time.Now())) * time.Microsecond)
+				wakeTimer.Reset(time.Duration(at-c.toMicros(time.Now())) * time.Microsecond)
 			} else {
-				alarm.Reset(time.Hour)
+				wakeTimer.Reset(time.Hour)
 			}
 			select {
 			case e := <-c.queue:
 				c.handle(e)
-			case <-alarm.C:
+			case <-wakeTimer.C:
 			case <-c.quit:
 				return
 			}
 		}
 		// There is at most one Step per tick: events that arrive before it are part of the same Step.
 		if wait := tick - time.Since(last); wait > 0 {
-			alarm.Reset(wait)
+			wakeTimer.Reset(wait)
 			for waiting := true; waiting; {
 				in := c.queue
 				if len(c.events) >= maxStepEvents {
@@ -347,7 +347,7 @@
 				select {
 				case e := <-in:
 					c.handle(e)
-				case <-alarm.C:
+				case <-wakeTimer.C:
 					waiting = false
 				case <-c.quit:
 					return
@@ -439,7 +439,7 @@
 		c.reply(q, Final{Ending: Failed, NameTaken: true})
 		return
 	}
-	if most := c.cfg.Settings.MaxOpen; most > 0 && c.openCount+1+len(q.Parts) > most {
+	if limit := c.cfg.Settings.MaxOpen; limit > 0 && c.openCount+1+len(q.Parts) > limit {
 		c.logEnd(q, Refused.String(), "too many queries are open")
 		c.reply(q, Final{Ending: Refused, RetryAfter: fullRetryAfter})
 		return
@@ -451,17 +451,17 @@
 	c.numbers[q.number] = true
 	q.id = c.newID()
 	c.queries[q.id], c.byName[q.Name] = q, q
-	total, hints, all := 0.0, balance.Micros(0), true
+	total, totalHint, allHinted := 0.0, balance.Micros(0), true
 	for i := range q.Parts {
 		total += q.Parts[i].Weight
-		hints += q.Parts[i].Hint
-		all = all && q.Parts[i].Hint > 0
+		totalHint += q.Parts[i].Hint
+		allHinted = allHinted && q.Parts[i].Hint > 0
 	}
-	if !all {
-		hints = 0
+	if !allHinted {
+		totalHint = 0
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Query, ID: q.id, Number: q.number, Class: q.Class,
-		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: hints, Deadline: q.deadline, Repeat: q.Repeat,
+		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: totalHint, Deadline: q.deadline, Repeat: q.Repeat,
 		Rules: q.Rules, Most: q.Most})
 	for i := range q.Parts {
 		s := &q.Parts[i]
@@ -522,11 +522,11 @@
 // step runs the module once and executes its actions.
 func (c *Core) step(now balance.Micros) {
 	var overdue []*Query
-	late := time.Duration(0)
+	delayed := time.Duration(0)
 	if due := c.nextTime(); due > 0 && c.now > 0 {
-		late = toDuration(now - max(due, c.now))
+		delayed = toDuration(now - max(due, c.now))
 	}
-	c.deferLog(func() { c.cfg.Delays.Note(delay.Step, late, "open", len(c.queries)) })
+	c.deferLog(func() { c.cfg.Delays.Note(delay.Step, delayed, "open", len(c.queries)) })
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -299,7 +299,7 @@
 	s := settings()
 	s.MaxOpen = 2
 	k := newTestCore(t, s)
-	told := func(name string) time.Duration {
+	advice := func(name string) time.Duration {
 		t.Helper()
 		k.process(k.query(name, 2)) // exceeds MaxOpen
 		f := k.backend.finals[len(k.backend.finals)-1]
@@ -308,17 +308,17 @@
 		}
 		return f.RetryAfter
 	}
-	if got := told("a"); got != fullRetryAfter || k.FullAdvice() != fullRetryAfter {
+	if got := advice("a"); got != fullRetryAfter || k.FullAdvice() != fullRetryAfter {
 		t.Errorf("advice %v and %v", got, k.FullAdvice())
 	}
 	s.MaxRetryAfter = 100 * ms
 	k.process(Reconfigured{Settings: s})
-	if got := told("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
+	if got := advice("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
 		t.Errorf("clients follow 0.1 s, advice %v and %v", got, k.FullAdvice())
 	}
 	s.CanAdvise = false
 	k.process(Reconfigured{Settings: s})
-	if got := told("c"); got != 0 || k.FullAdvice() != 0 {
+	if got := advice("c"); got != 0 || k.FullAdvice() != 0 {
 		t.Errorf("clients receive no advice, but got %v and %v", got, k.FullAdvice())
 	}
 }
@@ -382,36 +382,36 @@
 func TestHandoverStateIsApplied(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
-	old := newTestCore(t, s)
+	predecessor := newTestCore(t, s)
 	for i := range 40 {
-		old.process(old.query(string(rune('a'+i)), 1))
-		for _, c := range old.backend.calls {
-			old.process(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
+		predecessor.process(predecessor.query(string(rune('a'+i)), 1))
+		for _, c := range predecessor.backend.calls {
+			predecessor.process(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
 		}
-		old.backend.calls = nil
-		old.wait(100 * ms)
+		predecessor.backend.calls = nil
+		predecessor.wait(100 * ms)
 	}
-	old.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
-		{ID: 1, State: balance.Ready, Size: 1, Started: old.at}}})
+	predecessor.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+		{ID: 1, State: balance.Ready, Size: 1, Started: predecessor.at}}})
 	done := make(chan Inherited, 1)
-	old.cordon(2, true)
-	old.process(handoverRequest{done: done})
-	said := <-done
-	if said.Memory.Carried <= 0 || said.Memory.Starts[1] == 0 {
-		t.Fatalf("%+v", said)
-	}
-	fresh := newTestCore(t, s)
-	fresh.process(said)
-	fresh.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
-		{ID: 2, State: balance.Ready, Size: 1}}})
-	if got := fresh.applyCordons(fresh.servers[1]).Started; got != said.Memory.Starts[1] {
+	predecessor.cordon(2, true)
+	predecessor.process(handoverRequest{done: done})
+	state := <-done
+	if state.Memory.Carried <= 0 || state.Memory.Starts[1] == 0 {
+		t.Fatalf("%+v", state)
+	}
+	successor := newTestCore(t, s)
+	successor.process(state)
+	successor.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{
+		{ID: 1, State: balance.Ready, Size: 1}, {ID: 2, State: balance.Ready, Size: 1}}})
+	if got := successor.applyCordons(successor.servers[1]).Started; got != state.Memory.Starts[1] {
 		t.Errorf("a cold server counts as started at %d", got)
 	}
-	if got := fresh.applyCordons(fresh.servers[2]).State; got != balance.Draining {
+	if got := successor.applyCordons(successor.servers[2]).State; got != balance.Draining {
 		t.Errorf("a cordoned server is in state %d", got)
 	}
-	if got := fresh.module.Memory().Carried; got < said.Memory.Carried/2 {
-		t.Errorf("capacity %g, not %g", got, said.Memory.Carried)
+	if got := successor.module.Memory().Carried; got < state.Memory.Carried/2 {
+		t.Errorf("capacity %g, not %g", got, state.Memory.Carried)
 	}
 }
 
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -14,25 +14,25 @@
 
 // Cordon cordons or uncordons a server and returns when that is in force. It stops waiting after the given
 // time; the request may still be carried out then.
-func (c *Core) Cordon(id balance.ReplicaID, out bool, within time.Duration) (known, inTime bool) {
+func (c *Core) Cordon(id balance.ReplicaID, cordoned bool, timeout time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
-	return request(c, Cordon{Server: id, Out: out, Done: done}, done, within)
+	return request(c, Cordon{Server: id, Out: cordoned, Done: done}, done, timeout)
 }
 
 // IsListed reports whether a server is listed. It returns false if the core does not answer in time.
-func (c *Core) Knows(id balance.ReplicaID, within time.Duration) bool {
+func (c *Core) Knows(id balance.ReplicaID, timeout time.Duration) bool {
 	done := make(chan bool, 1)
-	known, _ := request(c, isListedRequest{server: id, done: done}, done, within)
+	known, _ := request(c, isListedRequest{server: id, done: done}, done, timeout)
 	return known
 }
 
 // ApplyVerdict cordons or uncordons a server by a fleet-wide decision. It returns true when that is in
 // force here, and false if the core has stopped. The server need not be listed: it may be listed later.
-func (c *Core) Bar(id balance.ReplicaID, by Author, out bool, order uint64) bool {
+func (c *Core) Bar(id balance.ReplicaID, source Author, cordoned bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := request(c, Cordon{Server: id, Out: out, By: by, Sure: true, Order: order, Done: done}, done,
-			time.Second); inTime {
+		if _, inTime := request(c, Cordon{Server: id, Out: cordoned, By: source, Sure: true, Order: order,
+			Done: done}, done, time.Second); inTime {
 			return true
 		}
 		select {
@@ -45,9 +45,9 @@
 
 // HandoverState returns the cordons and the state of the module. Events queued before the call have been
 // processed by then.
-func (c *Core) Cordoned(within time.Duration) (Inherited, bool) {
+func (c *Core) Cordoned(timeout time.Duration) (Inherited, bool) {
 	done := make(chan Inherited, 1)
-	return request(c, handoverRequest{done: done}, done, within)
+	return request(c, handoverRequest{done: done}, done, timeout)
 }
 
 // applyList stores the list from discovery, and passes it to the module with the cordons applied.
@@ -109,8 +109,8 @@
 
 // cordonedByOperator reports whether an operator has cordoned a server.
 func (c *Core) cordonedByOperator(id balance.ReplicaID) bool {
-	for _, by := range c.cordons[:Judged] {
-		if _, out := by[id]; out {
+	for _, cordons := range c.cordons[:Judged] {
+		if _, cordoned := cordons[id]; cordoned {
 			return true
 		}
 	}
@@ -120,14 +120,14 @@
 // hasEvidence reports whether there is a verdict by evidence against a server, whether or not it is
 // cordoned for that.
 func (c *Core) hasEvidence(id balance.ReplicaID) bool {
-	_, all := c.cordons[Judged][id]
-	_, here := c.cordons[JudgedHere][id]
-	return all || here
+	_, fleetWide := c.cordons[Judged][id]
+	_, inZone := c.cordons[JudgedHere][id]
+	return fleetWide || inZone
 }
 
 // limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
 // changes to the module, except for the server given: the caller is about to do that.
-func (c *Core) limitCordons(but balance.ReplicaID) {
+func (c *Core) limitCordons(except balance.ReplicaID) {
 	if c.cfg.Guard == nil || len(c.cordons[Judged])+len(c.cordons[JudgedHere])+len(c.evidenceCordons) == 0 {
 		return
 	}
@@ -137,8 +137,8 @@
 			Up: r.State == balance.Ready && !c.cordonedByOperator(id)})
 	}
 	var sick []uint64
-	for _, by := range c.cordons[Judged:] {
-		for id := range by {
+	for _, cordons := range c.cordons[Judged:] {
+		for id := range cordons {
 			sick = append(sick, uint64(id))
 		}
 	}
@@ -146,39 +146,39 @@
 		return cmp.Or(cmp.Compare(c.verdictOrder[balance.ReplicaID(a)], c.verdictOrder[balance.ReplicaID(b)]),
 			cmp.Compare(a, b))
 	})
-	was := c.evidenceCordons
+	before := c.evidenceCordons
 	c.evidenceCordons = c.cfg.Guard(nodes, slices.Compact(sick))
 	now := c.toMicros(time.Now())
-	var told []balance.Replica
+	var changed []balance.Replica
 	for id, r := range c.servers {
-		if out := c.evidenceCordons[uint64(id)]; out != was[uint64(id)] {
-			if !out {
+		if cordoned := c.evidenceCordons[uint64(id)]; cordoned != before[uint64(id)] {
+			if !cordoned {
 				c.restoredAt[id] = now // its state on return is unknown
 			}
-			if id != but {
-				told = append(told, c.applyCordons(r))
+			if id != except {
+				changed = append(changed, c.applyCordons(r))
 			}
 		}
 	}
-	if len(told) > 0 {
-		c.notifyModule(balance.Local, told)
+	if len(changed) > 0 {
+		c.notifyModule(balance.Local, changed)
 	}
 }
 
 // cordon cordons or uncordons a server. It is idempotent.
 func (c *Core) cordon(e Cordon) {
 	r, listed := c.servers[e.Server]
-	by := c.cordons[e.By]
-	since, out := by[e.Server]
-	known := listed || out || e.Sure
-	if known && e.Out != out {
+	cordons := c.cordons[e.By]
+	since, cordoned := cordons[e.Server]
+	known := listed || cordoned || e.Sure
+	if known && e.Out != cordoned {
 		if e.At == 0 {
 			e.At = c.toMicros(time.Now())
 		}
 		if e.Out {
-			by[e.Server] = e.At
+			cordons[e.Server] = e.At
 		} else {
-			delete(by, e.Server)
+			delete(cordons, e.Server)
 			// Otherwise the list has reported a start since, which is more accurate, or limitCordons decides.
 			if r.Started <= since && e.By < Judged {
 				c.restoredAt[e.Server] = e.At
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -69,14 +69,14 @@
 // from there when it reads to here; the two differ if the wall clock was stepped between the starts of the
 // processes.
 func (in *Inherited) shift(from, to balance.Micros) {
-	by := to - from
-	if from == 0 || -minClockStep < by && by < minClockStep {
+	offset := to - from
+	if from == 0 || -minClockStep < offset && offset < minClockStep {
 		return
 	}
-	all := []map[balance.ReplicaID]balance.Micros{in.Out, in.Barred, in.Since, in.Memory.Starts}
-	for _, moments := range all {
-		for id := range moments {
-			moments[id] += by
+	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Out, in.Barred, in.Since, in.Memory.Starts}
+	for _, times := range timeMaps {
+		for id := range times {
+			times[id] += offset
 		}
 	}
 }
--- a/internal/core/writebarrier_test.go
+++ b/internal/core/writebarrier_test.go
@@ -15,41 +15,42 @@
 // and after aborting those that do not. It is reported once, and no write begins after it.
 func TestQueryEndWaitsForItsWrites(t *testing.T) {
 	var b writeBarrier
-	told := make(chan struct{}, 4)
-	tell := func() { told <- struct{}{} }
-	one, two := &abortCounter{}, &abortCounter{}
-	for _, w := range []*abortCounter{one, two, two} {
+	reported := make(chan struct{}, 4)
+	report := func() { reported <- struct{}{} }
+	first, second := &abortCounter{}, &abortCounter{}
+	for _, w := range []*abortCounter{first, second, second} {
 		if !b.enter(w) {
 			t.Fatal("a write of an open query cannot begin")
 		}
 	}
-	b.leave(two)
+	b.leave(second)
 	b.close(nil) // the client has left
-	b.close(tell)
-	if b.enter(one) {
+	b.close(report)
+	if b.enter(first) {
 		t.Fatal("a write begins after the end")
 	}
-	b.leave(one)
+	b.leave(first)
 	select {
-	case <-told:
+	case <-reported:
 		t.Fatal("end reported while a write is in progress")
 	default:
 	}
 	select {
-	case <-told:
+	case <-reported:
 	case <-time.After(10 * time.Second):
 		t.Fatal("end not reported although the held write must be aborted")
 	}
-	b.leave(two) // the aborted write returns
-	if one.n.Load() != 0 || two.n.Load() != 1 || len(told) != 0 {
-		t.Fatalf("aborted %d and %d times, end reported %d more times", one.n.Load(), two.n.Load(), len(told))
+	b.leave(second) // the aborted write returns
+	if first.n.Load() != 0 || second.n.Load() != 1 || len(reported) != 0 {
+		t.Fatalf("aborted %d and %d times, end reported %d more times", first.n.Load(), second.n.Load(),
+			len(reported))
 	}
 	var c writeBarrier
-	c.enter(one)
-	c.close(tell)
-	c.leave(one)
+	c.enter(first)
+	c.close(report)
+	c.leave(first)
 	c.close(nil)
-	if len(told) != 1 {
+	if len(reported) != 1 {
 		t.Fatal("end not reported when the last write returned")
 	}
 }
--- a/internal/watchdog/watchdog_test.go
+++ b/internal/watchdog/watchdog_test.go
@@ -9,13 +9,13 @@
 // returned is not reported.
 func TestHeldCallsAreReportedUntilTheyEnd(t *testing.T) {
 	var w Watchdog
-	told := make(chan int, 100)
+	reported := make(chan int, 100)
 	quick := w.Begin(func(int) { t.Error("a call that has returned is reported") })
 	w.End(quick)
-	held := w.Begin(func(ticks int) { told <- ticks })
+	held := w.Begin(func(ticks int) { reported <- ticks })
 	for want := 1; want <= 3; want++ {
 		select {
-		case got := <-told:
+		case got := <-reported:
 			if got != want {
 				t.Fatalf("%d ticks, want %d", got, want)
 			}
