--- a/balance/api.go
+++ b/balance/api.go
@@ -135,7 +135,7 @@
 
 // The states of a replica.
 const (
-	Gone State = iota
+	Removed State = iota
 	Ready
 	Draining
 )
@@ -170,7 +170,7 @@
 func (o Outcome) String() string {
 	names := [...]string{Error: "error", OK: "ok", Busy: "busy", TimedOut: "timed out",
 		NoConnection: "no connection",
-		Reset:        "reset", Cancelled: "cancelled", NotSent: "not sent", Spoilt: "spoilt"}
+		Reset:        "reset", Cancelled: "cancelled", NotSent: "not sent", Malformed: "spoilt"}
 	if int(o) < len(names) {
 		return names[o]
 	}
@@ -187,7 +187,7 @@
 	Reset                       // the connection broke
 	Cancelled                   // cancelled by this instance
 	NotSent                     // never transmitted
-	Spoilt                      // the answer, and whatever follows it on the connection, cannot be read
+	Malformed                   // the answer, and whatever follows it on the connection, cannot be read
 )
 
 // EventKind identifies the type of an Event and thereby which of its fields are set.
@@ -195,47 +195,47 @@
 
 // The event kinds, with the fields that each one sets.
 const (
-	Query       EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
-	Part                         // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
-	Result                       // ID, Attempt, Closed, Outcome, Replica, Elapsed, Report
-	Began                        // ID, Attempt: a streamed answer started
-	ClientGone                   // ID of a query
-	List                         // Mode, Replicas
-	ProbeResult                  // Replica, Outcome, Elapsed, Report
-	Message                      // From, Data: a peer sent a message
-	Awake                        // a requested wake-up is due
-	Ending                       // Deadline: this instance shuts down then and must hold no query beyond it
-	Changed                      // Settings: the new ones; classes keep their indexes, and none is removed
-	Recalled                     // Memory: of the instance that this one replaces; comes before any List
+	Query           EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
+	Part                             // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
+	Result                           // ID, Attempt, Closed, Outcome, Replica, Elapsed, Report
+	StreamStarted                    // ID, Attempt: a streamed answer started
+	ClientGone                       // ID of a query
+	List                             // Mode, Replicas
+	ProbeResult                      // Replica, Outcome, Elapsed, Report
+	Message                          // From, Data: a peer sent a message
+	WakeUp                           // a requested wake-up is due
+	Stopping                         // Deadline: this instance shuts down then and must hold no query beyond it
+	SettingsChanged                  // Settings: the new ones; classes keep their indexes, and none is removed
+	Restored                         // Memory: of the instance that this one replaces; comes before any List
 )
 
 // Event is something that happened to this instance.
 type Event struct {
-	Kind     EventKind
-	ID       uint32
-	Number   float32 // identifies a query on this instance; its parts carry the same number
-	Class    int
-	Tenant   int
-	Shard    int
-	Weight   float64
-	Hint     Micros // expected work; 0: unknown
-	Key      uint64
-	Deadline Micros // when the client gives up this try
-	Repeat   bool   // Query: the client marked it as a retry
-	Rules    *Class // Query: rules that apply instead of its class's; nil: those of the class
-	Most     int    // Query: maximum attempts for a part, if different from the settings; 0: as in the settings
-	Attempt  int
-	Closed   bool
-	Outcome  Outcome
-	Replica  ReplicaID
-	Elapsed  Micros
-	Report   []float32
-	Mode     ListMode
-	Replicas []Replica
-	From     uint32
-	Data     []byte
-	Settings *Settings
-	Memory   *Memory
+	Kind        EventKind
+	ID          uint32
+	Number      float32 // identifies a query on this instance; its parts carry the same number
+	Class       int
+	Tenant      int
+	Shard       int
+	Weight      float64
+	Hint        Micros // expected work; 0: unknown
+	Key         uint64
+	Deadline    Micros // when the client gives up this try
+	Repeat      bool   // Query: the client marked it as a retry
+	Rules       *Class // Query: rules that apply instead of its class's; nil: those of the class
+	MaxAttempts int    // Query: maximum attempts for a part, if different from the settings; 0: as in the settings
+	Attempt     int
+	Closed      bool
+	Outcome     Outcome
+	Replica     ReplicaID
+	Elapsed     Micros
+	Report      []float32
+	Mode        ListMode
+	Replicas    []Replica
+	From        uint32
+	Data        []byte
+	Settings    *Settings
+	Memory      *Memory
 }
 
 // Memory is what an instance hands to its successor, on the same clock: the measured capacity, which
@@ -267,15 +267,15 @@
 
 // Action is an instruction to the host. Actions are carried out in the order given.
 type Action struct {
-	Kind    ActionKind
-	ID      uint32
-	Attempt int
-	Replica ReplicaID
-	Whole   bool
-	After   Micros
-	Before  Micros // Send: latest time at which it may begin; 0: no limit
-	Text    string
-	To      uint32
+	Kind     ActionKind
+	ID       uint32
+	Attempt  int
+	Replica  ReplicaID
+	Complete bool
+	After    Micros
+	StartBy  Micros // Send: latest time at which it may begin; 0: no limit
+	Text     string
+	To       uint32
 }
 
 // The reasons given in the Text of a Refuse or a Fail, for the log.
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -16,8 +16,8 @@
 // back-off. Missed changes count as announced after 6 s, however the calls ended; the host's own time limit
 // of a call adds to these delays.
 const (
-	ListRetryDelay Micros = 1_000_000
-	AskMost        Micros = 4_000_000
+	ListRetryDelay    Micros = 1_000_000
+	MaxListRetryDelay Micros = 4_000_000
 )
 
 // Tuned constants.
@@ -168,8 +168,8 @@
 		if e.Rules != nil {
 			q.rules = e.Rules
 		}
-		if e.Most > 0 {
-			q.maxAttempts = e.Most
+		if e.MaxAttempts > 0 {
+			q.maxAttempts = e.MaxAttempts
 		}
 		c := q.rules
 		q.aim = b.now + Micros((1-aimMargin)*(float64(c.Aim)+c.AimStretch*float64(e.Hint)))
@@ -193,7 +193,7 @@
 		if p != nil && i >= 0 && i < len(p.attempts) && p.attempts[i].pending {
 			b.recordResult(p, &p.attempts[i], e)
 		}
-	case Began:
+	case StreamStarted:
 		if p := b.parts[e.ID]; p != nil {
 			p.query.streaming = true
 		}
@@ -207,13 +207,13 @@
 		b.recordProbe(e)
 	case Message:
 		b.mergeGossip(e.Data)
-	case Changed:
+	case SettingsChanged:
 		if e.Settings.validate() == nil && len(e.Settings.Classes) >= len(b.classes) {
 			b.applySettings(e.Settings)
 		}
-	case Recalled:
+	case Restored:
 		b.warmRate, b.warmSize = e.Memory.Carried, e.Memory.UsualSize
-	case Ending:
+	case Stopping:
 		b.shutdownAt = max(1, e.Deadline)
 		for _, q := range b.queries {
 			b.capDeadline(q)
@@ -247,7 +247,7 @@
 	if e.Mode != Cached && e.Mode != Local {
 		b.listPending = false
 		b.subscribed = e.Mode != Failed
-		b.listBackoff = min(2*b.listBackoff, AskMost) // back-off with jitter: discovery may be down
+		b.listBackoff = min(2*b.listBackoff, MaxListRetryDelay) // back-off with jitter: discovery may be down
 		if b.subscribed || b.listBackoff == 0 {
 			b.listBackoff = ListRetryDelay
 		}
@@ -261,7 +261,7 @@
 	}
 	if e.Mode != Delta && e.Mode != Local {
 		for _, r := range b.replicas {
-			r.State = Gone // unless the list contains it, see below
+			r.State = Removed // unless the list contains it, see below
 		}
 	}
 	for _, entry := range e.Replicas {
@@ -281,7 +281,7 @@
 		r.Replica = entry
 	}
 	b.replicas = slices.DeleteFunc(b.replicas, func(r *replica) bool {
-		unused := r.State == Gone && r.openCalls == 0
+		unused := r.State == Removed && r.openCalls == 0
 		if unused {
 			delete(b.byID, r.ID)
 		}
@@ -390,7 +390,7 @@
 	}
 	b.decayEvidence(r)
 	switch {
-	case e.Outcome == Spoilt:
+	case e.Outcome == Malformed:
 	case e.Outcome != OK:
 		r.ownLatency.add(lostPartLatency*b.minAim, 1)
 	case !r.unanswered:
@@ -490,7 +490,7 @@
 	switch e.Outcome {
 	case OK:
 		b.rejectedShare -= b.rejectedShare / rejectedEWMAParts
-	case Error, Busy, Spoilt: // time-outs are left out: an unanswered part takes no capacity from others
+	case Error, Busy, Malformed: // time-outs are left out: an unanswered part takes no capacity from others
 		b.rejectedShare += (1 - b.rejectedShare) / rejectedEWMAParts
 	}
 	switch e.Outcome {
@@ -526,7 +526,7 @@
 		}
 		b.recordReplicaLatency(r, p.query.class, lostPartLatency*b.minAim)
 		b.adjustWeight(r, -weightStep*errorPenalty)
-	case Spoilt: // no latency sample; the weight drops for a replica that only sends malformed answers
+	case Malformed: // no latency sample; the weight drops for a replica that only sends malformed answers
 		b.adjustWeight(r, -weightStep*timeoutPenalty)
 	case TimedOut:
 		if !t.overdue {
@@ -599,7 +599,7 @@
 	need, _ := b.thresholds(q)
 	complete := q.receivedWeight >= need &&
 		(!q.inSecondStep || q.firstComplete && q.receivedParts == len(q.parts))
-	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Whole: complete})
+	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Complete: complete})
 	if q.rules.SecondStep > 0 && !q.inSecondStep {
 		b.closeParts(q)
 		q.inSecondStep, q.firstComplete, q.receivedWeight, q.receivedParts = true, complete, 0, 0
@@ -944,7 +944,7 @@
 		until = min(p.query.deadline, b.now+c.Aim)
 	}
 	timeout := max(until-b.now, scanInterval)
-	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: timeout, Before: startBy})
+	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: timeout, StartBy: startBy})
 	return true
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -56,7 +56,7 @@
 	var all []Action
 	for end := k.now + d; k.now < end; {
 		k.now = min(end, k.now+10*ms)
-		all = append(all, k.step(Event{Kind: Awake})...)
+		all = append(all, k.step(Event{Kind: WakeUp})...)
 	}
 	return all
 }
@@ -109,7 +109,7 @@
 	if got := ofKind(Answer, k.result(id+1, 0, sends[0].Replica, OK)); len(got) != 0 {
 		t.Fatal("answered with half the parts in")
 	}
-	if a := exactlyOne(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Whole || a.ID != id {
+	if a := exactlyOne(t, Answer, k.result(id+2, 0, sends[1].Replica, OK)); !a.Complete || a.ID != id {
 		t.Fatalf("answer %+v", a)
 	}
 	if len(k.balancer.parts)+len(k.balancer.byQuery)+len(k.balancer.byNumber)+len(k.balancer.queries) != 0 {
@@ -243,7 +243,7 @@
 }
 
 func TestDrainStopsSendsAtOnce(t *testing.T) {
-	for _, st := range []State{Draining, Gone} {
+	for _, st := range []State{Draining, Removed} {
 		k := start(t, settings(), readyReplicas(2)...)
 		k.step(Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 1, State: st, Size: 2}}})
 		for range 20 {
@@ -303,7 +303,7 @@
 	k := start(t, s, readyReplicas(2)...)
 	id := k.query(0, 2)
 	k.result(id+1, 0, ofKind(Send, k.actions)[0].Replica, OK)
-	if a := exactlyOne(t, Answer, k.wait(1000*ms)); a.Whole {
+	if a := exactlyOne(t, Answer, k.wait(1000*ms)); a.Complete {
 		t.Fatal("a partial answer was marked complete")
 	}
 }
@@ -331,12 +331,12 @@
 	s.Classes[0].SecondStep = 1
 	k := start(t, s, readyReplicas(2)...)
 	id := k.query(0, 1)
-	if a := exactlyOne(t, Answer, k.result(id+1, 0, exactlyOne(t, Send, k.actions).Replica, OK)); !a.Whole {
+	if a := exactlyOne(t, Answer, k.result(id+1, 0, exactlyOne(t, Send, k.actions).Replica, OK)); !a.Complete {
 		t.Fatal("first step not complete")
 	}
 	k.now += 5 * ms
 	acts := k.step(Event{Kind: Part, ID: 900, Number: float32(id), Weight: 1})
-	if a := exactlyOne(t, Answer, k.result(900, 0, exactlyOne(t, Send, acts).Replica, OK)); !a.Whole {
+	if a := exactlyOne(t, Answer, k.result(900, 0, exactlyOne(t, Send, acts).Replica, OK)); !a.Complete {
 		t.Fatal("second step not complete")
 	}
 }
@@ -452,7 +452,7 @@
 	s.Classes = append([]Class(nil), s.Classes...)
 	s.Classes[0].Effect, s.Classes[0].Dropped = Unsafe, true
 	s.Classes = append(s.Classes, Class{Aim: 400 * ms, Deadline: 800 * ms, Worth: 1, Need: 1, Floor: 1})
-	k.step(Event{Kind: Changed, Settings: &s})
+	k.step(Event{Kind: SettingsChanged, Settings: &s})
 	if k.balancer.minAim != float64(400*ms) {
 		t.Errorf("the shortest aim is %.0f us", k.balancer.minAim)
 	}
@@ -466,7 +466,7 @@
 		t.Errorf("a new query is not refused after its only attempt: %+v", got)
 	}
 	s.MaxAttempts = 0
-	k.step(Event{Kind: Changed, Settings: &s})
+	k.step(Event{Kind: SettingsChanged, Settings: &s})
 	if k.balancer.settings.MaxAttempts != 1 {
 		t.Error("invalid settings were applied")
 	}
--- a/balance/call_test.go
+++ b/balance/call_test.go
@@ -155,7 +155,7 @@
 			rs := readyReplicas(2)
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			serveQueries(k, 100, 150*ms, func(*instance, uint32, Action) Outcome { return OK })
-			rs[0].Started, rs[1].State = k.now, Gone
+			rs[0].Started, rs[1].State = k.now, Removed
 			k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 			for range 550 {
 				id := k.query(0, 1)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -89,7 +89,7 @@
 			replicas[0].Started = now
 			for i := range replicas[1:] {
 				if f.onlyHolder {
-					replicas[i+1].State = Gone
+					replicas[i+1].State = Removed
 				}
 			}
 			for i, k := range all {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -124,7 +124,7 @@
 	heard := 0
 	for range 10 {
 		a.now += gossipInterval
-		for _, m := range ofKind(Tell, a.step(Event{Kind: Awake})) {
+		for _, m := range ofKind(Tell, a.step(Event{Kind: WakeUp})) {
 			if m.To != 1 || len(m.Text) > 256 {
 				t.Fatalf("message of %d bytes to peer %d", len(m.Text), m.To)
 			}
@@ -388,7 +388,7 @@
 		rs := readyReplicas(2)
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 		serveQueries(k, 40, 950*ms, func(*instance, uint32, Action) Outcome { return OK })
-		rs[0].Started, rs[1].State = k.now, Gone // nothing else holds the shard
+		rs[0].Started, rs[1].State = k.now, Removed // nothing else holds the shard
 		k.step(Event{Kind: List, Mode: Full, Replicas: rs})
 		for end := k.now + while; k.now < end; k.now += gap {
 			k.query(0, 1)
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -220,7 +220,7 @@
 func TestEndingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
 	k := start(t, settings(), readyReplicas(3)...)
 	held := k.query(0, 1)
-	k.step(Event{Kind: Ending, Deadline: k.now + 500*ms})
+	k.step(Event{Kind: Stopping, Deadline: k.now + 500*ms})
 	late := k.query(0, 1)
 	done := map[uint32]bool{}
 	for _, a := range ofKind(Refuse, k.wait(500*ms)) {
@@ -240,7 +240,7 @@
 	first := exactlyOne(t, Send, k.actions)
 	r := k.balancer.byID[first.Replica]
 	before := k.balancer.expectedLatency(r, 0)
-	if next := exactlyOne(t, Send, k.result(id+1, 0, first.Replica, Spoilt)); next.Replica == first.Replica {
+	if next := exactlyOne(t, Send, k.result(id+1, 0, first.Replica, Malformed)); next.Replica == first.Replica {
 		t.Error("the part went to the same replica")
 	}
 	if after := k.balancer.expectedLatency(r, 0); after != before {
@@ -251,7 +251,7 @@
 		q := &query{rules: &k.balancer.settings.Classes[0]}
 		k.balancer.recordResult(&part{query: q, pending: 1},
 			&attempt{replica: r, call: &call{pending: 1}, sent: k.now},
-			&Event{Kind: Result, Outcome: Spoilt})
+			&Event{Kind: Result, Outcome: Malformed})
 	}
 	if r.weight > midWeight/4 {
 		t.Errorf("weight %.0f after twenty malformed answers in a row", r.weight)
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -21,9 +21,9 @@
 	begun := k.now
 	for len(ofKind(Answer, k.actions)) == 0 && k.now < begun+1000*ms {
 		k.now += 10 * ms
-		k.step(Event{Kind: Awake})
+		k.step(Event{Kind: WakeUp})
 	}
-	if exactlyOne(t, Answer, k.actions).Whole {
+	if exactlyOne(t, Answer, k.actions).Complete {
 		t.Fatal("an answer that lacks a part was marked complete")
 	}
 	if left := begun + 1000*ms - k.now; left < 300*ms || left > 600*ms {
@@ -48,7 +48,7 @@
 			t.Fatalf("ended with half of the second step missing: %+v", a)
 		}
 	}
-	if a := exactlyOne(t, Answer, k.result(902, 0, first[1].Replica, OK)); !a.Whole {
+	if a := exactlyOne(t, Answer, k.result(902, 0, first[1].Replica, OK)); !a.Complete {
 		t.Fatal("all parts were answered, but the answer is not complete")
 	}
 }
@@ -156,7 +156,7 @@
 				failed := k.now
 				for k.step(Event{Kind: List, Mode: Failed}); len(ofKind(Watch, k.actions)) == 0; k.wait(0) {
 					k.now += 10 * ms
-					k.step(Event{Kind: Awake})
+					k.step(Event{Kind: WakeUp})
 				}
 				gaps = append(gaps, k.now-failed)
 			}
@@ -166,7 +166,7 @@
 			// Up to four times MustAsk may pass after a failed call, but missed changes count as announced 6 s after
 			// discovery became reachable. Retries at a quarter of 8 s kept discovery overloaded for as long as 80
 			// instances called it.
-			most := AskMost
+			most := MaxListRetryDelay
 			if must > 0 {
 				most = min(most, must)
 			}
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -132,7 +132,7 @@
 func (w *simulation) check(a Action) {
 	switch a.Kind {
 	case Wake:
-		w.pending = append(w.pending, pendingEvent{w.now + max(a.After, w.s.Tick), Event{Kind: Awake}})
+		w.pending = append(w.pending, pendingEvent{w.now + max(a.After, w.s.Tick), Event{Kind: WakeUp}})
 	case Watch, Fetch:
 		mode := Delta
 		if w.rng.IntN(3) == 0 {
@@ -196,8 +196,8 @@
 	if c.Effect == Keyed && ran > 0 {
 		before = ran + c.Window
 	}
-	if a.Before != before {
-		w.violation("StartBy of an attempt is %d, its window ends at %d", a.Before, before)
+	if a.StartBy != before {
+		w.violation("StartBy of an attempt is %d, its window ends at %d", a.StartBy, before)
 	}
 	if len(p.attempts) > 0 && w.s.ResendSpan > 0 {
 		w.retries = append(w.retries, w.now)
@@ -265,11 +265,11 @@
 		if q.receivedWeight < floor-1e-4 {
 			w.violation("answered with weight %.2f, the minimum is %.2f", q.receivedWeight, floor)
 		}
-		if a.Whole && (q.receivedWeight < need-1e-4 || q.inSecondStep && (!all || !q.firstComplete)) {
+		if a.Complete && (q.receivedWeight < need-1e-4 || q.inSecondStep && (!all || !q.firstComplete)) {
 			w.violation("an incomplete answer was marked complete")
 		}
 		if c.SecondStep > 0 && !q.inSecondStep {
-			q.inSecondStep, q.firstComplete, q.receivedWeight = true, a.Whole, 0
+			q.inSecondStep, q.firstComplete, q.receivedWeight = true, a.Complete, 0
 			old := q.parts
 			q.parts = nil
 			var events []Event
@@ -380,7 +380,7 @@
 	r := w.replicas[w.ids[w.rng.IntN(len(w.ids))]]
 	switch {
 	case r.State == Ready && w.rng.IntN(2) == 0:
-		r.State, r.stateChangedAt = []State{Draining, Gone}[w.rng.IntN(2)], w.now
+		r.State, r.stateChangedAt = []State{Draining, Removed}[w.rng.IntN(2)], w.now
 	default:
 		r.State, r.Started = Ready, w.now-Micros(w.rng.IntN(500))*ms
 	}
@@ -504,7 +504,7 @@
 		}),
 		"whole": edit(func(w *simulation, a Action) []Action {
 			if a.Kind == Refuse {
-				return []Action{{Kind: Answer, ID: a.ID, Whole: true}}
+				return []Action{{Kind: Answer, ID: a.ID, Complete: true}}
 			}
 			return []Action{a}
 		}),
@@ -551,7 +551,7 @@
 	k.now -= 5000 * ms
 	k.step(Event{Kind: Result, ID: 9999, Outcome: OK}, Event{Kind: Result, ID: id + 1, Attempt: 7, Outcome: OK},
 		Event{Kind: Part, ID: 77, Number: 12345, Shard: -3}, Event{Kind: ClientGone, ID: 4242},
-		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: Began, ID: 1234}, Event{Kind: ProbeResult, Replica: 55},
+		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: StreamStarted, ID: 1234}, Event{Kind: ProbeResult, Replica: 55},
 		Event{Kind: Message}, Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 9, Cell: 99, State: Ready}}},
 		Event{Kind: Result, ID: id + 1, Attempt: -1, Outcome: OK})
 	k.now += 9000 * ms
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -30,7 +30,7 @@
 			}
 		case balance.Answer:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Answered, Whole: a.Whole}
+				f := FinalAnswer{Outcome: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
 					if p.value != nil {
 						f.Values = append(f.Values, *p.value)
@@ -40,11 +40,11 @@
 			}
 		case balance.Refuse, balance.Fail:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Failed}
+				f := FinalAnswer{Outcome: Failed}
 				if a.Kind == balance.Refuse {
-					f = Final{Ending: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
+					f = FinalAnswer{Outcome: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
 				}
-				c.logEnd(q, f.Ending.String(), a.Text)
+				c.logEnd(q, f.Outcome.String(), a.Text)
 				c.finish(q, f)
 			}
 		case balance.Probe:
@@ -61,12 +61,12 @@
 				c.wakeAt = at
 			}
 		case balance.Watch, balance.Unwatch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Watch(a.Kind == balance.Watch)
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Watch(a.Kind == balance.Watch)
 			}
 		case balance.Fetch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Fetch()
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Fetch()
 			}
 		case balance.Note:
 			text := a.Text
@@ -93,7 +93,7 @@
 			return true
 		}
 	}
-	return a.Query.Via.Withdraw(a)
+	return a.Query.Backend.Cancel(a)
 }
 
 // send creates an attempt and holds it until the other actions of the Step are executed.
@@ -111,15 +111,15 @@
 		deadline = p.query.deadline
 	}
 	a.Timeout = time.Duration(max(0, deadline-c.now)) * time.Microsecond
-	a.Until = c.toTime(deadline)
-	if act.Before > 0 {
-		a.Before = c.toTime(act.Before)
+	a.Deadline = c.toTime(deadline)
+	if act.StartBy > 0 {
+		a.StartBy = c.toTime(act.StartBy)
 	}
 	p.attempts = append(p.attempts, a)
 	p.pending++
-	if c.cfg.Gate != nil {
+	if c.cfg.Admission != nil {
 		var otherwise balance.Outcome
-		if a.admitted, otherwise = c.cfg.Gate.Send(a); !a.admitted {
+		if a.admitted, otherwise = c.cfg.Admission.AllowSend(a); !a.admitted {
 			c.endAttempt(a, otherwise, nil, nil)
 			return
 		}
@@ -135,14 +135,14 @@
 		var call, rest []*Attempt
 		for _, a := range c.sends {
 			if len(call) < max(1, c.cfg.Settings.BatchMax) && a.Replica == first.Replica &&
-				a.Query.Via == first.Query.Via {
+				a.Query.Backend == first.Query.Backend {
 				call = append(call, a)
 			} else {
 				rest = append(rest, a)
 			}
 		}
 		c.sends = rest
-		if !first.Query.Via.Send(first.Replica, call) {
+		if !first.Query.Backend.Send(first.Replica, call) {
 			for _, a := range call {
 				c.endAttempt(a, balance.NoConnection, nil, nil)
 			}
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -9,13 +9,13 @@
 
 // Attempt is one send of a part. Backends keep the pointer and return it with the outcome.
 type Attempt struct {
-	Query   *Query
-	Shard   int
-	Replica balance.ReplicaID
-	Timeout time.Duration // how long the core waits for it
-	Until   time.Time     // when the core stops waiting
-	Before  time.Time     // latest time at which it may begin, as its key expires then; zero: no limit
-	Ticket  any           // belongs to the admission controller
+	Query    *Query
+	Shard    int
+	Replica  balance.ReplicaID
+	Timeout  time.Duration // how long the core waits for it
+	Deadline time.Time     // when the core stops waiting
+	StartBy  time.Time     // latest time at which it may begin, as its key expires then; zero: no limit
+	Ticket   any           // belongs to the admission controller
 
 	watchdog  *watchdog.Watchdog // watches its writes; nil: none
 	writeCall *watchdog.Call     // the write under way; belongs to the writer
@@ -33,16 +33,16 @@
 const maxHeldTicks = 4
 
 // HoldReason states why an attempt may not begin.
-type Hold string
+type HoldReason string
 
 // The reasons why an attempt may not begin. The texts are written to the log.
 const (
-	MayBegin     Hold = ""
-	HoldOverdue  Hold = "its deadline has passed"
-	HoldWindow   Hold = "the window of its key has passed"
-	HoldLeft     Hold = "its client has left"
-	HoldAnswered Hold = "its request has ended"
-	HoldDraining Hold = "its server is draining"
+	NoHold         HoldReason = ""
+	HoldExpired    HoldReason = "its deadline has passed"
+	HoldWindow     HoldReason = "the window of its key has passed"
+	HoldClientLeft HoldReason = "its client has left"
+	HoldFinished   HoldReason = "its request has ended"
+	HoldDraining   HoldReason = "its server is draining"
 )
 
 // BeginWrite reports whether the attempt's first byte may be written now, and how long the core will wait
@@ -50,22 +50,22 @@
 // EndWrite. In between, the end of the query waits for the write or aborts it. Nothing may happen between
 // BeginWrite and the system call, in particular no reading of a clock and nothing that blocks; now has
 // been read before.
-func (a *Attempt) BeginWrite(w Writer, now time.Time) (wait time.Duration, hold Hold) {
-	wait = a.Until.Sub(now)
+func (a *Attempt) BeginWrite(w Writer, now time.Time) (wait time.Duration, hold HoldReason) {
+	wait = a.Deadline.Sub(now)
 	switch {
 	case wait <= 0:
-		return wait, HoldOverdue
-	case !a.Before.IsZero() && now.After(a.Before):
+		return wait, HoldExpired
+	case !a.StartBy.IsZero() && now.After(a.StartBy):
 		return wait, HoldWindow
 	case a.Query.ClientLeft != nil && a.Query.ClientLeft():
-		return wait, HoldLeft
+		return wait, HoldClientLeft
 	case !a.Query.writes.enter(w):
-		return wait, HoldAnswered
+		return wait, HoldFinished
 	}
 	if a.watchdog != nil {
 		a.writeCall = a.watchdog.Begin(func(ticks int) { a.onWriteHeld(w, ticks) })
 	}
-	return wait, MayBegin
+	return wait, NoHold
 }
 
 // EndWrite reports that the write permitted by BeginWrite has returned.
@@ -81,8 +81,8 @@
 func (a *Attempt) onWriteHeld(w Writer, ticks int) {
 	now := time.Now()
 	left := a.Query.ClientLeft != nil && a.Query.ClientLeft()
-	windowOver := !a.Before.IsZero() && now.After(a.Before)
-	if left || windowOver || now.After(a.Until) || ticks >= maxHeldTicks {
+	windowOver := !a.StartBy.IsZero() && now.After(a.StartBy)
+	if left || windowOver || now.After(a.Deadline) || ticks >= maxHeldTicks {
 		a.Query.writes.abortWriter(w)
 	}
 }
@@ -98,4 +98,4 @@
 }
 
 // IsFirst reports whether this is the first attempt of its part.
-func (a *Attempt) First() bool { return a.number == 0 }
+func (a *Attempt) IsFirst() bool { return a.number == 0 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -44,14 +44,14 @@
 	// then never run.
 	Send(to balance.ReplicaID, call []*Attempt) bool
 	// Cancel cancels an attempt. It returns true if the attempt certainly never ran.
-	Withdraw(a *Attempt) bool
+	Cancel(a *Attempt) bool
 	// Probe starts a probe of a server; its outcome is posted as ProbeDone. It returns false if the server
 	// cannot be probed.
 	Probe(to balance.ReplicaID) bool
 	// CloseIdle closes the idle connections to a server.
 	CloseIdle(to balance.ReplicaID)
 	// CancelQueued removes the attempts that are queued for a server and not yet begun, and returns them.
-	Stop(to balance.ReplicaID) []*Attempt
+	CancelQueued(to balance.ReplicaID) []*Attempt
 }
 
 // Peers sends messages to other coordinators.
@@ -60,55 +60,55 @@
 }
 
 // Discovery requests the list of servers from discovery, if it does not arrive by itself.
-type Lister interface {
+type Discovery interface {
 	Watch(on bool)
 	Fetch()
 }
 
 // AdmissionController limits queries and attempts in addition to the decisions of the module. Its methods
 // must not block.
-type Gate interface {
+type AdmissionController interface {
 	// Admit is called before a query is queued, from any goroutine. It returns whether the query is
 	// admitted and, if not, the suggested retry delay and the reason. QueryEnded is called once for each
 	// admitted query, when it has its final answer or its client has left, which counts as Failed.
 	Admit(q *Query) (ok bool, after time.Duration, why string)
-	Ended(q *Query, e Ending)
+	QueryEnded(q *Query, e QueryOutcome)
 	// AllowSend is called by the core's goroutine before an attempt is passed to its backend. An attempt that is
 	// not allowed ends with the outcome returned. AttemptEnded is called once for each allowed attempt.
-	Send(a *Attempt) (ok bool, otherwise balance.Outcome)
-	Over(a *Attempt)
+	AllowSend(a *Attempt) (ok bool, otherwise balance.Outcome)
+	AttemptEnded(a *Attempt)
 }
 
 // AttemptResult describes how an attempt ended.
-type Seen struct {
-	Replica balance.ReplicaID
-	Class   int
-	Outcome balance.Outcome
-	Took    time.Duration
-	Beaten  bool // it was cancelled, and a later attempt of the same part has been answered
+type AttemptResult struct {
+	Replica    balance.ReplicaID
+	Class      int
+	Outcome    balance.Outcome
+	Elapsed    time.Duration
+	Superseded bool // it was cancelled, and a later attempt of the same part has been answered
 }
 
 // Config configures a core.
 type Config struct {
-	Settings balance.Settings
-	Seed     uint64
-	Backends []Backend
-	Peers    Peers
-	Lister   Lister
-	Log      *slog.Logger
-	Counts   *Counts // counters to update; nil: none
+	Settings  balance.Settings
+	Seed      uint64
+	Backends  []Backend
+	Peers     Peers
+	Discovery Discovery
+	Log       *slog.Logger
+	Counts    *Counts // counters to update; nil: none
 	// Admission limits queries and attempts; nil: no limit.
-	Gate Gate
+	Admission AdmissionController
 	// OnAttemptEnd is called by the core's goroutine at the end of each attempt. It must not block. Nil: not
 	// called.
-	Saw func(Seen)
+	OnAttemptEnd func(AttemptResult)
 	// LimitCordons selects which of the servers with evidence against them, given in the order of their
 	// verdicts, are actually cordoned. Nil: none.
-	Guard func(listed []verdict.Holder, sick []uint64) map[uint64]bool
+	LimitCordons func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool
 	// ServerName returns the name of a server for the log; nil: its ID is logged.
-	Named func(id balance.ReplicaID) (string, bool)
+	ServerName func(id balance.ReplicaID) (string, bool)
 	// OnFirstList is called after the first Step with a listed server.
-	Listed func()
+	OnFirstList func()
 	// Delays records Steps that ran late; nil: not recorded.
 	Delays *delay.Recorder
 }
@@ -214,20 +214,20 @@
 
 // Abandon ends a query whose client has left. From this call on no attempt of it begins, even if the queue
 // is long.
-func (c *Core) Leave(q *Query) {
+func (c *Core) Abandon(q *Query) {
 	q.writes.close(nil)
-	c.Post(Gone{Query: q})
+	c.Post(ClientGone{Query: q})
 }
 
 // admit asks the admission controller, and gives a refused query its final answer.
 func (c *Core) admit(q *Query) bool {
-	c.cfg.Counts.Active.Add(1)
-	if c.cfg.Gate == nil {
+	c.cfg.Counts.ActiveQueries.Add(1)
+	if c.cfg.Admission == nil {
 		return true
 	}
-	ok, after, why := c.cfg.Gate.Admit(q)
+	ok, after, why := c.cfg.Admission.Admit(q)
 	if q.admitted = ok; !ok {
-		c.reply(q, Final{Ending: Refused, RetryAfter: after, Why: why})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: after, Why: why})
 	}
 	return ok
 }
@@ -236,11 +236,11 @@
 func (c *Core) Counts() *Counts { return c.cfg.Counts }
 
 // FullRetryAfter returns the retry advice for a request that found the queue or the table of queries full.
-func (c *Core) FullAdvice() time.Duration { return c.Advise(fullRetryAfter) }
+func (c *Core) FullRetryAfter() time.Duration { return c.CapRetryAfter(fullRetryAfter) }
 
 // CapRetryAfter limits a retry delay to the longest that clients follow according to the current settings.
 // It returns 0 if clients receive no advice.
-func (c *Core) Advise(after time.Duration) time.Duration {
+func (c *Core) CapRetryAfter(after time.Duration) time.Duration {
 	return min(after, time.Duration(c.maxRetryAfter.Load()))
 }
 
@@ -256,7 +256,7 @@
 
 // Shutdown tells the module that this instance shuts down at the given time, and returns a channel that is
 // closed once no query is open.
-func (c *Core) Finish(until time.Time) <-chan struct{} {
+func (c *Core) Shutdown(until time.Time) <-chan struct{} {
 	c.Post(shutdown{until: until})
 	return c.drained
 }
@@ -381,9 +381,9 @@
 	switch e := e.(type) {
 	case *Query:
 		c.openQuery(e)
-	case Outcome:
+	case AttemptDone:
 		c.endAttempt(e.Attempt, e.Outcome, e.Report, &e.Value)
-	case Gone:
+	case ClientGone:
 		if e.Query.open {
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: e.Query.id})
 			c.logEnd(e.Query, "abandoned", "its client has left")
@@ -391,26 +391,26 @@
 			c.closeQuery(e.Query)
 			c.queryEnded(e.Query, Failed)
 		}
-	case Listed:
+	case ListUpdate:
 		c.applyList(&e)
 		c.notifyModule(e.Mode, e.Replicas)
 	case Cordon:
 		c.cordon(e)
-	case Inherited: // arrives before any list
-		e.shift(e.Now, c.toMicros(time.Now()))
-		maps.Copy(c.cordons[Here], e.Out)
-		maps.Copy(c.cordons[ByFleet], e.Barred)
-		maps.Copy(c.restoredAt, e.Since)
+	case HandoverState: // arrives before any list
+		e.shift(e.Clock, c.toMicros(time.Now()))
+		maps.Copy(c.cordons[ByOperator], e.Cordons)
+		maps.Copy(c.cordons[ByFleetOperator], e.FleetCordons)
+		maps.Copy(c.restoredAt, e.RestoredAt)
 		for id, at := range e.Memory.Starts { // some may be missing in the list so far
 			c.restoredAt[id] = max(c.restoredAt[id], at)
 		}
-		c.events = append(c.events, balance.Event{Kind: balance.Recalled, Memory: &e.Memory})
-	case Reconfigured:
+		c.events = append(c.events, balance.Event{Kind: balance.Restored, Memory: &e.Memory})
+	case SettingsChanged:
 		c.applySettings(e.Settings)
-		c.events = append(c.events, balance.Event{Kind: balance.Changed, Settings: &e.Settings})
+		c.events = append(c.events, balance.Event{Kind: balance.SettingsChanged, Settings: &e.Settings})
 	case handoverRequest:
-		e.done <- Inherited{Out: maps.Clone(c.cordons[Here]), Barred: maps.Clone(c.cordons[ByFleet]),
-			Since: maps.Clone(c.restoredAt), Memory: c.module.Memory(), Now: c.toMicros(time.Now())}
+		e.done <- HandoverState{Cordons: maps.Clone(c.cordons[ByOperator]), FleetCordons: maps.Clone(c.cordons[ByFleetOperator]),
+			RestoredAt: maps.Clone(c.restoredAt), Memory: c.module.Memory(), Clock: c.toMicros(time.Now())}
 	case isListedRequest:
 		_, ok := c.servers[e.server]
 		e.done <- ok
@@ -421,7 +421,7 @@
 		c.events = append(c.events, balance.Event{Kind: balance.Message, From: e.From, Data: e.Data})
 	case shutdown:
 		c.shutdownAt = c.toMicros(e.until)
-		c.events = append(c.events, balance.Event{Kind: balance.Ending, Deadline: c.shutdownAt})
+		c.events = append(c.events, balance.Event{Kind: balance.Stopping, Deadline: c.shutdownAt})
 		for _, q := range c.queries {
 			heap.Push(&c.timers, timer{at: c.overdueAt(q), query: q})
 		}
@@ -430,18 +430,18 @@
 
 // openQuery opens a query and passes it to the module.
 func (c *Core) openQuery(q *Query) {
-	if q.Over() { // the client left while the query was queued
+	if q.Finished() { // the client left while the query was queued
 		c.queryEnded(q, Failed)
 		return
 	}
 	if c.byName[q.Name] != nil { // parts of two queries of one name cannot be told apart
 		c.logEnd(q, Failed.String(), "a query with the same name is open")
-		c.reply(q, Final{Ending: Failed, NameTaken: true})
+		c.reply(q, FinalAnswer{Outcome: Failed, NameTaken: true})
 		return
 	}
 	if limit := c.cfg.Settings.MaxOpen; limit > 0 && c.openCount+1+len(q.Parts) > limit {
 		c.logEnd(q, Refused.String(), "too many queries are open")
-		c.reply(q, Final{Ending: Refused, RetryAfter: fullRetryAfter})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: fullRetryAfter})
 		return
 	}
 	q.open, q.deadline, q.openedAt = true, c.toMicros(q.Deadline), c.toMicros(time.Now())
@@ -462,7 +462,7 @@
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Query, ID: q.id, Number: q.number, Class: q.Class,
 		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: totalHint, Deadline: q.deadline, Repeat: q.Repeat,
-		Rules: q.Rules, Most: q.Most})
+		Rules: q.Rules, MaxAttempts: q.MaxAttempts})
 	for i := range q.Parts {
 		s := &q.Parts[i]
 		p := &part{query: q, spec: s, id: c.newID()}
@@ -494,10 +494,10 @@
 	}
 	a.done, a.endedAt, a.outcome = true, c.now, o
 	if a.admitted {
-		c.cfg.Gate.Over(a)
+		c.cfg.Admission.AttemptEnded(a)
 	}
-	if c.cfg.Saw != nil {
-		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent),
+	if c.cfg.OnAttemptEnd != nil {
+		c.cfg.OnAttemptEnd(AttemptResult{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent),
 			o == balance.Cancelled && a.superseded()})
 	}
 	p := a.part
@@ -526,14 +526,14 @@
 	if due := c.nextTime(); due > 0 && c.now > 0 {
 		delayed = toDuration(now - max(due, c.now))
 	}
-	c.deferLog(func() { c.cfg.Delays.Note(delay.Step, delayed, "open", len(c.queries)) })
+	c.deferLog(func() { c.cfg.Delays.Record(delay.Step, delayed, "open", len(c.queries)) })
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		switch {
 		case t.attempt != nil && !t.attempt.done:
 			o := balance.TimedOut
-			if t.attempt.Query.Via.Withdraw(t.attempt) {
+			if t.attempt.Query.Backend.Cancel(t.attempt) {
 				o = balance.NotSent
 			}
 			c.endAttempt(t.attempt, o, nil, nil)
@@ -545,7 +545,7 @@
 	}
 	if c.wakeAt > 0 && c.wakeAt <= now {
 		c.wakeAt = 0
-		c.events = append(c.events, balance.Event{Kind: balance.Awake})
+		c.events = append(c.events, balance.Event{Kind: balance.WakeUp})
 	}
 	events := c.events
 	c.actions = c.module.Step(now, events, c.actions[:0])
@@ -553,16 +553,16 @@
 	c.events = events[:0]
 	c.execute()
 	c.updateListCounts()
-	if c.listSeen && c.cfg.Listed != nil {
-		c.cfg.Listed()
-		c.cfg.Listed = nil
+	if c.listSeen && c.cfg.OnFirstList != nil {
+		c.cfg.OnFirstList()
+		c.cfg.OnFirstList = nil
 	}
 	for _, q := range overdue {
 		if q.open {
 			c.logEnd(q, Failed.String(), "no decision in time")
 			c.deferLog(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: q.id})
-			c.finish(q, Final{Ending: Failed, Overdue: true})
+			c.finish(q, FinalAnswer{Outcome: Failed, Overdue: true})
 		}
 	}
 	if c.shutdownAt > 0 && len(c.queries) == 0 && !c.drainedClosed {
@@ -583,7 +583,7 @@
 
 // finish gives an open query its final answer. Only this function does so, and a query is opened only
 // once.
-func (c *Core) finish(q *Query, f Final) {
+func (c *Core) finish(q *Query, f FinalAnswer) {
 	if !q.open {
 		return
 	}
@@ -596,18 +596,18 @@
 // only when no write can send the first byte of an attempt any more: an attempt sent after the final
 // answer would execute a request that has already been reported as ended, however long a writer's thread
 // is held up.
-func (c *Core) reply(q *Query, f Final) {
-	c.queryEnded(q, f.Ending)
-	f.RetryAfter = c.Advise(f.RetryAfter)
+func (c *Core) reply(q *Query, f FinalAnswer) {
+	c.queryEnded(q, f.Outcome)
+	f.RetryAfter = c.CapRetryAfter(f.RetryAfter)
 	q.writes.close(func() { q.Client.Final(f) })
 }
 
 // queryEnded records that a submitted query has ended.
-func (c *Core) queryEnded(q *Query, e Ending) {
-	c.cfg.Counts.Active.Add(-1)
+func (c *Core) queryEnded(q *Query, e QueryOutcome) {
+	c.cfg.Counts.ActiveQueries.Add(-1)
 	if q.admitted {
 		q.admitted = false
-		c.cfg.Gate.Ended(q, e)
+		c.cfg.Admission.QueryEnded(q, e)
 	}
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,7 +20,7 @@
 	refuses   bool
 	queued    []*Attempt // result of CancelQueued
 	probes    int
-	finals    []Final
+	finals    []FinalAnswer
 }
 
 func (f *fakeBackend) Send(_ balance.ReplicaID, call []*Attempt) bool {
@@ -30,7 +30,7 @@
 	return !f.refuses
 }
 
-func (f *fakeBackend) Withdraw(a *Attempt) bool {
+func (f *fakeBackend) Cancel(a *Attempt) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelled = append(f.cancelled, a)
@@ -39,13 +39,13 @@
 
 func (f *fakeBackend) Probe(balance.ReplicaID) bool { f.probes++; return true }
 func (f *fakeBackend) CloseIdle(balance.ReplicaID)  {}
-func (f *fakeBackend) Stop(balance.ReplicaID) []*Attempt {
+func (f *fakeBackend) CancelQueued(balance.ReplicaID) []*Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.queued
 }
 
-func (f *fakeBackend) Final(x Final) {
+func (f *fakeBackend) Final(x FinalAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.finals = append(f.finals, x)
@@ -78,7 +78,7 @@
 		t.Fatal(err)
 	}
 	k := &testCore{Core: c, backend: f, at: c.base}
-	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{
+	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1}, {ID: 2, State: balance.Ready, Size: 1}}})
 	return k
 }
@@ -101,7 +101,7 @@
 
 func (k *testCore) query(name string, parts int) *Query {
 	q := &Query{Name: name, Deadline: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 3*time.Second),
-		Client: k.backend, Via: k.backend}
+		Client: k.backend, Backend: k.backend}
 	for s := range parts {
 		q.Parts = append(q.Parts, PartSpec{Shard: s, Weight: 2})
 	}
@@ -115,17 +115,17 @@
 		t.Fatalf("%d calls", len(k.backend.calls))
 	}
 	one, two := k.backend.calls[0][0], k.backend.calls[1][0]
-	k.process(Outcome{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
+	k.process(AttemptDone{Attempt: two, Outcome: balance.OK, Value: Value{Body: []byte("v1")}})
 	if len(k.backend.finals) != 0 {
 		t.Fatal("answered from half of the parts")
 	}
-	k.process(Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
-		Outcome{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("again")}})
+	k.process(AttemptDone{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("v0")}},
+		AttemptDone{Attempt: one, Outcome: balance.OK, Value: Value{Body: []byte("again")}})
 	if len(k.backend.finals) != 1 {
 		t.Fatalf("%d final answers", len(k.backend.finals))
 	}
 	f := k.backend.finals[0]
-	if f.Ending != Answered || !f.Whole || len(f.Values) != 2 || string(f.Values[0].Body) != "v0" ||
+	if f.Outcome != Answered || !f.Complete || len(f.Values) != 2 || string(f.Values[0].Body) != "v0" ||
 		f.Values[0].Shard != 0 || string(f.Values[1].Body) != "v1" {
 		t.Fatalf("%+v", f)
 	}
@@ -163,14 +163,14 @@
 	k.process(k.query("a", 1))
 	first := k.backend.calls[0][0]
 	k.wait(3000 * ms)
-	if len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused ||
+	if len(k.backend.finals) != 1 || k.backend.finals[0].Outcome != Refused ||
 		k.backend.finals[0].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.backend.finals)
 	}
 	if len(k.backend.cancelled) != len(k.backend.calls) {
 		t.Fatalf("%d of %d attempts cancelled", len(k.backend.cancelled), len(k.backend.calls))
 	}
-	k.process(Outcome{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
+	k.process(AttemptDone{Attempt: first, Outcome: balance.OK, Value: Value{Body: []byte("late")}})
 	if k.wait(100 * ms); len(k.backend.finals) != 1 || len(k.parts) != 0 {
 		t.Fatalf("%+v, %d parts", k.backend.finals, len(k.parts))
 	}
@@ -186,7 +186,7 @@
 	}
 	q := k.query("b", 1)
 	q.Deadline = k.epoch // long past
-	if k.process(q); len(k.backend.finals) != 2 || k.backend.finals[1].Ending == Answered {
+	if k.process(q); len(k.backend.finals) != 2 || k.backend.finals[1].Outcome == Answered {
 		t.Fatalf("%+v", k.backend.finals)
 	}
 }
@@ -195,7 +195,7 @@
 	k := newTestCore(t, settings())
 	q := k.query("a", 2)
 	k.process(q)
-	k.process(Gone{Query: q}, Gone{Query: q})
+	k.process(ClientGone{Query: q}, ClientGone{Query: q})
 	if k.wait(4000 * ms); len(k.backend.finals) != 0 || len(k.backend.cancelled) != 2 || len(k.parts) != 0 ||
 		k.openCount != 0 {
 		t.Fatalf("%d answers, %d cancelled, %d parts", len(k.backend.finals), len(k.backend.cancelled),
@@ -210,13 +210,13 @@
 	if !k.Submit(q) {
 		t.Fatal("not queued")
 	}
-	k.Leave(q)
+	k.Abandon(q)
 	k.process(<-k.queue) // the event of its end is still queued
 	k.process(<-k.queue)
 	if len(k.backend.calls) != 0 || len(k.backend.finals) != 0 || k.openCount != 0 ||
-		k.cfg.Counts.Active.Load() != 0 {
+		k.cfg.Counts.ActiveQueries.Load() != 0 {
 		t.Fatalf("%d calls, %d answers, %d open, %d active", len(k.backend.calls), len(k.backend.finals),
-			k.openCount, k.cfg.Counts.Active.Load())
+			k.openCount, k.cfg.Counts.ActiveQueries.Load())
 	}
 }
 
@@ -228,33 +228,33 @@
 	q := k.query("a", 1)
 	k.process(q)
 	first := k.backend.calls[0][0]
-	if !first.Before.IsZero() {
+	if !first.StartBy.IsZero() {
 		t.Fatal("a first attempt is limited to a window")
 	}
-	k.process(Outcome{Attempt: first, Outcome: balance.Error})
+	k.process(AttemptDone{Attempt: first, Outcome: balance.Error})
 	again := k.backend.calls[1][0]
-	window := first.Until.Add(-first.Timeout).Add(300 * time.Millisecond)
-	if !again.Before.Equal(window) {
-		t.Fatalf("a repeat may begin until %v, its window ends at %v", again.Before, window)
+	window := first.Deadline.Add(-first.Timeout).Add(300 * time.Millisecond)
+	if !again.StartBy.Equal(window) {
+		t.Fatalf("a repeat may begin until %v, its window ends at %v", again.StartBy, window)
 	}
 	var w abortCounter
-	if _, hold := again.BeginWrite(&w, window); hold != MayBegin {
+	if _, hold := again.BeginWrite(&w, window); hold != NoHold {
 		t.Fatal("it may not begin at the end of its window")
 	}
 	again.EndWrite(&w)
 	if _, hold := again.BeginWrite(&w, window.Add(time.Microsecond)); hold != HoldWindow {
 		t.Fatal("it began after its window")
 	}
-	wait, hold := first.BeginWrite(&w, first.Until.Add(-time.Second))
-	if hold != MayBegin || wait != time.Second {
+	wait, hold := first.BeginWrite(&w, first.Deadline.Add(-time.Second))
+	if hold != NoHold || wait != time.Second {
 		t.Fatalf("wait of %v, hold %q", wait, hold)
 	}
 	first.EndWrite(&w)
-	if _, hold := first.BeginWrite(&w, first.Until); hold != HoldOverdue {
+	if _, hold := first.BeginWrite(&w, first.Deadline); hold != HoldExpired {
 		t.Fatal("it began at its deadline")
 	}
-	k.process(Gone{Query: q})
-	if _, hold := again.BeginWrite(&w, window); hold != HoldAnswered {
+	k.process(ClientGone{Query: q})
+	if _, hold := again.BeginWrite(&w, window); hold != HoldFinished {
 		t.Fatal("it began after its client had left")
 	}
 }
@@ -267,7 +267,7 @@
 	a := k.backend.calls[0][0]
 	k.backend.queued = []*Attempt{a}
 	drains := balance.Replica{ID: a.Replica, State: balance.Draining, Size: 1}
-	k.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
+	k.process(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{drains}})
 	if len(k.backend.calls) != 2 || k.backend.calls[1][0].Replica == a.Replica {
 		t.Fatalf("%d calls", len(k.backend.calls))
 	}
@@ -277,7 +277,7 @@
 	k := newTestCore(t, settings())
 	k.backend.refuses = true
 	k.process(k.query("a", 1))
-	if k.wait(200 * ms); len(k.backend.finals) != 1 || k.backend.finals[0].Ending != Refused ||
+	if k.wait(200 * ms); len(k.backend.finals) != 1 || k.backend.finals[0].Outcome != Refused ||
 		len(k.backend.calls) != 3 {
 		t.Fatalf("%+v after %d calls", k.backend.finals, len(k.backend.calls))
 	}
@@ -288,8 +288,8 @@
 	s.MaxOpen = 5
 	k := newTestCore(t, s)
 	k.process(k.query("a", 2), k.query("a", 1), k.query("b", 2))
-	if len(k.backend.finals) != 2 || k.backend.finals[0].Ending != Failed ||
-		k.backend.finals[1].Ending != Refused || k.backend.finals[1].RetryAfter <= 0 {
+	if len(k.backend.finals) != 2 || k.backend.finals[0].Outcome != Failed ||
+		k.backend.finals[1].Outcome != Refused || k.backend.finals[1].RetryAfter <= 0 {
 		t.Fatalf("%+v", k.backend.finals)
 	}
 }
@@ -303,23 +303,23 @@
 		t.Helper()
 		k.process(k.query(name, 2)) // exceeds MaxOpen
 		f := k.backend.finals[len(k.backend.finals)-1]
-		if f.Ending != Refused {
+		if f.Outcome != Refused {
 			t.Fatalf("%+v", f)
 		}
 		return f.RetryAfter
 	}
-	if got := advice("a"); got != fullRetryAfter || k.FullAdvice() != fullRetryAfter {
-		t.Errorf("advice %v and %v", got, k.FullAdvice())
+	if got := advice("a"); got != fullRetryAfter || k.FullRetryAfter() != fullRetryAfter {
+		t.Errorf("advice %v and %v", got, k.FullRetryAfter())
 	}
 	s.MaxRetryAfter = 100 * ms
-	k.process(Reconfigured{Settings: s})
-	if got := advice("b"); got != 100*time.Millisecond || k.FullAdvice() != got {
-		t.Errorf("clients follow 0.1 s, advice %v and %v", got, k.FullAdvice())
+	k.process(SettingsChanged{Settings: s})
+	if got := advice("b"); got != 100*time.Millisecond || k.FullRetryAfter() != got {
+		t.Errorf("clients follow 0.1 s, advice %v and %v", got, k.FullRetryAfter())
 	}
 	s.CanAdvise = false
-	k.process(Reconfigured{Settings: s})
-	if got := advice("c"); got != 0 || k.FullAdvice() != 0 {
-		t.Errorf("clients receive no advice, but got %v and %v", got, k.FullAdvice())
+	k.process(SettingsChanged{Settings: s})
+	if got := advice("c"); got != 0 || k.FullRetryAfter() != 0 {
+		t.Errorf("clients receive no advice, but got %v and %v", got, k.FullRetryAfter())
 	}
 }
 
@@ -353,15 +353,15 @@
 		go func() {
 			defer wg.Done()
 			q := &Query{Name: string(rune('a' + i)), Deadline: time.Now().Add(time.Hour), Client: k.backend,
-				Via: k.backend, Parts: []PartSpec{{Shard: 0, Weight: 1}}}
+				Backend: k.backend, Parts: []PartSpec{{Shard: 0, Weight: 1}}}
 			if !k.Submit(q) {
 				t.Error("no room")
 			}
-			k.Post(Gone{Query: q})
+			k.Post(ClientGone{Query: q})
 		}()
 	}
 	wg.Wait()
-	idle := k.Finish(time.Now())
+	idle := k.Shutdown(time.Now())
 	select {
 	case <-idle:
 	case <-time.After(30 * time.Second):
@@ -372,7 +372,7 @@
 // cordon submits an operator's cordon or uncordon, and returns whether the server was known.
 func (k *testCore) cordon(id balance.ReplicaID, out bool) bool {
 	done := make(chan bool, 1)
-	k.process(Cordon{Server: id, Out: out, Done: done})
+	k.process(Cordon{Server: id, Cordoned: out, Done: done})
 	return <-done
 }
 
@@ -386,14 +386,14 @@
 	for i := range 40 {
 		predecessor.process(predecessor.query(string(rune('a'+i)), 1))
 		for _, c := range predecessor.backend.calls {
-			predecessor.process(Outcome{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
+			predecessor.process(AttemptDone{Attempt: c[0], Outcome: balance.OK, Value: Value{}})
 		}
 		predecessor.backend.calls = nil
 		predecessor.wait(100 * ms)
 	}
-	predecessor.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	predecessor.process(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1, Started: predecessor.at}}})
-	done := make(chan Inherited, 1)
+	done := make(chan HandoverState, 1)
 	predecessor.cordon(2, true)
 	predecessor.process(handoverRequest{done: done})
 	state := <-done
@@ -402,7 +402,7 @@
 	}
 	successor := newTestCore(t, s)
 	successor.process(state)
-	successor.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{
+	successor.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{
 		{ID: 1, State: balance.Ready, Size: 1}, {ID: 2, State: balance.Ready, Size: 1}}})
 	if got := successor.applyCordons(successor.servers[1]).Started; got != state.Memory.Starts[1] {
 		t.Errorf("a cold server counts as started at %d", got)
@@ -432,7 +432,7 @@
 		t.Fatalf("%d calls", len(k.backend.calls))
 	}
 	k.backend.queued = nil
-	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
 	for i := range 20 {
 		k.process(k.query(string(rune('b'+i)), 1))
@@ -447,13 +447,13 @@
 	}
 	started := k.toMicros(time.Now()) // a listed start is more accurate than the time of the uncordon
 	k.cordon(first.Replica, true)
-	k.process(Listed{Mode: balance.Delta, Replicas: []balance.Replica{
+	k.process(ListUpdate{Mode: balance.Delta, Replicas: []balance.Replica{
 		{ID: first.Replica, State: balance.Ready, Size: 1, Started: started + 1000*ms}}})
 	k.cordon(first.Replica, false)
 	if got := k.applyCordons(k.servers[first.Replica]).Started; got != started+1000*ms {
 		t.Fatalf("started %d us after the listed start", got-started-1000*ms)
 	}
-	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
+	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
 	if len(k.restoredAt) != 0 {
 		t.Fatal("state of removed servers is kept")
 	}
@@ -464,13 +464,13 @@
 // back. After the verdict is lifted it counts as just started.
 func TestEvidenceCordonsAreLimited(t *testing.T) {
 	k := newTestCore(t, settings())
-	k.cfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
-		return verdict.Guard(listed, sick, 1, 1, 0.5)
+	k.cfg.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+		return verdict.LimitEjections(listed, sick, 1, 1, 0.5)
 	}
-	k.process(Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
+	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
-	judge := func(id balance.ReplicaID, by Author, out bool, order uint64) {
-		k.process(Cordon{Server: id, By: by, Out: out, Order: order, Sure: true})
+	judge := func(id balance.ReplicaID, by CordonSource, out bool, order uint64) {
+		k.process(Cordon{Server: id, Source: by, Cordoned: out, Order: order, AllowUnlisted: true})
 	}
 	states := func(one, two balance.State) {
 		t.Helper()
@@ -478,9 +478,9 @@
 			t.Fatalf("states %d and %d, not %d and %d", a, b, one, two)
 		}
 	}
-	judge(2, Judged, true, 7)
+	judge(2, ByFleetEvidence, true, 7)
 	states(balance.Ready, balance.Draining)
-	judge(1, JudgedHere, true, 9)
+	judge(1, ByZoneEvidence, true, 9)
 	states(balance.Ready, balance.Draining) // the later verdict does not apply: one server must remain
 	k.cordon(1, true)
 	states(balance.Draining, balance.Ready) // an operator's cordon has precedence over evidence
@@ -491,12 +491,12 @@
 	}
 	k.cordon(1, false)
 	states(balance.Ready, balance.Draining)
-	judge(2, Judged, false, 7)
+	judge(2, ByFleetEvidence, false, 7)
 	states(balance.Draining, balance.Ready)
 	if k.applyCordons(k.servers[2]).Started == 0 {
 		t.Error("an uncordoned server counts as warm")
 	}
-	judge(1, JudgedHere, false, 9)
+	judge(1, ByZoneEvidence, false, 9)
 	states(balance.Ready, balance.Ready)
 	if len(k.verdictOrder)+len(k.evidenceCordons) > 0 {
 		t.Errorf("%d orders and %d evidence cordons are kept", len(k.verdictOrder), len(k.evidenceCordons))
@@ -510,7 +510,7 @@
 		k.cordons[i] = map[balance.ReplicaID]balance.Micros{}
 	}
 	for i := range balance.ReplicaID(100) {
-		k.cordons[ByFleet][i] = 1
+		k.cordons[ByFleetOperator][i] = 1
 	}
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/core/counts.go
+++ b/internal/core/counts.go
@@ -9,12 +9,12 @@
 // Counts holds the counters of this process since its start. Each is updated where the event happens and
 // may be read by any goroutine at any time.
 type Counts struct {
-	Tries    atomic.Int64 // attempts whose last byte was written to a server
-	Active   atomic.Int64 // queries submitted and not yet ended
-	Listed   atomic.Int64 // servers in the list
-	Avoided  atomic.Int64 // those of them that are cordoned or avoided by the module
-	Applied  atomic.Int64 // configurations applied while running
-	Rejected atomic.Int64 // configurations rejected while running
+	AttemptsSent    atomic.Int64 // attempts whose last byte was written to a server
+	ActiveQueries   atomic.Int64 // queries submitted and not yet ended
+	ListedServers   atomic.Int64 // servers in the list
+	AvoidedServers  atomic.Int64 // those of them that are cordoned or avoided by the module
+	ConfigsApplied  atomic.Int64 // configurations applied while running
+	ConfigsRejected atomic.Int64 // configurations rejected while running
 
 	mu      sync.Mutex // guards the map; the counts in it are atomics
 	classes map[string]*ClassCount
@@ -25,10 +25,10 @@
 type ClassCount struct{ counts [Failed + 1]atomic.Int64 }
 
 // Add counts one reply.
-func (c *ClassCount) Add(e Ending) { c.counts[e].Add(1) }
+func (c *ClassCount) Add(e QueryOutcome) { c.counts[e].Add(1) }
 
 // Count returns the number of replies with an outcome.
-func (c *ClassCount) Of(e Ending) int64 { return c.counts[e].Load() }
+func (c *ClassCount) Count(e QueryOutcome) int64 { return c.counts[e].Load() }
 
 // Class returns the counter of a class by name. It is the same for the lifetime of the process.
 func (c *Counts) Class(name string) *ClassCount {
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -12,7 +12,7 @@
 type Event interface{ isEvent() }
 
 // AttemptDone reports how an attempt ended.
-type Outcome struct {
+type AttemptDone struct {
 	Attempt *Attempt
 	Outcome balance.Outcome
 	Report  []float32
@@ -20,15 +20,15 @@
 }
 
 // ClientGone reports that the client of a query has left.
-type Gone struct{ Query *Query }
+type ClientGone struct{ Query *Query }
 
 // ListUpdate carries changes of the list of servers.
-type Listed struct {
+type ListUpdate struct {
 	Mode     balance.ListMode
 	Replicas []balance.Replica
 	// ReceivedAt is the time of reception if the servers' start times are by the wall clock; zero if they are by
 	// the module's clock.
-	Heard time.Time
+	ReceivedAt time.Time
 }
 
 // ProbeDone reports how a probe ended.
@@ -47,7 +47,7 @@
 
 // SettingsChanged carries new settings. Classes keep their indexes and none is removed; open queries keep
 // their rules.
-type Reconfigured struct{ Settings balance.Settings }
+type SettingsChanged struct{ Settings balance.Settings }
 
 // shutdown announces that this instance shuts down: no query may be held beyond until.
 type shutdown struct{ until time.Time }
@@ -57,40 +57,40 @@
 // may have been restarted without the list reporting it yet, unless the list reported a start while it was
 // cordoned.
 type Cordon struct {
-	Server balance.ReplicaID
-	Out    bool
-	By     Author         // a server stays cordoned until each source that cordoned it has uncordoned it
-	At     balance.Micros // when it was requested, in Unix microseconds; 0: now
-	Sure   bool           // accept a server that is not listed, as another process of this coordinator knows it
-	Order  uint64         // by evidence: precedence when not all servers may be cordoned, lowest first
-	Done   chan<- bool    // receives once whether the server is known; must be buffered; may be nil
+	Server        balance.ReplicaID
+	Cordoned      bool
+	Source        CordonSource   // a server stays cordoned until each source that cordoned it has uncordoned it
+	At            balance.Micros // when it was requested, in Unix microseconds; 0: now
+	AllowUnlisted bool           // accept a server that is not listed, as another process of this coordinator knows it
+	Order         uint64         // by evidence: precedence when not all servers may be cordoned, lowest first
+	Done          chan<- bool    // receives once whether the server is known; must be buffered; may be nil
 }
 
 // CordonSource is who cordons servers.
-type Author uint8
+type CordonSource uint8
 
 // The sources: an operator at this coordinator, an operator for the whole fleet, and the fleet by evidence.
 const (
-	Here Author = iota
-	ByFleet
-	Judged // by evidence, for the whole fleet or for a zone: LimitCordons may override only these
-	JudgedHere
+	ByOperator CordonSource = iota
+	ByFleetOperator
+	ByFleetEvidence // by evidence, for the whole fleet or for a zone: LimitCordons may override only these
+	ByZoneEvidence
 	cordonSources
 )
 
 // HandoverState is what a process of this coordinator passes to its successor: the cordons and the state
 // of the module.
-type Inherited struct {
-	Out    map[balance.ReplicaID]balance.Micros // cordoned by operators here, and when
-	Barred map[balance.ReplicaID]balance.Micros // cordoned by operators for the whole fleet, and when
-	Since  map[balance.ReplicaID]balance.Micros // when servers were uncordoned
-	Memory balance.Memory
+type HandoverState struct {
+	Cordons      map[balance.ReplicaID]balance.Micros // cordoned by operators here, and when
+	FleetCordons map[balance.ReplicaID]balance.Micros // cordoned by operators for the whole fleet, and when
+	RestoredAt   map[balance.ReplicaID]balance.Micros // when servers were uncordoned
+	Memory       balance.Memory
 	// Clock is the time on the sender's module clock, by which all times here are measured; 0: the clocks agree.
-	Now balance.Micros
+	Clock balance.Micros
 }
 
 // handoverRequest requests the HandoverState for the next process.
-type handoverRequest struct{ done chan<- Inherited }
+type handoverRequest struct{ done chan<- HandoverState }
 
 // isListedRequest asks whether a server is listed.
 type isListedRequest struct {
@@ -100,12 +100,12 @@
 
 func (*Query) isEvent()          {}
 func (Cordon) isEvent()          {}
-func (Inherited) isEvent()       {}
+func (HandoverState) isEvent()   {}
 func (handoverRequest) isEvent() {}
-func (Reconfigured) isEvent()    {}
-func (Outcome) isEvent()         {}
-func (Gone) isEvent()            {}
-func (Listed) isEvent()          {}
+func (SettingsChanged) isEvent() {}
+func (AttemptDone) isEvent()     {}
+func (ClientGone) isEvent()      {}
+func (ListUpdate) isEvent()      {}
 func (ProbeDone) isEvent()       {}
 func (PeerMessage) isEvent()     {}
 func (shutdown) isEvent()        {}
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -7,11 +7,11 @@
 )
 
 // QueryOutcome is the kind of a final answer.
-type Ending uint8
+type QueryOutcome uint8
 
 // The kinds of final answer.
 const (
-	Answered Ending = iota
+	Answered QueryOutcome = iota
 	Refused
 	Failed
 )
@@ -24,9 +24,9 @@
 }
 
 // FinalAnswer is the only final answer of a query.
-type Final struct {
-	Ending     Ending
-	Whole      bool
+type FinalAnswer struct {
+	Outcome    QueryOutcome
+	Complete   bool
 	Values     []Value       // of the answered parts, in the order of the parts
 	RetryAfter time.Duration // of a refusal: suggested delay before a retry
 	Overdue    bool          // the deadline passed without a decision
@@ -38,7 +38,7 @@
 // Client receives the final answer of its query, exactly once and from any goroutine. Final must not
 // block.
 type Client interface {
-	Final(Final)
+	Final(FinalAnswer)
 }
 
 // PartSpec describes one part of a query.
@@ -51,21 +51,21 @@
 
 // Query is a query as submitted by its front. Its exported fields must not change afterwards.
 type Query struct {
-	Name     string // identifies its parts on the wire; unique among the open queries
-	Class    int
-	Tenant   int
-	Deadline time.Time // when the client gives up this try
-	Repeat   bool
-	Key      string         // idempotency key
-	Rules    *balance.Class // rules that apply instead of its class's; nil: those of the class
-	Most     int            // maximum attempts for a part, if different from the settings; 0: as in the settings
-	Text     []byte         // payload of each part
-	Parts    []PartSpec
-	Client   Client
-	Via      Backend // sends the parts to their servers
-	Data     any     // shared by the front and its backend
-	Caller   string  // caller as known to the limits; empty: unknown
-	Ticket   any     // belongs to the admission controller
+	Name        string // identifies its parts on the wire; unique among the open queries
+	Class       int
+	Tenant      int
+	Deadline    time.Time // when the client gives up this try
+	Repeat      bool
+	Key         string         // idempotency key
+	Rules       *balance.Class // rules that apply instead of its class's; nil: those of the class
+	MaxAttempts int            // maximum attempts for a part, if different from the settings; 0: as in the settings
+	Payload     []byte         // payload of each part
+	Parts       []PartSpec
+	Client      Client
+	Backend     Backend // sends the parts to their servers
+	Data        any     // shared by the front and its backend
+	Caller      string  // caller as known to the limits; empty: unknown
+	Ticket      any     // belongs to the admission controller
 	// ClientLeft reports without blocking whether the client has closed its connection. Nil: unknown.
 	ClientLeft func() bool
 
@@ -81,7 +81,7 @@
 
 // Finished reports whether the query has its final answer or its client has left. No attempt of it may
 // begin then.
-func (q *Query) Over() bool { return q.writes.closed.Load() }
+func (q *Query) Finished() bool { return q.writes.closed.Load() }
 
 type part struct {
 	query    *Query
--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -12,7 +12,7 @@
 )
 
 // String returns the name of the outcome as written to the log.
-func (e Ending) String() string {
+func (e QueryOutcome) String() string {
 	switch e {
 	case Answered:
 		return "answered"
@@ -71,8 +71,8 @@
 
 // serverText returns the name of a server, or its ID if the name is unknown.
 func (c *Core) serverText(id balance.ReplicaID) string {
-	if c.cfg.Named != nil {
-		if name, ok := c.cfg.Named(id); ok {
+	if c.cfg.ServerName != nil {
+		if name, ok := c.cfg.ServerName(id); ok {
 			return name
 		}
 	}
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -16,11 +16,11 @@
 // time; the request may still be carried out then.
 func (c *Core) Cordon(id balance.ReplicaID, cordoned bool, timeout time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
-	return request(c, Cordon{Server: id, Out: cordoned, Done: done}, done, timeout)
+	return request(c, Cordon{Server: id, Cordoned: cordoned, Done: done}, done, timeout)
 }
 
 // IsListed reports whether a server is listed. It returns false if the core does not answer in time.
-func (c *Core) Knows(id balance.ReplicaID, timeout time.Duration) bool {
+func (c *Core) IsListed(id balance.ReplicaID, timeout time.Duration) bool {
 	done := make(chan bool, 1)
 	known, _ := request(c, isListedRequest{server: id, done: done}, done, timeout)
 	return known
@@ -28,10 +28,10 @@
 
 // ApplyVerdict cordons or uncordons a server by a fleet-wide decision. It returns true when that is in
 // force here, and false if the core has stopped. The server need not be listed: it may be listed later.
-func (c *Core) Bar(id balance.ReplicaID, source Author, cordoned bool, order uint64) bool {
+func (c *Core) ApplyVerdict(id balance.ReplicaID, source CordonSource, cordoned bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := request(c, Cordon{Server: id, Out: cordoned, By: source, Sure: true, Order: order,
+		if _, inTime := request(c, Cordon{Server: id, Cordoned: cordoned, Source: source, AllowUnlisted: true, Order: order,
 			Done: done}, done, time.Second); inTime {
 			return true
 		}
@@ -45,22 +45,22 @@
 
 // HandoverState returns the cordons and the state of the module. Events queued before the call have been
 // processed by then.
-func (c *Core) Cordoned(timeout time.Duration) (Inherited, bool) {
-	done := make(chan Inherited, 1)
+func (c *Core) HandoverState(timeout time.Duration) (HandoverState, bool) {
+	done := make(chan HandoverState, 1)
 	return request(c, handoverRequest{done: done}, done, timeout)
 }
 
 // applyList stores the list from discovery, and passes it to the module with the cordons applied.
-func (c *Core) applyList(e *Listed) {
-	if !e.Heard.IsZero() {
-		c.starts.translate(e.Replicas, c.toMicros(e.Heard), wallMicros(e.Heard), e.Mode == balance.Cached)
+func (c *Core) applyList(e *ListUpdate) {
+	if !e.ReceivedAt.IsZero() {
+		c.starts.translate(e.Replicas, c.toMicros(e.ReceivedAt), wallMicros(e.ReceivedAt), e.Mode == balance.Cached)
 	}
 	if e.Mode == balance.Full || e.Mode == balance.Cached {
 		clear(c.servers)
 	}
 	c.listSeen = c.listSeen || len(e.Replicas) > 0
 	for _, r := range e.Replicas {
-		if r.State == balance.Gone {
+		if r.State == balance.Removed {
 			delete(c.servers, r.ID)
 		} else {
 			c.servers[r.ID] = r
@@ -109,7 +109,7 @@
 
 // cordonedByOperator reports whether an operator has cordoned a server.
 func (c *Core) cordonedByOperator(id balance.ReplicaID) bool {
-	for _, cordons := range c.cordons[:Judged] {
+	for _, cordons := range c.cordons[:ByFleetEvidence] {
 		if _, cordoned := cordons[id]; cordoned {
 			return true
 		}
@@ -120,24 +120,24 @@
 // hasEvidence reports whether there is a verdict by evidence against a server, whether or not it is
 // cordoned for that.
 func (c *Core) hasEvidence(id balance.ReplicaID) bool {
-	_, fleetWide := c.cordons[Judged][id]
-	_, inZone := c.cordons[JudgedHere][id]
+	_, fleetWide := c.cordons[ByFleetEvidence][id]
+	_, inZone := c.cordons[ByZoneEvidence][id]
 	return fleetWide || inZone
 }
 
 // limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
 // changes to the module, except for the server given: the caller is about to do that.
 func (c *Core) limitCordons(except balance.ReplicaID) {
-	if c.cfg.Guard == nil || len(c.cordons[Judged])+len(c.cordons[JudgedHere])+len(c.evidenceCordons) == 0 {
+	if c.cfg.LimitCordons == nil || len(c.cordons[ByFleetEvidence])+len(c.cordons[ByZoneEvidence])+len(c.evidenceCordons) == 0 {
 		return
 	}
-	nodes := make([]verdict.Holder, 0, len(c.servers))
+	nodes := make([]verdict.ListedNode, 0, len(c.servers))
 	for id, r := range c.servers {
-		nodes = append(nodes, verdict.Holder{ID: uint64(id), Cell: r.Cell,
+		nodes = append(nodes, verdict.ListedNode{ID: uint64(id), Cell: r.Cell,
 			Up: r.State == balance.Ready && !c.cordonedByOperator(id)})
 	}
 	var sick []uint64
-	for _, cordons := range c.cordons[Judged:] {
+	for _, cordons := range c.cordons[ByFleetEvidence:] {
 		for id := range cordons {
 			sick = append(sick, uint64(id))
 		}
@@ -147,7 +147,7 @@
 			cmp.Compare(a, b))
 	})
 	before := c.evidenceCordons
-	c.evidenceCordons = c.cfg.Guard(nodes, slices.Compact(sick))
+	c.evidenceCordons = c.cfg.LimitCordons(nodes, slices.Compact(sick))
 	now := c.toMicros(time.Now())
 	var changed []balance.Replica
 	for id, r := range c.servers {
@@ -168,25 +168,25 @@
 // cordon cordons or uncordons a server. It is idempotent.
 func (c *Core) cordon(e Cordon) {
 	r, listed := c.servers[e.Server]
-	cordons := c.cordons[e.By]
+	cordons := c.cordons[e.Source]
 	since, cordoned := cordons[e.Server]
-	known := listed || cordoned || e.Sure
-	if known && e.Out != cordoned {
+	known := listed || cordoned || e.AllowUnlisted
+	if known && e.Cordoned != cordoned {
 		if e.At == 0 {
 			e.At = c.toMicros(time.Now())
 		}
-		if e.Out {
+		if e.Cordoned {
 			cordons[e.Server] = e.At
 		} else {
 			delete(cordons, e.Server)
 			// Otherwise the list has reported a start since, which is more accurate, or limitCordons decides.
-			if r.Started <= since && e.By < Judged {
+			if r.Started <= since && e.Source < ByFleetEvidence {
 				c.restoredAt[e.Server] = e.At
 			}
 		}
-		if e.By >= Judged {
+		if e.Source >= ByFleetEvidence {
 			c.verdictOrder[e.Server] = e.Order
-			if !e.Out && !c.hasEvidence(e.Server) {
+			if !e.Cordoned && !c.hasEvidence(e.Server) {
 				delete(c.verdictOrder, e.Server)
 			}
 		}
@@ -206,19 +206,19 @@
 		return
 	}
 	c.nextCount = c.now + countInterval.Microseconds()
-	c.cfg.Counts.Listed.Store(int64(len(c.servers)))
+	c.cfg.Counts.ListedServers.Store(int64(len(c.servers)))
 	avoided := c.module.AvoidedCount()
 	for id := range c.servers {
 		if c.isCordoned(id) {
 			avoided++
 		}
 	}
-	c.cfg.Counts.Avoided.Store(int64(avoided))
+	c.cfg.Counts.AvoidedServers.Store(int64(avoided))
 }
 
 func (c *Core) cancelQueued(to balance.ReplicaID) {
 	for _, b := range c.cfg.Backends {
-		for _, a := range b.Stop(to) {
+		for _, a := range b.CancelQueued(to) {
 			c.endAttempt(a, balance.NotSent, nil, nil)
 		}
 	}
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -68,12 +68,12 @@
 // shift converts the times received from another process to this process's module clock. The clock read
 // from there when it reads to here; the two differ if the wall clock was stepped between the starts of the
 // processes.
-func (in *Inherited) shift(from, to balance.Micros) {
+func (in *HandoverState) shift(from, to balance.Micros) {
 	offset := to - from
 	if from == 0 || -minClockStep < offset && offset < minClockStep {
 		return
 	}
-	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Out, in.Barred, in.Since, in.Memory.Starts}
+	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt, in.Memory.Starts}
 	for _, times := range timeMaps {
 		for id := range times {
 			times[id] += offset
--- a/internal/delay/delay.go
+++ b/internal/delay/delay.go
@@ -10,7 +10,7 @@
 )
 
 // Threshold is the delay from which an action is counted and logged.
-const Notable = 50 * time.Millisecond
+const Threshold = 50 * time.Millisecond
 
 // Action is the type of an action.
 type Action string
@@ -23,7 +23,7 @@
 )
 
 // Stats are the counts for one type of action.
-type Figures struct {
+type Stats struct {
 	Late      int64 `json:"late"`
 	LongestMS int64 `json:"longest_ms"`
 }
@@ -32,18 +32,18 @@
 type Recorder struct {
 	log   *slog.Logger
 	mu    sync.Mutex // guards stats
-	stats map[Action]Figures
+	stats map[Action]Stats
 }
 
 // NewRecorder returns a Recorder that writes to log.
 func NewRecorder(log *slog.Logger) *Recorder {
-	return &Recorder{log: log, stats: map[Action]Figures{Reply: {}, Attempt: {}, Step: {}}}
+	return &Recorder{log: log, stats: map[Action]Stats{Reply: {}, Attempt: {}, Step: {}}}
 }
 
 // Record records an action that has ended and was delayed by took. The args are logged as attributes, as
 // with slog.
-func (r *Recorder) Note(action Action, took time.Duration, args ...any) {
-	if r == nil || took < Notable {
+func (r *Recorder) Record(action Action, took time.Duration, args ...any) {
+	if r == nil || took < Threshold {
 		return
 	}
 	r.mu.Lock()
@@ -56,7 +56,7 @@
 }
 
 // Stats returns the counts since the start.
-func (r *Recorder) Figures() map[Action]Figures {
+func (r *Recorder) Stats() map[Action]Stats {
 	if r == nil {
 		return nil
 	}
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -43,8 +43,8 @@
 	return f
 }
 
-// Adopt has requests read by a configuration that was taken in.
-func (f *Front) Adopt(cfg *Config) { f.conf.Store(cfg) }
+// SetConfig has requests read by a configuration that was taken in.
+func (f *Front) SetConfig(cfg *Config) { f.conf.Store(cfg) }
 
 // Parse turns a request into a query, or says what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
@@ -64,19 +64,19 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countUnasked(r, EndingOf(err.Status))
+		f.countUnasked(r, OutcomeForStatus(err.Status))
 		// The end of the connection: what else comes on it is worth as little, and must not cost more.
-		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
-		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
+		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
+		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
 		return nil
 	}
 	q.Client = &client{x: x, log: f.log, count: f.core.Counts().Class(ClassName(r))}
 	q.ClientLeft = x.ClientLeft
 	if !f.core.Submit(q) {
-		q.Client.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		q.Client.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
 // TurnAway counts a request that was refused before it came here: too many connections are open.
@@ -85,8 +85,8 @@
 }
 
 // countUnasked counts a reply that the core was not asked for, if the request names a class.
-func (f *Front) countUnasked(r *lnet.Request, e core.Ending) {
-	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
+func (f *Front) countUnasked(r *lnet.Request, e core.QueryOutcome) {
+	if class := ClassName(r); f.conf.Load().class(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
@@ -97,8 +97,8 @@
 	return name
 }
 
-// EndingOf is what a reply's status means to a client.
-func EndingOf(status int) core.Ending {
+// OutcomeForStatus is what a reply's status means to a client.
+func OutcomeForStatus(status int) core.QueryOutcome {
 	switch status {
 	case 200:
 		return core.Answered
@@ -122,10 +122,10 @@
 // parse turns a request into a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
-		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
 	cfg := f.conf.Load()
-	class := cfg.class(ClassName(r), r.At)
+	class := cfg.class(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -137,20 +137,20 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.via,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.via,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.bind(class, q.Key != "", r.At)
+	b := cfg.bind(class, q.Key != "", r.ReceivedAt)
 	switch {
 	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.key && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
 	case !b.key:
 		q.Key = ""
 	}
-	q.Rules, q.Most = &b.rules, b.most
+	q.Rules, q.MaxAttempts = &b.rules, b.most
 	wait := time.Duration(b.rules.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
@@ -161,7 +161,7 @@
 			wait = time.Duration(s * float64(time.Second))
 		}
 	}
-	q.Deadline = r.At.Add(wait)
+	q.Deadline = r.ReceivedAt.Add(wait)
 	var body queryBody
 	if !utf8.Valid(r.Body) { // what cannot be read would be replaced, and the parts carry it unchanged
 		return fail(400, "the body is not UTF-8")
@@ -172,7 +172,7 @@
 	if len(body.Slices) == 0 || len(body.Slices) > maxParts {
 		return fail(400, "slices: 1 to %d are needed", maxParts)
 	}
-	q.Text = []byte(body.Filter)
+	q.Payload = []byte(body.Filter)
 	seen, total := map[int]bool{}, 0.0
 	for _, s := range body.Slices {
 		if s.Slice == nil || *s.Slice < 0 || *s.Slice >= cfg.Shards || seen[*s.Slice] {
@@ -224,7 +224,7 @@
 
 // reply words the final answer, and counts what the client is told.
 func (c *client) reply(r lnet.Response) {
-	c.count.Add(EndingOf(r.Status))
+	c.count.Add(OutcomeForStatus(r.Status))
 	c.x.Reply(r)
 }
 
@@ -240,15 +240,15 @@
 }
 
 // Final replies.
-func (c *client) Final(f core.Final) {
-	switch f.Ending {
+func (c *client) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		r := Answer(f, c.log)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		c.reply(r)
 	case core.Refused:
 		r := Refusal(f.RetryAfter)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		if f.Why != "" {
 			r.Body = []byte("refused for now: " + f.Why + "\n")
 		}
@@ -261,13 +261,13 @@
 		case f.NameTaken:
 			status = 409
 		}
-		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, Decided: f.Decided})
+		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, DecidedAt: f.Decided})
 	}
 }
 
 // Answer is the reply to a query that was answered.
-func Answer(f core.Final, log *slog.Logger) lnet.Response {
-	body := answerBody{Entire: f.Whole, Items: make([]answerItem, 0, len(f.Values))}
+func Answer(f core.FinalAnswer, log *slog.Logger) lnet.Response {
+	body := answerBody{Entire: f.Complete, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
 		body.Items = append(body.Items, answerItem{Slice: v.Shard, Body: string(v.Body)})
 	}
@@ -276,7 +276,7 @@
 		log.Warn("an answer is too large", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: b}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: b}
 }
 
 // Refusal is a reply that tells when to come back.
