--- a/balance/api.go
+++ b/balance/api.go
@@ -195,7 +195,7 @@
 
 // The event kinds, with the fields that each one sets.
 const (
-	Query           EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (number of parts)
+	Query           EventKind = iota // ID, Number, Class, Tenant, Deadline, Hint, Repeat, Weight (parts)
 	Part                             // ID, Number, Shard, Weight, Hint; comes after its query in the same Step
 	Result                           // ID, Attempt, Closed, Outcome, Replica, Elapsed, Report
 	StreamStarted                    // ID, Attempt: a streamed answer started
@@ -223,7 +223,7 @@
 	Deadline    Micros // when the client gives up this try
 	Repeat      bool   // Query: the client marked it as a retry
 	Rules       *Class // Query: rules that apply instead of its class's; nil: those of the class
-	MaxAttempts int    // Query: maximum attempts for a part, if different from the settings; 0: as in the settings
+	MaxAttempts int    // Query: limit for a part, if it differs from the settings; 0: as in the settings
 	Attempt     int
 	Closed      bool
 	Outcome     Outcome
--- a/balance/rules_test.go
+++ b/balance/rules_test.go
@@ -551,7 +551,8 @@
 	k.now -= 5000 * ms
 	k.step(Event{Kind: Result, ID: 9999, Outcome: OK}, Event{Kind: Result, ID: id + 1, Attempt: 7, Outcome: OK},
 		Event{Kind: Part, ID: 77, Number: 12345, Shard: -3}, Event{Kind: ClientGone, ID: 4242},
-		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: StreamStarted, ID: 1234}, Event{Kind: ProbeResult, Replica: 55},
+		Event{Kind: Query, ID: 88, Class: 40}, Event{Kind: StreamStarted, ID: 1234},
+		Event{Kind: ProbeResult, Replica: 55},
 		Event{Kind: Message}, Event{Kind: List, Mode: Delta, Replicas: []Replica{{ID: 9, Cell: 99, State: Ready}}},
 		Event{Kind: Result, ID: id + 1, Attempt: -1, Outcome: OK})
 	k.now += 9000 * ms
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -409,8 +409,9 @@
 		c.applySettings(e.Settings)
 		c.events = append(c.events, balance.Event{Kind: balance.SettingsChanged, Settings: &e.Settings})
 	case handoverRequest:
-		e.done <- HandoverState{Cordons: maps.Clone(c.cordons[ByOperator]), FleetCordons: maps.Clone(c.cordons[ByFleetOperator]),
-			RestoredAt: maps.Clone(c.restoredAt), Memory: c.module.Memory(), Clock: c.toMicros(time.Now())}
+		e.done <- HandoverState{Cordons: maps.Clone(c.cordons[ByOperator]),
+			FleetCordons: maps.Clone(c.cordons[ByFleetOperator]), RestoredAt: maps.Clone(c.restoredAt),
+			Memory: c.module.Memory(), Clock: c.toMicros(time.Now())}
 	case isListedRequest:
 		_, ok := c.servers[e.server]
 		e.done <- ok
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -453,7 +453,8 @@
 	if got := k.applyCordons(k.servers[first.Replica]).Started; got != started+1000*ms {
 		t.Fatalf("started %d us after the listed start", got-started-1000*ms)
 	}
-	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
+	k.process(ListUpdate{Mode: balance.Full,
+		Replicas: []balance.Replica{{ID: 3, State: balance.Ready, Size: 1}}})
 	if len(k.restoredAt) != 0 {
 		t.Fatal("state of removed servers is kept")
 	}
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -61,7 +61,7 @@
 	Cordoned      bool
 	Source        CordonSource   // a server stays cordoned until each source that cordoned it has uncordoned it
 	At            balance.Micros // when it was requested, in Unix microseconds; 0: now
-	AllowUnlisted bool           // accept a server that is not listed, as another process of this coordinator knows it
+	AllowUnlisted bool           // another process of this coordinator knows the server
 	Order         uint64         // by evidence: precedence when not all servers may be cordoned, lowest first
 	Done          chan<- bool    // receives once whether the server is known; must be buffered; may be nil
 }
--- a/internal/core/query.go
+++ b/internal/core/query.go
@@ -58,7 +58,7 @@
 	Repeat      bool
 	Key         string         // idempotency key
 	Rules       *balance.Class // rules that apply instead of its class's; nil: those of the class
-	MaxAttempts int            // maximum attempts for a part, if different from the settings; 0: as in the settings
+	MaxAttempts int            // for a part, if it differs from the settings; 0: as in the settings
 	Payload     []byte         // payload of each part
 	Parts       []PartSpec
 	Client      Client
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -31,8 +31,8 @@
 func (c *Core) ApplyVerdict(id balance.ReplicaID, source CordonSource, cordoned bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := request(c, Cordon{Server: id, Cordoned: cordoned, Source: source, AllowUnlisted: true, Order: order,
-			Done: done}, done, time.Second); inTime {
+		if _, inTime := request(c, Cordon{Server: id, Cordoned: cordoned, Source: source, AllowUnlisted: true,
+			Order: order, Done: done}, done, time.Second); inTime {
 			return true
 		}
 		select {
@@ -128,7 +128,8 @@
 // limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
 // changes to the module, except for the server given: the caller is about to do that.
 func (c *Core) limitCordons(except balance.ReplicaID) {
-	if c.cfg.LimitCordons == nil || len(c.cordons[ByFleetEvidence])+len(c.cordons[ByZoneEvidence])+len(c.evidenceCordons) == 0 {
+	if c.cfg.LimitCordons == nil ||
+		len(c.cordons[ByFleetEvidence])+len(c.cordons[ByZoneEvidence])+len(c.evidenceCordons) == 0 {
 		return
 	}
 	nodes := make([]verdict.ListedNode, 0, len(c.servers))
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -73,7 +73,8 @@
 	if from == 0 || -minClockStep < offset && offset < minClockStep {
 		return
 	}
-	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt, in.Memory.Starts}
+	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt,
+		in.Memory.Starts}
 	for _, times := range timeMaps {
 		for id := range times {
 			times[id] += offset
