--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestCopyAfterDelayAndCancelOfLoser(t *testing.T) {
+func TestHedgeAfterDelayAndCancelOfLoser(t *testing.T) {
 	k := start(t, settings(), readyReplicas(3)...)
 	id := k.query(0, 1)
 	first := exactlyOne(t, Send, k.actions)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -281,7 +281,7 @@
 
 // Hedged attempts of overdue parts are limited even if the settings give no retry budget: under overload
 // every part is overdue (scenario grown reduit).
-func TestLateCopiesAreCapped(t *testing.T) {
+func TestOverdueHedgesAreCapped(t *testing.T) {
 	k := start(t, settings(), readyReplicas(40)...)
 	first, copies, parts := 0, 0, 0
 	for range 40 {
--- a/balance/guards_test.go
+++ b/balance/guards_test.go
@@ -24,7 +24,7 @@
 
 // A high measured latency must not exclude a replica forever: it decays without new samples (incident
 // i93e8b7).
-func TestLearnedTimeFades(t *testing.T) {
+func TestMeasuredLatencyDecays(t *testing.T) {
 	k := start(t, settings(), readyReplicas(1)...)
 	for range 20 {
 		k.balancer.recordLatency(k.balancer.byID[1], 0, 100e6)
@@ -217,7 +217,7 @@
 
 // An instance that shuts down answers all its queries in time: neither open queries nor new ones are held
 // beyond the shutdown, however long their clients would wait.
-func TestEndingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
+func TestStoppingInstanceHoldsNothingBeyondItsEnd(t *testing.T) {
 	k := start(t, settings(), readyReplicas(3)...)
 	held := k.query(0, 1)
 	k.step(Event{Kind: Stopping, Deadline: k.now + 500*ms})
@@ -279,7 +279,7 @@
 // An overdue part at a silent replica is hedged at the other one even if that has no free slot, provided that
 // it would be served in time; a part that is only slow is not (churn day, 51 to 52 s: the parts of a stalled
 // node reached the aim with a single attempt each).
-func TestOverduePartIsCopiedBeyondTheSlots(t *testing.T) {
+func TestOverduePartIsHedgedBeyondTheSlots(t *testing.T) {
 	k := start(t, settings(), readyReplicas(2)...)
 	k.query(0, 1)
 	first := exactlyOne(t, Send, k.actions)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -59,7 +59,8 @@
 	Tell(to uint32, text string)
 }
 
-// Discovery requests the list of servers from discovery, if it does not arrive by itself.
+// Discovery requests updates from the discovery service, for settings in which the list does not arrive by
+// itself.
 type Discovery interface {
 	Watch(on bool)
 	Fetch()
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -261,7 +261,7 @@
 
 // Attempts queued for a server that starts draining are cancelled. As they never ran, they are immediately
 // sent to another server.
-func TestDrainTakesQueuedSendsBack(t *testing.T) {
+func TestDrainCancelsQueuedSends(t *testing.T) {
 	k := newTestCore(t, settings())
 	k.process(k.query("a", 1))
 	a := k.backend.calls[0][0]
@@ -323,7 +323,7 @@
 	}
 }
 
-func TestFinishAnswersAllBeforeTheEnd(t *testing.T) {
+func TestShutdownAnswersAllBeforeTheEnd(t *testing.T) {
 	k := newTestCore(t, settings())
 	k.process(k.query("a", 1))
 	k.process(shutdown{until: k.epoch.Add(time.Duration(k.at-k.base)*time.Microsecond + 400*time.Millisecond)})
@@ -418,7 +418,7 @@
 // Attempts queued for a server that an operator cordons are cancelled before the operator gets the
 // confirmation, and no new ones are sent to it, even after a new list. When uncordoned the server is cold,
 // whatever the list says.
-func TestCordonTakesQueuedSendsBack(t *testing.T) {
+func TestCordonCancelsQueuedSends(t *testing.T) {
 	s := settings()
 	s.ColdShare, s.Ramp, s.FallMultiple, s.FallSpan = 0.2, 10000*ms, 2.5, 2000*ms
 	k := newTestCore(t, s)
