--- a/balance/state.go
+++ b/balance/state.go
@@ -22,9 +22,9 @@
 	idleLoss, busyLoss decayingMean        // share of attempts lost on idle connections, and on those in use
 	refused            int                 // queries refused by admission since the last capacity update
 	refusingSince      Micros              // since when every query was refused and nothing sent; 0: no
-	overloadReported   bool                // overload was reported
-	lossShare          float64             // EWMA of the share of attempts without an answer in time
-	rejectedShare      float64             // EWMA of the share of answered attempts that were rejected or failed
+	overloadReported   bool
+	lossShare          float64 // EWMA of the share of attempts without an answer in time
+	rejectedShare      float64 // EWMA of the share of answered attempts that were rejected or failed
 	nextProbe          Micros
 	probeCursor        int // index of the replica considered last
 	cells              [][]*replica
@@ -47,7 +47,7 @@
 	maxPatience        float64 // largest share of a class's deadline that a client has waited for a try
 	callmates          float64 // EWMA of the number of other parts in a part's call
 	wakeAt             Micros
-	listPending        bool // a list call is pending
+	listPending        bool
 	subscribed         bool
 	nextListCall       Micros
 	listBackoff        Micros       // delay after the next failure, twice the previous one
@@ -73,8 +73,8 @@
 	downAt          Micros // when a connection was last refused
 	tokens          float64
 	refilledAt      Micros
-	lastUsed        Micros         // when our connection to it was last used
-	reportedAvoided bool           // it was reported as avoided
+	lastUsed        Micros // when our connection to it was last used
+	reportedAvoided bool
 	unanswered      bool           // the last part decided there went unanswered
 	ownLatency      decayingMean   // latency per part as measured by this instance
 	classLatency    []decayingMean // the same for each class
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -140,7 +140,7 @@
 	numbers         map[float32]bool
 	nextID          uint32
 	nextNumber      uint32
-	openCount       int // number of open queries and parts
+	openCount       int // queries and parts
 	shutdownAt      balance.Micros
 	listSeen        bool
 	servers         map[balance.ReplicaID]balance.Replica               // as listed by discovery
--- a/internal/core/writebarrier.go
+++ b/internal/core/writebarrier.go
@@ -24,10 +24,10 @@
 // and the client would be told of the query's end while the write is still to come.
 type writeBarrier struct {
 	closed         atomic.Bool
-	mu             sync.Mutex // guards what follows, and changes of closed
+	mu             sync.Mutex // guards the following fields, and changes of closed
 	active         []Writer   // one entry for each write in progress
 	drained        func()     // called when no write is in progress; nil: none
-	abortScheduled bool       // abort is scheduled
+	abortScheduled bool
 }
 
 // enter begins a write. It returns false if the barrier is closed.
