--- a/internal/core/requestlog.go
+++ b/internal/core/requestlog.go
@@ -11,7 +11,7 @@
 	"lapislever/balance"
 )
 
-// String is the ending's name in the log.
+// String returns the name of the outcome as written to the log.
 func (e QueryOutcome) String() string {
 	switch e {
 	case Answered:
@@ -22,45 +22,46 @@
 	return "failed"
 }
 
-// logLater has a line logged behind the Step, when all is carried out: to log takes a look at the clock, and
-// may be held up.
-func (c *Core) logLater(line func()) { c.logs = append(c.logs, line) }
+// deferLog defers a log line until all actions of the Step are executed: logging reads the clock and may
+// block.
+func (c *Core) deferLog(line func()) { c.deferredLogs = append(c.deferredLogs, line) }
 
-// flushLogs logs what was put off.
+// flushLogs writes the deferred log lines.
 func (c *Core) flushLogs() {
-	for i, line := range c.logs {
+	for i, line := range c.deferredLogs {
 		line()
-		c.logs[i] = nil
+		c.deferredLogs[i] = nil
 	}
-	c.logs = c.logs[:0]
+	c.deferredLogs = c.deferredLogs[:0]
 }
 
-// logEnd logs how a query that was not answered ended and why, with all its attempts: one line tells each
-// retry and what came before it.
+// logEnd logs how and why a query ended without an answer, with all its attempts, so that one line shows
+// each retry and what came before it.
 func (c *Core) logEnd(q *Query, how, why string) {
 	if !c.cfg.Log.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
 	open := q.open
-	c.logLater(func() {
+	c.deferLog(func() {
 		age, left := time.Duration(0), time.Duration(0)
 		if open {
-			age, left = micros(c.now-q.began), micros(q.deadline-c.now)
+			age, left = toDuration(c.now-q.openedAt), toDuration(q.deadline-c.now)
 		}
 		c.cfg.Log.Info("request ended", "query", q.Name, "class", q.Class, "how", how, "why", why, "age", age,
 			"left", left, "attempts", c.attemptsText(q))
 	})
 }
 
-// attemptsText lists a query's attempts as shard, replica, and when each began and ended how, in ms of the
-// query's age.
+// attemptsText lists the attempts of a query: shard and server, then for each attempt its start and, if it
+// has ended, its end and outcome. Times are in ms since the query was opened.
 func (c *Core) attemptsText(q *Query) string {
 	var text strings.Builder
 	for _, p := range q.parts {
-		for _, a := range p.tries {
-			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica), micros(a.sent-q.began).Milliseconds())
-			if a.over {
-				fmt.Fprintf(&text, "-%d:%s", micros(a.ended-q.began).Milliseconds(), a.outcome)
+		for _, a := range p.attempts {
+			fmt.Fprintf(&text, "%d>%s@%d", a.Shard, c.serverText(a.Replica),
+				toDuration(a.sent-q.openedAt).Milliseconds())
+			if a.done {
+				fmt.Fprintf(&text, "-%d:%s", toDuration(a.endedAt-q.openedAt).Milliseconds(), a.outcome)
 			}
 			text.WriteString("; ")
 		}
@@ -68,7 +69,7 @@
 	return text.String()
 }
 
-// serverText is a server's name, or its number where nobody knows that.
+// serverText returns the name of a server, or its ID if the name is unknown.
 func (c *Core) serverText(id balance.ReplicaID) string {
 	if c.cfg.ServerName != nil {
 		if name, ok := c.cfg.ServerName(id); ok {
@@ -78,4 +79,4 @@
 	return strconv.FormatUint(uint64(id), 16)
 }
 
-func micros(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
+func toDuration(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
--- a/internal/core/servers.go
+++ b/internal/core/servers.go
@@ -1,6 +1,6 @@
 package core
 
-// The servers as discovery lists them, with what operators and evidence have put out laid over.
+// The list of servers from discovery, combined with cordons by operators and by evidence.
 
 import (
 	"cmp"
@@ -12,183 +12,188 @@
 	"lapislever/internal/verdict"
 )
 
-// Cordon puts a server out or back, and returns once that holds. It gives up waiting after the time given;
-// the call may then be carried out all the same.
-func (c *Core) Cordon(id balance.ReplicaID, out bool, within time.Duration) (known, inTime bool) {
+// Cordon cordons or uncordons a server and returns when that is in force. It stops waiting after the given
+// time; the request may still be carried out then.
+func (c *Core) Cordon(id balance.ReplicaID, cordoned bool, timeout time.Duration) (known, inTime bool) {
 	done := make(chan bool, 1)
-	return ask(c, Cordon{Server: id, Cordoned: out, Done: done}, done, within)
+	return request(c, Cordon{Server: id, Cordoned: cordoned, Done: done}, done, timeout)
 }
 
-// IsListed tells that a server is listed; false too where the core does not say so in time.
-func (c *Core) IsListed(id balance.ReplicaID, within time.Duration) bool {
+// IsListed reports whether a server is listed. It returns false if the core does not answer in time.
+func (c *Core) IsListed(id balance.ReplicaID, timeout time.Duration) bool {
 	done := make(chan bool, 1)
-	known, _ := ask(c, knows{server: id, done: done}, done, within)
+	known, _ := request(c, isListedRequest{server: id, done: done}, done, timeout)
 	return known
 }
 
-// ApplyVerdict puts a server out or back by the fleet's word, and returns once that holds here, or false once the core
-// has ended. The server need not be listed: it may be yet.
-func (c *Core) ApplyVerdict(id balance.ReplicaID, by CordonSource, out bool, order uint64) bool {
+// ApplyVerdict cordons or uncordons a server by a fleet-wide decision. It returns true when that is in
+// force here, and false if the core has stopped. The server need not be listed: it may be listed later.
+func (c *Core) ApplyVerdict(id balance.ReplicaID, source CordonSource, cordoned bool, order uint64) bool {
 	for {
 		done := make(chan bool, 1)
-		if _, inTime := ask(c, Cordon{Server: id, Cordoned: out, Source: by, AllowUnlisted: true, Order: order, Done: done}, done,
-			time.Second); inTime {
+		if _, inTime := request(c, Cordon{Server: id, Cordoned: cordoned, Source: source, AllowUnlisted: true,
+			Order: order, Done: done}, done, time.Second); inTime {
 			return true
 		}
 		select {
 		case <-c.done:
 			return false
-		default: // it is busy: once more, which does no more than once
+		default: // the core is busy: try again, as the request is idempotent
 		}
 	}
 }
 
-// HandoverState is what operators have said so far. What was queued before has then been taken in.
-func (c *Core) HandoverState(within time.Duration) (HandoverState, bool) {
+// HandoverState returns the cordons and the state of the module. Events queued before the call have been
+// processed by then.
+func (c *Core) HandoverState(timeout time.Duration) (HandoverState, bool) {
 	done := make(chan HandoverState, 1)
-	return ask(c, cordons{done: done}, done, within)
+	return request(c, handoverRequest{done: done}, done, timeout)
 }
 
-// learn remembers what discovery lists, and lays over it what operators have said.
-func (c *Core) learn(e *ListUpdate) {
+// applyList stores the list from discovery, and passes it to the module with the cordons applied.
+func (c *Core) applyList(e *ListUpdate) {
 	if !e.ReceivedAt.IsZero() {
-		c.starts.take(e.Replicas, c.clock(e.ReceivedAt), wallMicros(e.ReceivedAt), e.Mode == balance.Cached)
+		c.starts.translate(e.Replicas, c.toMicros(e.ReceivedAt), wallMicros(e.ReceivedAt), e.Mode == balance.Cached)
 	}
 	if e.Mode == balance.Full || e.Mode == balance.Cached {
-		clear(c.listed)
+		clear(c.servers)
 	}
-	c.sawList = c.sawList || len(e.Replicas) > 0
+	c.listSeen = c.listSeen || len(e.Replicas) > 0
 	for _, r := range e.Replicas {
 		if r.State == balance.Removed {
-			delete(c.listed, r.ID)
+			delete(c.servers, r.ID)
 		} else {
-			c.listed[r.ID] = r
+			c.servers[r.ID] = r
 		}
 	}
-	c.guard(0)
+	c.limitCordons(0)
 	replicas := make([]balance.Replica, 0, len(e.Replicas))
 	for _, r := range e.Replicas {
-		replicas = append(replicas, c.overlay(r))
+		replicas = append(replicas, c.applyCordons(r))
 	}
 	e.Replicas = replicas
-	if e.Mode != balance.Cached { // ids never come again, and would else pile up
-		maps.DeleteFunc(c.since, func(id balance.ReplicaID, _ balance.Micros) bool {
-			_, ok := c.listed[id]
+	if e.Mode != balance.Cached { // IDs of removed servers are not reused and would accumulate
+		maps.DeleteFunc(c.restoredAt, func(id balance.ReplicaID, _ balance.Micros) bool {
+			_, ok := c.servers[id]
 			return !ok
 		})
-		c.starts.forget(c.listed)
+		c.starts.prune(c.servers)
 	}
 }
 
-// overlay is what the module is told of a listed server.
-func (c *Core) overlay(r balance.Replica) balance.Replica {
-	r.Started = max(r.Started, c.since[r.ID])
-	if c.isOut(r.ID) && r.State == balance.Ready {
+// applyCordons returns the entry of a listed server as it is passed to the module.
+func (c *Core) applyCordons(r balance.Replica) balance.Replica {
+	r.Started = max(r.Started, c.restoredAt[r.ID])
+	if c.isCordoned(r.ID) && r.State == balance.Ready {
 		r.State = balance.Draining
 	}
 	return r
 }
 
-// tell has the module hear of servers. What is queued for one that must stop does not go out any more.
-func (c *Core) tell(mode balance.ListMode, replicas []balance.Replica) {
+// notifyModule passes list entries to the module. Queued attempts for servers that are not ready are
+// cancelled.
+func (c *Core) notifyModule(mode balance.ListMode, replicas []balance.Replica) {
 	for i := range replicas {
 		if r := &replicas[i]; r.State != balance.Ready {
-			c.stopSends(r.ID)
+			c.cancelQueued(r.ID)
 		}
 	}
-	c.countAt = 0
+	c.nextCount = 0
 	c.events = append(c.events, balance.Event{Kind: balance.List, Mode: mode, Replicas: replicas})
 }
 
-// isOut tells that somebody has put a server out.
-func (c *Core) isOut(id balance.ReplicaID) bool {
-	return c.byHand(id) || c.judged[uint64(id)]
+// isCordoned reports whether a server is cordoned by any source.
+func (c *Core) isCordoned(id balance.ReplicaID) bool {
+	return c.cordonedByOperator(id) || c.evidenceCordons[uint64(id)]
 }
 
-// byHand tells that an operator has.
-func (c *Core) byHand(id balance.ReplicaID) bool {
-	for _, by := range c.outs[:ByFleetEvidence] {
-		if _, out := by[id]; out {
+// cordonedByOperator reports whether an operator has cordoned a server.
+func (c *Core) cordonedByOperator(id balance.ReplicaID) bool {
+	for _, cordons := range c.cordons[:ByFleetEvidence] {
+		if _, cordoned := cordons[id]; cordoned {
 			return true
 		}
 	}
 	return false
 }
 
-// isJudged tells that evidence speaks against a server, whether or not it is out for that.
-func (c *Core) isJudged(id balance.ReplicaID) bool {
-	_, all := c.outs[ByFleetEvidence][id]
-	_, here := c.outs[ByZoneEvidence][id]
-	return all || here
+// hasEvidence reports whether there is a verdict by evidence against a server, whether or not it is
+// cordoned for that.
+func (c *Core) hasEvidence(id balance.ReplicaID) bool {
+	_, fleetWide := c.cordons[ByFleetEvidence][id]
+	_, inZone := c.cordons[ByZoneEvidence][id]
+	return fleetWide || inZone
 }
 
-// guard chooses anew which of the servers that are judged are out, and has the module hear of those for which
-// that has changed, but for what it is about to hear of anyway.
-func (c *Core) guard(but balance.ReplicaID) {
-	if c.cfg.LimitCordons == nil || len(c.outs[ByFleetEvidence])+len(c.outs[ByZoneEvidence])+len(c.judged) == 0 {
+// limitCordons selects anew which of the servers with evidence against them are cordoned, and passes
+// changes to the module, except for the server given: the caller is about to do that.
+func (c *Core) limitCordons(except balance.ReplicaID) {
+	if c.cfg.LimitCordons == nil ||
+		len(c.cordons[ByFleetEvidence])+len(c.cordons[ByZoneEvidence])+len(c.evidenceCordons) == 0 {
 		return
 	}
-	nodes := make([]verdict.ListedNode, 0, len(c.listed))
-	for id, r := range c.listed {
+	nodes := make([]verdict.ListedNode, 0, len(c.servers))
+	for id, r := range c.servers {
 		nodes = append(nodes, verdict.ListedNode{ID: uint64(id), Cell: r.Cell,
-			Up: r.State == balance.Ready && !c.byHand(id)})
+			Up: r.State == balance.Ready && !c.cordonedByOperator(id)})
 	}
 	var sick []uint64
-	for _, by := range c.outs[ByFleetEvidence:] {
-		for id := range by {
+	for _, cordons := range c.cordons[ByFleetEvidence:] {
+		for id := range cordons {
 			sick = append(sick, uint64(id))
 		}
 	}
 	slices.SortFunc(sick, func(a, b uint64) int {
-		return cmp.Or(cmp.Compare(c.order[balance.ReplicaID(a)], c.order[balance.ReplicaID(b)]), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(c.verdictOrder[balance.ReplicaID(a)], c.verdictOrder[balance.ReplicaID(b)]),
+			cmp.Compare(a, b))
 	})
-	was := c.judged
-	c.judged = c.cfg.LimitCordons(nodes, slices.Compact(sick))
-	now := c.clock(time.Now())
-	var told []balance.Replica
-	for id, r := range c.listed {
-		if out := c.judged[uint64(id)]; out != was[uint64(id)] {
-			if !out {
-				c.since[id] = now // nobody knows in what state it comes back
+	before := c.evidenceCordons
+	c.evidenceCordons = c.cfg.LimitCordons(nodes, slices.Compact(sick))
+	now := c.toMicros(time.Now())
+	var changed []balance.Replica
+	for id, r := range c.servers {
+		if cordoned := c.evidenceCordons[uint64(id)]; cordoned != before[uint64(id)] {
+			if !cordoned {
+				c.restoredAt[id] = now // its state on return is unknown
 			}
-			if id != but {
-				told = append(told, c.overlay(r))
+			if id != except {
+				changed = append(changed, c.applyCordons(r))
 			}
 		}
 	}
-	if len(told) > 0 {
-		c.tell(balance.Local, told)
+	if len(changed) > 0 {
+		c.notifyModule(balance.Local, changed)
 	}
 }
 
-// cordon puts a server out or back. Called twice it does no more than once.
+// cordon cordons or uncordons a server. It is idempotent.
 func (c *Core) cordon(e Cordon) {
-	r, listed := c.listed[e.Server]
-	by := c.outs[e.Source]
-	since, out := by[e.Server]
-	known := listed || out || e.AllowUnlisted
-	if known && e.Cordoned != out {
+	r, listed := c.servers[e.Server]
+	cordons := c.cordons[e.Source]
+	since, cordoned := cordons[e.Server]
+	known := listed || cordoned || e.AllowUnlisted
+	if known && e.Cordoned != cordoned {
 		if e.At == 0 {
-			e.At = c.clock(time.Now())
+			e.At = c.toMicros(time.Now())
 		}
 		if e.Cordoned {
-			by[e.Server] = e.At
+			cordons[e.Server] = e.At
 		} else {
-			delete(by, e.Server)
-			// Else the list has told of the start, and knows better when that was, or it is the guard's to say.
+			delete(cordons, e.Server)
+			// Otherwise the list has reported a start since, which is more accurate, or limitCordons decides.
 			if r.Started <= since && e.Source < ByFleetEvidence {
-				c.since[e.Server] = e.At
+				c.restoredAt[e.Server] = e.At
 			}
 		}
 		if e.Source >= ByFleetEvidence {
-			c.order[e.Server] = e.Order
-			if !e.Cordoned && !c.isJudged(e.Server) {
-				delete(c.order, e.Server)
+			c.verdictOrder[e.Server] = e.Order
+			if !e.Cordoned && !c.hasEvidence(e.Server) {
+				delete(c.verdictOrder, e.Server)
 			}
 		}
-		c.guard(e.Server)
+		c.limitCordons(e.Server)
 		if listed {
-			c.tell(balance.Local, []balance.Replica{c.overlay(r)})
+			c.notifyModule(balance.Local, []balance.Replica{c.applyCordons(r)})
 		}
 	}
 	if e.Done != nil {
@@ -196,26 +201,26 @@
 	}
 }
 
-// countList writes the list's figures, now and then and after each change.
-func (c *Core) countList() {
-	if c.now < c.countAt {
+// updateListCounts updates the counts of listed and avoided servers, at intervals and after each change.
+func (c *Core) updateListCounts() {
+	if c.now < c.nextCount {
 		return
 	}
-	c.countAt = c.now + countSpan.Microseconds()
-	c.cfg.Counts.ListedServers.Store(int64(len(c.listed)))
-	avoided := c.module.Avoided()
-	for id := range c.listed {
-		if c.isOut(id) {
+	c.nextCount = c.now + countInterval.Microseconds()
+	c.cfg.Counts.ListedServers.Store(int64(len(c.servers)))
+	avoided := c.module.AvoidedCount()
+	for id := range c.servers {
+		if c.isCordoned(id) {
 			avoided++
 		}
 	}
 	c.cfg.Counts.AvoidedServers.Store(int64(avoided))
 }
 
-func (c *Core) stopSends(to balance.ReplicaID) {
+func (c *Core) cancelQueued(to balance.ReplicaID) {
 	for _, b := range c.cfg.Backends {
 		for _, a := range b.CancelQueued(to) {
-			c.settle(a, balance.NotSent, nil, nil)
+			c.endAttempt(a, balance.NotSent, nil, nil)
 		}
 	}
 }
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -6,78 +6,81 @@
 	"lapislever/balance"
 )
 
-// stepLeast is the least difference between the wall clock and the module's at which the wall clock counts as
-// stepped.
-const stepLeast = balance.Micros(500_000)
+// minClockStep is the minimum change of the difference between the wall clock and the module's clock that
+// counts as a step of the wall clock.
+const minClockStep = balance.Micros(500_000)
 
-// startTimes keeps when servers started on the module's clock. Lists tell it by the wall clock, which may be
-// stepped while this process runs: a server that has just started would pass for one that is long warm.
+// startTimes converts the start times of servers to the module's clock. Lists give them by the wall clock,
+// which may be stepped while this process runs: without the conversion a server that has just started
+// could count as warm for long.
 type startTimes struct {
-	told  map[balance.ReplicaID]balance.Micros // as the last list told it
-	start map[balance.ReplicaID]balance.Micros // on the module's clock
-	skew  balance.Micros                       // of the wall clock against the module's, at the last list
-	heard balance.Micros                       // when discovery was last heard; 0: never
+	reported map[balance.ReplicaID]balance.Micros // as given by the last list
+	started  map[balance.ReplicaID]balance.Micros // on the module's clock
+	skew     balance.Micros                       // wall clock minus module clock at the last list
+	lastList balance.Micros                       // time of the last list from discovery; 0: none yet
 }
 
 func newStartTimes() startTimes {
-	return startTimes{told: map[balance.ReplicaID]balance.Micros{},
-		start: map[balance.ReplicaID]balance.Micros{}}
+	return startTimes{reported: map[balance.ReplicaID]balance.Micros{},
+		started: map[balance.ReplicaID]balance.Micros{}}
 }
 
-// take translates the starts of a list that was heard at a moment of the module's clock, when the wall clock
-// read wall. What was told before a step keeps the moment that it had then.
-func (s *startTimes) take(list []balance.Replica, now, wall balance.Micros, cached bool) {
+// translate converts the start times of a list that was received at now by the module's clock and at wall
+// by the wall clock. Start times already known before a step of the wall clock keep their converted value.
+func (s *startTimes) translate(list []balance.Replica, now, wall balance.Micros, cached bool) {
 	skew := wall - now
-	if -stepLeast < skew && skew < stepLeast {
+	if -minClockStep < skew && skew < minClockStep {
 		skew = 0
 	}
 	step := skew - s.skew
-	stepped := s.heard > 0 && (step >= stepLeast || step <= -stepLeast)
+	stepped := s.lastList > 0 && (step >= minClockStep || step <= -minClockStep)
 	for i := range list {
 		r := &list[i]
 		if r.Started == 0 {
 			continue
 		}
-		if at, known := s.told[r.ID]; known && at == r.Started {
-			r.Started = s.start[r.ID]
+		if at, known := s.reported[r.ID]; known && at == r.Started {
+			r.Started = s.started[r.ID]
 			continue
 		}
 		start := r.Started - skew
-		if stepped { // it may be from before the step; news since the last list is no older than that
-			start = max(start, s.heard)
+		if stepped { // possibly a time before the step; but a start new in this list is later than the last one
+			start = max(start, s.lastList)
 		}
-		s.told[r.ID], s.start[r.ID] = r.Started, start
+		s.reported[r.ID], s.started[r.ID] = r.Started, start
 		r.Started = start
 	}
 	if !cached {
-		s.skew, s.heard = skew, now
+		s.skew, s.lastList = skew, now
 	}
 }
 
-// forget drops servers that are not listed any more.
-func (s *startTimes) forget(listed map[balance.ReplicaID]balance.Replica) {
-	for id := range s.told {
+// prune removes servers that are no longer listed.
+func (s *startTimes) prune(listed map[balance.ReplicaID]balance.Replica) {
+	for id := range s.reported {
 		if _, ok := listed[id]; !ok {
-			delete(s.told, id)
-			delete(s.start, id)
+			delete(s.reported, id)
+			delete(s.started, id)
 		}
 	}
 }
 
-// shift moves what another process has told from its module's clock, which read from, to this one's, which
-// reads to: the two differ by as much as the wall clock was stepped between their starts.
+// shift converts the times received from another process to this process's module clock. The clock read
+// from there when it reads to here; the two differ if the wall clock was stepped between the starts of the
+// processes.
 func (in *HandoverState) shift(from, to balance.Micros) {
-	by := to - from
-	if from == 0 || -stepLeast < by && by < stepLeast {
+	offset := to - from
+	if from == 0 || -minClockStep < offset && offset < minClockStep {
 		return
 	}
-	all := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt, in.Memory.Starts}
-	for _, moments := range all {
-		for id := range moments {
-			moments[id] += by
+	timeMaps := []map[balance.ReplicaID]balance.Micros{in.Cordons, in.FleetCordons, in.RestoredAt,
+		in.Memory.Starts}
+	for _, times := range timeMaps {
+		for id := range times {
+			times[id] += offset
 		}
 	}
 }
 
-// wallMicros is the wall clock's reading that a moment bears.
+// wallMicros returns the wall-clock reading of a time.
 func wallMicros(t time.Time) balance.Micros { return t.UnixMicro() }
--- a/internal/delay/delay_test.go
+++ b/internal/delay/delay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestOnlyWhatIsLateIsRecorded(t *testing.T) {
+func TestOnlyLateActionsAreRecorded(t *testing.T) {
 	var log bytes.Buffer
 	r := NewRecorder(slog.New(slog.NewTextHandler(&log, nil)))
 	r.Record(Reply, Threshold-time.Millisecond, "query", "q1")
@@ -22,6 +22,6 @@
 		t.Errorf("log: %s", text)
 	}
 	if (*Recorder)(nil).Stats() != nil {
-		t.Error("none has figures")
+		t.Error("a nil Recorder has counts")
 	}
 }
