--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -1,24 +1,24 @@
 package net
 
-// The budget of descriptors.
+// The budget of file descriptors.
 
 import (
 	"slices"
 	"sync/atomic"
 )
 
-// Budget counts descriptors that clients and servers share, and the memory of clients' rings. A part of the
-// descriptors is kept for servers, so that a crowd of clients cannot take away the means to serve any of
-// them.
+// Budget limits the file descriptors shared by client and server connections, and the memory of clients' ring
+// buffers. Some descriptors are reserved for server connections: without them a flood of clients could use up
+// the connections that are needed to serve any client.
 type Budget struct {
 	used, most, kept atomic.Int64
-	clients          atomic.Int64 // of those in use
-	spare            atomic.Int64 // beyond it, each for a client that is to be refused
+	clients          atomic.Int64 // descriptors in use by clients
+	spare            atomic.Int64 // connections allowed beyond the budget, each only to be refused
 	rings            pool
-	spared           atomic.Pointer[[]func() bool] // by server: closes a connection that can be spared
+	spared           atomic.Pointer[[]func() bool] // one per server: evicts an idle connection
 }
 
-// NewBudget returns a budget of most descriptors with kept of them closed to clients.
+// NewBudget returns a budget of capacity descriptors, of which clients cannot use the reserved ones.
 func NewBudget(most, kept int) *Budget {
 	b := &Budget{}
 	b.Limit(most, kept, max(2, min(SpareMost, most/4)))
@@ -26,7 +26,8 @@
 	return b
 }
 
-// LimitRings bounds the memory of clients' rings beyond their usual size. It comes before any is used.
+// LimitRings bounds the total memory of clients' rings beyond their usual size. It must be called before any
+// ring is in use.
 func (b *Budget) LimitRings(bytes int) { b.rings.left.Store(int64(min(bytes, poolSize))) }
 
 func (b *Budget) take(least int64) bool {
@@ -41,8 +42,8 @@
 	}
 }
 
-// TakeServer takes one for a connection to a server. Where none is left a client's connection that is between
-// requests makes way: nobody is served by holding it.
+// AcquireServer acquires a descriptor for a connection to a server. If none is left, it evicts a client
+// connection that is idle between requests, as keeping that one open serves no request.
 func (b *Budget) TakeServer() bool {
 	if b.take(0) {
 		return true
@@ -57,8 +58,8 @@
 	return false
 }
 
-// spareBy has a connection make way for servers' ones, if f finds one. Servers that share a budget, one a
-// front, are asked in turn.
+// addEvictor registers f, which evicts an idle client connection if there is one. The servers that share a
+// budget, one per front, are asked in turn.
 func (b *Budget) spareBy(f func() bool) {
 	for {
 		old := b.spared.Load()
@@ -72,7 +73,7 @@
 	}
 }
 
-// TakeClient takes one for a client's connection.
+// AcquireClient acquires a descriptor for a client connection.
 func (b *Budget) TakeClient() bool {
 	if !b.take(b.kept.Load()) {
 		return false
@@ -81,14 +82,14 @@
 	return true
 }
 
-// ReleaseClient gives a client's back.
+// ReleaseClient releases a client connection's descriptor.
 func (b *Budget) ReleaseClient() {
 	b.clients.Add(-1)
 	b.Release()
 }
 
-// takePlace takes one for a client that a gate has let in: what is kept for nodes counts as theirs whether
-// they hold it or not, and no more than that.
+// acquireAdmitted acquires a descriptor for a client that the admission controller has admitted. Descriptors
+// reserved for nodes count as in use by nodes whether they are or not, but no others do.
 func (b *Budget) takePlace() bool {
 	if b.clients.Add(1) > int64(b.Places()) || !b.take(0) {
 		b.clients.Add(-1)
@@ -97,25 +98,25 @@
 	return true
 }
 
-// Places is how many clients may be open at this moment, those that are included.
+// ClientCapacity returns how many client connections may be open at this moment, including the open ones.
 func (b *Budget) Places() int {
 	nodes := max(0, b.used.Load()-b.clients.Load())
 	return int(max(0, b.most.Load()-max(b.kept.Load(), nodes)))
 }
 
-// Limit changes the budget, and how many clients beyond it may be held open to be refused. What is held
-// beyond it stays until it is given back.
+// SetLimits changes the budget, and how many clients beyond it may stay connected until they are refused.
+// Descriptors in use beyond the new limits stay valid until they are released.
 func (b *Budget) Limit(most, kept, spare int) {
 	b.most.Store(int64(most))
 	b.kept.Store(int64(kept))
 	b.spare.Store(int64(spare))
 }
 
-// Most is how many there are.
+// Capacity returns the total number of descriptors.
 func (b *Budget) Most() int { return int(b.most.Load()) }
 
-// Used is how many are taken.
+// InUse returns the number of descriptors in use.
 func (b *Budget) Used() int { return int(b.used.Load()) }
 
-// Release gives one back.
+// Release releases one descriptor.
 func (b *Budget) Release() { b.used.Add(-1) }
--- a/internal/net/passing.go
+++ b/internal/net/passing.go
@@ -1,6 +1,6 @@
 package net
 
-// System calls that fail although the connection goes on.
+// Retries of system calls that failed transiently while the connection itself is still up.
 
 import (
 	"errors"
@@ -10,15 +10,16 @@
 )
 
 const (
-	passingPause = 5 * time.Millisecond // behind a failure, before the call is made again
-	passingMost  = 40                   // failures in a row, behind which the connection counts as ended
+	passingPause = 5 * time.Millisecond // between a failure and the retry
+	passingMost  = 40                   // consecutive failures after which the connection counts as closed
 )
 
-// passingFailures counts the failures in a row of one side of a connection.
+// transientFailures counts the consecutive failures of one direction of a connection.
 type passingFailures int
 
-// again tells whether a call that failed is to be made again, and waits for a moment before it is: the
-// system had no memory, say, and the connection stands. Of one that has ended, the system says so.
+// retry reports whether a failed call should be retried, and if so waits briefly first. For example, the
+// kernel may have been out of memory while the connection is up. If the peer has closed it, retry returns
+// false.
 func (f *passingFailures) again(c net.Conn, err error) bool {
 	if *f++; *f > passingMost || !isPassing(err) || rawConn(c) == nil || PeerLeft(c) {
 		return false
@@ -27,10 +28,10 @@
 	return true
 }
 
-// over ends the row: a call has not failed.
+// reset clears the count after a successful call.
 func (f *passingFailures) over() { *f = 0 }
 
-// isPassing tells that an error is the system's, and none that ends a connection.
+// isTransient reports whether an error comes from the kernel and does not mean that the connection is closed.
 func isPassing(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
@@ -44,14 +45,14 @@
 	return true
 }
 
-// PassingReader reads from a connection, again where a read fails and the connection goes on. Only one
-// goroutine may use it.
+// RetryingReader reads from a connection and retries reads that fail transiently. It is not safe for
+// concurrent use.
 type PassingReader struct {
 	Conn     net.Conn
 	failures passingFailures
 }
 
-// Read reads once.
+// Read reads once from the connection, retrying transient failures.
 func (r *PassingReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(b)
--- a/internal/net/ring.go
+++ b/internal/net/ring.go
@@ -1,6 +1,6 @@
 package net
 
-// The ring buffer, and the memory that many of them share.
+// The ring buffer, and the limit on the memory of all rings.
 
 import (
 	"bytes"
@@ -9,18 +9,18 @@
 	"sync/atomic"
 )
 
-// ErrFull tells that a ring buffer holds as much as it may.
-var ErrFull = errors.New("the buffer is full")
+// ErrFull is returned when a write would exceed a ring's limit.
+var ErrFull = errors.New("ring buffer is full")
 
-// Ring is a ring buffer that grows by doubling up to its limit. It is not safe for concurrent use.
+// Ring is a ring buffer that grows by doubling, up to a limit. It is not safe for concurrent use.
 type Ring struct {
 	buf     []byte
 	at, n   int
 	ceiling int
-	pool    *pool // where growth beyond the first size is booked, if anywhere
+	pool    *pool // accounts for growth beyond the free size; nil: unaccounted
 }
 
-// pool bounds the memory that rings of many connections take together beyond their first size.
+// memoryLimit bounds the total memory that the rings of many connections use beyond their free size.
 type pool struct{ left atomic.Int64 }
 
 func (p *pool) take(n int) bool {
@@ -37,15 +37,15 @@
 	}
 }
 
-// NewRing returns an empty ring that will hold limit bytes at most.
+// NewRing returns an empty ring that holds at most limit bytes.
 func NewRing(limit int) *Ring { return &Ring{ceiling: limit} }
 
-// Len is the number of bytes held.
+// Len returns the number of buffered bytes.
 func (r *Ring) Len() int { return r.n }
 
-// Free returns a stretch to read into; Grew must be told how much of it was filled. It is nil when full.
-// Only here does an emptied ring start over and give memory back: Discard may run while a read into Free is
-// under way, and must not move the place that it fills.
+// Free returns a contiguous free segment to read into, or nil when the ring is full. The caller then calls
+// Commit with the number of bytes filled. Only Free resets an empty ring and releases its memory: Discard may
+// run while a read into the free segment is in progress, and must not move that segment.
 func (r *Ring) Free() []byte {
 	if r.n == 0 {
 		if r.at = 0; len(r.buf) > largeRing {
@@ -63,7 +63,7 @@
 	return r.buf[end:]
 }
 
-// Grew books n bytes that were filled into Free.
+// Commit appends the n bytes that the caller has written into the segment returned by Free.
 func (r *Ring) Grew(n int) { r.n += n }
 
 func (r *Ring) grow(need int) bool {
@@ -87,16 +87,16 @@
 	return true
 }
 
-// booked is how much of a ring's size counts.
+// accounted returns how much of a ring's size counts against the memory limit.
 func booked(size int) int { return max(0, size-freeRing) }
 
-// drop gives the ring's memory back.
+// release frees the ring's memory and empties it.
 func (r *Ring) drop() {
 	r.pool.give(booked(len(r.buf)))
 	r.buf, r.at, r.n = nil, 0, 0
 }
 
-// copyOut copies the bytes from place skip on into p, which must be held.
+// copyOut fills p with the bytes from offset skip on. The ring must hold that many.
 func (r *Ring) copyOut(p []byte, skip int) {
 	at := r.at + skip
 	if at >= len(r.buf) {
@@ -106,7 +106,7 @@
 	copy(p[n:], r.buf)
 }
 
-// Write appends p whole, or nothing of it and ErrFull.
+// Write appends all of p, or nothing and returns ErrFull.
 func (r *Ring) Write(p []byte) (int, error) {
 	if !r.grow(r.n + len(p)) {
 		return 0, ErrFull
@@ -119,7 +119,7 @@
 	return len(p), nil
 }
 
-// Read takes bytes out.
+// Read removes bytes from the ring into p.
 func (r *Ring) Read(p []byte) (int, error) {
 	if r.n == 0 {
 		return 0, io.EOF
@@ -130,7 +130,7 @@
 	return n, nil
 }
 
-// Peek copies the bytes from place skip on without taking them, as many as there are and p holds.
+// Peek copies bytes from offset skip on into p without removing them, and returns how many it copied.
 func (r *Ring) Peek(p []byte, skip int) int {
 	n := min(len(p), r.n-skip)
 	if n <= 0 {
@@ -140,10 +140,10 @@
 	return n
 }
 
-// First returns the first stretch of what is held, without taking it.
+// FirstSegment returns the first contiguous segment of buffered bytes without removing it.
 func (r *Ring) First() []byte { return r.buf[r.at:min(len(r.buf), r.at+r.n)] }
 
-// Discard forgets the first n bytes.
+// Discard removes the first n bytes.
 func (r *Ring) Discard(n int) {
 	r.n -= n
 	if r.at += n; r.at > 0 && r.at >= len(r.buf) {
@@ -151,10 +151,10 @@
 	}
 }
 
-// Truncate keeps the first n bytes and forgets what was written after them.
+// Truncate keeps the first n bytes and drops the rest.
 func (r *Ring) Truncate(n int) { r.n = min(r.n, n) }
 
-// Index is the place of the first sep, or -1.
+// Index returns the offset of the first sep, or -1.
 func (r *Ring) Index(sep []byte) int {
 	first := r.First()
 	if i := bytes.Index(first, sep); i >= 0 {
