--- a/internal/net/replywriter.go
+++ b/internal/net/replywriter.go
@@ -1,8 +1,8 @@
 package net
 
-// Writing replies to a client. The goroutine that takes the client's requests writes them. Where its thread
-// is held up in the system call, the reply is finished by the watchdog: it puts the bytes out itself and
-// ends the sending side, so that the held call can put out nothing behind them.
+// Writing replies to a client. The goroutine that serves the client's requests writes them. If its thread
+// gets stuck in the write system call, the watchdog finishes the reply: it writes the bytes itself and shuts
+// down the sending side, so that the stuck call cannot send anything after them.
 
 import (
 	"bytes"
@@ -17,26 +17,26 @@
 	"lapislever/internal/watchdog"
 )
 
-// rescueTicks is how many whole ticks the write of a reply has to be held before another goroutine finishes
-// it.
+// takeoverTicks is the number of whole watchdog ticks for which a reply's write has to be stuck before
+// another goroutine takes it over.
 const rescueTicks = 3
 
-// tcpEstablished is the state of a connection of which neither side has ended (TCP_ESTABLISHED).
+// tcpEstablished is the state of a connection that neither side has closed (TCP_ESTABLISHED).
 const tcpEstablished = 1
 
-// replyWriter is the sending side of a client's connection.
+// replyWriter is the sending side of a client connection.
 type replyWriter struct {
 	conn  net.Conn
-	raw   syscall.RawConn // nil: the connection is not the system's own
+	raw   syscall.RawConn // nil: not a plain kernel socket
 	watch *watchdog.Watchdog
 
-	mu       sync.Mutex // guards what follows
-	sent     uint64     // bytes that the system has taken so far
-	rest     []byte     // what the call under way writes; nil: there is none
-	last     bool       // with these bytes the reply is whole
-	rescuers int        // that may be about to write
-	quiet    sync.Cond  // told when there is none any more
-	rescued  bool       // the sending side has ended with this reply
+	mu       sync.Mutex // guards the fields below
+	sent     uint64     // bytes that the kernel has accepted so far
+	rest     []byte     // bytes of the system call in progress; nil: none in progress
+	last     bool       // these bytes complete the reply
+	rescuers int        // takeovers that may be about to write
+	quiet    sync.Cond  // signalled when a takeover has finished
+	rescued  bool       // this reply was finished by a takeover, and the sending side is shut down
 }
 
 func newReplyWriter(conn net.Conn, watch *watchdog.Watchdog) *replyWriter {
@@ -45,14 +45,15 @@
 	return w
 }
 
-// replyPiece is a part of a reply that is written at a time.
+// replyChunk writes one chunk of a reply at a time.
 type replyPiece struct {
 	w     *replyWriter
-	limit time.Duration // for the client to take it, where the system does not take it at once
+	limit time.Duration // for the write, if the kernel does not accept it immediately
 	last  bool
 }
 
-// Write writes the piece. A limit is set only where the system takes nothing: setting it reads clocks.
+// Write writes a chunk. It sets a deadline only once the kernel accepts nothing, as setting one reads the
+// clock.
 func (p *replyPiece) Write(b []byte) (int, error) {
 	w := p.w
 	if w.raw == nil {
@@ -92,8 +93,8 @@
 	return written, err
 }
 
-// call makes one system call. While somebody else may be about to write it is not left: either the sending
-// side has ended then, or nobody writes any more.
+// writeOnce makes one write system call. It does not return while a takeover may be about to write: by then
+// either the sending side is shut down, or nobody else writes any more.
 func (w *replyWriter) call(fd int, b []byte, last bool) (int, error) {
 	w.mu.Lock()
 	w.rest, w.last = b, last
@@ -118,9 +119,9 @@
 	return n, err
 }
 
-// held finishes the reply in place of a call that is held up before it has put out a byte. Each such try
-// may be held up in turn, and is followed by another one; the first to write ends the sending side, so that
-// the others write nothing.
+// takeOver finishes the reply on behalf of a system call that is stuck before it has sent a byte. A takeover
+// may get stuck too and is then followed by another one. The first to write shuts down the sending side, so
+// that the others write nothing.
 func (w *replyWriter) held(ticks int) {
 	if ticks%rescueTicks != 0 {
 		return
@@ -142,8 +143,8 @@
 	w.quiet.Broadcast()
 }
 
-// finishReply writes the rest of a reply and ends the sending side, if the system has taken nothing since
-// so many bytes.
+// finishReply writes the rest of a reply and shuts down the sending side, unless the kernel has accepted
+// bytes beyond the first sent ones in the meantime.
 func finishReply(fd int, sent uint64, rest []byte) bool {
 	if taken, ok := bytesTaken(fd); !ok || taken != sent {
 		return false
@@ -155,8 +156,8 @@
 	return true
 }
 
-// writeAll makes system calls until all is written or one fails, as the system may take a part only. It
-// returns how much was written.
+// writeAll calls write until all bytes are written or a call fails, as the kernel may accept only a part. It
+// returns the number of bytes written.
 func writeAll(b []byte, write func([]byte) (int, error)) (written int) {
 	for written < len(b) {
 		n, err := write(b[written:])
@@ -168,17 +169,17 @@
 	return written
 }
 
-// wasRescued tells that a reply was finished by the watchdog, and that nothing more can be sent.
+// wasTakenOver reports whether a reply was finished by the watchdog, so that nothing more can be sent.
 func (w *replyWriter) wasRescued() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.rescued
 }
 
-// bytesTaken is how many bytes the system has taken from this process on a connection, sent or not. It is not
-// known where the system does not say so.
+// bytesAccepted returns how many bytes the kernel has accepted from this process on a connection, sent or
+// not. ok is false if the kernel does not report it.
 func bytesTaken(fd int) (n uint64, ok bool) {
-	// First what is queued: what is acknowledged meanwhile then counts twice, not never.
+	// Read the queue size first: bytes acknowledged between the two calls then count twice, not zero times.
 	queued, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 	if err != nil {
 		return 0, false
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -9,21 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket writes messages to a connection, each put together at the very moment at which the system takes it.
+// Socket writes messages to a connection and builds each one only when the kernel can accept it.
 type Socket struct {
 	c     net.Conn
-	raw   syscall.RawConn // nil: the connection is not the system's own
-	limit time.Duration   // for a message, from when the system first does not take it whole
+	raw   syscall.RawConn // nil: not a plain kernel socket
+	limit time.Duration   // per message, from the first write that the kernel does not accept in full
 }
 
-// NewSocket returns the socket of a connection on which a message that the system does not take at once may
-// take as long as the limit says.
+// NewSocket returns a Socket for a connection. A message that the kernel does not accept immediately has to
+// be written within limit.
 func NewSocket(c net.Conn, limit time.Duration) *Socket {
 	return &Socket{c: c, raw: rawConn(c), limit: limit}
 }
 
-// setLimit begins the time of a message. That takes looks at clocks, which must not come before a system
-// call.
+// armDeadline starts the write timeout of a message. It reads the clock, so it must not run right before a
+// write system call.
 func (s *Socket) setLimit() { _ = s.c.SetWriteDeadline(time.Now().Add(s.limit)) }
 
 func rawConn(c net.Conn) syscall.RawConn {
@@ -38,10 +38,10 @@
 	return raw
 }
 
-// WriteMessage has a message put together by begin and writes it. Where the system takes no byte it waits,
-// within the socket's limit, and has begin called again; an empty message ends the call. Between
-// begin and the system call there is nothing that may wait or take time. tried is called when a try is over,
-// with whether bytes have gone out: where some have, once the rest has followed or has failed.
+// WriteMessage calls begin to build a message and writes it. If the kernel accepts no byte, it waits, up to
+// the write timeout, and calls begin again; an empty message ends the call. Nothing between begin and the
+// system call may block or take time. tried is called after each try and reports whether bytes were written;
+// if some were, it is called once the rest has been written or has failed.
 func (s *Socket) WriteMessage(begin func() []byte, tried func(out bool)) error {
 	if s.raw == nil {
 		s.setLimit()
@@ -104,8 +104,8 @@
 	return err
 }
 
-// write makes one write(2), again where a signal has broken in. It is the standard library's, which tells
-// the race detector that what came before it comes before a read of the bytes.
+// write makes one write(2) call, and repeats it if a signal interrupts it. It uses the standard library's
+// wrapper, which tells the race detector that everything before the write happens before a read of its bytes.
 func write(fd int, b []byte) (int, error) {
 	for {
 		n, err := syscall.Write(fd, b)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Abort makes it impossible that another byte goes out on a connection, also by a write that has been begun:
-// after a shutdown the system takes no more. It does not wait.
+// Abort guarantees that no further byte is sent on a connection, not even by a write that is in progress:
+// after shutdown(2) the kernel accepts no more. It does not block.
 func Abort(c net.Conn) {
 	raw := rawConn(c)
 	if raw == nil {
@@ -126,17 +126,17 @@
 	_ = raw.Control(func(fd uintptr) { _ = unix.Shutdown(int(fd), unix.SHUT_RDWR) })
 }
 
-// arrivals tells when bytes that were just read had come. The process may have been held up before it read
-// them, and what a client waits for counts from when it sent them.
+// arrivalClock tells when bytes that were just read had arrived. The process may have been stalled before it
+// read them, but a client's waiting time counts from when it sent them.
 type arrivals struct {
 	raw  syscall.RawConn
-	mute bool // the system does not say
+	mute bool // the kernel does not report arrival times
 }
 
-// arrivalMost is how long bytes may have waited at most: what is told to be older is no time of theirs.
+// maxArrivalAge is the longest that bytes can have waited to be read. A higher reported age is not theirs.
 const arrivalMost = 10 * time.Second
 
-// at is when the last bytes came that were read by now.
+// arrivalTime returns when the last bytes that have been read arrived.
 func (a *arrivals) at(now time.Time) time.Time {
 	if a.raw == nil || a.mute {
 		return now
@@ -154,8 +154,8 @@
 	return now.Add(-age)
 }
 
-// PeerLeft looks whether the other side of a connection has closed it or its sending side, without waiting
-// and whatever lies unread before the end. Where the system can't tell it is false.
+// PeerClosed reports whether the peer has closed the connection or its sending side, regardless of unread
+// data before the close. It does not block, and returns false if the kernel cannot tell.
 func PeerLeft(c net.Conn) bool {
 	raw := rawConn(c)
 	if raw == nil {
@@ -166,8 +166,8 @@
 	return left
 }
 
-// hasEnded looks by poll(2) whether the other side of a connection has ended, again where a signal has
-// broken in: a look that failed says nothing.
+// pollClosed checks with poll(2) whether the peer has closed its side. It repeats a call that a signal
+// interrupts, as a failed call does not mean that the connection is open.
 func hasEnded(fd int32, poll func(fds []unix.PollFd, timeout int) (int, error)) bool {
 	look := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
 	n, err := poll(look, 0)
@@ -177,8 +177,8 @@
 	return err == nil && n == 1 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
-// Cut closes a connection whose writer may be in a system call: closing alone would let that call put out its
-// bytes first, whenever its thread goes on, as the descriptor is kept until the call returns.
+// AbortAndClose closes a connection whose writer may be in a system call. Close alone would still let that
+// call send its bytes once its thread resumes, as the descriptor stays open until the call returns.
 func Cut(c net.Conn) {
 	Abort(c)
 	_ = c.Close()
