--- a/internal/net/keeper.go
+++ b/internal/net/keeper.go
@@ -1,8 +1,8 @@
 package net
 
-// A gate at work: one for all listeners of a program, with the clock and the connections that it decides
-// about. This file owns the order of asking and closing; it must never decide who gets in: internal/admission
-// does.
+// The admission controller that all listeners of a process share: the decisions of internal/admission, with
+// the clock and the connections they concern. This file orders requests for admission and evictions; it must
+// never decide which connections are admitted: internal/admission does.
 
 import (
 	"crypto/tls"
@@ -17,19 +17,19 @@
 	"lapislever/internal/admission"
 )
 
-// roomTries bounds how many connections are asked to make way for one.
+// maxEvictions bounds how many evictions are tried to make room for one connection.
 const roomTries = 8
 
-// Keeper is a gate with a clock. It is safe for concurrent use.
+// AdmissionController wraps an admission.Controller with a lock and a clock. It is safe for concurrent use.
 type Keeper struct {
-	mu    sync.Mutex // guards all below
+	mu    sync.Mutex // guards all fields below
 	gate  *admission.Gate
 	epoch time.Time
-	close map[uint64]func() bool // by connection: closes it if it carries nothing
+	close map[uint64]func() bool // by connection: closes it if it is idle
 	proof time.Duration
 }
 
-// NewKeeper returns a keeper of an empty gate.
+// NewAdmissionController returns a controller without connections.
 func NewKeeper(l admission.Limits) *Keeper {
 	return &Keeper{gate: admission.New(l), epoch: time.Now(), close: map[uint64]func() bool{},
 		proof: time.Duration(l.ProveIn) * time.Microsecond}
@@ -37,7 +37,7 @@
 
 func (k *Keeper) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
 
-// Adopt takes new limits in. Who is in stays in, and so do operators' words.
+// SetLimits applies new limits. Admitted connections, bans and pins stay.
 func (k *Keeper) Adopt(l admission.Limits) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -45,7 +45,7 @@
 	k.proof = time.Duration(l.ProveIn) * time.Microsecond
 }
 
-// arrive asks for a connection, and makes room where it is told to.
+// decide asks for a decision on a new connection, and evicts idle connections if the decision requires it.
 func (k *Keeper) arrive(c net.Conn, proves bool, places int) admission.Decision {
 	at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	for range roomTries {
@@ -59,20 +59,20 @@
 		if spare != nil && spare() {
 			k.Leave(d.ID)
 		} else {
-			k.use(d.ID) // something of a request has come: it does not rest
+			k.use(d.ID) // part of a request has arrived: it is not idle
 		}
 	}
 	return admission.Decision{Verdict: admission.Refuse, Reason: admission.Full, After: 1_000_000}
 }
 
-// hold notes how a connection that is in can be closed.
+// setCloser sets the function that closes an admitted connection if it is idle.
 func (k *Keeper) hold(id uint64, spare func() bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.close[id] = spare
 }
 
-// Leave tells that a connection has ended.
+// Release records that a connection has ended.
 func (k *Keeper) Leave(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -92,14 +92,14 @@
 	k.gate.Rest(id)
 }
 
-// prove tells what a handshake has shown.
+// handshakeDone records the identity that a TLS handshake has established.
 func (k *Keeper) prove(id uint64, identity string, known bool) admission.Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.gate.Prove(k.now(), id, identity, known)
 }
 
-// Hold bans a prefix for a time, or pins it as known. Of a banned one the connections that rest are closed.
+// BanOrPin bans a prefix for a time, or pins it as known. Idle connections of a banned prefix are closed.
 func (k *Keeper) Hold(p netip.Prefix, pinned bool, span time.Duration) {
 	k.mu.Lock()
 	until := k.now() + span.Microseconds()
@@ -121,27 +121,27 @@
 	}
 }
 
-// Lift takes a ban or a pin back.
+// Lift removes a ban or a pin.
 func (k *Keeper) Lift(p netip.Prefix) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.gate.Lift(p)
 }
 
-// Admission is what operators see.
+// AdmissionStatus is the controller's state as shown to operators.
 type Admission struct {
 	admission.Figures
 	Holds []Held `json:"holds"`
 }
 
-// Held is a ban or a pin, with how long it still holds.
+// PrefixOverride is a ban or a pin, with its remaining time.
 type Held struct {
 	Prefix string  `json:"prefix"`
 	Pinned bool    `json:"pinned"`
 	Left   float64 `json:"left_s"`
 }
 
-// Figures are the gate's counts, its n busiest addresses and the words in force.
+// Stats returns the counters, the n busiest addresses, and the bans and pins in force.
 func (k *Keeper) Figures(n int) Admission {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -153,7 +153,8 @@
 	return a
 }
 
-// seat is a connection's place with a keeper. The zero seat is with none.
+// admissionSlot is an admitted connection's slot at the admission controller. The zero slot has no
+// controller.
 type seat struct {
 	k  *Keeper
 	id uint64
@@ -177,10 +178,11 @@
 	}
 }
 
-// Guest is a connection of another carrier that a keeper lets in.
+// AdmittedConn is an admitted connection of another protocol's listener.
 type Guest struct{ seat }
 
-// Enter asks for a connection of another carrier; spare closes it if it carries nothing.
+// Admit requests admission for a connection of another protocol's listener; closeIfIdle closes it if it is
+// idle. If the connection is refused, Admit returns when the client may come back.
 func (k *Keeper) Enter(c net.Conn, budget *Budget, spare func() bool) (Guest, bool, time.Duration) {
 	d := k.arrive(c, false, budget.Places())
 	if d.Verdict == admission.Refuse {
@@ -194,15 +196,16 @@
 	return Guest{seat{k, d.ID}}, true, 0
 }
 
-// Use, Rest and Leave tell what becomes of it.
+// MarkBusy, MarkIdle and Release record that the connection carries a request, carries none, and has ended.
 func (g Guest) Use()   { g.use() }
 func (g Guest) Rest()  { g.rest() }
 func (g Guest) Leave() { g.leave() }
 
-// Secure makes of a client's connection one by TLS, and says who the client has proved to be.
+// Handshake makes the TLS handshake on a client connection and returns the client's authenticated identity.
 type Secure func(c net.Conn) (secured net.Conn, identity string, err error)
 
-// SecureBy is Secure with the configuration of each moment. Who shows no certificate has no identity.
+// TLSHandshake returns a Handshake that reads the current configuration each time. A client without a
+// certificate has no identity.
 func SecureBy(config func() *tls.Config) Secure {
 	return func(c net.Conn) (net.Conn, string, error) {
 		t := tls.Server(c, config())
@@ -216,8 +219,8 @@
 	}
 }
 
-// inHand is a descriptor kept for the moment at which there is none left: given up, it lets one caller in,
-// who is told at once.
+// spareDescriptor is a descriptor kept open for when there are none left. Closing it allows one pending
+// connection to be accepted and closed immediately, rather than leaving the client to wait.
 type inHand struct{ f *os.File }
 
 func (h *inHand) take() {
@@ -226,8 +229,8 @@
 	}
 }
 
-// turnAway ends one waiting caller where accept failed for want of a descriptor. It returns false for other
-// failures.
+// rejectOne accepts and closes one pending connection after accept has failed for lack of descriptors. It
+// returns false for other failures.
 func (h *inHand) turnAway(l net.Listener, err error) bool {
 	if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) || h.f == nil {
 		return false
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -1,6 +1,6 @@
 package net
 
-// The server: its listener, who is let in and who makes way, and the end.
+// The server: its listener, admission and eviction of client connections, and shutdown.
 
 import (
 	"context"
@@ -19,70 +19,70 @@
 	"lapislever/internal/watchdog"
 )
 
-// Exchange is one request that waits for its one reply.
+// Exchange is one request that is waiting for its reply.
 type Exchange struct {
 	reply chan Response
 	once  atomic.Bool
 	conn  net.Conn // the client's socket
 }
 
-// NewExchange returns an exchange of a request that came over a socket, and where its reply will come.
+// NewExchange returns an exchange for a request that came over conn, and the channel that receives its reply.
 func NewExchange(conn net.Conn) (*Exchange, <-chan Response) {
 	x := &Exchange{reply: make(chan Response, 1), conn: conn}
 	return x, x.reply
 }
 
-// ClientLeft asks the system whether the client has closed its connection: whoever reads from it may not have
-// come to see that yet.
+// ClientLeft asks the kernel whether the client has closed its connection, as the goroutine that reads from
+// it may not have noticed yet.
 func (x *Exchange) ClientLeft() bool { return x.conn != nil && PeerLeft(x.conn) }
 
-// Reply hands over the reply. It never blocks; any reply but the first is dropped.
+// Reply delivers the reply. It never blocks; replies after the first are dropped.
 func (x *Exchange) Reply(r Response) {
 	if x.once.CompareAndSwap(false, true) {
 		x.reply <- r
 	}
 }
 
-// Handler takes a request and returns what to call should the client be gone before the reply, or nil. It
-// must not block; the reply may come at any time from any goroutine.
+// Handler takes a request and returns a function to call if the client disconnects before the reply, or nil.
+// It must not block; any goroutine may deliver the reply at any time.
 type Handler func(r *Request, x *Exchange) (gone func())
 
-// Server accepts clients' connections and serves HTTP/1.1 on them.
+// Server accepts client connections and serves HTTP/1.1 on them.
 type Server struct {
 	l      net.Listener
 	handle Handler
 	budget *Budget
 	log    *slog.Logger
-	mu     sync.Mutex // guards conns, finished
+	mu     sync.Mutex // guards conns, draining
 	conns  map[*serverConn]struct{}
-	// finished: connections end between two requests, also those that were just being accepted.
+	// draining: connections close between two requests, including those that are just being accepted.
 	finished bool
 	closing  atomic.Bool
-	// TurnedAway, if set, hears of each request that is refused because too many connections are open.
+	// OnRejected, if set, is called for each request refused because too many connections are open.
 	TurnedAway func(r *Request)
-	// Advise, if set, is what such a client may be told of when to come back; 0: nothing.
+	// CapRetryAfter, if set, adjusts the Retry-After sent to such a client; 0: send none.
 	Advise func(after time.Duration) time.Duration
-	// Delays, if set, hears of replies that were written late.
+	// Delays, if set, records replies that were written late.
 	Delays *delay.Recorder
-	// Keeper, if set, says who is let in, and Secure, if set, makes the connection one by TLS. Both are set
-	// before Serve.
+	// Admission, if set, decides which connections are admitted. Handshake, if set, makes the TLS handshake.
+	// Both must be set before Serve is called.
 	Keeper *Keeper
 	Secure Secure
 	watch  watchdog.Watchdog
-	begun  time.Time    // when it was made
-	last   atomic.Int64 // when a request last came, in nanoseconds since then
-	spare  atomic.Int64 // connections beyond the budget that are just being refused
+	begun  time.Time    // when the server was created
+	last   atomic.Int64 // when the last request was taken, in nanoseconds since startedAt
+	spare  atomic.Int64 // open connections beyond the budget, each only to be refused
 }
 
-// reusing lets another process listen on the same address: the next version of this program, while this one
-// ends. Where the system refuses that, the address is this process's alone.
+// reusePort lets another process listen on the same address: the next version of this program, while this one
+// shuts down. If the kernel refuses the option, this process has the address to itself.
 var reusing = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }}
 
-// Listen starts to listen on an address and on nothing else.
+// Listen returns a server that listens on addr only.
 func Listen(addr string, budget *Budget, log *slog.Logger, h Handler) (*Server, error) {
 	l, err := reusing.Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return NewServer(l, budget, log, h), nil
 }
 
-// ListenPacket opens a socket for datagrams.
+// ListenPacket opens a UDP socket.
 func ListenPacket(addr string) (*net.UDPConn, error) {
 	c, err := reusing.ListenPacket(context.Background(), "udp", addr)
 	if err != nil {
@@ -100,7 +100,7 @@
 	return c.(*net.UDPConn), nil
 }
 
-// NewServer serves on a listener that is there.
+// NewServer returns a server on an existing listener.
 func NewServer(l net.Listener, budget *Budget, log *slog.Logger, h Handler) *Server {
 	s := &Server{l: l, handle: h, budget: budget, log: log, conns: map[*serverConn]struct{}{},
 		begun: time.Now()}
@@ -108,13 +108,13 @@
 	return s
 }
 
-// Listener is the listener.
+// Listener returns the server's listener.
 func (s *Server) Listener() net.Listener { return s.l }
 
-// Addr is the address listened on.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.l.Addr().String() }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	var hand inHand
 	if s.Keeper != nil {
@@ -126,10 +126,10 @@
 			return
 		}
 		if err != nil && hand.turnAway(s.l, err) {
-			s.log.Warn("connection closed: no descriptor is left", "err", err)
+			s.log.Warn("connection closed: out of file descriptors", "err", err)
 			continue
 		}
-		if err != nil { // out of descriptors or the like: it passes
+		if err != nil { // out of descriptors or similar: transient
 			s.log.Warn("accept failed", "err", err)
 			time.Sleep(5 * time.Millisecond)
 			continue
@@ -161,7 +161,8 @@
 	}
 }
 
-// admit finds a place for a connection, or tells when to come back.
+// admit acquires a descriptor for a connection. If it is refused, retryAfter is when the client may come
+// back.
 func (s *Server) admit(c net.Conn) (held bool, place seat, after time.Duration) {
 	if s.Keeper == nil {
 		held = s.budget.TakeClient()
@@ -174,14 +175,14 @@
 	if d.Verdict == admission.Refuse {
 		return false, seat{}, time.Duration(d.After) * time.Microsecond
 	}
-	if !s.budget.takePlace() { // nodes have taken it meanwhile
+	if !s.budget.takePlace() { // node connections have taken it meanwhile
 		s.Keeper.Leave(d.ID)
 		return false, seat{}, time.Second
 	}
 	return true, seat{s.Keeper, d.ID}, 0
 }
 
-// forget drops a connection that has ended.
+// remove forgets a connection that has ended.
 func (s *Server) forget(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,17 +190,17 @@
 	c.giveBack()
 }
 
-// evict closes the client connection that can best be spared, so that a crowd does not keep others out: one
-// that only reads an error yet, one that has asked nothing or has stopped in the middle of its first request,
-// else the one that has been without a request for the longest time, as the protocol allows.
-// Only what can be spared better than the bound is closed.
+// evict closes the client connection that is least useful, so that a flood of connections does not keep
+// others out: first one that only lingers after an error reply, then one that has sent nothing or has
+// stalled in its first request, then the one that has been idle between requests the longest, which the
+// protocol allows to close. It only closes connections of a rank below bound.
 func (s *Server) evict(bound connUse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var spared *serverConn
 	var since time.Time
 	worst := bound
-	now := time.Now() // once: a crowd has hundreds of connections
+	now := time.Now() // once, as there may be hundreds of connections
 	for c := range s.conns {
 		if !c.held {
 			continue
@@ -211,23 +212,24 @@
 	if spared == nil || !spared.spare() {
 		return false
 	}
-	s.log.Info("connection closed to make way", "client", spared.c.RemoteAddr(), "use", int(worst),
+	s.log.Info("connection evicted to free a descriptor", "client", spared.c.RemoteAddr(), "use", int(worst),
 		"since", time.Since(since))
 	delete(s.conns, spared)
 	spared.giveBack()
 	return true
 }
 
-// MakeWay closes a connection of which no request is to be expected, if there is one.
+// EvictStalled closes a connection that no request is expected on, if there is one.
 func (s *Server) MakeWay() bool { return s.evict(idle) }
 
-// Wind has every reply end its connection from now on. Idle connections stay: a request may be on its way.
+// CloseAfterReply makes every further reply close its connection. Idle connections stay open, as a request
+// may be on its way.
 func (s *Server) Wind() { s.closing.Store(true) }
 
-// Finish ends the server: from now on every reply ends its connection, and so do those that are or come to
-// rest. Each connection is ended by the goroutine that takes its requests, between two of them: it says that
-// nothing more will come, and goes on reading until the client has left, so that no reply on its way is lost
-// and no request is read that is not answered.
+// Drain shuts the server down: every further reply closes its connection, and connections that are or become
+// idle are closed. The goroutine that serves a connection closes it, between two requests: it shuts down the
+// sending side and keeps reading until the client has left, so that no reply in flight is lost and no
+// request is taken that is not answered.
 func (s *Server) Finish() {
 	s.Wind()
 	s.mu.Lock()
@@ -241,22 +243,23 @@
 	}
 }
 
-// LastRequest is when a request last came.
+// LastRequest returns when the last request was taken.
 func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
 
-// Open counts the connections.
+// OpenConns returns the number of open connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// StopListening closes the listener; connections go on.
+// StopListening closes the listener; open connections stay.
 func (s *Server) StopListening() { _ = s.l.Close() }
 
-// Wait waits until every connection has ended, or until the time is over. After Finish, a request that is not
-// all there shortly before that is turned away. It looks again and again rather than at a sync.WaitGroup: a
-// connection may still be accepted just as the listener closes.
+// Wait waits until every connection has ended, for at most the given time, and reports whether they have.
+// After Drain, a request that is still incomplete shortly before the time is over gets an error reply. Wait
+// polls rather than using a sync.WaitGroup, as a connection may still be accepted just as the listener
+// closes.
 func (s *Server) Wait(most time.Duration) bool {
 	end := time.Now().Add(most)
 	s.mu.Lock()
