--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -1,9 +1,9 @@
-// Package net owns sockets and bytes: listeners, connections with one ring buffer a direction, the budget
-// of descriptors, and HTTP/1.1 on net/textproto. It must never decide anything: it does not know the
-// module, the classes or what a body means, and no goroutine of it ever runs the module.
+// Package net implements listeners, connections with one ring buffer per direction, the budget of file
+// descriptors, and HTTP/1.1 on net/textproto. It must never make decisions: it knows neither the module nor
+// classes nor what a body means, and none of its goroutines ever runs the module.
 //
-// This file holds a client's connection; server.go the listener, ring.go and budget.go what connections are
-// given, socket.go writes that are ordered with other events, http.go the messages and the client side.
+// This file contains the client connection; server.go the listener, ring.go and budget.go the resources of
+// connections, socket.go writes that are ordered with other events, http.go messages and the client side.
 package net
 
 import (
@@ -21,36 +21,36 @@
 
 // Sizes and limits of the network code.
 const (
-	MaxBody   = 64 << 10 // a body that the protocol allows
-	MaxHead   = 16 << 10 // a request or status line with its headers
+	MaxBody   = 64 << 10 // largest body of a request
+	MaxHead   = 16 << 10 // largest request or status line with its headers
 	firstRing = 1 << 10
-	freeRing  = 4 << 10   // up to here a ring grows without being booked: most requests are smaller
-	largeRing = 16 << 10  // an emptied ring beyond this gives its memory back
-	outRing   = 16 << 10  // replies are written through it piece by piece
-	aheadMost = 256 << 10 // what a client may send ahead of its replies: the ring's most
-	// A client whose request is out and whose ring is full for so long is read on, and what comes is thrown
-	// away: only a read tells that it leaves, within the 0.1 s in which its request must not go on.
+	freeRing  = 4 << 10   // growth up to this size is not accounted for: most requests are smaller
+	largeRing = 16 << 10  // an empty ring larger than this releases its memory
+	outRing   = 16 << 10  // replies are written through it in chunks
+	aheadMost = 256 << 10 // how much a client may send ahead of its replies: the ring's limit
+	// If a client's ring stays full for this long while its request is in progress, further input is read and
+	// discarded: only a read shows that the client has left, and its request has to be cancelled within 0.1 s.
 	aheadLimit = 30 * time.Millisecond
-	fullPause  = 10 * time.Millisecond // between looks at a full ring
-	poolSize   = 24 << 20              // all clients' rings together, beyond that, unless the budget says less
-	drainSize  = 16 << 10              // read at once of what is thrown away
-	idleLimit  = 10 * time.Second      // a client connection between requests
-	spareLimit = time.Second           // and of one beyond the budget, until it is refused
-	SpareMost  = 16                    // connections of that kind
-	waitStep   = 5 * time.Millisecond  // between looks at whether all connections have ended
-	// A client is owed an answer or the end within 3 s of connecting, also for half a request or none.
+	fullPause  = 10 * time.Millisecond // between checks of a full ring
+	poolSize   = 24 << 20              // accounted memory of all clients' rings, unless the budget sets less
+	drainSize  = 16 << 10              // per read of discarded input
+	idleLimit  = 10 * time.Second      // for a client connection between requests
+	spareLimit = time.Second           // for a connection beyond the budget to send its request and be refused
+	SpareMost  = 16                    // upper limit on connections beyond the budget
+	waitStep   = 5 * time.Millisecond  // between checks whether all connections have ended
+	// A client must get a reply or a close within 3 s of connecting, even if it sends half a request or none.
 	requestLimit = 2500 * time.Millisecond
 	replyLimit   = 5 * time.Second
-	// After an error the client may be sending still: it gets to read the error for as long as it sends.
+	// After an error reply the client may still be sending: the connection stays open to let it read the reply.
 	lingerLimit = 4 * time.Second
 	lingerQuiet = 500 * time.Millisecond
-	// Before this a client's first request may be under way, a request that began come to its end, and a
-	// reply be on its way.
+	// Within this time, a client's first request may be on its way, a partial request may be completed, and a
+	// reply may still be in flight.
 	graceLimit = 300 * time.Millisecond
-	partLimit  = 200 * time.Millisecond // left at the very end for a word to half a request
+	partLimit  = 200 * time.Millisecond // before Wait ends, to reply to incomplete requests
 )
 
-// secure makes the handshake, within its time, and goes on as a client that has proved who it is, or has not.
+// handshake makes the TLS handshake within its timeout, then serves the connection as authenticated or not.
 func (c *serverConn) secure() {
 	limit := spareLimit
 	if c.seat.k != nil && c.held {
@@ -59,13 +59,13 @@
 	_ = c.c.SetDeadline(time.Now().Add(limit))
 	secured, identity, err := c.s.Secure(c.c)
 	if err != nil {
-		c.s.log.Warn("no handshake", "client", c.c.RemoteAddr(), "err", err)
+		c.s.log.Warn("TLS handshake failed", "client", c.c.RemoteAddr(), "err", err)
 		c.shut()
 		c.s.forget(c)
 		return
 	}
 	_ = c.c.SetDeadline(time.Time{})
-	c.c = secured // nobody else looks at it yet
+	c.c = secured // no other goroutine uses it yet
 	c.replies = newReplyWriter(secured, &c.s.watch)
 	if c.seat.k != nil {
 		if d := c.seat.k.prove(c.seat.id, identity, identity != ""); d.Verdict == admission.Refuse {
@@ -76,7 +76,7 @@
 	c.serve()
 }
 
-// yield closes the connection if nothing of a request has come.
+// closeIfIdle closes the connection if no part of a request has arrived.
 func (c *serverConn) yield() bool {
 	c.mu.Lock()
 	if c.state != waiting || c.in.Len() > 0 {
@@ -90,59 +90,60 @@
 	return true
 }
 
-// serverConn is a client's connection: fill reads into its ring, serve takes requests out one by one.
+// serverConn is a client connection: readLoop reads into its ring, serve takes requests out of it one by one.
 type serverConn struct {
-	s       *Server
-	raw     net.Conn   // the socket
-	c       net.Conn   // the same, or TLS over it
-	mu      sync.Mutex // guards in, err, at, state, since, asked, parting, until, overrun
+	s   *Server
+	raw net.Conn // the socket
+	c   net.Conn // the socket, or TLS over it
+	// mu guards in, readErr, lastRead, state, since, hadRequest, closing, requestBy and overrun.
+	mu      sync.Mutex
 	in, out *Ring
 	replies *replyWriter
 	more    chan struct{}
 	err     error
-	at      time.Time // when the last byte came
+	at      time.Time // when the last byte arrived
 	state   connState
-	since   time.Time // when this state began
-	asked   bool      // has had a request answered
-	parting bool      // is to end between two requests
-	until   time.Time // while parting, a request has to be there by then
-	overrun bool      // more came ahead than the ring holds, and has been thrown away
-	over    int       // goroutines that have ended
-	held    bool      // has a place in the budget; guarded by the server's mu
+	since   time.Time // when the state last changed
+	asked   bool      // at least one request was taken
+	parting bool      // to be closed between two requests
+	until   time.Time // while closing, the deadline for a complete request
+	overrun bool      // input beyond the ring's limit has been discarded
+	over    int       // number of goroutines that have ended
+	held    bool      // counts against the budget; guarded by the server's mu
 	back    bool
 	seat    seat
-	turned  bool          // is to be refused, though it has a place
-	after   time.Duration // when to come back, for one that is refused
+	turned  bool          // its request is to be refused, though it is within the budget
+	after   time.Duration // when to come back, if refused
 }
 
 type connState uint8
 
 const (
-	waiting   connState = iota // for a request, or in the middle of one
-	serving                    // a request
-	lingering                  // an error is written; what still comes is thrown away
-	spared                     // closed to make way
+	waiting   connState = iota // waiting for a request, or for the rest of one
+	serving                    // serving a request
+	lingering                  // the last reply is written; further input is discarded
+	spared                     // closed to free a descriptor
 )
 
-// connUse tells how well a connection can be spared, best first.
+// evictionRank orders connections by eviction, the first to be evicted first.
 type connUse uint8
 
 const (
-	ending  connUse = iota // has its error
-	useless                // no whole request in a time in which others have long asked
+	ending  connUse = iota // the last reply was written a while ago
+	useless                // no complete request within the grace period
 	idle                   // between requests
-	fresh                  // may just be about to ask
-	kept                   // has a request that is not answered
+	fresh                  // a request may be on its way
+	kept                   // has an unanswered request, or a reply may be in flight
 )
 
-// use tells what a connection is good for at a time, and since when.
+// rank returns the connection's eviction rank at a time, and the time of its last state change.
 func (c *serverConn) use(now time.Time) (connUse, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch late := now.Sub(c.since) > graceLimit; {
 	case c.state == lingering && late:
 		return ending, c.since
-	case c.state != waiting: // or its last word may be on its way, which a close could overtake
+	case c.state != waiting: // or a final reply may be in flight, which a close could overtake
 		return kept, c.since
 	case late && !c.asked:
 		return useless, c.since
@@ -154,7 +155,7 @@
 	return fresh, c.since
 }
 
-// spare closes the connection if no request was taken from it meanwhile.
+// evict closes the connection unless a request has been taken from it in the meantime.
 func (c *serverConn) spare() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +167,7 @@
 	return true
 }
 
-// become notes what the connection does from now on. It returns false once it was closed to make way.
+// setState changes the connection's state. It returns false if the connection has been evicted.
 func (c *serverConn) become(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +180,7 @@
 
 func (c *serverConn) shut() { _ = c.raw.Close() }
 
-// giveBack returns the place in the budget, once.
+// releaseBudget releases the connection's descriptor and its admission slot, once.
 func (c *serverConn) giveBack() {
 	if c.back {
 		return
@@ -200,16 +201,16 @@
 	}
 }
 
-// drains are the buffers for what is thrown away.
+// discardBuffers are the buffers that discarded input is read into.
 var drains = sync.Pool{New: func() any { return new([drainSize]byte) }}
 
-// drain reads what comes after an error and throws it away, up to the end.
+// discardInput reads and discards input until the connection ends.
 func (c *serverConn) drain() error {
 	buf := drains.Get().(*[drainSize]byte)
 	defer drains.Put(buf)
 	for {
 		_, err := c.c.Read(buf[:])
-		if errors.Is(err, os.ErrDeadlineExceeded) { // linger's word, which came while this had begun
+		if errors.Is(err, os.ErrDeadlineExceeded) { // lingerClose's wake-up, after this read began
 			_ = c.c.SetReadDeadline(time.Time{})
 		} else if err != nil {
 			return err
@@ -220,10 +221,11 @@
 	}
 }
 
-// fill reads what comes, also while a request waits for its reply: only so is a client's end seen at once.
+// readLoop reads input even while a request waits for its reply, as only a read shows that the client has
+// left.
 func (c *serverConn) fill() {
-	var full time.Duration // the ring has been, while one request is out
-	var out time.Time      // since when that is
+	var full time.Duration // how long the ring has been full during the current request
+	var out time.Time      // when the current state began
 	var failures passingFailures
 	came := arrivals{raw: rawConn(c.raw)}
 	for ended := false; !ended; {
@@ -242,7 +244,7 @@
 			continue
 		case drop:
 			err = c.drain()
-		case free == nil: // far more than a request, or no memory: let serve make room or give up on it
+		case free == nil: // far more than a request, or no memory: wait for serve to make room or to give up
 			time.Sleep(fullPause)
 			full += fullPause
 			continue
@@ -261,7 +263,7 @@
 			c.mu.Unlock()
 		}
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // serve wants the ring's memory back, or all thrown away
+		case errors.Is(err, os.ErrDeadlineExceeded): // serve wants the ring's memory released, or input discarded
 			err = nil
 			_ = c.c.SetReadDeadline(time.Time{})
 		case err == nil:
@@ -282,7 +284,7 @@
 	c.mu.Unlock()
 }
 
-// leave gives the rings back once both goroutines are done with them.
+// releaseRings releases the rings once both goroutines have ended.
 func (c *serverConn) leave() {
 	if c.over == 2 {
 		c.in.drop()
@@ -290,22 +292,22 @@
 	}
 }
 
-// errRest tells that a connection has ended its time between two requests.
-var errRest = errors.New("at rest")
+// errIdleClose means that a connection is to be closed between two requests.
+var errRest = errors.New("connection idle")
 
-// next waits for a whole request.
+// nextRequest waits for a complete request.
 func (c *serverConn) next() (*Request, error) {
 	if !c.become(waiting) {
 		return nil, net.ErrClosed
 	}
 	if c.asked {
-		c.seat.rest() // before its first request it is just about to ask
+		c.seat.rest() // before the first request, one is expected right away
 	}
 	var began, by time.Time
 	var lack lacks
 	continued := false
 	limit := idleLimit
-	if !c.held { // one of the few places for those that are to be refused
+	if !c.held { // it holds one of the few overflow slots
 		limit = spareLimit
 	} else if !c.asked {
 		limit = requestLimit
@@ -326,7 +328,7 @@
 		}
 		var req *Request
 		var err error
-		if c.in.Len() >= lack.bytes { // else it would only be looked through again
+		if c.in.Len() >= lack.bytes { // else the same bytes would be parsed again in vain
 			req, lack, err = parseRequest(c.in, c.at)
 		}
 		gone := c.err
@@ -339,7 +341,7 @@
 			by = c.until
 			timer.Reset(max(0, min(limit, time.Until(by))))
 		}
-		grace := graceLimit - time.Since(c.since) // a first request may be on its way
+		grace := graceLimit - time.Since(c.since) // the first request may be on its way
 		c.mu.Unlock()
 		switch {
 		case err != nil:
@@ -377,7 +379,7 @@
 	}
 }
 
-// serve takes one request after the other and writes its reply.
+// serve handles requests one after another and writes their replies.
 func (c *serverConn) serve() {
 	defer func() {
 		c.mu.Lock()
@@ -403,7 +405,7 @@
 			return
 		}
 		if errors.Is(err, errRest) {
-			c.s.log.Debug("connection at rest ended", "client", c.c.RemoteAddr(), "closing", c.s.closing.Load())
+			c.s.log.Debug("idle connection closed", "client", c.c.RemoteAddr(), "closing", c.s.closing.Load())
 			c.linger()
 		}
 		if err != nil {
@@ -416,7 +418,8 @@
 		end := req.Close || resp.Close || c.s.closing.Load() || !c.held || c.turned
 		err = c.write(resp, end, req.Method == "HEAD")
 		if c.replies.wasRescued() {
-			c.s.log.Warn("reply finished for a writer that was held up", "client", c.c.RemoteAddr(), "query", req.ID())
+			c.s.log.Warn("reply finished by the watchdog: its writer was stuck", "client", c.c.RemoteAddr(),
+				"query", req.ID())
 			end = true
 		}
 		if err != nil {
@@ -438,7 +441,7 @@
 	}
 }
 
-// exchange has a request handled and waits for its reply or for the end of the client.
+// exchange passes a request to the handler and waits for its reply or until the client has left.
 func (c *serverConn) exchange(req *Request) (Response, bool) {
 	x, reply := NewExchange(c.raw)
 	if !c.held || c.turned {
@@ -455,9 +458,9 @@
 		}
 		return r, true
 	}
-	c.s.last.Store(int64(c.since.Sub(c.s.begun))) // when it was taken: it may have waited before
+	c.s.last.Store(int64(c.since.Sub(c.s.begun))) // when the request was taken: it may have waited before
 	gone := c.s.handle(req, x)
-	c.signal() // the word of an end that came along with the request may have been taken with it
+	c.signal() // the wake-up for an end of stream that came with the request may have been consumed already
 	for {
 		select {
 		case r := <-reply:
@@ -480,14 +483,14 @@
 }
 
 func (c *serverConn) write(r Response, end, headOnly bool) error {
-	limit := replyLimit + time.Duration(len(r.Body))*time.Microsecond // a megabyte a second
+	limit := replyLimit + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
 	return writeResponse(&replyPiece{w: c.replies, limit: limit}, c.out, r, end, headOnly)
 }
 
-// linger tells the client that nothing more will come, and lets it read the reply before the connection goes:
-// closing while bytes of the client lie unread resets the connection, and a reset can overtake the reply.
-// What still comes is thrown away: it is never sent on, and the end tells the client so. One that is still
-// sending gets that long.
+// lingerClose shuts down the sending side and lets the client read the reply before the connection is
+// closed: closing while input is unread resets the connection, and the reset can overtake the reply. Further
+// input is discarded: it is never handled, and the close tells the client so. A client that is still sending
+// gets up to lingerTimeout.
 func (c *serverConn) linger() {
 	if !c.become(lingering) {
 		return
@@ -500,9 +503,9 @@
 	c.in.Discard(unread)
 	c.mu.Unlock()
 	if unread > 0 {
-		c.s.log.Info("bytes discarded behind the end of a connection", "client", c.c.RemoteAddr(), "bytes", unread)
+		c.s.log.Info("input discarded after a connection's last reply", "client", c.c.RemoteAddr(), "bytes", unread)
 	}
-	_ = c.c.SetReadDeadline(time.Unix(1, 0)) // from here on fill throws away what comes
+	_ = c.c.SetReadDeadline(time.Unix(1, 0)) // from here on readLoop discards input
 	begun := time.Now()
 	tick := time.NewTicker(lingerQuiet / 5)
 	defer tick.Stop()
