--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -1,7 +1,7 @@
 package net
 
-// HTTP/1.1 messages on net/textproto, both sides: parsing out of a ring buffer, writing through one, and a
-// client for one connection. This file owns the syntax of messages; it must never know what they are for.
+// HTTP/1.1 messages on net/textproto for both sides: parsing from a ring buffer, writing through one, and a
+// client for a single connection. This file handles message syntax only; it must not know what messages mean.
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// BadMessage is a message that cannot be used, with the status that its sender is told.
+// BadMessage is the error for an invalid message, with the status code to reply with.
 type BadMessage struct {
 	Status int
 	What   string
@@ -29,7 +29,7 @@
 	return &BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
 }
 
-// Request is a whole request. At is when its last byte was read.
+// Request is a complete request. ReceivedAt is when its last byte arrived.
 type Request struct {
 	Method string
 	Path   string
@@ -40,18 +40,18 @@
 	At     time.Time
 }
 
-// Response is a whole reply.
+// Response is a complete reply to a client.
 type Response struct {
 	Status int
-	Type   string // content type; text/plain where empty
+	Type   string // text/plain if empty
 	Header [][2]string
 	Body   []byte
 	Close  bool
-	// Decided is when the answer was given, for the record of replies that are late; zero: nobody says.
+	// DecidedAt is when the answer was decided, to record late replies; zero: unknown.
 	Decided time.Time
 }
 
-// Reason is the phrase of a status.
+// ReasonPhrase returns the reason phrase of a status code.
 func Reason(status int) string {
 	switch status {
 	case 200:
@@ -94,12 +94,13 @@
 	return "Status"
 }
 
-// readers are the small buffers that textproto reads heads through. They hold nothing between calls.
+// headReaders pools the small buffered readers that textproto parses message heads with. They hold no data
+// between calls.
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 512) }}
 
 var headEnd = []byte("\r\n\r\n")
 
-// parseHead reads the first line and the headers out of a head of size bytes, without taking them.
+// parseHead parses the first line and the headers of a head of size bytes without removing it from the ring.
 func parseHead(in *Ring, size int) (string, textproto.MIMEHeader, error) {
 	head := make([]byte, size)
 	in.Peek(head, 0)
@@ -118,15 +119,15 @@
 	return line, h, nil
 }
 
-// lacks tells what a request that is not all there waits for.
+// incomplete describes what is missing from an incomplete request.
 type lacks struct {
-	bytes int  // before the ring holds so many it cannot be whole; 0: not known
-	word  bool // the client waits to be told to go on
+	bytes int  // bytes that a complete request has at least; 0: unknown
+	word  bool // the client waits for a 100 Continue
 }
 
-// parseRequest takes one whole request out of the ring. It returns nil while something is lacking.
+// parseRequest removes one complete request from the ring. It returns a nil request while it is incomplete.
 func parseRequest(in *Ring, at time.Time) (req *Request, lack lacks, err error) {
-	for in.Len() >= 2 { // empty lines before a request are to be skipped
+	for in.Len() >= 2 { // skip empty lines before a request
 		var two [2]byte
 		if in.Peek(two[:], 0); two != [2]byte{'\r', '\n'} {
 			break
@@ -185,7 +186,7 @@
 		Close: closes(h) || proto == "HTTP/1.0"}, lack, nil
 }
 
-// closes tells that the sender ends the connection after this message.
+// wantsClose reports whether the sender closes the connection after this message.
 func closes(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for _, token := range strings.Split(v, ",") {
@@ -197,12 +198,12 @@
 	return false
 }
 
-// parseBody copies the body that begins at place from. taken is where the message ends or, while bytes are
-// lacking, below 0: before there are that many it cannot be whole.
+// parseBody copies the body that begins at offset from. taken is the offset at which the message ends. If the
+// message is incomplete, taken is negative: the message has at least -taken bytes.
 func parseBody(in *Ring, from int, h textproto.MIMEHeader, most int) (b []byte, taken int, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
-	case len(codings) > 0 && len(lengths) > 0: // two readers could see two different messages
+	case len(codings) > 0 && len(lengths) > 0: // two parsers could see two different messages
 		return nil, 0, bad(400, "both a length and a transfer coding")
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
@@ -232,7 +233,7 @@
 	return nil, from, nil
 }
 
-// parseChunks reads a chunked body.
+// parseChunks parses a chunked body. Its results are those of parseBody.
 func parseChunks(in *Ring, from, most int) ([]byte, int, error) {
 	rest := make([]byte, in.Len()-from)
 	in.Peek(rest, from)
@@ -281,7 +282,7 @@
 	}
 }
 
-// ringWriter writes to a connection through its ring.
+// ringWriter buffers writes to a connection in its ring.
 type ringWriter struct {
 	w io.Writer
 	r *Ring
@@ -315,8 +316,8 @@
 	return len(p), nil
 }
 
-// writeResponse writes a reply with its length. Of one that was decided on a Step its time is taken: a look
-// at a clock would come between the decision and the reply.
+// writeResponse writes a reply with its Content-Length. Its Date is the time of the decision, if known, as
+// reading the clock would delay the reply after the decision.
 func writeResponse(to *replyPiece, out *Ring, r Response, end, headOnly bool) error {
 	w := &ringWriter{w: to, r: out}
 	date := r.Decided
@@ -345,26 +346,26 @@
 	return w.flush()
 }
 
-// Reply is what a server answered.
+// Reply is a server's reply to a Client.
 type Reply struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
 }
 
-// Client is one connection to a server, for one request at a time. It is not safe for concurrent use, but
-// Close may be called at any time and ends a call that is under way.
+// Client is a connection to a server that carries one request at a time. It is not safe for concurrent use,
+// except that Close may be called at any time and ends a request in progress.
 type Client struct {
 	c       net.Conn
 	in, out *Ring
 	most    int
-	sound   bool // may carry another request
+	sound   bool // the connection may carry another request
 	Idle    time.Time
-	// Grant, if set, is asked before a body grows by so many bytes; where it says no the call fails.
+	// ReserveBytes, if set, is called before a body grows by n bytes; if it returns false the request fails.
 	Grant func(n int) bool
 }
 
-// Dial opens a connection. A reply's body may hold most bytes.
+// Dial opens a connection. A reply's body may have at most maxBody bytes.
 func Dial(addr string, timeout time.Duration, most int) (*Client, error) {
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -373,16 +374,16 @@
 	return &Client{c: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), most: most, sound: true}, nil
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Client) Close() { Cut(c.c) }
 
-// Abort makes it impossible that another byte of a request goes out; whatever is under way fails.
+// Abort guarantees that no further byte of a request is sent; a request in progress fails.
 func (c *Client) Abort() { Abort(c.c) }
 
-// Sound tells that the connection may carry another request.
+// Reusable reports whether the connection may carry another request.
 func (c *Client) Sound() bool { return c.sound }
 
-// Do sends a request and reads its reply until the deadline.
+// Do sends a request and reads its reply, up to the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
 	until time.Time) (*Reply, error) {
 	if err := c.Write(method, target, host, header, body, until); err != nil {
@@ -391,7 +392,7 @@
 	return c.Read(until)
 }
 
-// Write sends a request. If it fails the last byte was not written: the server cannot have acted on it.
+// Write sends a request. If it fails, the last byte was not written, so the server cannot have acted on it.
 func (c *Client) Write(method, target, host string, header [][2]string, body []byte, until time.Time) error {
 	c.sound = false
 	_ = c.c.SetDeadline(until)
@@ -410,7 +411,7 @@
 	return w.flush()
 }
 
-// fill reads once into the ring.
+// fill makes one read into the ring.
 func (c *Client) fill() error {
 	free := c.in.Free()
 	if free == nil {
@@ -424,7 +425,7 @@
 	return err
 }
 
-// Read reads the reply to the request that was written, interim ones skipped.
+// Read reads the reply to the request that was written, and skips interim replies.
 func (c *Client) Read(until time.Time) (*Reply, error) {
 	_ = c.c.SetDeadline(until)
 	for {
@@ -465,7 +466,7 @@
 	}
 }
 
-// body reads a reply's body; lasting tells that the connection may go on after it.
+// readBody reads a reply's body. persistent reports whether the connection may be used after it.
 func (c *Client) body(h textproto.MIMEHeader) (b []byte, lasting bool, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	var left uint64
@@ -495,7 +496,7 @@
 	}
 }
 
-// take moves n bytes of the body behind b.
+// appendBody appends the next n bytes of the body to b.
 func (c *Client) take(b []byte, n uint64) ([]byte, error) {
 	if n > uint64(c.most-len(b)) {
 		return nil, bad(502, "the reply is larger than %d bytes", c.most)
@@ -518,7 +519,7 @@
 	return b, nil
 }
 
-// line takes one short line.
+// readLine reads one short line.
 func (c *Client) line() (string, error) {
 	for {
 		if i := c.in.Index([]byte("\r\n")); i >= 0 && i <= 1024 {
@@ -536,7 +537,7 @@
 	}
 }
 
-// chunks reads a chunked body piece by piece.
+// readChunks reads a chunked body.
 func (c *Client) chunks() ([]byte, error) {
 	var b []byte
 	for {
@@ -559,12 +560,12 @@
 			return nil, bad(502, "malformed chunk")
 		}
 	}
-	for { // trailers
+	for { // skip trailers
 		if text, err := c.line(); err != nil || text == "" {
 			return b, err
 		}
 	}
 }
 
-// ID is the request's id, as its client gave it.
+// ID returns the request ID set by the client.
 func (r *Request) ID() string { return r.Header.Get("X-Call-Id") }
