--- a/internal/net/narrow_test.go
+++ b/internal/net/narrow_test.go
@@ -1,7 +1,7 @@
 package net
 
-// Crossings at a client's connection. A listener hands the server connections whose reads and closes the test
-// holds at the very point, while the bytes and the ends are the system's own.
+// Interleavings of reads, replies and closes on a client connection. A wrapped listener hands the server
+// connections on which the test can block each read and observe the half-close, over real sockets.
 
 import (
 	"errors"
@@ -14,12 +14,12 @@
 	"time"
 )
 
-// heldConn holds its reads where the test has said so: before the system is asked, or with what it has given.
+// heldConn blocks its reads on the test's channels: before the system call, or after it has returned data.
 type heldConn struct {
 	*net.TCPConn
-	before, after chan struct{} // a read waits for a word here, where the channel is there
-	arrived       chan struct{} // hears of each read that waits after it has its bytes
-	parted        chan struct{} // closed once the server has said that nothing more will come
+	before, after chan struct{} // if set, a read waits to receive from it
+	arrived       chan struct{} // receives a value for each read that waits with its bytes
+	parted        chan struct{} // closed once the server has shut down its sending side
 }
 
 func (c *heldConn) Read(b []byte) (int, error) {
@@ -43,17 +43,17 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// end waits until the server has said that nothing more will come.
+// awaitHalfClose waits until the server has shut down its sending side.
 func (c *heldConn) end(t *testing.T) {
 	t.Helper()
 	select {
 	case <-c.parted:
 	case <-time.After(10 * time.Second):
-		t.Error("the server closes without a word")
+		t.Error("the server did not shut down its sending side")
 	}
 }
 
-// holding is a listener that has the test look at each connection before the server does.
+// holdingListener passes each accepted connection to the test before the server gets it.
 type holding struct {
 	net.Listener
 	look func(*heldConn)
@@ -69,7 +69,7 @@
 	return h, nil
 }
 
-// hold starts a server like serve's on such a listener.
+// serveHeld starts a server like serve's on a holdingListener.
 func hold(t *testing.T, look func(*heldConn)) *echo {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -84,7 +84,7 @@
 	return e
 }
 
-// raw is a client's plain connection.
+// dialRaw opens a plain client connection.
 func raw(t *testing.T, e *echo) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", e.Addr())
@@ -100,8 +100,8 @@
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// A request has been read off a resting connection, and is not in the ring yet, when the connection is ended:
-// it is never handled, and its client sees the end and no reset.
+// A request has been read from an idle connection, but is not in the ring yet, when the server drains: it
+// must never be handled, and its client must see the end of the stream and no reset.
 func TestRequestReadAsItsConnectionEnds(t *testing.T) {
 	held := make(chan *heldConn, 1)
 	e := hold(t, func(c *heldConn) { c.after = make(chan struct{}); held <- c })
@@ -115,7 +115,7 @@
 		t.Fatal(n, err)
 	}
 	io.WriteString(c, message("hold"))
-	<-server.arrived // the bytes are out of the system's hands, and nobody else has seen them
+	<-server.arrived // the bytes have left the kernel and nothing else has seen them
 	e.Finish()
 	server.end(t)
 	close(server.after)
@@ -124,23 +124,23 @@
 	}
 	_ = c.Close()
 	if !e.Wait(20 * time.Second) {
-		t.Fatal("the connection stays")
+		t.Fatal("the connection is still open")
 	}
 	if n := e.count(func() int { return len(e.held) }); n != 0 {
 		t.Fatal("a request was handled whose connection had been ended")
 	}
 }
 
-// A reply is on its way, and the next request lies unread at the server, when the connection is ended. A
-// close over it would reset the connection, and the reply with it.
+// A reply is in flight, and the next request is unread in the server's socket, when the server drains. A
+// plain close would then reset the connection and lose the reply.
 func TestReplyOnItsWayAsItsConnectionEnds(t *testing.T) {
 	held := make(chan *heldConn, 1)
 	e := hold(t, func(c *heldConn) { c.before = make(chan struct{}); held <- c })
 	c := raw(t, e)
 	server := <-held
 	io.WriteString(c, message("first"))
-	server.before <- struct{}{} // one read takes it all
-	until(t, "rest", func() bool {
+	server.before <- struct{}{} // a single read gets all of it
+	until(t, "an idle connection", func() bool {
 		e.Server.mu.Lock()
 		defer e.Server.mu.Unlock()
 		for c := range e.Server.conns {
@@ -156,15 +156,15 @@
 	close(server.before)
 	all, err := io.ReadAll(c)
 	if err != nil || !strings.HasSuffix(string(all), "first") {
-		t.Fatalf("%q and %v", all, err)
+		t.Fatalf("%q, error %v", all, err)
 	}
 	if n := e.count(func() int { return len(e.held) }); n != 0 {
 		t.Fatal("a request was handled whose connection had been ended")
 	}
 }
 
-// A client sends far more ahead than its replies allow, and leaves: that is seen though nobody wants its
-// bytes.
+// A client sends far more ahead than is buffered and disconnects: the disconnect must be noticed, although
+// its input is no longer wanted.
 func TestClientThatFloodsAndLeavesIsTold(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := raw(t, e)
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	until(t, "its end", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
 	if n := e.count(func() int { return len(e.held) }); n != 1 {
-		t.Fatalf("%d requests of a client that has left were handled", n)
+		t.Fatalf("%d requests of a disconnected client were handled", n)
 	}
 }
 
-// One that floods and stays gets its replies in their order, as far as its requests were held, and then an
-// error and the end.
+// A client that sends too far ahead and stays gets its replies in order, for the requests that were buffered,
+// and then an error and a close.
 func TestClientThatFloodsIsAnsweredInOrder(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := raw(t, e)
@@ -196,7 +196,7 @@
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	until(t, "too much", func() bool {
+	until(t, "an overrun", func() bool {
 		e.Server.mu.Lock()
 		defer e.Server.mu.Unlock()
 		for c := range e.Server.conns {
@@ -218,7 +218,7 @@
 	}
 }
 
-// Many small commands sent at once are all answered, in their order.
+// Many small pipelined requests are all answered in order.
 func TestCommandsSentAtOnce(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := raw(t, e)
@@ -231,27 +231,27 @@
 	for strings.Count(got, "command-") < 300 {
 		n, err := c.Read(buf)
 		if err != nil {
-			t.Fatalf("%d replies: %v", strings.Count(got, "command-"), err)
+			t.Fatalf("after %d replies: %v", strings.Count(got, "command-"), err)
 		}
 		got += string(buf[:n])
 	}
 	for i, at := 0, 0; i < 300; i++ {
 		next := strings.Index(got[at:], fmt.Sprintf("command-%03d", i))
 		if next < 0 {
-			t.Fatalf("reply %d is not behind the one before", i)
+			t.Fatalf("reply %d does not follow the one before", i)
 		}
 		at += next
 	}
 }
 
-// A connection that was accepted just before the end has a while for its first request, and is answered; when
-// that is over it is ended. One that is accepted later is held to the same.
+// A connection accepted just before the server drains has a grace period for its first request, which is
+// answered; after the grace period it is closed. The same holds for a connection accepted later.
 func TestFirstRequestAsTheServerEnds(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		e := serve(t, NewBudget(10, 0))
 		early := raw(t, e)
 		until(t, "the connection", func() bool { return e.Open() == 1 })
-		since := time.Now().Add(time.Hour) // so that the test's machine may be slow
+		since := time.Now().Add(time.Hour) // in the future, as the machine may be slow
 		if late {
 			since = time.Now().Add(-graceLimit)
 		}
@@ -272,12 +272,12 @@
 		}
 		after := raw(t, e)
 		if all, err := io.ReadAll(after); err != nil || len(all) != 0 {
-			t.Fatalf("one that came after: %q %v", all, err)
+			t.Fatalf("connection accepted later: %q %v", all, err)
 		}
 	}
 }
 
-// At the very end a request that is not all there is turned away in so many words.
+// When the time to drain is almost over, an incomplete request gets an explicit error reply.
 func TestHalfARequestAtTheEnd(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := raw(t, e)
@@ -302,8 +302,8 @@
 	<-ended
 }
 
-// Where no descriptor is left for a server's connection, a client's that is between requests makes way; one
-// that has a request does not.
+// If no descriptor is left for a connection to a server, an idle client connection is evicted, but not one
+// with a request in progress.
 func TestIdleClientMakesWayForAServer(t *testing.T) {
 	b := NewBudget(3, 1)
 	e := serve(t, b)
@@ -315,21 +315,21 @@
 		t.Fatal(err)
 	}
 	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
-	until(t, "an idle one", func() bool { return e.idle() == 1 })
+	until(t, "an idle client", func() bool { return e.idle() == 1 })
 	for i := range 2 {
 		if !b.TakeServer() {
-			t.Fatalf("an idle client has kept server %d out", i)
+			t.Fatalf("no descriptor for server %d despite an idle client", i)
 		}
 	}
 	if b.TakeServer() {
-		t.Fatal("a client made way that has a request")
+		t.Fatal("a client with a request was evicted")
 	}
 	if _, err := idler.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
-		t.Fatalf("the idle one saw %v", err)
+		t.Fatalf("the idle client saw %v", err)
 	}
 }
 
-// Fronts share one budget: a client of either makes way, whichever front was opened last.
+// Fronts share one budget: an idle client of either is evicted, whichever front was opened last.
 func TestIdleClientOfAnyFrontMakesWay(t *testing.T) {
 	b := NewBudget(3, 1)
 	fronts := []*echo{serve(t, b), serve(t, b)}
@@ -338,21 +338,21 @@
 		if r, err := idler.post("x"); err != nil || r.Status != 200 {
 			t.Fatal(r, err)
 		}
-		until(t, "an idle one", func() bool { return e.idle() == 1 })
+		until(t, "an idle client", func() bool { return e.idle() == 1 })
 		for range 3 - i {
 			if !b.TakeServer() {
-				t.Fatalf("an idle client of front %d has kept a server out", i)
+				t.Fatalf("no descriptor for a server despite an idle client of front %d", i)
 			}
 		}
 		if _, err := idler.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
-			t.Fatalf("the idle one saw %v", err)
+			t.Fatalf("the idle client saw %v", err)
 		}
 		b.Release()
 		b.Release()
 	}
 }
 
-// While a reply or an error may be on its way its connection is not closed to make way.
+// A connection is not evicted while a reply or an error may still be in flight.
 func TestWhatWasJustWrittenIsNotSpared(t *testing.T) {
 	for _, x := range []struct {
 		state connState
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -45,12 +45,12 @@
 			t.Fatalf("step %d: the contents differ", i)
 		}
 		if sep := []byte{byte(i), byte(i)}; r.Index(sep) != bytes.Index(want, sep) {
-			t.Fatalf("step %d: %d is not the place of a separator", i, r.Index(sep))
+			t.Fatalf("step %d: wrong index %d of a separator", i, r.Index(sep))
 		}
 	}
 }
 
-// A read that is under way fills the place that Free gave, whatever is discarded meanwhile.
+// A read in progress fills the segment that Free returned, even if bytes are discarded in the meantime.
 func TestDiscardDuringAReadMovesNothing(t *testing.T) {
 	r := NewRing(64 << 10)
 	_, _ = r.Write(bytes.Repeat([]byte("x"), 20000))
@@ -77,7 +77,7 @@
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2;e=1\r\nhi\r\n0\r\nT: 1\r\n\r\n": "POST /a  [hi]",
 	} {
-		// Byte by byte: there must be no request before the last one, and then this one.
+		// Byte by byte: there must be no request before the last byte, and then this one.
 		ring := NewRing(MaxHead + MaxBody)
 		for i := range len(in) {
 			_, _ = ring.Write([]byte{in[i]})
@@ -123,7 +123,7 @@
 	}
 }
 
-// Any bytes are a request, an error with a status, or the beginning of either.
+// Any input is a request, an error with a status, or a prefix of either.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /a?b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
 	f.Add([]byte("GET http://h HTTP/1.0\r\nContent-Length: 3\r\n\r\nabcd"))
@@ -140,13 +140,13 @@
 	})
 }
 
-// serve starts a server that echoes bodies; a body of "hold" gets no reply until release.
+// echo is a server that echoes bodies. A request with the body "hold" gets no reply until the test sends one.
 type echo struct {
 	*Server
 	mu   sync.Mutex
 	held []*Exchange
 	gone int
-	most atomic.Int64 // what Advise bounds advice by
+	most atomic.Int64 // the longest Retry-After
 }
 
 func serve(t *testing.T, budget *Budget) *echo {
@@ -171,7 +171,7 @@
 		e.held = append(e.held, x)
 	} else {
 		x.Reply(Response{Status: 200, Body: r.Body})
-		x.Reply(Response{Status: 500}) // one reply only
+		x.Reply(Response{Status: 500}) // only the first reply counts
 	}
 	return func() {
 		e.mu.Lock()
@@ -186,7 +186,7 @@
 	return f()
 }
 
-// idle counts the connections between requests.
+// idle counts the connections that are idle between requests.
 func (e *echo) idle() (n int) {
 	e.Server.mu.Lock()
 	defer e.Server.mu.Unlock()
@@ -202,7 +202,7 @@
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -244,7 +244,7 @@
 			t.Fatal(err)
 		}
 		_, _ = io.WriteString(c, in)
-		got, _ := io.ReadAll(c) // the end must come, and not overtake the answer
+		got, _ := io.ReadAll(c) // the close must come, and not overtake the reply
 		_ = c.Close()
 		if !strings.HasPrefix(string(got), want) || !strings.Contains(string(got), "Connection: close") {
 			t.Errorf("%.20q: %q", in, got)
@@ -286,10 +286,10 @@
 	}
 	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	c.Close()
-	until(t, "its end", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
 }
 
-// The end may come in one piece with the request: it must be seen all the same.
+// The end of the stream may arrive together with the request: it must be noticed all the same.
 func TestClientThatLeavesAtOnceIsTold(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for i := range 20 {
@@ -298,12 +298,11 @@
 			t.Fatal(err)
 		}
 		c.Close()
-		until(t, "its end", func() bool { return e.count(func() int { return e.gone }) == i+1 })
+		until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == i+1 })
 	}
 }
 
-// Beyond the budget an idle connection makes way; where all are busy the new one is refused in so many
-// words.
+// Beyond the budget an idle connection is evicted; if all are busy, the new one gets a 503 reply.
 func TestBudgetOfDescriptors(t *testing.T) {
 	b := NewBudget(4, 2) // two for clients
 	e := serve(t, b)
@@ -312,12 +311,12 @@
 		if r, err := c.post("x"); err != nil || r.Status != 200 {
 			t.Fatal(r, err)
 		}
-		// The reply is here before its connection is idle there, and the one idle for longest makes way.
-		until(t, "an idle one", func() bool { return e.idle() == i+1 })
+		// The reply arrives before the server marks the connection idle, and the longest idle one is evicted.
+		until(t, "an idle connection", func() bool { return e.idle() == i+1 })
 	}
 	third := dial(t, e.Server)
 	if r, err := third.post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("an idle one did not make way: %v %v", r, err)
+		t.Fatalf("no idle connection was evicted: %v %v", r, err)
 	}
 	for _, c := range []*Client{second, third} {
 		if err := c.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
@@ -331,7 +330,7 @@
 	}
 	for want, longest := range map[string]time.Duration{"0.5": 500 * time.Millisecond, "": 0} {
 		e.most.Store(int64(longest))
-		until(t, "the end of the one that was refused", func() bool { return e.spare.Load() == 0 })
+		until(t, "the end of the refused connection", func() bool { return e.spare.Load() == 0 })
 		r, err := dial(t, e.Server).post("x")
 		if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != want {
 			t.Fatalf("%v %v, not %q", r, err, want)
@@ -339,12 +338,12 @@
 	}
 	for i, want := range []bool{true, true, false} {
 		if b.TakeServer() != want {
-			t.Fatalf("server %d: clients took what is kept for servers, or servers got more", i)
+			t.Fatalf("server %d: clients took descriptors reserved for servers, or servers got too many", i)
 		}
 	}
 }
 
-// Whatever a client sends or does not send, it gets an error or the end well within the time it is owed them.
+// Whatever a client sends or fails to send, it gets an error or a close within the time limit.
 func TestBadClientsAreNotWaitedFor(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for in, want := range map[string]string{
@@ -361,7 +360,7 @@
 			}
 			defer c.Close()
 			_, _ = io.WriteString(c, in)
-			_ = c.SetReadDeadline(time.Now().Add(7 * time.Second)) // twice what is owed, for slow machines
+			_ = c.SetReadDeadline(time.Now().Add(7 * time.Second)) // twice the time limit, for slow machines
 			got, err := io.ReadAll(c)
 			if err != nil || !strings.HasPrefix(string(got), want) || want == "" && len(got) > 0 {
 				t.Errorf("%q %v", got, err)
@@ -370,7 +369,7 @@
 	}
 }
 
-// A client that is still sending after the error is written gets to read it, for a second and more.
+// A client that keeps sending for more than a second after the error was written can still read it.
 func TestErrorIsReadByOneThatStillSends(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c, err := net.Dial("tcp", e.Addr())
@@ -381,7 +380,7 @@
 	_, _ = io.WriteString(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n")
 	for i := range 15 {
 		if _, err := c.Write(make([]byte, 500_000)); err != nil {
-			t.Fatalf("piece %d: %v", i, err)
+			t.Fatalf("chunk %d: %v", i, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -390,8 +389,8 @@
 	}
 }
 
-// A crowd that connects and says nothing, or half a request, makes way for others and for itself before a
-// connection does that has been of use.
+// Connections of a flood that send nothing, or half a request, are evicted before a connection that has
+// already carried requests.
 func TestCrowdMakesWayFirst(t *testing.T) {
 	e := serve(t, NewBudget(6, 0))
 	usual := dial(t, e.Server)
@@ -404,22 +403,21 @@
 			_, _ = c.c.Write([]byte("POST /"))
 		}
 		if i >= 4 {
-			until(t, "a place", func() bool { return e.Open() <= 6 })
+			until(t, "an eviction", func() bool { return e.Open() <= 6 })
 		}
 		if i%5 == 4 {
 			time.Sleep(graceLimit + graceLimit/2)
 		}
 	}
 	if r, err := usual.post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("the crowd pushed a usual client out: %v %v", r, err)
+		t.Fatalf("the flood evicted a regular client: %v %v", r, err)
 	}
 	if r, err := dial(t, e.Server).post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("a new client was kept out: %v %v", r, err)
+		t.Fatalf("a new client was not served: %v %v", r, err)
 	}
 }
 
-// Large requests that never come to their end take a bounded part of the memory, and none that small ones
-// need.
+// Large requests that are never completed use a bounded share of the memory, and none that small ones need.
 func TestMemoryOfRingsIsBounded(t *testing.T) {
 	b := NewBudget(20, 0)
 	b.LimitRings(64 << 10)
@@ -429,14 +427,14 @@
 		_, _ = c.c.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" +
 			strings.Repeat("b", 50000)))
 	}
-	until(t, "the end of the memory", func() bool { return b.rings.left.Load() < 16<<10 })
+	until(t, "the ring memory to run out", func() bool { return b.rings.left.Load() < 16<<10 })
 	if r, err := dial(t, e.Server).post(strings.Repeat("z", 3000)); err != nil || r.Status != 200 {
-		t.Fatalf("a usual request found no memory: %v %v", r, err)
+		t.Fatalf("no memory for a small request: %v %v", r, err)
 	}
 	if left := b.rings.left.Load(); left < 0 {
-		t.Fatalf("%d bytes too many", -left)
+		t.Fatalf("%d bytes above the limit", -left)
 	}
-	until(t, "the memory back", func() bool { return b.rings.left.Load() == 64<<10 })
+	until(t, "the ring memory to be released", func() bool { return b.rings.left.Load() == 64<<10 })
 }
 
 func TestFinishEndsIdleConnectionsAndNoOthers(t *testing.T) {
@@ -451,7 +449,7 @@
 	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	e.Finish()
 	if _, err := idle.Read(time.Now().Add(20 * time.Second)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection goes on, or was reset: %v", err)
+		t.Errorf("the idle connection stays open, or was reset: %v", err)
 	}
 	e.held[0].Reply(Response{Status: 200, Body: []byte("done")})
 	r, err := busy.Read(time.Now().Add(20 * time.Second))
@@ -459,7 +457,7 @@
 		t.Fatalf("%v %v", r, err)
 	}
 	if !e.Wait(30 * time.Second) {
-		t.Fatal("connections stay")
+		t.Fatal("connections are still open")
 	}
 }
 
@@ -501,15 +499,15 @@
 		}
 		r, err := cl.Do("GET", "/", "x", nil, nil, time.Now().Add(20*time.Second))
 		if (err == nil) != c.ok || err == nil && (string(r.Body) != c.body || cl.Sound() != c.sound) {
-			t.Errorf("%.60q: %v, sound %v", c.reply, err, cl.Sound())
+			t.Errorf("%.60q: %v, reusable %v", c.reply, err, cl.Sound())
 		}
 		cl.Close()
 		_ = l.Close()
 	}
 }
 
-// Where accept fails for want of a descriptor, the one in hand lets the caller in that waits, who hears at
-// once.
+// If accept fails for lack of descriptors, the spare descriptor is used to accept and close the pending
+// connection, so that its client does not wait.
 func TestCallerHearsWithoutADescriptor(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -518,7 +516,7 @@
 	defer l.Close()
 	var h inHand
 	if h.turnAway(l, syscall.EMFILE) {
-		t.Error("turned away with nothing in hand")
+		t.Error("rejected a connection without a spare descriptor")
 	}
 	h.take()
 	for _, fail := range []error{syscall.EMFILE, syscall.ENFILE} {
@@ -527,15 +525,15 @@
 			t.Fatal(err)
 		}
 		if !h.turnAway(l, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fail)}) || h.f == nil {
-			t.Fatalf("%v: not turned away, or nothing in hand any more", fail)
+			t.Fatalf("%v: no connection rejected, or no spare descriptor afterwards", fail)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%v: the caller waits: %v", fail, err)
+			t.Errorf("%v: the client still waits: %v", fail, err)
 		}
 		_ = c.Close()
 	}
 	if h.turnAway(l, syscall.ECONNABORTED) {
-		t.Error("turned away for another failure")
+		t.Error("rejected a connection after another failure")
 	}
 }
--- a/internal/net/replywriter_test.go
+++ b/internal/net/replywriter_test.go
@@ -12,7 +12,7 @@
 	"lapislever/internal/watchdog"
 )
 
-// replyPair is the writer of replies on a connection, and the client's side of it.
+// replyPair returns the reply writer of a connection and the client's side of it.
 func replyPair(t *testing.T) (*replyWriter, net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -33,7 +33,7 @@
 	return newReplyWriter(server, &watchdog.Watchdog{}), client
 }
 
-// writeRaw is what a held thread does once it goes on.
+// writeRaw makes the write call that a stuck thread makes once it resumes.
 func writeRaw(t *testing.T, w *replyWriter, text string) (err error) {
 	t.Helper()
 	failure := w.raw.Control(func(fd uintptr) { _, err = write(int(fd), []byte(text)) })
@@ -43,8 +43,8 @@
 	return err
 }
 
-// Replies are written, and the last one's thread is held before its system call: the client gets it all the
-// same, once, and the held call puts nothing out when it goes on.
+// The thread that writes a reply is stuck before its system call: the client must still get the reply,
+// exactly once, and the stuck call must send nothing when it resumes.
 func TestAHeldReplyIsFinishedOnce(t *testing.T) {
 	w, client := replyPair(t)
 	piece := &replyPiece{w: w, limit: time.Second, last: true}
@@ -59,23 +59,24 @@
 	w.rest, w.last = []byte("two;"), true
 	w.held(rescueTicks - 1)
 	if w.wasRescued() {
-		t.Fatal("finished too soon")
+		t.Fatal("taken over too soon")
 	}
 	w.held(rescueTicks)
 	if !w.wasRescued() {
-		t.Fatal("not finished")
+		t.Fatal("not taken over")
 	}
 	w.held(2 * rescueTicks)
 	if err := writeRaw(t, w, "two;"); !errors.Is(err, unix.EPIPE) {
-		t.Errorf("the held call ended with %v", err)
+		t.Errorf("the stuck call returned %v", err)
 	}
 	got, err := io.ReadAll(client)
 	if err != nil || string(got) != "two;" {
-		t.Errorf("the client has %q, %v", got, err)
+		t.Errorf("the client received %q, %v", got, err)
 	}
 }
 
-// The held thread's bytes have gone out, or a part of a longer reply is under way: nobody else writes then.
+// If the stuck thread's bytes have already been sent, or belong to the middle of a longer reply, the reply
+// must not be taken over.
 func TestAReplyThatWentOutIsNotWrittenAgain(t *testing.T) {
 	w, client := replyPair(t)
 	w.rest, w.last = []byte("one;"), true
@@ -86,15 +87,15 @@
 	w.rest, w.last, w.sent = []byte("two;"), false, 4
 	w.held(rescueTicks)
 	if w.wasRescued() {
-		t.Fatal("written again")
+		t.Fatal("taken over")
 	}
 	_ = w.conn.Close()
 	if got, err := io.ReadAll(client); err != nil || string(got) != "one;" {
-		t.Errorf("the client has %q, %v", got, err)
+		t.Errorf("the client received %q, %v", got, err)
 	}
 }
 
-// The system takes a byte or two at a time: a reply that is finished for a held writer is whole all the same.
+// The kernel accepts only two bytes at a time: a reply that is taken over must be complete all the same.
 func TestAFinishedReplyIsWhole(t *testing.T) {
 	var got []byte
 	n := writeAll([]byte("reply"), func(b []byte) (int, error) {
@@ -106,6 +107,6 @@
 		t.Errorf("%d bytes, %q", n, got)
 	}
 	if n = writeAll([]byte("reply"), func(b []byte) (int, error) { return 0, unix.EAGAIN }); n != 0 {
-		t.Errorf("%d bytes where the system takes none", n)
+		t.Errorf("%d bytes although the kernel accepts none", n)
 	}
 }
--- a/internal/net/socket_test.go
+++ b/internal/net/socket_test.go
@@ -10,7 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// fullSocket is one end of a connection of which the system takes no byte more, and the other end.
+// fullSocket returns both ends of a connection, the first with full send buffers.
 func fullSocket(t *testing.T) (full, other net.Conn, filled int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,8 +37,7 @@
 	}
 }
 
-// While the system takes nothing a message is not begun: it is put together anew for each try, and the last
-// form goes out.
+// While the kernel accepts nothing, a message is rebuilt for each try, and the last version is sent.
 func TestMessageIsPutTogetherWhenItCanGoOut(t *testing.T) {
 	full, other, filled := fullSocket(t)
 	forms := [][]byte{[]byte("first"), []byte("second")}
@@ -67,8 +66,7 @@
 	}
 }
 
-// After Abort nothing goes out any more, whatever waits to; and a client that has closed is seen to have
-// left.
+// After Abort a pending write sends nothing more, and the other side sees the connection closed.
 func TestAbortEndsAWriteThatWaits(t *testing.T) {
 	full, other, _ := fullSocket(t)
 	waits, done := make(chan struct{}, 16), make(chan error, 1)
@@ -78,7 +76,7 @@
 	}()
 	<-waits
 	if PeerLeft(full) || PeerLeft(other) {
-		t.Fatal("left before the end")
+		t.Fatal("closed before the abort")
 	}
 	Abort(full)
 	if err := <-done; err == nil {
@@ -86,15 +84,14 @@
 	}
 	all, err := io.ReadAll(other)
 	if err != nil || bytes.Contains(all, []byte("late")) {
-		t.Fatalf("%v: the message came after all", err)
+		t.Fatalf("%v: the message was sent after all", err)
 	}
 	if !PeerLeft(other) {
-		t.Fatal("the end is not seen")
+		t.Fatal("the close was not noticed")
 	}
 }
 
-// A signal, or memory that is short for a moment, breaks a look at a client's connection off: that does not
-// pass for 'still there'.
+// A signal or a momentary lack of memory makes poll fail: that must not be taken for an open connection.
 func TestABrokenLookAtAClientIsMadeAgain(t *testing.T) {
 	for _, failure := range []error{unix.EINTR, unix.EAGAIN} {
 		looks := 0
@@ -106,12 +103,12 @@
 			return 1, nil
 		}
 		if !hasEnded(0, poll) {
-			t.Errorf("%v: a client that has left passes for one that is there", failure)
+			t.Errorf("%v: a closed connection counts as open", failure)
 		}
 	}
 }
 
-// Bytes wait unread: when they are read at last, it is known since when they have been there.
+// When bytes that have waited unread are read, their arrival time is known.
 func TestBytesThatWaitedCountFromTheirArrival(t *testing.T) {
 	w, client := replyPair(t)
 	const waited = 300 * time.Millisecond
@@ -125,18 +122,18 @@
 	a := arrivals{raw: w.raw}
 	now := time.Now()
 	if age := now.Sub(a.at(now)); age < waited/2 {
-		t.Errorf("they count as %v old, and have waited for %v", age, waited)
+		t.Errorf("reported age %v after waiting %v", age, waited)
 	}
 	_ = client.Close()
 	if _, err := w.conn.Read(make([]byte, 1)); err == nil {
-		t.Fatal("no end")
+		t.Fatal("no end of stream")
 	}
 	if now = time.Now(); !a.at(now).Equal(now) {
-		t.Error("a time is told of a connection that has ended")
+		t.Error("an arrival time was reported for a closed connection")
 	}
 }
 
-// A message that waited is read in two pieces, as the system may give a part only: both count from its
+// A message that has waited is read in two parts, as a read may return only a part: both count from its
 // arrival.
 func TestAPieceThatIsReadLaterCountsFromItsArrival(t *testing.T) {
 	w, client := replyPair(t)
@@ -152,7 +149,7 @@
 		}
 		now := time.Now()
 		if age := now.Sub(a.at(now)); age < waited/2 {
-			t.Errorf("it counts as %v old, and has waited for %v", age, waited)
+			t.Errorf("reported age %v after waiting %v", age, waited)
 		}
 	}
 }
