--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -1,9 +1,9 @@
-// Package grpcnode is the way to nodes of the new form: gRPC over HTTP/2, one call a part, at the level of
-// frames. It owns connections, streams and keys, and tells the core how each attempt ended and whether it may
-// have run. It must never retry, choose another node or answer a client: whatever would be sent once more,
-// the module decides.
+// Package grpcnode is the client for nodes of the new form: gRPC over HTTP/2, one call per part, implemented
+// at the level of frames. It manages connections, streams and TLS credentials, and reports to the core how
+// each attempt ended and whether it may have run. It must never retry, choose another node or reply to a
+// client: only the module decides whether something is sent again.
 //
-// This file is the backend: it finds or opens a connection for an attempt.
+// This file contains the backend, which finds or opens a connection for an attempt.
 package grpcnode
 
 import (
@@ -20,37 +20,37 @@
 	"lapislever/internal/translate"
 )
 
-// replySlack is what a reply's message may hold beside its value.
+// replyOverhead is how many bytes a reply message may hold in addition to its value.
 const replySlack = 256
 
-// Target is where a node is.
+// Target is a node's address.
 type Target struct {
 	Name       string
 	Address    string
 	TLS        bool
-	ServerName string // that its certificate has to bear
+	ServerName string // the name that its certificate must have
 }
 
-// Config bounds the connections.
+// Config holds the limits on connections.
 type Config struct {
-	Streams     int           // calls that one connection carries at a time, at most
-	Conns       int           // connections to one node
-	Queue       int           // calls that wait for a node beyond what its connections carry
-	MaxValue    int           // bytes of a value
-	DialTimeout time.Duration // until the settings are there, TLS included
+	Streams     int           // limit on concurrent calls on one connection
+	Conns       int           // limit on connections to one node
+	Queue       int           // limit on calls queued for a node beyond the concurrent ones
+	MaxValue    int           // limit on the bytes of a value
+	DialTimeout time.Duration // until the server's settings arrive, including TLS
 	Idle        time.Duration // after which a connection without calls is closed
-	WriteLimit  time.Duration // of one write
+	WriteLimit  time.Duration // for a single write
 }
 
-// Call is what a query tells of itself: Query.Data has to be one.
+// QueryInfo is the interface to a query's front. Query.Data must implement it.
 type Call interface {
-	// ClassName is its class's.
+	// ClassName returns the name of the query's class.
 	ClassName() string
-	// Note hears why an attempt brought nothing that can be used.
+	// RecordFailure records why an attempt returned nothing usable.
 	Note(translate.Reason)
 }
 
-// Backend is the way to the nodes.
+// Backend implements core.Backend for nodes of the new form.
 type Backend struct {
 	cfg    Config
 	keys   *Keyring
@@ -60,12 +60,12 @@
 	tally  *translate.Tally
 	post   func(core.Event)
 
-	mu    sync.Mutex // guards nodes, out
+	mu    sync.Mutex // guards nodes, inFlight
 	nodes map[balance.ReplicaID]*node
-	out   map[*core.Attempt]*conn // where each attempt is, also at nodes that have gone from the list
+	out   map[*core.Attempt]*conn // each attempt's connection, also at nodes no longer listed
 }
 
-// New returns the way to nodes that Learn will tell of. keys may be nil where no node is reached by TLS.
+// New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
 func New(cfg Config, keys *Keyring, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
 	return &Backend{cfg: cfg, keys: keys, budget: budget, log: log, count: count, tally: tally, post: post,
@@ -74,11 +74,11 @@
 
 func (b *Backend) replyMost() int { return b.cfg.MaxValue + prefixSize + replySlack }
 
-// node is one node with its connections.
+// node is a node with its connections.
 type node struct {
 	id    balance.ReplicaID
 	name  string
-	mu    sync.Mutex // guards to, conns
+	mu    sync.Mutex // guards dest, conns
 	to    Target
 	conns []*conn
 }
@@ -106,8 +106,8 @@
 	return append([]*conn(nil), n.conns...)
 }
 
-// Learn takes in where all nodes are. Connections to those that are gone or have moved take nothing new; what
-// is out on them comes to its end.
+// SetTargets replaces the list of nodes. Connections to nodes that were removed or whose target changed
+// accept no new calls; calls in flight on them continue.
 func (b *Backend) Learn(list []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -140,7 +140,7 @@
 	}
 }
 
-// Rekey has new calls go out on connections that are opened with the keys of now.
+// RetireTLSConns retires all TLS connections, so that new calls use connections with the current credentials.
 func (b *Backend) Rekey() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +157,7 @@
 	return b.nodes[id]
 }
 
-// Send passes on attempts.
+// Send sends attempts, each as a call of its own.
 func (b *Backend) Send(to balance.ReplicaID, call []*core.Attempt) bool {
 	for _, a := range call {
 		b.send(to, a)
@@ -165,7 +165,7 @@
 	return true
 }
 
-// send passes on one attempt. Its last byte is not written after its moment, Attempt.Before.
+// send sends one attempt. Its last byte is not written after Attempt.StartBy.
 func (b *Backend) send(to balance.ReplicaID, a *core.Attempt) {
 	n := b.node(to)
 	if n == nil {
@@ -201,21 +201,21 @@
 	}
 }
 
-// left forgets where an attempt was.
+// forget removes an attempt from those in flight.
 func (b *Backend) left(a *core.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.out, a)
 }
 
-// never tells of an attempt that was not passed on. The core calls Send, so that the word must not wait for
-// it.
+// reportNotSent reports an attempt that was not sent. It does so on a goroutine of its own, as the core is in
+// Send at this point and must not wait for itself.
 func (b *Backend) never(a *core.Attempt, o balance.Outcome) {
 	go b.post(core.Outcome{Attempt: a, Outcome: o})
 }
 
-// conn finds the connection with the most room, or opens one where all are full. It is nil where as many
-// calls wait as may.
+// pickConn returns the connection with the most free capacity, or opens a new one if all are full. It
+// returns nil if the node's queue is full.
 func (b *Backend) conn(n *node) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -245,7 +245,7 @@
 		return c
 	}
 	if best == nil {
-		b.log.Warn("no descriptor is left for a node", "node", n.name)
+		b.log.Warn("no file descriptor is left for a connection to a node", "node", n.name)
 		return nil
 	}
 	if total >= b.cfg.Queue {
@@ -254,7 +254,7 @@
 	return best
 }
 
-// Withdraw gives an attempt up.
+// Cancel cancels an attempt. It returns true if the attempt certainly never ran.
 func (b *Backend) Withdraw(a *core.Attempt) bool {
 	b.mu.Lock()
 	c := b.out[a]
@@ -263,7 +263,7 @@
 	return c != nil && c.cut(a)
 }
 
-// Probe looks at a node by a ping, on a connection that is there if possible.
+// Probe probes a node with an HTTP/2 ping, on an existing connection if possible.
 func (b *Backend) Probe(to balance.ReplicaID) bool {
 	n := b.node(to)
 	if n == nil {
@@ -273,7 +273,7 @@
 	return c != nil && c.probe()
 }
 
-// CloseIdle closes the connections to a node that carry nothing.
+// CloseIdle closes idle connections to a node.
 func (b *Backend) CloseIdle(to balance.ReplicaID) {
 	if n := b.node(to); n != nil {
 		for _, c := range n.all() {
@@ -284,7 +284,7 @@
 	}
 }
 
-// Stop takes back what is queued for a node and not begun.
+// CancelQueued removes the attempts that are queued for a node and not started, and returns them.
 func (b *Backend) Stop(to balance.ReplicaID) (back []*core.Attempt) {
 	if n := b.node(to); n != nil {
 		for _, c := range n.all() {
@@ -297,7 +297,7 @@
 	return back
 }
 
-// Open counts the connections.
+// OpenConns returns the number of open connections.
 func (b *Backend) Open() (open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -307,7 +307,7 @@
 	return open
 }
 
-// Close ends all connections at once.
+// Close closes all connections immediately.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	var all []*conn
@@ -320,7 +320,7 @@
 	}
 }
 
-// done tells the core how an attempt ended.
+// finishAttempt reports to the core how an attempt ended.
 func (b *Backend) done(n *node, a *core.Attempt, r translate.Result, v core.Value, report []float32) {
 	b.left(a)
 	b.tally.Add(r.Reason)
@@ -328,8 +328,8 @@
 		c.Note(r.Reason)
 	}
 	if r.Reason.Untranslatable() {
-		b.log.Warn("a node's answer has no equivalent", "node", n.name, "call", a.Query.Name, "shard", a.Shard,
-			"why", r.Reason)
+		b.log.Warn("a node's answer has no equivalent in the old form", "node", n.name, "call", a.Query.Name,
+			"shard", a.Shard, "why", r.Reason)
 	}
 	b.post(core.Outcome{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
@@ -338,7 +338,7 @@
 	b.post(core.ProbeDone{Replica: n.id, Outcome: o, Elapsed: took})
 }
 
-// value makes the old form's value of a whole reply.
+// decodeReply converts a complete reply to a value of the old form.
 func (b *Backend) value(s *stream) (translate.Result, core.Value, []float32) {
 	bad := func(why translate.Reason) (translate.Result, core.Value, []float32) {
 		return translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil
@@ -350,7 +350,7 @@
 		return bad(translate.Compressed)
 	}
 	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-prefixSize) {
-		return bad(translate.BadReply) // cut short, or more than one
+		return bad(translate.BadReply) // truncated, or more than one message
 	}
 	a, err := ParseAnswer(s.reply[prefixSize:])
 	if err != nil {
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -1,11 +1,12 @@
 package grpcnode
 
-// One HTTP/2 connection to a node, as its client. This file owns the streams' lives, flow control, and the
-// exact word on whether a call may have run; it must never send a call again, here or on another connection.
+// The client side of an HTTP/2 connection to a node. This file handles the life cycle of streams, flow
+// control, and the exact result on whether a call may have run. It must never send a call again, on this
+// connection or another.
 //
-// The writer goroutine dials and writes; frames are made only as fast as it can write them, so that a call
-// which is not begun can be taken back. The reader goroutine takes frames in. Both hold the mutex only while
-// they look at the state.
+// The write loop dials and writes. It encodes frames only as fast as it can write them, so that a call which
+// has not been started can still be cancelled. The read loop handles incoming frames. Both hold the mutex
+// only while they access the state.
 
 import (
 	"crypto/tls"
@@ -25,89 +26,89 @@
 )
 
 const (
-	outHigh    = 32 << 10 // bytes that wait to be written, beyond which no call is begun or gone on with
+	outHigh    = 32 << 10 // buffered bytes to write above which no call is started or continued
 	outMost    = 128 << 10
-	inFrame    = 16 << 10 // largest frame that we take, the protocol's own default
-	headMost   = 16 << 10 // of a reply's metadata
-	creditAt   = 32 << 10 // bytes read after which the connection's window is refilled
+	inFrame    = 16 << 10 // largest incoming frame, the protocol's default
+	headMost   = 16 << 10 // limit on a reply's metadata
+	creditAt   = 32 << 10 // bytes received after which the connection's window is replenished
 	windowMost = 1<<31 - 1
 )
 
-// stream is one call.
+// stream is the stream of one call.
 type stream struct {
 	a      *core.Attempt
-	until  time.Time // not begun after this
-	body   []byte    // of the request, still to be put into frames
+	until  time.Time // not started after this
+	body   []byte    // the part of the request that is not in frames yet
 	head   [][2]string
 	id     uint32
 	window int64
 	ended  bool // the last frame is in the ring
-	whole  bool // and its last byte was written
-	begun  bool // a reply's first head came
-	// opens is the place in the output up to which stands what of it was put there as it began, 0 until that is
-	// known; entered tells that this write has begun and not ended (core.Attempt.BeginWrite).
+	whole  bool // the last frame's last byte was written
+	begun  bool // the reply's headers have arrived
+	// startEnd is the output offset up to which its first frames were queued when it started, 0 until that is
+	// known. writeActive is set while that write is in progress (core.Attempt.BeginWrite).
 	opens   uint64
 	entered bool
 	reply   []byte
-	status  int // of HTTP
+	status  int // HTTP status
 	wrote   time.Time
 }
 
-// mark is the place in the output at which a call's last frame ends.
+// endMark is the output offset at which a call's last frame ends.
 type mark struct {
 	at uint64
 	s  *stream
 }
 
-// ping is one that is out.
+// ping is a ping that has not been acknowledged.
 type ping struct {
 	at    time.Time
-	probe bool // the core waits for it
+	probe bool // the core waits for the result
 }
 
 type conn struct {
 	b  *Backend
 	n  *node
-	to Target // as it was when the connection was opened
+	to Target // when the connection was opened
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards all fields below
 	c        net.Conn
 	out      *lnet.Ring
-	put      uint64 // bytes put into the ring so far
+	put      uint64 // bytes queued in the ring so far
 	written  uint64
 	marks    []mark
-	waiting  []*stream // not begun
-	sending  []*stream // begun, and not all in frames
-	opening  []*stream // begun, and what was put in the ring then is not all out
-	raw      net.Conn  // the socket, below TLS; set before anything is written
+	waiting  []*stream // not started
+	sending  []*stream // started, but not completely in frames
+	opening  []*stream // started, but the first frames are not completely written
+	raw      net.Conn  // the socket below TLS; set before the first write
 	streams  map[uint32]*stream
 	of       map[*core.Attempt]*stream
 	nextID   uint32
 	pings    map[uint64]*ping
 	nextPing uint64
-	fr       *http2.Framer // writes into the ring
+	fr       *http2.Framer // writes to the ring
 	enc      *hpack.Encoder
 	block    blockBuffer
-	settled  bool // the server's first settings are in
+	settled  bool // the server's first SETTINGS frame has arrived
 	streamsM uint32
-	initial  int64 // window that the server gives a new stream
+	initial  int64 // the server's window for a new stream
 	frame    uint32
-	window   int64 // of the connection, for what we send
-	credit   int   // read and not given back yet
-	writing  bool  // what was taken out of the ring, and it is not known yet how much of it
-	retired  bool  // takes nothing new
+	window   int64 // the connection's window for sending
+	credit   int   // bytes received but not yet returned to the window
+	writing  bool  // a write is in progress, and its result is not known yet
+	retired  bool  // accepts no new calls
 	dead     bool
 	used     time.Time
 	heard    time.Time
 	wake     chan struct{}
 }
 
-// blockBuffer takes a head's encoding.
+// headerBuffer collects an encoded header block.
 type blockBuffer struct{ b []byte }
 
 func (w *blockBuffer) Write(p []byte) (int, error) { w.b = append(w.b, p...); return len(p), nil }
 
-// outWriter puts whole frames into the ring.
+// frameWriter appends whole frames to the ring.
 type outWriter struct{ c *conn }
 
 func (w outWriter) Write(p []byte) (int, error) {
@@ -116,8 +117,8 @@
 	return n, err
 }
 
-// newConn returns a connection that is not dialled yet; the caller holds the node's mu. Nothing that holds
-// the connection's mu may ask for the node's: a node is looked at first, and its connections under that.
+// newConn returns a connection that has not been dialled yet; the caller holds the node's mu. Lock order: a
+// node's mu is taken before its connections' mu, never while holding one.
 func newConn(b *Backend, n *node) *conn {
 	now := time.Now()
 	c := &conn{b: b, n: n, to: n.to, out: lnet.NewRing(outMost), streams: map[uint32]*stream{},
@@ -125,7 +126,7 @@
 		frame: 16 << 10, streamsM: 1 << 31, used: now, heard: now, wake: make(chan struct{}, 1)}
 	c.fr = http2.NewFramer(outWriter{c}, nil)
 	c.enc = hpack.NewEncoder(&c.block)
-	// The preface comes before whatever else is put in, also before there is a socket. The ring has room for it.
+	// The preface precedes everything else and is queued before there is a socket. The ring has room for it.
 	_, _ = outWriter{c}.Write([]byte(http2.ClientPreface))
 	_ = c.fr.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
 		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(b.replyMost())},
@@ -140,13 +141,13 @@
 	}
 }
 
-// load is how many calls the connection carries or holds; the caller holds mu.
+// load returns the number of calls queued or in flight; the caller holds mu.
 func (c *conn) load() int { return len(c.waiting) + len(c.streams) }
 
-// most is how many it may carry at a time; the caller holds mu.
+// maxCalls returns the limit on concurrent calls; the caller holds mu.
 func (c *conn) most() int { return int(min(uint32(c.b.cfg.Streams), c.streamsM)) }
 
-// add queues a call. It returns false where the connection takes nothing new.
+// enqueue queues a call. It returns false if the connection accepts no new calls.
 func (c *conn) add(s *stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +161,7 @@
 	return true
 }
 
-// forget drops a call; the caller holds mu.
+// remove removes a call; the caller holds mu.
 func (c *conn) forget(s *stream) {
 	delete(c.of, s.a)
 	if s.id != 0 {
@@ -182,7 +183,7 @@
 	return list
 }
 
-// cut gives a call up. It returns true where its last byte can never be written, so that it has not run.
+// cancel cancels a call. It returns true if its last byte can never be written, so that it has not run.
 func (c *conn) cut(a *core.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -191,7 +192,7 @@
 		return false
 	}
 	never := !s.ended
-	if s.entered { // its first byte is in a system call: given up, it is not to come behind what is sent instead
+	if s.entered { // its first byte is in a system call: once cancelled, it must not follow what is sent instead
 		c.abortWrite(s, core.WriteGrace)
 	}
 	if s.id != 0 {
@@ -199,12 +200,12 @@
 	}
 	c.forget(s)
 	if s.whole && time.Since(c.heard) > c.b.cfg.DialTimeout {
-		c.suspect() // nothing comes any more: is anybody there?
+		c.suspect() // the connection has gone silent: check that it is alive
 	}
 	return never
 }
 
-// reset ends a stream towards the server; the caller holds mu.
+// resetStream sends RST_STREAM for a call; the caller holds mu.
 func (c *conn) reset(s *stream, code http2.ErrCode) {
 	if c.fr.WriteRSTStream(s.id, code) != nil {
 		c.overflow()
@@ -212,10 +213,11 @@
 	c.poke()
 }
 
-// overflow ends a connection whose peer reads nothing while it makes us answer; the caller holds mu.
+// closeOverflow closes a connection whose peer reads nothing but keeps requiring replies; the caller holds
+// mu.
 func (c *conn) overflow() { go c.end(errors.New("the node does not read")) }
 
-// sendPing writes a ping and returns its number; the caller holds mu.
+// sendPing queues a ping and returns its number; the caller holds mu.
 func (c *conn) sendPing(probe bool) uint64 {
 	c.nextPing++
 	n := c.nextPing
@@ -231,7 +233,7 @@
 	return n
 }
 
-// suspect looks whether a silent connection still leads anywhere; the caller holds mu.
+// checkAlive checks with a ping whether a silent connection still works; the caller holds mu.
 func (c *conn) suspect() {
 	if !c.settled || len(c.pings) > 0 {
 		return
@@ -242,12 +244,12 @@
 		_, out := c.pings[n]
 		c.mu.Unlock()
 		if out {
-			c.end(errors.New("the node fell silent"))
+			c.end(errors.New("no reply to a ping on a silent connection"))
 		}
 	})
 }
 
-// probe looks at the node beside its queue, by a ping.
+// probe probes the node with a ping that bypasses its queue.
 func (c *conn) probe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -267,7 +269,7 @@
 	return true
 }
 
-// retire lets the connection take nothing new.
+// retire makes the connection accept no new calls.
 func (c *conn) retire() {
 	c.mu.Lock()
 	c.retired = true
@@ -275,7 +277,7 @@
 	c.poke()
 }
 
-// back takes the calls back that are not begun.
+// takePending removes and returns the calls that have not been started.
 func (c *conn) back() (list []*core.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -290,14 +292,14 @@
 	return list
 }
 
-// idle tells that nothing is out on it.
+// idle reports whether the connection has no calls or pings.
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.settled && c.load() == 0 && len(c.pings) == 0
 }
 
-// dial opens the socket: the connection as it is written to, and the system's own below it.
+// dial opens the connection. sock is the connection to write to, raw the socket below it.
 func (c *conn) dial() (sock, raw net.Conn, err error) {
 	to := c.to
 	raw, err = net.DialTimeout("tcp", to.Address, c.b.cfg.DialTimeout)
@@ -318,7 +320,7 @@
 	return t, raw, nil
 }
 
-// end closes the connection and tells how its calls ended.
+// close closes the connection and reports how its calls ended.
 func (c *conn) end(err error) {
 	c.n.drop(c)
 	c.mu.Lock()
@@ -342,7 +344,7 @@
 	var violation http2.ConnectionError
 	for _, s := range all {
 		r := translate.Result{Outcome: balance.NoConnection}
-		if s.whole || s.ended && writing { // of what is just being written it is not known how far it comes
+		if s.whole || s.ended && writing { // how much of a write in progress gets out is unknown
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
 				r = translate.Result{Outcome: balance.Spoilt, Reason: translate.BadReply}
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -1,6 +1,6 @@
 package grpcnode
 
-// The reader of a connection to a node: frames, answers, and what the node says of itself.
+// The read loop of a connection to a node: incoming frames, answers, and connection-level messages.
 
 import (
 	"bufio"
@@ -19,10 +19,10 @@
 	"lapislever/internal/translate"
 )
 
-// errProtocol marks what breaks the protocol and the Framer does not see.
-var errProtocol = errors.New("protocol")
+// errProtocol marks protocol violations that the Framer does not detect.
+var errProtocol = errors.New("protocol violation")
 
-// read is the reader.
+// readLoop reads frames until the connection ends.
 func (c *conn) read(sock net.Conn) {
 	fr := http2.NewFramer(nil, bufio.NewReaderSize(sock, 4<<10))
 	fr.SetMaxReadFrameSize(inFrame)
@@ -45,7 +45,7 @@
 		}
 		if err == nil && first {
 			if s, ok := f.(*http2.SettingsFrame); !ok || s.IsAck() {
-				err = fmt.Errorf("%w: the first frame is %v", errProtocol, f.Header().Type)
+				err = fmt.Errorf("%w: the first frame is of type %v", errProtocol, f.Header().Type)
 			}
 			first = false
 		}
@@ -62,7 +62,7 @@
 	}
 }
 
-// take takes one frame in.
+// handleFrame handles one incoming frame.
 func (c *conn) take(f http2.Frame) error {
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
@@ -76,7 +76,7 @@
 		if f.StreamID != 0 {
 			s := c.streams[f.StreamID]
 			if s == nil {
-				return nil // it has ended
+				return nil // the stream has ended
 			}
 			window = &s.window
 		}
@@ -103,7 +103,7 @@
 	case *http2.GoAwayFrame:
 		c.goAway(f)
 	case *http2.PushPromiseFrame:
-		return fmt.Errorf("%w: a push that was not allowed", errProtocol)
+		return fmt.Errorf("%w: a PUSH_PROMISE although push is disabled", errProtocol)
 	}
 	return nil
 }
@@ -115,7 +115,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if f.HasDuplicates() {
-		return fmt.Errorf("%w: a setting twice", errProtocol)
+		return fmt.Errorf("%w: a duplicate setting", errProtocol)
 	}
 	err := f.ForeachSetting(func(s http2.Setting) error {
 		if err := s.Valid(); err != nil {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// goAway ends what the server has left out; what it covers goes on to its end.
+// handleGoAway ends the calls that the server has not accepted; the accepted ones continue.
 func (c *conn) goAway(f *http2.GoAwayFrame) {
 	c.mu.Lock()
 	c.retired = true
@@ -189,13 +189,13 @@
 	}
 	c.mu.Unlock()
 	c.poke()
-	c.b.log.Info("a node goes away", "node", c.n.name, "code", f.ErrCode, "left_out", len(out))
+	c.b.log.Info("a node sent GOAWAY", "node", c.n.name, "code", f.ErrCode, "left_out", len(out))
 	for _, s := range out {
 		c.b.done(c.n, s.a, translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
 	}
 }
 
-// finish ends a call with its result. Where the server has not ended the stream itself it is reset.
+// finishStream ends a call with its result. It resets the stream if the server has not ended it.
 func (c *conn) finish(s *stream, r translate.Result, v core.Value, report []float32, code http2.ErrCode) {
 	c.mu.Lock()
 	if c.dead || c.streams[s.id] != s {
@@ -203,7 +203,7 @@
 		return
 	}
 	if !s.ended && r.Outcome != balance.OK {
-		r.Outcome = balance.NotSent // its last byte was not written, and now never will be
+		r.Outcome = balance.NotSent // its last byte was not written and never will be
 	}
 	if code != http2.ErrCodeNo || !s.ended {
 		c.reset(s, code)
@@ -214,8 +214,7 @@
 	c.b.done(c.n, s.a, r, v, report)
 }
 
-// stream returns the open stream of a frame; the others have ended, and what still comes for them is passed
-// over.
+// openStream returns the open stream with an id, or nil. Frames for streams that have ended are ignored.
 func (c *conn) stream(id uint32) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -226,7 +225,7 @@
 	s := c.stream(f.StreamID)
 	if s == nil {
 		if f.StreamID%2 == 0 {
-			return fmt.Errorf("%w: a stream of the server's own", errProtocol)
+			return fmt.Errorf("%w: a stream opened by the server", errProtocol)
 		}
 		return nil
 	}
@@ -247,7 +246,7 @@
 		}
 		s.begun, s.status = true, status
 	} else if !f.StreamEnded() {
-		return bad(http2.ErrCodeProtocol) // metadata in the middle
+		return bad(http2.ErrCodeProtocol) // headers in the middle of the stream
 	}
 	kind, code, unseen, coding := "", "", false, ""
 	for _, h := range f.RegularFields() {
@@ -315,7 +314,7 @@
 	if len(s.reply)+len(f.Data()) > c.b.replyMost() {
 		return end(translate.TooLarge, http2.ErrCodeCancel)
 	}
-	s.reply = append(s.reply, f.Data()...) // one goroutine reads, and only it looks at the reply
+	s.reply = append(s.reply, f.Data()...) // only the read loop accesses the reply
 	if f.StreamEnded() {                   // without trailers there is no status
 		return end(translate.BadStatus, http2.ErrCodeNo)
 	}
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -1,6 +1,6 @@
 package grpcnode
 
-// The writer of a connection to a node: which calls begin, what goes into frames, and when it is written.
+// The write loop of a connection to a node: which calls start, what is encoded, and when it is written.
 
 import (
 	"errors"
@@ -17,7 +17,7 @@
 	"lapislever/internal/translate"
 )
 
-// run is the writer.
+// writeLoop dials the connection and writes to it until it ends.
 func (c *conn) run() {
 	sock, raw, err := c.dial()
 	if err != nil {
@@ -71,7 +71,7 @@
 			continue
 		}
 		c.mu.Unlock()
-		n, err := sock.Write(buf) // nothing may come between pump and this
+		n, err := sock.Write(buf) // nothing may come between encodeFrames and this
 		c.mu.Lock()
 		c.written += uint64(n)
 		c.endOpening(c.written)
@@ -98,18 +98,18 @@
 	}
 }
 
-// rest tells whether a connection on which nothing is to be written is to end, and else how long it may
-// wait; the caller holds mu.
+// idleWait decides whether a connection that has nothing to write is to be closed, and otherwise how long the
+// write loop may wait; the caller holds mu.
 func (c *conn) rest(age time.Duration) (leave bool, wait time.Duration) {
 	limit := c.b.cfg.Idle
 	unused := time.Since(c.used)
 	wait = limit - unused
 	if !c.settled {
 		wait = c.b.cfg.DialTimeout - age + time.Millisecond
-	} else if len(c.waiting) > 0 { // it may become too late to begin one
+	} else if len(c.waiting) > 0 { // the first one may expire
 		wait = min(wait, time.Until(c.waiting[0].until))
 	}
-	for _, s := range c.sending { // or to end one
+	for _, s := range c.sending { // one that is being sent may expire
 		if by := s.a.Before; !by.IsZero() {
 			wait = min(wait, time.Until(by)+time.Millisecond)
 		}
@@ -120,33 +120,33 @@
 	return leave, wait
 }
 
-// droppedCall is a call that may not begin, or may not go on, and why.
+// droppedCall is a call that must not be started or continued, and the reason.
 type droppedCall struct {
 	s   *stream
 	why core.Hold
 }
 
-// giveBack tells the core of calls that never ran.
+// reportDropped reports calls that never ran to the core.
 func (c *conn) giveBack(dropped []droppedCall) {
 	for _, d := range dropped {
 		c.b.done(c.n, d.s.a, translate.Result{Outcome: balance.NotSent}, core.Value{}, nil)
 	}
 	for _, d := range dropped {
 		if d.why != core.MayBegin {
-			c.b.log.Info("attempt not begun", "node", c.n.name, "query", d.s.a.Query.Name, "shard", d.s.a.Shard,
+			c.b.log.Info("attempt not started", "node", c.n.name, "query", d.s.a.Query.Name, "shard", d.s.a.Shard,
 				"why", string(d.why))
 		}
 	}
 }
 
-// Abort makes it impossible that the writer puts out another byte.
+// Abort guarantees that the write loop sends no further byte.
 func (c *conn) Abort() {
 	lnet.Abort(c.raw)
-	c.b.log.Warn("write aborted: its request is over and the writer was held", "node", c.n.name)
+	c.b.log.Warn("write aborted: its request has ended and the writer was stuck", "node", c.n.name)
 }
 
-// abortWrite aborts the connection's write if a call's first byte is still not out after the time given; the
-// caller holds mu.
+// abortWriteAfter aborts the connection's write if a call's first byte has still not been written after the
+// given time; the caller holds mu.
 func (c *conn) abortWrite(s *stream, after time.Duration) {
 	time.AfterFunc(after, func() {
 		c.mu.Lock()
@@ -157,7 +157,7 @@
 	})
 }
 
-// endOpening ends the writes of the calls of which all is out that was put there as they began; the caller
+// finishStarts ends the start writes of the calls whose first frames are completely written; the caller
 // holds mu.
 func (c *conn) endOpening(written uint64) {
 	c.opening = slices.DeleteFunc(c.opening, func(s *stream) bool {
@@ -170,7 +170,7 @@
 	})
 }
 
-// closeOpening ends those of calls that will never be written, as the writer ends.
+// closeStarts ends the start writes of calls that will never be written, as the write loop has ended.
 func (c *conn) closeOpening() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +178,8 @@
 	c.endOpening(math.MaxUint64)
 }
 
-// markOpening notes up to where the output holds what of the calls just begun was put there; the caller holds
-// mu.
+// markStarts sets the output offset up to which the first frames of the calls just started reach; the caller
+// holds mu.
 func (c *conn) markOpening() {
 	for _, s := range c.opening {
 		if s.opens == 0 {
@@ -188,14 +188,14 @@
 	}
 }
 
-// pump makes frames of what may be sent now, and returns the calls for which it is too late; the caller holds
-// mu. A call is begun only where nothing else waits to be written, so that its first byte goes out with the
-// next system call: its query's end waits for that.
+// encodeFrames encodes what may be sent now and returns the calls that have expired; the caller holds mu. A
+// call is started only if nothing else waits to be written, so that its first byte is sent by the next
+// system call: the end of its query waits for that.
 func (c *conn) pump(now time.Time) (dropped []droppedCall) {
 	if !c.settled && !c.retired {
 		return nil
 	}
-	if c.retired { // what is not begun goes back to the module
+	if c.retired { // calls not started go back to the module
 		for _, s := range c.waiting {
 			delete(c.of, s.a)
 			dropped = append(dropped, droppedCall{s: s})
@@ -220,10 +220,10 @@
 		c.sending = append(c.sending, s)
 		c.writeHead(s, now)
 		if c.nextID > windowMost-2 {
-			c.retired = true // ids never come again
+			c.retired = true // stream ids cannot be reused
 		}
 	}
-	for i := 0; i < len(c.waiting); i++ { // those behind may be late too
+	for i := 0; i < len(c.waiting); i++ { // later ones may have expired too
 		if s := c.waiting[i]; late(s, now) {
 			c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
 			delete(c.of, s.a)
@@ -235,7 +235,7 @@
 		moved = false
 		for i := 0; i < len(c.sending) && c.out.Len() < outHigh; i++ {
 			s := c.sending[i]
-			// The window of its key: its last byte must not go out any more.
+			// The window of its key is over: its last byte must not be sent any more.
 			if by := s.a.Before; !by.IsZero() && now.After(by) {
 				c.reset(s, http2.ErrCodeCancel)
 				c.forget(s)
@@ -266,7 +266,7 @@
 	return dropped
 }
 
-// mayBegin begins the write of a call's first byte, where it may; the caller holds mu.
+// tryStart begins the write of a call's first byte unless something holds it back; the caller holds mu.
 func (c *conn) mayBegin(s *stream, now time.Time) core.Hold {
 	if !now.Before(s.until) {
 		return core.HoldOverdue
@@ -279,7 +279,7 @@
 	return s.a.Query.Over() || !now.Before(s.until) || !s.a.Before.IsZero() && !now.Before(s.a.Before)
 }
 
-// writeHead begins a call; the caller holds mu.
+// writeHeaders queues a call's header frames; the caller holds mu.
 func (c *conn) writeHead(s *stream, now time.Time) {
 	c.block.b = c.block.b[:0]
 	field := func(name, value string) { _ = c.enc.WriteField(hpack.HeaderField{Name: name, Value: value}) }
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -28,7 +28,7 @@
 	"lapislever/internal/translate"
 )
 
-// service compiles the .proto.
+// service compiles ledger.proto.
 func service(t *testing.T) protoreflect.FileDescriptor {
 	t.Helper()
 	c := protocompile.Compiler{Resolver: &protocompile.SourceResolver{}}
@@ -39,12 +39,12 @@
 	return files[0]
 }
 
-// What is written by hand here is what the .proto says, in both directions, and the method has its path.
+// The hand-written encoding and decoding and the method path must match the .proto.
 func TestMessagesAreThoseOfTheProto(t *testing.T) {
 	file := service(t)
 	s := file.Services().Get(0)
 	if path := fmt.Sprintf("/%s/%s", s.FullName(), s.Methods().Get(0).Name()); path != Path {
-		t.Errorf("the method is %s, called as %s", path, Path)
+		t.Errorf("the method path is %s, calls use %s", path, Path)
 	}
 	p := Part{ID: "q.7", Shard: 7, Class: "rate-check", Filter: []byte{0xff, 0}, Micros: 9000,
 		Term: math.MaxUint64}
@@ -53,7 +53,7 @@
 		t.Fatal(err)
 	}
 	if len(m.GetUnknown()) > 0 {
-		t.Errorf("fields that the .proto has not: % x", m.GetUnknown())
+		t.Errorf("fields that are not in the .proto: % x", m.GetUnknown())
 	}
 	get := func(name string) any {
 		return m.Get(m.Descriptor().Fields().ByName(protoreflect.Name(name))).Interface()
@@ -61,7 +61,7 @@
 	if get("id") != "q.7" || get("shard") != uint32(7) || get("class") != "rate-check" ||
 		string(get("filter").([]byte)) != "\xff\x00" || get("expected_micros") != uint64(9000) ||
 		get("term") != uint64(math.MaxUint64) {
-		t.Errorf("read as %v", m)
+		t.Errorf("decoded as %v", m)
 	}
 	out := s.Methods().Get(0).Output()
 	for name, c := range map[string]struct {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Any bytes are an answer or an error, and what is read agrees with the library.
+// Any input is an answer or an error, and a decoded answer agrees with the protobuf library.
 func FuzzAnswer(f *testing.F) {
 	f.Add(standin.TextAnswer(3, "x"))
 	f.Add([]byte{0x08, 0x03, 0x18, 0x09, 0x21, 1, 2, 3, 4, 5, 6, 7, 8, 0x32, 0x02, 0x10, 0x01})
@@ -112,7 +112,7 @@
 		}
 		m := dynamicpb.NewMessage(out)
 		if proto.Unmarshal(b, m) != nil {
-			return // the library checks more, such as UTF-8, which is looked at later here
+			return // the library checks more, such as UTF-8, which is checked later here
 		}
 		if got := m.Get(out.Fields().ByName("shard")).Uint(); got != uint64(a.Shard) {
 			t.Errorf("shard %d, the library says %d", a.Shard, got)
@@ -133,7 +133,7 @@
 	}
 }
 
-// rig drives a backend without a core.
+// rig runs a backend without a core and records what it reports.
 type rig struct {
 	t    *testing.T
 	b    *Backend
@@ -169,7 +169,7 @@
 
 func target(n *standin.GRPCNode) Target { return Target{Name: "a", Address: n.Addr} }
 
-// send sends one attempt with a body of so many bytes.
+// send sends one attempt with a payload of size bytes.
 func (r *rig) send(size int, timeout time.Duration, by ...time.Time) *core.Attempt {
 	r.n++
 	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Text: []byte(strings.Repeat("x", size)),
@@ -189,7 +189,7 @@
 	return o, ok
 }
 
-// want waits for an attempt's end.
+// want waits for an attempt to end and checks its outcome.
 func (r *rig) want(what string, a *core.Attempt, o balance.Outcome) {
 	r.t.Helper()
 	standin.Until(r.t, what, func() bool { _, ok := r.ended(a); return ok })
@@ -201,7 +201,8 @@
 func answer(standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v"} }
 func silent(standin.NewCall) standin.NewDo { return standin.NewDo{Silent: true} }
 
-// Whether a call may have run is told exactly, for every way in which it can end without an answer.
+// The backend reports exactly whether a call may have run, for every way in which it can end without an
+// answer.
 func TestNeverRanOrMayHave(t *testing.T) {
 	second := func(conn int, stream uint32) bool { return stream > 1 }
 	t.Run("refused stream", func(t *testing.T) {
@@ -211,7 +212,7 @@
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream that was refused", r.send(10, time.Minute), balance.Busy)
 		if n.Opened() != 1 || len(n.Calls()) != 1 {
-			t.Errorf("%d connections, %d calls: it was sent again", n.Opened(), len(n.Calls()))
+			t.Errorf("%d connections, %d calls: the call was sent again", n.Opened(), len(n.Calls()))
 		}
 	})
 	t.Run("left out by GOAWAY", func(t *testing.T) {
@@ -221,9 +222,9 @@
 		r := newRig(t, bounds, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
-		r.want("a stream beyond the last one", r.send(10, time.Minute), balance.NotSent)
-		r.want("the one that it covers", first, balance.OK)
-		r.want("what comes after", r.send(10, time.Minute), balance.OK)
+		r.want("a stream beyond the last accepted one", r.send(10, time.Minute), balance.NotSent)
+		r.want("the accepted stream", first, balance.OK)
+		r.want("a later call", r.send(10, time.Minute), balance.OK)
 		if n.Opened() != 2 {
 			t.Errorf("%d connections", n.Opened())
 		}
@@ -235,7 +236,7 @@
 			if stream != 3 {
 				return false
 			}
-			<-sent // the GOAWAY crosses a call that is written behind the one that it leaves out
+			<-sent // the GOAWAY crosses a call written after the one that it does not accept
 			return true
 		}}, func(standin.NewCall) standin.NewDo {
 			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
@@ -246,12 +247,12 @@
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
 		standin.Until(t, "both to be written", func() bool { return r.b.count.Tries.Load() == 3 })
 		close(sent)
-		r.want("the one that it leaves out", second, balance.NotSent)
-		r.want("the one behind that", third, balance.NotSent)
-		r.want("the one that it covers", first, balance.OK)
+		r.want("the call not accepted", second, balance.NotSent)
+		r.want("the call after it", third, balance.NotSent)
+		r.want("the accepted call", first, balance.OK)
 		standin.Until(t, "the end of the connection", func() bool { return n.Open() == 0 })
 		if got := len(n.Calls()); got != 1 {
-			t.Errorf("%d calls were executed: one of them is told never to have run", got)
+			t.Errorf("%d calls ran, one of which was reported as never run", got)
 		}
 	})
 	t.Run("GOAWAY with a covered call", func(t *testing.T) {
@@ -262,10 +263,10 @@
 		a := r.send(10, time.Minute)
 		time.Sleep(50 * time.Millisecond)
 		if o, ok := r.ended(a); ok {
-			t.Fatalf("ended by a GOAWAY that covers it: %+v", o)
+			t.Fatalf("ended by a GOAWAY that accepted it: %+v", o)
 		}
 		n.Drop()
-		r.want("the break after it", a, balance.Reset)
+		r.want("the connection loss after it", a, balance.Reset)
 	})
 	t.Run("break before the last byte", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
@@ -274,7 +275,7 @@
 		standin.Until(t, "the connection", func() bool { return n.Opened() == 1 })
 		time.Sleep(100 * time.Millisecond)
 		n.Drop()
-		r.want("a call cut short", a, balance.NoConnection)
+		r.want("a truncated call", a, balance.NoConnection)
 	})
 	t.Run("break after the last byte", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{},
@@ -305,19 +306,19 @@
 		cfg := bounds
 		cfg.DialTimeout = 100 * time.Millisecond
 		r := newRig(t, cfg, nil, target(n))
-		r.want("a mute node", r.send(10, time.Minute), balance.NoConnection)
+		r.want("a silent node", r.send(10, time.Minute), balance.NoConnection)
 	})
 	t.Run("deadline in the queue", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
 		r := newRig(t, bounds, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
-		r.want("one whose time passed while it waited", r.send(10, 50*time.Millisecond), balance.NotSent)
+		r.want("a call that expired in the queue", r.send(10, 50*time.Millisecond), balance.NotSent)
 		if !r.b.Withdraw(r.send(10, time.Minute)) {
-			t.Error("one that waits may have run")
+			t.Error("a queued call is reported as possibly run")
 		}
 		if r.b.Withdraw(first) {
-			t.Error("one that was written whole has never run")
+			t.Error("a completely written call is reported as never run")
 		}
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 1 {
@@ -328,17 +329,17 @@
 		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
 		r := newRig(t, bounds, nil, target(n))
 		a := r.send(2000, time.Minute, time.Now().Add(200*time.Millisecond))
-		r.want("one whose last byte came too late", a, balance.NotSent)
+		r.want("a call whose last byte was too late", a, balance.NotSent)
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 0 {
-			t.Error("it came to its end all the same")
+			t.Error("the call was completed all the same")
 		}
-		r.want("one that comes too late", r.send(10, time.Minute, time.Now().Add(-time.Millisecond)),
+		r.want("a call that is too late", r.send(10, time.Minute, time.Now().Add(-time.Millisecond)),
 			balance.NotSent)
 	})
 }
 
-// A drain takes back what is not begun, and nothing of it goes out any more.
+// A drain returns the calls that have not been started, and none of them is sent any more.
 func TestStopTakesBackWhatWaits(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
 	r := newRig(t, bounds, nil, target(n))
@@ -347,16 +348,17 @@
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
 	back := r.b.Stop(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
-		t.Fatalf("%d taken back", len(back))
+		t.Fatalf("%d calls returned", len(back))
 	}
 	n.Drop()
 	time.Sleep(50 * time.Millisecond)
 	if _, ok := r.ended(b); ok || len(n.Calls()) != 1 {
-		t.Errorf("told of again, or sent: %d calls", len(n.Calls()))
+		t.Errorf("reported again, or sent: %d calls", len(n.Calls()))
 	}
 }
 
-// Streams, connections and the queue stay within their bounds, and what waits is sent as room comes.
+// Streams, connections and the queue stay within their limits, and queued calls are sent as streams become
+// free.
 func TestBoundsOfStreams(t *testing.T) {
 	release := make(chan bool)
 	n := standin.NewGRPC(t, standin.NewOptions{Streams: 3}, func(standin.NewCall) standin.NewDo {
@@ -375,8 +377,8 @@
 		all = append(all, r.send(10, time.Minute))
 		standin.Until(t, "the call", func() bool { return len(n.Calls()) == 4+i })
 	}
-	all = append(all, r.send(10, time.Minute), r.send(10, time.Minute)) // wait
-	r.want("one too many", r.send(10, time.Minute), balance.Busy)
+	all = append(all, r.send(10, time.Minute), r.send(10, time.Minute)) // queued
+	r.want("a call beyond the queue", r.send(10, time.Minute), balance.Busy)
 	time.Sleep(50 * time.Millisecond)
 	if n.Opened() != 2 || len(n.Calls()) != 6 {
 		t.Errorf("%d connections, %d calls", n.Opened(), len(n.Calls()))
@@ -392,7 +394,7 @@
 	}
 }
 
-// A message larger than the windows goes out as the node gives room, next to others.
+// A message larger than the flow-control windows is sent as the node opens them, interleaved with others.
 func TestFlowControlTowardsTheNode(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{Window: 700}, answer)
 	r := newRig(t, bounds, nil, target(n))
@@ -405,14 +407,13 @@
 	}
 	for _, c := range n.Calls() {
 		if len(c.Filter) != 60_000 {
-			t.Errorf("%d bytes came", len(c.Filter))
+			t.Errorf("%d bytes arrived", len(c.Filter))
 		}
 	}
 }
 
-// Sends come from one goroutine while others write and read: none may wait for another for ever. The writer
-// once asked for the node's address under the connection's lock, and Send for the connection under the
-// node's.
+// Send runs concurrently with the write and read loops: they must not deadlock. The write loop once took the
+// node's lock while holding the connection's, and Send took them in the opposite order.
 func TestSendsBesideTheWriter(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
 	cfg := bounds
@@ -436,14 +437,14 @@
 	select {
 	case <-done:
 	case <-time.After(60 * time.Second):
-		t.Fatal("a send or its answer never came to its end")
+		t.Fatal("a call did not end within 60 s")
 	}
 }
 
-// A node that does not read costs its own connection, and no more memory than the bounds.
+// A node that does not read loses its connection, and uses no more memory than the limits.
 func TestNodeThatDoesNotRead(t *testing.T) {
-	// The node has room for little: to fill megabytes with answers to pings takes longer than is waited for,
-	// on a busy machine.
+	// The node has a small receive buffer: filling megabytes with replies to pings would take longer than the
+	// test waits on a busy machine.
 	small := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
 			_ = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4<<10)
@@ -463,7 +464,7 @@
 			fr := http2.NewFramer(c, nil)
 			_ = fr.WriteSettings(http2.Setting{ID: http2.SettingInitialWindowSize, Val: 1 << 30})
 			_ = fr.WriteWindowUpdate(0, 1<<30)
-			// Each wants an answer; there are more than the system's buffers have room for answers.
+			// Each ping requires a reply; there are more than the socket buffers hold replies.
 			for fr.WritePing(false, [8]byte{1}) == nil {
 			}
 		}
@@ -478,7 +479,7 @@
 	standin.Until(t, "the descriptors", func() bool { return r.b.budget.Used() == 0 })
 }
 
-// A connection on which nothing comes any more is found out by a ping, once a call on it has timed out.
+// A connection that has gone silent is detected by a ping, once a call on it has timed out.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	stuck := make(chan net.Conn, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -502,7 +503,7 @@
 	a, b := r.send(10, time.Minute), r.send(10, time.Minute)
 	time.Sleep(250 * time.Millisecond)
 	if r.b.Withdraw(a) {
-		t.Error("one that was written whole has never run")
+		t.Error("a completely written call is reported as never run")
 	}
 	r.want("the other call", b, balance.Reset)
 	r.send(10, time.Minute)
@@ -523,8 +524,8 @@
 	standin.Until(t, "the end of the idle connection", func() bool { return n.Open() == 0 })
 }
 
-// Keys change in service: calls that are open come to their end, new ones go out with the new keys, and a set
-// that does not hold together is turned down whole.
+// Credentials change at run time: calls in flight continue, new ones use the new credentials, and an
+// inconsistent set of files is rejected as a whole.
 func TestKeysChangeInService(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
@@ -571,15 +572,15 @@
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	put(files.Key, []byte("broken"))
 	if changed, err := keys.Reload(); changed || err == nil {
-		t.Fatalf("a broken pair was taken: %v %v", changed, err)
+		t.Fatalf("an invalid key pair was accepted: %v %v", changed, err)
 	}
 	if changed, err := keys.Reload(); changed || err != nil {
-		t.Errorf("told of twice: %v %v", changed, err)
+		t.Errorf("the error was reported twice: %v %v", changed, err)
 	}
 	other := standin.NewAuthority(t)
 	put(files.CA, []byte("nothing"))
 	if changed, err := keys.Reload(); changed || err == nil {
-		t.Fatalf("roots without a certificate were taken: %v %v", changed, err)
+		t.Fatalf("roots without a certificate were accepted: %v %v", changed, err)
 	}
 	put(files.CA, append(other.PEM(), ca.PEM()...))
 	pair("two")
@@ -587,12 +588,12 @@
 		t.Fatalf("%v %v", changed, err)
 	}
 	r.b.Rekey()
-	r.want("a call with the new keys", r.send(10, time.Minute), balance.OK)
+	r.want("a call with the new credentials", r.send(10, time.Minute), balance.OK)
 	if _, ok := r.ended(open); ok {
-		t.Error("the open call was lost")
+		t.Error("the call in flight ended")
 	}
 	close(release)
-	r.want("the open call", open, balance.OK)
+	r.want("the call in flight", open, balance.OK)
 	mu.Lock()
 	defer mu.Unlock()
 	if len(names) != 2 || names[0] != "one" || names[1] != "two" {
@@ -601,11 +602,11 @@
 	wrong := to
 	wrong.ServerName = "somebody"
 	r.b.Learn([]Target{wrong})
-	r.want("a node of another name", r.send(10, time.Minute), balance.NoConnection)
+	r.want("a node with another name", r.send(10, time.Minute), balance.NoConnection)
 }
 
-// A connection is ended while it is dialled: what the dialler sets, the end does not read beside it (the race
-// detector looks).
+// A connection is closed while it is being dialled: close must not read what the dialling goroutine sets
+// without a lock. This relies on the race detector.
 func TestAConnectionIsEndedWhileItIsDialled(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/grpcnode/keyring.go
+++ b/internal/grpcnode/keyring.go
@@ -1,7 +1,7 @@
 package grpcnode
 
-// The keys of TLS towards the nodes, and their change in service. A set of files that does not hold together
-// is turned down whole, and what was there before stays in use.
+// TLS credentials for connections to the nodes, and their reload at run time. An inconsistent set of files is
+// rejected as a whole, and the previous credentials stay in use.
 
 import (
 	"bytes"
@@ -15,30 +15,31 @@
 	"time"
 )
 
-// KeyFiles names the files of a keyring. The pair may be left out: then the node asks for none.
+// CredentialFiles names the files of the credentials. Cert and Key are optional: the nodes may not require
+// them.
 type KeyFiles struct {
-	CA   string // who signs the nodes' certificates
-	Cert string // our own, and its key
+	CA   string // the authority that signs the nodes' certificates
+	Cert string // this client's certificate
 	Key  string
 }
 
-// Keyring holds what connections are opened with from now on.
+// Credentials holds the TLS configuration for new connections.
 type Keyring struct {
 	files   KeyFiles
-	mu      sync.Mutex // guards last: one reload at a time
-	last    []byte     // what the files held when they were last looked at
+	mu      sync.Mutex // guards lastRead; allows one reload at a time
+	last    []byte     // the files' contents when last read
 	current atomic.Pointer[tls.Config]
 }
 
-// OpenKeyring reads the files for the first time.
+// LoadCredentials reads the files for the first time.
 func OpenKeyring(files KeyFiles) (*Keyring, error) {
 	k := &Keyring{files: files}
 	_, err := k.Reload()
 	return k, err
 }
 
-// Reload reads the files again. It tells whether something else is in force now. An error is told once for
-// each state of the files.
+// Reload reads the files again and reports whether the credentials have changed. An error is reported once
+// per content of the files.
 func (k *Keyring) Reload() (bool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -80,7 +81,7 @@
 	return true, nil
 }
 
-// Config is what a connection to a server of that name is opened with.
+// Config returns the TLS configuration for a connection to a server of the given name.
 func (k *Keyring) Config(name string) *tls.Config {
 	c := k.current.Load().Clone()
 	c.ServerName = name
--- a/internal/grpcnode/message.go
+++ b/internal/grpcnode/message.go
@@ -1,7 +1,7 @@
 package grpcnode
 
-// The messages of ledger.proto on the wire, and the head of a call. A test compiles the .proto and reads
-// these back.
+// Encoding and decoding of the messages of ledger.proto, and of a call's time-out. A test compiles the
+// .proto and checks them against it.
 
 import (
 	"encoding/binary"
@@ -15,12 +15,12 @@
 	"lapislever/internal/translate"
 )
 
-// Path is the one method's.
+// MethodPath is the path of the only method.
 const Path = "/lapislever.ledger.v1.Ledger/Run"
 
-const prefixSize = 5 // of a message: whether it is compressed, and its length
+const prefixSize = 5 // of a message: the compressed flag and the length
 
-// Part is a call's message.
+// Part is the request message of a call.
 type Part struct {
 	ID     string
 	Shard  uint32
@@ -30,7 +30,7 @@
 	Term   uint64
 }
 
-// Append appends the message with its prefix.
+// Append appends the encoded message with its prefix.
 func (p *Part) Append(b []byte) []byte {
 	at := len(b)
 	b = append(b, 0, 0, 0, 0, 0)
@@ -54,10 +54,11 @@
 	return b
 }
 
-// errMessage is a message that cannot be read.
-var errMessage = errors.New("not a message of the service")
+// errMalformed is the error for a message that cannot be decoded.
+var errMessage = errors.New("malformed message")
 
-// fields calls f for each field of a message; what f does not know it skips.
+// walkFields calls f for each field of a message. f ignores unknown fields and returns false for malformed
+// ones.
 func fields(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool) error {
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
@@ -85,11 +86,11 @@
 	return nil
 }
 
-// answerTypes are the wire types of an answer's fields.
+// answerTypes holds the wire types of an answer's fields.
 var answerTypes = map[protowire.Number]protowire.Type{1: protowire.VarintType, 2: protowire.BytesType,
 	3: protowire.VarintType, 4: protowire.Fixed64Type, 5: protowire.BytesType, 6: protowire.BytesType}
 
-// ParseAnswer reads an answer's message, without its prefix. What it returns refers to b.
+// ParseAnswer decodes an answer message without its prefix. The result refers to b.
 func ParseAnswer(b []byte) (translate.Answer, error) {
 	var a translate.Answer
 	err := fields(b, func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool {
@@ -99,7 +100,7 @@
 		switch n {
 		case 1:
 			a.Shard = uint32(x)
-		case 2, 5: // of a oneof the last one counts
+		case 2, 5: // the last field of a oneof counts
 			a.Kind, a.Text = translate.Text, v
 			if n == 5 {
 				a.Kind = translate.Raw
@@ -125,7 +126,7 @@
 	return a, err
 }
 
-// timeoutText is a grpc-timeout: at most eight digits and a unit.
+// formatTimeout formats a grpc-timeout header: at most eight digits and a unit.
 func timeoutText(d time.Duration) string {
 	us := max(1, d.Microseconds())
 	for _, u := range []struct {
