--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,7 +8,7 @@
 	"lapislever/balance"
 )
 
-// params looks settings up by path and keeps the first failure.
+// params looks up settings by path and keeps the first error.
 type params struct {
 	m   map[string]string
 	err error
@@ -20,8 +20,8 @@
 	}
 }
 
-// num reads a number; where the key is absent the given value stands, which the wire page says absence
-// means.
+// number returns a number. If the key is missing it returns absent, the default that the protocol page
+// defines.
 func (p *params) num(path string, absent float64) float64 {
 	s, ok := p.m[path]
 	if !ok || s == "" {
@@ -34,7 +34,7 @@
 	return v
 }
 
-// must reads a number that has to be there.
+// required returns a number whose key must be present.
 func (p *params) must(path string) float64 {
 	if _, ok := p.m[path]; !ok {
 		p.miss(path, "is missing")
@@ -53,7 +53,7 @@
 	return false
 }
 
-// item reads place i of a list of numbers.
+// listItem returns number i of a comma-separated list.
 func (p *params) item(path string, i int, absent float64) float64 {
 	items := strings.Split(p.m[path], ",")
 	if i >= len(items) || items[i] == "" {
@@ -66,7 +66,7 @@
 	return v
 }
 
-// ParseSettings turns the text of a Spawn record into the module's settings. Unknown keys are ignored.
+// ParseSettings parses the text of a Spawn record into the module's settings. Unknown keys are ignored.
 func ParseSettings(text string) (balance.Settings, error) {
 	p := &params{m: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames of the bench's protocol and turns its settings into the
-// module's own types. It decides nothing.
+// Package wire decodes and encodes the frames of the simulator's protocol and converts its settings to the
+// module's own types. It makes no decisions.
 package wire
 
 import (
@@ -53,14 +53,14 @@
 	maxTellText = 256
 )
 
-// Handler takes the records of one batch in their order.
+// Handler receives the records of a batch in order.
 type Handler interface {
 	Spawn(instance uint32, seed uint64, params string) error
 	Killed(instance uint32)
 	Event(instance uint32, ev balance.Event) error
 }
 
-// FrameError tells where a frame is malformed.
+// FrameError reports where a frame is malformed.
 type FrameError struct {
 	Frame, Byte int
 	What        string
@@ -85,10 +85,11 @@
 	given [16]bool
 }
 
-// NewDecoder returns a decoder of the batches on r.
+// NewDecoder returns a decoder that reads batches from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch, hands begin its header and then h its records. It returns io.EOF at a clean end.
+// Next reads one batch and passes its header to begin and then its records to h. It returns io.EOF if the
+// stream ends between frames.
 func (d *Decoder) Next(begin func(Batch), h Handler) error {
 	var head [8]byte
 	d.frame++
@@ -105,7 +106,7 @@
 		return d.fail(4, fmt.Sprintf("a length of %d is not possible", size))
 	}
 	if cap(d.buf) < int(size) {
-		// Grow with what really arrives, so that a false length cannot ask for a gigabyte at once.
+		// Grow with the data that arrives, so that a wrong length cannot allocate a gigabyte at once.
 		d.buf = make([]byte, 0, min(int(size), 1<<20))
 	}
 	if d.buf, err = readN(d.r, d.buf[:0], int(size)); err != nil {
@@ -149,7 +150,7 @@
 	return &FrameError{Frame: d.frame, Byte: at, What: what}
 }
 
-// record reads one record and returns the instance that the next one concerns.
+// record decodes one record and returns the instance that the next record belongs to.
 func (d *Decoder) record(c *cursor, inst uint32, h Handler) (uint32, error) {
 	at := 8 + c.at
 	code := c.u16()
@@ -268,7 +269,7 @@
 	if n > (len(c.b)-c.at)/entryLen {
 		return d.fail(at, fmt.Sprintf("a list of %d lines is longer than its frame", n))
 	}
-	// A fresh slice: a number may be given anew while an earlier list is still in use in this batch.
+	// A new slice, as a list may be redefined while its earlier version is still in use in the same batch.
 	list := make([]balance.Replica, n)
 	for i := range list {
 		list[i].ID = c.replica()
@@ -283,7 +284,7 @@
 	return nil
 }
 
-// cursor reads little-endian fields; short is set once a read would pass the end.
+// cursor reads little-endian fields; truncated is set once a read would go past the end.
 type cursor struct {
 	b     []byte
 	at    int
@@ -326,22 +327,22 @@
 	return out
 }
 
-// Reply builds one reply frame.
+// Reply builds a reply frame.
 type Reply struct{ b []byte }
 
-// Begin empties the reply and sets the number of the batch that it answers.
+// Begin resets the reply and sets the number of the batch that it replies to.
 func (r *Reply) Begin(seq uint32) {
 	r.b = binary.LittleEndian.AppendUint32(r.b[:0], 0)
 	r.b = binary.LittleEndian.AppendUint32(r.b, seq)
 }
 
-// From sets the instance that the following actions belong to.
+// SetInstance sets the instance that the following actions belong to.
 func (r *Reply) From(instance uint32) {
 	r.code(acFrom)
 	r.u32(instance)
 }
 
-// Bytes finishes the frame.
+// Bytes completes the frame and returns it.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.b, uint32(len(r.b)-4))
 	return r.b
@@ -362,7 +363,7 @@
 	}
 }
 
-// Action appends one action of the instance named last.
+// Action appends an action of the current instance.
 func (r *Reply) Action(a balance.Action) {
 	switch a.Kind {
 	case balance.Send:
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,7 +11,7 @@
 	"lapislever/balance"
 )
 
-// recorder keeps what the decoder hands over.
+// recorder records what the decoder passes to its handler.
 type recorder struct {
 	spawned []string
 	killed  []uint32
@@ -38,7 +38,7 @@
 	return b
 }
 
-// The frames of the protocol page: two instances, then the reply to them.
+// The example on the protocol page: a frame for two instances. TestEncodeReply has the reply to it.
 const twoInstances = `05000000 52000000 5a5c800000000000 0c000000
 	0401 03000000
 	0801 c4913a5d 640ad2557c3bf091 00000000 e02e0000 0000003e 00005643 01 00 0000 da05840000000000
@@ -90,10 +90,10 @@
 	}
 	l := r.events[0]
 	if l.Mode != balance.Cached || len(l.Replicas) != 2 {
-		t.Fatalf("the list given before its number was used again: %+v", l)
+		t.Fatalf("not the list as it was before its redefinition: %+v", l)
 	}
 	if x := l.Replicas[1]; x.Cell != 1 || x.Size != 1.5 || x.Started != 0x5d1420 || x.State != balance.Ready {
-		t.Fatalf("line %+v", x)
+		t.Fatalf("list entry %+v", x)
 	}
 	if e := r.events[1]; e.Outcome != balance.OK || !e.Closed || e.Elapsed != 18500 ||
 		e.Replica != l.Replicas[0].ID || len(e.Report) != 1 || e.Report[0] != 0.5 {
