--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -11,32 +11,34 @@
 // buffers. Some descriptors are reserved for server connections: without them a flood of clients could use up
 // the connections that are needed to serve any client.
 type Budget struct {
-	used, most, kept atomic.Int64
-	clients          atomic.Int64 // descriptors in use by clients
-	spare            atomic.Int64 // connections allowed beyond the budget, each only to be refused
-	rings            pool
-	spared           atomic.Pointer[[]func() bool] // one per server: evicts an idle connection
+	inUse, capacity, reserved atomic.Int64
+	clientsInUse              atomic.Int64 // descriptors in use by clients
+	maxOverflow               atomic.Int64 // connections allowed beyond the budget, each only to be refused
+	ringMemory                memoryLimit
+	evictors                  atomic.Pointer[[]func() bool] // one per server: evicts an idle connection
 }
 
 // NewBudget returns a budget of capacity descriptors, of which clients cannot use the reserved ones.
 func NewBudget(most, kept int) *Budget {
 	b := &Budget{}
 	b.Limit(most, kept, max(2, min(SpareMost, most/4)))
-	b.rings.left.Store(poolSize)
+	b.ringMemory.available.Store(ringMemorySize)
 	return b
 }
 
 // LimitRings bounds the total memory of clients' rings beyond their usual size. It must be called before any
 // ring is in use.
-func (b *Budget) LimitRings(bytes int) { b.rings.left.Store(int64(min(bytes, poolSize))) }
+func (b *Budget) LimitRings(bytes int) {
+	b.ringMemory.available.Store(int64(min(bytes, ringMemorySize)))
+}
 
-func (b *Budget) take(least int64) bool {
+func (b *Budget) tryAcquire(least int64) bool {
 	for {
-		u := b.used.Load()
-		if u+least >= b.most.Load() {
+		u := b.inUse.Load()
+		if u+least >= b.capacity.Load() {
 			return false
 		}
-		if b.used.CompareAndSwap(u, u+1) {
+		if b.inUse.CompareAndSwap(u, u+1) {
 			return true
 		}
 	}
@@ -45,12 +47,12 @@
 // AcquireServer acquires a descriptor for a connection to a server. If none is left, it evicts a client
 // connection that is idle between requests, as keeping that one open serves no request.
 func (b *Budget) TakeServer() bool {
-	if b.take(0) {
+	if b.tryAcquire(0) {
 		return true
 	}
-	if all := b.spared.Load(); all != nil {
+	if all := b.evictors.Load(); all != nil {
 		for _, spare := range *all {
-			if spare() && b.take(0) {
+			if spare() && b.tryAcquire(0) {
 				return true
 			}
 		}
@@ -60,14 +62,14 @@
 
 // addEvictor registers f, which evicts an idle client connection if there is one. The servers that share a
 // budget, one per front, are asked in turn.
-func (b *Budget) spareBy(f func() bool) {
+func (b *Budget) addEvictor(f func() bool) {
 	for {
-		old := b.spared.Load()
+		old := b.evictors.Load()
 		all := []func() bool{f}
 		if old != nil {
 			all = append(slices.Clone(*old), f)
 		}
-		if b.spared.CompareAndSwap(old, &all) {
+		if b.evictors.CompareAndSwap(old, &all) {
 			return
 		}
 	}
@@ -75,48 +77,48 @@
 
 // AcquireClient acquires a descriptor for a client connection.
 func (b *Budget) TakeClient() bool {
-	if !b.take(b.kept.Load()) {
+	if !b.tryAcquire(b.reserved.Load()) {
 		return false
 	}
-	b.clients.Add(1)
+	b.clientsInUse.Add(1)
 	return true
 }
 
 // ReleaseClient releases a client connection's descriptor.
 func (b *Budget) ReleaseClient() {
-	b.clients.Add(-1)
+	b.clientsInUse.Add(-1)
 	b.Release()
 }
 
 // acquireAdmitted acquires a descriptor for a client that the admission controller has admitted. Descriptors
 // reserved for nodes count as in use by nodes whether they are or not, but no others do.
-func (b *Budget) takePlace() bool {
-	if b.clients.Add(1) > int64(b.Places()) || !b.take(0) {
-		b.clients.Add(-1)
+func (b *Budget) acquireAdmitted() bool {
+	if b.clientsInUse.Add(1) > int64(b.ClientCapacity()) || !b.tryAcquire(0) {
+		b.clientsInUse.Add(-1)
 		return false
 	}
 	return true
 }
 
 // ClientCapacity returns how many client connections may be open at this moment, including the open ones.
-func (b *Budget) Places() int {
-	nodes := max(0, b.used.Load()-b.clients.Load())
-	return int(max(0, b.most.Load()-max(b.kept.Load(), nodes)))
+func (b *Budget) ClientCapacity() int {
+	nodes := max(0, b.inUse.Load()-b.clientsInUse.Load())
+	return int(max(0, b.capacity.Load()-max(b.reserved.Load(), nodes)))
 }
 
 // SetLimits changes the budget, and how many clients beyond it may stay connected until they are refused.
 // Descriptors in use beyond the new limits stay valid until they are released.
 func (b *Budget) Limit(most, kept, spare int) {
-	b.most.Store(int64(most))
-	b.kept.Store(int64(kept))
-	b.spare.Store(int64(spare))
+	b.capacity.Store(int64(most))
+	b.reserved.Store(int64(kept))
+	b.maxOverflow.Store(int64(spare))
 }
 
 // Capacity returns the total number of descriptors.
-func (b *Budget) Most() int { return int(b.most.Load()) }
+func (b *Budget) Most() int { return int(b.capacity.Load()) }
 
 // InUse returns the number of descriptors in use.
-func (b *Budget) Used() int { return int(b.used.Load()) }
+func (b *Budget) Used() int { return int(b.inUse.Load()) }
 
 // Release releases one descriptor.
-func (b *Budget) Release() { b.used.Add(-1) }
+func (b *Budget) Release() { b.inUse.Add(-1) }
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -21,356 +21,357 @@
 
 // Sizes and limits of the network code.
 const (
-	MaxBody   = 64 << 10 // largest body of a request
-	MaxHead   = 16 << 10 // largest request or status line with its headers
-	firstRing = 1 << 10
-	freeRing  = 4 << 10   // growth up to this size is not accounted for: most requests are smaller
-	largeRing = 16 << 10  // an empty ring larger than this releases its memory
-	outRing   = 16 << 10  // replies are written through it in chunks
-	aheadMost = 256 << 10 // how much a client may send ahead of its replies: the ring's limit
+	MaxBody         = 64 << 10 // largest body of a request
+	MaxHead         = 16 << 10 // largest request or status line with its headers
+	initialRingSize = 1 << 10
+	freeRingSize    = 4 << 10   // growth up to this size is not accounted for: most requests are smaller
+	largeRingSize   = 16 << 10  // an empty ring larger than this releases its memory
+	replyRingSize   = 16 << 10  // replies are written through it in chunks
+	maxReadAhead    = 256 << 10 // how much a client may send ahead of its replies: the ring's limit
 	// If a client's ring stays full for this long while its request is in progress, further input is read and
 	// discarded: only a read shows that the client has left, and its request has to be cancelled within 0.1 s.
-	aheadLimit = 30 * time.Millisecond
-	fullPause  = 10 * time.Millisecond // between checks of a full ring
-	poolSize   = 24 << 20              // accounted memory of all clients' rings, unless the budget sets less
-	drainSize  = 16 << 10              // per read of discarded input
-	idleLimit  = 10 * time.Second      // for a client connection between requests
-	spareLimit = time.Second           // for a connection beyond the budget to send its request and be refused
-	SpareMost  = 16                    // upper limit on connections beyond the budget
-	waitStep   = 5 * time.Millisecond  // between checks whether all connections have ended
+	fullRingTimeout = 30 * time.Millisecond
+	fullRingPause   = 10 * time.Millisecond // between checks of a full ring
+	ringMemorySize  = 24 << 20              // memory of all clients' rings, unless the budget sets less
+	discardSize     = 16 << 10              // per read of discarded input
+	idleTimeout     = 10 * time.Second      // for a client connection between requests
+	overflowTimeout = time.Second           // for a connection beyond the budget, until it is refused
+	SpareMost       = 16                    // upper limit on connections beyond the budget
+	pollInterval    = 5 * time.Millisecond  // between checks whether all connections have ended
 	// A client must get a reply or a close within 3 s of connecting, even if it sends half a request or none.
-	requestLimit = 2500 * time.Millisecond
-	replyLimit   = 5 * time.Second
+	requestTimeout = 2500 * time.Millisecond
+	replyTimeout   = 5 * time.Second
 	// After an error reply the client may still be sending: the connection stays open to let it read the reply.
-	lingerLimit = 4 * time.Second
-	lingerQuiet = 500 * time.Millisecond
+	lingerTimeout     = 4 * time.Second
+	lingerIdleTimeout = 500 * time.Millisecond
 	// Within this time, a client's first request may be on its way, a partial request may be completed, and a
 	// reply may still be in flight.
-	graceLimit = 300 * time.Millisecond
-	partLimit  = 200 * time.Millisecond // before Wait ends, to reply to incomplete requests
+	gracePeriod      = 300 * time.Millisecond
+	incompleteMargin = 200 * time.Millisecond // before Wait ends, to reply to incomplete requests
 )
 
 // handshake makes the TLS handshake within its timeout, then serves the connection as authenticated or not.
-func (c *serverConn) secure() {
-	limit := spareLimit
-	if c.seat.k != nil && c.held {
-		limit = c.seat.k.proof
+func (c *serverConn) handshake() {
+	limit := overflowTimeout
+	if c.slot.controller != nil && c.withinBudget {
+		limit = c.slot.controller.handshakeTimeout
 	}
-	_ = c.c.SetDeadline(time.Now().Add(limit))
-	secured, identity, err := c.s.Secure(c.c)
+	_ = c.conn.SetDeadline(time.Now().Add(limit))
+	secured, identity, err := c.server.Secure(c.conn)
 	if err != nil {
-		c.s.log.Warn("TLS handshake failed", "client", c.c.RemoteAddr(), "err", err)
-		c.shut()
-		c.s.forget(c)
+		c.server.log.Warn("TLS handshake failed", "client", c.conn.RemoteAddr(), "err", err)
+		c.closeSocket()
+		c.server.remove(c)
 		return
 	}
-	_ = c.c.SetDeadline(time.Time{})
-	c.c = secured // no other goroutine uses it yet
-	c.replies = newReplyWriter(secured, &c.s.watch)
-	if c.seat.k != nil {
-		if d := c.seat.k.prove(c.seat.id, identity, identity != ""); d.Verdict == admission.Refuse {
-			c.turned, c.after = true, time.Duration(d.After)*time.Microsecond
+	_ = c.conn.SetDeadline(time.Time{})
+	c.conn = secured // no other goroutine uses it yet
+	c.replies = newReplyWriter(secured, &c.server.watchdog)
+	if c.slot.controller != nil {
+		if d := c.slot.controller.handshakeDone(c.slot.id, identity,
+			identity != ""); d.Verdict == admission.Refuse {
+			c.rejected, c.retryAfter = true, time.Duration(d.After)*time.Microsecond
 		}
 	}
-	go c.fill()
+	go c.readLoop()
 	c.serve()
 }
 
 // closeIfIdle closes the connection if no part of a request has arrived.
-func (c *serverConn) yield() bool {
+func (c *serverConn) closeIfIdle() bool {
 	c.mu.Lock()
-	if c.state != waiting || c.in.Len() > 0 {
+	if c.state != stateWaiting || c.in.Len() > 0 {
 		c.mu.Unlock()
 		return false
 	}
-	c.state = spared
-	c.shut()
+	c.state = stateEvicted
+	c.closeSocket()
 	c.mu.Unlock()
-	c.s.forget(c)
+	c.server.remove(c)
 	return true
 }
 
 // serverConn is a client connection: readLoop reads into its ring, serve takes requests out of it one by one.
 type serverConn struct {
-	s   *Server
-	raw net.Conn // the socket
-	c   net.Conn // the socket, or TLS over it
+	server *Server
+	raw    net.Conn // the socket
+	conn   net.Conn // the socket, or TLS over it
 	// mu guards in, readErr, lastRead, state, since, hadRequest, closing, requestBy and overrun.
-	mu      sync.Mutex
-	in, out *Ring
-	replies *replyWriter
-	more    chan struct{}
-	err     error
-	at      time.Time // when the last byte arrived
-	state   connState
-	since   time.Time // when the state last changed
-	asked   bool      // at least one request was taken
-	parting bool      // to be closed between two requests
-	until   time.Time // while closing, the deadline for a complete request
-	overrun bool      // input beyond the ring's limit has been discarded
-	over    int       // number of goroutines that have ended
-	held    bool      // counts against the budget; guarded by the server's mu
-	back    bool
-	seat    seat
-	turned  bool          // its request is to be refused, though it is within the budget
-	after   time.Duration // when to come back, if refused
+	mu              sync.Mutex
+	in, out         *Ring
+	replies         *replyWriter
+	wake            chan struct{}
+	readErr         error
+	lastRead        time.Time // when the last byte arrived
+	state           connState
+	since           time.Time // when the state last changed
+	hadRequest      bool      // at least one request was taken
+	closing         bool      // to be closed between two requests
+	requestBy       time.Time // while closing, the deadline for a complete request
+	overrun         bool      // input beyond the ring's limit has been discarded
+	goroutinesEnded int       // number of goroutines that have ended
+	withinBudget    bool      // counts against the budget; guarded by the server's mu
+	released        bool
+	slot            admissionSlot
+	rejected        bool          // its request is to be refused, though it is within the budget
+	retryAfter      time.Duration // when to come back, if refused
 }
 
 type connState uint8
 
 const (
-	waiting   connState = iota // waiting for a request, or for the rest of one
-	serving                    // serving a request
-	lingering                  // the last reply is written; further input is discarded
-	spared                     // closed to free a descriptor
+	stateWaiting   connState = iota // waiting for a request, or for the rest of one
+	stateServing                    // serving a request
+	stateLingering                  // the last reply is written; further input is discarded
+	stateEvicted                    // closed to free a descriptor
 )
 
 // evictionRank orders connections by eviction, the first to be evicted first.
-type connUse uint8
+type evictionRank uint8
 
 const (
-	ending  connUse = iota // the last reply was written a while ago
-	useless                // no complete request within the grace period
-	idle                   // between requests
-	fresh                  // a request may be on its way
-	kept                   // has an unanswered request, or a reply may be in flight
+	rankLingering evictionRank = iota // the last reply was written a while ago
+	rankStalled                       // no complete request within the grace period
+	rankIdle                          // between requests
+	rankFresh                         // a request may be on its way
+	rankBusy                          // has an unanswered request, or a reply may be in flight
 )
 
 // rank returns the connection's eviction rank at a time, and the time of its last state change.
-func (c *serverConn) use(now time.Time) (connUse, time.Time) {
+func (c *serverConn) rank(now time.Time) (evictionRank, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch late := now.Sub(c.since) > graceLimit; {
-	case c.state == lingering && late:
-		return ending, c.since
-	case c.state != waiting: // or a final reply may be in flight, which a close could overtake
-		return kept, c.since
-	case late && !c.asked:
-		return useless, c.since
+	switch late := now.Sub(c.since) > gracePeriod; {
+	case c.state == stateLingering && late:
+		return rankLingering, c.since
+	case c.state != stateWaiting: // or a final reply may be in flight, which a close could overtake
+		return rankBusy, c.since
+	case late && !c.hadRequest:
+		return rankStalled, c.since
 	case c.in.Len() > 0:
-		return kept, c.since
-	case c.asked && late:
-		return idle, c.since
+		return rankBusy, c.since
+	case c.hadRequest && late:
+		return rankIdle, c.since
 	}
-	return fresh, c.since
+	return rankFresh, c.since
 }
 
 // evict closes the connection unless a request has been taken from it in the meantime.
-func (c *serverConn) spare() bool {
+func (c *serverConn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == serving {
+	if c.state == stateServing {
 		return false
 	}
-	c.state = spared
-	c.shut()
+	c.state = stateEvicted
+	c.closeSocket()
 	return true
 }
 
 // setState changes the connection's state. It returns false if the connection has been evicted.
-func (c *serverConn) become(s connState) bool {
+func (c *serverConn) setState(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == spared {
+	if c.state == stateEvicted {
 		return false
 	}
 	c.state, c.since = s, time.Now()
 	return true
 }
 
-func (c *serverConn) shut() { _ = c.raw.Close() }
+func (c *serverConn) closeSocket() { _ = c.raw.Close() }
 
 // releaseBudget releases the connection's descriptor and its admission slot, once.
-func (c *serverConn) giveBack() {
-	if c.back {
+func (c *serverConn) releaseBudget() {
+	if c.released {
 		return
 	}
-	c.back = true
-	c.seat.leave()
-	if c.held {
-		c.s.budget.ReleaseClient()
+	c.released = true
+	c.slot.release()
+	if c.withinBudget {
+		c.server.budget.ReleaseClient()
 	} else {
-		c.s.spare.Add(-1)
+		c.server.overflow.Add(-1)
 	}
 }
 
 func (c *serverConn) signal() {
 	select {
-	case c.more <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
 // discardBuffers are the buffers that discarded input is read into.
-var drains = sync.Pool{New: func() any { return new([drainSize]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([discardSize]byte) }}
 
 // discardInput reads and discards input until the connection ends.
-func (c *serverConn) drain() error {
-	buf := drains.Get().(*[drainSize]byte)
-	defer drains.Put(buf)
+func (c *serverConn) discardInput() error {
+	buf := discardBuffers.Get().(*[discardSize]byte)
+	defer discardBuffers.Put(buf)
 	for {
-		_, err := c.c.Read(buf[:])
+		_, err := c.conn.Read(buf[:])
 		if errors.Is(err, os.ErrDeadlineExceeded) { // lingerClose's wake-up, after this read began
-			_ = c.c.SetReadDeadline(time.Time{})
+			_ = c.conn.SetReadDeadline(time.Time{})
 		} else if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.at = time.Now()
+		c.lastRead = time.Now()
 		c.mu.Unlock()
 	}
 }
 
 // readLoop reads input even while a request waits for its reply, as only a read shows that the client has
 // left.
-func (c *serverConn) fill() {
+func (c *serverConn) readLoop() {
 	var full time.Duration // how long the ring has been full during the current request
 	var out time.Time      // when the current state began
-	var failures passingFailures
-	came := arrivals{raw: rawConn(c.raw)}
+	var failures transientFailures
+	came := arrivalClock{raw: rawConn(c.raw)}
 	for ended := false; !ended; {
 		c.mu.Lock()
 		free := c.in.Free()
-		if free != nil || c.state != serving || c.since != out {
+		if free != nil || c.state != stateServing || c.since != out {
 			full, out = 0, c.since
 		}
-		c.overrun = c.overrun || full >= aheadLimit
-		drop := c.state == lingering || c.overrun
-		ended = c.err != nil
+		c.overrun = c.overrun || full >= fullRingTimeout
+		drop := c.state == stateLingering || c.overrun
+		ended = c.readErr != nil
 		c.mu.Unlock()
 		var err error
 		switch {
 		case ended:
 			continue
 		case drop:
-			err = c.drain()
+			err = c.discardInput()
 		case free == nil: // far more than a request, or no memory: wait for serve to make room or to give up
-			time.Sleep(fullPause)
-			full += fullPause
+			time.Sleep(fullRingPause)
+			full += fullRingPause
 			continue
 		default:
 			var n int
-			n, err = c.c.Read(free)
+			n, err = c.conn.Read(free)
 			var at time.Time
 			if n > 0 {
-				at = came.at(time.Now())
+				at = came.arrivalTime(time.Now())
 			}
 			c.mu.Lock()
 			c.in.Grew(n)
 			if n > 0 {
-				c.at = at
+				c.lastRead = at
 			}
 			c.mu.Unlock()
 		}
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded): // serve wants the ring's memory released, or input discarded
 			err = nil
-			_ = c.c.SetReadDeadline(time.Time{})
+			_ = c.conn.SetReadDeadline(time.Time{})
 		case err == nil:
-			failures.over()
-		case c.c == c.raw && failures.again(c.raw, err):
+			failures.reset()
+		case c.conn == c.raw && failures.retry(c.raw, err):
 			err = nil
 		}
 		c.mu.Lock()
-		if err != nil && c.err == nil {
-			c.err = err
+		if err != nil && c.readErr == nil {
+			c.readErr = err
 		}
 		c.mu.Unlock()
 		c.signal()
 	}
 	c.mu.Lock()
-	c.over++
-	c.leave()
+	c.goroutinesEnded++
+	c.releaseRings()
 	c.mu.Unlock()
 }
 
 // releaseRings releases the rings once both goroutines have ended.
-func (c *serverConn) leave() {
-	if c.over == 2 {
-		c.in.drop()
-		c.out.drop()
+func (c *serverConn) releaseRings() {
+	if c.goroutinesEnded == 2 {
+		c.in.release()
+		c.out.release()
 	}
 }
 
 // errIdleClose means that a connection is to be closed between two requests.
-var errRest = errors.New("connection idle")
+var errIdleClose = errors.New("connection idle")
 
 // nextRequest waits for a complete request.
-func (c *serverConn) next() (*Request, error) {
-	if !c.become(waiting) {
+func (c *serverConn) nextRequest() (*Request, error) {
+	if !c.setState(stateWaiting) {
 		return nil, net.ErrClosed
 	}
-	if c.asked {
-		c.seat.rest() // before the first request, one is expected right away
+	if c.hadRequest {
+		c.slot.markIdle() // before the first request, one is expected right away
 	}
 	var began, by time.Time
-	var lack lacks
+	var lack incomplete
 	continued := false
-	limit := idleLimit
-	if !c.held { // it holds one of the few overflow slots
-		limit = spareLimit
-	} else if !c.asked {
-		limit = requestLimit
+	limit := idleTimeout
+	if !c.withinBudget { // it holds one of the few overflow slots
+		limit = overflowTimeout
+	} else if !c.hadRequest {
+		limit = requestTimeout
 	}
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
-		if c.state == spared {
+		if c.state == stateEvicted {
 			c.mu.Unlock()
 			return nil, net.ErrClosed
 		}
 		if began.IsZero() && c.in.Len() > 0 {
 			began = time.Now()
-			if c.asked || c.parting {
-				timer.Reset(min(limit, requestLimit))
+			if c.hadRequest || c.closing {
+				timer.Reset(min(limit, requestTimeout))
 			}
 		}
 		var req *Request
 		var err error
-		if c.in.Len() >= lack.bytes { // else the same bytes would be parsed again in vain
-			req, lack, err = parseRequest(c.in, c.at)
+		if c.in.Len() >= lack.minBytes { // else the same bytes would be parsed again in vain
+			req, lack, err = parseRequest(c.in, c.lastRead)
 		}
-		gone := c.err
+		gone := c.readErr
 		if req != nil {
-			c.state, c.since, c.asked = serving, time.Now(), true
+			c.state, c.since, c.hadRequest = stateServing, time.Now(), true
 		}
 		rest := c.in.Len() == 0 && began.IsZero()
-		parting, overrun := c.parting, c.overrun
-		if parting && !rest && c.until != by {
-			by = c.until
+		parting, overrun := c.closing, c.overrun
+		if parting && !rest && c.requestBy != by {
+			by = c.requestBy
 			timer.Reset(max(0, min(limit, time.Until(by))))
 		}
-		grace := graceLimit - time.Since(c.since) // the first request may be on its way
+		grace := gracePeriod - time.Since(c.since) // the first request may be on its way
 		c.mu.Unlock()
 		switch {
 		case err != nil:
 			return nil, err
 		case req != nil:
-			c.seat.use()
+			c.slot.markBusy()
 			return req, nil
 		case gone != nil:
 			return nil, gone
 		case overrun:
 			return nil, &BadMessage{Status: 413, What: "more was sent ahead than is held"}
-		case parting && rest && (c.asked || grace <= 0):
-			return nil, errRest
+		case parting && rest && (c.hadRequest || grace <= 0):
+			return nil, errIdleClose
 		case parting && rest:
 			timer.Reset(grace)
 		}
-		if lack.word && !continued {
+		if lack.expectContinue && !continued {
 			continued = true
-			piece := &replyPiece{w: c.replies, limit: replyLimit}
+			piece := &replyChunk{w: c.replies, timeout: replyTimeout}
 			if _, err := piece.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return nil, err
 			}
 		}
 		select {
-		case <-c.more:
+		case <-c.wake:
 		case <-timer.C:
 			switch {
 			case began.IsZero():
-				return nil, errRest
+				return nil, errIdleClose
 			case !by.IsZero() && !time.Now().Before(by):
 				return nil, &BadMessage{Status: 503, What: "this coordinator ends"}
 			}
@@ -383,30 +384,31 @@
 func (c *serverConn) serve() {
 	defer func() {
 		c.mu.Lock()
-		if c.err == nil {
-			c.err = net.ErrClosed
+		if c.readErr == nil {
+			c.readErr = net.ErrClosed
 		}
-		c.over++
-		c.leave()
+		c.goroutinesEnded++
+		c.releaseRings()
 		c.mu.Unlock()
-		c.shut()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.giveBack()
-		c.s.mu.Unlock()
+		c.closeSocket()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.releaseBudget()
+		c.server.mu.Unlock()
 	}()
 	for {
-		req, err := c.next()
+		req, err := c.nextRequest()
 		var bad *BadMessage
 		if errors.As(err, &bad) {
-			_ = c.write(Response{Status: bad.Status, Body: []byte(bad.What + "\n")}, true, false)
-			c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", bad.What)
-			c.linger()
+			_ = c.writeReply(Response{Status: bad.Status, Body: []byte(bad.What + "\n")}, true, false)
+			c.server.log.Warn("bad request", "client", c.conn.RemoteAddr(), "why", bad.What)
+			c.lingerClose()
 			return
 		}
-		if errors.Is(err, errRest) {
-			c.s.log.Debug("idle connection closed", "client", c.c.RemoteAddr(), "closing", c.s.closing.Load())
-			c.linger()
+		if errors.Is(err, errIdleClose) {
+			c.server.log.Debug("idle connection closed", "client", c.conn.RemoteAddr(),
+				"closing", c.server.closeAfterReply.Load())
+			c.lingerClose()
 		}
 		if err != nil {
 			return
@@ -415,28 +417,28 @@
 		if !ok {
 			return
 		}
-		end := req.Close || resp.Close || c.s.closing.Load() || !c.held || c.turned
-		err = c.write(resp, end, req.Method == "HEAD")
-		if c.replies.wasRescued() {
-			c.s.log.Warn("reply finished by the watchdog: its writer was stuck", "client", c.c.RemoteAddr(),
+		end := req.Close || resp.Close || c.server.closeAfterReply.Load() || !c.withinBudget || c.rejected
+		err = c.writeReply(resp, end, req.Method == "HEAD")
+		if c.replies.wasTakenOver() {
+			c.server.log.Warn("reply finished by the watchdog: its writer was stuck", "client", c.conn.RemoteAddr(),
 				"query", req.ID())
 			end = true
 		}
 		if err != nil {
-			c.s.log.Info("reply not written", "client", c.c.RemoteAddr(), "path", req.Path, "query", req.ID(),
+			c.server.log.Info("reply not written", "client", c.conn.RemoteAddr(), "path", req.Path, "query", req.ID(),
 				"status", resp.Status, "err", err)
 			return
 		}
 		if !resp.Decided.IsZero() {
-			c.s.Delays.Note(delay.Reply, time.Since(resp.Decided), "client", c.c.RemoteAddr(), "query", req.ID(),
-				"status", resp.Status)
+			c.server.Delays.Note(delay.Reply, time.Since(resp.Decided), "client", c.conn.RemoteAddr(),
+				"query", req.ID(), "status", resp.Status)
 		}
 		if end {
-			c.linger()
+			c.lingerClose()
 			return
 		}
-		if len(req.Body) > largeRing { // else an idle connection would keep a ring as large as its largest body
-			_ = c.c.SetReadDeadline(time.Unix(1, 0))
+		if len(req.Body) > largeRingSize { // else an idle connection would keep a ring as large as its largest body
+			_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
@@ -444,30 +446,31 @@
 // exchange passes a request to the handler and waits for its reply or until the client has left.
 func (c *serverConn) exchange(req *Request) (Response, bool) {
 	x, reply := NewExchange(c.raw)
-	if !c.held || c.turned {
-		if c.s.TurnedAway != nil {
-			c.s.TurnedAway(req)
+	if !c.withinBudget || c.rejected {
+		if c.server.TurnedAway != nil {
+			c.server.TurnedAway(req)
 		}
 		r := Response{Status: 503, Body: []byte("too many connections\n")}
-		after := time.Duration(max(1, math.Ceil(c.after.Seconds()))) * time.Second
-		if c.s.Advise != nil {
-			after = c.s.Advise(after)
+		after := time.Duration(max(1, math.Ceil(c.retryAfter.Seconds()))) * time.Second
+		if c.server.Advise != nil {
+			after = c.server.Advise(after)
 		}
 		if after > 0 {
 			r.Header = [][2]string{{"Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}}
 		}
 		return r, true
 	}
-	c.s.last.Store(int64(c.since.Sub(c.s.begun))) // when the request was taken: it may have waited before
-	gone := c.s.handle(req, x)
+	// The time at which the request was taken, as it may have waited in the ring before.
+	c.server.lastRequest.Store(int64(c.since.Sub(c.server.startedAt)))
+	gone := c.server.handle(req, x)
 	c.signal() // the wake-up for an end of stream that came with the request may have been consumed already
 	for {
 		select {
 		case r := <-reply:
 			return r, true
-		case <-c.more:
+		case <-c.wake:
 			c.mu.Lock()
-			err := c.err
+			err := c.readErr
 			c.mu.Unlock()
 			if err == nil {
 				continue
@@ -475,27 +478,27 @@
 			if gone != nil {
 				gone()
 			}
-			c.s.log.Info("client left with a request out", "client", c.c.RemoteAddr(), "path", req.Path,
+			c.server.log.Info("client left with a request out", "client", c.conn.RemoteAddr(), "path", req.Path,
 				"query", req.ID(), "after", time.Since(req.At), "err", err)
 			return Response{}, false
 		}
 	}
 }
 
-func (c *serverConn) write(r Response, end, headOnly bool) error {
-	limit := replyLimit + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
-	return writeResponse(&replyPiece{w: c.replies, limit: limit}, c.out, r, end, headOnly)
+func (c *serverConn) writeReply(r Response, end, headOnly bool) error {
+	limit := replyTimeout + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
+	return writeResponse(&replyChunk{w: c.replies, timeout: limit}, c.out, r, end, headOnly)
 }
 
 // lingerClose shuts down the sending side and lets the client read the reply before the connection is
 // closed: closing while input is unread resets the connection, and the reset can overtake the reply. Further
 // input is discarded: it is never handled, and the close tells the client so. A client that is still sending
 // gets up to lingerTimeout.
-func (c *serverConn) linger() {
-	if !c.become(lingering) {
+func (c *serverConn) lingerClose() {
+	if !c.setState(stateLingering) {
 		return
 	}
-	if t, ok := c.c.(interface{ CloseWrite() error }); ok {
+	if t, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite()
 	}
 	c.mu.Lock()
@@ -503,21 +506,22 @@
 	c.in.Discard(unread)
 	c.mu.Unlock()
 	if unread > 0 {
-		c.s.log.Info("input discarded after a connection's last reply", "client", c.c.RemoteAddr(), "bytes", unread)
+		c.server.log.Info("input discarded after a connection's last reply", "client", c.conn.RemoteAddr(),
+			"bytes", unread)
 	}
-	_ = c.c.SetReadDeadline(time.Unix(1, 0)) // from here on readLoop discards input
+	_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // from here on readLoop discards input
 	begun := time.Now()
-	tick := time.NewTicker(lingerQuiet / 5)
+	tick := time.NewTicker(lingerIdleTimeout / 5)
 	defer tick.Stop()
-	for time.Since(begun) < lingerLimit {
+	for time.Since(begun) < lingerTimeout {
 		select {
-		case <-c.more:
+		case <-c.wake:
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		err, last := c.err, c.at
+		err, last := c.readErr, c.lastRead
 		c.mu.Unlock()
-		if err != nil || time.Since(last) > lingerQuiet && time.Since(begun) > lingerQuiet {
+		if err != nil || time.Since(last) > lingerIdleTimeout && time.Since(begun) > lingerIdleTimeout {
 			return
 		}
 	}
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -25,7 +25,7 @@
 
 func (e *BadMessage) Error() string { return e.What }
 
-func bad(status int, format string, args ...any) error {
+func badMessage(status int, format string, args ...any) error {
 	return &BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
 }
 
@@ -96,37 +96,37 @@
 
 // headReaders pools the small buffered readers that textproto parses message heads with. They hold no data
 // between calls.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 512) }}
+var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 512) }}
 
-var headEnd = []byte("\r\n\r\n")
+var headTerminator = []byte("\r\n\r\n")
 
 // parseHead parses the first line and the headers of a head of size bytes without removing it from the ring.
 func parseHead(in *Ring, size int) (string, textproto.MIMEHeader, error) {
 	head := make([]byte, size)
 	in.Peek(head, 0)
-	br := readers.Get().(*bufio.Reader)
-	defer readers.Put(br)
+	br := headReaders.Get().(*bufio.Reader)
+	defer headReaders.Put(br)
 	br.Reset(bytes.NewReader(head))
 	tp := textproto.NewReader(br)
 	line, err := tp.ReadLine()
 	if err != nil {
-		return "", nil, bad(400, "no first line")
+		return "", nil, badMessage(400, "no first line")
 	}
 	h, err := tp.ReadMIMEHeader()
 	if err != nil {
-		return "", nil, bad(400, "malformed headers")
+		return "", nil, badMessage(400, "malformed headers")
 	}
 	return line, h, nil
 }
 
 // incomplete describes what is missing from an incomplete request.
-type lacks struct {
-	bytes int  // bytes that a complete request has at least; 0: unknown
-	word  bool // the client waits for a 100 Continue
+type incomplete struct {
+	minBytes       int  // bytes that a complete request has at least; 0: unknown
+	expectContinue bool // the client waits for a 100 Continue
 }
 
 // parseRequest removes one complete request from the ring. It returns a nil request while it is incomplete.
-func parseRequest(in *Ring, at time.Time) (req *Request, lack lacks, err error) {
+func parseRequest(in *Ring, at time.Time) (req *Request, lack incomplete, err error) {
 	for in.Len() >= 2 { // skip empty lines before a request
 		var two [2]byte
 		if in.Peek(two[:], 0); two != [2]byte{'\r', '\n'} {
@@ -134,15 +134,15 @@
 		}
 		in.Discard(2)
 	}
-	end := in.Index(headEnd)
+	end := in.Index(headTerminator)
 	if end < 0 {
 		if in.Len() > MaxHead {
-			return nil, lack, bad(431, "the head is larger than %d bytes", MaxHead)
+			return nil, lack, badMessage(431, "the head is larger than %d bytes", MaxHead)
 		}
 		return nil, lack, nil
 	}
 	if end > MaxHead {
-		return nil, lack, bad(431, "the head is larger than %d bytes", MaxHead)
+		return nil, lack, badMessage(431, "the head is larger than %d bytes", MaxHead)
 	}
 	line, h, err := parseHead(in, end+4)
 	if err != nil {
@@ -151,16 +151,16 @@
 	method, rest, ok1 := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok1 || !ok2 || method == "" || target == "" || strings.ContainsAny(method, "\t\"(),/:;<=>?@[]{}") {
-		return nil, lack, bad(400, "malformed request line")
+		return nil, lack, badMessage(400, "malformed request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		if strings.HasPrefix(proto, "HTTP/") {
-			return nil, lack, bad(505, "only HTTP/1.1 is spoken here")
+			return nil, lack, badMessage(505, "only HTTP/1.1 is spoken here")
 		}
-		return nil, lack, bad(400, "malformed request line")
+		return nil, lack, badMessage(400, "malformed request line")
 	}
 	if proto == "HTTP/1.1" && len(h["Host"]) != 1 {
-		return nil, lack, bad(400, "one Host header is needed")
+		return nil, lack, badMessage(400, "one Host header is needed")
 	}
 	body, taken, err := parseBody(in, end+4, h, MaxBody)
 	if err != nil {
@@ -168,9 +168,9 @@
 	}
 	if taken < 0 {
 		if strings.EqualFold(h.Get("Expect"), "100-continue") {
-			lack.word = true
+			lack.expectContinue = true
 		}
-		lack.bytes = -taken
+		lack.minBytes = -taken
 		return nil, lack, nil
 	}
 	in.Discard(taken)
@@ -183,11 +183,11 @@
 	}
 	path, query, _ := strings.Cut(target, "?")
 	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, At: at,
-		Close: closes(h) || proto == "HTTP/1.0"}, lack, nil
+		Close: wantsClose(h) || proto == "HTTP/1.0"}, lack, nil
 }
 
 // wantsClose reports whether the sender closes the connection after this message.
-func closes(h textproto.MIMEHeader) bool {
+func wantsClose(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for _, token := range strings.Split(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "close") {
@@ -204,24 +204,24 @@
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
 	case len(codings) > 0 && len(lengths) > 0: // two parsers could see two different messages
-		return nil, 0, bad(400, "both a length and a transfer coding")
+		return nil, 0, badMessage(400, "both a length and a transfer coding")
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
-			return nil, 0, bad(501, "unknown transfer coding")
+			return nil, 0, badMessage(501, "unknown transfer coding")
 		}
 		return parseChunks(in, from, most)
 	case len(lengths) > 0:
 		for _, l := range lengths {
 			if l != lengths[0] {
-				return nil, 0, bad(400, "lengths that differ")
+				return nil, 0, badMessage(400, "lengths that differ")
 			}
 		}
 		n, err := strconv.ParseUint(lengths[0], 10, 63)
 		if err != nil {
-			return nil, 0, bad(400, "malformed length")
+			return nil, 0, badMessage(400, "malformed length")
 		}
 		if n > uint64(most) {
-			return nil, 0, bad(413, "the body is larger than %d bytes", most)
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", most)
 		}
 		if in.Len() < from+int(n) {
 			return nil, -from - int(n), nil
@@ -243,17 +243,17 @@
 		i := bytes.Index(rest, []byte("\r\n"))
 		if i < 0 {
 			if len(rest) > 1024 {
-				return nil, 0, bad(400, "malformed chunk")
+				return nil, 0, badMessage(400, "malformed chunk")
 			}
 			return nil, -from - size - 1, nil
 		}
 		digits, _, _ := strings.Cut(string(rest[:i]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, badMessage(400, "malformed chunk")
 		}
 		if len(body)+int(n) > most {
-			return nil, 0, bad(413, "the body is larger than %d bytes", most)
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", most)
 		}
 		rest = rest[i+2:]
 		if n == 0 { // trailers, up to an empty line
@@ -261,7 +261,7 @@
 				j := bytes.Index(rest, []byte("\r\n"))
 				if j < 0 {
 					if len(rest) > MaxHead {
-						return nil, 0, bad(431, "the trailers are too large")
+						return nil, 0, badMessage(431, "the trailers are too large")
 					}
 					return nil, -from - size - 1, nil
 				}
@@ -275,7 +275,7 @@
 			return nil, -from - size - (int(n) + 2 - len(rest)), nil
 		}
 		if rest[n] != '\r' || rest[n+1] != '\n' {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, badMessage(400, "malformed chunk")
 		}
 		body = append(body, rest[:n]...)
 		rest = rest[n+2:]
@@ -284,14 +284,14 @@
 
 // ringWriter buffers writes to a connection in its ring.
 type ringWriter struct {
-	w io.Writer
-	r *Ring
+	w    io.Writer
+	ring *Ring
 }
 
 func (w *ringWriter) flush() error {
-	for w.r.Len() > 0 {
-		n, err := w.w.Write(w.r.First())
-		w.r.Discard(n)
+	for w.ring.Len() > 0 {
+		n, err := w.w.Write(w.ring.FirstSegment())
+		w.ring.Discard(n)
 		if err != nil {
 			return err
 		}
@@ -301,14 +301,14 @@
 
 func (w *ringWriter) Write(p []byte) (int, error) {
 	for left := p; len(left) > 0; {
-		n := min(len(left), w.r.ceiling-w.r.Len())
+		n := min(len(left), w.ring.limit-w.ring.Len())
 		if n == 0 {
 			if err := w.flush(); err != nil {
 				return len(p) - len(left), err
 			}
 			continue
 		}
-		if _, err := w.r.Write(left[:n]); err != nil {
+		if _, err := w.ring.Write(left[:n]); err != nil {
 			return len(p) - len(left), err
 		}
 		left = left[n:]
@@ -318,8 +318,8 @@
 
 // writeResponse writes a reply with its Content-Length. Its Date is the time of the decision, if known, as
 // reading the clock would delay the reply after the decision.
-func writeResponse(to *replyPiece, out *Ring, r Response, end, headOnly bool) error {
-	w := &ringWriter{w: to, r: out}
+func writeResponse(to *replyChunk, out *Ring, r Response, end, headOnly bool) error {
+	w := &ringWriter{w: to, ring: out}
 	date := r.Decided
 	if date.IsZero() {
 		date = time.Now()
@@ -342,7 +342,7 @@
 			return err
 		}
 	}
-	to.last = true
+	to.final = true
 	return w.flush()
 }
 
@@ -356,11 +356,11 @@
 // Client is a connection to a server that carries one request at a time. It is not safe for concurrent use,
 // except that Close may be called at any time and ends a request in progress.
 type Client struct {
-	c       net.Conn
-	in, out *Ring
-	most    int
-	sound   bool // the connection may carry another request
-	Idle    time.Time
+	conn     net.Conn
+	in, out  *Ring
+	maxBody  int
+	reusable bool // the connection may carry another request
+	Idle     time.Time
 	// ReserveBytes, if set, is called before a body grows by n bytes; if it returns false the request fails.
 	Grant func(n int) bool
 }
@@ -371,17 +371,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Client{c: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), most: most, sound: true}, nil
+	return &Client{conn: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), maxBody: most,
+		reusable: true}, nil
 }
 
 // Close closes the connection.
-func (c *Client) Close() { Cut(c.c) }
+func (c *Client) Close() { Cut(c.conn) }
 
 // Abort guarantees that no further byte of a request is sent; a request in progress fails.
-func (c *Client) Abort() { Abort(c.c) }
+func (c *Client) Abort() { Abort(c.conn) }
 
 // Reusable reports whether the connection may carry another request.
-func (c *Client) Sound() bool { return c.sound }
+func (c *Client) Sound() bool { return c.reusable }
 
 // Do sends a request and reads its reply, up to the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
@@ -394,9 +395,9 @@
 
 // Write sends a request. If it fails, the last byte was not written, so the server cannot have acted on it.
 func (c *Client) Write(method, target, host string, header [][2]string, body []byte, until time.Time) error {
-	c.sound = false
-	_ = c.c.SetDeadline(until)
-	w := &ringWriter{w: c.c, r: c.out}
+	c.reusable = false
+	_ = c.conn.SetDeadline(until)
+	w := &ringWriter{w: c.conn, ring: c.out}
 	fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	for _, h := range header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
@@ -415,9 +416,9 @@
 func (c *Client) fill() error {
 	free := c.in.Free()
 	if free == nil {
-		return bad(502, "the reply's head is too large")
+		return badMessage(502, "the reply's head is too large")
 	}
-	n, err := c.c.Read(free)
+	n, err := c.conn.Read(free)
 	c.in.Grew(n)
 	if n > 0 {
 		return nil
@@ -427,11 +428,11 @@
 
 // Read reads the reply to the request that was written, and skips interim replies.
 func (c *Client) Read(until time.Time) (*Reply, error) {
-	_ = c.c.SetDeadline(until)
+	_ = c.conn.SetDeadline(until)
 	for {
-		end := c.in.Index(headEnd)
+		end := c.in.Index(headTerminator)
 		if end > MaxHead || end < 0 && c.in.Len() > MaxHead {
-			return nil, bad(502, "the reply's head is too large")
+			return nil, badMessage(502, "the reply's head is too large")
 		}
 		if end < 0 {
 			if err := c.fill(); err != nil {
@@ -448,7 +449,7 @@
 		code, _, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
-			return nil, bad(502, "malformed status line")
+			return nil, badMessage(502, "malformed status line")
 		}
 		if status < 200 {
 			continue
@@ -456,36 +457,36 @@
 		r := &Reply{Status: status, Header: h}
 		lasting := true
 		if status != 204 && status != 304 {
-			if r.Body, lasting, err = c.body(h); err != nil {
+			if r.Body, lasting, err = c.readBody(h); err != nil {
 				return nil, err
 			}
 		}
-		c.sound = lasting && proto == "HTTP/1.1" && !closes(h) && c.in.Len() == 0
+		c.reusable = lasting && proto == "HTTP/1.1" && !wantsClose(h) && c.in.Len() == 0
 		c.Idle = time.Now()
 		return r, nil
 	}
 }
 
 // readBody reads a reply's body. persistent reports whether the connection may be used after it.
-func (c *Client) body(h textproto.MIMEHeader) (b []byte, lasting bool, err error) {
+func (c *Client) readBody(h textproto.MIMEHeader) (b []byte, lasting bool, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	var left uint64
 	switch {
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
-			return nil, false, bad(502, "unknown transfer coding")
+			return nil, false, badMessage(502, "unknown transfer coding")
 		}
-		b, err = c.chunks()
+		b, err = c.readChunks()
 		return b, true, err
 	case len(lengths) > 0:
 		if left, err = strconv.ParseUint(lengths[0], 10, 63); err != nil {
-			return nil, false, bad(502, "malformed length")
+			return nil, false, badMessage(502, "malformed length")
 		}
-		b, err = c.take(nil, left)
+		b, err = c.appendBody(nil, left)
 		return b, true, err
 	}
 	for {
-		if b, err = c.take(b, uint64(c.in.Len())); err != nil {
+		if b, err = c.appendBody(b, uint64(c.in.Len())); err != nil {
 			return nil, false, err
 		}
 		if err = c.fill(); errors.Is(err, io.EOF) {
@@ -497,9 +498,9 @@
 }
 
 // appendBody appends the next n bytes of the body to b.
-func (c *Client) take(b []byte, n uint64) ([]byte, error) {
-	if n > uint64(c.most-len(b)) {
-		return nil, bad(502, "the reply is larger than %d bytes", c.most)
+func (c *Client) appendBody(b []byte, n uint64) ([]byte, error) {
+	if n > uint64(c.maxBody-len(b)) {
+		return nil, badMessage(502, "the reply is larger than %d bytes", c.maxBody)
 	}
 	for n > 0 {
 		if c.in.Len() == 0 {
@@ -507,10 +508,10 @@
 				return nil, fmt.Errorf("reading a reply: %w", err)
 			}
 		}
-		part := c.in.First()
+		part := c.in.FirstSegment()
 		part = part[:min(uint64(len(part)), n)]
 		if c.Grant != nil && !c.Grant(len(part)) {
-			return nil, bad(502, "no memory is left for the reply")
+			return nil, badMessage(502, "no memory is left for the reply")
 		}
 		b = append(b, part...)
 		n -= uint64(len(part))
@@ -520,7 +521,7 @@
 }
 
 // readLine reads one short line.
-func (c *Client) line() (string, error) {
+func (c *Client) readLine() (string, error) {
 	for {
 		if i := c.in.Index([]byte("\r\n")); i >= 0 && i <= 1024 {
 			b := make([]byte, i)
@@ -529,7 +530,7 @@
 			return string(b), nil
 		}
 		if c.in.Len() > 1024 {
-			return "", bad(502, "malformed chunk")
+			return "", badMessage(502, "malformed chunk")
 		}
 		if err := c.fill(); err != nil {
 			return "", fmt.Errorf("reading a reply: %w", err)
@@ -538,30 +539,30 @@
 }
 
 // readChunks reads a chunked body.
-func (c *Client) chunks() ([]byte, error) {
+func (c *Client) readChunks() ([]byte, error) {
 	var b []byte
 	for {
-		text, err := c.line()
+		text, err := c.readLine()
 		if err != nil {
 			return nil, err
 		}
 		digits, _, _ := strings.Cut(text, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil {
-			return nil, bad(502, "malformed chunk")
+			return nil, badMessage(502, "malformed chunk")
 		}
 		if n == 0 {
 			break
 		}
-		if b, err = c.take(b, n); err != nil {
+		if b, err = c.appendBody(b, n); err != nil {
 			return nil, err
 		}
-		if text, err = c.line(); err != nil || text != "" {
-			return nil, bad(502, "malformed chunk")
+		if text, err = c.readLine(); err != nil || text != "" {
+			return nil, badMessage(502, "malformed chunk")
 		}
 	}
 	for { // skip trailers
-		if text, err := c.line(); err != nil || text == "" {
+		if text, err := c.readLine(); err != nil || text == "" {
 			return b, err
 		}
 	}
--- a/internal/net/keeper.go
+++ b/internal/net/keeper.go
@@ -18,21 +18,21 @@
 )
 
 // maxEvictions bounds how many evictions are tried to make room for one connection.
-const roomTries = 8
+const maxEvictions = 8
 
 // AdmissionController wraps an admission.Controller with a lock and a clock. It is safe for concurrent use.
 type Keeper struct {
-	mu    sync.Mutex // guards all fields below
-	gate  *admission.Gate
-	epoch time.Time
-	close map[uint64]func() bool // by connection: closes it if it is idle
-	proof time.Duration
+	mu               sync.Mutex // guards all fields below
+	decisions        *admission.Gate
+	epoch            time.Time
+	closers          map[uint64]func() bool // by connection: closes it if it is idle
+	handshakeTimeout time.Duration
 }
 
 // NewAdmissionController returns a controller without connections.
 func NewKeeper(l admission.Limits) *Keeper {
-	return &Keeper{gate: admission.New(l), epoch: time.Now(), close: map[uint64]func() bool{},
-		proof: time.Duration(l.ProveIn) * time.Microsecond}
+	return &Keeper{decisions: admission.New(l), epoch: time.Now(), closers: map[uint64]func() bool{},
+		handshakeTimeout: time.Duration(l.ProveIn) * time.Microsecond}
 }
 
 func (k *Keeper) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
@@ -41,62 +41,62 @@
 func (k *Keeper) Adopt(l admission.Limits) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Adopt(l)
-	k.proof = time.Duration(l.ProveIn) * time.Microsecond
+	k.decisions.Adopt(l)
+	k.handshakeTimeout = time.Duration(l.ProveIn) * time.Microsecond
 }
 
 // decide asks for a decision on a new connection, and evicts idle connections if the decision requires it.
-func (k *Keeper) arrive(c net.Conn, proves bool, places int) admission.Decision {
+func (k *Keeper) decide(c net.Conn, proves bool, places int) admission.Decision {
 	at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
-	for range roomTries {
+	for range maxEvictions {
 		k.mu.Lock()
-		d := k.gate.Arrive(k.now(), admission.Arrival{Addr: at.Addr(), Proves: proves, Places: places})
-		spare := k.close[d.ID]
+		d := k.decisions.Arrive(k.now(), admission.Arrival{Addr: at.Addr(), Proves: proves, Places: places})
+		spare := k.closers[d.ID]
 		k.mu.Unlock()
 		if d.Verdict != admission.MakeRoom {
 			return d
 		}
 		if spare != nil && spare() {
-			k.Leave(d.ID)
+			k.Release(d.ID)
 		} else {
-			k.use(d.ID) // part of a request has arrived: it is not idle
+			k.markBusy(d.ID) // part of a request has arrived: it is not idle
 		}
 	}
 	return admission.Decision{Verdict: admission.Refuse, Reason: admission.Full, After: 1_000_000}
 }
 
 // setCloser sets the function that closes an admitted connection if it is idle.
-func (k *Keeper) hold(id uint64, spare func() bool) {
+func (k *Keeper) setCloser(id uint64, spare func() bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.close[id] = spare
+	k.closers[id] = spare
 }
 
 // Release records that a connection has ended.
-func (k *Keeper) Leave(id uint64) {
+func (k *Keeper) Release(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	delete(k.close, id)
-	k.gate.Leave(id)
+	delete(k.closers, id)
+	k.decisions.Leave(id)
 }
 
-func (k *Keeper) use(id uint64) {
+func (k *Keeper) markBusy(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Use(id)
+	k.decisions.Use(id)
 }
 
-func (k *Keeper) rest(id uint64) {
+func (k *Keeper) markIdle(id uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Rest(id)
+	k.decisions.Rest(id)
 }
 
 // handshakeDone records the identity that a TLS handshake has established.
-func (k *Keeper) prove(id uint64, identity string, known bool) admission.Decision {
+func (k *Keeper) handshakeDone(id uint64, identity string, known bool) admission.Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.gate.Prove(k.now(), id, identity, known)
+	return k.decisions.Prove(k.now(), id, identity, known)
 }
 
 // BanOrPin bans a prefix for a time, or pins it as known. Idle connections of a banned prefix are closed.
@@ -104,19 +104,19 @@
 	k.mu.Lock()
 	until := k.now() + span.Microseconds()
 	if pinned {
-		k.gate.Pin(p, until)
+		k.decisions.Pin(p, until)
 		k.mu.Unlock()
 		return
 	}
-	k.gate.Ban(p, until)
+	k.decisions.Ban(p, until)
 	spares := map[uint64]func() bool{}
-	for _, id := range k.gate.Held(p) {
-		spares[id] = k.close[id]
+	for _, id := range k.decisions.Held(p) {
+		spares[id] = k.closers[id]
 	}
 	k.mu.Unlock()
 	for id, spare := range spares {
 		if spare != nil && spare() {
-			k.Leave(id)
+			k.Release(id)
 		}
 	}
 }
@@ -125,81 +125,81 @@
 func (k *Keeper) Lift(p netip.Prefix) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.gate.Lift(p)
+	k.decisions.Lift(p)
 }
 
 // AdmissionStatus is the controller's state as shown to operators.
-type Admission struct {
+type AdmissionStatus struct {
 	admission.Figures
-	Holds []Held `json:"holds"`
+	Overrides []PrefixOverride `json:"holds"`
 }
 
 // PrefixOverride is a ban or a pin, with its remaining time.
-type Held struct {
-	Prefix string  `json:"prefix"`
-	Pinned bool    `json:"pinned"`
-	Left   float64 `json:"left_s"`
+type PrefixOverride struct {
+	Prefix    string  `json:"prefix"`
+	Pinned    bool    `json:"pinned"`
+	Remaining float64 `json:"left_s"`
 }
 
 // Stats returns the counters, the n busiest addresses, and the bans and pins in force.
-func (k *Keeper) Figures(n int) Admission {
+func (k *Keeper) Figures(n int) AdmissionStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	a := Admission{Figures: k.gate.Figures(n), Holds: []Held{}}
-	for _, h := range k.gate.Holds(now) {
-		a.Holds = append(a.Holds, Held{h.Prefix.String(), h.Pinned, float64(h.Until-now) / 1e6})
+	a := AdmissionStatus{Figures: k.decisions.Figures(n), Overrides: []PrefixOverride{}}
+	for _, h := range k.decisions.Holds(now) {
+		a.Overrides = append(a.Overrides, PrefixOverride{h.Prefix.String(), h.Pinned, float64(h.Until-now) / 1e6})
 	}
 	return a
 }
 
 // admissionSlot is an admitted connection's slot at the admission controller. The zero slot has no
 // controller.
-type seat struct {
-	k  *Keeper
-	id uint64
+type admissionSlot struct {
+	controller *Keeper
+	id         uint64
 }
 
-func (s seat) leave() {
-	if s.k != nil {
-		s.k.Leave(s.id)
+func (s admissionSlot) release() {
+	if s.controller != nil {
+		s.controller.Release(s.id)
 	}
 }
 
-func (s seat) use() {
-	if s.k != nil {
-		s.k.use(s.id)
+func (s admissionSlot) markBusy() {
+	if s.controller != nil {
+		s.controller.markBusy(s.id)
 	}
 }
 
-func (s seat) rest() {
-	if s.k != nil {
-		s.k.rest(s.id)
+func (s admissionSlot) markIdle() {
+	if s.controller != nil {
+		s.controller.markIdle(s.id)
 	}
 }
 
 // AdmittedConn is an admitted connection of another protocol's listener.
-type Guest struct{ seat }
+type Guest struct{ admissionSlot }
 
 // Admit requests admission for a connection of another protocol's listener; closeIfIdle closes it if it is
 // idle. If the connection is refused, Admit returns when the client may come back.
 func (k *Keeper) Enter(c net.Conn, budget *Budget, spare func() bool) (Guest, bool, time.Duration) {
-	d := k.arrive(c, false, budget.Places())
+	d := k.decide(c, false, budget.ClientCapacity())
 	if d.Verdict == admission.Refuse {
 		return Guest{}, false, time.Duration(d.After) * time.Microsecond
 	}
-	if !budget.takePlace() {
-		k.Leave(d.ID)
+	if !budget.acquireAdmitted() {
+		k.Release(d.ID)
 		return Guest{}, false, time.Second
 	}
-	k.hold(d.ID, spare)
-	return Guest{seat{k, d.ID}}, true, 0
+	k.setCloser(d.ID, spare)
+	return Guest{admissionSlot{k, d.ID}}, true, 0
 }
 
 // MarkBusy, MarkIdle and Release record that the connection carries a request, carries none, and has ended.
-func (g Guest) Use()   { g.use() }
-func (g Guest) Rest()  { g.rest() }
-func (g Guest) Leave() { g.leave() }
+func (g Guest) Use()   { g.markBusy() }
+func (g Guest) Rest()  { g.markIdle() }
+func (g Guest) Leave() { g.release() }
 
 // Handshake makes the TLS handshake on a client connection and returns the client's authenticated identity.
 type Secure func(c net.Conn) (secured net.Conn, identity string, err error)
@@ -221,29 +221,29 @@
 
 // spareDescriptor is a descriptor kept open for when there are none left. Closing it allows one pending
 // connection to be accepted and closed immediately, rather than leaving the client to wait.
-type inHand struct{ f *os.File }
+type spareDescriptor struct{ file *os.File }
 
-func (h *inHand) take() {
-	if h.f == nil {
-		h.f, _ = os.Open(os.DevNull)
+func (h *spareDescriptor) open() {
+	if h.file == nil {
+		h.file, _ = os.Open(os.DevNull)
 	}
 }
 
 // rejectOne accepts and closes one pending connection after accept has failed for lack of descriptors. It
 // returns false for other failures.
-func (h *inHand) turnAway(l net.Listener, err error) bool {
-	if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) || h.f == nil {
+func (h *spareDescriptor) rejectOne(l net.Listener, err error) bool {
+	if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) || h.file == nil {
 		return false
 	}
-	_ = h.f.Close()
-	h.f = nil
+	_ = h.file.Close()
+	h.file = nil
 	if t, ok := l.(*net.TCPListener); ok {
-		_ = t.SetDeadline(time.Now().Add(waitStep))
+		_ = t.SetDeadline(time.Now().Add(pollInterval))
 		if c, err := l.Accept(); err == nil {
 			_ = c.Close()
 		}
 		_ = t.SetDeadline(time.Time{})
 	}
-	h.take()
+	h.open()
 	return true
 }
--- a/internal/net/narrow_test.go
+++ b/internal/net/narrow_test.go
@@ -19,7 +19,7 @@
 	*net.TCPConn
 	before, after chan struct{} // if set, a read waits to receive from it
 	arrived       chan struct{} // receives a value for each read that waits with its bytes
-	parted        chan struct{} // closed once the server has shut down its sending side
+	halfClosed    chan struct{} // closed once the server has shut down its sending side
 }
 
 func (c *heldConn) Read(b []byte) (int, error) {
@@ -36,48 +36,48 @@
 
 func (c *heldConn) CloseWrite() error {
 	select {
-	case <-c.parted:
+	case <-c.halfClosed:
 	default:
-		close(c.parted)
+		close(c.halfClosed)
 	}
 	return c.TCPConn.CloseWrite()
 }
 
 // awaitHalfClose waits until the server has shut down its sending side.
-func (c *heldConn) end(t *testing.T) {
+func (c *heldConn) awaitHalfClose(t *testing.T) {
 	t.Helper()
 	select {
-	case <-c.parted:
+	case <-c.halfClosed:
 	case <-time.After(10 * time.Second):
 		t.Error("the server did not shut down its sending side")
 	}
 }
 
 // holdingListener passes each accepted connection to the test before the server gets it.
-type holding struct {
+type holdingListener struct {
 	net.Listener
-	look func(*heldConn)
+	onAccept func(*heldConn)
 }
 
-func (l holding) Accept() (net.Conn, error) {
+func (l holdingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	h := &heldConn{TCPConn: c.(*net.TCPConn), arrived: make(chan struct{}, 8), parted: make(chan struct{})}
-	l.look(h)
+	h := &heldConn{TCPConn: c.(*net.TCPConn), arrived: make(chan struct{}, 8), halfClosed: make(chan struct{})}
+	l.onAccept(h)
 	return h, nil
 }
 
 // serveHeld starts a server like serve's on a holdingListener.
-func hold(t *testing.T, look func(*heldConn)) *echo {
+func serveHeld(t *testing.T, look func(*heldConn)) *echo {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := &echo{}
-	e.Server = NewServer(holding{l, look}, NewBudget(10, 0),
+	e.Server = NewServer(holdingListener{l, look}, NewBudget(10, 0),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), e.handle)
 	go e.Serve()
 	t.Cleanup(func() { e.Finish(); e.StopListening() })
@@ -85,7 +85,7 @@
 }
 
 // dialRaw opens a plain client connection.
-func raw(t *testing.T, e *echo) *net.TCPConn {
+func dialRaw(t *testing.T, e *echo) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", e.Addr())
 	if err != nil {
@@ -96,7 +96,7 @@
 	return c.(*net.TCPConn)
 }
 
-func message(body string) string {
+func postRequest(body string) string {
 	return fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -104,20 +104,20 @@
 // must never be handled, and its client must see the end of the stream and no reset.
 func TestRequestReadAsItsConnectionEnds(t *testing.T) {
 	held := make(chan *heldConn, 1)
-	e := hold(t, func(c *heldConn) { c.after = make(chan struct{}); held <- c })
-	c := raw(t, e)
+	e := serveHeld(t, func(c *heldConn) { c.after = make(chan struct{}); held <- c })
+	c := dialRaw(t, e)
 	server := <-held
-	io.WriteString(c, message("first"))
+	io.WriteString(c, postRequest("first"))
 	<-server.arrived
 	server.after <- struct{}{}
 	buf := make([]byte, 4096)
 	if n, err := c.Read(buf); err != nil || !strings.HasSuffix(string(buf[:n]), "first") {
 		t.Fatal(n, err)
 	}
-	io.WriteString(c, message("hold"))
+	io.WriteString(c, postRequest("hold"))
 	<-server.arrived // the bytes have left the kernel and nothing else has seen them
 	e.Finish()
-	server.end(t)
+	server.awaitHalfClose(t)
 	close(server.after)
 	if rest, err := io.ReadAll(c); err != nil || len(rest) != 0 {
 		t.Fatalf("%q %v", rest, err)
@@ -135,24 +135,24 @@
 // plain close would then reset the connection and lose the reply.
 func TestReplyOnItsWayAsItsConnectionEnds(t *testing.T) {
 	held := make(chan *heldConn, 1)
-	e := hold(t, func(c *heldConn) { c.before = make(chan struct{}); held <- c })
-	c := raw(t, e)
+	e := serveHeld(t, func(c *heldConn) { c.before = make(chan struct{}); held <- c })
+	c := dialRaw(t, e)
 	server := <-held
-	io.WriteString(c, message("first"))
+	io.WriteString(c, postRequest("first"))
 	server.before <- struct{}{} // a single read gets all of it
-	until(t, "an idle connection", func() bool {
+	waitFor(t, "an idle connection", func() bool {
 		e.Server.mu.Lock()
 		defer e.Server.mu.Unlock()
 		for c := range e.Server.conns {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			return c.asked && c.state == waiting
+			return c.hadRequest && c.state == stateWaiting
 		}
 		return false
 	})
-	io.WriteString(c, message("hold"))
+	io.WriteString(c, postRequest("hold"))
 	e.Finish()
-	server.end(t)
+	server.awaitHalfClose(t)
 	close(server.before)
 	all, err := io.ReadAll(c)
 	if err != nil || !strings.HasSuffix(string(all), "first") {
@@ -165,17 +165,17 @@
 
 // A client sends far more ahead than is buffered and disconnects: the disconnect must be noticed, although
 // its input is no longer wanted.
-func TestClientThatFloodsAndLeavesIsTold(t *testing.T) {
+func TestDisconnectAfterOverrunIsNoticed(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
-	c := raw(t, e)
-	io.WriteString(c, message("hold"))
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
-	flood := strings.Repeat(message(strings.Repeat("f", 50_000)), 8*aheadMost/50_000)
+	c := dialRaw(t, e)
+	io.WriteString(c, postRequest("hold"))
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	flood := strings.Repeat(postRequest(strings.Repeat("f", 50_000)), 8*maxReadAhead/50_000)
 	if _, err := io.WriteString(c, flood); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
 	if n := e.count(func() int { return len(e.held) }); n != 1 {
 		t.Fatalf("%d requests of a disconnected client were handled", n)
 	}
@@ -183,20 +183,20 @@
 
 // A client that sends too far ahead and stays gets its replies in order, for the requests that were buffered,
 // and then an error and a close.
-func TestClientThatFloodsIsAnsweredInOrder(t *testing.T) {
+func TestOverrunClientIsAnsweredInOrder(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
-	c := raw(t, e)
-	io.WriteString(c, message("hold"))
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	c := dialRaw(t, e)
+	io.WriteString(c, postRequest("hold"))
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	sent := make(chan error, 1)
 	go func() {
-		_, err := io.WriteString(c, strings.Repeat(message(strings.Repeat("f", 50_000)), 8*aheadMost/50_000))
+		_, err := io.WriteString(c, strings.Repeat(postRequest(strings.Repeat("f", 50_000)), 8*maxReadAhead/50_000))
 		sent <- err
 	}()
 	if err := <-sent; err != nil {
 		t.Fatal(err)
 	}
-	until(t, "an overrun", func() bool {
+	waitFor(t, "an overrun", func() bool {
 		e.Server.mu.Lock()
 		defer e.Server.mu.Unlock()
 		for c := range e.Server.conns {
@@ -213,18 +213,18 @@
 	}
 	first, last := strings.Index(string(all), "done"), strings.Index(string(all), "HTTP/1.1 413 ")
 	n := strings.Count(string(all), "HTTP/1.1 200 ")
-	if first < 0 || last < first || n < 2 || n > 1+aheadMost/50_000 {
+	if first < 0 || last < first || n < 2 || n > 1+maxReadAhead/50_000 {
 		t.Fatalf("%d replies, the first at %d, the error at %d", n, first, last)
 	}
 }
 
 // Many small pipelined requests are all answered in order.
-func TestCommandsSentAtOnce(t *testing.T) {
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
-	c := raw(t, e)
+	c := dialRaw(t, e)
 	var all strings.Builder
 	for i := range 300 {
-		all.WriteString(message(fmt.Sprintf("command-%03d", i)))
+		all.WriteString(postRequest(fmt.Sprintf("command-%03d", i)))
 	}
 	go io.WriteString(c, all.String())
 	got, buf := "", make([]byte, 64<<10)
@@ -249,11 +249,11 @@
 func TestFirstRequestAsTheServerEnds(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		e := serve(t, NewBudget(10, 0))
-		early := raw(t, e)
-		until(t, "the connection", func() bool { return e.Open() == 1 })
+		early := dialRaw(t, e)
+		waitFor(t, "the connection", func() bool { return e.Open() == 1 })
 		since := time.Now().Add(time.Hour) // in the future, as the machine may be slow
 		if late {
-			since = time.Now().Add(-graceLimit)
+			since = time.Now().Add(-gracePeriod)
 		}
 		e.Server.mu.Lock()
 		for c := range e.Server.conns {
@@ -264,13 +264,13 @@
 		e.Server.mu.Unlock()
 		e.Finish()
 		if !late {
-			io.WriteString(early, message("x"))
+			io.WriteString(early, postRequest("x"))
 		}
 		all, err := io.ReadAll(early)
 		if err != nil || strings.HasSuffix(string(all), "\r\n\r\nx") == late {
 			t.Fatalf("late %v: %q %v", late, all, err)
 		}
-		after := raw(t, e)
+		after := dialRaw(t, e)
 		if all, err := io.ReadAll(after); err != nil || len(all) != 0 {
 			t.Fatalf("connection accepted later: %q %v", all, err)
 		}
@@ -278,11 +278,11 @@
 }
 
 // When the time to drain is almost over, an incomplete request gets an explicit error reply.
-func TestHalfARequestAtTheEnd(t *testing.T) {
+func TestIncompleteRequestAtEndOfDrain(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
-	c := raw(t, e)
+	c := dialRaw(t, e)
 	io.WriteString(c, "POST / HTTP/1.1\r\n")
-	until(t, "half a request", func() bool {
+	waitFor(t, "half a request", func() bool {
 		e.Server.mu.Lock()
 		defer e.Server.mu.Unlock()
 		for c := range e.Server.conns {
@@ -294,7 +294,7 @@
 	})
 	e.Finish()
 	ended := make(chan bool, 1)
-	go func() { ended <- e.Wait(partLimit + 50*time.Millisecond) }()
+	go func() { ended <- e.Wait(incompleteMargin + 50*time.Millisecond) }()
 	all, err := io.ReadAll(c)
 	if err != nil || !strings.HasPrefix(string(all), "HTTP/1.1 503 ") {
 		t.Fatalf("%q %v", all, err)
@@ -304,7 +304,7 @@
 
 // If no descriptor is left for a connection to a server, an idle client connection is evicted, but not one
 // with a request in progress.
-func TestIdleClientMakesWayForAServer(t *testing.T) {
+func TestIdleClientIsEvictedForServer(t *testing.T) {
 	b := NewBudget(3, 1)
 	e := serve(t, b)
 	idler, busy := dial(t, e.Server), dial(t, e.Server)
@@ -314,8 +314,8 @@
 	if err := busy.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
-	until(t, "an idle client", func() bool { return e.idle() == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
 	for i := range 2 {
 		if !b.TakeServer() {
 			t.Fatalf("no descriptor for server %d despite an idle client", i)
@@ -330,7 +330,7 @@
 }
 
 // Fronts share one budget: an idle client of either is evicted, whichever front was opened last.
-func TestIdleClientOfAnyFrontMakesWay(t *testing.T) {
+func TestIdleClientOfAnyFrontIsEvicted(t *testing.T) {
 	b := NewBudget(3, 1)
 	fronts := []*echo{serve(t, b), serve(t, b)}
 	for i, e := range fronts {
@@ -338,7 +338,7 @@
 		if r, err := idler.post("x"); err != nil || r.Status != 200 {
 			t.Fatal(r, err)
 		}
-		until(t, "an idle client", func() bool { return e.idle() == 1 })
+		waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
 		for range 3 - i {
 			if !b.TakeServer() {
 				t.Fatalf("no descriptor for a server despite an idle client of front %d", i)
@@ -353,18 +353,18 @@
 }
 
 // A connection is not evicted while a reply or an error may still be in flight.
-func TestWhatWasJustWrittenIsNotSpared(t *testing.T) {
+func TestNoEvictionWhileReplyInFlight(t *testing.T) {
 	for _, x := range []struct {
 		state connState
 		asked bool
 		age   time.Duration
-		want  connUse
+		want  evictionRank
 	}{
-		{lingering, true, 0, kept}, {lingering, true, 2 * graceLimit, ending},
-		{waiting, true, 0, fresh}, {waiting, true, 2 * graceLimit, idle},
+		{stateLingering, true, 0, rankBusy}, {stateLingering, true, 2 * gracePeriod, rankLingering},
+		{stateWaiting, true, 0, rankFresh}, {stateWaiting, true, 2 * gracePeriod, rankIdle},
 	} {
-		c := &serverConn{state: x.state, asked: x.asked, since: time.Now().Add(-x.age), in: NewRing(1)}
-		if use, _ := c.use(time.Now()); use != x.want {
+		c := &serverConn{state: x.state, hadRequest: x.asked, since: time.Now().Add(-x.age), in: NewRing(1)}
+		if use, _ := c.rank(time.Now()); use != x.want {
 			t.Errorf("%+v: %v", x, use)
 		}
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func request(s string) *Ring {
+func ringWith(s string) *Ring {
 	r := NewRing(MaxHead + MaxBody)
 	_, _ = r.Write([]byte(s))
 	return r
@@ -116,7 +116,7 @@
 		head + "X: " + strings.Repeat("y", MaxHead+1) + "\r\n\r\n":              431,
 	} {
 		var b *BadMessage
-		q, _, err := parseRequest(request(in), time.Time{})
+		q, _, err := parseRequest(ringWith(in), time.Time{})
 		if q != nil || !errors.As(err, &b) || b.Status != status {
 			t.Errorf("%.60q: %v %v, want %d", in, q, err, status)
 		}
@@ -143,10 +143,10 @@
 // echo is a server that echoes bodies. A request with the body "hold" gets no reply until the test sends one.
 type echo struct {
 	*Server
-	mu   sync.Mutex
-	held []*Exchange
-	gone int
-	most atomic.Int64 // the longest Retry-After
+	mu            sync.Mutex
+	held          []*Exchange
+	gone          int
+	maxRetryAfter atomic.Int64 // the longest Retry-After
 }
 
 func serve(t *testing.T, budget *Budget) *echo {
@@ -157,8 +157,10 @@
 		t.Fatal(err)
 	}
 	e.Server = s
-	e.most.Store(int64(time.Hour))
-	s.Advise = func(after time.Duration) time.Duration { return min(after, time.Duration(e.most.Load())) }
+	e.maxRetryAfter.Store(int64(time.Hour))
+	s.Advise = func(after time.Duration) time.Duration {
+		return min(after, time.Duration(e.maxRetryAfter.Load()))
+	}
 	go s.Serve()
 	t.Cleanup(func() { s.Finish(); s.StopListening() })
 	return e
@@ -191,14 +193,14 @@
 	e.Server.mu.Lock()
 	defer e.Server.mu.Unlock()
 	for c := range e.Server.conns {
-		if use, _ := c.use(time.Now()); use == idle {
+		if use, _ := c.rank(time.Now()); use == rankIdle {
 			n++
 		}
 	}
 	return n
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -232,7 +234,7 @@
 	}
 }
 
-func TestBadRequestsGetAnAnswerAndTheEnd(t *testing.T) {
+func TestBadRequestsGetErrorAndClose(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for in, want := range map[string]string{
 		"junk\r\n\r\n": "HTTP/1.1 400 ",
@@ -252,7 +254,7 @@
 	}
 }
 
-func TestRequestsInARowAndContinue(t *testing.T) {
+func TestPipelinedRequestsAndContinue(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c, err := net.Dial("tcp", e.Addr())
 	if err != nil {
@@ -278,19 +280,19 @@
 	}
 }
 
-func TestClientThatLeavesIsTold(t *testing.T) {
+func TestClientDisconnectIsNoticed(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := dial(t, e.Server)
 	if err := c.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	c.Close()
-	until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
 }
 
 // The end of the stream may arrive together with the request: it must be noticed all the same.
-func TestClientThatLeavesAtOnceIsTold(t *testing.T) {
+func TestImmediateDisconnectIsNoticed(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for i := range 20 {
 		c := dial(t, e.Server)
@@ -298,7 +300,7 @@
 			t.Fatal(err)
 		}
 		c.Close()
-		until(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == i+1 })
+		waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == i+1 })
 	}
 }
 
@@ -312,7 +314,7 @@
 			t.Fatal(r, err)
 		}
 		// The reply arrives before the server marks the connection idle, and the longest idle one is evicted.
-		until(t, "an idle connection", func() bool { return e.idle() == i+1 })
+		waitFor(t, "an idle connection", func() bool { return e.idle() == i+1 })
 	}
 	third := dial(t, e.Server)
 	if r, err := third.post("x"); err != nil || r.Status != 200 {
@@ -323,14 +325,14 @@
 			t.Fatal(err)
 		}
 	}
-	until(t, "both", func() bool { return e.count(func() int { return len(e.held) }) == 2 })
+	waitFor(t, "both", func() bool { return e.count(func() int { return len(e.held) }) == 2 })
 	r, err := dial(t, e.Server).post("x")
 	if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != "1" {
 		t.Fatalf("%v %v", r, err)
 	}
 	for want, longest := range map[string]time.Duration{"0.5": 500 * time.Millisecond, "": 0} {
-		e.most.Store(int64(longest))
-		until(t, "the end of the refused connection", func() bool { return e.spare.Load() == 0 })
+		e.maxRetryAfter.Store(int64(longest))
+		waitFor(t, "the end of the refused connection", func() bool { return e.overflow.Load() == 0 })
 		r, err := dial(t, e.Server).post("x")
 		if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != want {
 			t.Fatalf("%v %v, not %q", r, err, want)
@@ -344,7 +346,7 @@
 }
 
 // Whatever a client sends or fails to send, it gets an error or a close within the time limit.
-func TestBadClientsAreNotWaitedFor(t *testing.T) {
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for in, want := range map[string]string{
 		"":                               "",
@@ -370,7 +372,7 @@
 }
 
 // A client that keeps sending for more than a second after the error was written can still read it.
-func TestErrorIsReadByOneThatStillSends(t *testing.T) {
+func TestErrorReachesClientThatStillSends(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c, err := net.Dial("tcp", e.Addr())
 	if err != nil {
@@ -391,7 +393,7 @@
 
 // Connections of a flood that send nothing, or half a request, are evicted before a connection that has
 // already carried requests.
-func TestCrowdMakesWayFirst(t *testing.T) {
+func TestStalledConnectionsAreEvictedFirst(t *testing.T) {
 	e := serve(t, NewBudget(6, 0))
 	usual := dial(t, e.Server)
 	if r, err := usual.post("x"); err != nil || r.Status != 200 {
@@ -400,13 +402,13 @@
 	for i := range 20 {
 		c := dial(t, e.Server)
 		if i%2 == 0 {
-			_, _ = c.c.Write([]byte("POST /"))
+			_, _ = c.conn.Write([]byte("POST /"))
 		}
 		if i >= 4 {
-			until(t, "an eviction", func() bool { return e.Open() <= 6 })
+			waitFor(t, "an eviction", func() bool { return e.Open() <= 6 })
 		}
 		if i%5 == 4 {
-			time.Sleep(graceLimit + graceLimit/2)
+			time.Sleep(gracePeriod + gracePeriod/2)
 		}
 	}
 	if r, err := usual.post("x"); err != nil || r.Status != 200 {
@@ -424,20 +426,20 @@
 	e := serve(t, b)
 	for range 8 {
 		c := dial(t, e.Server)
-		_, _ = c.c.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" +
+		_, _ = c.conn.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" +
 			strings.Repeat("b", 50000)))
 	}
-	until(t, "the ring memory to run out", func() bool { return b.rings.left.Load() < 16<<10 })
+	waitFor(t, "the ring memory to run out", func() bool { return b.ringMemory.available.Load() < 16<<10 })
 	if r, err := dial(t, e.Server).post(strings.Repeat("z", 3000)); err != nil || r.Status != 200 {
 		t.Fatalf("no memory for a small request: %v %v", r, err)
 	}
-	if left := b.rings.left.Load(); left < 0 {
+	if left := b.ringMemory.available.Load(); left < 0 {
 		t.Fatalf("%d bytes above the limit", -left)
 	}
-	until(t, "the ring memory to be released", func() bool { return b.rings.left.Load() == 64<<10 })
+	waitFor(t, "the ring memory to be released", func() bool { return b.ringMemory.available.Load() == 64<<10 })
 }
 
-func TestFinishEndsIdleConnectionsAndNoOthers(t *testing.T) {
+func TestDrainClosesOnlyIdleConnections(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	idle, busy := dial(t, e.Server), dial(t, e.Server)
 	if _, err := idle.post("x"); err != nil {
@@ -446,7 +448,7 @@
 	if err := busy.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
 	e.Finish()
 	if _, err := idle.Read(time.Now().Add(20 * time.Second)); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection stays open, or was reset: %v", err)
@@ -508,23 +510,23 @@
 
 // If accept fails for lack of descriptors, the spare descriptor is used to accept and close the pending
 // connection, so that its client does not wait.
-func TestCallerHearsWithoutADescriptor(t *testing.T) {
+func TestPendingConnectionRejectedWithoutDescriptors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var h inHand
-	if h.turnAway(l, syscall.EMFILE) {
+	var h spareDescriptor
+	if h.rejectOne(l, syscall.EMFILE) {
 		t.Error("rejected a connection without a spare descriptor")
 	}
-	h.take()
+	h.open()
 	for _, fail := range []error{syscall.EMFILE, syscall.ENFILE} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !h.turnAway(l, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fail)}) || h.f == nil {
+		if !h.rejectOne(l, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fail)}) || h.file == nil {
 			t.Fatalf("%v: no connection rejected, or no spare descriptor afterwards", fail)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -533,7 +535,7 @@
 		}
 		_ = c.Close()
 	}
-	if h.turnAway(l, syscall.ECONNABORTED) {
+	if h.rejectOne(l, syscall.ECONNABORTED) {
 		t.Error("rejected a connection after another failure")
 	}
 }
--- a/internal/net/passing.go
+++ b/internal/net/passing.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	passingPause = 5 * time.Millisecond // between a failure and the retry
-	passingMost  = 40                   // consecutive failures after which the connection counts as closed
+	retryPause           = 5 * time.Millisecond // between a failure and the retry
+	maxTransientFailures = 40                   // consecutive failures, then the connection counts as closed
 )
 
 // transientFailures counts the consecutive failures of one direction of a connection.
-type passingFailures int
+type transientFailures int
 
 // retry reports whether a failed call should be retried, and if so waits briefly first. For example, the
 // kernel may have been out of memory while the connection is up. If the peer has closed it, retry returns
 // false.
-func (f *passingFailures) again(c net.Conn, err error) bool {
-	if *f++; *f > passingMost || !isPassing(err) || rawConn(c) == nil || PeerLeft(c) {
+func (f *transientFailures) retry(c net.Conn, err error) bool {
+	if *f++; *f > maxTransientFailures || !isTransient(err) || rawConn(c) == nil || PeerClosed(c) {
 		return false
 	}
-	time.Sleep(passingPause)
+	time.Sleep(retryPause)
 	return true
 }
 
 // reset clears the count after a successful call.
-func (f *passingFailures) over() { *f = 0 }
+func (f *transientFailures) reset() { *f = 0 }
 
 // isTransient reports whether an error comes from the kernel and does not mean that the connection is closed.
-func isPassing(err error) bool {
+func isTransient(err error) bool {
 	var errno syscall.Errno
 	if !errors.As(err, &errno) {
 		return false
@@ -49,15 +49,15 @@
 // concurrent use.
 type PassingReader struct {
 	Conn     net.Conn
-	failures passingFailures
+	failures transientFailures
 }
 
 // Read reads once from the connection, retrying transient failures.
 func (r *PassingReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(b)
-		if n > 0 || err == nil || !r.failures.again(r.Conn, err) {
-			r.failures.over()
+		if n > 0 || err == nil || !r.failures.retry(r.Conn, err) {
+			r.failures.reset()
 			return n, err
 		}
 	}
--- a/internal/net/replywriter.go
+++ b/internal/net/replywriter.go
@@ -19,68 +19,68 @@
 
 // takeoverTicks is the number of whole watchdog ticks for which a reply's write has to be stuck before
 // another goroutine takes it over.
-const rescueTicks = 3
+const takeoverTicks = 3
 
 // tcpEstablished is the state of a connection that neither side has closed (TCP_ESTABLISHED).
 const tcpEstablished = 1
 
 // replyWriter is the sending side of a client connection.
 type replyWriter struct {
-	conn  net.Conn
-	raw   syscall.RawConn // nil: not a plain kernel socket
-	watch *watchdog.Watchdog
-
-	mu       sync.Mutex // guards the fields below
-	sent     uint64     // bytes that the kernel has accepted so far
-	rest     []byte     // bytes of the system call in progress; nil: none in progress
-	last     bool       // these bytes complete the reply
-	rescuers int        // takeovers that may be about to write
-	quiet    sync.Cond  // signalled when a takeover has finished
-	rescued  bool       // this reply was finished by a takeover, and the sending side is shut down
+	conn     net.Conn
+	raw      syscall.RawConn // nil: not a plain kernel socket
+	watchdog *watchdog.Watchdog
+
+	mu           sync.Mutex // guards the fields below
+	sent         uint64     // bytes that the kernel has accepted so far
+	pending      []byte     // bytes of the system call in progress; nil: none in progress
+	final        bool       // these bytes complete the reply
+	takeovers    int        // takeovers that may be about to write
+	takeoverDone sync.Cond  // signalled when a takeover has finished
+	takenOver    bool       // this reply was finished by a takeover, and the sending side is shut down
 }
 
 func newReplyWriter(conn net.Conn, watch *watchdog.Watchdog) *replyWriter {
-	w := &replyWriter{conn: conn, raw: rawConn(conn), watch: watch}
-	w.quiet.L = &w.mu
+	w := &replyWriter{conn: conn, raw: rawConn(conn), watchdog: watch}
+	w.takeoverDone.L = &w.mu
 	return w
 }
 
 // replyChunk writes one chunk of a reply at a time.
-type replyPiece struct {
-	w     *replyWriter
-	limit time.Duration // for the write, if the kernel does not accept it immediately
-	last  bool
+type replyChunk struct {
+	w       *replyWriter
+	timeout time.Duration // for the write, if the kernel does not accept it immediately
+	final   bool
 }
 
 // Write writes a chunk. It sets a deadline only once the kernel accepts nothing, as setting one reads the
 // clock.
-func (p *replyPiece) Write(b []byte) (int, error) {
+func (p *replyChunk) Write(b []byte) (int, error) {
 	w := p.w
 	if w.raw == nil {
-		_ = w.conn.SetWriteDeadline(time.Now().Add(p.limit))
+		_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 		return w.conn.Write(b)
 	}
 	written, limited := 0, false
 	var failure error
-	var failures passingFailures
+	var failures transientFailures
 	err := w.raw.Write(func(fd uintptr) (done bool) {
 		for written < len(b) {
-			n, callErr := w.call(int(fd), b[written:], p.last)
+			n, callErr := w.writeOnce(int(fd), b[written:], p.final)
 			written += n
 			if errors.Is(callErr, unix.EAGAIN) {
 				if !limited {
 					limited = true
-					_ = w.conn.SetWriteDeadline(time.Now().Add(p.limit))
+					_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 				}
 				return false
 			}
-			if callErr != nil && failures.again(w.conn, callErr) {
+			if callErr != nil && failures.retry(w.conn, callErr) {
 				continue
 			}
 			if failure = callErr; failure != nil {
 				return true
 			}
-			failures.over()
+			failures.reset()
 		}
 		return true
 	})
@@ -95,24 +95,24 @@
 
 // writeOnce makes one write system call. It does not return while a takeover may be about to write: by then
 // either the sending side is shut down, or nobody else writes any more.
-func (w *replyWriter) call(fd int, b []byte, last bool) (int, error) {
+func (w *replyWriter) writeOnce(fd int, b []byte, last bool) (int, error) {
 	w.mu.Lock()
-	w.rest, w.last = b, last
+	w.pending, w.final = b, last
 	w.mu.Unlock()
-	watched := w.watch.Begin(w.held)
+	watched := w.watchdog.Begin(w.takeOver)
 	n, err := write(fd, b)
-	w.watch.End(watched)
+	w.watchdog.End(watched)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rest = nil
-	if n == len(b) && w.rescuers > 0 && !w.rescued {
+	w.pending = nil
+	if n == len(b) && w.takeovers > 0 && !w.takenOver {
 		_ = unix.Shutdown(fd, unix.SHUT_WR)
-		w.rescued = true
+		w.takenOver = true
 	}
-	for w.rescuers > 0 && !w.rescued {
-		w.quiet.Wait()
+	for w.takeovers > 0 && !w.takenOver {
+		w.takeoverDone.Wait()
 	}
-	if w.rescued {
+	if w.takenOver {
 		return len(b), nil
 	}
 	w.sent += uint64(n)
@@ -122,31 +122,31 @@
 // takeOver finishes the reply on behalf of a system call that is stuck before it has sent a byte. A takeover
 // may get stuck too and is then followed by another one. The first to write shuts down the sending side, so
 // that the others write nothing.
-func (w *replyWriter) held(ticks int) {
-	if ticks%rescueTicks != 0 {
+func (w *replyWriter) takeOver(ticks int) {
+	if ticks%takeoverTicks != 0 {
 		return
 	}
 	w.mu.Lock()
-	if w.rest == nil || !w.last || w.rescued {
+	if w.pending == nil || !w.final || w.takenOver {
 		w.mu.Unlock()
 		return
 	}
-	w.rescuers++
-	sent, rest := w.sent, bytes.Clone(w.rest)
+	w.takeovers++
+	sent, rest := w.sent, bytes.Clone(w.pending)
 	w.mu.Unlock()
 	done := false
 	_ = w.raw.Control(func(fd uintptr) { done = finishReply(int(fd), sent, rest) })
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rescuers--
-	w.rescued = w.rescued || done
-	w.quiet.Broadcast()
+	w.takeovers--
+	w.takenOver = w.takenOver || done
+	w.takeoverDone.Broadcast()
 }
 
 // finishReply writes the rest of a reply and shuts down the sending side, unless the kernel has accepted
 // bytes beyond the first sent ones in the meantime.
 func finishReply(fd int, sent uint64, rest []byte) bool {
-	if taken, ok := bytesTaken(fd); !ok || taken != sent {
+	if taken, ok := bytesAccepted(fd); !ok || taken != sent {
 		return false
 	}
 	if writeAll(rest, func(b []byte) (int, error) { return write(fd, b) }) == 0 {
@@ -170,15 +170,15 @@
 }
 
 // wasTakenOver reports whether a reply was finished by the watchdog, so that nothing more can be sent.
-func (w *replyWriter) wasRescued() bool {
+func (w *replyWriter) wasTakenOver() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rescued
+	return w.takenOver
 }
 
 // bytesAccepted returns how many bytes the kernel has accepted from this process on a connection, sent or
 // not. ok is false if the kernel does not report it.
-func bytesTaken(fd int) (n uint64, ok bool) {
+func bytesAccepted(fd int) (n uint64, ok bool) {
 	// Read the queue size first: bytes acknowledged between the two calls then count twice, not zero times.
 	queued, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 	if err != nil {
--- a/internal/net/replywriter_test.go
+++ b/internal/net/replywriter_test.go
@@ -45,9 +45,9 @@
 
 // The thread that writes a reply is stuck before its system call: the client must still get the reply,
 // exactly once, and the stuck call must send nothing when it resumes.
-func TestAHeldReplyIsFinishedOnce(t *testing.T) {
+func TestStuckReplyIsTakenOverOnce(t *testing.T) {
 	w, client := replyPair(t)
-	piece := &replyPiece{w: w, limit: time.Second, last: true}
+	piece := &replyChunk{w: w, timeout: time.Second, final: true}
 	for range 3 {
 		if _, err := piece.Write([]byte("one;")); err != nil {
 			t.Fatal(err)
@@ -56,16 +56,16 @@
 			t.Fatal(err)
 		}
 	}
-	w.rest, w.last = []byte("two;"), true
-	w.held(rescueTicks - 1)
-	if w.wasRescued() {
+	w.pending, w.final = []byte("two;"), true
+	w.takeOver(takeoverTicks - 1)
+	if w.wasTakenOver() {
 		t.Fatal("taken over too soon")
 	}
-	w.held(rescueTicks)
-	if !w.wasRescued() {
+	w.takeOver(takeoverTicks)
+	if !w.wasTakenOver() {
 		t.Fatal("not taken over")
 	}
-	w.held(2 * rescueTicks)
+	w.takeOver(2 * takeoverTicks)
 	if err := writeRaw(t, w, "two;"); !errors.Is(err, unix.EPIPE) {
 		t.Errorf("the stuck call returned %v", err)
 	}
@@ -77,16 +77,16 @@
 
 // If the stuck thread's bytes have already been sent, or belong to the middle of a longer reply, the reply
 // must not be taken over.
-func TestAReplyThatWentOutIsNotWrittenAgain(t *testing.T) {
+func TestSentReplyIsNotTakenOver(t *testing.T) {
 	w, client := replyPair(t)
-	w.rest, w.last = []byte("one;"), true
+	w.pending, w.final = []byte("one;"), true
 	if err := writeRaw(t, w, "one;"); err != nil {
 		t.Fatal(err)
 	}
-	w.held(rescueTicks)
-	w.rest, w.last, w.sent = []byte("two;"), false, 4
-	w.held(rescueTicks)
-	if w.wasRescued() {
+	w.takeOver(takeoverTicks)
+	w.pending, w.final, w.sent = []byte("two;"), false, 4
+	w.takeOver(takeoverTicks)
+	if w.wasTakenOver() {
 		t.Fatal("taken over")
 	}
 	_ = w.conn.Close()
@@ -96,7 +96,7 @@
 }
 
 // The kernel accepts only two bytes at a time: a reply that is taken over must be complete all the same.
-func TestAFinishedReplyIsWhole(t *testing.T) {
+func TestTakenOverReplyIsComplete(t *testing.T) {
 	var got []byte
 	n := writeAll([]byte("reply"), func(b []byte) (int, error) {
 		k := min(len(b), 2)
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -21,9 +21,9 @@
 
 // Exchange is one request that is waiting for its reply.
 type Exchange struct {
-	reply chan Response
-	once  atomic.Bool
-	conn  net.Conn // the client's socket
+	reply   chan Response
+	replied atomic.Bool
+	conn    net.Conn // the client's socket
 }
 
 // NewExchange returns an exchange for a request that came over conn, and the channel that receives its reply.
@@ -34,11 +34,11 @@
 
 // ClientLeft asks the kernel whether the client has closed its connection, as the goroutine that reads from
 // it may not have noticed yet.
-func (x *Exchange) ClientLeft() bool { return x.conn != nil && PeerLeft(x.conn) }
+func (x *Exchange) ClientLeft() bool { return x.conn != nil && PeerClosed(x.conn) }
 
 // Reply delivers the reply. It never blocks; replies after the first are dropped.
 func (x *Exchange) Reply(r Response) {
-	if x.once.CompareAndSwap(false, true) {
+	if x.replied.CompareAndSwap(false, true) {
 		x.reply <- r
 	}
 }
@@ -49,15 +49,15 @@
 
 // Server accepts client connections and serves HTTP/1.1 on them.
 type Server struct {
-	l      net.Listener
-	handle Handler
-	budget *Budget
-	log    *slog.Logger
-	mu     sync.Mutex // guards conns, draining
-	conns  map[*serverConn]struct{}
+	listener net.Listener
+	handle   Handler
+	budget   *Budget
+	log      *slog.Logger
+	mu       sync.Mutex // guards conns, draining
+	conns    map[*serverConn]struct{}
 	// draining: connections close between two requests, including those that are just being accepted.
-	finished bool
-	closing  atomic.Bool
+	draining        bool
+	closeAfterReply atomic.Bool
 	// OnRejected, if set, is called for each request refused because too many connections are open.
 	TurnedAway func(r *Request)
 	// CapRetryAfter, if set, adjusts the Retry-After sent to such a client; 0: send none.
@@ -66,17 +66,17 @@
 	Delays *delay.Recorder
 	// Admission, if set, decides which connections are admitted. Handshake, if set, makes the TLS handshake.
 	// Both must be set before Serve is called.
-	Keeper *Keeper
-	Secure Secure
-	watch  watchdog.Watchdog
-	begun  time.Time    // when the server was created
-	last   atomic.Int64 // when the last request was taken, in nanoseconds since startedAt
-	spare  atomic.Int64 // open connections beyond the budget, each only to be refused
+	Keeper      *Keeper
+	Secure      Secure
+	watchdog    watchdog.Watchdog
+	startedAt   time.Time    // when the server was created
+	lastRequest atomic.Int64 // when the last request was taken, in nanoseconds since startedAt
+	overflow    atomic.Int64 // open connections beyond the budget, each only to be refused
 }
 
 // reusePort lets another process listen on the same address: the next version of this program, while this one
 // shuts down. If the kernel refuses the option, this process has the address to itself.
-var reusing = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
@@ -84,7 +84,7 @@
 
 // Listen returns a server that listens on addr only.
 func Listen(addr string, budget *Budget, log *slog.Logger, h Handler) (*Server, error) {
-	l, err := reusing.Listen(context.Background(), "tcp", addr)
+	l, err := reusePort.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +93,7 @@
 
 // ListenPacket opens a UDP socket.
 func ListenPacket(addr string) (*net.UDPConn, error) {
-	c, err := reusing.ListenPacket(context.Background(), "udp", addr)
+	c, err := reusePort.ListenPacket(context.Background(), "udp", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -102,30 +102,30 @@
 
 // NewServer returns a server on an existing listener.
 func NewServer(l net.Listener, budget *Budget, log *slog.Logger, h Handler) *Server {
-	s := &Server{l: l, handle: h, budget: budget, log: log, conns: map[*serverConn]struct{}{},
-		begun: time.Now()}
-	budget.spareBy(func() bool { return s.evict(fresh) })
+	s := &Server{listener: l, handle: h, budget: budget, log: log, conns: map[*serverConn]struct{}{},
+		startedAt: time.Now()}
+	budget.addEvictor(func() bool { return s.evict(rankFresh) })
 	return s
 }
 
 // Listener returns the server's listener.
-func (s *Server) Listener() net.Listener { return s.l }
+func (s *Server) Listener() net.Listener { return s.listener }
 
 // Addr returns the address that the server listens on.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
-	var hand inHand
+	var hand spareDescriptor
 	if s.Keeper != nil {
-		hand.take()
+		hand.open()
 	}
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil && hand.turnAway(s.l, err) {
+		if err != nil && hand.rejectOne(s.listener, err) {
 			s.log.Warn("connection closed: out of file descriptors", "err", err)
 			continue
 		}
@@ -135,66 +135,67 @@
 			continue
 		}
 		held, place, after := s.admit(c)
-		if !held && s.spare.Add(1) > s.budget.spare.Load() {
-			s.spare.Add(-1)
+		if !held && s.overflow.Add(1) > s.budget.maxOverflow.Load() {
+			s.overflow.Add(-1)
 			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
 			_ = c.Close()
 			continue
 		}
-		sc := &serverConn{s: s, raw: c, c: c, in: NewRing(aheadMost), out: NewRing(outRing), held: held,
-			more: make(chan struct{}, 1), since: time.Now(), state: waiting, seat: place, after: after}
-		sc.replies = newReplyWriter(c, &s.watch)
-		sc.in.pool, sc.out.pool = &s.budget.rings, &s.budget.rings
+		sc := &serverConn{server: s, raw: c, conn: c, in: NewRing(maxReadAhead), out: NewRing(replyRingSize),
+			withinBudget: held,
+			wake:         make(chan struct{}, 1), since: time.Now(), state: stateWaiting, slot: place, retryAfter: after}
+		sc.replies = newReplyWriter(c, &s.watchdog)
+		sc.in.memory, sc.out.memory = &s.budget.ringMemory, &s.budget.ringMemory
 		s.mu.Lock()
-		sc.parting = s.finished
+		sc.closing = s.draining
 		s.conns[sc] = struct{}{}
 		s.mu.Unlock()
-		if place.k != nil {
-			place.k.hold(place.id, sc.yield)
+		if place.controller != nil {
+			place.controller.setCloser(place.id, sc.closeIfIdle)
 		}
 		if s.Secure != nil {
-			go sc.secure()
+			go sc.handshake()
 			continue
 		}
-		go sc.fill()
+		go sc.readLoop()
 		go sc.serve()
 	}
 }
 
 // admit acquires a descriptor for a connection. If it is refused, retryAfter is when the client may come
 // back.
-func (s *Server) admit(c net.Conn) (held bool, place seat, after time.Duration) {
+func (s *Server) admit(c net.Conn) (held bool, place admissionSlot, after time.Duration) {
 	if s.Keeper == nil {
 		held = s.budget.TakeClient()
-		if !held && s.evict(kept) {
+		if !held && s.evict(rankBusy) {
 			held = s.budget.TakeClient()
 		}
-		return held, seat{}, time.Second
+		return held, admissionSlot{}, time.Second
 	}
-	d := s.Keeper.arrive(c, s.Secure != nil, s.budget.Places())
+	d := s.Keeper.decide(c, s.Secure != nil, s.budget.ClientCapacity())
 	if d.Verdict == admission.Refuse {
-		return false, seat{}, time.Duration(d.After) * time.Microsecond
+		return false, admissionSlot{}, time.Duration(d.After) * time.Microsecond
 	}
-	if !s.budget.takePlace() { // node connections have taken it meanwhile
-		s.Keeper.Leave(d.ID)
-		return false, seat{}, time.Second
+	if !s.budget.acquireAdmitted() { // node connections have taken it meanwhile
+		s.Keeper.Release(d.ID)
+		return false, admissionSlot{}, time.Second
 	}
-	return true, seat{s.Keeper, d.ID}, 0
+	return true, admissionSlot{s.Keeper, d.ID}, 0
 }
 
 // remove forgets a connection that has ended.
-func (s *Server) forget(c *serverConn) {
+func (s *Server) remove(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	c.giveBack()
+	c.releaseBudget()
 }
 
 // evict closes the client connection that is least useful, so that a flood of connections does not keep
 // others out: first one that only lingers after an error reply, then one that has sent nothing or has
 // stalled in its first request, then the one that has been idle between requests the longest, which the
 // protocol allows to close. It only closes connections of a rank below bound.
-func (s *Server) evict(bound connUse) bool {
+func (s *Server) evict(bound evictionRank) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var spared *serverConn
@@ -202,29 +203,29 @@
 	worst := bound
 	now := time.Now() // once, as there may be hundreds of connections
 	for c := range s.conns {
-		if !c.held {
+		if !c.withinBudget {
 			continue
 		}
-		if use, at := c.use(now); use < worst || use == worst && use != bound && at.Before(since) {
+		if use, at := c.rank(now); use < worst || use == worst && use != bound && at.Before(since) {
 			spared, worst, since = c, use, at
 		}
 	}
-	if spared == nil || !spared.spare() {
+	if spared == nil || !spared.evict() {
 		return false
 	}
-	s.log.Info("connection evicted to free a descriptor", "client", spared.c.RemoteAddr(), "use", int(worst),
+	s.log.Info("connection evicted to free a descriptor", "client", spared.conn.RemoteAddr(), "use", int(worst),
 		"since", time.Since(since))
 	delete(s.conns, spared)
-	spared.giveBack()
+	spared.releaseBudget()
 	return true
 }
 
 // EvictStalled closes a connection that no request is expected on, if there is one.
-func (s *Server) MakeWay() bool { return s.evict(idle) }
+func (s *Server) MakeWay() bool { return s.evict(rankIdle) }
 
 // CloseAfterReply makes every further reply close its connection. Idle connections stay open, as a request
 // may be on its way.
-func (s *Server) Wind() { s.closing.Store(true) }
+func (s *Server) Wind() { s.closeAfterReply.Store(true) }
 
 // Drain shuts the server down: every further reply closes its connection, and connections that are or become
 // idle are closed. The goroutine that serves a connection closes it, between two requests: it shuts down the
@@ -234,17 +235,17 @@
 	s.Wind()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finished = true
+	s.draining = true
 	for c := range s.conns {
 		c.mu.Lock()
-		c.parting = true
+		c.closing = true
 		c.mu.Unlock()
 		c.signal()
 	}
 }
 
 // LastRequest returns when the last request was taken.
-func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
+func (s *Server) LastRequest() time.Time { return s.startedAt.Add(time.Duration(s.lastRequest.Load())) }
 
 // OpenConns returns the number of open connections.
 func (s *Server) Open() int {
@@ -254,7 +255,7 @@
 }
 
 // StopListening closes the listener; open connections stay.
-func (s *Server) StopListening() { _ = s.l.Close() }
+func (s *Server) StopListening() { _ = s.listener.Close() }
 
 // Wait waits until every connection has ended, for at most the given time, and reports whether they have.
 // After Drain, a request that is still incomplete shortly before the time is over gets an error reply. Wait
@@ -264,16 +265,16 @@
 	end := time.Now().Add(most)
 	s.mu.Lock()
 	for c := range s.conns {
-		if !s.finished {
+		if !s.draining {
 			break
 		}
 		c.mu.Lock()
-		c.until = end.Add(-partLimit)
+		c.requestBy = end.Add(-incompleteMargin)
 		c.mu.Unlock()
 		c.signal()
 	}
 	s.mu.Unlock()
-	for ; s.Open() > 0; time.Sleep(waitStep) {
+	for ; s.Open() > 0; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -11,20 +11,20 @@
 
 // Socket writes messages to a connection and builds each one only when the kernel can accept it.
 type Socket struct {
-	c     net.Conn
-	raw   syscall.RawConn // nil: not a plain kernel socket
-	limit time.Duration   // per message, from the first write that the kernel does not accept in full
+	conn    net.Conn
+	raw     syscall.RawConn // nil: not a plain kernel socket
+	timeout time.Duration   // per message, from the first write that the kernel does not accept in full
 }
 
 // NewSocket returns a Socket for a connection. A message that the kernel does not accept immediately has to
 // be written within limit.
 func NewSocket(c net.Conn, limit time.Duration) *Socket {
-	return &Socket{c: c, raw: rawConn(c), limit: limit}
+	return &Socket{conn: c, raw: rawConn(c), timeout: limit}
 }
 
 // armDeadline starts the write timeout of a message. It reads the clock, so it must not run right before a
 // write system call.
-func (s *Socket) setLimit() { _ = s.c.SetWriteDeadline(time.Now().Add(s.limit)) }
+func (s *Socket) armDeadline() { _ = s.conn.SetWriteDeadline(time.Now().Add(s.timeout)) }
 
 func rawConn(c net.Conn) syscall.RawConn {
 	system, ok := c.(syscall.Conn)
@@ -44,12 +44,12 @@
 // if some were, it is called once the rest has been written or has failed.
 func (s *Socket) WriteMessage(begin func() []byte, tried func(out bool)) error {
 	if s.raw == nil {
-		s.setLimit()
+		s.armDeadline()
 		message := begin()
 		if len(message) == 0 {
 			return nil
 		}
-		n, err := s.c.Write(message)
+		n, err := s.conn.Write(message)
 		tried(n > 0 || err == nil)
 		return err
 	}
@@ -57,7 +57,7 @@
 	var n int
 	var failure error
 	limited := false
-	var failures passingFailures
+	var failures transientFailures
 	err := s.raw.Write(func(fd uintptr) (done bool) {
 		for {
 			message = begin()
@@ -73,11 +73,11 @@
 				failure = nil
 				if !limited {
 					limited = true
-					s.setLimit()
+					s.armDeadline()
 				}
 				return false
 			}
-			if !failures.again(s.c, failure) {
+			if !failures.retry(s.conn, failure) {
 				return true
 			}
 		}
@@ -86,14 +86,14 @@
 		if err == nil && n < len(message) {
 			if !limited {
 				limited = true
-				s.setLimit()
+				s.armDeadline()
 			}
-			_, err = s.c.Write(message[n:])
+			_, err = s.conn.Write(message[n:])
 		}
 		tried(true)
 	}
 	if limited {
-		_ = s.c.SetWriteDeadline(time.Time{})
+		_ = s.conn.SetWriteDeadline(time.Time{})
 	}
 	if n > 0 {
 		return err
@@ -128,27 +128,27 @@
 
 // arrivalClock tells when bytes that were just read had arrived. The process may have been stalled before it
 // read them, but a client's waiting time counts from when it sent them.
-type arrivals struct {
-	raw  syscall.RawConn
-	mute bool // the kernel does not report arrival times
+type arrivalClock struct {
+	raw         syscall.RawConn
+	unsupported bool // the kernel does not report arrival times
 }
 
 // maxArrivalAge is the longest that bytes can have waited to be read. A higher reported age is not theirs.
-const arrivalMost = 10 * time.Second
+const maxArrivalAge = 10 * time.Second
 
 // arrivalTime returns when the last bytes that have been read arrived.
-func (a *arrivals) at(now time.Time) time.Time {
-	if a.raw == nil || a.mute {
+func (a *arrivalClock) arrivalTime(now time.Time) time.Time {
+	if a.raw == nil || a.unsupported {
 		return now
 	}
 	age := time.Duration(0)
 	_ = a.raw.Control(func(fd uintptr) {
 		info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if a.mute = err != nil || info.State != tcpEstablished; !a.mute {
+		if a.unsupported = err != nil || info.State != tcpEstablished; !a.unsupported {
 			age = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	if a.mute = a.mute || age > arrivalMost; a.mute {
+	if a.unsupported = a.unsupported || age > maxArrivalAge; a.unsupported {
 		return now
 	}
 	return now.Add(-age)
@@ -156,19 +156,19 @@
 
 // PeerClosed reports whether the peer has closed the connection or its sending side, regardless of unread
 // data before the close. It does not block, and returns false if the kernel cannot tell.
-func PeerLeft(c net.Conn) bool {
+func PeerClosed(c net.Conn) bool {
 	raw := rawConn(c)
 	if raw == nil {
 		return false
 	}
 	left := false
-	_ = raw.Control(func(fd uintptr) { left = hasEnded(int32(fd), unix.Poll) })
+	_ = raw.Control(func(fd uintptr) { left = pollClosed(int32(fd), unix.Poll) })
 	return left
 }
 
 // pollClosed checks with poll(2) whether the peer has closed its side. It repeats a call that a signal
 // interrupts, as a failed call does not mean that the connection is open.
-func hasEnded(fd int32, poll func(fds []unix.PollFd, timeout int) (int, error)) bool {
+func pollClosed(fd int32, poll func(fds []unix.PollFd, timeout int) (int, error)) bool {
 	look := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
 	n, err := poll(look, 0)
 	for errors.Is(err, unix.EINTR) || errors.Is(err, unix.EAGAIN) {
--- a/internal/net/socket_test.go
+++ b/internal/net/socket_test.go
@@ -75,7 +75,7 @@
 			func(bool) { waits <- struct{}{} })
 	}()
 	<-waits
-	if PeerLeft(full) || PeerLeft(other) {
+	if PeerClosed(full) || PeerClosed(other) {
 		t.Fatal("closed before the abort")
 	}
 	Abort(full)
@@ -86,13 +86,13 @@
 	if err != nil || bytes.Contains(all, []byte("late")) {
 		t.Fatalf("%v: the message was sent after all", err)
 	}
-	if !PeerLeft(other) {
+	if !PeerClosed(other) {
 		t.Fatal("the close was not noticed")
 	}
 }
 
 // A signal or a momentary lack of memory makes poll fail: that must not be taken for an open connection.
-func TestABrokenLookAtAClientIsMadeAgain(t *testing.T) {
+func TestFailedPollIsRepeated(t *testing.T) {
 	for _, failure := range []error{unix.EINTR, unix.EAGAIN} {
 		looks := 0
 		poll := func(fds []unix.PollFd, _ int) (int, error) {
@@ -102,7 +102,7 @@
 			fds[0].Revents = unix.POLLRDHUP
 			return 1, nil
 		}
-		if !hasEnded(0, poll) {
+		if !pollClosed(0, poll) {
 			t.Errorf("%v: a closed connection counts as open", failure)
 		}
 	}
@@ -119,16 +119,16 @@
 	if _, err := w.conn.Read(make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	a := arrivals{raw: w.raw}
+	a := arrivalClock{raw: w.raw}
 	now := time.Now()
-	if age := now.Sub(a.at(now)); age < waited/2 {
+	if age := now.Sub(a.arrivalTime(now)); age < waited/2 {
 		t.Errorf("reported age %v after waiting %v", age, waited)
 	}
 	_ = client.Close()
 	if _, err := w.conn.Read(make([]byte, 1)); err == nil {
 		t.Fatal("no end of stream")
 	}
-	if now = time.Now(); !a.at(now).Equal(now) {
+	if now = time.Now(); !a.arrivalTime(now).Equal(now) {
 		t.Error("an arrival time was reported for a closed connection")
 	}
 }
@@ -142,13 +142,13 @@
 		t.Fatal(err)
 	}
 	time.Sleep(waited)
-	a := arrivals{raw: w.raw}
+	a := arrivalClock{raw: w.raw}
 	for range 2 {
 		if _, err := w.conn.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
 		now := time.Now()
-		if age := now.Sub(a.at(now)); age < waited/2 {
+		if age := now.Sub(a.arrivalTime(now)); age < waited/2 {
 			t.Errorf("reported age %v after waiting %v", age, waited)
 		}
 	}
