--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -21,7 +21,7 @@
 )
 
 // replyOverhead is how many bytes a reply message may hold in addition to its value.
-const replySlack = 256
+const replyOverhead = 256
 
 // Target is a node's address.
 type Target struct {
@@ -52,44 +52,44 @@
 
 // Backend implements core.Backend for nodes of the new form.
 type Backend struct {
-	cfg    Config
-	keys   *Keyring
-	budget *lnet.Budget
-	log    *slog.Logger
-	count  *core.Counts
-	tally  *translate.Tally
-	post   func(core.Event)
-
-	mu    sync.Mutex // guards nodes, inFlight
-	nodes map[balance.ReplicaID]*node
-	out   map[*core.Attempt]*conn // each attempt's connection, also at nodes no longer listed
+	cfg         Config
+	credentials *Keyring
+	budget      *lnet.Budget
+	log         *slog.Logger
+	counts      *core.Counts
+	tally       *translate.Tally
+	post        func(core.Event)
+
+	mu       sync.Mutex // guards nodes, inFlight
+	nodes    map[balance.ReplicaID]*node
+	inFlight map[*core.Attempt]*conn // each attempt's connection, also at nodes no longer listed
 }
 
 // New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
 func New(cfg Config, keys *Keyring, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
-	return &Backend{cfg: cfg, keys: keys, budget: budget, log: log, count: count, tally: tally, post: post,
-		nodes: map[balance.ReplicaID]*node{}, out: map[*core.Attempt]*conn{}}
+	return &Backend{cfg: cfg, credentials: keys, budget: budget, log: log, counts: count, tally: tally,
+		post: post, nodes: map[balance.ReplicaID]*node{}, inFlight: map[*core.Attempt]*conn{}}
 }
 
-func (b *Backend) replyMost() int { return b.cfg.MaxValue + prefixSize + replySlack }
+func (b *Backend) maxReply() int { return b.cfg.MaxValue + messagePrefixSize + replyOverhead }
 
 // node is a node with its connections.
 type node struct {
 	id    balance.ReplicaID
 	name  string
 	mu    sync.Mutex // guards dest, conns
-	to    Target
+	dest  Target
 	conns []*conn
 }
 
 func (n *node) target() Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.to
+	return n.dest
 }
 
-func (n *node) drop(c *conn) {
+func (n *node) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, x := range n.conns {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (n *node) all() []*conn {
+func (n *node) connections() []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]*conn(nil), n.conns...)
@@ -121,8 +121,8 @@
 			n = &node{id: id, name: t.Name}
 		}
 		n.mu.Lock()
-		moved := n.to != t
-		n.to = t
+		moved := n.dest != t
+		n.dest = t
 		n.mu.Unlock()
 		if moved {
 			n.retire()
@@ -135,7 +135,7 @@
 }
 
 func (n *node) retire() {
-	for _, c := range n.all() {
+	for _, c := range n.connections() {
 		c.retire()
 	}
 }
@@ -169,7 +169,7 @@
 func (b *Backend) send(to balance.ReplicaID, a *core.Attempt) {
 	n := b.node(to)
 	if n == nil {
-		b.never(a, balance.NoConnection)
+		b.reportNotSent(a, balance.NoConnection)
 		return
 	}
 	q := a.Query
@@ -182,49 +182,49 @@
 			p.Micros, p.Term = uint64(max(0, s.Hint)), s.Key
 		}
 	}
-	s := &stream{a: a, until: time.Now().Add(a.Timeout), head: [][2]string{{"call-id", q.Name}}}
+	s := &stream{attempt: a, startBy: time.Now().Add(a.Timeout), metadata: [][2]string{{"call-id", q.Name}}}
 	if q.Key != "" {
-		s.head = append(s.head, [2]string{"idempotency-key", q.Key})
+		s.metadata = append(s.metadata, [2]string{"idempotency-key", q.Key})
 	}
-	s.body = p.Append(make([]byte, 0, prefixSize+64+len(p.ID)+len(p.Class)+len(p.Filter)))
-	c := b.conn(n)
+	s.body = p.Append(make([]byte, 0, messagePrefixSize+64+len(p.ID)+len(p.Class)+len(p.Filter)))
+	c := b.pickConn(n)
 	if c == nil {
-		b.never(a, balance.Busy)
+		b.reportNotSent(a, balance.Busy)
 		return
 	}
 	b.mu.Lock()
-	b.out[a] = c
+	b.inFlight[a] = c
 	b.mu.Unlock()
-	if !c.add(s) {
-		b.left(a)
-		b.never(a, balance.NotSent)
+	if !c.enqueue(s) {
+		b.forget(a)
+		b.reportNotSent(a, balance.NotSent)
 	}
 }
 
 // forget removes an attempt from those in flight.
-func (b *Backend) left(a *core.Attempt) {
+func (b *Backend) forget(a *core.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.out, a)
+	delete(b.inFlight, a)
 }
 
 // reportNotSent reports an attempt that was not sent. It does so on a goroutine of its own, as the core is in
 // Send at this point and must not wait for itself.
-func (b *Backend) never(a *core.Attempt, o balance.Outcome) {
+func (b *Backend) reportNotSent(a *core.Attempt, o balance.Outcome) {
 	go b.post(core.Outcome{Attempt: a, Outcome: o})
 }
 
 // pickConn returns the connection with the most free capacity, or opens a new one if all are full. It
 // returns nil if the node's queue is full.
-func (b *Backend) conn(n *node) *conn {
+func (b *Backend) pickConn(n *node) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var best *conn
 	room, total, live := 0, 0, 0
 	for _, c := range n.conns {
 		c.mu.Lock()
-		free := c.most() - c.load()
-		usable := !c.dead && !c.retired
+		free := c.maxCalls() - c.load()
+		usable := !c.closed && !c.retired
 		c.mu.Unlock()
 		if !usable {
 			continue
@@ -241,7 +241,7 @@
 	if live < b.cfg.Conns && b.budget.TakeServer() {
 		c := newConn(b, n)
 		n.conns = append(n.conns, c)
-		go c.run()
+		go c.writeLoop()
 		return c
 	}
 	if best == nil {
@@ -257,10 +257,10 @@
 // Cancel cancels an attempt. It returns true if the attempt certainly never ran.
 func (b *Backend) Withdraw(a *core.Attempt) bool {
 	b.mu.Lock()
-	c := b.out[a]
-	delete(b.out, a)
+	c := b.inFlight[a]
+	delete(b.inFlight, a)
 	b.mu.Unlock()
-	return c != nil && c.cut(a)
+	return c != nil && c.cancel(a)
 }
 
 // Probe probes a node with an HTTP/2 ping, on an existing connection if possible.
@@ -269,14 +269,14 @@
 	if n == nil {
 		return false
 	}
-	c := b.conn(n)
+	c := b.pickConn(n)
 	return c != nil && c.probe()
 }
 
 // CloseIdle closes idle connections to a node.
 func (b *Backend) CloseIdle(to balance.ReplicaID) {
 	if n := b.node(to); n != nil {
-		for _, c := range n.all() {
+		for _, c := range n.connections() {
 			if c.idle() {
 				c.retire()
 			}
@@ -287,22 +287,22 @@
 // CancelQueued removes the attempts that are queued for a node and not started, and returns them.
 func (b *Backend) Stop(to balance.ReplicaID) (back []*core.Attempt) {
 	if n := b.node(to); n != nil {
-		for _, c := range n.all() {
-			back = append(back, c.back()...)
+		for _, c := range n.connections() {
+			back = append(back, c.takePending()...)
 		}
 	}
 	for _, a := range back {
-		b.left(a)
+		b.forget(a)
 	}
 	return back
 }
 
 // OpenConns returns the number of open connections.
-func (b *Backend) Open() (open int) {
+func (b *Backend) OpenConns() (open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range b.nodes {
-		open += len(n.all())
+		open += len(n.connections())
 	}
 	return open
 }
@@ -312,17 +312,18 @@
 	b.mu.Lock()
 	var all []*conn
 	for _, n := range b.nodes {
-		all = append(all, n.all()...)
+		all = append(all, n.connections()...)
 	}
 	b.mu.Unlock()
 	for _, c := range all {
-		c.end(net.ErrClosed)
+		c.close(net.ErrClosed)
 	}
 }
 
 // finishAttempt reports to the core how an attempt ended.
-func (b *Backend) done(n *node, a *core.Attempt, r translate.Result, v core.Value, report []float32) {
-	b.left(a)
+func (b *Backend) finishAttempt(n *node, a *core.Attempt, r translate.Result, v core.Value,
+	report []float32) {
+	b.forget(a)
 	b.tally.Add(r.Reason)
 	if c, ok := a.Query.Data.(Call); ok && r.Reason != translate.None {
 		c.Note(r.Reason)
@@ -334,29 +335,29 @@
 	b.post(core.Outcome{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
 
-func (b *Backend) probed(n *node, o balance.Outcome, took time.Duration) {
+func (b *Backend) probeDone(n *node, o balance.Outcome, took time.Duration) {
 	b.post(core.ProbeDone{Replica: n.id, Outcome: o, Elapsed: took})
 }
 
 // decodeReply converts a complete reply to a value of the old form.
-func (b *Backend) value(s *stream) (translate.Result, core.Value, []float32) {
+func (b *Backend) decodeReply(s *stream) (translate.Result, core.Value, []float32) {
 	bad := func(why translate.Reason) (translate.Result, core.Value, []float32) {
 		return translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil
 	}
-	if len(s.reply) < prefixSize {
+	if len(s.reply) < messagePrefixSize {
 		return bad(translate.BadReply) // success without a message
 	}
 	if s.reply[0] != 0 {
 		return bad(translate.Compressed)
 	}
-	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-prefixSize) {
+	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-messagePrefixSize) {
 		return bad(translate.BadReply) // truncated, or more than one message
 	}
-	a, err := ParseAnswer(s.reply[prefixSize:])
+	a, err := ParseAnswer(s.reply[messagePrefixSize:])
 	if err != nil {
 		return bad(translate.BadReply)
 	}
-	text, why := a.Value(s.a.Shard, b.cfg.MaxValue)
+	text, why := a.Value(s.attempt.Shard, b.cfg.MaxValue)
 	if why != translate.None {
 		return bad(why)
 	}
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -26,94 +26,94 @@
 )
 
 const (
-	outHigh    = 32 << 10 // buffered bytes to write above which no call is started or continued
-	outMost    = 128 << 10
-	inFrame    = 16 << 10 // largest incoming frame, the protocol's default
-	headMost   = 16 << 10 // limit on a reply's metadata
-	creditAt   = 32 << 10 // bytes received after which the connection's window is replenished
-	windowMost = 1<<31 - 1
+	writeHighWater = 32 << 10 // buffered bytes to write above which no call is started or continued
+	maxWriteBuffer = 128 << 10
+	maxReadFrame   = 16 << 10 // largest incoming frame, the protocol's default
+	maxHeaderList  = 16 << 10 // limit on a reply's metadata
+	windowUpdateAt = 32 << 10 // bytes received after which the connection's window is replenished
+	maxWindow      = 1<<31 - 1
 )
 
 // stream is the stream of one call.
 type stream struct {
-	a      *core.Attempt
-	until  time.Time // not started after this
-	body   []byte    // the part of the request that is not in frames yet
-	head   [][2]string
-	id     uint32
-	window int64
-	ended  bool // the last frame is in the ring
-	whole  bool // the last frame's last byte was written
-	begun  bool // the reply's headers have arrived
+	attempt    *core.Attempt
+	startBy    time.Time // not started after this
+	body       []byte    // the part of the request that is not in frames yet
+	metadata   [][2]string
+	id         uint32
+	window     int64
+	endQueued  bool // the last frame is in the ring
+	endWritten bool // the last frame's last byte was written
+	gotHeaders bool // the reply's headers have arrived
 	// startEnd is the output offset up to which its first frames were queued when it started, 0 until that is
 	// known. writeActive is set while that write is in progress (core.Attempt.BeginWrite).
-	opens   uint64
-	entered bool
-	reply   []byte
-	status  int // HTTP status
-	wrote   time.Time
+	startEnd    uint64
+	writeActive bool
+	reply       []byte
+	status      int // HTTP status
+	writtenAt   time.Time
 }
 
 // endMark is the output offset at which a call's last frame ends.
-type mark struct {
-	at uint64
-	s  *stream
+type endMark struct {
+	offset uint64
+	stream *stream
 }
 
 // ping is a ping that has not been acknowledged.
 type ping struct {
-	at    time.Time
-	probe bool // the core waits for the result
+	sentAt time.Time
+	probe  bool // the core waits for the result
 }
 
 type conn struct {
-	b  *Backend
-	n  *node
-	to Target // when the connection was opened
-
-	mu       sync.Mutex // guards all fields below
-	c        net.Conn
-	out      *lnet.Ring
-	put      uint64 // bytes queued in the ring so far
-	written  uint64
-	marks    []mark
-	waiting  []*stream // not started
-	sending  []*stream // started, but not completely in frames
-	opening  []*stream // started, but the first frames are not completely written
-	raw      net.Conn  // the socket below TLS; set before the first write
-	streams  map[uint32]*stream
-	of       map[*core.Attempt]*stream
-	nextID   uint32
-	pings    map[uint64]*ping
-	nextPing uint64
-	fr       *http2.Framer // writes to the ring
-	enc      *hpack.Encoder
-	block    blockBuffer
-	settled  bool // the server's first SETTINGS frame has arrived
-	streamsM uint32
-	initial  int64 // the server's window for a new stream
-	frame    uint32
-	window   int64 // the connection's window for sending
-	credit   int   // bytes received but not yet returned to the window
-	writing  bool  // a write is in progress, and its result is not known yet
-	retired  bool  // accepts no new calls
-	dead     bool
-	used     time.Time
-	heard    time.Time
-	wake     chan struct{}
+	backend *Backend
+	node    *node
+	target  Target // when the connection was opened
+
+	mu            sync.Mutex // guards all fields below
+	sock          net.Conn
+	out           *lnet.Ring
+	queued        uint64 // bytes queued in the ring so far
+	written       uint64
+	endMarks      []endMark
+	pending       []*stream // not started
+	sending       []*stream // started, but not completely in frames
+	starting      []*stream // started, but the first frames are not completely written
+	raw           net.Conn  // the socket below TLS; set before the first write
+	streams       map[uint32]*stream
+	byAttempt     map[*core.Attempt]*stream
+	nextID        uint32
+	pings         map[uint64]*ping
+	nextPing      uint64
+	framer        *http2.Framer // writes to the ring
+	encoder       *hpack.Encoder
+	headers       headerBuffer
+	gotSettings   bool // the server's first SETTINGS frame has arrived
+	maxStreams    uint32
+	initialWindow int64 // the server's window for a new stream
+	maxFrame      uint32
+	sendWindow    int64 // the connection's window for sending
+	received      int   // bytes received but not yet returned to the window
+	writing       bool  // a write is in progress, and its result is not known yet
+	retired       bool  // accepts no new calls
+	closed        bool
+	lastUsed      time.Time
+	lastReceived  time.Time
+	wake          chan struct{}
 }
 
 // headerBuffer collects an encoded header block.
-type blockBuffer struct{ b []byte }
+type headerBuffer struct{ b []byte }
 
-func (w *blockBuffer) Write(p []byte) (int, error) { w.b = append(w.b, p...); return len(p), nil }
+func (w *headerBuffer) Write(p []byte) (int, error) { w.b = append(w.b, p...); return len(p), nil }
 
 // frameWriter appends whole frames to the ring.
-type outWriter struct{ c *conn }
+type frameWriter struct{ c *conn }
 
-func (w outWriter) Write(p []byte) (int, error) {
+func (w frameWriter) Write(p []byte) (int, error) {
 	n, err := w.c.out.Write(p)
-	w.c.put += uint64(n)
+	w.c.queued += uint64(n)
 	return n, err
 }
 
@@ -121,20 +121,21 @@
 // node's mu is taken before its connections' mu, never while holding one.
 func newConn(b *Backend, n *node) *conn {
 	now := time.Now()
-	c := &conn{b: b, n: n, to: n.to, out: lnet.NewRing(outMost), streams: map[uint32]*stream{},
-		of: map[*core.Attempt]*stream{}, nextID: 1, pings: map[uint64]*ping{}, initial: 65535, window: 65535,
-		frame: 16 << 10, streamsM: 1 << 31, used: now, heard: now, wake: make(chan struct{}, 1)}
-	c.fr = http2.NewFramer(outWriter{c}, nil)
-	c.enc = hpack.NewEncoder(&c.block)
+	c := &conn{backend: b, node: n, target: n.dest, out: lnet.NewRing(maxWriteBuffer),
+		streams: map[uint32]*stream{}, byAttempt: map[*core.Attempt]*stream{}, nextID: 1,
+		pings: map[uint64]*ping{}, initialWindow: 65535, sendWindow: 65535,
+		maxFrame: 16 << 10, maxStreams: 1 << 31, lastUsed: now, lastReceived: now, wake: make(chan struct{}, 1)}
+	c.framer = http2.NewFramer(frameWriter{c}, nil)
+	c.encoder = hpack.NewEncoder(&c.headers)
 	// The preface precedes everything else and is queued before there is a socket. The ring has room for it.
-	_, _ = outWriter{c}.Write([]byte(http2.ClientPreface))
-	_ = c.fr.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
-		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(b.replyMost())},
-		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: headMost})
+	_, _ = frameWriter{c}.Write([]byte(http2.ClientPreface))
+	_ = c.framer.WriteSettings(http2.Setting{ID: http2.SettingEnablePush, Val: 0},
+		http2.Setting{ID: http2.SettingInitialWindowSize, Val: uint32(b.maxReply())},
+		http2.Setting{ID: http2.SettingMaxHeaderListSize, Val: maxHeaderList})
 	return c
 }
 
-func (c *conn) poke() {
+func (c *conn) signal() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -142,39 +143,39 @@
 }
 
 // load returns the number of calls queued or in flight; the caller holds mu.
-func (c *conn) load() int { return len(c.waiting) + len(c.streams) }
+func (c *conn) load() int { return len(c.pending) + len(c.streams) }
 
 // maxCalls returns the limit on concurrent calls; the caller holds mu.
-func (c *conn) most() int { return int(min(uint32(c.b.cfg.Streams), c.streamsM)) }
+func (c *conn) maxCalls() int { return int(min(uint32(c.backend.cfg.Streams), c.maxStreams)) }
 
 // enqueue queues a call. It returns false if the connection accepts no new calls.
-func (c *conn) add(s *stream) bool {
+func (c *conn) enqueue(s *stream) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead || c.retired {
+	if c.closed || c.retired {
 		return false
 	}
-	c.waiting = append(c.waiting, s)
-	c.of[s.a] = s
-	c.used = time.Now()
-	c.poke()
+	c.pending = append(c.pending, s)
+	c.byAttempt[s.attempt] = s
+	c.lastUsed = time.Now()
+	c.signal()
 	return true
 }
 
 // remove removes a call; the caller holds mu.
-func (c *conn) forget(s *stream) {
-	delete(c.of, s.a)
+func (c *conn) remove(s *stream) {
+	delete(c.byAttempt, s.attempt)
 	if s.id != 0 {
 		delete(c.streams, s.id)
 	}
-	c.waiting = without(c.waiting, s)
-	c.sending = without(c.sending, s)
-	if c.retired || len(c.waiting) > 0 {
-		c.poke()
+	c.pending = removeStream(c.pending, s)
+	c.sending = removeStream(c.sending, s)
+	if c.retired || len(c.pending) > 0 {
+		c.signal()
 	}
 }
 
-func without(list []*stream, s *stream) []*stream {
+func removeStream(list []*stream, s *stream) []*stream {
 	for i, x := range list {
 		if x == s {
 			return append(list[:i], list[i+1:]...)
@@ -184,67 +185,67 @@
 }
 
 // cancel cancels a call. It returns true if its last byte can never be written, so that it has not run.
-func (c *conn) cut(a *core.Attempt) bool {
+func (c *conn) cancel(a *core.Attempt) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	s := c.of[a]
-	if s == nil || c.dead {
+	s := c.byAttempt[a]
+	if s == nil || c.closed {
 		return false
 	}
-	never := !s.ended
-	if s.entered { // its first byte is in a system call: once cancelled, it must not follow what is sent instead
-		c.abortWrite(s, core.WriteGrace)
+	never := !s.endQueued
+	if s.writeActive { // its first byte is in a system call and must not follow what is sent instead of it
+		c.abortWriteAfter(s, core.WriteGrace)
 	}
 	if s.id != 0 {
-		c.reset(s, http2.ErrCodeCancel)
+		c.resetStream(s, http2.ErrCodeCancel)
 	}
-	c.forget(s)
-	if s.whole && time.Since(c.heard) > c.b.cfg.DialTimeout {
-		c.suspect() // the connection has gone silent: check that it is alive
+	c.remove(s)
+	if s.endWritten && time.Since(c.lastReceived) > c.backend.cfg.DialTimeout {
+		c.checkAlive() // the connection has gone silent: check that it is alive
 	}
 	return never
 }
 
 // resetStream sends RST_STREAM for a call; the caller holds mu.
-func (c *conn) reset(s *stream, code http2.ErrCode) {
-	if c.fr.WriteRSTStream(s.id, code) != nil {
-		c.overflow()
+func (c *conn) resetStream(s *stream, code http2.ErrCode) {
+	if c.framer.WriteRSTStream(s.id, code) != nil {
+		c.closeOverflow()
 	}
-	c.poke()
+	c.signal()
 }
 
 // closeOverflow closes a connection whose peer reads nothing but keeps requiring replies; the caller holds
 // mu.
-func (c *conn) overflow() { go c.end(errors.New("the node does not read")) }
+func (c *conn) closeOverflow() { go c.close(errors.New("the node does not read")) }
 
 // sendPing queues a ping and returns its number; the caller holds mu.
 func (c *conn) sendPing(probe bool) uint64 {
 	c.nextPing++
 	n := c.nextPing
-	c.pings[n] = &ping{at: time.Now(), probe: probe}
+	c.pings[n] = &ping{sentAt: time.Now(), probe: probe}
 	var data [8]byte
 	for i := range data {
 		data[i] = byte(n >> (8 * i))
 	}
-	if c.fr.WritePing(false, data) != nil {
-		c.overflow()
+	if c.framer.WritePing(false, data) != nil {
+		c.closeOverflow()
 	}
-	c.poke()
+	c.signal()
 	return n
 }
 
 // checkAlive checks with a ping whether a silent connection still works; the caller holds mu.
-func (c *conn) suspect() {
-	if !c.settled || len(c.pings) > 0 {
+func (c *conn) checkAlive() {
+	if !c.gotSettings || len(c.pings) > 0 {
 		return
 	}
 	n := c.sendPing(false)
-	time.AfterFunc(c.b.cfg.DialTimeout, func() {
+	time.AfterFunc(c.backend.cfg.DialTimeout, func() {
 		c.mu.Lock()
 		_, out := c.pings[n]
 		c.mu.Unlock()
 		if out {
-			c.end(errors.New("no reply to a ping on a silent connection"))
+			c.close(errors.New("no reply to a ping on a silent connection"))
 		}
 	})
 }
@@ -253,17 +254,17 @@
 func (c *conn) probe() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.closed {
 		return false
 	}
 	n := c.sendPing(true)
-	time.AfterFunc(c.b.cfg.DialTimeout, func() {
+	time.AfterFunc(c.backend.cfg.DialTimeout, func() {
 		c.mu.Lock()
 		p := c.pings[n]
 		delete(c.pings, n)
 		c.mu.Unlock()
 		if p != nil {
-			c.b.probed(c.n, balance.TimedOut, time.Since(p.at))
+			c.backend.probeDone(c.node, balance.TimedOut, time.Since(p.sentAt))
 		}
 	})
 	return true
@@ -274,21 +275,21 @@
 	c.mu.Lock()
 	c.retired = true
 	c.mu.Unlock()
-	c.poke()
+	c.signal()
 }
 
 // takePending removes and returns the calls that have not been started.
-func (c *conn) back() (list []*core.Attempt) {
+func (c *conn) takePending() (list []*core.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead {
+	if c.closed {
 		return nil
 	}
-	for _, s := range c.waiting {
-		list = append(list, s.a)
-		delete(c.of, s.a)
+	for _, s := range c.pending {
+		list = append(list, s.attempt)
+		delete(c.byAttempt, s.attempt)
 	}
-	c.waiting = nil
+	c.pending = nil
 	return list
 }
 
@@ -296,18 +297,18 @@
 func (c *conn) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.settled && c.load() == 0 && len(c.pings) == 0
+	return c.gotSettings && c.load() == 0 && len(c.pings) == 0
 }
 
 // dial opens the connection. sock is the connection to write to, raw the socket below it.
 func (c *conn) dial() (sock, raw net.Conn, err error) {
-	to := c.to
-	raw, err = net.DialTimeout("tcp", to.Address, c.b.cfg.DialTimeout)
+	to := c.target
+	raw, err = net.DialTimeout("tcp", to.Address, c.backend.cfg.DialTimeout)
 	if err != nil || !to.TLS {
 		return raw, raw, err
 	}
-	t := tls.Client(raw, c.b.keys.Config(to.ServerName))
-	_ = raw.SetDeadline(time.Now().Add(c.b.cfg.DialTimeout))
+	t := tls.Client(raw, c.backend.credentials.Config(to.ServerName))
+	_ = raw.SetDeadline(time.Now().Add(c.backend.cfg.DialTimeout))
 	if err := t.Handshake(); err != nil {
 		_ = raw.Close()
 		return nil, nil, err
@@ -321,36 +322,37 @@
 }
 
 // close closes the connection and reports how its calls ended.
-func (c *conn) end(err error) {
-	c.n.drop(c)
+func (c *conn) close(err error) {
+	c.node.removeConn(c)
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
-	c.dead, c.retired = true, true
-	sock, raw, all, pings, up, writing := c.c, c.raw, c.of, c.pings, c.settled, c.writing
-	c.of, c.pings, c.streams, c.waiting, c.sending, c.marks = nil, nil, nil, nil, nil, nil
+	c.closed, c.retired = true, true
+	sock, raw, all, pings, up, writing := c.sock, c.raw, c.byAttempt, c.pings, c.gotSettings, c.writing
+	c.byAttempt, c.pings, c.streams, c.pending, c.sending, c.endMarks = nil, nil, nil, nil, nil, nil
 	c.mu.Unlock()
-	c.poke()
+	c.signal()
 	if sock != nil {
 		lnet.Abort(raw)
 		_ = sock.Close()
 	}
-	c.b.budget.Release()
+	c.backend.budget.Release()
 	if err != nil {
-		c.b.log.Warn("connection to a node ended", "node", c.n.name, "up", up, "calls", len(all), "err", err)
+		c.backend.log.Warn("connection to a node ended", "node", c.node.name, "up", up, "calls", len(all),
+			"err", err)
 	}
 	var violation http2.ConnectionError
 	for _, s := range all {
 		r := translate.Result{Outcome: balance.NoConnection}
-		if s.whole || s.ended && writing { // how much of a write in progress gets out is unknown
+		if s.endWritten || s.endQueued && writing { // how much of a write in progress gets out is unknown
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
 				r = translate.Result{Outcome: balance.Spoilt, Reason: translate.BadReply}
 			}
 		}
-		c.b.done(c.n, s.a, r, core.Value{}, nil)
+		c.backend.finishAttempt(c.node, s.attempt, r, core.Value{}, nil)
 	}
 	for _, p := range pings {
 		if p.probe {
@@ -358,7 +360,7 @@
 			if !up {
 				o = balance.NoConnection
 			}
-			c.b.probed(c.n, o, time.Since(p.at))
+			c.backend.probeDone(c.node, o, time.Since(p.sentAt))
 		}
 	}
 }
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -23,12 +23,12 @@
 var errProtocol = errors.New("protocol violation")
 
 // readLoop reads frames until the connection ends.
-func (c *conn) read(sock net.Conn) {
+func (c *conn) readLoop(sock net.Conn) {
 	fr := http2.NewFramer(nil, bufio.NewReaderSize(sock, 4<<10))
-	fr.SetMaxReadFrameSize(inFrame)
+	fr.SetMaxReadFrameSize(maxReadFrame)
 	fr.SetReuseFrames()
 	fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	fr.MaxHeaderListSize = headMost
+	fr.MaxHeaderListSize = maxHeaderList
 	first := true
 	for {
 		f, err := fr.ReadFrame()
@@ -38,7 +38,7 @@
 			s := c.streams[bad.StreamID]
 			c.mu.Unlock()
 			if s != nil {
-				c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
+				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
 					http2.ErrCodeProtocol)
 			}
 			continue
@@ -51,28 +51,28 @@
 		}
 		if err == nil {
 			c.mu.Lock()
-			c.heard = time.Now()
+			c.lastReceived = time.Now()
 			c.mu.Unlock()
-			err = c.take(f)
+			err = c.handleFrame(f)
 		}
 		if err != nil {
-			c.end(err)
+			c.close(err)
 			return
 		}
 	}
 }
 
 // handleFrame handles one incoming frame.
-func (c *conn) take(f http2.Frame) error {
+func (c *conn) handleFrame(f http2.Frame) error {
 	switch f := f.(type) {
 	case *http2.SettingsFrame:
-		return c.settings(f)
+		return c.handleSettings(f)
 	case *http2.PingFrame:
-		return c.pinged(f)
+		return c.handlePing(f)
 	case *http2.WindowUpdateFrame:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		window := &c.window
+		window := &c.sendWindow
 		if f.StreamID != 0 {
 			s := c.streams[f.StreamID]
 			if s == nil {
@@ -80,14 +80,14 @@
 			}
 			window = &s.window
 		}
-		if *window += int64(f.Increment); *window > windowMost {
+		if *window += int64(f.Increment); *window > maxWindow {
 			return fmt.Errorf("%w: a window that is too large", errProtocol)
 		}
-		c.poke()
+		c.signal()
 	case *http2.MetaHeadersFrame:
-		return c.headers(f)
+		return c.handleHeaders(f)
 	case *http2.DataFrame:
-		return c.data(f)
+		return c.handleData(f)
 	case *http2.RSTStreamFrame:
 		c.mu.Lock()
 		s := c.streams[f.StreamID]
@@ -99,16 +99,16 @@
 		if f.ErrCode == http2.ErrCodeRefusedStream {
 			r = translate.Result{Outcome: balance.Busy, Reason: translate.Turned}
 		}
-		c.finish(s, r, core.Value{}, nil, http2.ErrCodeNo)
+		c.finishStream(s, r, core.Value{}, nil, http2.ErrCodeNo)
 	case *http2.GoAwayFrame:
-		c.goAway(f)
+		c.handleGoAway(f)
 	case *http2.PushPromiseFrame:
 		return fmt.Errorf("%w: a PUSH_PROMISE although push is disabled", errProtocol)
 	}
 	return nil
 }
 
-func (c *conn) settings(f *http2.SettingsFrame) error {
+func (c *conn) handleSettings(f *http2.SettingsFrame) error {
 	if f.IsAck() {
 		return nil
 	}
@@ -123,16 +123,16 @@
 		}
 		switch s.ID {
 		case http2.SettingMaxConcurrentStreams:
-			c.streamsM = s.Val
+			c.maxStreams = s.Val
 		case http2.SettingMaxFrameSize:
-			c.frame = min(s.Val, outHigh)
+			c.maxFrame = min(s.Val, writeHighWater)
 		case http2.SettingHeaderTableSize:
-			c.enc.SetMaxDynamicTableSizeLimit(min(s.Val, 4096))
+			c.encoder.SetMaxDynamicTableSizeLimit(min(s.Val, 4096))
 		case http2.SettingInitialWindowSize:
-			by := int64(s.Val) - c.initial
-			c.initial = int64(s.Val)
+			by := int64(s.Val) - c.initialWindow
+			c.initialWindow = int64(s.Val)
 			for _, x := range c.streams {
-				if x.window += by; x.window > windowMost {
+				if x.window += by; x.window > maxWindow {
 					return fmt.Errorf("%w: a window that is too large", errProtocol)
 				}
 			}
@@ -142,22 +142,22 @@
 	if err != nil {
 		return err
 	}
-	c.settled = true
-	if err := c.fr.WriteSettingsAck(); err != nil {
+	c.gotSettings = true
+	if err := c.framer.WriteSettingsAck(); err != nil {
 		return err
 	}
-	c.poke()
+	c.signal()
 	return nil
 }
 
-func (c *conn) pinged(f *http2.PingFrame) error {
+func (c *conn) handlePing(f *http2.PingFrame) error {
 	c.mu.Lock()
 	if !f.IsAck() {
 		defer c.mu.Unlock()
-		if err := c.fr.WritePing(true, f.Data); err != nil {
+		if err := c.framer.WritePing(true, f.Data); err != nil {
 			return errors.New("the node does not read")
 		}
-		c.poke()
+		c.signal()
 		return nil
 	}
 	n := uint64(0)
@@ -168,13 +168,13 @@
 	delete(c.pings, n)
 	c.mu.Unlock()
 	if p != nil && p.probe {
-		c.b.probed(c.n, balance.OK, time.Since(p.at))
+		c.backend.probeDone(c.node, balance.OK, time.Since(p.sentAt))
 	}
 	return nil
 }
 
 // handleGoAway ends the calls that the server has not accepted; the accepted ones continue.
-func (c *conn) goAway(f *http2.GoAwayFrame) {
+func (c *conn) handleGoAway(f *http2.GoAwayFrame) {
 	c.mu.Lock()
 	c.retired = true
 	var out []*stream
@@ -183,46 +183,48 @@
 			out = append(out, s)
 		}
 	}
-	out = append(out, c.waiting...)
+	out = append(out, c.pending...)
 	for _, s := range out {
-		c.forget(s)
+		c.remove(s)
 	}
 	c.mu.Unlock()
-	c.poke()
-	c.b.log.Info("a node sent GOAWAY", "node", c.n.name, "code", f.ErrCode, "left_out", len(out))
+	c.signal()
+	c.backend.log.Info("a node sent GOAWAY", "node", c.node.name, "code", f.ErrCode, "left_out", len(out))
 	for _, s := range out {
-		c.b.done(c.n, s.a, translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
+		c.backend.finishAttempt(c.node, s.attempt,
+			translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
 	}
 }
 
 // finishStream ends a call with its result. It resets the stream if the server has not ended it.
-func (c *conn) finish(s *stream, r translate.Result, v core.Value, report []float32, code http2.ErrCode) {
+func (c *conn) finishStream(s *stream, r translate.Result, v core.Value, report []float32,
+	code http2.ErrCode) {
 	c.mu.Lock()
-	if c.dead || c.streams[s.id] != s {
+	if c.closed || c.streams[s.id] != s {
 		c.mu.Unlock()
 		return
 	}
-	if !s.ended && r.Outcome != balance.OK {
+	if !s.endQueued && r.Outcome != balance.OK {
 		r.Outcome = balance.NotSent // its last byte was not written and never will be
 	}
-	if code != http2.ErrCodeNo || !s.ended {
-		c.reset(s, code)
+	if code != http2.ErrCodeNo || !s.endQueued {
+		c.resetStream(s, code)
 	}
-	c.forget(s)
-	c.used = time.Now()
+	c.remove(s)
+	c.lastUsed = time.Now()
 	c.mu.Unlock()
-	c.b.done(c.n, s.a, r, v, report)
+	c.backend.finishAttempt(c.node, s.attempt, r, v, report)
 }
 
 // openStream returns the open stream with an id, or nil. Frames for streams that have ended are ignored.
-func (c *conn) stream(id uint32) *stream {
+func (c *conn) openStream(id uint32) *stream {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streams[id]
 }
 
-func (c *conn) headers(f *http2.MetaHeadersFrame) error {
-	s := c.stream(f.StreamID)
+func (c *conn) handleHeaders(f *http2.MetaHeadersFrame) error {
+	s := c.openStream(f.StreamID)
 	if s == nil {
 		if f.StreamID%2 == 0 {
 			return fmt.Errorf("%w: a stream opened by the server", errProtocol)
@@ -230,13 +232,14 @@
 		return nil
 	}
 	bad := func(code http2.ErrCode) error {
-		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil, code)
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
+			code)
 		return nil
 	}
 	if f.Truncated {
 		return bad(http2.ErrCodeProtocol)
 	}
-	if !s.begun {
+	if !s.gotHeaders {
 		status, err := strconv.Atoi(f.PseudoValue("status"))
 		if err != nil {
 			return bad(http2.ErrCodeProtocol)
@@ -244,7 +247,7 @@
 		if status >= 100 && status < 200 {
 			return nil
 		}
-		s.begun, s.status = true, status
+		s.gotHeaders, s.status = true, status
 	} else if !f.StreamEnded() {
 		return bad(http2.ErrCodeProtocol) // headers in the middle of the stream
 	}
@@ -263,41 +266,41 @@
 	}
 	if !f.StreamEnded() {
 		if s.status != 200 || !strings.HasPrefix(kind, "application/grpc") {
-			c.finish(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
+			c.finishStream(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
 		} else if coding != "" && coding != "identity" {
-			c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.Compressed}, core.Value{}, nil,
-				http2.ErrCodeCancel)
+			c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.Compressed}, core.Value{},
+				nil, http2.ErrCodeCancel)
 		}
 		return nil
 	}
 	if code == "" && s.status != 200 {
-		c.finish(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
+		c.finishStream(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
 		return nil
 	}
 	status, known := translate.ParseStatus(code)
 	if !known {
-		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadStatus}, core.Value{}, nil,
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadStatus}, core.Value{}, nil,
 			http2.ErrCodeNo)
 		return nil
 	}
 	r, v, report := translate.Status(status, unseen), core.Value{}, []float32(nil)
 	if status == translate.OK {
-		r, v, report = c.b.value(s)
+		r, v, report = c.backend.decodeReply(s)
 	}
-	c.finish(s, r, v, report, http2.ErrCodeNo)
+	c.finishStream(s, r, v, report, http2.ErrCodeNo)
 	return nil
 }
 
-func (c *conn) data(f *http2.DataFrame) error {
+func (c *conn) handleData(f *http2.DataFrame) error {
 	size := int(f.Length)
 	c.mu.Lock()
-	if c.credit += size; c.credit >= creditAt {
-		if c.fr.WriteWindowUpdate(0, uint32(c.credit)) != nil {
+	if c.received += size; c.received >= windowUpdateAt {
+		if c.framer.WriteWindowUpdate(0, uint32(c.received)) != nil {
 			c.mu.Unlock()
 			return errors.New("the node does not read")
 		}
-		c.credit = 0
-		c.poke()
+		c.received = 0
+		c.signal()
 	}
 	s := c.streams[f.StreamID]
 	c.mu.Unlock()
@@ -305,13 +308,13 @@
 		return nil
 	}
 	end := func(why translate.Reason, code http2.ErrCode) error {
-		c.finish(s, translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil, code)
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil, code)
 		return nil
 	}
-	if !s.begun {
+	if !s.gotHeaders {
 		return end(translate.BadReply, http2.ErrCodeProtocol)
 	}
-	if len(s.reply)+len(f.Data()) > c.b.replyMost() {
+	if len(s.reply)+len(f.Data()) > c.backend.maxReply() {
 		return end(translate.TooLarge, http2.ErrCodeCancel)
 	}
 	s.reply = append(s.reply, f.Data()...) // only the read loop accesses the reply
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -18,49 +18,49 @@
 )
 
 // writeLoop dials the connection and writes to it until it ends.
-func (c *conn) run() {
+func (c *conn) writeLoop() {
 	sock, raw, err := c.dial()
 	if err != nil {
-		c.end(err)
+		c.close(err)
 		return
 	}
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		_ = sock.Close()
 		return
 	}
-	c.c, c.raw = sock, raw
+	c.sock, c.raw = sock, raw
 	c.mu.Unlock()
-	defer c.closeOpening()
-	go c.read(sock)
-	limit := c.b.cfg.Idle
+	defer c.closeStarts()
+	go c.readLoop(sock)
+	limit := c.backend.cfg.Idle
 	born := time.Now()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	var buf []byte
 	for {
-		_ = sock.SetWriteDeadline(time.Now().Add(c.b.cfg.WriteLimit))
+		_ = sock.SetWriteDeadline(time.Now().Add(c.backend.cfg.WriteLimit))
 		c.mu.Lock()
-		if c.dead {
+		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		if !c.settled && time.Since(born) > c.b.cfg.DialTimeout {
+		if !c.gotSettings && time.Since(born) > c.backend.cfg.DialTimeout {
 			c.mu.Unlock()
-			c.end(errors.New("the node sent no settings"))
+			c.close(errors.New("the node sent no settings"))
 			return
 		}
-		dropped := c.pump(time.Now())
-		part := c.out.First()
+		dropped := c.encodeFrames(time.Now())
+		part := c.out.FirstSegment()
 		buf = append(buf[:0], part...)
 		c.writing = len(buf) > 0
 		if !c.writing {
-			leave, wait := c.rest(time.Since(born))
+			leave, wait := c.idleWait(time.Since(born))
 			c.mu.Unlock()
-			c.giveBack(dropped)
+			c.reportDropped(dropped)
 			if leave {
-				c.end(nil)
+				c.close(nil)
 				return
 			}
 			timer.Reset(max(wait, time.Millisecond))
@@ -74,25 +74,25 @@
 		n, err := sock.Write(buf) // nothing may come between encodeFrames and this
 		c.mu.Lock()
 		c.written += uint64(n)
-		c.endOpening(c.written)
-		if c.dead {
+		c.finishStarts(c.written)
+		if c.closed {
 			c.mu.Unlock()
-			c.giveBack(dropped)
+			c.reportDropped(dropped)
 			return
 		}
 		c.writing = false
 		c.out.Discard(n)
-		for len(c.marks) > 0 && c.marks[0].at <= c.written {
-			s := c.marks[0].s
-			s.whole, s.wrote = true, time.Now()
-			c.marks = c.marks[1:]
-			c.b.count.Tries.Add(1)
+		for len(c.endMarks) > 0 && c.endMarks[0].offset <= c.written {
+			s := c.endMarks[0].stream
+			s.endWritten, s.writtenAt = true, time.Now()
+			c.endMarks = c.endMarks[1:]
+			c.backend.counts.Tries.Add(1)
 		}
-		c.used = time.Now()
+		c.lastUsed = time.Now()
 		c.mu.Unlock()
-		c.giveBack(dropped)
+		c.reportDropped(dropped)
 		if err != nil {
-			c.end(err)
+			c.close(err)
 			return
 		}
 	}
@@ -100,41 +100,42 @@
 
 // idleWait decides whether a connection that has nothing to write is to be closed, and otherwise how long the
 // write loop may wait; the caller holds mu.
-func (c *conn) rest(age time.Duration) (leave bool, wait time.Duration) {
-	limit := c.b.cfg.Idle
-	unused := time.Since(c.used)
+func (c *conn) idleWait(age time.Duration) (leave bool, wait time.Duration) {
+	limit := c.backend.cfg.Idle
+	unused := time.Since(c.lastUsed)
 	wait = limit - unused
-	if !c.settled {
-		wait = c.b.cfg.DialTimeout - age + time.Millisecond
-	} else if len(c.waiting) > 0 { // the first one may expire
-		wait = min(wait, time.Until(c.waiting[0].until))
+	if !c.gotSettings {
+		wait = c.backend.cfg.DialTimeout - age + time.Millisecond
+	} else if len(c.pending) > 0 { // the first one may expire
+		wait = min(wait, time.Until(c.pending[0].startBy))
 	}
 	for _, s := range c.sending { // one that is being sent may expire
-		if by := s.a.Before; !by.IsZero() {
+		if by := s.attempt.Before; !by.IsZero() {
 			wait = min(wait, time.Until(by)+time.Millisecond)
 		}
 	}
 	quiet := c.load() == 0 && len(c.pings) == 0
-	leave = quiet && c.settled && (c.retired || unused >= limit)
+	leave = quiet && c.gotSettings && (c.retired || unused >= limit)
 	c.retired = c.retired || leave
 	return leave, wait
 }
 
 // droppedCall is a call that must not be started or continued, and the reason.
 type droppedCall struct {
-	s   *stream
-	why core.Hold
+	stream *stream
+	reason core.Hold
 }
 
 // reportDropped reports calls that never ran to the core.
-func (c *conn) giveBack(dropped []droppedCall) {
+func (c *conn) reportDropped(dropped []droppedCall) {
 	for _, d := range dropped {
-		c.b.done(c.n, d.s.a, translate.Result{Outcome: balance.NotSent}, core.Value{}, nil)
+		c.backend.finishAttempt(c.node, d.stream.attempt, translate.Result{Outcome: balance.NotSent},
+			core.Value{}, nil)
 	}
 	for _, d := range dropped {
-		if d.why != core.MayBegin {
-			c.b.log.Info("attempt not started", "node", c.n.name, "query", d.s.a.Query.Name, "shard", d.s.a.Shard,
-				"why", string(d.why))
+		if d.reason != core.MayBegin {
+			c.backend.log.Info("attempt not started", "node", c.node.name, "query", d.stream.attempt.Query.Name,
+				"shard", d.stream.attempt.Shard, "why", string(d.reason))
 		}
 	}
 }
@@ -142,16 +143,16 @@
 // Abort guarantees that the write loop sends no further byte.
 func (c *conn) Abort() {
 	lnet.Abort(c.raw)
-	c.b.log.Warn("write aborted: its request has ended and the writer was stuck", "node", c.n.name)
+	c.backend.log.Warn("write aborted: its request has ended and the writer was stuck", "node", c.node.name)
 }
 
 // abortWriteAfter aborts the connection's write if a call's first byte has still not been written after the
 // given time; the caller holds mu.
-func (c *conn) abortWrite(s *stream, after time.Duration) {
+func (c *conn) abortWriteAfter(s *stream, after time.Duration) {
 	time.AfterFunc(after, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if s.entered && !c.dead {
+		if s.writeActive && !c.closed {
 			c.Abort()
 		}
 	})
@@ -159,31 +160,31 @@
 
 // finishStarts ends the start writes of the calls whose first frames are completely written; the caller
 // holds mu.
-func (c *conn) endOpening(written uint64) {
-	c.opening = slices.DeleteFunc(c.opening, func(s *stream) bool {
-		out := s.opens > 0 && s.opens <= written
-		if out && s.entered {
-			s.entered = false
-			s.a.EndWrite(c)
+func (c *conn) finishStarts(written uint64) {
+	c.starting = slices.DeleteFunc(c.starting, func(s *stream) bool {
+		out := s.startEnd > 0 && s.startEnd <= written
+		if out && s.writeActive {
+			s.writeActive = false
+			s.attempt.EndWrite(c)
 		}
 		return out
 	})
 }
 
 // closeStarts ends the start writes of calls that will never be written, as the write loop has ended.
-func (c *conn) closeOpening() {
+func (c *conn) closeStarts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.markOpening()
-	c.endOpening(math.MaxUint64)
+	c.markStarts()
+	c.finishStarts(math.MaxUint64)
 }
 
 // markStarts sets the output offset up to which the first frames of the calls just started reach; the caller
 // holds mu.
-func (c *conn) markOpening() {
-	for _, s := range c.opening {
-		if s.opens == 0 {
-			s.opens = c.put
+func (c *conn) markStarts() {
+	for _, s := range c.starting {
+		if s.startEnd == 0 {
+			s.startEnd = c.queued
 		}
 	}
 }
@@ -191,73 +192,74 @@
 // encodeFrames encodes what may be sent now and returns the calls that have expired; the caller holds mu. A
 // call is started only if nothing else waits to be written, so that its first byte is sent by the next
 // system call: the end of its query waits for that.
-func (c *conn) pump(now time.Time) (dropped []droppedCall) {
-	if !c.settled && !c.retired {
+func (c *conn) encodeFrames(now time.Time) (dropped []droppedCall) {
+	if !c.gotSettings && !c.retired {
 		return nil
 	}
 	if c.retired { // calls not started go back to the module
-		for _, s := range c.waiting {
-			delete(c.of, s.a)
-			dropped = append(dropped, droppedCall{s: s})
+		for _, s := range c.pending {
+			delete(c.byAttempt, s.attempt)
+			dropped = append(dropped, droppedCall{stream: s})
 		}
-		c.waiting = nil
+		c.pending = nil
 	}
-	defer c.markOpening()
+	defer c.markStarts()
 	free := c.out.Len() == 0
-	for free && len(c.waiting) > 0 && len(c.streams) < c.most() && c.out.Len() < outHigh && !c.retired {
-		s := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		if why := c.mayBegin(s, now); why != core.MayBegin {
-			delete(c.of, s.a)
+	for free && len(c.pending) > 0 && len(c.streams) < c.maxCalls() && c.out.Len() < writeHighWater &&
+		!c.retired {
+		s := c.pending[0]
+		c.pending = c.pending[1:]
+		if why := c.tryStart(s, now); why != core.MayBegin {
+			delete(c.byAttempt, s.attempt)
 			dropped = append(dropped, droppedCall{s, why})
 			continue
 		}
-		s.entered = true
-		c.opening = append(c.opening, s)
-		s.id, s.window = c.nextID, c.initial
+		s.writeActive = true
+		c.starting = append(c.starting, s)
+		s.id, s.window = c.nextID, c.initialWindow
 		c.nextID += 2
 		c.streams[s.id] = s
 		c.sending = append(c.sending, s)
-		c.writeHead(s, now)
-		if c.nextID > windowMost-2 {
+		c.writeHeaders(s, now)
+		if c.nextID > maxWindow-2 {
 			c.retired = true // stream ids cannot be reused
 		}
 	}
-	for i := 0; i < len(c.waiting); i++ { // later ones may have expired too
-		if s := c.waiting[i]; late(s, now) {
-			c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
-			delete(c.of, s.a)
-			dropped = append(dropped, droppedCall{s: s})
+	for i := 0; i < len(c.pending); i++ { // later ones may have expired too
+		if s := c.pending[i]; expired(s, now) {
+			c.pending = append(c.pending[:i], c.pending[i+1:]...)
+			delete(c.byAttempt, s.attempt)
+			dropped = append(dropped, droppedCall{stream: s})
 			i--
 		}
 	}
-	for moved := true; moved && c.out.Len() < outHigh; {
+	for moved := true; moved && c.out.Len() < writeHighWater; {
 		moved = false
-		for i := 0; i < len(c.sending) && c.out.Len() < outHigh; i++ {
+		for i := 0; i < len(c.sending) && c.out.Len() < writeHighWater; i++ {
 			s := c.sending[i]
 			// The window of its key is over: its last byte must not be sent any more.
-			if by := s.a.Before; !by.IsZero() && now.After(by) {
-				c.reset(s, http2.ErrCodeCancel)
-				c.forget(s)
-				dropped = append(dropped, droppedCall{s: s})
+			if by := s.attempt.Before; !by.IsZero() && now.After(by) {
+				c.resetStream(s, http2.ErrCodeCancel)
+				c.remove(s)
+				dropped = append(dropped, droppedCall{stream: s})
 				i--
 				continue
 			}
-			n := min(int64(len(s.body)), int64(c.frame), c.window, s.window)
+			n := min(int64(len(s.body)), int64(c.maxFrame), c.sendWindow, s.window)
 			if n <= 0 {
 				continue
 			}
 			end := int(n) == len(s.body)
-			if c.fr.WriteData(s.id, end, s.body[:n]) != nil {
-				c.overflow()
+			if c.framer.WriteData(s.id, end, s.body[:n]) != nil {
+				c.closeOverflow()
 				return dropped
 			}
 			s.body, moved = s.body[n:], true
 			s.window -= n
-			c.window -= n
+			c.sendWindow -= n
 			if end {
-				s.ended = true
-				c.marks = append(c.marks, mark{c.put, s})
+				s.endQueued = true
+				c.endMarks = append(c.endMarks, endMark{c.queued, s})
 				c.sending = append(c.sending[:i], c.sending[i+1:]...)
 				i--
 			}
@@ -267,49 +269,50 @@
 }
 
 // tryStart begins the write of a call's first byte unless something holds it back; the caller holds mu.
-func (c *conn) mayBegin(s *stream, now time.Time) core.Hold {
-	if !now.Before(s.until) {
+func (c *conn) tryStart(s *stream, now time.Time) core.Hold {
+	if !now.Before(s.startBy) {
 		return core.HoldOverdue
 	}
-	_, hold := s.a.BeginWrite(c, now)
+	_, hold := s.attempt.BeginWrite(c, now)
 	return hold
 }
 
-func late(s *stream, now time.Time) bool {
-	return s.a.Query.Over() || !now.Before(s.until) || !s.a.Before.IsZero() && !now.Before(s.a.Before)
+func expired(s *stream, now time.Time) bool {
+	return s.attempt.Query.Over() || !now.Before(s.startBy) ||
+		!s.attempt.Before.IsZero() && !now.Before(s.attempt.Before)
 }
 
 // writeHeaders queues a call's header frames; the caller holds mu.
-func (c *conn) writeHead(s *stream, now time.Time) {
-	c.block.b = c.block.b[:0]
-	field := func(name, value string) { _ = c.enc.WriteField(hpack.HeaderField{Name: name, Value: value}) }
+func (c *conn) writeHeaders(s *stream, now time.Time) {
+	c.headers.b = c.headers.b[:0]
+	field := func(name, value string) { _ = c.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}) }
 	scheme := "http"
-	to := c.to
+	to := c.target
 	if to.TLS {
 		scheme = "https"
 	}
 	field(":method", "POST")
 	field(":scheme", scheme)
-	field(":path", Path)
+	field(":path", MethodPath)
 	field(":authority", to.Address)
 	field("te", "trailers")
 	field("content-type", "application/grpc")
-	field("grpc-timeout", timeoutText(s.until.Sub(now)))
-	for _, h := range s.head {
+	field("grpc-timeout", formatTimeout(s.startBy.Sub(now)))
+	for _, h := range s.metadata {
 		field(h[0], h[1])
 	}
-	rest, first := c.block.b, true
+	rest, first := c.headers.b, true
 	for first || len(rest) > 0 {
-		n := min(len(rest), int(c.frame))
+		n := min(len(rest), int(c.maxFrame))
 		var err error
 		if first {
-			err = c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: rest[:n],
+			err = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: rest[:n],
 				EndHeaders: n == len(rest)})
 		} else {
-			err = c.fr.WriteContinuation(s.id, n == len(rest), rest[:n])
+			err = c.framer.WriteContinuation(s.id, n == len(rest), rest[:n])
 		}
 		if err != nil {
-			c.overflow()
+			c.closeOverflow()
 			return
 		}
 		rest, first = rest[n:], false
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -40,16 +40,16 @@
 }
 
 // The hand-written encoding and decoding and the method path must match the .proto.
-func TestMessagesAreThoseOfTheProto(t *testing.T) {
+func TestMessagesMatchTheProto(t *testing.T) {
 	file := service(t)
 	s := file.Services().Get(0)
-	if path := fmt.Sprintf("/%s/%s", s.FullName(), s.Methods().Get(0).Name()); path != Path {
-		t.Errorf("the method path is %s, calls use %s", path, Path)
+	if path := fmt.Sprintf("/%s/%s", s.FullName(), s.Methods().Get(0).Name()); path != MethodPath {
+		t.Errorf("the method path is %s, calls use %s", path, MethodPath)
 	}
 	p := Part{ID: "q.7", Shard: 7, Class: "rate-check", Filter: []byte{0xff, 0}, Micros: 9000,
 		Term: math.MaxUint64}
 	m := dynamicpb.NewMessage(s.Methods().Get(0).Input())
-	if err := proto.Unmarshal(p.Append(nil)[prefixSize:], m); err != nil {
+	if err := proto.Unmarshal(p.Append(nil)[messagePrefixSize:], m); err != nil {
 		t.Fatal(err)
 	}
 	if len(m.GetUnknown()) > 0 {
@@ -127,7 +127,7 @@
 	for d, want := range map[time.Duration]string{0: "1u", time.Second: "1000000u",
 		99 * time.Second:  "99000000u",
 		100 * time.Second: "100000m", 40 * time.Hour: "144000S", 1e6 * time.Hour: "60000000M"} {
-		if got := timeoutText(d); got != want {
+		if got := formatTimeout(d); got != want {
 			t.Errorf("%v: %q, want %q", d, got, want)
 		}
 	}
@@ -135,35 +135,35 @@
 
 // rig runs a backend without a core and records what it reports.
 type rig struct {
-	t    *testing.T
-	b    *Backend
-	mu   sync.Mutex
-	ends map[*core.Attempt]core.Outcome
-	many map[*core.Attempt]int
-	look []core.ProbeDone
-	n    int
+	t            *testing.T
+	backend      *Backend
+	mu           sync.Mutex
+	outcomes     map[*core.Attempt]core.Outcome
+	outcomeCount map[*core.Attempt]int
+	probes       []core.ProbeDone
+	sent         int
 }
 
-var bounds = Config{Streams: 4, Conns: 1, Queue: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
+var testConfig = Config{Streams: 4, Conns: 1, Queue: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
 	Idle:       time.Minute,
 	WriteLimit: time.Second}
 
 func newRig(t *testing.T, cfg Config, keys *Keyring, nodes ...Target) *rig {
-	r := &rig{t: t, ends: map[*core.Attempt]core.Outcome{}, many: map[*core.Attempt]int{}}
-	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
+	r := &rig{t: t, outcomes: map[*core.Attempt]core.Outcome{}, outcomeCount: map[*core.Attempt]int{}}
+	r.backend = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			switch e := e.(type) {
 			case core.Outcome:
-				r.ends[e.Attempt] = e
-				r.many[e.Attempt]++
+				r.outcomes[e.Attempt] = e
+				r.outcomeCount[e.Attempt]++
 			case core.ProbeDone:
-				r.look = append(r.look, e)
+				r.probes = append(r.probes, e)
 			}
 		})
-	r.b.Learn(nodes)
-	t.Cleanup(r.b.Close)
+	r.backend.Learn(nodes)
+	t.Cleanup(r.backend.Close)
 	return r
 }
 
@@ -171,21 +171,21 @@
 
 // send sends one attempt with a payload of size bytes.
 func (r *rig) send(size int, timeout time.Duration, by ...time.Time) *core.Attempt {
-	r.n++
-	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Text: []byte(strings.Repeat("x", size)),
+	r.sent++
+	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent), Text: []byte(strings.Repeat("x", size)),
 		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
 	if len(by) > 0 {
 		a.Before = by[0]
 	}
 	a.Until = time.Now().Add(a.Timeout)
-	r.b.Send(a.Replica, []*core.Attempt{a})
+	r.backend.Send(a.Replica, []*core.Attempt{a})
 	return a
 }
 
 func (r *rig) ended(a *core.Attempt) (core.Outcome, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	o, ok := r.ends[a]
+	o, ok := r.outcomes[a]
 	return o, ok
 }
 
@@ -203,11 +203,11 @@
 
 // The backend reports exactly whether a call may have run, for every way in which it can end without an
 // answer.
-func TestNeverRanOrMayHave(t *testing.T) {
+func TestWhetherCallMayHaveRun(t *testing.T) {
 	second := func(conn int, stream uint32) bool { return stream > 1 }
 	t.Run("refused stream", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Refuse: second}, silent)
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream that was refused", r.send(10, time.Minute), balance.Busy)
@@ -219,7 +219,7 @@
 		n := standin.NewGRPC(t, standin.NewOptions{LeaveOut: second}, func(standin.NewCall) standin.NewDo {
 			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
 		})
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream beyond the last accepted one", r.send(10, time.Minute), balance.NotSent)
@@ -241,11 +241,11 @@
 		}}, func(standin.NewCall) standin.NewDo {
 			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
 		})
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.b.count.Tries.Load() == 3 })
+		standin.Until(t, "both to be written", func() bool { return r.backend.counts.Tries.Load() == 3 })
 		close(sent)
 		r.want("the call not accepted", second, balance.NotSent)
 		r.want("the call after it", third, balance.NotSent)
@@ -259,7 +259,7 @@
 		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
 			return standin.NewDo{Silent: true, GoAway: true}
 		})
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(10, time.Minute)
 		time.Sleep(50 * time.Millisecond)
 		if o, ok := r.ended(a); ok {
@@ -270,7 +270,7 @@
 	})
 	t.Run("break before the last byte", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(2000, time.Minute)
 		standin.Until(t, "the connection", func() bool { return n.Opened() == 1 })
 		time.Sleep(100 * time.Millisecond)
@@ -280,44 +280,44 @@
 	t.Run("break after the last byte", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{},
 			func(standin.NewCall) standin.NewDo { return standin.NewDo{Drop: true} })
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		r.want("a call that ran", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("reset by the node", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
 			return standin.NewDo{Reset: standin.Code(http2.ErrCodeCancel)}
 		})
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		r.want("a call that may have run", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("nobody there", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{}, answer)
 		n.Close()
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		r.want("no connection", r.send(10, time.Minute), balance.NoConnection)
 		r.want("no such node", func() *core.Attempt {
 			a := &core.Attempt{Query: &core.Query{Name: "x"}, Replica: core.ServerID("b")}
-			r.b.Send(a.Replica, []*core.Attempt{a})
+			r.backend.Send(a.Replica, []*core.Attempt{a})
 			return a
 		}(), balance.NoConnection)
 	})
 	t.Run("no settings", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Mute: true}, answer)
-		cfg := bounds
+		cfg := testConfig
 		cfg.DialTimeout = 100 * time.Millisecond
 		r := newRig(t, cfg, nil, target(n))
 		r.want("a silent node", r.send(10, time.Minute), balance.NoConnection)
 	})
 	t.Run("deadline in the queue", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a call that expired in the queue", r.send(10, 50*time.Millisecond), balance.NotSent)
-		if !r.b.Withdraw(r.send(10, time.Minute)) {
+		if !r.backend.Withdraw(r.send(10, time.Minute)) {
 			t.Error("a queued call is reported as possibly run")
 		}
-		if r.b.Withdraw(first) {
+		if r.backend.Withdraw(first) {
 			t.Error("a completely written call is reported as never run")
 		}
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
@@ -327,7 +327,7 @@
 	})
 	t.Run("window of its key", func(t *testing.T) {
 		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
-		r := newRig(t, bounds, nil, target(n))
+		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(2000, time.Minute, time.Now().Add(200*time.Millisecond))
 		r.want("a call whose last byte was too late", a, balance.NotSent)
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
@@ -340,13 +340,13 @@
 }
 
 // A drain returns the calls that have not been started, and none of them is sent any more.
-func TestStopTakesBackWhatWaits(t *testing.T) {
+func TestCancelQueuedReturnsPendingCalls(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
-	r := newRig(t, bounds, nil, target(n))
+	r := newRig(t, testConfig, nil, target(n))
 	r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
-	back := r.b.Stop(core.ServerID("a"))
+	back := r.backend.Stop(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d calls returned", len(back))
 	}
@@ -365,7 +365,7 @@
 		<-release
 		return standin.NewDo{Text: "v"}
 	})
-	cfg := bounds
+	cfg := testConfig
 	cfg.Conns, cfg.Queue = 2, 2
 	r := newRig(t, cfg, nil, target(n))
 	var all []*core.Attempt
@@ -387,7 +387,7 @@
 	for _, a := range all {
 		r.want("the answer", a, balance.OK)
 	}
-	for a, k := range r.many {
+	for a, k := range r.outcomeCount {
 		if k != 1 {
 			t.Errorf("%s ended %d times", a.Query.Name, k)
 		}
@@ -397,7 +397,7 @@
 // A message larger than the flow-control windows is sent as the node opens them, interleaved with others.
 func TestFlowControlTowardsTheNode(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{Window: 700}, answer)
-	r := newRig(t, bounds, nil, target(n))
+	r := newRig(t, testConfig, nil, target(n))
 	var all []*core.Attempt
 	for range 12 {
 		all = append(all, r.send(60_000, time.Minute))
@@ -414,9 +414,9 @@
 
 // Send runs concurrently with the write and read loops: they must not deadlock. The write loop once took the
 // node's lock while holding the connection's, and Send took them in the opposite order.
-func TestSendsBesideTheWriter(t *testing.T) {
+func TestConcurrentSendsAndWritesDoNotDeadlock(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
-	cfg := bounds
+	cfg := testConfig
 	cfg.Streams, cfg.Conns, cfg.Queue = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
 	done := make(chan bool)
@@ -469,18 +469,18 @@
 			}
 		}
 	}()
-	cfg := bounds
+	cfg := testConfig
 	cfg.WriteLimit = 200 * time.Millisecond
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
 		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.b.budget.Used() == 0 })
+	standin.Until(t, "the descriptors", func() bool { return r.backend.budget.Used() == 0 })
 }
 
 // A connection that has gone silent is detected by a ping, once a call on it has timed out.
-func TestSilentConnectionIsLeft(t *testing.T) {
+func TestSilentConnectionIsDetected(t *testing.T) {
 	stuck := make(chan net.Conn, 4)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -497,12 +497,12 @@
 			stuck <- c
 		}
 	}()
-	cfg := bounds
+	cfg := testConfig
 	cfg.DialTimeout = 100 * time.Millisecond
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	a, b := r.send(10, time.Minute), r.send(10, time.Minute)
 	time.Sleep(250 * time.Millisecond)
-	if r.b.Withdraw(a) {
+	if r.backend.Withdraw(a) {
 		t.Error("a completely written call is reported as never run")
 	}
 	r.want("the other call", b, balance.Reset)
@@ -512,21 +512,21 @@
 
 func TestProbe(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
-	r := newRig(t, bounds, nil, target(n))
-	if !r.b.Probe(core.ServerID("a")) || r.b.Probe(core.ServerID("b")) {
+	r := newRig(t, testConfig, nil, target(n))
+	if !r.backend.Probe(core.ServerID("a")) || r.backend.Probe(core.ServerID("b")) {
 		t.Fatal("probes of a known and an unknown node")
 	}
-	standin.Until(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.look) == 1 })
-	if r.look[0].Outcome != balance.OK || n.Pings() != 1 {
-		t.Errorf("%+v", r.look[0])
+	standin.Until(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.probes) == 1 })
+	if r.probes[0].Outcome != balance.OK || n.Pings() != 1 {
+		t.Errorf("%+v", r.probes[0])
 	}
-	r.b.CloseIdle(core.ServerID("a"))
+	r.backend.CloseIdle(core.ServerID("a"))
 	standin.Until(t, "the end of the idle connection", func() bool { return n.Open() == 0 })
 }
 
 // Credentials change at run time: calls in flight continue, new ones use the new credentials, and an
 // inconsistent set of files is rejected as a whole.
-func TestKeysChangeInService(t *testing.T) {
+func TestCredentialsReload(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
 	files := KeyFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
@@ -567,7 +567,7 @@
 		return standin.NewDo{Text: "v"}
 	})
 	to := Target{Name: "a", Address: n.Addr, TLS: true, ServerName: "ledger"}
-	r := newRig(t, bounds, keys, to)
+	r := newRig(t, testConfig, keys, to)
 	open := r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	put(files.Key, []byte("broken"))
@@ -587,7 +587,7 @@
 	if changed, err := keys.Reload(); !changed || err != nil {
 		t.Fatalf("%v %v", changed, err)
 	}
-	r.b.Rekey()
+	r.backend.Rekey()
 	r.want("a call with the new credentials", r.send(10, time.Minute), balance.OK)
 	if _, ok := r.ended(open); ok {
 		t.Error("the call in flight ended")
@@ -601,31 +601,31 @@
 	}
 	wrong := to
 	wrong.ServerName = "somebody"
-	r.b.Learn([]Target{wrong})
+	r.backend.Learn([]Target{wrong})
 	r.want("a node with another name", r.send(10, time.Minute), balance.NoConnection)
 }
 
 // A connection is closed while it is being dialled: close must not read what the dialling goroutine sets
 // without a lock. This relies on the race detector.
-func TestAConnectionIsEndedWhileItIsDialled(t *testing.T) {
+func TestCloseWhileDialling(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	r := newRig(t, bounds, nil, Target{Name: "a", Address: l.Addr().String()})
-	node := r.b.nodes[core.ServerID("a")]
+	r := newRig(t, testConfig, nil, Target{Name: "a", Address: l.Addr().String()})
+	node := r.backend.nodes[core.ServerID("a")]
 	for range 50 {
-		if !r.b.budget.TakeServer() {
+		if !r.backend.budget.TakeServer() {
 			t.Fatal("no descriptor")
 		}
-		c := newConn(r.b, node)
+		c := newConn(r.backend, node)
 		over := make(chan struct{})
 		go func() {
 			defer close(over)
-			c.run()
+			c.writeLoop()
 		}()
-		c.end(nil)
+		c.close(nil)
 		<-over
 	}
 }
--- a/internal/grpcnode/keyring.go
+++ b/internal/grpcnode/keyring.go
@@ -25,10 +25,10 @@
 
 // Credentials holds the TLS configuration for new connections.
 type Keyring struct {
-	files   KeyFiles
-	mu      sync.Mutex // guards lastRead; allows one reload at a time
-	last    []byte     // the files' contents when last read
-	current atomic.Pointer[tls.Config]
+	files    KeyFiles
+	mu       sync.Mutex // guards lastRead; allows one reload at a time
+	lastRead []byte     // the files' contents when last read
+	current  atomic.Pointer[tls.Config]
 }
 
 // LoadCredentials reads the files for the first time.
@@ -55,10 +55,10 @@
 		texts[i] = text
 	}
 	all := bytes.Join(texts[:], []byte{0})
-	if k.current.Load() != nil && bytes.Equal(all, k.last) {
+	if k.current.Load() != nil && bytes.Equal(all, k.lastRead) {
 		return false, nil
 	}
-	k.last = all
+	k.lastRead = all
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(texts[0]) {
 		return false, fmt.Errorf("%s: no certificate in it", k.files.CA)
--- a/internal/grpcnode/message.go
+++ b/internal/grpcnode/message.go
@@ -16,9 +16,9 @@
 )
 
 // MethodPath is the path of the only method.
-const Path = "/lapislever.ledger.v1.Ledger/Run"
+const MethodPath = "/lapislever.ledger.v1.Ledger/Run"
 
-const prefixSize = 5 // of a message: the compressed flag and the length
+const messagePrefixSize = 5 // of a message: the compressed flag and the length
 
 // Part is the request message of a call.
 type Part struct {
@@ -50,20 +50,20 @@
 	text(4, p.Filter)
 	number(5, p.Micros)
 	number(6, p.Term)
-	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-prefixSize))
+	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-messagePrefixSize))
 	return b
 }
 
 // errMalformed is the error for a message that cannot be decoded.
-var errMessage = errors.New("malformed message")
+var errMalformed = errors.New("malformed message")
 
 // walkFields calls f for each field of a message. f ignores unknown fields and returns false for malformed
 // ones.
-func fields(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool) error {
+func walkFields(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool) error {
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
 		if size < 0 {
-			return errMessage
+			return errMalformed
 		}
 		b = b[size:]
 		var v []byte
@@ -79,22 +79,22 @@
 			size = protowire.ConsumeFieldValue(n, t, b)
 		}
 		if size < 0 || !f(n, t, v, x) {
-			return errMessage
+			return errMalformed
 		}
 		b = b[size:]
 	}
 	return nil
 }
 
-// answerTypes holds the wire types of an answer's fields.
-var answerTypes = map[protowire.Number]protowire.Type{1: protowire.VarintType, 2: protowire.BytesType,
+// answerWireTypes holds the wire types of an answer's fields.
+var answerWireTypes = map[protowire.Number]protowire.Type{1: protowire.VarintType, 2: protowire.BytesType,
 	3: protowire.VarintType, 4: protowire.Fixed64Type, 5: protowire.BytesType, 6: protowire.BytesType}
 
 // ParseAnswer decodes an answer message without its prefix. The result refers to b.
 func ParseAnswer(b []byte) (translate.Answer, error) {
 	var a translate.Answer
-	err := fields(b, func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool {
-		if w, known := answerTypes[n]; known && w != t {
+	err := walkFields(b, func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool {
+		if w, known := answerWireTypes[n]; known && w != t {
 			return false
 		}
 		switch n {
@@ -111,7 +111,7 @@
 			a.Kind = translate.Real
 		case 6:
 			a.Loaded = true
-			return fields(v, func(n protowire.Number, t protowire.Type, _ []byte, x uint64) bool {
+			return walkFields(v, func(n protowire.Number, t protowire.Type, _ []byte, x uint64) bool {
 				switch {
 				case n == 1 && t == protowire.Fixed64Type:
 					a.Rate = math.Float64frombits(x)
@@ -127,7 +127,7 @@
 }
 
 // formatTimeout formats a grpc-timeout header: at most eight digits and a unit.
-func timeoutText(d time.Duration) string {
+func formatTimeout(d time.Duration) string {
 	us := max(1, d.Microseconds())
 	for _, u := range []struct {
 		size int64
