--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -78,11 +78,11 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r     io.Reader
-	buf   []byte
-	frame int
-	lists [16][]balance.Replica
-	given [16]bool
+	r       io.Reader
+	buf     []byte
+	frame   int
+	lists   [16][]balance.Replica
+	defined [16]bool
 }
 
 // NewDecoder returns a decoder that reads batches from r.
@@ -117,10 +117,10 @@
 	var inst uint32
 	for i := uint32(0); i < count; i++ {
 		at := c.at
-		if inst, err = d.record(&c, inst, h); err != nil {
+		if inst, err = d.decodeRecord(&c, inst, h); err != nil {
 			return err
 		}
-		if c.short {
+		if c.truncated {
 			return d.fail(8+at, "the record is cut short")
 		}
 	}
@@ -150,8 +150,8 @@
 	return &FrameError{Frame: d.frame, Byte: at, What: what}
 }
 
-// record decodes one record and returns the instance that the next record belongs to.
-func (d *Decoder) record(c *cursor, inst uint32, h Handler) (uint32, error) {
+// decodeRecord decodes one record and returns the instance that the next record belongs to.
+func (d *Decoder) decodeRecord(c *cursor, inst uint32, h Handler) (uint32, error) {
 	at := 8 + c.at
 	code := c.u16()
 	ev := balance.Event{}
@@ -161,7 +161,7 @@
 	case evSpawn:
 		seed := c.u64()
 		params := string(c.bytes(int(c.u32())))
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		if err := h.Spawn(inst, seed, params); err != nil {
@@ -172,13 +172,13 @@
 		h.Killed(inst)
 		return inst, nil
 	case evDefineList:
-		return inst, d.define(c, at)
+		return inst, d.defineList(c, at)
 	case evTargets:
 		ev.Kind = balance.List
 		mode := c.u8()
 		c.u64()
 		id := c.u8()
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		if mode > 3 {
@@ -186,7 +186,7 @@
 		}
 		ev.Mode = balance.ListMode(mode)
 		if ev.Mode != balance.Failed {
-			if id > 15 || !d.given[id] {
+			if id > 15 || !d.defined[id] {
 				return inst, d.fail(at, fmt.Sprintf("list %d was never given", id))
 			}
 			ev.Replicas = d.lists[id]
@@ -243,12 +243,12 @@
 		ev.Replica = c.replica()
 		ev.Elapsed = int64(c.u32())
 	default:
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		return inst, d.fail(at, fmt.Sprintf("event code %d is not known", code))
 	}
-	if c.short {
+	if c.truncated {
 		return inst, nil
 	}
 	if err := h.Event(inst, ev); err != nil {
@@ -257,10 +257,10 @@
 	return inst, nil
 }
 
-func (d *Decoder) define(c *cursor, at int) error {
+func (d *Decoder) defineList(c *cursor, at int) error {
 	id := c.u8()
 	n := int(c.u32())
-	if c.short {
+	if c.truncated {
 		return nil
 	}
 	if id > 15 {
@@ -280,20 +280,20 @@
 		list[i].Size = float64(c.f32())
 		list[i].Started = int64(c.u64())
 	}
-	d.lists[id], d.given[id] = list, true
+	d.lists[id], d.defined[id] = list, true
 	return nil
 }
 
 // cursor reads little-endian fields; truncated is set once a read would go past the end.
 type cursor struct {
-	b     []byte
-	at    int
-	short bool
+	b         []byte
+	at        int
+	truncated bool
 }
 
 func (c *cursor) bytes(n int) []byte {
-	if c.short || n < 0 || n > len(c.b)-c.at {
-		c.short = true
+	if c.truncated || n < 0 || n > len(c.b)-c.at {
+		c.truncated = true
 		return nil
 	}
 	c.at += n
@@ -317,7 +317,7 @@
 
 func (c *cursor) report() []float32 {
 	n := int(c.u8())
-	if n == 0 || c.short {
+	if n == 0 || c.truncated {
 		return nil
 	}
 	out := make([]float32, 0, n)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,10 +13,10 @@
 
 // recorder records what the decoder passes to its handler.
 type recorder struct {
-	spawned []string
-	killed  []uint32
-	insts   []uint32
-	events  []balance.Event
+	spawned   []string
+	killed    []uint32
+	instances []uint32
+	events    []balance.Event
 }
 
 func (r *recorder) Spawn(_ uint32, _ uint64, params string) error {
@@ -25,7 +25,7 @@
 }
 func (r *recorder) Killed(i uint32) { r.killed = append(r.killed, i) }
 func (r *recorder) Event(i uint32, e balance.Event) error {
-	r.insts, r.events = append(r.insts, i), append(r.events, e)
+	r.instances, r.events = append(r.instances, i), append(r.events, e)
 	return nil
 }
 
@@ -56,8 +56,8 @@
 	if got.Seq != 12 || got.Now != 0x805c5a {
 		t.Fatalf("header %+v", got)
 	}
-	if len(r.events) != 3 || r.insts[0] != 3 || r.insts[2] != 5 {
-		t.Fatalf("%d events for %v", len(r.events), r.insts)
+	if len(r.events) != 3 || r.instances[0] != 3 || r.instances[2] != 5 {
+		t.Fatalf("%d events for %v", len(r.events), r.instances)
 	}
 	p := r.events[0]
 	if p.Kind != balance.Part || p.ID != 0x5d3a91c4 || p.Shard != 0 || p.Hint != 12000 || p.Weight != 0.125 ||
