--- a/internal/net/admission.go
+++ b/internal/net/admission.go
@@ -35,97 +35,98 @@
 		handshakeTimeout: time.Duration(l.ProveIn) * time.Microsecond}
 }
 
-func (k *Keeper) now() admission.Micros { return time.Since(k.epoch).Microseconds() }
+func (ac *Keeper) now() admission.Micros { return time.Since(ac.epoch).Microseconds() }
 
 // SetLimits applies new limits. Admitted connections, bans and pins stay.
-func (k *Keeper) Adopt(l admission.Limits) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.decisions.Adopt(l)
-	k.handshakeTimeout = time.Duration(l.ProveIn) * time.Microsecond
+func (ac *Keeper) Adopt(l admission.Limits) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	ac.decisions.Adopt(l)
+	ac.handshakeTimeout = time.Duration(l.ProveIn) * time.Microsecond
 }
 
 // decide asks for a decision on a new connection, and evicts idle connections if the decision requires it.
-func (k *Keeper) decide(c net.Conn, proves bool, places int) admission.Decision {
-	at, _ := netip.ParseAddrPort(c.RemoteAddr().String())
+func (ac *Keeper) decide(c net.Conn, authenticates bool, capacity int) admission.Decision {
+	addr, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	for range maxEvictions {
-		k.mu.Lock()
-		d := k.decisions.Arrive(k.now(), admission.Arrival{Addr: at.Addr(), Proves: proves, Places: places})
-		spare := k.closers[d.ID]
-		k.mu.Unlock()
+		ac.mu.Lock()
+		d := ac.decisions.Arrive(ac.now(),
+			admission.Arrival{Addr: addr.Addr(), Proves: authenticates, Places: capacity})
+		closeIfIdle := ac.closers[d.ID]
+		ac.mu.Unlock()
 		if d.Verdict != admission.MakeRoom {
 			return d
 		}
-		if spare != nil && spare() {
-			k.Release(d.ID)
+		if closeIfIdle != nil && closeIfIdle() {
+			ac.Release(d.ID)
 		} else {
-			k.markBusy(d.ID) // part of a request has arrived: it is not idle
+			ac.markBusy(d.ID) // part of a request has arrived: it is not idle
 		}
 	}
 	return admission.Decision{Verdict: admission.Refuse, Reason: admission.Full, After: 1_000_000}
 }
 
 // setCloser sets the function that closes an admitted connection if it is idle.
-func (k *Keeper) setCloser(id uint64, spare func() bool) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.closers[id] = spare
+func (ac *Keeper) setCloser(id uint64, closeIfIdle func() bool) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	ac.closers[id] = closeIfIdle
 }
 
 // Release records that a connection has ended.
-func (k *Keeper) Release(id uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	delete(k.closers, id)
-	k.decisions.Leave(id)
+func (ac *Keeper) Release(id uint64) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	delete(ac.closers, id)
+	ac.decisions.Leave(id)
 }
 
-func (k *Keeper) markBusy(id uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.decisions.Use(id)
+func (ac *Keeper) markBusy(id uint64) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	ac.decisions.Use(id)
 }
 
-func (k *Keeper) markIdle(id uint64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.decisions.Rest(id)
+func (ac *Keeper) markIdle(id uint64) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	ac.decisions.Rest(id)
 }
 
 // handshakeDone records the identity that a TLS handshake has established.
-func (k *Keeper) handshakeDone(id uint64, identity string, known bool) admission.Decision {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.decisions.Prove(k.now(), id, identity, known)
+func (ac *Keeper) handshakeDone(id uint64, identity string, known bool) admission.Decision {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	return ac.decisions.Prove(ac.now(), id, identity, known)
 }
 
 // BanOrPin bans a prefix for a time, or pins it as known. Idle connections of a banned prefix are closed.
-func (k *Keeper) Hold(p netip.Prefix, pinned bool, span time.Duration) {
-	k.mu.Lock()
-	until := k.now() + span.Microseconds()
+func (ac *Keeper) Hold(p netip.Prefix, pinned bool, span time.Duration) {
+	ac.mu.Lock()
+	until := ac.now() + span.Microseconds()
 	if pinned {
-		k.decisions.Pin(p, until)
-		k.mu.Unlock()
+		ac.decisions.Pin(p, until)
+		ac.mu.Unlock()
 		return
 	}
-	k.decisions.Ban(p, until)
-	spares := map[uint64]func() bool{}
-	for _, id := range k.decisions.Held(p) {
-		spares[id] = k.closers[id]
+	ac.decisions.Ban(p, until)
+	closers := map[uint64]func() bool{}
+	for _, id := range ac.decisions.Held(p) {
+		closers[id] = ac.closers[id]
 	}
-	k.mu.Unlock()
-	for id, spare := range spares {
-		if spare != nil && spare() {
-			k.Release(id)
+	ac.mu.Unlock()
+	for id, closeIfIdle := range closers {
+		if closeIfIdle != nil && closeIfIdle() {
+			ac.Release(id)
 		}
 	}
 }
 
 // Lift removes a ban or a pin.
-func (k *Keeper) Lift(p netip.Prefix) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.decisions.Lift(p)
+func (ac *Keeper) Lift(p netip.Prefix) {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	ac.decisions.Lift(p)
 }
 
 // AdmissionStatus is the controller's state as shown to operators.
@@ -142,12 +143,12 @@
 }
 
 // Stats returns the counters, the n busiest addresses, and the bans and pins in force.
-func (k *Keeper) Figures(n int) AdmissionStatus {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.now()
-	a := AdmissionStatus{Figures: k.decisions.Figures(n), Overrides: []PrefixOverride{}}
-	for _, h := range k.decisions.Holds(now) {
+func (ac *Keeper) Figures(n int) AdmissionStatus {
+	ac.mu.Lock()
+	defer ac.mu.Unlock()
+	now := ac.now()
+	a := AdmissionStatus{Figures: ac.decisions.Figures(n), Overrides: []PrefixOverride{}}
+	for _, h := range ac.decisions.Holds(now) {
 		a.Overrides = append(a.Overrides, PrefixOverride{h.Prefix.String(), h.Pinned, float64(h.Until-now) / 1e6})
 	}
 	return a
@@ -183,23 +184,23 @@
 
 // Admit requests admission for a connection of another protocol's listener; closeIfIdle closes it if it is
 // idle. If the connection is refused, Admit returns when the client may come back.
-func (k *Keeper) Enter(c net.Conn, budget *Budget, spare func() bool) (Guest, bool, time.Duration) {
-	d := k.decide(c, false, budget.ClientCapacity())
+func (ac *Keeper) Enter(c net.Conn, budget *Budget, closeIfIdle func() bool) (Guest, bool, time.Duration) {
+	d := ac.decide(c, false, budget.ClientCapacity())
 	if d.Verdict == admission.Refuse {
 		return Guest{}, false, time.Duration(d.After) * time.Microsecond
 	}
 	if !budget.acquireAdmitted() {
-		k.Release(d.ID)
+		ac.Release(d.ID)
 		return Guest{}, false, time.Second
 	}
-	k.setCloser(d.ID, spare)
-	return Guest{admissionSlot{k, d.ID}}, true, 0
+	ac.setCloser(d.ID, closeIfIdle)
+	return Guest{admissionSlot{ac, d.ID}}, true, 0
 }
 
 // MarkBusy, MarkIdle and Release record that the connection carries a request, carries none, and has ended.
-func (g Guest) Use()   { g.markBusy() }
-func (g Guest) Rest()  { g.markIdle() }
-func (g Guest) Leave() { g.release() }
+func (a Guest) Use()   { a.markBusy() }
+func (a Guest) Rest()  { a.markIdle() }
+func (a Guest) Leave() { a.release() }
 
 // Handshake makes the TLS handshake on a client connection and returns the client's authenticated identity.
 type Secure func(c net.Conn) (secured net.Conn, identity string, err error)
@@ -223,20 +224,20 @@
 // connection to be accepted and closed immediately, rather than leaving the client to wait.
 type spareDescriptor struct{ file *os.File }
 
-func (h *spareDescriptor) open() {
-	if h.file == nil {
-		h.file, _ = os.Open(os.DevNull)
+func (d *spareDescriptor) open() {
+	if d.file == nil {
+		d.file, _ = os.Open(os.DevNull)
 	}
 }
 
 // rejectOne accepts and closes one pending connection after accept has failed for lack of descriptors. It
 // returns false for other failures.
-func (h *spareDescriptor) rejectOne(l net.Listener, err error) bool {
-	if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) || h.file == nil {
+func (d *spareDescriptor) rejectOne(l net.Listener, err error) bool {
+	if !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) || d.file == nil {
 		return false
 	}
-	_ = h.file.Close()
-	h.file = nil
+	_ = d.file.Close()
+	d.file = nil
 	if t, ok := l.(*net.TCPListener); ok {
 		_ = t.SetDeadline(time.Now().Add(pollInterval))
 		if c, err := l.Accept(); err == nil {
@@ -244,6 +245,6 @@
 		}
 		_ = t.SetDeadline(time.Time{})
 	}
-	h.open()
+	d.open()
 	return true
 }
--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -19,9 +19,9 @@
 }
 
 // NewBudget returns a budget of capacity descriptors, of which clients cannot use the reserved ones.
-func NewBudget(most, kept int) *Budget {
+func NewBudget(capacity, reserved int) *Budget {
 	b := &Budget{}
-	b.Limit(most, kept, max(2, min(SpareMost, most/4)))
+	b.Limit(capacity, reserved, max(2, min(SpareMost, capacity/4)))
 	b.ringMemory.available.Store(ringMemorySize)
 	return b
 }
@@ -32,13 +32,13 @@
 	b.ringMemory.available.Store(int64(min(bytes, ringMemorySize)))
 }
 
-func (b *Budget) tryAcquire(least int64) bool {
+func (b *Budget) tryAcquire(headroom int64) bool {
 	for {
-		u := b.inUse.Load()
-		if u+least >= b.capacity.Load() {
+		used := b.inUse.Load()
+		if used+headroom >= b.capacity.Load() {
 			return false
 		}
-		if b.inUse.CompareAndSwap(u, u+1) {
+		if b.inUse.CompareAndSwap(used, used+1) {
 			return true
 		}
 	}
@@ -50,9 +50,9 @@
 	if b.tryAcquire(0) {
 		return true
 	}
-	if all := b.evictors.Load(); all != nil {
-		for _, spare := range *all {
-			if spare() && b.tryAcquire(0) {
+	if evictors := b.evictors.Load(); evictors != nil {
+		for _, evict := range *evictors {
+			if evict() && b.tryAcquire(0) {
 				return true
 			}
 		}
@@ -102,16 +102,16 @@
 
 // ClientCapacity returns how many client connections may be open at this moment, including the open ones.
 func (b *Budget) ClientCapacity() int {
-	nodes := max(0, b.inUse.Load()-b.clientsInUse.Load())
-	return int(max(0, b.capacity.Load()-max(b.reserved.Load(), nodes)))
+	others := max(0, b.inUse.Load()-b.clientsInUse.Load())
+	return int(max(0, b.capacity.Load()-max(b.reserved.Load(), others)))
 }
 
 // SetLimits changes the budget, and how many clients beyond it may stay connected until they are refused.
 // Descriptors in use beyond the new limits stay valid until they are released.
-func (b *Budget) Limit(most, kept, spare int) {
-	b.capacity.Store(int64(most))
-	b.reserved.Store(int64(kept))
-	b.maxOverflow.Store(int64(spare))
+func (b *Budget) Limit(capacity, reserved, maxOverflow int) {
+	b.capacity.Store(int64(capacity))
+	b.reserved.Store(int64(reserved))
+	b.maxOverflow.Store(int64(maxOverflow))
 }
 
 // Capacity returns the total number of descriptors.
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -52,11 +52,11 @@
 
 // handshake makes the TLS handshake within its timeout, then serves the connection as authenticated or not.
 func (c *serverConn) handshake() {
-	limit := overflowTimeout
+	timeout := overflowTimeout
 	if c.slot.controller != nil && c.withinBudget {
-		limit = c.slot.controller.handshakeTimeout
+		timeout = c.slot.controller.handshakeTimeout
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(limit))
+	_ = c.conn.SetDeadline(time.Now().Add(timeout))
 	secured, identity, err := c.server.Secure(c.conn)
 	if err != nil {
 		c.server.log.Warn("TLS handshake failed", "client", c.conn.RemoteAddr(), "err", err)
@@ -109,7 +109,7 @@
 	closing         bool      // to be closed between two requests
 	requestBy       time.Time // while closing, the deadline for a complete request
 	overrun         bool      // input beyond the ring's limit has been discarded
-	goroutinesEnded int       // number of goroutines that have ended
+	goroutinesEnded int       // of readLoop and serve
 	withinBudget    bool      // counts against the budget; guarded by the server's mu
 	released        bool
 	slot            admissionSlot
@@ -141,16 +141,16 @@
 func (c *serverConn) rank(now time.Time) (evictionRank, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch late := now.Sub(c.since) > gracePeriod; {
-	case c.state == stateLingering && late:
+	switch pastGrace := now.Sub(c.since) > gracePeriod; {
+	case c.state == stateLingering && pastGrace:
 		return rankLingering, c.since
 	case c.state != stateWaiting: // or a final reply may be in flight, which a close could overtake
 		return rankBusy, c.since
-	case late && !c.hadRequest:
+	case pastGrace && !c.hadRequest:
 		return rankStalled, c.since
 	case c.in.Len() > 0:
 		return rankBusy, c.since
-	case c.hadRequest && late:
+	case c.hadRequest && pastGrace:
 		return rankIdle, c.since
 	}
 	return rankFresh, c.since
@@ -225,41 +225,41 @@
 // readLoop reads input even while a request waits for its reply, as only a read shows that the client has
 // left.
 func (c *serverConn) readLoop() {
-	var full time.Duration // how long the ring has been full during the current request
-	var out time.Time      // when the current state began
+	var fullFor time.Duration // how long the ring has been full during the current request
+	var stateStart time.Time  // when the current state began
 	var failures transientFailures
-	came := arrivalClock{raw: rawConn(c.raw)}
+	clock := arrivalClock{raw: rawConn(c.raw)}
 	for ended := false; !ended; {
 		c.mu.Lock()
 		free := c.in.Free()
-		if free != nil || c.state != stateServing || c.since != out {
-			full, out = 0, c.since
+		if free != nil || c.state != stateServing || c.since != stateStart {
+			fullFor, stateStart = 0, c.since
 		}
-		c.overrun = c.overrun || full >= fullRingTimeout
-		drop := c.state == stateLingering || c.overrun
+		c.overrun = c.overrun || fullFor >= fullRingTimeout
+		discard := c.state == stateLingering || c.overrun
 		ended = c.readErr != nil
 		c.mu.Unlock()
 		var err error
 		switch {
 		case ended:
 			continue
-		case drop:
+		case discard:
 			err = c.discardInput()
 		case free == nil: // far more than a request, or no memory: wait for serve to make room or to give up
 			time.Sleep(fullRingPause)
-			full += fullRingPause
+			fullFor += fullRingPause
 			continue
 		default:
 			var n int
 			n, err = c.conn.Read(free)
-			var at time.Time
+			var arrived time.Time
 			if n > 0 {
-				at = came.arrivalTime(time.Now())
+				arrived = clock.arrivalTime(time.Now())
 			}
 			c.mu.Lock()
 			c.in.Grew(n)
 			if n > 0 {
-				c.lastRead = at
+				c.lastRead = arrived
 			}
 			c.mu.Unlock()
 		}
@@ -304,16 +304,16 @@
 	if c.hadRequest {
 		c.slot.markIdle() // before the first request, one is expected right away
 	}
-	var began, by time.Time
-	var lack incomplete
-	continued := false
-	limit := idleTimeout
+	var startedAt, deadline time.Time
+	var missing incomplete
+	sentContinue := false
+	timeout := idleTimeout
 	if !c.withinBudget { // it holds one of the few overflow slots
-		limit = overflowTimeout
+		timeout = overflowTimeout
 	} else if !c.hadRequest {
-		limit = requestTimeout
+		timeout = requestTimeout
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
@@ -321,28 +321,28 @@
 			c.mu.Unlock()
 			return nil, net.ErrClosed
 		}
-		if began.IsZero() && c.in.Len() > 0 {
-			began = time.Now()
+		if startedAt.IsZero() && c.in.Len() > 0 {
+			startedAt = time.Now()
 			if c.hadRequest || c.closing {
-				timer.Reset(min(limit, requestTimeout))
+				timer.Reset(min(timeout, requestTimeout))
 			}
 		}
 		var req *Request
 		var err error
-		if c.in.Len() >= lack.minBytes { // else the same bytes would be parsed again in vain
-			req, lack, err = parseRequest(c.in, c.lastRead)
+		if c.in.Len() >= missing.minBytes { // else the same bytes would be parsed again in vain
+			req, missing, err = parseRequest(c.in, c.lastRead)
 		}
-		gone := c.readErr
+		readErr := c.readErr
 		if req != nil {
 			c.state, c.since, c.hadRequest = stateServing, time.Now(), true
 		}
-		rest := c.in.Len() == 0 && began.IsZero()
-		parting, overrun := c.closing, c.overrun
-		if parting && !rest && c.requestBy != by {
-			by = c.requestBy
-			timer.Reset(max(0, min(limit, time.Until(by))))
+		idle := c.in.Len() == 0 && startedAt.IsZero()
+		closing, overrun := c.closing, c.overrun
+		if closing && !idle && c.requestBy != deadline {
+			deadline = c.requestBy
+			timer.Reset(max(0, min(timeout, time.Until(deadline))))
 		}
-		grace := gracePeriod - time.Since(c.since) // the first request may be on its way
+		graceLeft := gracePeriod - time.Since(c.since) // the first request may be on its way
 		c.mu.Unlock()
 		switch {
 		case err != nil:
@@ -350,19 +350,19 @@
 		case req != nil:
 			c.slot.markBusy()
 			return req, nil
-		case gone != nil:
-			return nil, gone
+		case readErr != nil:
+			return nil, readErr
 		case overrun:
 			return nil, &BadMessage{Status: 413, What: "more was sent ahead than is held"}
-		case parting && rest && (c.hadRequest || grace <= 0):
+		case closing && idle && (c.hadRequest || graceLeft <= 0):
 			return nil, errIdleClose
-		case parting && rest:
-			timer.Reset(grace)
+		case closing && idle:
+			timer.Reset(graceLeft)
 		}
-		if lack.expectContinue && !continued {
-			continued = true
-			piece := &replyChunk{w: c.replies, timeout: replyTimeout}
-			if _, err := piece.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+		if missing.expectContinue && !sentContinue {
+			sentContinue = true
+			chunk := &replyChunk{w: c.replies, timeout: replyTimeout}
+			if _, err := chunk.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return nil, err
 			}
 		}
@@ -370,9 +370,9 @@
 		case <-c.wake:
 		case <-timer.C:
 			switch {
-			case began.IsZero():
+			case startedAt.IsZero():
 				return nil, errIdleClose
-			case !by.IsZero() && !time.Now().Before(by):
+			case !deadline.IsZero() && !time.Now().Before(deadline):
 				return nil, &BadMessage{Status: 503, What: "this coordinator ends"}
 			}
 			return nil, &BadMessage{Status: 408, What: "the request did not come to its end in time"}
@@ -417,12 +417,13 @@
 		if !ok {
 			return
 		}
-		end := req.Close || resp.Close || c.server.closeAfterReply.Load() || !c.withinBudget || c.rejected
-		err = c.writeReply(resp, end, req.Method == "HEAD")
+		closeAfter := req.Close || resp.Close || c.server.closeAfterReply.Load() || !c.withinBudget ||
+			c.rejected
+		err = c.writeReply(resp, closeAfter, req.Method == "HEAD")
 		if c.replies.wasTakenOver() {
 			c.server.log.Warn("reply finished by the watchdog: its writer was stuck", "client", c.conn.RemoteAddr(),
 				"query", req.ID())
-			end = true
+			closeAfter = true
 		}
 		if err != nil {
 			c.server.log.Info("reply not written", "client", c.conn.RemoteAddr(), "path", req.Path, "query", req.ID(),
@@ -433,7 +434,7 @@
 			c.server.Delays.Note(delay.Reply, time.Since(resp.Decided), "client", c.conn.RemoteAddr(),
 				"query", req.ID(), "status", resp.Status)
 		}
-		if end {
+		if closeAfter {
 			c.lingerClose()
 			return
 		}
@@ -462,7 +463,7 @@
 	}
 	// The time at which the request was taken, as it may have waited in the ring before.
 	c.server.lastRequest.Store(int64(c.since.Sub(c.server.startedAt)))
-	gone := c.server.handle(req, x)
+	onDisconnect := c.server.handle(req, x)
 	c.signal() // the wake-up for an end of stream that came with the request may have been consumed already
 	for {
 		select {
@@ -475,8 +476,8 @@
 			if err == nil {
 				continue
 			}
-			if gone != nil {
-				gone()
+			if onDisconnect != nil {
+				onDisconnect()
 			}
 			c.server.log.Info("client left with a request out", "client", c.conn.RemoteAddr(), "path", req.Path,
 				"query", req.ID(), "after", time.Since(req.At), "err", err)
@@ -485,9 +486,9 @@
 	}
 }
 
-func (c *serverConn) writeReply(r Response, end, headOnly bool) error {
-	limit := replyTimeout + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
-	return writeResponse(&replyChunk{w: c.replies, timeout: limit}, c.out, r, end, headOnly)
+func (c *serverConn) writeReply(r Response, closeAfter, headOnly bool) error {
+	timeout := replyTimeout + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
+	return writeResponse(&replyChunk{w: c.replies, timeout: timeout}, c.out, r, closeAfter, headOnly)
 }
 
 // lingerClose shuts down the sending side and lets the client read the reply before the connection is
@@ -510,18 +511,19 @@
 			"bytes", unread)
 	}
 	_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // from here on readLoop discards input
-	begun := time.Now()
+	startedAt := time.Now()
 	tick := time.NewTicker(lingerIdleTimeout / 5)
 	defer tick.Stop()
-	for time.Since(begun) < lingerTimeout {
+	for time.Since(startedAt) < lingerTimeout {
 		select {
 		case <-c.wake:
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		err, last := c.readErr, c.lastRead
+		err, lastRead := c.readErr, c.lastRead
 		c.mu.Unlock()
-		if err != nil || time.Since(last) > lingerIdleTimeout && time.Since(begun) > lingerIdleTimeout {
+		if err != nil || time.Since(lastRead) > lingerIdleTimeout &&
+			time.Since(startedAt) > lingerIdleTimeout {
 			return
 		}
 	}
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -126,54 +126,54 @@
 }
 
 // parseRequest removes one complete request from the ring. It returns a nil request while it is incomplete.
-func parseRequest(in *Ring, at time.Time) (req *Request, lack incomplete, err error) {
+func parseRequest(in *Ring, at time.Time) (req *Request, missing incomplete, err error) {
 	for in.Len() >= 2 { // skip empty lines before a request
-		var two [2]byte
-		if in.Peek(two[:], 0); two != [2]byte{'\r', '\n'} {
+		var prefix [2]byte
+		if in.Peek(prefix[:], 0); prefix != [2]byte{'\r', '\n'} {
 			break
 		}
 		in.Discard(2)
 	}
-	end := in.Index(headTerminator)
-	if end < 0 {
+	headEnd := in.Index(headTerminator)
+	if headEnd < 0 {
 		if in.Len() > MaxHead {
-			return nil, lack, badMessage(431, "the head is larger than %d bytes", MaxHead)
+			return nil, missing, badMessage(431, "the head is larger than %d bytes", MaxHead)
 		}
-		return nil, lack, nil
+		return nil, missing, nil
 	}
-	if end > MaxHead {
-		return nil, lack, badMessage(431, "the head is larger than %d bytes", MaxHead)
+	if headEnd > MaxHead {
+		return nil, missing, badMessage(431, "the head is larger than %d bytes", MaxHead)
 	}
-	line, h, err := parseHead(in, end+4)
+	line, h, err := parseHead(in, headEnd+4)
 	if err != nil {
-		return nil, lack, err
+		return nil, missing, err
 	}
 	method, rest, ok1 := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok1 || !ok2 || method == "" || target == "" || strings.ContainsAny(method, "\t\"(),/:;<=>?@[]{}") {
-		return nil, lack, badMessage(400, "malformed request line")
+		return nil, missing, badMessage(400, "malformed request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		if strings.HasPrefix(proto, "HTTP/") {
-			return nil, lack, badMessage(505, "only HTTP/1.1 is spoken here")
+			return nil, missing, badMessage(505, "only HTTP/1.1 is spoken here")
 		}
-		return nil, lack, badMessage(400, "malformed request line")
+		return nil, missing, badMessage(400, "malformed request line")
 	}
 	if proto == "HTTP/1.1" && len(h["Host"]) != 1 {
-		return nil, lack, badMessage(400, "one Host header is needed")
+		return nil, missing, badMessage(400, "one Host header is needed")
 	}
-	body, taken, err := parseBody(in, end+4, h, MaxBody)
+	body, size, err := parseBody(in, headEnd+4, h, MaxBody)
 	if err != nil {
-		return nil, lack, err
+		return nil, missing, err
 	}
-	if taken < 0 {
+	if size < 0 {
 		if strings.EqualFold(h.Get("Expect"), "100-continue") {
-			lack.expectContinue = true
+			missing.expectContinue = true
 		}
-		lack.minBytes = -taken
-		return nil, lack, nil
+		missing.minBytes = -size
+		return nil, missing, nil
 	}
-	in.Discard(taken)
+	in.Discard(size)
 	if i := strings.Index(target, "://"); i > 0 && !strings.HasPrefix(target, "/") { // absolute form
 		if j := strings.IndexByte(target[i+3:], '/'); j >= 0 {
 			target = target[i+3+j:]
@@ -183,7 +183,7 @@
 	}
 	path, query, _ := strings.Cut(target, "?")
 	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, At: at,
-		Close: wantsClose(h) || proto == "HTTP/1.0"}, lack, nil
+		Close: wantsClose(h) || proto == "HTTP/1.0"}, missing, nil
 }
 
 // wantsClose reports whether the sender closes the connection after this message.
@@ -198,9 +198,9 @@
 	return false
 }
 
-// parseBody copies the body that begins at offset from. taken is the offset at which the message ends. If the
-// message is incomplete, taken is negative: the message has at least -taken bytes.
-func parseBody(in *Ring, from int, h textproto.MIMEHeader, most int) (b []byte, taken int, err error) {
+// parseBody copies the body that begins at offset from. size is the size of the whole message. If the message
+// is incomplete, size is negative: the message has at least -size bytes.
+func parseBody(in *Ring, from int, h textproto.MIMEHeader, maxBody int) (body []byte, size int, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
 	case len(codings) > 0 && len(lengths) > 0: // two parsers could see two different messages
@@ -209,7 +209,7 @@
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
 			return nil, 0, badMessage(501, "unknown transfer coding")
 		}
-		return parseChunks(in, from, most)
+		return parseChunks(in, from, maxBody)
 	case len(lengths) > 0:
 		for _, l := range lengths {
 			if l != lengths[0] {
@@ -220,21 +220,21 @@
 		if err != nil {
 			return nil, 0, badMessage(400, "malformed length")
 		}
-		if n > uint64(most) {
-			return nil, 0, badMessage(413, "the body is larger than %d bytes", most)
+		if n > uint64(maxBody) {
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", maxBody)
 		}
 		if in.Len() < from+int(n) {
 			return nil, -from - int(n), nil
 		}
-		b = make([]byte, n)
-		in.Peek(b, from)
-		return b, from + int(n), nil
+		body = make([]byte, n)
+		in.Peek(body, from)
+		return body, from + int(n), nil
 	}
 	return nil, from, nil
 }
 
 // parseChunks parses a chunked body. Its results are those of parseBody.
-func parseChunks(in *Ring, from, most int) ([]byte, int, error) {
+func parseChunks(in *Ring, from, maxBody int) ([]byte, int, error) {
 	rest := make([]byte, in.Len()-from)
 	in.Peek(rest, from)
 	size := len(rest)
@@ -252,8 +252,8 @@
 		if err != nil {
 			return nil, 0, badMessage(400, "malformed chunk")
 		}
-		if len(body)+int(n) > most {
-			return nil, 0, badMessage(413, "the body is larger than %d bytes", most)
+		if len(body)+int(n) > maxBody {
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", maxBody)
 		}
 		rest = rest[i+2:]
 		if n == 0 { // trailers, up to an empty line
@@ -318,22 +318,22 @@
 
 // writeResponse writes a reply with its Content-Length. Its Date is the time of the decision, if known, as
 // reading the clock would delay the reply after the decision.
-func writeResponse(to *replyChunk, out *Ring, r Response, end, headOnly bool) error {
-	w := &ringWriter{w: to, ring: out}
+func writeResponse(chunk *replyChunk, out *Ring, r Response, closeAfter, headOnly bool) error {
+	w := &ringWriter{w: chunk, ring: out}
 	date := r.Decided
 	if date.IsZero() {
 		date = time.Now()
 	}
-	kind := r.Type
-	if kind == "" {
-		kind = "text/plain; charset=utf-8"
+	contentType := r.Type
+	if contentType == "" {
+		contentType = "text/plain; charset=utf-8"
 	}
 	fmt.Fprintf(w, "HTTP/1.1 %d %s\r\nDate: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", r.Status,
-		Reason(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), kind, len(r.Body))
+		Reason(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), contentType, len(r.Body))
 	for _, h := range r.Header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
 	}
-	if end {
+	if closeAfter {
 		fmt.Fprint(w, "Connection: close\r\n")
 	}
 	fmt.Fprint(w, "\r\n")
@@ -342,7 +342,7 @@
 			return err
 		}
 	}
-	to.final = true
+	chunk.final = true
 	return w.flush()
 }
 
@@ -366,12 +366,12 @@
 }
 
 // Dial opens a connection. A reply's body may have at most maxBody bytes.
-func Dial(addr string, timeout time.Duration, most int) (*Client, error) {
+func Dial(addr string, timeout time.Duration, maxBody int) (*Client, error) {
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{conn: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), maxBody: most,
+	return &Client{conn: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), maxBody: maxBody,
 		reusable: true}, nil
 }
 
@@ -386,17 +386,17 @@
 
 // Do sends a request and reads its reply, up to the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
-	until time.Time) (*Reply, error) {
-	if err := c.Write(method, target, host, header, body, until); err != nil {
+	deadline time.Time) (*Reply, error) {
+	if err := c.Write(method, target, host, header, body, deadline); err != nil {
 		return nil, err
 	}
-	return c.Read(until)
+	return c.Read(deadline)
 }
 
 // Write sends a request. If it fails, the last byte was not written, so the server cannot have acted on it.
-func (c *Client) Write(method, target, host string, header [][2]string, body []byte, until time.Time) error {
+func (c *Client) Write(method, target, host string, header [][2]string, body []byte, deadline time.Time) error {
 	c.reusable = false
-	_ = c.conn.SetDeadline(until)
+	_ = c.conn.SetDeadline(deadline)
 	w := &ringWriter{w: c.conn, ring: c.out}
 	fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	for _, h := range header {
@@ -427,8 +427,8 @@
 }
 
 // Read reads the reply to the request that was written, and skips interim replies.
-func (c *Client) Read(until time.Time) (*Reply, error) {
-	_ = c.conn.SetDeadline(until)
+func (c *Client) Read(deadline time.Time) (*Reply, error) {
+	_ = c.conn.SetDeadline(deadline)
 	for {
 		end := c.in.Index(headTerminator)
 		if end > MaxHead || end < 0 && c.in.Len() > MaxHead {
@@ -455,22 +455,22 @@
 			continue
 		}
 		r := &Reply{Status: status, Header: h}
-		lasting := true
+		persistent := true
 		if status != 204 && status != 304 {
-			if r.Body, lasting, err = c.readBody(h); err != nil {
+			if r.Body, persistent, err = c.readBody(h); err != nil {
 				return nil, err
 			}
 		}
-		c.reusable = lasting && proto == "HTTP/1.1" && !wantsClose(h) && c.in.Len() == 0
+		c.reusable = persistent && proto == "HTTP/1.1" && !wantsClose(h) && c.in.Len() == 0
 		c.Idle = time.Now()
 		return r, nil
 	}
 }
 
 // readBody reads a reply's body. persistent reports whether the connection may be used after it.
-func (c *Client) readBody(h textproto.MIMEHeader) (b []byte, lasting bool, err error) {
+func (c *Client) readBody(h textproto.MIMEHeader) (b []byte, persistent bool, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
-	var left uint64
+	var length uint64
 	switch {
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
@@ -479,10 +479,10 @@
 		b, err = c.readChunks()
 		return b, true, err
 	case len(lengths) > 0:
-		if left, err = strconv.ParseUint(lengths[0], 10, 63); err != nil {
+		if length, err = strconv.ParseUint(lengths[0], 10, 63); err != nil {
 			return nil, false, badMessage(502, "malformed length")
 		}
-		b, err = c.appendBody(nil, left)
+		b, err = c.appendBody(nil, length)
 		return b, true, err
 	}
 	for {
@@ -508,14 +508,14 @@
 				return nil, fmt.Errorf("reading a reply: %w", err)
 			}
 		}
-		part := c.in.FirstSegment()
-		part = part[:min(uint64(len(part)), n)]
-		if c.Grant != nil && !c.Grant(len(part)) {
+		segment := c.in.FirstSegment()
+		segment = segment[:min(uint64(len(segment)), n)]
+		if c.Grant != nil && !c.Grant(len(segment)) {
 			return nil, badMessage(502, "no memory is left for the reply")
 		}
-		b = append(b, part...)
-		n -= uint64(len(part))
-		c.in.Discard(len(part))
+		b = append(b, segment...)
+		n -= uint64(len(segment))
+		c.in.Discard(len(segment))
 	}
 	return b, nil
 }
--- a/internal/net/replywriter.go
+++ b/internal/net/replywriter.go
@@ -60,7 +60,7 @@
 		_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 		return w.conn.Write(b)
 	}
-	written, limited := 0, false
+	written, deadlineSet := 0, false
 	var failure error
 	var failures transientFailures
 	err := w.raw.Write(func(fd uintptr) (done bool) {
@@ -68,8 +68,8 @@
 			n, callErr := w.writeOnce(int(fd), b[written:], p.final)
 			written += n
 			if errors.Is(callErr, unix.EAGAIN) {
-				if !limited {
-					limited = true
+				if !deadlineSet {
+					deadlineSet = true
 					_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 				}
 				return false
@@ -84,7 +84,7 @@
 		}
 		return true
 	})
-	if limited {
+	if deadlineSet {
 		_ = w.conn.SetWriteDeadline(time.Time{})
 	}
 	if failure != nil {
@@ -95,13 +95,13 @@
 
 // writeOnce makes one write system call. It does not return while a takeover may be about to write: by then
 // either the sending side is shut down, or nobody else writes any more.
-func (w *replyWriter) writeOnce(fd int, b []byte, last bool) (int, error) {
+func (w *replyWriter) writeOnce(fd int, b []byte, final bool) (int, error) {
 	w.mu.Lock()
-	w.pending, w.final = b, last
+	w.pending, w.final = b, final
 	w.mu.Unlock()
-	watched := w.watchdog.Begin(w.takeOver)
+	call := w.watchdog.Begin(w.takeOver)
 	n, err := write(fd, b)
-	w.watchdog.End(watched)
+	w.watchdog.End(call)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.pending = nil
@@ -132,10 +132,10 @@
 		return
 	}
 	w.takeovers++
-	sent, rest := w.sent, bytes.Clone(w.pending)
+	sent, pending := w.sent, bytes.Clone(w.pending)
 	w.mu.Unlock()
 	done := false
-	_ = w.raw.Control(func(fd uintptr) { done = finishReply(int(fd), sent, rest) })
+	_ = w.raw.Control(func(fd uintptr) { done = finishReply(int(fd), sent, pending) })
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.takeovers--
@@ -144,12 +144,12 @@
 }
 
 // finishReply writes the rest of a reply and shuts down the sending side, unless the kernel has accepted
-// bytes beyond the first sent ones in the meantime.
-func finishReply(fd int, sent uint64, rest []byte) bool {
-	if taken, ok := bytesAccepted(fd); !ok || taken != sent {
+// more than sent bytes in the meantime.
+func finishReply(fd int, sent uint64, pending []byte) bool {
+	if accepted, ok := bytesAccepted(fd); !ok || accepted != sent {
 		return false
 	}
-	if writeAll(rest, func(b []byte) (int, error) { return write(fd, b) }) == 0 {
+	if writeAll(pending, func(b []byte) (int, error) { return write(fd, b) }) == 0 {
 		return false
 	}
 	_ = unix.Shutdown(fd, unix.SHUT_WR)
--- a/internal/net/ring.go
+++ b/internal/net/ring.go
@@ -81,9 +81,9 @@
 	if !r.memory.reserve(accounted(size) - accounted(len(r.buf))) {
 		return false
 	}
-	fresh := make([]byte, size)
-	r.copyOut(fresh[:r.length], 0)
-	r.buf, r.start = fresh, 0
+	buf := make([]byte, size)
+	r.copyOut(buf[:r.length], 0)
+	r.buf, r.start = buf, 0
 	return true
 }
 
@@ -97,12 +97,12 @@
 }
 
 // copyOut fills p with the bytes from offset skip on. The ring must hold that many.
-func (r *Ring) copyOut(p []byte, skip int) {
-	at := r.start + skip
-	if at >= len(r.buf) {
-		at -= len(r.buf)
+func (r *Ring) copyOut(p []byte, offset int) {
+	from := r.start + offset
+	if from >= len(r.buf) {
+		from -= len(r.buf)
 	}
-	n := copy(p, r.buf[at:])
+	n := copy(p, r.buf[from:])
 	copy(p[n:], r.buf)
 }
 
@@ -131,12 +131,12 @@
 }
 
 // Peek copies bytes from offset skip on into p without removing them, and returns how many it copied.
-func (r *Ring) Peek(p []byte, skip int) int {
-	n := min(len(p), r.length-skip)
+func (r *Ring) Peek(p []byte, offset int) int {
+	n := min(len(p), r.length-offset)
 	if n <= 0 {
 		return 0
 	}
-	r.copyOut(p[:n], skip)
+	r.copyOut(p[:n], offset)
 	return n
 }
 
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -45,7 +45,7 @@
 
 // Handler takes a request and returns a function to call if the client disconnects before the reply, or nil.
 // It must not block; any goroutine may deliver the reply at any time.
-type Handler func(r *Request, x *Exchange) (gone func())
+type Handler func(r *Request, x *Exchange) (onDisconnect func())
 
 // Server accepts client connections and serves HTTP/1.1 on them.
 type Server struct {
@@ -116,16 +116,16 @@
 
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
-	var hand spareDescriptor
+	var spare spareDescriptor
 	if s.Keeper != nil {
-		hand.open()
+		spare.open()
 	}
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil && hand.rejectOne(s.listener, err) {
+		if err != nil && spare.rejectOne(s.listener, err) {
 			s.log.Warn("connection closed: out of file descriptors", "err", err)
 			continue
 		}
@@ -134,24 +134,24 @@
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		held, place, after := s.admit(c)
-		if !held && s.overflow.Add(1) > s.budget.maxOverflow.Load() {
+		withinBudget, slot, retryAfter := s.admit(c)
+		if !withinBudget && s.overflow.Add(1) > s.budget.maxOverflow.Load() {
 			s.overflow.Add(-1)
 			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
 			_ = c.Close()
 			continue
 		}
 		sc := &serverConn{server: s, raw: c, conn: c, in: NewRing(maxReadAhead), out: NewRing(replyRingSize),
-			withinBudget: held,
-			wake:         make(chan struct{}, 1), since: time.Now(), state: stateWaiting, slot: place, retryAfter: after}
+			withinBudget: withinBudget, wake: make(chan struct{}, 1), since: time.Now(), state: stateWaiting,
+			slot: slot, retryAfter: retryAfter}
 		sc.replies = newReplyWriter(c, &s.watchdog)
 		sc.in.memory, sc.out.memory = &s.budget.ringMemory, &s.budget.ringMemory
 		s.mu.Lock()
 		sc.closing = s.draining
 		s.conns[sc] = struct{}{}
 		s.mu.Unlock()
-		if place.controller != nil {
-			place.controller.setCloser(place.id, sc.closeIfIdle)
+		if slot.controller != nil {
+			slot.controller.setCloser(slot.id, sc.closeIfIdle)
 		}
 		if s.Secure != nil {
 			go sc.handshake()
@@ -164,13 +164,13 @@
 
 // admit acquires a descriptor for a connection. If it is refused, retryAfter is when the client may come
 // back.
-func (s *Server) admit(c net.Conn) (held bool, place admissionSlot, after time.Duration) {
+func (s *Server) admit(c net.Conn) (withinBudget bool, slot admissionSlot, retryAfter time.Duration) {
 	if s.Keeper == nil {
-		held = s.budget.TakeClient()
-		if !held && s.evict(rankBusy) {
-			held = s.budget.TakeClient()
+		withinBudget = s.budget.TakeClient()
+		if !withinBudget && s.evict(rankBusy) {
+			withinBudget = s.budget.TakeClient()
 		}
-		return held, admissionSlot{}, time.Second
+		return withinBudget, admissionSlot{}, time.Second
 	}
 	d := s.Keeper.decide(c, s.Secure != nil, s.budget.ClientCapacity())
 	if d.Verdict == admission.Refuse {
@@ -198,25 +198,25 @@
 func (s *Server) evict(bound evictionRank) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var spared *serverConn
+	var victim *serverConn
 	var since time.Time
-	worst := bound
+	lowest := bound
 	now := time.Now() // once, as there may be hundreds of connections
 	for c := range s.conns {
 		if !c.withinBudget {
 			continue
 		}
-		if use, at := c.rank(now); use < worst || use == worst && use != bound && at.Before(since) {
-			spared, worst, since = c, use, at
+		if rank, changed := c.rank(now); rank < lowest || rank == lowest && rank != bound && changed.Before(since) {
+			victim, lowest, since = c, rank, changed
 		}
 	}
-	if spared == nil || !spared.evict() {
+	if victim == nil || !victim.evict() {
 		return false
 	}
-	s.log.Info("connection evicted to free a descriptor", "client", spared.conn.RemoteAddr(), "use", int(worst),
+	s.log.Info("connection evicted to free a descriptor", "client", victim.conn.RemoteAddr(), "use", int(lowest),
 		"since", time.Since(since))
-	delete(s.conns, spared)
-	spared.releaseBudget()
+	delete(s.conns, victim)
+	victim.releaseBudget()
 	return true
 }
 
@@ -261,21 +261,21 @@
 // After Drain, a request that is still incomplete shortly before the time is over gets an error reply. Wait
 // polls rather than using a sync.WaitGroup, as a connection may still be accepted just as the listener
 // closes.
-func (s *Server) Wait(most time.Duration) bool {
-	end := time.Now().Add(most)
+func (s *Server) Wait(timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
 	s.mu.Lock()
 	for c := range s.conns {
 		if !s.draining {
 			break
 		}
 		c.mu.Lock()
-		c.requestBy = end.Add(-incompleteMargin)
+		c.requestBy = deadline.Add(-incompleteMargin)
 		c.mu.Unlock()
 		c.signal()
 	}
 	s.mu.Unlock()
 	for ; s.Open() > 0; time.Sleep(pollInterval) {
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -27,11 +27,11 @@
 func (s *Socket) armDeadline() { _ = s.conn.SetWriteDeadline(time.Now().Add(s.timeout)) }
 
 func rawConn(c net.Conn) syscall.RawConn {
-	system, ok := c.(syscall.Conn)
+	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return nil
 	}
-	raw, err := system.SyscallConn()
+	raw, err := socket.SyscallConn()
 	if err != nil {
 		return nil
 	}
@@ -56,7 +56,7 @@
 	var message []byte
 	var n int
 	var failure error
-	limited := false
+	deadlineSet := false
 	var failures transientFailures
 	err := s.raw.Write(func(fd uintptr) (done bool) {
 		for {
@@ -71,8 +71,8 @@
 			tried(false)
 			if errors.Is(failure, unix.EAGAIN) {
 				failure = nil
-				if !limited {
-					limited = true
+				if !deadlineSet {
+					deadlineSet = true
 					s.armDeadline()
 				}
 				return false
@@ -84,15 +84,15 @@
 	})
 	if n > 0 {
 		if err == nil && n < len(message) {
-			if !limited {
-				limited = true
+			if !deadlineSet {
+				deadlineSet = true
 				s.armDeadline()
 			}
 			_, err = s.conn.Write(message[n:])
 		}
 		tried(true)
 	}
-	if limited {
+	if deadlineSet {
 		_ = s.conn.SetWriteDeadline(time.Time{})
 	}
 	if n > 0 {
@@ -161,20 +161,20 @@
 	if raw == nil {
 		return false
 	}
-	left := false
-	_ = raw.Control(func(fd uintptr) { left = pollClosed(int32(fd), unix.Poll) })
-	return left
+	closed := false
+	_ = raw.Control(func(fd uintptr) { closed = pollClosed(int32(fd), unix.Poll) })
+	return closed
 }
 
 // pollClosed checks with poll(2) whether the peer has closed its side. It repeats a call that a signal
 // interrupts, as a failed call does not mean that the connection is open.
 func pollClosed(fd int32, poll func(fds []unix.PollFd, timeout int) (int, error)) bool {
-	look := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
-	n, err := poll(look, 0)
+	fds := []unix.PollFd{{Fd: fd, Events: unix.POLLRDHUP}}
+	n, err := poll(fds, 0)
 	for errors.Is(err, unix.EINTR) || errors.Is(err, unix.EAGAIN) {
-		n, err = poll(look, 0)
+		n, err = poll(fds, 0)
 	}
-	return err == nil && n == 1 && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	return err == nil && n == 1 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 }
 
 // AbortAndClose closes a connection whose writer may be in a system call. Close alone would still let that
