--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -66,9 +66,9 @@
 }
 
 // New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
-func New(cfg Config, keys *Keyring, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
+func New(cfg Config, credentials *Keyring, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
-	return &Backend{cfg: cfg, credentials: keys, budget: budget, log: log, counts: count, tally: tally,
+	return &Backend{cfg: cfg, credentials: credentials, budget: budget, log: log, counts: counts, tally: tally,
 		post: post, nodes: map[balance.ReplicaID]*node{}, inFlight: map[*core.Attempt]*conn{}}
 }
 
@@ -113,18 +113,18 @@
 	defer b.mu.Unlock()
 	old := b.nodes
 	b.nodes = map[balance.ReplicaID]*node{}
-	for _, t := range list {
-		id := core.ServerID(t.Name)
+	for _, target := range list {
+		id := core.ServerID(target.Name)
 		n := old[id]
 		delete(old, id)
 		if n == nil {
-			n = &node{id: id, name: t.Name}
+			n = &node{id: id, name: target.Name}
 		}
 		n.mu.Lock()
-		moved := n.dest != t
-		n.dest = t
+		changed := n.dest != target
+		n.dest = target
 		n.mu.Unlock()
-		if moved {
+		if changed {
 			n.retire()
 		}
 		b.nodes[id] = n
@@ -210,8 +210,8 @@
 
 // reportNotSent reports an attempt that was not sent. It does so on a goroutine of its own, as the core is in
 // Send at this point and must not wait for itself.
-func (b *Backend) reportNotSent(a *core.Attempt, o balance.Outcome) {
-	go b.post(core.Outcome{Attempt: a, Outcome: o})
+func (b *Backend) reportNotSent(a *core.Attempt, outcome balance.Outcome) {
+	go b.post(core.Outcome{Attempt: a, Outcome: outcome})
 }
 
 // pickConn returns the connection with the most free capacity, or opens a new one if all are full. It
@@ -220,7 +220,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var best *conn
-	room, total, live := 0, 0, 0
+	bestFree, queued, live := 0, 0, 0
 	for _, c := range n.conns {
 		c.mu.Lock()
 		free := c.maxCalls() - c.load()
@@ -230,12 +230,12 @@
 			continue
 		}
 		live++
-		total += max(0, -free)
-		if best == nil || free > room {
-			best, room = c, free
+		queued += max(0, -free)
+		if best == nil || free > bestFree {
+			best, bestFree = c, free
 		}
 	}
-	if best != nil && room > 0 {
+	if best != nil && bestFree > 0 {
 		return best
 	}
 	if live < b.cfg.Conns && b.budget.TakeServer() {
@@ -248,7 +248,7 @@
 		b.log.Warn("no file descriptor is left for a connection to a node", "node", n.name)
 		return nil
 	}
-	if total >= b.cfg.Queue {
+	if queued >= b.cfg.Queue {
 		return nil
 	}
 	return best
@@ -285,16 +285,16 @@
 }
 
 // CancelQueued removes the attempts that are queued for a node and not started, and returns them.
-func (b *Backend) Stop(to balance.ReplicaID) (back []*core.Attempt) {
+func (b *Backend) Stop(to balance.ReplicaID) (cancelled []*core.Attempt) {
 	if n := b.node(to); n != nil {
 		for _, c := range n.connections() {
-			back = append(back, c.takePending()...)
+			cancelled = append(cancelled, c.takePending()...)
 		}
 	}
-	for _, a := range back {
+	for _, a := range cancelled {
 		b.forget(a)
 	}
-	return back
+	return cancelled
 }
 
 // OpenConns returns the number of open connections.
@@ -335,14 +335,14 @@
 	b.post(core.Outcome{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
 
-func (b *Backend) probeDone(n *node, o balance.Outcome, took time.Duration) {
-	b.post(core.ProbeDone{Replica: n.id, Outcome: o, Elapsed: took})
+func (b *Backend) probeDone(n *node, outcome balance.Outcome, elapsed time.Duration) {
+	b.post(core.ProbeDone{Replica: n.id, Outcome: outcome, Elapsed: elapsed})
 }
 
 // decodeReply converts a complete reply to a value of the old form.
 func (b *Backend) decodeReply(s *stream) (translate.Result, core.Value, []float32) {
-	bad := func(why translate.Reason) (translate.Result, core.Value, []float32) {
-		return translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil
+	bad := func(reason translate.Reason) (translate.Result, core.Value, []float32) {
+		return translate.Result{Outcome: balance.Error, Reason: reason}, core.Value{}, nil
 	}
 	if len(s.reply) < messagePrefixSize {
 		return bad(translate.BadReply) // success without a message
@@ -357,9 +357,9 @@
 	if err != nil {
 		return bad(translate.BadReply)
 	}
-	text, why := a.Value(s.attempt.Shard, b.cfg.MaxValue)
-	if why != translate.None {
-		return bad(why)
+	text, reason := a.Value(s.attempt.Shard, b.cfg.MaxValue)
+	if reason != translate.None {
+		return bad(reason)
 	}
 	var report []float32
 	if a.Loaded {
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -37,7 +37,7 @@
 // stream is the stream of one call.
 type stream struct {
 	attempt    *core.Attempt
-	startBy    time.Time // not started after this
+	startBy    time.Time // not started after this; also the deadline sent to the node
 	body       []byte    // the part of the request that is not in frames yet
 	metadata   [][2]string
 	id         uint32
@@ -192,7 +192,7 @@
 	if s == nil || c.closed {
 		return false
 	}
-	never := !s.endQueued
+	neverRan := !s.endQueued
 	if s.writeActive { // its first byte is in a system call and must not follow what is sent instead of it
 		c.abortWriteAfter(s, core.WriteGrace)
 	}
@@ -203,7 +203,7 @@
 	if s.endWritten && time.Since(c.lastReceived) > c.backend.cfg.DialTimeout {
 		c.checkAlive() // the connection has gone silent: check that it is alive
 	}
-	return never
+	return neverRan
 }
 
 // resetStream sends RST_STREAM for a call; the caller holds mu.
@@ -242,9 +242,9 @@
 	n := c.sendPing(false)
 	time.AfterFunc(c.backend.cfg.DialTimeout, func() {
 		c.mu.Lock()
-		_, out := c.pings[n]
+		_, unanswered := c.pings[n]
 		c.mu.Unlock()
-		if out {
+		if unanswered {
 			c.close(errors.New("no reply to a ping on a silent connection"))
 		}
 	})
@@ -279,18 +279,18 @@
 }
 
 // takePending removes and returns the calls that have not been started.
-func (c *conn) takePending() (list []*core.Attempt) {
+func (c *conn) takePending() (attempts []*core.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return nil
 	}
 	for _, s := range c.pending {
-		list = append(list, s.attempt)
+		attempts = append(attempts, s.attempt)
 		delete(c.byAttempt, s.attempt)
 	}
 	c.pending = nil
-	return list
+	return attempts
 }
 
 // idle reports whether the connection has no calls or pings.
@@ -302,12 +302,12 @@
 
 // dial opens the connection. sock is the connection to write to, raw the socket below it.
 func (c *conn) dial() (sock, raw net.Conn, err error) {
-	to := c.target
-	raw, err = net.DialTimeout("tcp", to.Address, c.backend.cfg.DialTimeout)
-	if err != nil || !to.TLS {
+	target := c.target
+	raw, err = net.DialTimeout("tcp", target.Address, c.backend.cfg.DialTimeout)
+	if err != nil || !target.TLS {
 		return raw, raw, err
 	}
-	t := tls.Client(raw, c.backend.credentials.Config(to.ServerName))
+	t := tls.Client(raw, c.backend.credentials.Config(target.ServerName))
 	_ = raw.SetDeadline(time.Now().Add(c.backend.cfg.DialTimeout))
 	if err := t.Handshake(); err != nil {
 		_ = raw.Close()
@@ -330,7 +330,7 @@
 		return
 	}
 	c.closed, c.retired = true, true
-	sock, raw, all, pings, up, writing := c.sock, c.raw, c.byAttempt, c.pings, c.gotSettings, c.writing
+	sock, raw, calls, pings, up, writing := c.sock, c.raw, c.byAttempt, c.pings, c.gotSettings, c.writing
 	c.byAttempt, c.pings, c.streams, c.pending, c.sending, c.endMarks = nil, nil, nil, nil, nil, nil
 	c.mu.Unlock()
 	c.signal()
@@ -340,11 +340,11 @@
 	}
 	c.backend.budget.Release()
 	if err != nil {
-		c.backend.log.Warn("connection to a node ended", "node", c.node.name, "up", up, "calls", len(all),
+		c.backend.log.Warn("connection to a node ended", "node", c.node.name, "up", up, "calls", len(calls),
 			"err", err)
 	}
 	var violation http2.ConnectionError
-	for _, s := range all {
+	for _, s := range calls {
 		r := translate.Result{Outcome: balance.NoConnection}
 		if s.endWritten || s.endQueued && writing { // how much of a write in progress gets out is unknown
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -24,18 +24,18 @@
 
 // readLoop reads frames until the connection ends.
 func (c *conn) readLoop(sock net.Conn) {
-	fr := http2.NewFramer(nil, bufio.NewReaderSize(sock, 4<<10))
-	fr.SetMaxReadFrameSize(maxReadFrame)
-	fr.SetReuseFrames()
-	fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	fr.MaxHeaderListSize = maxHeaderList
+	framer := http2.NewFramer(nil, bufio.NewReaderSize(sock, 4<<10))
+	framer.SetMaxReadFrameSize(maxReadFrame)
+	framer.SetReuseFrames()
+	framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	framer.MaxHeaderListSize = maxHeaderList
 	first := true
 	for {
-		f, err := fr.ReadFrame()
-		var bad http2.StreamError
-		if errors.As(err, &bad) {
+		f, err := framer.ReadFrame()
+		var streamErr http2.StreamError
+		if errors.As(err, &streamErr) {
 			c.mu.Lock()
-			s := c.streams[bad.StreamID]
+			s := c.streams[streamErr.StreamID]
 			c.mu.Unlock()
 			if s != nil {
 				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
@@ -129,10 +129,10 @@
 		case http2.SettingHeaderTableSize:
 			c.encoder.SetMaxDynamicTableSizeLimit(min(s.Val, 4096))
 		case http2.SettingInitialWindowSize:
-			by := int64(s.Val) - c.initialWindow
+			delta := int64(s.Val) - c.initialWindow
 			c.initialWindow = int64(s.Val)
-			for _, x := range c.streams {
-				if x.window += by; x.window > maxWindow {
+			for _, st := range c.streams {
+				if st.window += delta; st.window > maxWindow {
 					return fmt.Errorf("%w: a window that is too large", errProtocol)
 				}
 			}
@@ -177,20 +177,20 @@
 func (c *conn) handleGoAway(f *http2.GoAwayFrame) {
 	c.mu.Lock()
 	c.retired = true
-	var out []*stream
+	var rejected []*stream
 	for id, s := range c.streams {
 		if id > f.LastStreamID {
-			out = append(out, s)
+			rejected = append(rejected, s)
 		}
 	}
-	out = append(out, c.pending...)
-	for _, s := range out {
+	rejected = append(rejected, c.pending...)
+	for _, s := range rejected {
 		c.remove(s)
 	}
 	c.mu.Unlock()
 	c.signal()
-	c.backend.log.Info("a node sent GOAWAY", "node", c.node.name, "code", f.ErrCode, "left_out", len(out))
-	for _, s := range out {
+	c.backend.log.Info("a node sent GOAWAY", "node", c.node.name, "code", f.ErrCode, "left_out", len(rejected))
+	for _, s := range rejected {
 		c.backend.finishAttempt(c.node, s.attempt,
 			translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
 	}
@@ -231,43 +231,43 @@
 		}
 		return nil
 	}
-	bad := func(code http2.ErrCode) error {
+	fail := func(code http2.ErrCode) error {
 		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
 			code)
 		return nil
 	}
 	if f.Truncated {
-		return bad(http2.ErrCodeProtocol)
+		return fail(http2.ErrCodeProtocol)
 	}
 	if !s.gotHeaders {
 		status, err := strconv.Atoi(f.PseudoValue("status"))
 		if err != nil {
-			return bad(http2.ErrCodeProtocol)
+			return fail(http2.ErrCodeProtocol)
 		}
 		if status >= 100 && status < 200 {
 			return nil
 		}
 		s.gotHeaders, s.status = true, status
 	} else if !f.StreamEnded() {
-		return bad(http2.ErrCodeProtocol) // headers in the middle of the stream
+		return fail(http2.ErrCodeProtocol) // headers in the middle of the stream
 	}
-	kind, code, unseen, coding := "", "", false, ""
+	contentType, code, unseen, encoding := "", "", false, ""
 	for _, h := range f.RegularFields() {
 		switch h.Name {
 		case "content-type":
-			kind = h.Value
+			contentType = h.Value
 		case "grpc-status":
 			code = h.Value
 		case "lapislever-unseen":
 			unseen = h.Value == "1"
 		case "grpc-encoding":
-			coding = h.Value
+			encoding = h.Value
 		}
 	}
 	if !f.StreamEnded() {
-		if s.status != 200 || !strings.HasPrefix(kind, "application/grpc") {
+		if s.status != 200 || !strings.HasPrefix(contentType, "application/grpc") {
 			c.finishStream(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
-		} else if coding != "" && coding != "identity" {
+		} else if encoding != "" && encoding != "identity" {
 			c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.Compressed}, core.Value{},
 				nil, http2.ErrCodeCancel)
 		}
@@ -307,19 +307,19 @@
 	if s == nil {
 		return nil
 	}
-	end := func(why translate.Reason, code http2.ErrCode) error {
-		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil, code)
+	fail := func(reason translate.Reason, code http2.ErrCode) error {
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: reason}, core.Value{}, nil, code)
 		return nil
 	}
 	if !s.gotHeaders {
-		return end(translate.BadReply, http2.ErrCodeProtocol)
+		return fail(translate.BadReply, http2.ErrCodeProtocol)
 	}
 	if len(s.reply)+len(f.Data()) > c.backend.maxReply() {
-		return end(translate.TooLarge, http2.ErrCodeCancel)
+		return fail(translate.TooLarge, http2.ErrCodeCancel)
 	}
 	s.reply = append(s.reply, f.Data()...) // only the read loop accesses the reply
 	if f.StreamEnded() {                   // without trailers there is no status
-		return end(translate.BadStatus, http2.ErrCodeNo)
+		return fail(translate.BadStatus, http2.ErrCodeNo)
 	}
 	return nil
 }
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -34,9 +34,9 @@
 	c.mu.Unlock()
 	defer c.closeStarts()
 	go c.readLoop(sock)
-	limit := c.backend.cfg.Idle
-	born := time.Now()
-	timer := time.NewTimer(limit)
+	idleTimeout := c.backend.cfg.Idle
+	startedAt := time.Now()
+	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	var buf []byte
 	for {
@@ -46,20 +46,20 @@
 			c.mu.Unlock()
 			return
 		}
-		if !c.gotSettings && time.Since(born) > c.backend.cfg.DialTimeout {
+		if !c.gotSettings && time.Since(startedAt) > c.backend.cfg.DialTimeout {
 			c.mu.Unlock()
 			c.close(errors.New("the node sent no settings"))
 			return
 		}
 		dropped := c.encodeFrames(time.Now())
-		part := c.out.FirstSegment()
-		buf = append(buf[:0], part...)
+		segment := c.out.FirstSegment()
+		buf = append(buf[:0], segment...)
 		c.writing = len(buf) > 0
 		if !c.writing {
-			leave, wait := c.idleWait(time.Since(born))
+			closeNow, wait := c.idleWait(time.Since(startedAt))
 			c.mu.Unlock()
 			c.reportDropped(dropped)
-			if leave {
+			if closeNow {
 				c.close(nil)
 				return
 			}
@@ -100,24 +100,24 @@
 
 // idleWait decides whether a connection that has nothing to write is to be closed, and otherwise how long the
 // write loop may wait; the caller holds mu.
-func (c *conn) idleWait(age time.Duration) (leave bool, wait time.Duration) {
-	limit := c.backend.cfg.Idle
+func (c *conn) idleWait(age time.Duration) (closeNow bool, wait time.Duration) {
+	idleTimeout := c.backend.cfg.Idle
 	unused := time.Since(c.lastUsed)
-	wait = limit - unused
+	wait = idleTimeout - unused
 	if !c.gotSettings {
 		wait = c.backend.cfg.DialTimeout - age + time.Millisecond
 	} else if len(c.pending) > 0 { // the first one may expire
 		wait = min(wait, time.Until(c.pending[0].startBy))
 	}
 	for _, s := range c.sending { // one that is being sent may expire
-		if by := s.attempt.Before; !by.IsZero() {
-			wait = min(wait, time.Until(by)+time.Millisecond)
+		if startBy := s.attempt.Before; !startBy.IsZero() {
+			wait = min(wait, time.Until(startBy)+time.Millisecond)
 		}
 	}
-	quiet := c.load() == 0 && len(c.pings) == 0
-	leave = quiet && c.gotSettings && (c.retired || unused >= limit)
-	c.retired = c.retired || leave
-	return leave, wait
+	idle := c.load() == 0 && len(c.pings) == 0
+	closeNow = idle && c.gotSettings && (c.retired || unused >= idleTimeout)
+	c.retired = c.retired || closeNow
+	return closeNow, wait
 }
 
 // droppedCall is a call that must not be started or continued, and the reason.
@@ -162,12 +162,12 @@
 // holds mu.
 func (c *conn) finishStarts(written uint64) {
 	c.starting = slices.DeleteFunc(c.starting, func(s *stream) bool {
-		out := s.startEnd > 0 && s.startEnd <= written
-		if out && s.writeActive {
+		done := s.startEnd > 0 && s.startEnd <= written
+		if done && s.writeActive {
 			s.writeActive = false
 			s.attempt.EndWrite(c)
 		}
-		return out
+		return done
 	})
 }
 
@@ -204,14 +204,14 @@
 		c.pending = nil
 	}
 	defer c.markStarts()
-	free := c.out.Len() == 0
-	for free && len(c.pending) > 0 && len(c.streams) < c.maxCalls() && c.out.Len() < writeHighWater &&
+	drained := c.out.Len() == 0
+	for drained && len(c.pending) > 0 && len(c.streams) < c.maxCalls() && c.out.Len() < writeHighWater &&
 		!c.retired {
 		s := c.pending[0]
 		c.pending = c.pending[1:]
-		if why := c.tryStart(s, now); why != core.MayBegin {
+		if hold := c.tryStart(s, now); hold != core.MayBegin {
 			delete(c.byAttempt, s.attempt)
-			dropped = append(dropped, droppedCall{s, why})
+			dropped = append(dropped, droppedCall{s, hold})
 			continue
 		}
 		s.writeActive = true
@@ -233,12 +233,12 @@
 			i--
 		}
 	}
-	for moved := true; moved && c.out.Len() < writeHighWater; {
-		moved = false
+	for progress := true; progress && c.out.Len() < writeHighWater; {
+		progress = false
 		for i := 0; i < len(c.sending) && c.out.Len() < writeHighWater; i++ {
 			s := c.sending[i]
 			// The window of its key is over: its last byte must not be sent any more.
-			if by := s.attempt.Before; !by.IsZero() && now.After(by) {
+			if startBy := s.attempt.Before; !startBy.IsZero() && now.After(startBy) {
 				c.resetStream(s, http2.ErrCodeCancel)
 				c.remove(s)
 				dropped = append(dropped, droppedCall{stream: s})
@@ -249,15 +249,15 @@
 			if n <= 0 {
 				continue
 			}
-			end := int(n) == len(s.body)
-			if c.framer.WriteData(s.id, end, s.body[:n]) != nil {
+			last := int(n) == len(s.body)
+			if c.framer.WriteData(s.id, last, s.body[:n]) != nil {
 				c.closeOverflow()
 				return dropped
 			}
-			s.body, moved = s.body[n:], true
+			s.body, progress = s.body[n:], true
 			s.window -= n
 			c.sendWindow -= n
-			if end {
+			if last {
 				s.endQueued = true
 				c.endMarks = append(c.endMarks, endMark{c.queued, s})
 				c.sending = append(c.sending[:i], c.sending[i+1:]...)
@@ -287,34 +287,34 @@
 	c.headers.b = c.headers.b[:0]
 	field := func(name, value string) { _ = c.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}) }
 	scheme := "http"
-	to := c.target
-	if to.TLS {
+	target := c.target
+	if target.TLS {
 		scheme = "https"
 	}
 	field(":method", "POST")
 	field(":scheme", scheme)
 	field(":path", MethodPath)
-	field(":authority", to.Address)
+	field(":authority", target.Address)
 	field("te", "trailers")
 	field("content-type", "application/grpc")
 	field("grpc-timeout", formatTimeout(s.startBy.Sub(now)))
 	for _, h := range s.metadata {
 		field(h[0], h[1])
 	}
-	rest, first := c.headers.b, true
-	for first || len(rest) > 0 {
-		n := min(len(rest), int(c.maxFrame))
+	remaining, first := c.headers.b, true
+	for first || len(remaining) > 0 {
+		n := min(len(remaining), int(c.maxFrame))
 		var err error
 		if first {
-			err = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: rest[:n],
-				EndHeaders: n == len(rest)})
+			err = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: remaining[:n],
+				EndHeaders: n == len(remaining)})
 		} else {
-			err = c.framer.WriteContinuation(s.id, n == len(rest), rest[:n])
+			err = c.framer.WriteContinuation(s.id, n == len(remaining), remaining[:n])
 		}
 		if err != nil {
 			c.closeOverflow()
 			return
 		}
-		rest, first = rest[n:], false
+		remaining, first = remaining[n:], false
 	}
 }
--- a/internal/grpcnode/message.go
+++ b/internal/grpcnode/message.go
@@ -32,25 +32,25 @@
 
 // Append appends the encoded message with its prefix.
 func (p *Part) Append(b []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0)
-	text := func(n protowire.Number, v []byte) {
+	appendBytes := func(n protowire.Number, v []byte) {
 		if len(v) > 0 {
 			b = protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 		}
 	}
-	number := func(n protowire.Number, v uint64) {
+	appendVarint := func(n protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 		}
 	}
-	text(1, []byte(p.ID))
-	number(2, uint64(p.Shard))
-	text(3, []byte(p.Class))
-	text(4, p.Filter)
-	number(5, p.Micros)
-	number(6, p.Term)
-	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-messagePrefixSize))
+	appendBytes(1, []byte(p.ID))
+	appendVarint(2, uint64(p.Shard))
+	appendBytes(3, []byte(p.Class))
+	appendBytes(4, p.Filter)
+	appendVarint(5, p.Micros)
+	appendVarint(6, p.Term)
+	binary.BigEndian.PutUint32(b[start+1:], uint32(len(b)-start-messagePrefixSize))
 	return b
 }
 
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -394,7 +394,8 @@
 }
 
 // Write sends a request. If it fails, the last byte was not written, so the server cannot have acted on it.
-func (c *Client) Write(method, target, host string, header [][2]string, body []byte, deadline time.Time) error {
+func (c *Client) Write(method, target, host string, header [][2]string, body []byte,
+	deadline time.Time) error {
 	c.reusable = false
 	_ = c.conn.SetDeadline(deadline)
 	w := &ringWriter{w: c.conn, ring: c.out}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -14,9 +14,9 @@
 	err    error
 }
 
-func (p *params) fail(path, why string) {
+func (p *params) fail(path, problem string) {
 	if p.err == nil {
-		p.err = fmt.Errorf("setting %s: %s", path, why)
+		p.err = fmt.Errorf("setting %s: %s", path, problem)
 	}
 }
 
@@ -74,22 +74,22 @@
 			p.values[k] = v
 		}
 	}
-	us := func(path string) balance.Micros { return balance.Micros(p.number(path, 0)) }
+	micros := func(path string) balance.Micros { return balance.Micros(p.number(path, 0)) }
 	s := balance.Settings{
 		OverShareWorth: p.number("overShareWorth", 1),
 		WorthByWork:    p.values["worthBy"] == "work",
 		Peers:          int(p.number("peersTotal", 1)),
 		Number:         int(p.number("me", 0)),
 		Zone:           int(p.number("zone", 0)),
-		Tick:           us("quantumUs"),
+		Tick:           micros("quantumUs"),
 		Cells:          int(p.required("extra.places")),
 		Reach:          int(p.required("extra.reach")),
 		BatchMax:       int(p.number("extra.bundleMax", 1)),
-		CallCost:       us("extra.callCostUs"),
+		CallCost:       micros("extra.callCostUs"),
 		CrossCost:      p.number("costs.crossZone", 0),
 		Subscribe:      p.values["membershipMode"] == "subscribe",
-		MustAsk:        us("rules.mustAskInUs"),
-		DialTimeout:    us("bounds.dialTimeoutUs"),
+		MustAsk:        micros("rules.mustAskInUs"),
+		DialTimeout:    micros("bounds.dialTimeoutUs"),
 		MaxOpen:        int(p.number("bounds.maxOpen", 0)),
 		MaxAttempts:    int(p.required("bounds.sendCap")),
 		CanCancel:      p.flag("bounds.cancel"),
@@ -98,14 +98,14 @@
 		CanTell:        p.flag("bounds.peers"),
 		MarksRepeat:    p.flag("callers.marksRetry"),
 		CanAdvise:      p.flag("bounds.retryAfter"),
-		MaxRetryAfter:  us("bounds.maxRetryAfterUs"),
+		MaxRetryAfter:  micros("bounds.maxRetryAfterUs"),
 		ColdShare:      p.number("rules.coldFrom", 1),
-		Ramp:           us("rules.rampTimeUs"),
+		Ramp:           micros("rules.rampTimeUs"),
 		FallMultiple:   p.number("rules.fallMultiple", 0),
-		FallSpan:       us("rules.fallUs"),
+		FallSpan:       micros("rules.fallUs"),
 		SpareAttempts:  p.number("rules.spareAttempts", 0),
 		ResendRatio:    p.number("rules.resendRatio", 0),
-		ResendSpan:     us("rules.resendSpanUs"),
+		ResendSpan:     micros("rules.resendSpanUs"),
 		ReportQueue:    -1,
 	}
 	for i, name := range strings.Split(p.values["reporting.columns"], ",") {
@@ -114,20 +114,20 @@
 		}
 	}
 	for i := range int(p.required("lanes.count")) {
-		at := fmt.Sprintf("lanes.%d.", i)
+		prefix := fmt.Sprintf("lanes.%d.", i)
 		c := balance.Class{
-			Aim:        balance.Micros(p.required(at + "goalTimeUs")),
-			Deadline:   balance.Micros(p.required(at + "hardLimitUs")),
-			AimStretch: p.number(at+"aimStretch", 0),
-			Window:     us(at + "windowUs"),
-			Worth:      p.number(at+"worth", 1),
-			LateWorth:  p.number(at+"lateWorth", 0),
+			Aim:        balance.Micros(p.required(prefix + "goalTimeUs")),
+			Deadline:   balance.Micros(p.required(prefix + "hardLimitUs")),
+			AimStretch: p.number(prefix+"aimStretch", 0),
+			Window:     micros(prefix + "windowUs"),
+			Worth:      p.number(prefix+"worth", 1),
+			LateWorth:  p.number(prefix+"lateWorth", 0),
 			Need:       p.listItem("extra.classNeed", i, 1),
 			Floor:      p.listItem("extra.leastShare", i, 1),
 			Partial:    p.listItem("extra.partialEarns", i, 0),
 			SecondStep: int(p.listItem("extra.followUp", i, 0)),
 		}
-		switch e := p.values[at+"idempotency"]; e {
+		switch e := p.values[prefix+"idempotency"]; e {
 		case "read_like":
 			c.Effect = balance.Safe
 		case "idempotency_key":
@@ -135,7 +135,7 @@
 		case "non_idempotent":
 			c.Effect = balance.Unsafe
 		default:
-			p.fail(at+"idempotency", fmt.Sprintf("%q is not known", e))
+			p.fail(prefix+"idempotency", fmt.Sprintf("%q is not known", e))
 		}
 		s.Classes = append(s.Classes, c)
 	}
