--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -182,7 +182,7 @@
 			p.Micros, p.Term = uint64(max(0, s.Hint)), s.Key
 		}
 	}
-	s := &stream{attempt: a, startBy: time.Now().Add(a.Timeout), metadata: [][2]string{{"call-id", q.Name}}}
+	s := &stream{attempt: a, deadline: time.Now().Add(a.Timeout), metadata: [][2]string{{"call-id", q.Name}}}
 	if q.Key != "" {
 		s.metadata = append(s.metadata, [2]string{"idempotency-key", q.Key})
 	}
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -37,7 +37,7 @@
 // stream is the stream of one call.
 type stream struct {
 	attempt    *core.Attempt
-	startBy    time.Time // not started after this; also the deadline sent to the node
+	deadline   time.Time // not started after this; sent to the node
 	body       []byte    // the part of the request that is not in frames yet
 	metadata   [][2]string
 	id         uint32
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -107,7 +107,7 @@
 	if !c.gotSettings {
 		wait = c.backend.cfg.DialTimeout - age + time.Millisecond
 	} else if len(c.pending) > 0 { // the first one may expire
-		wait = min(wait, time.Until(c.pending[0].startBy))
+		wait = min(wait, time.Until(c.pending[0].deadline))
 	}
 	for _, s := range c.sending { // one that is being sent may expire
 		if startBy := s.attempt.Before; !startBy.IsZero() {
@@ -270,7 +270,7 @@
 
 // tryStart begins the write of a call's first byte unless something holds it back; the caller holds mu.
 func (c *conn) tryStart(s *stream, now time.Time) core.Hold {
-	if !now.Before(s.startBy) {
+	if !now.Before(s.deadline) {
 		return core.HoldOverdue
 	}
 	_, hold := s.attempt.BeginWrite(c, now)
@@ -278,7 +278,7 @@
 }
 
 func expired(s *stream, now time.Time) bool {
-	return s.attempt.Query.Over() || !now.Before(s.startBy) ||
+	return s.attempt.Query.Over() || !now.Before(s.deadline) ||
 		!s.attempt.Before.IsZero() && !now.Before(s.attempt.Before)
 }
 
@@ -297,7 +297,7 @@
 	field(":authority", target.Address)
 	field("te", "trailers")
 	field("content-type", "application/grpc")
-	field("grpc-timeout", formatTimeout(s.startBy.Sub(now)))
+	field("grpc-timeout", formatTimeout(s.deadline.Sub(now)))
 	for _, h := range s.metadata {
 		field(h[0], h[1])
 	}
--- a/internal/net/interleaving_test.go
+++ b/internal/net/interleaving_test.go
@@ -70,14 +70,14 @@
 }
 
 // serveHeld starts a server like serve's on a holdingListener.
-func serveHeld(t *testing.T, look func(*heldConn)) *echo {
+func serveHeld(t *testing.T, onAccept func(*heldConn)) *echo {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	e := &echo{}
-	e.Server = NewServer(holdingListener{l, look}, NewBudget(10, 0),
+	e.Server = NewServer(holdingListener{l, onAccept}, NewBudget(10, 0),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), e.handle)
 	go e.Serve()
 	t.Cleanup(func() { e.Finish(); e.StopListening() })
@@ -126,7 +126,7 @@
 	if !e.Wait(20 * time.Second) {
 		t.Fatal("the connection is still open")
 	}
-	if n := e.count(func() int { return len(e.held) }); n != 0 {
+	if n := e.count(func() int { return len(e.heldExchanges) }); n != 0 {
 		t.Fatal("a request was handled whose connection had been ended")
 	}
 }
@@ -158,7 +158,7 @@
 	if err != nil || !strings.HasSuffix(string(all), "first") {
 		t.Fatalf("%q, error %v", all, err)
 	}
-	if n := e.count(func() int { return len(e.held) }); n != 0 {
+	if n := e.count(func() int { return len(e.heldExchanges) }); n != 0 {
 		t.Fatal("a request was handled whose connection had been ended")
 	}
 }
@@ -169,14 +169,14 @@
 	e := serve(t, NewBudget(10, 0))
 	c := dialRaw(t, e)
 	io.WriteString(c, postRequest("hold"))
-	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	flood := strings.Repeat(postRequest(strings.Repeat("f", 50_000)), 8*maxReadAhead/50_000)
 	if _, err := io.WriteString(c, flood); err != nil {
 		t.Fatal(err)
 	}
 	_ = c.Close()
-	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
-	if n := e.count(func() int { return len(e.held) }); n != 1 {
+	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.disconnects }) == 1 })
+	if n := e.count(func() int { return len(e.heldExchanges) }); n != 1 {
 		t.Fatalf("%d requests of a disconnected client were handled", n)
 	}
 }
@@ -187,7 +187,7 @@
 	e := serve(t, NewBudget(10, 0))
 	c := dialRaw(t, e)
 	io.WriteString(c, postRequest("hold"))
-	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	sent := make(chan error, 1)
 	go func() {
 		_, err := io.WriteString(c, strings.Repeat(postRequest(strings.Repeat("f", 50_000)), 8*maxReadAhead/50_000))
@@ -206,7 +206,7 @@
 		}
 		return false
 	})
-	e.held[0].Reply(Response{Status: 200, Body: []byte("done")})
+	e.heldExchanges[0].Reply(Response{Status: 200, Body: []byte("done")})
 	all, err := io.ReadAll(c)
 	if err != nil {
 		t.Fatal(err)
@@ -249,7 +249,7 @@
 func TestFirstRequestAsTheServerEnds(t *testing.T) {
 	for _, late := range []bool{false, true} {
 		e := serve(t, NewBudget(10, 0))
-		early := dialRaw(t, e)
+		conn := dialRaw(t, e)
 		waitFor(t, "the connection", func() bool { return e.Open() == 1 })
 		since := time.Now().Add(time.Hour) // in the future, as the machine may be slow
 		if late {
@@ -264,14 +264,14 @@
 		e.Server.mu.Unlock()
 		e.Finish()
 		if !late {
-			io.WriteString(early, postRequest("x"))
+			io.WriteString(conn, postRequest("x"))
 		}
-		all, err := io.ReadAll(early)
+		all, err := io.ReadAll(conn)
 		if err != nil || strings.HasSuffix(string(all), "\r\n\r\nx") == late {
 			t.Fatalf("late %v: %q %v", late, all, err)
 		}
-		after := dialRaw(t, e)
-		if all, err := io.ReadAll(after); err != nil || len(all) != 0 {
+		laterConn := dialRaw(t, e)
+		if all, err := io.ReadAll(laterConn); err != nil || len(all) != 0 {
 			t.Fatalf("connection accepted later: %q %v", all, err)
 		}
 	}
@@ -307,14 +307,15 @@
 func TestIdleClientIsEvictedForServer(t *testing.T) {
 	b := NewBudget(3, 1)
 	e := serve(t, b)
-	idler, busy := dial(t, e.Server), dial(t, e.Server)
-	if r, err := idler.post("x"); err != nil || r.Status != 200 {
+	idleClient, busyClient := dial(t, e.Server), dial(t, e.Server)
+	if r, err := idleClient.post("x"); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
-	if err := busy.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
+	if err := busyClient.Write("POST", "/", "x", nil, []byte("hold"),
+		time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
 	for i := range 2 {
 		if !b.TakeServer() {
@@ -324,7 +325,7 @@
 	if b.TakeServer() {
 		t.Fatal("a client with a request was evicted")
 	}
-	if _, err := idler.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
+	if _, err := idleClient.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
 		t.Fatalf("the idle client saw %v", err)
 	}
 }
@@ -334,8 +335,8 @@
 	b := NewBudget(3, 1)
 	fronts := []*echo{serve(t, b), serve(t, b)}
 	for i, e := range fronts {
-		idler := dial(t, e.Server)
-		if r, err := idler.post("x"); err != nil || r.Status != 200 {
+		idleClient := dial(t, e.Server)
+		if r, err := idleClient.post("x"); err != nil || r.Status != 200 {
 			t.Fatal(r, err)
 		}
 		waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
@@ -344,7 +345,7 @@
 				t.Fatalf("no descriptor for a server despite an idle client of front %d", i)
 			}
 		}
-		if _, err := idler.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
+		if _, err := idleClient.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
 			t.Fatalf("the idle client saw %v", err)
 		}
 		b.Release()
@@ -364,8 +365,8 @@
 		{stateWaiting, true, 0, rankFresh}, {stateWaiting, true, 2 * gracePeriod, rankIdle},
 	} {
 		c := &serverConn{state: x.state, hadRequest: x.asked, since: time.Now().Add(-x.age), in: NewRing(1)}
-		if use, _ := c.rank(time.Now()); use != x.want {
-			t.Errorf("%+v: %v", x, use)
+		if rank, _ := c.rank(time.Now()); rank != x.want {
+			t.Errorf("%+v: %v", x, rank)
 		}
 	}
 }
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -144,8 +144,8 @@
 type echo struct {
 	*Server
 	mu            sync.Mutex
-	held          []*Exchange
-	gone          int
+	heldExchanges []*Exchange
+	disconnects   int
 	maxRetryAfter atomic.Int64 // the longest Retry-After
 }
 
@@ -170,14 +170,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if string(r.Body) == "hold" {
-		e.held = append(e.held, x)
+		e.heldExchanges = append(e.heldExchanges, x)
 	} else {
 		x.Reply(Response{Status: 200, Body: r.Body})
 		x.Reply(Response{Status: 500}) // only the first reply counts
 	}
 	return func() {
 		e.mu.Lock()
-		e.gone++
+		e.disconnects++
 		e.mu.Unlock()
 	}
 }
@@ -193,17 +193,17 @@
 	e.Server.mu.Lock()
 	defer e.Server.mu.Unlock()
 	for c := range e.Server.conns {
-		if use, _ := c.rank(time.Now()); use == rankIdle {
+		if rank, _ := c.rank(time.Now()); rank == rankIdle {
 			n++
 		}
 	}
 	return n
 }
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(30 * time.Second); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
@@ -261,9 +261,9 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	one := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n"
-	last := strings.Replace(one, "Host", "Connection: close\r\nExpect: 100-continue\r\nHost", 1)
-	_, _ = io.WriteString(c, one+"a"+one+"b"+last)
+	withoutBody := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n"
+	last := strings.Replace(withoutBody, "Host", "Connection: close\r\nExpect: 100-continue\r\nHost", 1)
+	_, _ = io.WriteString(c, withoutBody+"a"+withoutBody+"b"+last)
 	buf, got := make([]byte, 1000), ""
 	for !strings.Contains(got, "100 Continue") {
 		n, err := c.Read(buf)
@@ -286,9 +286,9 @@
 	if err := c.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	c.Close()
-	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.disconnects }) == 1 })
 }
 
 // The end of the stream may arrive together with the request: it must be noticed all the same.
@@ -300,7 +300,7 @@
 			t.Fatal(err)
 		}
 		c.Close()
-		waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.gone }) == i+1 })
+		waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.disconnects }) == i+1 })
 	}
 }
 
@@ -325,7 +325,7 @@
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "both", func() bool { return e.count(func() int { return len(e.held) }) == 2 })
+	waitFor(t, "both", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 2 })
 	r, err := dial(t, e.Server).post("x")
 	if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != "1" {
 		t.Fatalf("%v %v", r, err)
@@ -395,8 +395,8 @@
 // already carried requests.
 func TestStalledConnectionsAreEvictedFirst(t *testing.T) {
 	e := serve(t, NewBudget(6, 0))
-	usual := dial(t, e.Server)
-	if r, err := usual.post("x"); err != nil || r.Status != 200 {
+	regular := dial(t, e.Server)
+	if r, err := regular.post("x"); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	for i := range 20 {
@@ -411,7 +411,7 @@
 			time.Sleep(gracePeriod + gracePeriod/2)
 		}
 	}
-	if r, err := usual.post("x"); err != nil || r.Status != 200 {
+	if r, err := regular.post("x"); err != nil || r.Status != 200 {
 		t.Fatalf("the flood evicted a regular client: %v %v", r, err)
 	}
 	if r, err := dial(t, e.Server).post("x"); err != nil || r.Status != 200 {
@@ -448,12 +448,12 @@
 	if err := busy.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	e.Finish()
 	if _, err := idle.Read(time.Now().Add(20 * time.Second)); !errors.Is(err, io.EOF) {
 		t.Errorf("the idle connection stays open, or was reset: %v", err)
 	}
-	e.held[0].Reply(Response{Status: 200, Body: []byte("done")})
+	e.heldExchanges[0].Reply(Response{Status: 200, Body: []byte("done")})
 	r, err := busy.Read(time.Now().Add(20 * time.Second))
 	if err != nil || string(r.Body) != "done" || busy.Sound() {
 		t.Fatalf("%v %v", r, err)
@@ -516,26 +516,27 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var h spareDescriptor
-	if h.rejectOne(l, syscall.EMFILE) {
+	var spare spareDescriptor
+	if spare.rejectOne(l, syscall.EMFILE) {
 		t.Error("rejected a connection without a spare descriptor")
 	}
-	h.open()
-	for _, fail := range []error{syscall.EMFILE, syscall.ENFILE} {
+	spare.open()
+	for _, acceptErr := range []error{syscall.EMFILE, syscall.ENFILE} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !h.rejectOne(l, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fail)}) || h.file == nil {
-			t.Fatalf("%v: no connection rejected, or no spare descriptor afterwards", fail)
+		if !spare.rejectOne(l, &net.OpError{Op: "accept",
+			Err: os.NewSyscallError("accept4", acceptErr)}) || spare.file == nil {
+			t.Fatalf("%v: no connection rejected, or no spare descriptor afterwards", acceptErr)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%v: the client still waits: %v", fail, err)
+			t.Errorf("%v: the client still waits: %v", acceptErr, err)
 		}
 		_ = c.Close()
 	}
-	if h.rejectOne(l, syscall.ECONNABORTED) {
+	if spare.rejectOne(l, syscall.ECONNABORTED) {
 		t.Error("rejected a connection after another failure")
 	}
 }
