--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -148,9 +148,9 @@
 	Idle:       time.Minute,
 	WriteLimit: time.Second}
 
-func newRig(t *testing.T, cfg Config, keys *Keyring, nodes ...Target) *rig {
+func newRig(t *testing.T, cfg Config, credentials *Keyring, nodes ...Target) *rig {
 	r := &rig{t: t, outcomes: map[*core.Attempt]core.Outcome{}, outcomeCount: map[*core.Attempt]int{}}
-	r.backend = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
+	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -170,12 +170,12 @@
 func target(n *standin.GRPCNode) Target { return Target{Name: "a", Address: n.Addr} }
 
 // send sends one attempt with a payload of size bytes.
-func (r *rig) send(size int, timeout time.Duration, by ...time.Time) *core.Attempt {
+func (r *rig) send(size int, timeout time.Duration, startBy ...time.Time) *core.Attempt {
 	r.sent++
 	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent), Text: []byte(strings.Repeat("x", size)),
 		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
-	if len(by) > 0 {
-		a.Before = by[0]
+	if len(startBy) > 0 {
+		a.Before = startBy[0]
 	}
 	a.Until = time.Now().Add(a.Timeout)
 	r.backend.Send(a.Replica, []*core.Attempt{a})
@@ -539,7 +539,7 @@
 	pair := func(name string) { c, k := ca.Issue(name); put(files.Cert, c); put(files.Key, k) }
 	put(files.CA, ca.PEM())
 	pair("one")
-	keys, err := OpenKeyring(files)
+	credentials, err := OpenKeyring(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -567,24 +567,24 @@
 		return standin.NewDo{Text: "v"}
 	})
 	to := Target{Name: "a", Address: n.Addr, TLS: true, ServerName: "ledger"}
-	r := newRig(t, testConfig, keys, to)
+	r := newRig(t, testConfig, credentials, to)
 	open := r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	put(files.Key, []byte("broken"))
-	if changed, err := keys.Reload(); changed || err == nil {
+	if changed, err := credentials.Reload(); changed || err == nil {
 		t.Fatalf("an invalid key pair was accepted: %v %v", changed, err)
 	}
-	if changed, err := keys.Reload(); changed || err != nil {
+	if changed, err := credentials.Reload(); changed || err != nil {
 		t.Errorf("the error was reported twice: %v %v", changed, err)
 	}
 	other := standin.NewAuthority(t)
 	put(files.CA, []byte("nothing"))
-	if changed, err := keys.Reload(); changed || err == nil {
+	if changed, err := credentials.Reload(); changed || err == nil {
 		t.Fatalf("roots without a certificate were accepted: %v %v", changed, err)
 	}
 	put(files.CA, append(other.PEM(), ca.PEM()...))
 	pair("two")
-	if changed, err := keys.Reload(); !changed || err != nil {
+	if changed, err := credentials.Reload(); !changed || err != nil {
 		t.Fatalf("%v %v", changed, err)
 	}
 	r.backend.Rekey()
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -17,9 +17,9 @@
 }
 
 // NewSocket returns a Socket for a connection. A message that the kernel does not accept immediately has to
-// be written within limit.
-func NewSocket(c net.Conn, limit time.Duration) *Socket {
-	return &Socket{conn: c, raw: rawConn(c), timeout: limit}
+// be written within timeout.
+func NewSocket(c net.Conn, timeout time.Duration) *Socket {
+	return &Socket{conn: c, raw: rawConn(c), timeout: timeout}
 }
 
 // armDeadline starts the write timeout of a message. It reads the clock, so it must not run right before a
@@ -38,14 +38,14 @@
 	return raw
 }
 
-// WriteMessage calls begin to build a message and writes it. If the kernel accepts no byte, it waits, up to
-// the write timeout, and calls begin again; an empty message ends the call. Nothing between begin and the
-// system call may block or take time. tried is called after each try and reports whether bytes were written;
-// if some were, it is called once the rest has been written or has failed.
-func (s *Socket) WriteMessage(begin func() []byte, tried func(out bool)) error {
+// WriteMessage calls build for a message and writes it. If the kernel accepts no byte, it waits, up to the
+// write timeout, and calls build again; an empty message ends the call. Nothing between build and the system
+// call may block or take time. tried is called after each try and is told whether bytes were written; if
+// some were, it is called once the rest has been written or has failed.
+func (s *Socket) WriteMessage(build func() []byte, tried func(written bool)) error {
 	if s.raw == nil {
 		s.armDeadline()
-		message := begin()
+		message := build()
 		if len(message) == 0 {
 			return nil
 		}
@@ -60,7 +60,7 @@
 	var failures transientFailures
 	err := s.raw.Write(func(fd uintptr) (done bool) {
 		for {
-			message = begin()
+			message = build()
 			if len(message) == 0 {
 				failure = nil
 				return true
