--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -176,7 +176,7 @@
 	if d.Verdict == admission.Refuse {
 		return false, admissionSlot{}, time.Duration(d.After) * time.Microsecond
 	}
-	if !s.budget.acquireAdmitted() { // node connections have taken it meanwhile
+	if !s.budget.acquireAdmitted() { // a node connection has taken it in the meantime
 		s.Keeper.Release(d.ID)
 		return false, admissionSlot{}, time.Second
 	}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -20,12 +20,11 @@
 	}
 }
 
-// number returns a number. If the key is missing it returns absent, the default that the protocol page
-// defines.
-func (p *params) number(path string, absent float64) float64 {
+// number returns a number, or the default from the protocol page if the key is missing.
+func (p *params) number(path string, defaultValue float64) float64 {
 	s, ok := p.values[path]
 	if !ok || s == "" {
-		return absent
+		return defaultValue
 	}
 	v, err := strconv.ParseFloat(s, 64)
 	if err != nil {
@@ -53,11 +52,11 @@
 	return false
 }
 
-// listItem returns number i of a comma-separated list.
-func (p *params) listItem(path string, i int, absent float64) float64 {
+// listItem returns number i of a comma-separated list, or the default if the list is shorter.
+func (p *params) listItem(path string, i int, defaultValue float64) float64 {
 	items := strings.Split(p.values[path], ",")
 	if i >= len(items) || items[i] == "" {
-		return absent
+		return defaultValue
 	}
 	v, err := strconv.ParseFloat(items[i], 64)
 	if err != nil {
