--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -23,17 +23,17 @@
 // shedder is a guard with its lock: fronts and the core ask from their goroutines.
 type shedder struct {
 	mu    sync.Mutex // guards what follows
-	guard *overload.Guard
+	guard *overload.Controller
 	by    map[string]int64 // turned away, by class and by class/tenant
 }
 
-// Sheds tells that the fleet turns away as one.
-func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
+// OverloadEnabled tells that the fleet turns away as one.
+func (c *Config) OverloadEnabled() bool { return !c.Fleet.Overload.Off }
 
-// LetIn asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
+// Admit asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
 // its tries have in common. If not, it returns after how long it may come back.
-func (f *Fleet) LetIn(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
-	if !f.cfg.Sheds() {
+func (f *Fleet) Admit(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
+	if !f.cfg.OverloadEnabled() {
 		return true, 0
 	}
 	s := &f.shed
@@ -52,26 +52,26 @@
 	return false, time.Duration(wait) * time.Microsecond
 }
 
-// HasEnded books how a request that was let in ended. well: answered in time.
-func (f *Fleet) HasEnded(well bool) {
+// RequestFinished books how a request that was let in ended. well: answered in time.
+func (f *Fleet) RequestFinished(well bool) {
 	f.shed.mu.Lock()
-	f.shed.guard.Ended(well)
+	f.shed.guard.Finished(well)
 	f.shed.mu.Unlock()
 }
 
-// MaySend asks whether an attempt may be sent by the budget for what is sent again.
-func (f *Fleet) MaySend(first bool) bool {
-	if !f.cfg.Sheds() {
+// AllowByRetryBudget asks whether an attempt may be sent by the budget for what is sent again.
+func (f *Fleet) AllowByRetryBudget(first bool) bool {
+	if !f.cfg.OverloadEnabled() {
 		return true
 	}
 	f.shed.mu.Lock()
 	defer f.shed.mu.Unlock()
-	return f.shed.guard.Send(first)
+	return f.shed.guard.AllowSend(first)
 }
 
 // tendOverload has the guard its turn, once a period.
 func (f *Fleet) tendOverload(v *membership.View, now membership.Micros, peers []string) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.shed.mu.Lock()
@@ -89,7 +89,7 @@
 
 // hearOverload takes in another member's message.
 func (f *Fleet) hearOverload(v *membership.View, h membership.Heard) {
-	if !f.cfg.Sheds() {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
 	f.shed.mu.Lock()
@@ -129,13 +129,13 @@
 	f.shed.mu.Lock()
 	defer f.shed.mu.Unlock()
 	g := f.shed.guard
-	o := Overload{Level: g.Level(), HeardMS: g.Heard(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
+	o := Overload{Level: g.Level(), HeardMS: g.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
 	for name, n := range f.shed.by {
 		o.Shed[name] = n
 	}
-	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
-	o.Retries.Allowed = g.Budget()
-	if who, since := g.Keeper(); who != "" {
+	o.Retries.Spent, o.Retries.Denied = g.RetriesSent, g.RetriesDenied
+	o.Retries.Allowed = g.RetryBudget()
+	if who, since := g.LevelOwner(); who != "" {
 		o.Duties = append(o.Duties, Duty{"level", who, (now - since) / 1000})
 	}
 	return o
--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -33,27 +33,27 @@
 
 // Config holds the limits on connections.
 type Config struct {
-	Streams     int           // limit on concurrent calls on one connection
-	Conns       int           // limit on connections to one node
-	Queue       int           // limit on calls queued for a node beyond the concurrent ones
-	MaxValue    int           // limit on the bytes of a value
-	DialTimeout time.Duration // until the server's settings arrive, including TLS
-	Idle        time.Duration // after which a connection without calls is closed
-	WriteLimit  time.Duration // for a single write
+	StreamsPerConn int           // limit on concurrent calls on one connection
+	ConnsPerNode   int           // limit on connections to one node
+	QueuePerNode   int           // limit on calls queued for a node beyond the concurrent ones
+	MaxValue       int           // limit on the bytes of a value
+	DialTimeout    time.Duration // until the server's settings arrive, including TLS
+	IdleTimeout    time.Duration // after which a connection without calls is closed
+	WriteTimeout   time.Duration // for a single write
 }
 
 // QueryInfo is the interface to a query's front. Query.Data must implement it.
-type Call interface {
+type QueryInfo interface {
 	// ClassName returns the name of the query's class.
 	ClassName() string
 	// RecordFailure records why an attempt returned nothing usable.
-	Note(translate.Reason)
+	RecordFailure(translate.Reason)
 }
 
 // Backend implements core.Backend for nodes of the new form.
 type Backend struct {
 	cfg         Config
-	credentials *Keyring
+	credentials *Credentials
 	budget      *lnet.Budget
 	log         *slog.Logger
 	counts      *core.Counts
@@ -66,7 +66,7 @@
 }
 
 // New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
-func New(cfg Config, credentials *Keyring, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
+func New(cfg Config, credentials *Credentials, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
 	return &Backend{cfg: cfg, credentials: credentials, budget: budget, log: log, counts: counts, tally: tally,
 		post: post, nodes: map[balance.ReplicaID]*node{}, inFlight: map[*core.Attempt]*conn{}}
@@ -108,7 +108,7 @@
 
 // SetTargets replaces the list of nodes. Connections to nodes that were removed or whose target changed
 // accept no new calls; calls in flight on them continue.
-func (b *Backend) Learn(list []Target) {
+func (b *Backend) SetTargets(list []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.nodes
@@ -141,7 +141,7 @@
 }
 
 // RetireTLSConns retires all TLS connections, so that new calls use connections with the current credentials.
-func (b *Backend) Rekey() {
+func (b *Backend) RetireTLSConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range b.nodes {
@@ -173,8 +173,8 @@
 		return
 	}
 	q := a.Query
-	p := Part{ID: q.Name + "." + strconv.Itoa(a.Shard), Shard: uint32(a.Shard), Filter: q.Text}
-	if c, ok := q.Data.(Call); ok {
+	p := Part{ID: q.Name + "." + strconv.Itoa(a.Shard), Shard: uint32(a.Shard), Filter: q.Payload}
+	if c, ok := q.Data.(QueryInfo); ok {
 		p.Class = c.ClassName()
 	}
 	for i := range q.Parts {
@@ -211,7 +211,7 @@
 // reportNotSent reports an attempt that was not sent. It does so on a goroutine of its own, as the core is in
 // Send at this point and must not wait for itself.
 func (b *Backend) reportNotSent(a *core.Attempt, outcome balance.Outcome) {
-	go b.post(core.Outcome{Attempt: a, Outcome: outcome})
+	go b.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 }
 
 // pickConn returns the connection with the most free capacity, or opens a new one if all are full. It
@@ -238,7 +238,7 @@
 	if best != nil && bestFree > 0 {
 		return best
 	}
-	if live < b.cfg.Conns && b.budget.TakeServer() {
+	if live < b.cfg.ConnsPerNode && b.budget.AcquireServer() {
 		c := newConn(b, n)
 		n.conns = append(n.conns, c)
 		go c.writeLoop()
@@ -248,14 +248,14 @@
 		b.log.Warn("no file descriptor is left for a connection to a node", "node", n.name)
 		return nil
 	}
-	if queued >= b.cfg.Queue {
+	if queued >= b.cfg.QueuePerNode {
 		return nil
 	}
 	return best
 }
 
 // Cancel cancels an attempt. It returns true if the attempt certainly never ran.
-func (b *Backend) Withdraw(a *core.Attempt) bool {
+func (b *Backend) Cancel(a *core.Attempt) bool {
 	b.mu.Lock()
 	c := b.inFlight[a]
 	delete(b.inFlight, a)
@@ -285,7 +285,7 @@
 }
 
 // CancelQueued removes the attempts that are queued for a node and not started, and returns them.
-func (b *Backend) Stop(to balance.ReplicaID) (cancelled []*core.Attempt) {
+func (b *Backend) CancelQueued(to balance.ReplicaID) (cancelled []*core.Attempt) {
 	if n := b.node(to); n != nil {
 		for _, c := range n.connections() {
 			cancelled = append(cancelled, c.takePending()...)
@@ -325,14 +325,14 @@
 	report []float32) {
 	b.forget(a)
 	b.tally.Add(r.Reason)
-	if c, ok := a.Query.Data.(Call); ok && r.Reason != translate.None {
-		c.Note(r.Reason)
+	if c, ok := a.Query.Data.(QueryInfo); ok && r.Reason != translate.None {
+		c.RecordFailure(r.Reason)
 	}
 	if r.Reason.Untranslatable() {
 		b.log.Warn("a node's answer has no equivalent in the old form", "node", n.name, "call", a.Query.Name,
 			"shard", a.Shard, "why", r.Reason)
 	}
-	b.post(core.Outcome{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
+	b.post(core.AttemptDone{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
 
 func (b *Backend) probeDone(n *node, outcome balance.Outcome, elapsed time.Duration) {
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -146,7 +146,7 @@
 func (c *conn) load() int { return len(c.pending) + len(c.streams) }
 
 // maxCalls returns the limit on concurrent calls; the caller holds mu.
-func (c *conn) maxCalls() int { return int(min(uint32(c.backend.cfg.Streams), c.maxStreams)) }
+func (c *conn) maxCalls() int { return int(min(uint32(c.backend.cfg.StreamsPerConn), c.maxStreams)) }
 
 // enqueue queues a call. It returns false if the connection accepts no new calls.
 func (c *conn) enqueue(s *stream) bool {
@@ -349,7 +349,7 @@
 		if s.endWritten || s.endQueued && writing { // how much of a write in progress gets out is unknown
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
-				r = translate.Result{Outcome: balance.Spoilt, Reason: translate.BadReply}
+				r = translate.Result{Outcome: balance.Malformed, Reason: translate.BadReply}
 			}
 		}
 		c.backend.finishAttempt(c.node, s.attempt, r, core.Value{}, nil)
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -34,13 +34,13 @@
 	c.mu.Unlock()
 	defer c.closeStarts()
 	go c.readLoop(sock)
-	idleTimeout := c.backend.cfg.Idle
+	idleTimeout := c.backend.cfg.IdleTimeout
 	startedAt := time.Now()
 	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	var buf []byte
 	for {
-		_ = sock.SetWriteDeadline(time.Now().Add(c.backend.cfg.WriteLimit))
+		_ = sock.SetWriteDeadline(time.Now().Add(c.backend.cfg.WriteTimeout))
 		c.mu.Lock()
 		if c.closed {
 			c.mu.Unlock()
@@ -86,7 +86,7 @@
 			s := c.endMarks[0].stream
 			s.endWritten, s.writtenAt = true, time.Now()
 			c.endMarks = c.endMarks[1:]
-			c.backend.counts.Tries.Add(1)
+			c.backend.counts.AttemptsSent.Add(1)
 		}
 		c.lastUsed = time.Now()
 		c.mu.Unlock()
@@ -101,7 +101,7 @@
 // idleWait decides whether a connection that has nothing to write is to be closed, and otherwise how long the
 // write loop may wait; the caller holds mu.
 func (c *conn) idleWait(age time.Duration) (closeNow bool, wait time.Duration) {
-	idleTimeout := c.backend.cfg.Idle
+	idleTimeout := c.backend.cfg.IdleTimeout
 	unused := time.Since(c.lastUsed)
 	wait = idleTimeout - unused
 	if !c.gotSettings {
@@ -110,7 +110,7 @@
 		wait = min(wait, time.Until(c.pending[0].deadline))
 	}
 	for _, s := range c.sending { // one that is being sent may expire
-		if startBy := s.attempt.Before; !startBy.IsZero() {
+		if startBy := s.attempt.StartBy; !startBy.IsZero() {
 			wait = min(wait, time.Until(startBy)+time.Millisecond)
 		}
 	}
@@ -123,7 +123,7 @@
 // droppedCall is a call that must not be started or continued, and the reason.
 type droppedCall struct {
 	stream *stream
-	reason core.Hold
+	reason core.HoldReason
 }
 
 // reportDropped reports calls that never ran to the core.
@@ -133,7 +133,7 @@
 			core.Value{}, nil)
 	}
 	for _, d := range dropped {
-		if d.reason != core.MayBegin {
+		if d.reason != core.NoHold {
 			c.backend.log.Info("attempt not started", "node", c.node.name, "query", d.stream.attempt.Query.Name,
 				"shard", d.stream.attempt.Shard, "why", string(d.reason))
 		}
@@ -209,7 +209,7 @@
 		!c.retired {
 		s := c.pending[0]
 		c.pending = c.pending[1:]
-		if hold := c.tryStart(s, now); hold != core.MayBegin {
+		if hold := c.tryStart(s, now); hold != core.NoHold {
 			delete(c.byAttempt, s.attempt)
 			dropped = append(dropped, droppedCall{s, hold})
 			continue
@@ -238,7 +238,7 @@
 		for i := 0; i < len(c.sending) && c.out.Len() < writeHighWater; i++ {
 			s := c.sending[i]
 			// The window of its key is over: its last byte must not be sent any more.
-			if startBy := s.attempt.Before; !startBy.IsZero() && now.After(startBy) {
+			if startBy := s.attempt.StartBy; !startBy.IsZero() && now.After(startBy) {
 				c.resetStream(s, http2.ErrCodeCancel)
 				c.remove(s)
 				dropped = append(dropped, droppedCall{stream: s})
@@ -269,17 +269,17 @@
 }
 
 // tryStart begins the write of a call's first byte unless something holds it back; the caller holds mu.
-func (c *conn) tryStart(s *stream, now time.Time) core.Hold {
+func (c *conn) tryStart(s *stream, now time.Time) core.HoldReason {
 	if !now.Before(s.deadline) {
-		return core.HoldOverdue
+		return core.HoldExpired
 	}
 	_, hold := s.attempt.BeginWrite(c, now)
 	return hold
 }
 
 func expired(s *stream, now time.Time) bool {
-	return s.attempt.Query.Over() || !now.Before(s.deadline) ||
-		!s.attempt.Before.IsZero() && !now.Before(s.attempt.Before)
+	return s.attempt.Query.Finished() || !now.Before(s.deadline) ||
+		!s.attempt.StartBy.IsZero() && !now.Before(s.attempt.StartBy)
 }
 
 // writeHeaders queues a call's header frames; the caller holds mu.
--- a/internal/grpcnode/credentials.go
+++ b/internal/grpcnode/credentials.go
@@ -17,30 +17,30 @@
 
 // CredentialFiles names the files of the credentials. Cert and Key are optional: the nodes may not require
 // them.
-type KeyFiles struct {
+type CredentialFiles struct {
 	CA   string // the authority that signs the nodes' certificates
 	Cert string // this client's certificate
 	Key  string
 }
 
 // Credentials holds the TLS configuration for new connections.
-type Keyring struct {
-	files    KeyFiles
+type Credentials struct {
+	files    CredentialFiles
 	mu       sync.Mutex // guards lastRead; allows one reload at a time
 	lastRead []byte     // the files' contents when last read
 	current  atomic.Pointer[tls.Config]
 }
 
 // LoadCredentials reads the files for the first time.
-func OpenKeyring(files KeyFiles) (*Keyring, error) {
-	k := &Keyring{files: files}
+func LoadCredentials(files CredentialFiles) (*Credentials, error) {
+	k := &Credentials{files: files}
 	_, err := k.Reload()
 	return k, err
 }
 
 // Reload reads the files again and reports whether the credentials have changed. An error is reported once
 // per content of the files.
-func (k *Keyring) Reload() (bool, error) {
+func (k *Credentials) Reload() (bool, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var texts [3][]byte
@@ -82,7 +82,7 @@
 }
 
 // Config returns the TLS configuration for a connection to a server of the given name.
-func (k *Keyring) Config(name string) *tls.Config {
+func (k *Credentials) Config(name string) *tls.Config {
 	c := k.current.Load().Clone()
 	c.ServerName = name
 	return c
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -138,31 +138,31 @@
 	t            *testing.T
 	backend      *Backend
 	mu           sync.Mutex
-	outcomes     map[*core.Attempt]core.Outcome
+	outcomes     map[*core.Attempt]core.AttemptDone
 	outcomeCount map[*core.Attempt]int
 	probes       []core.ProbeDone
 	sent         int
 }
 
-var testConfig = Config{Streams: 4, Conns: 1, Queue: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
-	Idle:       time.Minute,
-	WriteLimit: time.Second}
+var testConfig = Config{StreamsPerConn: 4, ConnsPerNode: 1, QueuePerNode: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
+	IdleTimeout:  time.Minute,
+	WriteTimeout: time.Second}
 
-func newRig(t *testing.T, cfg Config, credentials *Keyring, nodes ...Target) *rig {
-	r := &rig{t: t, outcomes: map[*core.Attempt]core.Outcome{}, outcomeCount: map[*core.Attempt]int{}}
+func newRig(t *testing.T, cfg Config, credentials *Credentials, nodes ...Target) *rig {
+	r := &rig{t: t, outcomes: map[*core.Attempt]core.AttemptDone{}, outcomeCount: map[*core.Attempt]int{}}
 	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			switch e := e.(type) {
-			case core.Outcome:
+			case core.AttemptDone:
 				r.outcomes[e.Attempt] = e
 				r.outcomeCount[e.Attempt]++
 			case core.ProbeDone:
 				r.probes = append(r.probes, e)
 			}
 		})
-	r.backend.Learn(nodes)
+	r.backend.SetTargets(nodes)
 	t.Cleanup(r.backend.Close)
 	return r
 }
@@ -172,17 +172,17 @@
 // send sends one attempt with a payload of size bytes.
 func (r *rig) send(size int, timeout time.Duration, startBy ...time.Time) *core.Attempt {
 	r.sent++
-	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent), Text: []byte(strings.Repeat("x", size)),
+	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent), Payload: []byte(strings.Repeat("x", size)),
 		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
 	if len(startBy) > 0 {
-		a.Before = startBy[0]
+		a.StartBy = startBy[0]
 	}
-	a.Until = time.Now().Add(a.Timeout)
+	a.Deadline = time.Now().Add(a.Timeout)
 	r.backend.Send(a.Replica, []*core.Attempt{a})
 	return a
 }
 
-func (r *rig) ended(a *core.Attempt) (core.Outcome, bool) {
+func (r *rig) ended(a *core.Attempt) (core.AttemptDone, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o, ok := r.outcomes[a]
@@ -245,7 +245,7 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.backend.counts.Tries.Load() == 3 })
+		standin.Until(t, "both to be written", func() bool { return r.backend.counts.AttemptsSent.Load() == 3 })
 		close(sent)
 		r.want("the call not accepted", second, balance.NotSent)
 		r.want("the call after it", third, balance.NotSent)
@@ -314,10 +314,10 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a call that expired in the queue", r.send(10, 50*time.Millisecond), balance.NotSent)
-		if !r.backend.Withdraw(r.send(10, time.Minute)) {
+		if !r.backend.Cancel(r.send(10, time.Minute)) {
 			t.Error("a queued call is reported as possibly run")
 		}
-		if r.backend.Withdraw(first) {
+		if r.backend.Cancel(first) {
 			t.Error("a completely written call is reported as never run")
 		}
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
@@ -346,7 +346,7 @@
 	r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
-	back := r.backend.Stop(core.ServerID("a"))
+	back := r.backend.CancelQueued(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d calls returned", len(back))
 	}
@@ -366,7 +366,7 @@
 		return standin.NewDo{Text: "v"}
 	})
 	cfg := testConfig
-	cfg.Conns, cfg.Queue = 2, 2
+	cfg.ConnsPerNode, cfg.QueuePerNode = 2, 2
 	r := newRig(t, cfg, nil, target(n))
 	var all []*core.Attempt
 	for i := range 3 {
@@ -417,7 +417,7 @@
 func TestConcurrentSendsAndWritesDoNotDeadlock(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
 	cfg := testConfig
-	cfg.Streams, cfg.Conns, cfg.Queue = 100, 2, 1000
+	cfg.StreamsPerConn, cfg.ConnsPerNode, cfg.QueuePerNode = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
 	done := make(chan bool)
 	go func() {
@@ -470,13 +470,13 @@
 		}
 	}()
 	cfg := testConfig
-	cfg.WriteLimit = 200 * time.Millisecond
+	cfg.WriteTimeout = 200 * time.Millisecond
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
 		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.backend.budget.Used() == 0 })
+	standin.Until(t, "the descriptors", func() bool { return r.backend.budget.InUse() == 0 })
 }
 
 // A connection that has gone silent is detected by a ping, once a call on it has timed out.
@@ -502,7 +502,7 @@
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	a, b := r.send(10, time.Minute), r.send(10, time.Minute)
 	time.Sleep(250 * time.Millisecond)
-	if r.backend.Withdraw(a) {
+	if r.backend.Cancel(a) {
 		t.Error("a completely written call is reported as never run")
 	}
 	r.want("the other call", b, balance.Reset)
@@ -529,7 +529,7 @@
 func TestCredentialsReload(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
-	files := KeyFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
+	files := CredentialFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
 		"key")}
 	put := func(path string, b []byte) {
 		if err := os.WriteFile(path, b, 0o600); err != nil {
@@ -539,7 +539,7 @@
 	pair := func(name string) { c, k := ca.Issue(name); put(files.Cert, c); put(files.Key, k) }
 	put(files.CA, ca.PEM())
 	pair("one")
-	credentials, err := OpenKeyring(files)
+	credentials, err := LoadCredentials(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -587,7 +587,7 @@
 	if changed, err := credentials.Reload(); !changed || err != nil {
 		t.Fatalf("%v %v", changed, err)
 	}
-	r.backend.Rekey()
+	r.backend.RetireTLSConns()
 	r.want("a call with the new credentials", r.send(10, time.Minute), balance.OK)
 	if _, ok := r.ended(open); ok {
 		t.Error("the call in flight ended")
@@ -601,7 +601,7 @@
 	}
 	wrong := to
 	wrong.ServerName = "somebody"
-	r.backend.Learn([]Target{wrong})
+	r.backend.SetTargets([]Target{wrong})
 	r.want("a node with another name", r.send(10, time.Minute), balance.NoConnection)
 }
 
@@ -616,7 +616,7 @@
 	r := newRig(t, testConfig, nil, Target{Name: "a", Address: l.Addr().String()})
 	node := r.backend.nodes[core.ServerID("a")]
 	for range 50 {
-		if !r.backend.budget.TakeServer() {
+		if !r.backend.budget.AcquireServer() {
 			t.Fatal("no descriptor")
 		}
 		c := newConn(r.backend, node)
--- a/internal/net/admission.go
+++ b/internal/net/admission.go
@@ -21,40 +21,40 @@
 const maxEvictions = 8
 
 // AdmissionController wraps an admission.Controller with a lock and a clock. It is safe for concurrent use.
-type Keeper struct {
+type AdmissionController struct {
 	mu               sync.Mutex // guards all fields below
-	decisions        *admission.Gate
+	decisions        *admission.Controller
 	epoch            time.Time
 	closers          map[uint64]func() bool // by connection: closes it if it is idle
 	handshakeTimeout time.Duration
 }
 
 // NewAdmissionController returns a controller without connections.
-func NewKeeper(l admission.Limits) *Keeper {
-	return &Keeper{decisions: admission.New(l), epoch: time.Now(), closers: map[uint64]func() bool{},
-		handshakeTimeout: time.Duration(l.ProveIn) * time.Microsecond}
+func NewAdmissionController(l admission.Limits) *AdmissionController {
+	return &AdmissionController{decisions: admission.New(l), epoch: time.Now(), closers: map[uint64]func() bool{},
+		handshakeTimeout: time.Duration(l.ProveTimeout) * time.Microsecond}
 }
 
-func (ac *Keeper) now() admission.Micros { return time.Since(ac.epoch).Microseconds() }
+func (ac *AdmissionController) now() admission.Micros { return time.Since(ac.epoch).Microseconds() }
 
 // SetLimits applies new limits. Admitted connections, bans and pins stay.
-func (ac *Keeper) Adopt(l admission.Limits) {
+func (ac *AdmissionController) SetLimits(l admission.Limits) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
-	ac.decisions.Adopt(l)
-	ac.handshakeTimeout = time.Duration(l.ProveIn) * time.Microsecond
+	ac.decisions.SetLimits(l)
+	ac.handshakeTimeout = time.Duration(l.ProveTimeout) * time.Microsecond
 }
 
 // decide asks for a decision on a new connection, and evicts idle connections if the decision requires it.
-func (ac *Keeper) decide(c net.Conn, authenticates bool, capacity int) admission.Decision {
+func (ac *AdmissionController) decide(c net.Conn, authenticates bool, capacity int) admission.Decision {
 	addr, _ := netip.ParseAddrPort(c.RemoteAddr().String())
 	for range maxEvictions {
 		ac.mu.Lock()
-		d := ac.decisions.Arrive(ac.now(),
-			admission.Arrival{Addr: addr.Addr(), Proves: authenticates, Places: capacity})
+		d := ac.decisions.Decide(ac.now(),
+			admission.Arrival{Addr: addr.Addr(), Authenticates: authenticates, Capacity: capacity})
 		closeIfIdle := ac.closers[d.ID]
 		ac.mu.Unlock()
-		if d.Verdict != admission.MakeRoom {
+		if d.Outcome != admission.EvictIdle {
 			return d
 		}
 		if closeIfIdle != nil && closeIfIdle() {
@@ -63,45 +63,45 @@
 			ac.markBusy(d.ID) // part of a request has arrived: it is not idle
 		}
 	}
-	return admission.Decision{Verdict: admission.Refuse, Reason: admission.Full, After: 1_000_000}
+	return admission.Decision{Outcome: admission.Refuse, Reason: admission.Full, RetryAfter: 1_000_000}
 }
 
 // setCloser sets the function that closes an admitted connection if it is idle.
-func (ac *Keeper) setCloser(id uint64, closeIfIdle func() bool) {
+func (ac *AdmissionController) setCloser(id uint64, closeIfIdle func() bool) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	ac.closers[id] = closeIfIdle
 }
 
 // Release records that a connection has ended.
-func (ac *Keeper) Release(id uint64) {
+func (ac *AdmissionController) Release(id uint64) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	delete(ac.closers, id)
-	ac.decisions.Leave(id)
+	ac.decisions.Remove(id)
 }
 
-func (ac *Keeper) markBusy(id uint64) {
+func (ac *AdmissionController) markBusy(id uint64) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
-	ac.decisions.Use(id)
+	ac.decisions.MarkBusy(id)
 }
 
-func (ac *Keeper) markIdle(id uint64) {
+func (ac *AdmissionController) markIdle(id uint64) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
-	ac.decisions.Rest(id)
+	ac.decisions.MarkIdle(id)
 }
 
 // handshakeDone records the identity that a TLS handshake has established.
-func (ac *Keeper) handshakeDone(id uint64, identity string, known bool) admission.Decision {
+func (ac *AdmissionController) handshakeDone(id uint64, identity string, known bool) admission.Decision {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
-	return ac.decisions.Prove(ac.now(), id, identity, known)
+	return ac.decisions.Authenticate(ac.now(), id, identity, known)
 }
 
 // BanOrPin bans a prefix for a time, or pins it as known. Idle connections of a banned prefix are closed.
-func (ac *Keeper) Hold(p netip.Prefix, pinned bool, span time.Duration) {
+func (ac *AdmissionController) BanOrPin(p netip.Prefix, pinned bool, span time.Duration) {
 	ac.mu.Lock()
 	until := ac.now() + span.Microseconds()
 	if pinned {
@@ -111,7 +111,7 @@
 	}
 	ac.decisions.Ban(p, until)
 	closers := map[uint64]func() bool{}
-	for _, id := range ac.decisions.Held(p) {
+	for _, id := range ac.decisions.ConnsIn(p) {
 		closers[id] = ac.closers[id]
 	}
 	ac.mu.Unlock()
@@ -123,7 +123,7 @@
 }
 
 // Lift removes a ban or a pin.
-func (ac *Keeper) Lift(p netip.Prefix) {
+func (ac *AdmissionController) Lift(p netip.Prefix) {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	ac.decisions.Lift(p)
@@ -131,7 +131,7 @@
 
 // AdmissionStatus is the controller's state as shown to operators.
 type AdmissionStatus struct {
-	admission.Figures
+	admission.Stats
 	Overrides []PrefixOverride `json:"holds"`
 }
 
@@ -143,12 +143,12 @@
 }
 
 // Stats returns the counters, the n busiest addresses, and the bans and pins in force.
-func (ac *Keeper) Figures(n int) AdmissionStatus {
+func (ac *AdmissionController) Stats(n int) AdmissionStatus {
 	ac.mu.Lock()
 	defer ac.mu.Unlock()
 	now := ac.now()
-	a := AdmissionStatus{Figures: ac.decisions.Figures(n), Overrides: []PrefixOverride{}}
-	for _, h := range ac.decisions.Holds(now) {
+	a := AdmissionStatus{Stats: ac.decisions.Stats(n), Overrides: []PrefixOverride{}}
+	for _, h := range ac.decisions.Overrides(now) {
 		a.Overrides = append(a.Overrides, PrefixOverride{h.Prefix.String(), h.Pinned, float64(h.Until-now) / 1e6})
 	}
 	return a
@@ -157,7 +157,7 @@
 // admissionSlot is an admitted connection's slot at the admission controller. The zero slot has no
 // controller.
 type admissionSlot struct {
-	controller *Keeper
+	controller *AdmissionController
 	id         uint64
 }
 
@@ -180,34 +180,34 @@
 }
 
 // AdmittedConn is an admitted connection of another protocol's listener.
-type Guest struct{ admissionSlot }
+type AdmittedConn struct{ admissionSlot }
 
 // Admit requests admission for a connection of another protocol's listener; closeIfIdle closes it if it is
 // idle. If the connection is refused, Admit returns when the client may come back.
-func (ac *Keeper) Enter(c net.Conn, budget *Budget, closeIfIdle func() bool) (Guest, bool, time.Duration) {
+func (ac *AdmissionController) Admit(c net.Conn, budget *Budget, closeIfIdle func() bool) (AdmittedConn, bool, time.Duration) {
 	d := ac.decide(c, false, budget.ClientCapacity())
-	if d.Verdict == admission.Refuse {
-		return Guest{}, false, time.Duration(d.After) * time.Microsecond
+	if d.Outcome == admission.Refuse {
+		return AdmittedConn{}, false, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !budget.acquireAdmitted() {
 		ac.Release(d.ID)
-		return Guest{}, false, time.Second
+		return AdmittedConn{}, false, time.Second
 	}
 	ac.setCloser(d.ID, closeIfIdle)
-	return Guest{admissionSlot{ac, d.ID}}, true, 0
+	return AdmittedConn{admissionSlot{ac, d.ID}}, true, 0
 }
 
 // MarkBusy, MarkIdle and Release record that the connection carries a request, carries none, and has ended.
-func (a Guest) Use()   { a.markBusy() }
-func (a Guest) Rest()  { a.markIdle() }
-func (a Guest) Leave() { a.release() }
+func (a AdmittedConn) MarkBusy() { a.markBusy() }
+func (a AdmittedConn) MarkIdle() { a.markIdle() }
+func (a AdmittedConn) Release()  { a.release() }
 
 // Handshake makes the TLS handshake on a client connection and returns the client's authenticated identity.
-type Secure func(c net.Conn) (secured net.Conn, identity string, err error)
+type Handshake func(c net.Conn) (secured net.Conn, identity string, err error)
 
 // TLSHandshake returns a Handshake that reads the current configuration each time. A client without a
 // certificate has no identity.
-func SecureBy(config func() *tls.Config) Secure {
+func TLSHandshake(config func() *tls.Config) Handshake {
 	return func(c net.Conn) (net.Conn, string, error) {
 		t := tls.Server(c, config())
 		if err := t.Handshake(); err != nil {
--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -21,7 +21,7 @@
 // NewBudget returns a budget of capacity descriptors, of which clients cannot use the reserved ones.
 func NewBudget(capacity, reserved int) *Budget {
 	b := &Budget{}
-	b.Limit(capacity, reserved, max(2, min(SpareMost, capacity/4)))
+	b.SetLimits(capacity, reserved, max(2, min(MaxOverflow, capacity/4)))
 	b.ringMemory.available.Store(ringMemorySize)
 	return b
 }
@@ -46,7 +46,7 @@
 
 // AcquireServer acquires a descriptor for a connection to a server. If none is left, it evicts a client
 // connection that is idle between requests, as keeping that one open serves no request.
-func (b *Budget) TakeServer() bool {
+func (b *Budget) AcquireServer() bool {
 	if b.tryAcquire(0) {
 		return true
 	}
@@ -76,7 +76,7 @@
 }
 
 // AcquireClient acquires a descriptor for a client connection.
-func (b *Budget) TakeClient() bool {
+func (b *Budget) AcquireClient() bool {
 	if !b.tryAcquire(b.reserved.Load()) {
 		return false
 	}
@@ -108,17 +108,17 @@
 
 // SetLimits changes the budget, and how many clients beyond it may stay connected until they are refused.
 // Descriptors in use beyond the new limits stay valid until they are released.
-func (b *Budget) Limit(capacity, reserved, maxOverflow int) {
+func (b *Budget) SetLimits(capacity, reserved, maxOverflow int) {
 	b.capacity.Store(int64(capacity))
 	b.reserved.Store(int64(reserved))
 	b.maxOverflow.Store(int64(maxOverflow))
 }
 
 // Capacity returns the total number of descriptors.
-func (b *Budget) Most() int { return int(b.capacity.Load()) }
+func (b *Budget) Capacity() int { return int(b.capacity.Load()) }
 
 // InUse returns the number of descriptors in use.
-func (b *Budget) Used() int { return int(b.inUse.Load()) }
+func (b *Budget) InUse() int { return int(b.inUse.Load()) }
 
 // Release releases one descriptor.
 func (b *Budget) Release() { b.inUse.Add(-1) }
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -36,7 +36,7 @@
 	discardSize     = 16 << 10              // per read of discarded input
 	idleTimeout     = 10 * time.Second      // for a client connection between requests
 	overflowTimeout = time.Second           // for a connection beyond the budget, until it is refused
-	SpareMost       = 16                    // upper limit on connections beyond the budget
+	MaxOverflow     = 16                    // upper limit on connections beyond the budget
 	pollInterval    = 5 * time.Millisecond  // between checks whether all connections have ended
 	// A client must get a reply or a close within 3 s of connecting, even if it sends half a request or none.
 	requestTimeout = 2500 * time.Millisecond
@@ -57,7 +57,7 @@
 		timeout = c.slot.controller.handshakeTimeout
 	}
 	_ = c.conn.SetDeadline(time.Now().Add(timeout))
-	secured, identity, err := c.server.Secure(c.conn)
+	secured, identity, err := c.server.Handshake(c.conn)
 	if err != nil {
 		c.server.log.Warn("TLS handshake failed", "client", c.conn.RemoteAddr(), "err", err)
 		c.closeSocket()
@@ -69,8 +69,8 @@
 	c.replies = newReplyWriter(secured, &c.server.watchdog)
 	if c.slot.controller != nil {
 		if d := c.slot.controller.handshakeDone(c.slot.id, identity,
-			identity != ""); d.Verdict == admission.Refuse {
-			c.rejected, c.retryAfter = true, time.Duration(d.After)*time.Microsecond
+			identity != ""); d.Outcome == admission.Refuse {
+			c.rejected, c.retryAfter = true, time.Duration(d.RetryAfter)*time.Microsecond
 		}
 	}
 	go c.readLoop()
@@ -257,7 +257,7 @@
 				arrived = clock.arrivalTime(time.Now())
 			}
 			c.mu.Lock()
-			c.in.Grew(n)
+			c.in.Commit(n)
 			if n > 0 {
 				c.lastRead = arrived
 			}
@@ -353,7 +353,7 @@
 		case readErr != nil:
 			return nil, readErr
 		case overrun:
-			return nil, &BadMessage{Status: 413, What: "more was sent ahead than is held"}
+			return nil, &BadMessage{Status: 413, Detail: "more was sent ahead than is held"}
 		case closing && idle && (c.hadRequest || graceLeft <= 0):
 			return nil, errIdleClose
 		case closing && idle:
@@ -373,9 +373,9 @@
 			case startedAt.IsZero():
 				return nil, errIdleClose
 			case !deadline.IsZero() && !time.Now().Before(deadline):
-				return nil, &BadMessage{Status: 503, What: "this coordinator ends"}
+				return nil, &BadMessage{Status: 503, Detail: "this coordinator ends"}
 			}
-			return nil, &BadMessage{Status: 408, What: "the request did not come to its end in time"}
+			return nil, &BadMessage{Status: 408, Detail: "the request did not come to its end in time"}
 		}
 	}
 }
@@ -400,8 +400,8 @@
 		req, err := c.nextRequest()
 		var bad *BadMessage
 		if errors.As(err, &bad) {
-			_ = c.writeReply(Response{Status: bad.Status, Body: []byte(bad.What + "\n")}, true, false)
-			c.server.log.Warn("bad request", "client", c.conn.RemoteAddr(), "why", bad.What)
+			_ = c.writeReply(Response{Status: bad.Status, Body: []byte(bad.Detail + "\n")}, true, false)
+			c.server.log.Warn("bad request", "client", c.conn.RemoteAddr(), "why", bad.Detail)
 			c.lingerClose()
 			return
 		}
@@ -430,8 +430,8 @@
 				"status", resp.Status, "err", err)
 			return
 		}
-		if !resp.Decided.IsZero() {
-			c.server.Delays.Note(delay.Reply, time.Since(resp.Decided), "client", c.conn.RemoteAddr(),
+		if !resp.DecidedAt.IsZero() {
+			c.server.Delays.Record(delay.Reply, time.Since(resp.DecidedAt), "client", c.conn.RemoteAddr(),
 				"query", req.ID(), "status", resp.Status)
 		}
 		if closeAfter {
@@ -448,13 +448,13 @@
 func (c *serverConn) exchange(req *Request) (Response, bool) {
 	x, reply := NewExchange(c.raw)
 	if !c.withinBudget || c.rejected {
-		if c.server.TurnedAway != nil {
-			c.server.TurnedAway(req)
+		if c.server.OnRejected != nil {
+			c.server.OnRejected(req)
 		}
 		r := Response{Status: 503, Body: []byte("too many connections\n")}
 		after := time.Duration(max(1, math.Ceil(c.retryAfter.Seconds()))) * time.Second
-		if c.server.Advise != nil {
-			after = c.server.Advise(after)
+		if c.server.CapRetryAfter != nil {
+			after = c.server.CapRetryAfter(after)
 		}
 		if after > 0 {
 			r.Header = [][2]string{{"Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}}
@@ -480,7 +480,7 @@
 				onDisconnect()
 			}
 			c.server.log.Info("client left with a request out", "client", c.conn.RemoteAddr(), "path", req.Path,
-				"query", req.ID(), "after", time.Since(req.At), "err", err)
+				"query", req.ID(), "after", time.Since(req.ReceivedAt), "err", err)
 			return Response{}, false
 		}
 	}
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -20,39 +20,39 @@
 // BadMessage is the error for an invalid message, with the status code to reply with.
 type BadMessage struct {
 	Status int
-	What   string
+	Detail string
 }
 
-func (e *BadMessage) Error() string { return e.What }
+func (e *BadMessage) Error() string { return e.Detail }
 
 func badMessage(status int, format string, args ...any) error {
-	return &BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+	return &BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
 // Request is a complete request. ReceivedAt is when its last byte arrived.
 type Request struct {
-	Method string
-	Path   string
-	Query  string
-	Header textproto.MIMEHeader
-	Body   []byte
-	Close  bool
-	At     time.Time
+	Method     string
+	Path       string
+	Query      string
+	Header     textproto.MIMEHeader
+	Body       []byte
+	Close      bool
+	ReceivedAt time.Time
 }
 
 // Response is a complete reply to a client.
 type Response struct {
-	Status int
-	Type   string // text/plain if empty
-	Header [][2]string
-	Body   []byte
-	Close  bool
+	Status      int
+	ContentType string // text/plain if empty
+	Header      [][2]string
+	Body        []byte
+	Close       bool
 	// DecidedAt is when the answer was decided, to record late replies; zero: unknown.
-	Decided time.Time
+	DecidedAt time.Time
 }
 
 // ReasonPhrase returns the reason phrase of a status code.
-func Reason(status int) string {
+func ReasonPhrase(status int) string {
 	switch status {
 	case 200:
 		return "OK"
@@ -182,7 +182,7 @@
 		}
 	}
 	path, query, _ := strings.Cut(target, "?")
-	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, At: at,
+	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, ReceivedAt: at,
 		Close: wantsClose(h) || proto == "HTTP/1.0"}, missing, nil
 }
 
@@ -320,16 +320,16 @@
 // reading the clock would delay the reply after the decision.
 func writeResponse(chunk *replyChunk, out *Ring, r Response, closeAfter, headOnly bool) error {
 	w := &ringWriter{w: chunk, ring: out}
-	date := r.Decided
+	date := r.DecidedAt
 	if date.IsZero() {
 		date = time.Now()
 	}
-	contentType := r.Type
+	contentType := r.ContentType
 	if contentType == "" {
 		contentType = "text/plain; charset=utf-8"
 	}
 	fmt.Fprintf(w, "HTTP/1.1 %d %s\r\nDate: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", r.Status,
-		Reason(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), contentType, len(r.Body))
+		ReasonPhrase(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), contentType, len(r.Body))
 	for _, h := range r.Header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
 	}
@@ -356,13 +356,13 @@
 // Client is a connection to a server that carries one request at a time. It is not safe for concurrent use,
 // except that Close may be called at any time and ends a request in progress.
 type Client struct {
-	conn     net.Conn
-	in, out  *Ring
-	maxBody  int
-	reusable bool // the connection may carry another request
-	Idle     time.Time
+	conn      net.Conn
+	in, out   *Ring
+	maxBody   int
+	reusable  bool // the connection may carry another request
+	IdleSince time.Time
 	// ReserveBytes, if set, is called before a body grows by n bytes; if it returns false the request fails.
-	Grant func(n int) bool
+	ReserveBytes func(n int) bool
 }
 
 // Dial opens a connection. A reply's body may have at most maxBody bytes.
@@ -376,13 +376,13 @@
 }
 
 // Close closes the connection.
-func (c *Client) Close() { Cut(c.conn) }
+func (c *Client) Close() { AbortAndClose(c.conn) }
 
 // Abort guarantees that no further byte of a request is sent; a request in progress fails.
 func (c *Client) Abort() { Abort(c.conn) }
 
 // Reusable reports whether the connection may carry another request.
-func (c *Client) Sound() bool { return c.reusable }
+func (c *Client) Reusable() bool { return c.reusable }
 
 // Do sends a request and reads its reply, up to the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
@@ -420,7 +420,7 @@
 		return badMessage(502, "the reply's head is too large")
 	}
 	n, err := c.conn.Read(free)
-	c.in.Grew(n)
+	c.in.Commit(n)
 	if n > 0 {
 		return nil
 	}
@@ -463,7 +463,7 @@
 			}
 		}
 		c.reusable = persistent && proto == "HTTP/1.1" && !wantsClose(h) && c.in.Len() == 0
-		c.Idle = time.Now()
+		c.IdleSince = time.Now()
 		return r, nil
 	}
 }
@@ -511,7 +511,7 @@
 		}
 		segment := c.in.FirstSegment()
 		segment = segment[:min(uint64(len(segment)), n)]
-		if c.Grant != nil && !c.Grant(len(segment)) {
+		if c.ReserveBytes != nil && !c.ReserveBytes(len(segment)) {
 			return nil, badMessage(502, "no memory is left for the reply")
 		}
 		b = append(b, segment...)
--- a/internal/net/interleaving_test.go
+++ b/internal/net/interleaving_test.go
@@ -80,7 +80,7 @@
 	e.Server = NewServer(holdingListener{l, onAccept}, NewBudget(10, 0),
 		slog.New(slog.NewTextHandler(io.Discard, nil)), e.handle)
 	go e.Serve()
-	t.Cleanup(func() { e.Finish(); e.StopListening() })
+	t.Cleanup(func() { e.Drain(); e.StopListening() })
 	return e
 }
 
@@ -116,7 +116,7 @@
 	}
 	io.WriteString(c, postRequest("hold"))
 	<-server.arrived // the bytes have left the kernel and nothing else has seen them
-	e.Finish()
+	e.Drain()
 	server.awaitHalfClose(t)
 	close(server.after)
 	if rest, err := io.ReadAll(c); err != nil || len(rest) != 0 {
@@ -151,7 +151,7 @@
 		return false
 	})
 	io.WriteString(c, postRequest("hold"))
-	e.Finish()
+	e.Drain()
 	server.awaitHalfClose(t)
 	close(server.before)
 	all, err := io.ReadAll(c)
@@ -250,7 +250,7 @@
 	for _, late := range []bool{false, true} {
 		e := serve(t, NewBudget(10, 0))
 		conn := dialRaw(t, e)
-		waitFor(t, "the connection", func() bool { return e.Open() == 1 })
+		waitFor(t, "the connection", func() bool { return e.OpenConns() == 1 })
 		since := time.Now().Add(time.Hour) // in the future, as the machine may be slow
 		if late {
 			since = time.Now().Add(-gracePeriod)
@@ -262,7 +262,7 @@
 			c.mu.Unlock()
 		}
 		e.Server.mu.Unlock()
-		e.Finish()
+		e.Drain()
 		if !late {
 			io.WriteString(conn, postRequest("x"))
 		}
@@ -292,7 +292,7 @@
 		}
 		return false
 	})
-	e.Finish()
+	e.Drain()
 	ended := make(chan bool, 1)
 	go func() { ended <- e.Wait(incompleteMargin + 50*time.Millisecond) }()
 	all, err := io.ReadAll(c)
@@ -318,11 +318,11 @@
 	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
 	for i := range 2 {
-		if !b.TakeServer() {
+		if !b.AcquireServer() {
 			t.Fatalf("no descriptor for server %d despite an idle client", i)
 		}
 	}
-	if b.TakeServer() {
+	if b.AcquireServer() {
 		t.Fatal("a client with a request was evicted")
 	}
 	if _, err := idleClient.Read(time.Now().Add(9 * time.Second)); !errors.Is(err, io.EOF) {
@@ -341,7 +341,7 @@
 		}
 		waitFor(t, "an idle client", func() bool { return e.idle() == 1 })
 		for range 3 - i {
-			if !b.TakeServer() {
+			if !b.AcquireServer() {
 				t.Fatalf("no descriptor for a server despite an idle client of front %d", i)
 			}
 		}
--- a/internal/net/ring.go
+++ b/internal/net/ring.go
@@ -64,7 +64,7 @@
 }
 
 // Commit appends the n bytes that the caller has written into the segment returned by Free.
-func (r *Ring) Grew(n int) { r.length += n }
+func (r *Ring) Commit(n int) { r.length += n }
 
 func (r *Ring) grow(need int) bool {
 	if need <= len(r.buf) {
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -59,15 +59,15 @@
 	draining        bool
 	closeAfterReply atomic.Bool
 	// OnRejected, if set, is called for each request refused because too many connections are open.
-	TurnedAway func(r *Request)
+	OnRejected func(r *Request)
 	// CapRetryAfter, if set, adjusts the Retry-After sent to such a client; 0: send none.
-	Advise func(after time.Duration) time.Duration
+	CapRetryAfter func(after time.Duration) time.Duration
 	// Delays, if set, records replies that were written late.
 	Delays *delay.Recorder
 	// Admission, if set, decides which connections are admitted. Handshake, if set, makes the TLS handshake.
 	// Both must be set before Serve is called.
-	Keeper      *Keeper
-	Secure      Secure
+	Admission   *AdmissionController
+	Handshake   Handshake
 	watchdog    watchdog.Watchdog
 	startedAt   time.Time    // when the server was created
 	lastRequest atomic.Int64 // when the last request was taken, in nanoseconds since startedAt
@@ -117,7 +117,7 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	var spare spareDescriptor
-	if s.Keeper != nil {
+	if s.Admission != nil {
 		spare.open()
 	}
 	for {
@@ -153,7 +153,7 @@
 		if slot.controller != nil {
 			slot.controller.setCloser(slot.id, sc.closeIfIdle)
 		}
-		if s.Secure != nil {
+		if s.Handshake != nil {
 			go sc.handshake()
 			continue
 		}
@@ -165,22 +165,22 @@
 // admit acquires a descriptor for a connection. If it is refused, retryAfter is when the client may come
 // back.
 func (s *Server) admit(c net.Conn) (withinBudget bool, slot admissionSlot, retryAfter time.Duration) {
-	if s.Keeper == nil {
-		withinBudget = s.budget.TakeClient()
+	if s.Admission == nil {
+		withinBudget = s.budget.AcquireClient()
 		if !withinBudget && s.evict(rankBusy) {
-			withinBudget = s.budget.TakeClient()
+			withinBudget = s.budget.AcquireClient()
 		}
 		return withinBudget, admissionSlot{}, time.Second
 	}
-	d := s.Keeper.decide(c, s.Secure != nil, s.budget.ClientCapacity())
-	if d.Verdict == admission.Refuse {
-		return false, admissionSlot{}, time.Duration(d.After) * time.Microsecond
+	d := s.Admission.decide(c, s.Handshake != nil, s.budget.ClientCapacity())
+	if d.Outcome == admission.Refuse {
+		return false, admissionSlot{}, time.Duration(d.RetryAfter) * time.Microsecond
 	}
 	if !s.budget.acquireAdmitted() { // a node connection has taken it in the meantime
-		s.Keeper.Release(d.ID)
+		s.Admission.Release(d.ID)
 		return false, admissionSlot{}, time.Second
 	}
-	return true, admissionSlot{s.Keeper, d.ID}, 0
+	return true, admissionSlot{s.Admission, d.ID}, 0
 }
 
 // remove forgets a connection that has ended.
@@ -221,18 +221,18 @@
 }
 
 // EvictStalled closes a connection that no request is expected on, if there is one.
-func (s *Server) MakeWay() bool { return s.evict(rankIdle) }
+func (s *Server) EvictStalled() bool { return s.evict(rankIdle) }
 
 // CloseAfterReply makes every further reply close its connection. Idle connections stay open, as a request
 // may be on its way.
-func (s *Server) Wind() { s.closeAfterReply.Store(true) }
+func (s *Server) CloseAfterReply() { s.closeAfterReply.Store(true) }
 
 // Drain shuts the server down: every further reply closes its connection, and connections that are or become
 // idle are closed. The goroutine that serves a connection closes it, between two requests: it shuts down the
 // sending side and keeps reading until the client has left, so that no reply in flight is lost and no
 // request is taken that is not answered.
-func (s *Server) Finish() {
-	s.Wind()
+func (s *Server) Drain() {
+	s.CloseAfterReply()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
@@ -248,7 +248,7 @@
 func (s *Server) LastRequest() time.Time { return s.startedAt.Add(time.Duration(s.lastRequest.Load())) }
 
 // OpenConns returns the number of open connections.
-func (s *Server) Open() int {
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
@@ -274,7 +274,7 @@
 		c.signal()
 	}
 	s.mu.Unlock()
-	for ; s.Open() > 0; time.Sleep(pollInterval) {
+	for ; s.OpenConns() > 0; time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
 			return false
 		}
--- a/internal/net/socket.go
+++ b/internal/net/socket.go
@@ -179,7 +179,7 @@
 
 // AbortAndClose closes a connection whose writer may be in a system call. Close alone would still let that
 // call send its bytes once its thread resumes, as the descriptor stays open until the call returns.
-func Cut(c net.Conn) {
+func AbortAndClose(c net.Conn) {
 	Abort(c)
 	_ = c.Close()
 }
--- a/internal/net/transient.go
+++ b/internal/net/transient.go
@@ -47,13 +47,13 @@
 
 // RetryingReader reads from a connection and retries reads that fail transiently. It is not safe for
 // concurrent use.
-type PassingReader struct {
+type RetryingReader struct {
 	Conn     net.Conn
 	failures transientFailures
 }
 
 // Read reads once from the connection, retrying transient failures.
-func (r *PassingReader) Read(b []byte) (int, error) {
+func (r *RetryingReader) Read(b []byte) (int, error) {
 	for {
 		n, err := r.Conn.Read(b)
 		if n > 0 || err == nil || !r.failures.retry(r.Conn, err) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -129,9 +129,9 @@
 	return c, c.derive()
 }
 
-// Alone is the configuration of a coordinator without the platform: no clients' front of its own, no
+// Standalone is the configuration of a coordinator without the platform: no clients' front of its own, no
 // discovery.
-func Alone(settings map[string]any) (*Config, error) {
+func Standalone(settings map[string]any) (*Config, error) {
 	text, err := json.Marshal(map[string]any{"settings": settings})
 	if err != nil {
 		return nil, err
@@ -153,9 +153,9 @@
 		}
 	}
 	c.Fleet = f
-	c.Module.TellMost = fleet.MostMessage
+	c.Module.TellMost = fleet.MaxMessage
 	if c.raw == nil {
-		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.Size(), f.Place(), true
+		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.MaxMembers(), f.RosterIndex(), true
 	}
 	return nil
 }
@@ -517,7 +517,7 @@
 				zone = j
 			}
 		}
-		state := balance.Gone
+		state := balance.Removed
 		switch h.Health {
 		case inService:
 			state = balance.Ready
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -83,10 +83,10 @@
 	return n
 }
 
-// Learn takes in where nodes are; of a whole list, that the others are gone. It must come before the core
+// UpdateHosts takes in where nodes are; of a whole list, that the others are gone. It must come before the core
 // hears of them. What is gone is forgotten once nothing of it is out: ids never come again, and would else
 // pile up. What is new is returned, to be logged once the core has heard of it.
-func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeNews) {
+func (n *Nodes) UpdateHosts(hosts []Host, whole bool) (news []nodeNews) {
 	n.mu.Lock()
 	var anew, idle []*nodeConn
 	first := len(n.nodes) == 0
@@ -234,7 +234,7 @@
 	if best == nil {
 		best = mute
 	}
-	if !n.budget.TakeServer() {
+	if !n.budget.AcquireServer() {
 		return best // no descriptor is left: it waits behind others
 	}
 	c := &nodeConn{n: n, node: x, waiting: map[string]*core.Attempt{},
@@ -245,8 +245,8 @@
 	return c
 }
 
-// Withdraw gives an attempt up: if its frame is not begun it is taken back, else the node is told.
-func (n *Nodes) Withdraw(a *core.Attempt) bool {
+// Cancel gives an attempt up: if its frame is not begun it is taken back, else the node is told.
+func (n *Nodes) Cancel(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
 	var c *nodeConn
@@ -304,8 +304,8 @@
 	}
 }
 
-// Stop takes back what is queued for a node and not begun: nothing of it may go out any more.
-func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
+// CancelQueued takes back what is queued for a node and not begun: nothing of it may go out any more.
+func (n *Nodes) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	var back []*core.Attempt
 	for _, c := range n.connsOf(to) {
 		c.mu.Lock()
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -42,24 +42,24 @@
 	firstWord = time.Second // that a start waits for discovery before it serves by an older list
 )
 
-// Extra is another front on the same core.
-type Extra interface {
+// ExtraFront is another front on the same core.
+type ExtraFront interface {
 	// Backend takes its queries' parts to their servers.
 	Backend() core.Backend
 	// Start begins to serve; the core runs.
 	Start(c *core.Core, budget *lnet.Budget) error
-	// Settle tells of new settings, in which classes have kept their places.
-	Settle(s balance.Settings)
-	ender
+	// ApplySettings tells of new settings, in which classes have kept their places.
+	ApplySettings(s balance.Settings)
+	drainer
 }
 
-// ender is a listener with its connections, as far as ending goes.
-type ender interface {
-	Retire()                // tells who asks that it is not ready any more
+// drainer is a listener with its connections, as far as ending goes.
+type drainer interface {
+	MarkNotReady()          // tells who asks that it is not ready any more
 	StopListening()         // no new connections
-	Wind()                  // from now on replies end their connections
+	CloseAfterReply()       // from now on replies end their connections
 	LastRequest() time.Time // when a request last came
-	Finish()                // and idle ones are closed
+	Drain()                 // and idle ones are closed
 	Wait(most time.Duration) bool
 }
 
@@ -72,10 +72,10 @@
 	server    *lnet.Server
 	nodes     *Nodes
 	delays    *delay.Recorder
-	peers     *peers
+	peers     *peerSocket
 	fleet     *fleet.Fleet // nil: there is none
 	failed    chan error   // hears once why this process must not go on serving
-	extras    []Extra
+	extras    []ExtraFront
 	door      *admin.Door
 	ending    atomic.Bool
 	accepting atomic.Bool   // the fronts were started
@@ -100,7 +100,7 @@
 }
 
 // Start starts a coordinator.
-func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
+func Start(cfg *Config, log *slog.Logger, extras ...ExtraFront) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
 		listed: make(chan struct{}), conf: cfg, failed: make(chan error, 1)}
 	h, beside := inherit(cfg, log)
@@ -121,9 +121,9 @@
 	}
 	k.front = NewFront(cfg, log, k.nodes)
 	conf := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
-		Delays: k.delays,
-		Listed: func() { close(k.listed) },
-		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
+		Delays:      k.delays,
+		OnFirstList: func() { close(k.listed) },
+		ServerName:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
 	if cfg.PeerListen != "" && !cfg.fleetCarriesPeers() {
 		if k.peers, err = listenPeers(cfg, log, post, h); err != nil {
@@ -136,8 +136,8 @@
 			return nil, err
 		}
 		conf.Peers = k.fleet
-		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Gate = limits{k, &atomic.Pointer[ranked]{}}
+		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.OverloadEnabled() {
+			conf.Admission = fleetGate{k, &atomic.Pointer[ranked]{}}
 		}
 		k.judge(&conf)
 	}
@@ -146,7 +146,7 @@
 		beside: beside}
 	k.watcher = w
 	if cfg.Module.Subscribe {
-		conf.Lister = w
+		conf.Discovery = w
 	}
 	if k.core, err = core.New(conf); err != nil {
 		return nil, err
@@ -161,7 +161,7 @@
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.Advise
+		k.server.OnRejected, k.server.CapRetryAfter = k.front.TurnAway, k.core.CapRetryAfter
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
@@ -170,15 +170,15 @@
 		k.upgrade.place = make(chan *fleet.Handover, 1)
 	}
 	if h != nil {
-		k.core.Post(core.Inherited{Out: h.greeting.Out, Barred: h.greeting.Barred, Since: h.greeting.Since,
-			Memory: h.greeting.Memory, Now: h.greeting.Now})
+		k.core.Post(core.HandoverState{Cordons: h.greeting.Out, FleetCordons: h.greeting.Barred, RestoredAt: h.greeting.Since,
+			Memory: h.greeting.Memory, Clock: h.greeting.Now})
 		k.upgrade.follow(h)
 	}
 	if cfg.Known != nil { // what was known before a restart: enough to begin with
 		w.seq = cfg.Known.Seq
-		news := k.nodes.Learn(cfg.Known.Hosts, true)
-		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
-			Heard: time.Now()})
+		news := k.nodes.UpdateHosts(cfg.Known.Hosts, true)
+		k.core.Post(core.ListUpdate{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
+			ReceivedAt: time.Now()})
 		k.nodes.logNews(news)
 	}
 	if k.peers != nil {
@@ -266,7 +266,7 @@
 		}
 	}
 	if beside {
-		k.core.Cordoned(linkWait) // behind the list in the core's queue: once it is back, that is taken in
+		k.core.HandoverState(linkWait) // behind the list in the core's queue: once it is back, that is taken in
 	}
 	k.upgrade.ready()
 	k.front.ready.Store(!k.ending.Load()) // before a client is heard, who would else be told no
@@ -291,8 +291,8 @@
 // budgetOf is how many descriptors clients and nodes share.
 func budgetOf(sockets int, door bool) int { return max(32, sockets-ownSockets-doorNeeds(door)) }
 
-// ClientPlaces is how many clients there can be at most, where the process may hold so many descriptors.
-func ClientPlaces(sockets int, door bool) int {
+// MaxClients is how many clients there can be at most, where the process may hold so many descriptors.
+func MaxClients(sockets int, door bool) int {
 	most := budgetOf(sockets, door)
 	return most - most/nodeShare
 }
@@ -300,8 +300,8 @@
 // Addr is the address that clients reach.
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
-// Door is the address of the operators' door.
-func (k *Coordinator) Door() string { return k.door.Addr() }
+// AdminAddr is the address of the operators' door.
+func (k *Coordinator) AdminAddr() string { return k.door.Addr() }
 
 // doorState is what the operators' door shows of a coordinator.
 type doorState struct{ k *Coordinator }
@@ -313,10 +313,10 @@
 func (d doorState) Figures() admin.Figures {
 	c := d.k.core.Counts()
 	f := admin.Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
-		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
+		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(), PoolEjected: c.AvoidedServers.Load(),
+		ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
-		f.OK[name], f.Shed[name], f.Errors[name] = x.Of(core.Answered), x.Of(core.Refused), x.Of(core.Failed)
+		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused), x.Count(core.Failed)
 	}
 	for _, x := range d.k.extras {
 		if t, ok := x.(interface{ Figures() map[string]int64 }); ok {
@@ -327,12 +327,14 @@
 }
 
 // Delays are the actions that were carried out late.
-func (d doorState) Delays() any { return d.k.delays.Figures() }
+func (d doorState) Delays() any { return d.k.delays.Stats() }
 
 // Gate says who is let in; nil where only the budget does.
 func (d doorState) Gate() admin.Gate {
 	for _, x := range d.k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
 			return gate{g.Gate()}
 		}
 	}
@@ -364,16 +366,16 @@
 		if c.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if c.Out && !d.k.core.Knows(core.ServerID(c.ID), within) {
+	} else if c.Out && !d.k.core.IsListed(core.ServerID(c.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	s, err := d.k.fleet.Say(v, within, c.Wait)
+	s, err := d.k.fleet.IssueVerdict(v, within, c.Wait)
 	switch {
-	case errors.Is(err, fleet.ErrLate):
+	case errors.Is(err, fleet.ErrTimeout):
 		err = admin.ErrLate
-	case errors.Is(err, fleet.ErrNothing):
+	case errors.Is(err, fleet.ErrNoVerdict):
 		err = admin.ErrUnknown
-	case errors.Is(err, verdict.ErrForm):
+	case errors.Is(err, verdict.ErrInvalid):
 		err = admin.ErrForm
 	}
 	return s, len(s.Missing) == 0, err
@@ -396,16 +398,16 @@
 }
 
 // gate is a keeper in the door's terms.
-type gate struct{ *lnet.Keeper }
+type gate struct{ *lnet.AdmissionController }
 
 // Figures are what the door shows.
-func (g gate) Figures(n int) any { return g.Keeper.Figures(n) }
+func (g gate) Figures(n int) any { return g.AdmissionController.Stats(n) }
 
 // Cordon puts a data node out or back.
 func (d doorState) Cordon(id string, out bool, within time.Duration) error {
 	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
 	if known {
-		d.k.upgrade.pass(core.ServerID(id), core.Here, out)
+		d.k.upgrade.pass(core.ServerID(id), core.ByOperator, out)
 	}
 	switch {
 	case !inTime:
@@ -438,7 +440,7 @@
 		return err
 	}
 	for _, x := range k.extras {
-		x.Settle(fresh.Module)
+		x.ApplySettings(fresh.Module)
 		if c, ok := x.(interface{ Conform(*Config) }); ok {
 			c.Conform(fresh)
 		}
@@ -454,7 +456,7 @@
 	if watched {
 		k.watcher.moveTo(fresh.Discovery)
 	}
-	k.core.Counts().Applied.Add(1)
+	k.core.Counts().ConfigsApplied.Add(1)
 	k.log.Info("configuration reloaded", "discovery", fresh.Discovery, "classes", cfg.Classes)
 	return nil
 }
@@ -466,7 +468,7 @@
 	if k.halved {
 		s.ColdShare /= 2
 	}
-	k.core.Post(core.Reconfigured{Settings: s})
+	k.core.Post(core.SettingsChanged{Settings: s})
 }
 
 // halve begins or ends the time in which two processes serve.
@@ -481,7 +483,7 @@
 
 // Reject tells that a configuration was turned down: the old one stays, whole.
 func (k *Coordinator) Reject(err error) {
-	k.core.Counts().Rejected.Add(1)
+	k.core.Counts().ConfigsRejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
 
@@ -496,7 +498,7 @@
 	if !handed { // else the coordinator is there as ever, whichever process is asked
 		k.front.ready.Store(false)
 	}
-	var ends []ender
+	var ends []drainer
 	if k.server != nil {
 		ends = append(ends, platformEnd{k.server})
 	}
@@ -506,12 +508,12 @@
 		}
 	}
 	for _, x := range ends {
-		x.Retire()
+		x.MarkNotReady()
 	}
 	k.mu.Lock()
 	answerOn, endingLimit := k.conf.ending()
 	k.mu.Unlock()
-	idle := k.core.Finish(begun.Add(answerOn))
+	idle := k.core.Shutdown(begun.Add(answerOn))
 	if !handed {
 		time.Sleep(acceptOn)
 		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-serveLeast; {
@@ -533,7 +535,7 @@
 	}
 	for _, x := range ends {
 		x.StopListening()
-		x.Finish()
+		x.Drain()
 	}
 	select {
 	case <-idle:
@@ -552,13 +554,13 @@
 
 // lead has clients go over to the successor: the next reply on a connection ends it. An idle one stays open
 // up to the time given, as a request may be on its way, and closing would cross it.
-func (k *Coordinator) lead(ends []ender, until time.Time) {
+func (k *Coordinator) lead(ends []drainer, until time.Time) {
 	if k.peers != nil {
 		_ = k.peers.c.Close() // what comes now is for the successor
 	}
 	for _, x := range ends {
 		x.StopListening()
-		x.Wind()
+		x.CloseAfterReply()
 	}
 	for _, x := range ends {
 		x.Wait(max(0, time.Until(until)))
@@ -579,18 +581,18 @@
 // platformEnd is the platform's front as far as ending goes; /up says by itself that it is not ready.
 type platformEnd struct{ *lnet.Server }
 
-// Retire has nothing left to do.
-func (platformEnd) Retire() {}
+// MarkNotReady has nothing left to do.
+func (platformEnd) MarkNotReady() {}
 
 // Close ends at once, as a test wants it.
 func (k *Coordinator) Close() {
 	if k.server != nil {
-		k.server.Finish()
+		k.server.Drain()
 		k.server.StopListening()
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			x.Finish()
+			x.Drain()
 			x.StopListening()
 		}
 	}
@@ -615,8 +617,8 @@
 	})
 }
 
-// peers carries datagrams between coordinators.
-type peers struct {
+// peerSocket carries datagrams between coordinators.
+type peerSocket struct {
 	cfg  *Config
 	log  *slog.Logger
 	post func(core.Event)
@@ -632,8 +634,8 @@
 	text string
 }
 
-func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peers, error) {
-	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
+func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peerSocket, error) {
+	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
@@ -661,7 +663,7 @@
 }
 
 // Tell queues a datagram; where the queue is full it is lost, as any may be.
-func (p *peers) Tell(to uint32, text string) {
+func (p *peerSocket) Tell(to uint32, text string) {
 	if len(text) == 0 || len(text) > maxDatagram { // a longer one is forbidden
 		p.log.Error("a message to a peer has an impossible length", "bytes", len(text))
 		return
@@ -682,7 +684,7 @@
 	}
 }
 
-func (p *peers) write() {
+func (p *peerSocket) write() {
 	for d := range p.out {
 		if _, err := p.c.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
 			return
@@ -690,7 +692,7 @@
 	}
 }
 
-func (p *peers) read() {
+func (p *peerSocket) read() {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.c.ReadFromUDP(buf)
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -209,7 +209,7 @@
 			renewed = false
 			if asked {
 				watching = false
-				w.post(core.Listed{Mode: balance.Failed})
+				w.post(core.ListUpdate{Mode: balance.Failed})
 				continue
 			}
 			whole = true // what the watch has missed costs nothing
@@ -230,8 +230,8 @@
 	if list.Whole {
 		mode = balance.Full
 	}
-	news := w.nodes.Learn(list.Hosts, list.Whole)
-	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
+	news := w.nodes.UpdateHosts(list.Hosts, list.Whole)
+	w.post(core.ListUpdate{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), ReceivedAt: time.Now()})
 	w.nodes.logNews(news)
 	if list.Whole {
 		select {
@@ -272,7 +272,7 @@
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
 	c := k.c
-	if k.over || c != nil && (err != nil || !c.Sound()) {
+	if k.over || c != nil && (err != nil || !c.Reusable()) {
 		if c != nil {
 			c.Close()
 		}
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -200,7 +200,7 @@
 	if p.Settings.Classes[f.class].Effect != balance.Safe {
 		return nil, fmt.Errorf("class %q is not safe to repeat, as range queries are", cfg.Class)
 	}
-	f.Settle(p.Settings)
+	f.ApplySettings(p.Settings)
 	if p.Shards < 1 || p.Shards > maxShards {
 		return nil, fmt.Errorf("%d shards are not possible", p.Shards)
 	}
@@ -217,8 +217,8 @@
 	return f, nil
 }
 
-// Settle takes new settings in.
-func (f *Front) Settle(s balance.Settings) { f.rules.Store(&s.Classes[f.class]) }
+// ApplySettings takes new settings in.
+func (f *Front) ApplySettings(s balance.Settings) { f.rules.Store(&s.Classes[f.class]) }
 
 // tenantHeader names the tenant, as range-query services with several tenants have it.
 const tenantHeader = "X-Scope-OrgID"
@@ -252,7 +252,7 @@
 			list = append(list, balance.Replica{ID: core.ServerID(s.Name), Cell: s.Cell, State: balance.Ready,
 				Zone: slices.Index(f.place.Zones, s.Zone), Size: size})
 		}
-		c.Post(core.Listed{Mode: balance.Full, Replicas: list})
+		c.Post(core.ListUpdate{Mode: balance.Full, Replicas: list})
 	}
 	go l.Serve()
 	return nil
@@ -261,17 +261,17 @@
 // Addr is the address that clients reach.
 func (f *Front) Addr() string { return f.listener.Addr() }
 
-// Retire tells who asks that this front is not ready any more.
-func (f *Front) Retire() { f.ending.Store(true) }
+// MarkNotReady tells who asks that this front is not ready any more.
+func (f *Front) MarkNotReady() { f.ending.Store(true) }
 
 // LastRequest is when a request last came.
 func (f *Front) LastRequest() time.Time { return f.listener.LastRequest() }
 
-// Wind has replies end their connections from now on.
-func (f *Front) Wind() { f.listener.Wind() }
+// CloseAfterReply has replies end their connections from now on.
+func (f *Front) CloseAfterReply() { f.listener.CloseAfterReply() }
 
-// Finish lets every reply end its connection.
-func (f *Front) Finish() { f.listener.Finish() }
+// Drain lets every reply end its connection.
+func (f *Front) Drain() { f.listener.Drain() }
 
 // StopListening closes the listener.
 func (f *Front) StopListening() { f.listener.StopListening() }
@@ -284,7 +284,7 @@
 	if err != nil {
 		return lnet.Response{Status: 500}
 	}
-	return lnet.Response{Status: e.status, Type: "application/json", Body: b}
+	return lnet.Response{Status: e.status, ContentType: "application/json", Body: b}
 }
 
 // unavailable is a refusal. Retry-After is in whole seconds, as HTTP has it.
@@ -361,25 +361,25 @@
 	if q.timeout > 0 {
 		wait = min(wait, q.timeout)
 	}
-	j := &job{f: f, q: q, x: x, deadline: r.At.Add(wait)}
+	j := &job{f: f, q: q, x: x, deadline: r.ReceivedAt.Add(wait)}
 	if rules.Dropped || rules.Effect != balance.Safe { // then the module would not decide for range queries
-		j.reply(unavailable("unavailable", f.core.FullAdvice(),
+		j.reply(unavailable("unavailable", f.core.FullRetryAfter(),
 			fmt.Errorf("class %q is not there for range queries now", f.cfg.Class)))
 		return nil
 	}
 	cq := &core.Query{Name: "range-" + strconv.FormatUint(f.number.Add(1), 10), Class: f.class,
-		Deadline: j.deadline, Client: j, Via: f, Data: j, Caller: r.Header.Get(tenantHeader),
+		Deadline: j.deadline, Client: j, Backend: f, Data: j, Caller: r.Header.Get(tenantHeader),
 		ClientLeft: x.ClientLeft}
 	for s := range f.place.Shards {
 		cq.Parts = append(cq.Parts, core.PartSpec{Shard: s, Weight: 1})
 	}
 	if !f.core.Submit(cq) {
-		j.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
 	return func() {
 		j.close()
-		f.core.Leave(cq)
+		f.core.Abandon(cq)
 	}
 }
 
@@ -416,8 +416,8 @@
 }
 
 // Final replies. The core's goroutine calls it, so that what takes time is done elsewhere.
-func (j *job) Final(f core.Final) {
-	switch f.Ending {
+func (j *job) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		go func() {
 			defer j.close()
@@ -438,7 +438,7 @@
 				errors.New("not every shard can answer now: refused rather than thin")))
 		}
 	default:
-		j.reply(unavailable("timeout", j.f.core.FullAdvice(), errors.New("the query was not decided in time")))
+		j.reply(unavailable("timeout", j.f.core.FullRetryAfter(), errors.New("the query was not decided in time")))
 	}
 	j.close()
 }
@@ -458,7 +458,7 @@
 
 // answer merges the shards' results. What is missing or in conflict is never left out without a word: the
 // query is refused, or, where the class's floor allows it, its answer is marked partial.
-func (j *job) answer(f core.Final) lnet.Response {
+func (j *job) answer(f core.FinalAnswer) lnet.Response {
 	parts := make([]*shardResult, 0, len(f.Values))
 	for _, v := range f.Values {
 		if r, ok := v.Data.(*shardResult); ok {
@@ -482,7 +482,7 @@
 	if missing := j.missing(parts); len(missing) > 0 {
 		share := float64(len(parts)) / float64(j.f.place.Shards)
 		if floor := j.f.rules.Load().Floor; len(parts) == 0 || share < floor-1e-9 {
-			return unavailable("unavailable", j.f.core.FullAdvice(),
+			return unavailable("unavailable", j.f.core.FullRetryAfter(),
 				fmt.Errorf("shards %v are missing or in conflict: refused rather than thin", missing))
 		}
 		warnings = append([]string{fmt.Sprintf("partial answer: %d of %d shards are missing: %v",
@@ -505,7 +505,7 @@
 	if err != nil {
 		return errorReply(&apiError{500, "internal", err})
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: body}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: body}
 }
 
 // missing are the shards that nothing is in from.
--- a/internal/promql/servers.go
+++ b/internal/promql/servers.go
@@ -44,8 +44,8 @@
 	return true
 }
 
-// Withdraw ends an attempt: its connection is closed, as HTTP knows no other way.
-func (f *Front) Withdraw(a *core.Attempt) bool {
+// Cancel ends an attempt: its connection is closed, as HTTP knows no other way.
+func (f *Front) Cancel(a *core.Attempt) bool {
 	f.mu.Lock()
 	fl := f.flights[a]
 	f.mu.Unlock()
@@ -61,8 +61,8 @@
 	return !fl.began
 }
 
-// Stop withdraws what is not begun.
-func (f *Front) Stop(to balance.ReplicaID) []*core.Attempt {
+// CancelQueued withdraws what is not begun.
+func (f *Front) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var back []*core.Attempt
@@ -130,7 +130,7 @@
 	s.mu.Lock()
 	var old []*lnet.Client
 	s.idle = slices.DeleteFunc(s.idle, func(c *lnet.Client) bool {
-		over := time.Since(c.Idle) >= f.idleLimit()
+		over := time.Since(c.IdleSince) >= f.idleLimit()
 		if over {
 			old = append(old, c)
 		}
@@ -151,14 +151,14 @@
 	for len(s.idle) > 0 {
 		last := s.idle[len(s.idle)-1] // the freshest
 		s.idle = s.idle[:len(s.idle)-1]
-		if time.Since(last.Idle) < f.idleLimit() {
+		if time.Since(last.IdleSince) < f.idleLimit() {
 			s.mu.Unlock()
 			return last
 		}
 		defer f.drop(last)
 	}
 	s.mu.Unlock()
-	if !f.budget.TakeServer() {
+	if !f.budget.AcquireServer() {
 		f.place.Log.Warn("no descriptor is left for a server", "server", s.name)
 		return nil
 	}
@@ -172,7 +172,7 @@
 
 // put keeps a connection that may go on.
 func (f *Front) put(s *server, c *lnet.Client) {
-	if c.Grant = nil; c.Sound() {
+	if c.ReserveBytes = nil; c.Reusable() {
 		s.mu.Lock()
 		keep := len(s.idle) < maxIdle
 		if keep {
@@ -204,7 +204,7 @@
 		fl.f.held.Add(-fl.granted)
 	}
 	if !cancelled {
-		fl.f.core.Post(core.Outcome{Attempt: fl.a, Outcome: o, Value: v})
+		fl.f.core.Post(core.AttemptDone{Attempt: fl.a, Outcome: o, Value: v})
 	}
 }
 
@@ -226,7 +226,7 @@
 	if c == nil {
 		return balance.NoConnection, core.Value{}
 	}
-	c.Grant = fl.grant
+	c.ReserveBytes = fl.grant
 	until := begun.Add(fl.a.Timeout)
 	now := time.Now()
 	body := j.q.form(fl.a.Shard, until.Sub(now)).Encode()
@@ -241,7 +241,7 @@
 		fl.leave()
 		return balance.NoConnection, core.Value{}
 	}
-	fl.f.core.Counts().Tries.Add(1)
+	fl.f.core.Counts().AttemptsSent.Add(1)
 	reply, err := c.Read(until.Add(readSlack))
 	fl.leave()
 	if err != nil {
@@ -278,7 +278,7 @@
 	if fl.cancelled {
 		return false
 	}
-	if _, hold := fl.a.BeginWrite(c, now); hold != core.MayBegin {
+	if _, hold := fl.a.BeginWrite(c, now); hold != core.NoHold {
 		fl.f.place.Log.Info("attempt not begun", "server", fl.s.name, "query", fl.a.Query.Name,
 			"shard", fl.a.Shard, "why", string(hold))
 		return false
