--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -144,7 +144,8 @@
 	sent         int
 }
 
-var testConfig = Config{StreamsPerConn: 4, ConnsPerNode: 1, QueuePerNode: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
+var testConfig = Config{StreamsPerConn: 4, ConnsPerNode: 1, QueuePerNode: 8, MaxValue: 4096,
+	DialTimeout:  2 * time.Second,
 	IdleTimeout:  time.Minute,
 	WriteTimeout: time.Second}
 
@@ -172,8 +173,9 @@
 // send sends one attempt with a payload of size bytes.
 func (r *rig) send(size int, timeout time.Duration, startBy ...time.Time) *core.Attempt {
 	r.sent++
-	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent), Payload: []byte(strings.Repeat("x", size)),
-		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
+	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.sent),
+		Payload: []byte(strings.Repeat("x", size)), Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1,
+		Replica: core.ServerID("a"), Timeout: timeout}
 	if len(startBy) > 0 {
 		a.StartBy = startBy[0]
 	}
@@ -529,8 +531,8 @@
 func TestCredentialsReload(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
-	files := CredentialFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
-		"key")}
+	files := CredentialFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"),
+		Key: filepath.Join(dir, "key")}
 	put := func(path string, b []byte) {
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/net/admission.go
+++ b/internal/net/admission.go
@@ -31,8 +31,8 @@
 
 // NewAdmissionController returns a controller without connections.
 func NewAdmissionController(l admission.Limits) *AdmissionController {
-	return &AdmissionController{decisions: admission.New(l), epoch: time.Now(), closers: map[uint64]func() bool{},
-		handshakeTimeout: time.Duration(l.ProveTimeout) * time.Microsecond}
+	return &AdmissionController{decisions: admission.New(l), epoch: time.Now(),
+		closers: map[uint64]func() bool{}, handshakeTimeout: time.Duration(l.ProveTimeout) * time.Microsecond}
 }
 
 func (ac *AdmissionController) now() admission.Micros { return time.Since(ac.epoch).Microseconds() }
@@ -184,7 +184,8 @@
 
 // Admit requests admission for a connection of another protocol's listener; closeIfIdle closes it if it is
 // idle. If the connection is refused, Admit returns when the client may come back.
-func (ac *AdmissionController) Admit(c net.Conn, budget *Budget, closeIfIdle func() bool) (AdmittedConn, bool, time.Duration) {
+func (ac *AdmissionController) Admit(c net.Conn, budget *Budget,
+	closeIfIdle func() bool) (AdmittedConn, bool, time.Duration) {
 	d := ac.decide(c, false, budget.ClientCapacity())
 	if d.Outcome == admission.Refuse {
 		return AdmittedConn{}, false, time.Duration(d.RetryAfter) * time.Microsecond
