--- a/internal/grpcnode/credentials.go
+++ b/internal/grpcnode/credentials.go
@@ -33,18 +33,18 @@
 
 // LoadCredentials reads the files for the first time.
 func LoadCredentials(files CredentialFiles) (*Credentials, error) {
-	k := &Credentials{files: files}
-	_, err := k.Reload()
-	return k, err
+	cr := &Credentials{files: files}
+	_, err := cr.Reload()
+	return cr, err
 }
 
-// Reload reads the files again and reports whether the credentials have changed. An error is reported once
-// per content of the files.
-func (k *Credentials) Reload() (bool, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// Reload reads the files again and reports whether the credentials have changed. Invalid contents are
+// reported as an error only once.
+func (cr *Credentials) Reload() (bool, error) {
+	cr.mu.Lock()
+	defer cr.mu.Unlock()
 	var texts [3][]byte
-	for i, path := range []string{k.files.CA, k.files.Cert, k.files.Key} {
+	for i, path := range []string{cr.files.CA, cr.files.Cert, cr.files.Key} {
 		if path == "" {
 			continue
 		}
@@ -55,35 +55,35 @@
 		texts[i] = text
 	}
 	all := bytes.Join(texts[:], []byte{0})
-	if k.current.Load() != nil && bytes.Equal(all, k.lastRead) {
+	if cr.current.Load() != nil && bytes.Equal(all, cr.lastRead) {
 		return false, nil
 	}
-	k.lastRead = all
+	cr.lastRead = all
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(texts[0]) {
-		return false, fmt.Errorf("%s: no certificate in it", k.files.CA)
+		return false, fmt.Errorf("%s: no certificate in it", cr.files.CA)
 	}
 	c := &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12, NextProtos: []string{"h2"}}
-	if k.files.Cert != "" {
+	if cr.files.Cert != "" {
 		pair, err := tls.X509KeyPair(texts[1], texts[2])
 		if err != nil {
-			return false, fmt.Errorf("%s, %s: %w", k.files.Cert, k.files.Key, err)
+			return false, fmt.Errorf("%s, %s: %w", cr.files.Cert, cr.files.Key, err)
 		}
 		if pair.Leaf == nil {
 			return false, errors.New("the certificate cannot be read")
 		}
 		if time.Now().After(pair.Leaf.NotAfter) {
-			return false, fmt.Errorf("%s: expired on %s", k.files.Cert, pair.Leaf.NotAfter.Format(time.DateOnly))
+			return false, fmt.Errorf("%s: expired on %s", cr.files.Cert, pair.Leaf.NotAfter.Format(time.DateOnly))
 		}
 		c.Certificates = []tls.Certificate{pair}
 	}
-	k.current.Store(c)
+	cr.current.Store(c)
 	return true, nil
 }
 
 // Config returns the TLS configuration for a connection to a server of the given name.
-func (k *Credentials) Config(name string) *tls.Config {
-	c := k.current.Load().Clone()
+func (cr *Credentials) Config(name string) *tls.Config {
+	c := cr.current.Load().Clone()
 	c.ServerName = name
 	return c
 }
--- a/internal/net/ring.go
+++ b/internal/net/ring.go
@@ -23,17 +23,17 @@
 // memoryLimit bounds the total memory that the rings of many connections use beyond their free size.
 type memoryLimit struct{ available atomic.Int64 }
 
-func (p *memoryLimit) reserve(n int) bool {
-	if p == nil || n <= 0 || p.available.Add(int64(-n)) >= 0 {
+func (m *memoryLimit) reserve(n int) bool {
+	if m == nil || n <= 0 || m.available.Add(int64(-n)) >= 0 {
 		return true
 	}
-	p.available.Add(int64(n))
+	m.available.Add(int64(n))
 	return false
 }
 
-func (p *memoryLimit) release(n int) {
-	if p != nil && n > 0 {
-		p.available.Add(int64(n))
+func (m *memoryLimit) release(n int) {
+	if m != nil && n > 0 {
+		m.available.Add(int64(n))
 	}
 }
 
@@ -96,7 +96,7 @@
 	r.buf, r.start, r.length = nil, 0, 0
 }
 
-// copyOut fills p with the bytes from offset skip on. The ring must hold that many.
+// copyOut fills p with the bytes that begin at offset. The ring must hold that many.
 func (r *Ring) copyOut(p []byte, offset int) {
 	from := r.start + offset
 	if from >= len(r.buf) {
@@ -130,7 +130,7 @@
 	return n, nil
 }
 
-// Peek copies bytes from offset skip on into p without removing them, and returns how many it copied.
+// Peek copies the bytes that begin at offset into p without removing them, and returns how many it copied.
 func (r *Ring) Peek(p []byte, offset int) int {
 	n := min(len(p), r.length-offset)
 	if n <= 0 {
