--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -90,8 +90,9 @@
 	b.Release()
 }
 
-// acquireAdmitted acquires a descriptor for a client that the admission controller has admitted. Descriptors
-// reserved for nodes count as in use by nodes whether they are or not, but no others do.
+// acquireAdmitted acquires a descriptor for a client that the admission controller has admitted. The
+// descriptors reserved for nodes are not available to it even while unused; others are unless nodes actually
+// use them.
 func (b *Budget) acquireAdmitted() bool {
 	if b.clientsInUse.Add(1) > int64(b.ClientCapacity()) || !b.tryAcquire(0) {
 		b.clientsInUse.Add(-1)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -351,8 +351,8 @@
 func (r *Reply) code(c uint16) { r.b = binary.LittleEndian.AppendUint16(r.b, c) }
 func (r *Reply) u32(v uint32)  { r.b = binary.LittleEndian.AppendUint32(r.b, v) }
 
-func (r *Reply) text(s string, most int) {
-	s = s[:min(len(s), most)]
+func (r *Reply) text(s string, maxLen int) {
+	s = s[:min(len(s), maxLen)]
 	r.b = binary.LittleEndian.AppendUint16(r.b, uint16(len(s)))
 	r.b = append(r.b, s...)
 }
