--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -1,9 +1,9 @@
-// Package grpcnode is the way to nodes of the new form: gRPC over HTTP/2, one call a part, at the level of
-// frames. It owns connections, streams and keys, and tells the core how each attempt ended and whether it may
-// have run. It must never retry, choose another node or answer a client: whatever would be sent once more,
-// the module decides.
+// Package grpcnode is the client for nodes of the new form: gRPC over HTTP/2, one call per part, implemented
+// at the level of frames. It manages connections, streams and TLS credentials, and reports to the core how
+// each attempt ended and whether it may have run. It must never retry, choose another node or reply to a
+// client: only the module decides whether something is sent again.
 //
-// This file is the backend: it finds or opens a connection for an attempt.
+// This file contains the backend, which finds or opens a connection for an attempt.
 package grpcnode
 
 import (
@@ -20,76 +20,76 @@
 	"lapislever/internal/translate"
 )
 
-// replySlack is what a reply's message may hold beside its value.
-const replySlack = 256
+// replyOverhead is how many bytes a reply message may hold in addition to its value.
+const replyOverhead = 256
 
-// Target is where a node is.
+// Target is a node's address.
 type Target struct {
 	Name       string
 	Address    string
 	TLS        bool
-	ServerName string // that its certificate has to bear
+	ServerName string // the name that its certificate must have
 }
 
-// Config bounds the connections.
+// Config holds the limits on connections.
 type Config struct {
-	StreamsPerConn int           // calls that one connection carries at a time, at most
-	ConnsPerNode   int           // connections to one node
-	QueuePerNode   int           // calls that wait for a node beyond what its connections carry
-	MaxValue       int           // bytes of a value
-	DialTimeout    time.Duration // until the settings are there, TLS included
+	StreamsPerConn int           // limit on concurrent calls on one connection
+	ConnsPerNode   int           // limit on connections to one node
+	QueuePerNode   int           // limit on calls queued for a node beyond the concurrent ones
+	MaxValue       int           // limit on the bytes of a value
+	DialTimeout    time.Duration // until the server's settings arrive, including TLS
 	IdleTimeout    time.Duration // after which a connection without calls is closed
-	WriteTimeout   time.Duration // of one write
+	WriteTimeout   time.Duration // for a single write
 }
 
-// QueryInfo is what a query tells of itself: Query.Data has to be one.
+// QueryInfo is the interface to a query's front. Query.Data must implement it.
 type QueryInfo interface {
-	// ClassName is its class's.
+	// ClassName returns the name of the query's class.
 	ClassName() string
-	// RecordFailure hears why an attempt brought nothing that can be used.
+	// RecordFailure records why an attempt returned nothing usable.
 	RecordFailure(translate.Reason)
 }
 
-// Backend is the way to the nodes.
+// Backend implements core.Backend for nodes of the new form.
 type Backend struct {
-	cfg    Config
-	keys   *Credentials
-	budget *lnet.Budget
-	log    *slog.Logger
-	count  *core.Counts
-	tally  *translate.Tally
-	post   func(core.Event)
-
-	mu    sync.Mutex // guards nodes, out
-	nodes map[balance.ReplicaID]*node
-	out   map[*core.Attempt]*conn // where each attempt is, also at nodes that have gone from the list
+	cfg         Config
+	credentials *Credentials
+	budget      *lnet.Budget
+	log         *slog.Logger
+	counts      *core.Counts
+	tally       *translate.Tally
+	post        func(core.Event)
+
+	mu       sync.Mutex // guards nodes, inFlight
+	nodes    map[balance.ReplicaID]*node
+	inFlight map[*core.Attempt]*conn // each attempt's connection, also at nodes no longer listed
 }
 
-// New returns the way to nodes that Learn will tell of. keys may be nil where no node is reached by TLS.
-func New(cfg Config, keys *Credentials, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
+// New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
+func New(cfg Config, credentials *Credentials, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	tally *translate.Tally, post func(core.Event)) *Backend {
-	return &Backend{cfg: cfg, keys: keys, budget: budget, log: log, count: count, tally: tally, post: post,
-		nodes: map[balance.ReplicaID]*node{}, out: map[*core.Attempt]*conn{}}
+	return &Backend{cfg: cfg, credentials: credentials, budget: budget, log: log, counts: counts, tally: tally,
+		post: post, nodes: map[balance.ReplicaID]*node{}, inFlight: map[*core.Attempt]*conn{}}
 }
 
-func (b *Backend) replyMost() int { return b.cfg.MaxValue + prefixSize + replySlack }
+func (b *Backend) maxReply() int { return b.cfg.MaxValue + messagePrefixSize + replyOverhead }
 
-// node is one node with its connections.
+// node is a node with its connections.
 type node struct {
 	id    balance.ReplicaID
 	name  string
-	mu    sync.Mutex // guards to, conns
-	to    Target
+	mu    sync.Mutex // guards dest, conns
+	dest  Target
 	conns []*conn
 }
 
 func (n *node) target() Target {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.to
+	return n.dest
 }
 
-func (n *node) drop(c *conn) {
+func (n *node) removeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, x := range n.conns {
@@ -100,31 +100,31 @@
 	}
 }
 
-func (n *node) all() []*conn {
+func (n *node) connections() []*conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]*conn(nil), n.conns...)
 }
 
-// SetTargets takes in where all nodes are. Connections to those that are gone or have moved take nothing new; what
-// is out on them comes to its end.
+// SetTargets replaces the list of nodes. Connections to nodes that were removed or whose target changed
+// accept no new calls; calls in flight on them continue.
 func (b *Backend) SetTargets(list []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	old := b.nodes
 	b.nodes = map[balance.ReplicaID]*node{}
-	for _, t := range list {
-		id := core.ServerID(t.Name)
+	for _, target := range list {
+		id := core.ServerID(target.Name)
 		n := old[id]
 		delete(old, id)
 		if n == nil {
-			n = &node{id: id, name: t.Name}
+			n = &node{id: id, name: target.Name}
 		}
 		n.mu.Lock()
-		moved := n.to != t
-		n.to = t
+		changed := n.dest != target
+		n.dest = target
 		n.mu.Unlock()
-		if moved {
+		if changed {
 			n.retire()
 		}
 		b.nodes[id] = n
@@ -135,12 +135,12 @@
 }
 
 func (n *node) retire() {
-	for _, c := range n.all() {
+	for _, c := range n.connections() {
 		c.retire()
 	}
 }
 
-// RetireTLSConns has new calls go out on connections that are opened with the keys of now.
+// RetireTLSConns retires all TLS connections, so that new calls use connections with the current credentials.
 func (b *Backend) RetireTLSConns() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -157,7 +157,7 @@
 	return b.nodes[id]
 }
 
-// Send passes on attempts.
+// Send sends attempts, each as a call of its own.
 func (b *Backend) Send(to balance.ReplicaID, call []*core.Attempt) bool {
 	for _, a := range call {
 		b.send(to, a)
@@ -165,11 +165,11 @@
 	return true
 }
 
-// send passes on one attempt. Its last byte is not written after its moment, Attempt.Before.
+// send sends one attempt. Its last byte is not written after Attempt.StartBy.
 func (b *Backend) send(to balance.ReplicaID, a *core.Attempt) {
 	n := b.node(to)
 	if n == nil {
-		b.never(a, balance.NoConnection)
+		b.reportNotSent(a, balance.NoConnection)
 		return
 	}
 	q := a.Query
@@ -182,101 +182,101 @@
 			p.Micros, p.Term = uint64(max(0, s.Hint)), s.Key
 		}
 	}
-	s := &stream{a: a, until: time.Now().Add(a.Timeout), head: [][2]string{{"call-id", q.Name}}}
+	s := &stream{attempt: a, deadline: time.Now().Add(a.Timeout), metadata: [][2]string{{"call-id", q.Name}}}
 	if q.Key != "" {
-		s.head = append(s.head, [2]string{"idempotency-key", q.Key})
+		s.metadata = append(s.metadata, [2]string{"idempotency-key", q.Key})
 	}
-	s.body = p.Append(make([]byte, 0, prefixSize+64+len(p.ID)+len(p.Class)+len(p.Filter)))
-	c := b.conn(n)
+	s.body = p.Append(make([]byte, 0, messagePrefixSize+64+len(p.ID)+len(p.Class)+len(p.Filter)))
+	c := b.pickConn(n)
 	if c == nil {
-		b.never(a, balance.Busy)
+		b.reportNotSent(a, balance.Busy)
 		return
 	}
 	b.mu.Lock()
-	b.out[a] = c
+	b.inFlight[a] = c
 	b.mu.Unlock()
-	if !c.add(s) {
-		b.left(a)
-		b.never(a, balance.NotSent)
+	if !c.enqueue(s) {
+		b.forget(a)
+		b.reportNotSent(a, balance.NotSent)
 	}
 }
 
-// left forgets where an attempt was.
-func (b *Backend) left(a *core.Attempt) {
+// forget removes an attempt from those in flight.
+func (b *Backend) forget(a *core.Attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.out, a)
+	delete(b.inFlight, a)
 }
 
-// never tells of an attempt that was not passed on. The core calls Send, so that the word must not wait for
-// it.
-func (b *Backend) never(a *core.Attempt, o balance.Outcome) {
-	go b.post(core.AttemptDone{Attempt: a, Outcome: o})
+// reportNotSent reports an attempt that was not sent. It does so on a goroutine of its own, as the core is in
+// Send at this point and must not wait for itself.
+func (b *Backend) reportNotSent(a *core.Attempt, outcome balance.Outcome) {
+	go b.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 }
 
-// conn finds the connection with the most room, or opens one where all are full. It is nil where as many
-// calls wait as may.
-func (b *Backend) conn(n *node) *conn {
+// pickConn returns the connection with the most free capacity, or opens a new one if all are full. It
+// returns nil if the node's queue is full.
+func (b *Backend) pickConn(n *node) *conn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	var best *conn
-	room, total, live := 0, 0, 0
+	bestFree, queued, live := 0, 0, 0
 	for _, c := range n.conns {
 		c.mu.Lock()
-		free := c.most() - c.load()
-		usable := !c.dead && !c.retired
+		free := c.maxCalls() - c.load()
+		usable := !c.closed && !c.retired
 		c.mu.Unlock()
 		if !usable {
 			continue
 		}
 		live++
-		total += max(0, -free)
-		if best == nil || free > room {
-			best, room = c, free
+		queued += max(0, -free)
+		if best == nil || free > bestFree {
+			best, bestFree = c, free
 		}
 	}
-	if best != nil && room > 0 {
+	if best != nil && bestFree > 0 {
 		return best
 	}
 	if live < b.cfg.ConnsPerNode && b.budget.AcquireServer() {
 		c := newConn(b, n)
 		n.conns = append(n.conns, c)
-		go c.run()
+		go c.writeLoop()
 		return c
 	}
 	if best == nil {
-		b.log.Warn("no descriptor is left for a node", "node", n.name)
+		b.log.Warn("no file descriptor is left for a connection to a node", "node", n.name)
 		return nil
 	}
-	if total >= b.cfg.QueuePerNode {
+	if queued >= b.cfg.QueuePerNode {
 		return nil
 	}
 	return best
 }
 
-// Cancel gives an attempt up.
+// Cancel cancels an attempt. It returns true if the attempt certainly never ran.
 func (b *Backend) Cancel(a *core.Attempt) bool {
 	b.mu.Lock()
-	c := b.out[a]
-	delete(b.out, a)
+	c := b.inFlight[a]
+	delete(b.inFlight, a)
 	b.mu.Unlock()
-	return c != nil && c.cut(a)
+	return c != nil && c.cancel(a)
 }
 
-// Probe looks at a node by a ping, on a connection that is there if possible.
+// Probe probes a node with an HTTP/2 ping, on an existing connection if possible.
 func (b *Backend) Probe(to balance.ReplicaID) bool {
 	n := b.node(to)
 	if n == nil {
 		return false
 	}
-	c := b.conn(n)
+	c := b.pickConn(n)
 	return c != nil && c.probe()
 }
 
-// CloseIdle closes the connections to a node that carry nothing.
+// CloseIdle closes idle connections to a node.
 func (b *Backend) CloseIdle(to balance.ReplicaID) {
 	if n := b.node(to); n != nil {
-		for _, c := range n.all() {
+		for _, c := range n.connections() {
 			if c.idle() {
 				c.retire()
 			}
@@ -284,81 +284,82 @@
 	}
 }
 
-// CancelQueued takes back what is queued for a node and not begun.
-func (b *Backend) CancelQueued(to balance.ReplicaID) (back []*core.Attempt) {
+// CancelQueued removes the attempts that are queued for a node and not started, and returns them.
+func (b *Backend) CancelQueued(to balance.ReplicaID) (cancelled []*core.Attempt) {
 	if n := b.node(to); n != nil {
-		for _, c := range n.all() {
-			back = append(back, c.back()...)
+		for _, c := range n.connections() {
+			cancelled = append(cancelled, c.takePending()...)
 		}
 	}
-	for _, a := range back {
-		b.left(a)
+	for _, a := range cancelled {
+		b.forget(a)
 	}
-	return back
+	return cancelled
 }
 
-// Open counts the connections.
-func (b *Backend) Open() (open int) {
+// OpenConns returns the number of open connections.
+func (b *Backend) OpenConns() (open int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, n := range b.nodes {
-		open += len(n.all())
+		open += len(n.connections())
 	}
 	return open
 }
 
-// Close ends all connections at once.
+// Close closes all connections immediately.
 func (b *Backend) Close() {
 	b.mu.Lock()
 	var all []*conn
 	for _, n := range b.nodes {
-		all = append(all, n.all()...)
+		all = append(all, n.connections()...)
 	}
 	b.mu.Unlock()
 	for _, c := range all {
-		c.end(net.ErrClosed)
+		c.close(net.ErrClosed)
 	}
 }
 
-// done tells the core how an attempt ended.
-func (b *Backend) done(n *node, a *core.Attempt, r translate.Result, v core.Value, report []float32) {
-	b.left(a)
+// finishAttempt reports to the core how an attempt ended.
+func (b *Backend) finishAttempt(n *node, a *core.Attempt, r translate.Result, v core.Value,
+	report []float32) {
+	b.forget(a)
 	b.tally.Add(r.Reason)
 	if c, ok := a.Query.Data.(QueryInfo); ok && r.Reason != translate.None {
 		c.RecordFailure(r.Reason)
 	}
 	if r.Reason.Untranslatable() {
-		b.log.Warn("a node's answer has no equivalent", "node", n.name, "call", a.Query.Name, "shard", a.Shard,
-			"why", r.Reason)
+		b.log.Warn("a node's answer has no equivalent in the old form", "node", n.name, "call", a.Query.Name,
+			"shard", a.Shard, "why", r.Reason)
 	}
 	b.post(core.AttemptDone{Attempt: a, Outcome: r.Outcome, Value: v, Report: report})
 }
 
-func (b *Backend) probed(n *node, o balance.Outcome, took time.Duration) {
-	b.post(core.ProbeDone{Replica: n.id, Outcome: o, Elapsed: took})
+func (b *Backend) probeDone(n *node, outcome balance.Outcome, elapsed time.Duration) {
+	b.post(core.ProbeDone{Replica: n.id, Outcome: outcome, Elapsed: elapsed})
 }
 
-// value makes the old form's value of a whole reply.
-func (b *Backend) value(s *stream) (translate.Result, core.Value, []float32) {
-	bad := func(why translate.Reason) (translate.Result, core.Value, []float32) {
-		return translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil
+// decodeReply converts a complete reply to a value of the old form.
+func (b *Backend) decodeReply(s *stream) (translate.Result, core.Value, []float32) {
+	bad := func(reason translate.Reason) (translate.Result, core.Value, []float32) {
+		return translate.Result{Outcome: balance.Error, Reason: reason}, core.Value{}, nil
 	}
-	if len(s.reply) < prefixSize {
+	if len(s.reply) < messagePrefixSize {
 		return bad(translate.BadReply) // success without a message
 	}
 	if s.reply[0] != 0 {
 		return bad(translate.Compressed)
 	}
-	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-prefixSize) {
-		return bad(translate.BadReply) // cut short, or more than one
+	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-messagePrefixSize) {
+		return bad(translate.BadReply) // truncated, or more than one message
 	}
-	a, err := ParseAnswer(s.reply[prefixSize:])
+	a, err := ParseAnswer(s.reply[messagePrefixSize:])
 	if err != nil {
 		return bad(translate.BadReply)
 	}
-	text, why := a.Value(s.a.Shard, b.cfg.MaxValue)
-	if why != translate.None {
-		return bad(why)
+	text, reason := a.Value(s.attempt.Shard, b.cfg.MaxValue)
+	if reason != translate.None {
+		return bad(reason)
 	}
 	var report []float32
 	if a.Loaded {
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -1,6 +1,6 @@
 package grpcnode
 
-// The writer of a connection to a node: which calls begin, what goes into frames, and when it is written.
+// The write loop of a connection to a node: which calls start, what is encoded, and when it is written.
 
 import (
 	"errors"
@@ -17,50 +17,50 @@
 	"lapislever/internal/translate"
 )
 
-// run is the writer.
-func (c *conn) run() {
+// writeLoop dials the connection and writes to it until it ends.
+func (c *conn) writeLoop() {
 	sock, raw, err := c.dial()
 	if err != nil {
-		c.end(err)
+		c.close(err)
 		return
 	}
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		_ = sock.Close()
 		return
 	}
-	c.c, c.raw = sock, raw
+	c.sock, c.raw = sock, raw
 	c.mu.Unlock()
-	defer c.closeOpening()
-	go c.read(sock)
-	limit := c.b.cfg.IdleTimeout
-	born := time.Now()
-	timer := time.NewTimer(limit)
+	defer c.closeStarts()
+	go c.readLoop(sock)
+	idleTimeout := c.backend.cfg.IdleTimeout
+	startedAt := time.Now()
+	timer := time.NewTimer(idleTimeout)
 	defer timer.Stop()
 	var buf []byte
 	for {
-		_ = sock.SetWriteDeadline(time.Now().Add(c.b.cfg.WriteTimeout))
+		_ = sock.SetWriteDeadline(time.Now().Add(c.backend.cfg.WriteTimeout))
 		c.mu.Lock()
-		if c.dead {
+		if c.closed {
 			c.mu.Unlock()
 			return
 		}
-		if !c.settled && time.Since(born) > c.b.cfg.DialTimeout {
+		if !c.gotSettings && time.Since(startedAt) > c.backend.cfg.DialTimeout {
 			c.mu.Unlock()
-			c.end(errors.New("the node sent no settings"))
+			c.close(errors.New("the node sent no settings"))
 			return
 		}
-		dropped := c.pump(time.Now())
-		part := c.out.First()
-		buf = append(buf[:0], part...)
+		dropped := c.encodeFrames(time.Now())
+		segment := c.out.FirstSegment()
+		buf = append(buf[:0], segment...)
 		c.writing = len(buf) > 0
 		if !c.writing {
-			leave, wait := c.rest(time.Since(born))
+			closeNow, wait := c.idleWait(time.Since(startedAt))
 			c.mu.Unlock()
-			c.giveBack(dropped)
-			if leave {
-				c.end(nil)
+			c.reportDropped(dropped)
+			if closeNow {
+				c.close(nil)
 				return
 			}
 			timer.Reset(max(wait, time.Millisecond))
@@ -71,193 +71,195 @@
 			continue
 		}
 		c.mu.Unlock()
-		n, err := sock.Write(buf) // nothing may come between pump and this
+		n, err := sock.Write(buf) // nothing may come between encodeFrames and this
 		c.mu.Lock()
 		c.written += uint64(n)
-		c.endOpening(c.written)
-		if c.dead {
+		c.finishStarts(c.written)
+		if c.closed {
 			c.mu.Unlock()
-			c.giveBack(dropped)
+			c.reportDropped(dropped)
 			return
 		}
 		c.writing = false
 		c.out.Discard(n)
-		for len(c.marks) > 0 && c.marks[0].at <= c.written {
-			s := c.marks[0].s
-			s.whole, s.wrote = true, time.Now()
-			c.marks = c.marks[1:]
-			c.b.count.AttemptsSent.Add(1)
+		for len(c.endMarks) > 0 && c.endMarks[0].offset <= c.written {
+			s := c.endMarks[0].stream
+			s.endWritten, s.writtenAt = true, time.Now()
+			c.endMarks = c.endMarks[1:]
+			c.backend.counts.AttemptsSent.Add(1)
 		}
-		c.used = time.Now()
+		c.lastUsed = time.Now()
 		c.mu.Unlock()
-		c.giveBack(dropped)
+		c.reportDropped(dropped)
 		if err != nil {
-			c.end(err)
+			c.close(err)
 			return
 		}
 	}
 }
 
-// rest tells whether a connection on which nothing is to be written is to end, and else how long it may
-// wait; the caller holds mu.
-func (c *conn) rest(age time.Duration) (leave bool, wait time.Duration) {
-	limit := c.b.cfg.IdleTimeout
-	unused := time.Since(c.used)
-	wait = limit - unused
-	if !c.settled {
-		wait = c.b.cfg.DialTimeout - age + time.Millisecond
-	} else if len(c.waiting) > 0 { // it may become too late to begin one
-		wait = min(wait, time.Until(c.waiting[0].until))
+// idleWait decides whether a connection that has nothing to write is to be closed, and otherwise how long the
+// write loop may wait; the caller holds mu.
+func (c *conn) idleWait(age time.Duration) (closeNow bool, wait time.Duration) {
+	idleTimeout := c.backend.cfg.IdleTimeout
+	unused := time.Since(c.lastUsed)
+	wait = idleTimeout - unused
+	if !c.gotSettings {
+		wait = c.backend.cfg.DialTimeout - age + time.Millisecond
+	} else if len(c.pending) > 0 { // the first one may expire
+		wait = min(wait, time.Until(c.pending[0].deadline))
 	}
-	for _, s := range c.sending { // or to end one
-		if by := s.a.StartBy; !by.IsZero() {
-			wait = min(wait, time.Until(by)+time.Millisecond)
+	for _, s := range c.sending { // one that is being sent may expire
+		if startBy := s.attempt.StartBy; !startBy.IsZero() {
+			wait = min(wait, time.Until(startBy)+time.Millisecond)
 		}
 	}
-	quiet := c.load() == 0 && len(c.pings) == 0
-	leave = quiet && c.settled && (c.retired || unused >= limit)
-	c.retired = c.retired || leave
-	return leave, wait
+	idle := c.load() == 0 && len(c.pings) == 0
+	closeNow = idle && c.gotSettings && (c.retired || unused >= idleTimeout)
+	c.retired = c.retired || closeNow
+	return closeNow, wait
 }
 
-// droppedCall is a call that may not begin, or may not go on, and why.
+// droppedCall is a call that must not be started or continued, and the reason.
 type droppedCall struct {
-	s   *stream
-	why core.HoldReason
+	stream *stream
+	reason core.HoldReason
 }
 
-// giveBack tells the core of calls that never ran.
-func (c *conn) giveBack(dropped []droppedCall) {
+// reportDropped reports calls that never ran to the core.
+func (c *conn) reportDropped(dropped []droppedCall) {
 	for _, d := range dropped {
-		c.b.done(c.n, d.s.a, translate.Result{Outcome: balance.NotSent}, core.Value{}, nil)
+		c.backend.finishAttempt(c.node, d.stream.attempt, translate.Result{Outcome: balance.NotSent},
+			core.Value{}, nil)
 	}
 	for _, d := range dropped {
-		if d.why != core.NoHold {
-			c.b.log.Info("attempt not begun", "node", c.n.name, "query", d.s.a.Query.Name, "shard", d.s.a.Shard,
-				"why", string(d.why))
+		if d.reason != core.NoHold {
+			c.backend.log.Info("attempt not started", "node", c.node.name, "query", d.stream.attempt.Query.Name,
+				"shard", d.stream.attempt.Shard, "why", string(d.reason))
 		}
 	}
 }
 
-// Abort makes it impossible that the writer puts out another byte.
+// Abort guarantees that the write loop sends no further byte.
 func (c *conn) Abort() {
 	lnet.Abort(c.raw)
-	c.b.log.Warn("write aborted: its request is over and the writer was held", "node", c.n.name)
+	c.backend.log.Warn("write aborted: its request has ended and the writer was stuck", "node", c.node.name)
 }
 
-// abortWrite aborts the connection's write if a call's first byte is still not out after the time given; the
-// caller holds mu.
-func (c *conn) abortWrite(s *stream, after time.Duration) {
+// abortWriteAfter aborts the connection's write if a call's first byte has still not been written after the
+// given time; the caller holds mu.
+func (c *conn) abortWriteAfter(s *stream, after time.Duration) {
 	time.AfterFunc(after, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if s.entered && !c.dead {
+		if s.writeActive && !c.closed {
 			c.Abort()
 		}
 	})
 }
 
-// endOpening ends the writes of the calls of which all is out that was put there as they began; the caller
+// finishStarts ends the start writes of the calls whose first frames are completely written; the caller
 // holds mu.
-func (c *conn) endOpening(written uint64) {
-	c.opening = slices.DeleteFunc(c.opening, func(s *stream) bool {
-		out := s.opens > 0 && s.opens <= written
-		if out && s.entered {
-			s.entered = false
-			s.a.EndWrite(c)
+func (c *conn) finishStarts(written uint64) {
+	c.starting = slices.DeleteFunc(c.starting, func(s *stream) bool {
+		done := s.startEnd > 0 && s.startEnd <= written
+		if done && s.writeActive {
+			s.writeActive = false
+			s.attempt.EndWrite(c)
 		}
-		return out
+		return done
 	})
 }
 
-// closeOpening ends those of calls that will never be written, as the writer ends.
-func (c *conn) closeOpening() {
+// closeStarts ends the start writes of calls that will never be written, as the write loop has ended.
+func (c *conn) closeStarts() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.markOpening()
-	c.endOpening(math.MaxUint64)
+	c.markStarts()
+	c.finishStarts(math.MaxUint64)
 }
 
-// markOpening notes up to where the output holds what of the calls just begun was put there; the caller holds
-// mu.
-func (c *conn) markOpening() {
-	for _, s := range c.opening {
-		if s.opens == 0 {
-			s.opens = c.put
+// markStarts sets the output offset up to which the first frames of the calls just started reach; the caller
+// holds mu.
+func (c *conn) markStarts() {
+	for _, s := range c.starting {
+		if s.startEnd == 0 {
+			s.startEnd = c.queued
 		}
 	}
 }
 
-// pump makes frames of what may be sent now, and returns the calls for which it is too late; the caller holds
-// mu. A call is begun only where nothing else waits to be written, so that its first byte goes out with the
-// next system call: its query's end waits for that.
-func (c *conn) pump(now time.Time) (dropped []droppedCall) {
-	if !c.settled && !c.retired {
+// encodeFrames encodes what may be sent now and returns the calls that have expired; the caller holds mu. A
+// call is started only if nothing else waits to be written, so that its first byte is sent by the next
+// system call: the end of its query waits for that.
+func (c *conn) encodeFrames(now time.Time) (dropped []droppedCall) {
+	if !c.gotSettings && !c.retired {
 		return nil
 	}
-	if c.retired { // what is not begun goes back to the module
-		for _, s := range c.waiting {
-			delete(c.of, s.a)
-			dropped = append(dropped, droppedCall{s: s})
+	if c.retired { // calls not started go back to the module
+		for _, s := range c.pending {
+			delete(c.byAttempt, s.attempt)
+			dropped = append(dropped, droppedCall{stream: s})
 		}
-		c.waiting = nil
+		c.pending = nil
 	}
-	defer c.markOpening()
-	free := c.out.Len() == 0
-	for free && len(c.waiting) > 0 && len(c.streams) < c.most() && c.out.Len() < outHigh && !c.retired {
-		s := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		if why := c.mayBegin(s, now); why != core.NoHold {
-			delete(c.of, s.a)
-			dropped = append(dropped, droppedCall{s, why})
+	defer c.markStarts()
+	drained := c.out.Len() == 0
+	for drained && len(c.pending) > 0 && len(c.streams) < c.maxCalls() && c.out.Len() < writeHighWater &&
+		!c.retired {
+		s := c.pending[0]
+		c.pending = c.pending[1:]
+		if hold := c.tryStart(s, now); hold != core.NoHold {
+			delete(c.byAttempt, s.attempt)
+			dropped = append(dropped, droppedCall{s, hold})
 			continue
 		}
-		s.entered = true
-		c.opening = append(c.opening, s)
-		s.id, s.window = c.nextID, c.initial
+		s.writeActive = true
+		c.starting = append(c.starting, s)
+		s.id, s.window = c.nextID, c.initialWindow
 		c.nextID += 2
 		c.streams[s.id] = s
 		c.sending = append(c.sending, s)
-		c.writeHead(s, now)
-		if c.nextID > windowMost-2 {
-			c.retired = true // ids never come again
+		c.writeHeaders(s, now)
+		if c.nextID > maxWindow-2 {
+			c.retired = true // stream ids cannot be reused
 		}
 	}
-	for i := 0; i < len(c.waiting); i++ { // those behind may be late too
-		if s := c.waiting[i]; late(s, now) {
-			c.waiting = append(c.waiting[:i], c.waiting[i+1:]...)
-			delete(c.of, s.a)
-			dropped = append(dropped, droppedCall{s: s})
+	for i := 0; i < len(c.pending); i++ { // later ones may have expired too
+		if s := c.pending[i]; expired(s, now) {
+			c.pending = append(c.pending[:i], c.pending[i+1:]...)
+			delete(c.byAttempt, s.attempt)
+			dropped = append(dropped, droppedCall{stream: s})
 			i--
 		}
 	}
-	for moved := true; moved && c.out.Len() < outHigh; {
-		moved = false
-		for i := 0; i < len(c.sending) && c.out.Len() < outHigh; i++ {
+	for progress := true; progress && c.out.Len() < writeHighWater; {
+		progress = false
+		for i := 0; i < len(c.sending) && c.out.Len() < writeHighWater; i++ {
 			s := c.sending[i]
-			// The window of its key: its last byte must not go out any more.
-			if by := s.a.StartBy; !by.IsZero() && now.After(by) {
-				c.reset(s, http2.ErrCodeCancel)
-				c.forget(s)
-				dropped = append(dropped, droppedCall{s: s})
+			// The window of its key is over: its last byte must not be sent any more.
+			if startBy := s.attempt.StartBy; !startBy.IsZero() && now.After(startBy) {
+				c.resetStream(s, http2.ErrCodeCancel)
+				c.remove(s)
+				dropped = append(dropped, droppedCall{stream: s})
 				i--
 				continue
 			}
-			n := min(int64(len(s.body)), int64(c.frame), c.window, s.window)
+			n := min(int64(len(s.body)), int64(c.maxFrame), c.sendWindow, s.window)
 			if n <= 0 {
 				continue
 			}
-			end := int(n) == len(s.body)
-			if c.fr.WriteData(s.id, end, s.body[:n]) != nil {
-				c.overflow()
+			last := int(n) == len(s.body)
+			if c.framer.WriteData(s.id, last, s.body[:n]) != nil {
+				c.closeOverflow()
 				return dropped
 			}
-			s.body, moved = s.body[n:], true
+			s.body, progress = s.body[n:], true
 			s.window -= n
-			c.window -= n
-			if end {
-				s.ended = true
-				c.marks = append(c.marks, mark{c.put, s})
+			c.sendWindow -= n
+			if last {
+				s.endQueued = true
+				c.endMarks = append(c.endMarks, endMark{c.queued, s})
 				c.sending = append(c.sending[:i], c.sending[i+1:]...)
 				i--
 			}
@@ -266,52 +268,53 @@
 	return dropped
 }
 
-// mayBegin begins the write of a call's first byte, where it may; the caller holds mu.
-func (c *conn) mayBegin(s *stream, now time.Time) core.HoldReason {
-	if !now.Before(s.until) {
+// tryStart begins the write of a call's first byte unless something holds it back; the caller holds mu.
+func (c *conn) tryStart(s *stream, now time.Time) core.HoldReason {
+	if !now.Before(s.deadline) {
 		return core.HoldExpired
 	}
-	_, hold := s.a.BeginWrite(c, now)
+	_, hold := s.attempt.BeginWrite(c, now)
 	return hold
 }
 
-func late(s *stream, now time.Time) bool {
-	return s.a.Query.Finished() || !now.Before(s.until) || !s.a.StartBy.IsZero() && !now.Before(s.a.StartBy)
+func expired(s *stream, now time.Time) bool {
+	return s.attempt.Query.Finished() || !now.Before(s.deadline) ||
+		!s.attempt.StartBy.IsZero() && !now.Before(s.attempt.StartBy)
 }
 
-// writeHead begins a call; the caller holds mu.
-func (c *conn) writeHead(s *stream, now time.Time) {
-	c.block.b = c.block.b[:0]
-	field := func(name, value string) { _ = c.enc.WriteField(hpack.HeaderField{Name: name, Value: value}) }
+// writeHeaders queues a call's header frames; the caller holds mu.
+func (c *conn) writeHeaders(s *stream, now time.Time) {
+	c.headers.b = c.headers.b[:0]
+	field := func(name, value string) { _ = c.encoder.WriteField(hpack.HeaderField{Name: name, Value: value}) }
 	scheme := "http"
-	to := c.to
-	if to.TLS {
+	target := c.target
+	if target.TLS {
 		scheme = "https"
 	}
 	field(":method", "POST")
 	field(":scheme", scheme)
-	field(":path", Path)
-	field(":authority", to.Address)
+	field(":path", MethodPath)
+	field(":authority", target.Address)
 	field("te", "trailers")
 	field("content-type", "application/grpc")
-	field("grpc-timeout", timeoutText(s.until.Sub(now)))
-	for _, h := range s.head {
+	field("grpc-timeout", formatTimeout(s.deadline.Sub(now)))
+	for _, h := range s.metadata {
 		field(h[0], h[1])
 	}
-	rest, first := c.block.b, true
-	for first || len(rest) > 0 {
-		n := min(len(rest), int(c.frame))
+	remaining, first := c.headers.b, true
+	for first || len(remaining) > 0 {
+		n := min(len(remaining), int(c.maxFrame))
 		var err error
 		if first {
-			err = c.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: rest[:n],
-				EndHeaders: n == len(rest)})
+			err = c.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: s.id, BlockFragment: remaining[:n],
+				EndHeaders: n == len(remaining)})
 		} else {
-			err = c.fr.WriteContinuation(s.id, n == len(rest), rest[:n])
+			err = c.framer.WriteContinuation(s.id, n == len(remaining), remaining[:n])
 		}
 		if err != nil {
-			c.overflow()
+			c.closeOverflow()
 			return
 		}
-		rest, first = rest[n:], false
+		remaining, first = remaining[n:], false
 	}
 }
--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -1,55 +1,58 @@
 package net
 
-// The budget of descriptors.
+// The budget of file descriptors.
 
 import (
 	"slices"
 	"sync/atomic"
 )
 
-// Budget counts descriptors that clients and servers share, and the memory of clients' rings. A part of the
-// descriptors is kept for servers, so that a crowd of clients cannot take away the means to serve any of
-// them.
+// Budget limits the file descriptors shared by client and server connections, and the memory of clients' ring
+// buffers. Some descriptors are reserved for server connections: without them a flood of clients could use up
+// the connections that are needed to serve any client.
 type Budget struct {
-	used, most, kept atomic.Int64
-	clients          atomic.Int64 // of those in use
-	spare            atomic.Int64 // beyond it, each for a client that is to be refused
-	rings            pool
-	spared           atomic.Pointer[[]func() bool] // by server: closes a connection that can be spared
+	inUse, capacity, reserved atomic.Int64
+	clientsInUse              atomic.Int64 // descriptors in use by clients
+	maxOverflow               atomic.Int64 // connections allowed beyond the budget, each only to be refused
+	ringMemory                memoryLimit
+	evictors                  atomic.Pointer[[]func() bool] // one per server: evicts an idle connection
 }
 
-// NewBudget returns a budget of most descriptors with kept of them closed to clients.
-func NewBudget(most, kept int) *Budget {
+// NewBudget returns a budget of capacity descriptors, of which clients cannot use the reserved ones.
+func NewBudget(capacity, reserved int) *Budget {
 	b := &Budget{}
-	b.SetLimits(most, kept, max(2, min(MaxOverflow, most/4)))
-	b.rings.left.Store(poolSize)
+	b.SetLimits(capacity, reserved, max(2, min(MaxOverflow, capacity/4)))
+	b.ringMemory.available.Store(ringMemorySize)
 	return b
 }
 
-// LimitRings bounds the memory of clients' rings beyond their usual size. It comes before any is used.
-func (b *Budget) LimitRings(bytes int) { b.rings.left.Store(int64(min(bytes, poolSize))) }
+// LimitRings bounds the total memory of clients' rings beyond their usual size. It must be called before any
+// ring is in use.
+func (b *Budget) LimitRings(bytes int) {
+	b.ringMemory.available.Store(int64(min(bytes, ringMemorySize)))
+}
 
-func (b *Budget) take(least int64) bool {
+func (b *Budget) tryAcquire(headroom int64) bool {
 	for {
-		u := b.used.Load()
-		if u+least >= b.most.Load() {
+		used := b.inUse.Load()
+		if used+headroom >= b.capacity.Load() {
 			return false
 		}
-		if b.used.CompareAndSwap(u, u+1) {
+		if b.inUse.CompareAndSwap(used, used+1) {
 			return true
 		}
 	}
 }
 
-// AcquireServer takes one for a connection to a server. Where none is left a client's connection that is between
-// requests makes way: nobody is served by holding it.
+// AcquireServer acquires a descriptor for a connection to a server. If none is left, it evicts a client
+// connection that is idle between requests, as keeping that one open serves no request.
 func (b *Budget) AcquireServer() bool {
-	if b.take(0) {
+	if b.tryAcquire(0) {
 		return true
 	}
-	if all := b.spared.Load(); all != nil {
-		for _, spare := range *all {
-			if spare() && b.take(0) {
+	if evictors := b.evictors.Load(); evictors != nil {
+		for _, evict := range *evictors {
+			if evict() && b.tryAcquire(0) {
 				return true
 			}
 		}
@@ -57,65 +60,66 @@
 	return false
 }
 
-// spareBy has a connection make way for servers' ones, if f finds one. Servers that share a budget, one a
-// front, are asked in turn.
-func (b *Budget) spareBy(f func() bool) {
+// addEvictor registers f, which evicts an idle client connection if there is one. The servers that share a
+// budget, one per front, are asked in turn.
+func (b *Budget) addEvictor(f func() bool) {
 	for {
-		old := b.spared.Load()
+		old := b.evictors.Load()
 		all := []func() bool{f}
 		if old != nil {
 			all = append(slices.Clone(*old), f)
 		}
-		if b.spared.CompareAndSwap(old, &all) {
+		if b.evictors.CompareAndSwap(old, &all) {
 			return
 		}
 	}
 }
 
-// AcquireClient takes one for a client's connection.
+// AcquireClient acquires a descriptor for a client connection.
 func (b *Budget) AcquireClient() bool {
-	if !b.take(b.kept.Load()) {
+	if !b.tryAcquire(b.reserved.Load()) {
 		return false
 	}
-	b.clients.Add(1)
+	b.clientsInUse.Add(1)
 	return true
 }
 
-// ReleaseClient gives a client's back.
+// ReleaseClient releases a client connection's descriptor.
 func (b *Budget) ReleaseClient() {
-	b.clients.Add(-1)
+	b.clientsInUse.Add(-1)
 	b.Release()
 }
 
-// takePlace takes one for a client that a gate has let in: what is kept for nodes counts as theirs whether
-// they hold it or not, and no more than that.
-func (b *Budget) takePlace() bool {
-	if b.clients.Add(1) > int64(b.Places()) || !b.take(0) {
-		b.clients.Add(-1)
+// acquireAdmitted acquires a descriptor for a client that the admission controller has admitted. The
+// descriptors reserved for nodes are not available to it even while unused; others are unless nodes actually
+// use them.
+func (b *Budget) acquireAdmitted() bool {
+	if b.clientsInUse.Add(1) > int64(b.ClientCapacity()) || !b.tryAcquire(0) {
+		b.clientsInUse.Add(-1)
 		return false
 	}
 	return true
 }
 
-// Places is how many clients may be open at this moment, those that are included.
-func (b *Budget) Places() int {
-	nodes := max(0, b.used.Load()-b.clients.Load())
-	return int(max(0, b.most.Load()-max(b.kept.Load(), nodes)))
+// ClientCapacity returns how many client connections may be open at this moment, including the open ones.
+func (b *Budget) ClientCapacity() int {
+	others := max(0, b.inUse.Load()-b.clientsInUse.Load())
+	return int(max(0, b.capacity.Load()-max(b.reserved.Load(), others)))
 }
 
-// SetLimits changes the budget, and how many clients beyond it may be held open to be refused. What is held
-// beyond it stays until it is given back.
-func (b *Budget) SetLimits(most, kept, spare int) {
-	b.most.Store(int64(most))
-	b.kept.Store(int64(kept))
-	b.spare.Store(int64(spare))
+// SetLimits changes the budget, and how many clients beyond it may stay connected until they are refused.
+// Descriptors in use beyond the new limits stay valid until they are released.
+func (b *Budget) SetLimits(capacity, reserved, maxOverflow int) {
+	b.capacity.Store(int64(capacity))
+	b.reserved.Store(int64(reserved))
+	b.maxOverflow.Store(int64(maxOverflow))
 }
 
-// Capacity is how many there are.
-func (b *Budget) Capacity() int { return int(b.most.Load()) }
+// Capacity returns the total number of descriptors.
+func (b *Budget) Capacity() int { return int(b.capacity.Load()) }
 
-// InUse is how many are taken.
-func (b *Budget) InUse() int { return int(b.used.Load()) }
+// InUse returns the number of descriptors in use.
+func (b *Budget) InUse() int { return int(b.inUse.Load()) }
 
-// Release gives one back.
-func (b *Budget) Release() { b.used.Add(-1) }
+// Release releases one descriptor.
+func (b *Budget) Release() { b.inUse.Add(-1) }
--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -1,9 +1,9 @@
-// Package net owns sockets and bytes: listeners, connections with one ring buffer a direction, the budget
-// of descriptors, and HTTP/1.1 on net/textproto. It must never decide anything: it does not know the
-// module, the classes or what a body means, and no goroutine of it ever runs the module.
+// Package net implements listeners, connections with one ring buffer per direction, the budget of file
+// descriptors, and HTTP/1.1 on net/textproto. It must never make decisions: it knows neither the module nor
+// classes nor what a body means, and none of its goroutines ever runs the module.
 //
-// This file holds a client's connection; server.go the listener, ring.go and budget.go what connections are
-// given, socket.go writes that are ordered with other events, http.go the messages and the client side.
+// This file contains the client connection; server.go the listener, ring.go and budget.go the resources of
+// connections, socket.go writes that are ordered with other events, http.go messages and the client side.
 package net
 
 import (
@@ -21,355 +21,358 @@
 
 // Sizes and limits of the network code.
 const (
-	MaxBody   = 64 << 10 // a body that the protocol allows
-	MaxHead   = 16 << 10 // a request or status line with its headers
-	firstRing = 1 << 10
-	freeRing  = 4 << 10   // up to here a ring grows without being booked: most requests are smaller
-	largeRing = 16 << 10  // an emptied ring beyond this gives its memory back
-	outRing   = 16 << 10  // replies are written through it piece by piece
-	aheadMost = 256 << 10 // what a client may send ahead of its replies: the ring's most
-	// A client whose request is out and whose ring is full for so long is read on, and what comes is thrown
-	// away: only a read tells that it leaves, within the 0.1 s in which its request must not go on.
-	aheadLimit  = 30 * time.Millisecond
-	fullPause   = 10 * time.Millisecond // between looks at a full ring
-	poolSize    = 24 << 20              // all clients' rings together, beyond that, unless the budget says less
-	drainSize   = 16 << 10              // read at once of what is thrown away
-	idleLimit   = 10 * time.Second      // a client connection between requests
-	spareLimit  = time.Second           // and of one beyond the budget, until it is refused
-	MaxOverflow = 16                    // connections of that kind
-	waitStep    = 5 * time.Millisecond  // between looks at whether all connections have ended
-	// A client is owed an answer or the end within 3 s of connecting, also for half a request or none.
-	requestLimit = 2500 * time.Millisecond
-	replyLimit   = 5 * time.Second
-	// After an error the client may be sending still: it gets to read the error for as long as it sends.
-	lingerLimit = 4 * time.Second
-	lingerQuiet = 500 * time.Millisecond
-	// Before this a client's first request may be under way, a request that began come to its end, and a
-	// reply be on its way.
-	graceLimit = 300 * time.Millisecond
-	partLimit  = 200 * time.Millisecond // left at the very end for a word to half a request
+	MaxBody         = 64 << 10 // largest body of a request
+	MaxHead         = 16 << 10 // largest request or status line with its headers
+	initialRingSize = 1 << 10
+	freeRingSize    = 4 << 10   // growth up to this size is not accounted for: most requests are smaller
+	largeRingSize   = 16 << 10  // an empty ring larger than this releases its memory
+	replyRingSize   = 16 << 10  // replies are written through it in chunks
+	maxReadAhead    = 256 << 10 // how much a client may send ahead of its replies: the ring's limit
+	// If a client's ring stays full for this long while its request is in progress, further input is read and
+	// discarded: only a read shows that the client has left, and its request has to be cancelled within 0.1 s.
+	fullRingTimeout = 30 * time.Millisecond
+	fullRingPause   = 10 * time.Millisecond // between checks of a full ring
+	ringMemorySize  = 24 << 20              // memory of all clients' rings, unless the budget sets less
+	discardSize     = 16 << 10              // per read of discarded input
+	idleTimeout     = 10 * time.Second      // for a client connection between requests
+	overflowTimeout = time.Second           // for a connection beyond the budget, until it is refused
+	MaxOverflow     = 16                    // upper limit on connections beyond the budget
+	pollInterval    = 5 * time.Millisecond  // between checks whether all connections have ended
+	// A client must get a reply or a close within 3 s of connecting, even if it sends half a request or none.
+	requestTimeout = 2500 * time.Millisecond
+	replyTimeout   = 5 * time.Second
+	// After an error reply the client may still be sending: the connection stays open to let it read the reply.
+	lingerTimeout     = 4 * time.Second
+	lingerIdleTimeout = 500 * time.Millisecond
+	// Within this time, a client's first request may be on its way, a partial request may be completed, and a
+	// reply may still be in flight.
+	gracePeriod      = 300 * time.Millisecond
+	incompleteMargin = 200 * time.Millisecond // before Wait ends, to reply to incomplete requests
 )
 
-// secure makes the handshake, within its time, and goes on as a client that has proved who it is, or has not.
-func (c *serverConn) secure() {
-	limit := spareLimit
-	if c.seat.k != nil && c.held {
-		limit = c.seat.k.proof
+// handshake makes the TLS handshake within its timeout, then serves the connection as authenticated or not.
+func (c *serverConn) handshake() {
+	timeout := overflowTimeout
+	if c.slot.controller != nil && c.withinBudget {
+		timeout = c.slot.controller.handshakeTimeout
 	}
-	_ = c.c.SetDeadline(time.Now().Add(limit))
-	secured, identity, err := c.s.Handshake(c.c)
+	_ = c.conn.SetDeadline(time.Now().Add(timeout))
+	secured, identity, err := c.server.Handshake(c.conn)
 	if err != nil {
-		c.s.log.Warn("no handshake", "client", c.c.RemoteAddr(), "err", err)
-		c.shut()
-		c.s.forget(c)
+		c.server.log.Warn("TLS handshake failed", "client", c.conn.RemoteAddr(), "err", err)
+		c.closeSocket()
+		c.server.remove(c)
 		return
 	}
-	_ = c.c.SetDeadline(time.Time{})
-	c.c = secured // nobody else looks at it yet
-	c.replies = newReplyWriter(secured, &c.s.watch)
-	if c.seat.k != nil {
-		if d := c.seat.k.prove(c.seat.id, identity, identity != ""); d.Outcome == admission.Refuse {
-			c.turned, c.after = true, time.Duration(d.RetryAfter)*time.Microsecond
+	_ = c.conn.SetDeadline(time.Time{})
+	c.conn = secured // no other goroutine uses it yet
+	c.replies = newReplyWriter(secured, &c.server.watchdog)
+	if c.slot.controller != nil {
+		if d := c.slot.controller.handshakeDone(c.slot.id, identity,
+			identity != ""); d.Outcome == admission.Refuse {
+			c.rejected, c.retryAfter = true, time.Duration(d.RetryAfter)*time.Microsecond
 		}
 	}
-	go c.fill()
+	go c.readLoop()
 	c.serve()
 }
 
-// yield closes the connection if nothing of a request has come.
-func (c *serverConn) yield() bool {
+// closeIfIdle closes the connection if no part of a request has arrived.
+func (c *serverConn) closeIfIdle() bool {
 	c.mu.Lock()
-	if c.state != waiting || c.in.Len() > 0 {
+	if c.state != stateWaiting || c.in.Len() > 0 {
 		c.mu.Unlock()
 		return false
 	}
-	c.state = spared
-	c.shut()
+	c.state = stateEvicted
+	c.closeSocket()
 	c.mu.Unlock()
-	c.s.forget(c)
+	c.server.remove(c)
 	return true
 }
 
-// serverConn is a client's connection: fill reads into its ring, serve takes requests out one by one.
+// serverConn is a client connection: readLoop reads into its ring, serve takes requests out of it one by one.
 type serverConn struct {
-	s       *Server
-	raw     net.Conn   // the socket
-	c       net.Conn   // the same, or TLS over it
-	mu      sync.Mutex // guards in, err, at, state, since, asked, parting, until, overrun
-	in, out *Ring
-	replies *replyWriter
-	more    chan struct{}
-	err     error
-	at      time.Time // when the last byte came
-	state   connState
-	since   time.Time // when this state began
-	asked   bool      // has had a request answered
-	parting bool      // is to end between two requests
-	until   time.Time // while parting, a request has to be there by then
-	overrun bool      // more came ahead than the ring holds, and has been thrown away
-	over    int       // goroutines that have ended
-	held    bool      // has a place in the budget; guarded by the server's mu
-	back    bool
-	seat    seat
-	turned  bool          // is to be refused, though it has a place
-	after   time.Duration // when to come back, for one that is refused
+	server *Server
+	raw    net.Conn // the socket
+	conn   net.Conn // the socket, or TLS over it
+	// mu guards in, readErr, lastRead, state, since, hadRequest, closing, requestBy and overrun.
+	mu              sync.Mutex
+	in, out         *Ring
+	replies         *replyWriter
+	wake            chan struct{}
+	readErr         error
+	lastRead        time.Time // when the last byte arrived
+	state           connState
+	since           time.Time // when the state last changed
+	hadRequest      bool      // at least one request was taken
+	closing         bool      // to be closed between two requests
+	requestBy       time.Time // while closing, the deadline for a complete request
+	overrun         bool      // input beyond the ring's limit has been discarded
+	goroutinesEnded int       // of readLoop and serve
+	withinBudget    bool      // counts against the budget; guarded by the server's mu
+	released        bool
+	slot            admissionSlot
+	rejected        bool          // its request is to be refused, though it is within the budget
+	retryAfter      time.Duration // when to come back, if refused
 }
 
 type connState uint8
 
 const (
-	waiting   connState = iota // for a request, or in the middle of one
-	serving                    // a request
-	lingering                  // an error is written; what still comes is thrown away
-	spared                     // closed to make way
+	stateWaiting   connState = iota // waiting for a request, or for the rest of one
+	stateServing                    // serving a request
+	stateLingering                  // the last reply is written; further input is discarded
+	stateEvicted                    // closed to free a descriptor
 )
 
-// connUse tells how well a connection can be spared, best first.
-type connUse uint8
+// evictionRank orders connections by eviction, the first to be evicted first.
+type evictionRank uint8
 
 const (
-	ending  connUse = iota // has its error
-	useless                // no whole request in a time in which others have long asked
-	idle                   // between requests
-	fresh                  // may just be about to ask
-	kept                   // has a request that is not answered
+	rankLingering evictionRank = iota // the last reply was written a while ago
+	rankStalled                       // no complete request within the grace period
+	rankIdle                          // between requests
+	rankFresh                         // a request may be on its way
+	rankBusy                          // has an unanswered request, or a reply may be in flight
 )
 
-// use tells what a connection is good for at a time, and since when.
-func (c *serverConn) use(now time.Time) (connUse, time.Time) {
+// rank returns the connection's eviction rank at a time, and the time of its last state change.
+func (c *serverConn) rank(now time.Time) (evictionRank, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch late := now.Sub(c.since) > graceLimit; {
-	case c.state == lingering && late:
-		return ending, c.since
-	case c.state != waiting: // or its last word may be on its way, which a close could overtake
-		return kept, c.since
-	case late && !c.asked:
-		return useless, c.since
+	switch pastGrace := now.Sub(c.since) > gracePeriod; {
+	case c.state == stateLingering && pastGrace:
+		return rankLingering, c.since
+	case c.state != stateWaiting: // or a final reply may be in flight, which a close could overtake
+		return rankBusy, c.since
+	case pastGrace && !c.hadRequest:
+		return rankStalled, c.since
 	case c.in.Len() > 0:
-		return kept, c.since
-	case c.asked && late:
-		return idle, c.since
+		return rankBusy, c.since
+	case c.hadRequest && pastGrace:
+		return rankIdle, c.since
 	}
-	return fresh, c.since
+	return rankFresh, c.since
 }
 
-// spare closes the connection if no request was taken from it meanwhile.
-func (c *serverConn) spare() bool {
+// evict closes the connection unless a request has been taken from it in the meantime.
+func (c *serverConn) evict() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == serving {
+	if c.state == stateServing {
 		return false
 	}
-	c.state = spared
-	c.shut()
+	c.state = stateEvicted
+	c.closeSocket()
 	return true
 }
 
-// become notes what the connection does from now on. It returns false once it was closed to make way.
-func (c *serverConn) become(s connState) bool {
+// setState changes the connection's state. It returns false if the connection has been evicted.
+func (c *serverConn) setState(s connState) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == spared {
+	if c.state == stateEvicted {
 		return false
 	}
 	c.state, c.since = s, time.Now()
 	return true
 }
 
-func (c *serverConn) shut() { _ = c.raw.Close() }
+func (c *serverConn) closeSocket() { _ = c.raw.Close() }
 
-// giveBack returns the place in the budget, once.
-func (c *serverConn) giveBack() {
-	if c.back {
+// releaseBudget releases the connection's descriptor and its admission slot, once.
+func (c *serverConn) releaseBudget() {
+	if c.released {
 		return
 	}
-	c.back = true
-	c.seat.leave()
-	if c.held {
-		c.s.budget.ReleaseClient()
+	c.released = true
+	c.slot.release()
+	if c.withinBudget {
+		c.server.budget.ReleaseClient()
 	} else {
-		c.s.spare.Add(-1)
+		c.server.overflow.Add(-1)
 	}
 }
 
 func (c *serverConn) signal() {
 	select {
-	case c.more <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// drains are the buffers for what is thrown away.
-var drains = sync.Pool{New: func() any { return new([drainSize]byte) }}
+// discardBuffers are the buffers that discarded input is read into.
+var discardBuffers = sync.Pool{New: func() any { return new([discardSize]byte) }}
 
-// drain reads what comes after an error and throws it away, up to the end.
-func (c *serverConn) drain() error {
-	buf := drains.Get().(*[drainSize]byte)
-	defer drains.Put(buf)
+// discardInput reads and discards input until the connection ends.
+func (c *serverConn) discardInput() error {
+	buf := discardBuffers.Get().(*[discardSize]byte)
+	defer discardBuffers.Put(buf)
 	for {
-		_, err := c.c.Read(buf[:])
-		if errors.Is(err, os.ErrDeadlineExceeded) { // linger's word, which came while this had begun
-			_ = c.c.SetReadDeadline(time.Time{})
+		_, err := c.conn.Read(buf[:])
+		if errors.Is(err, os.ErrDeadlineExceeded) { // lingerClose's wake-up, after this read began
+			_ = c.conn.SetReadDeadline(time.Time{})
 		} else if err != nil {
 			return err
 		}
 		c.mu.Lock()
-		c.at = time.Now()
+		c.lastRead = time.Now()
 		c.mu.Unlock()
 	}
 }
 
-// fill reads what comes, also while a request waits for its reply: only so is a client's end seen at once.
-func (c *serverConn) fill() {
-	var full time.Duration // the ring has been, while one request is out
-	var out time.Time      // since when that is
-	var failures passingFailures
-	came := arrivals{raw: rawConn(c.raw)}
+// readLoop reads input even while a request waits for its reply, as only a read shows that the client has
+// left.
+func (c *serverConn) readLoop() {
+	var fullFor time.Duration // how long the ring has been full during the current request
+	var stateStart time.Time  // when the current state began
+	var failures transientFailures
+	clock := arrivalClock{raw: rawConn(c.raw)}
 	for ended := false; !ended; {
 		c.mu.Lock()
 		free := c.in.Free()
-		if free != nil || c.state != serving || c.since != out {
-			full, out = 0, c.since
+		if free != nil || c.state != stateServing || c.since != stateStart {
+			fullFor, stateStart = 0, c.since
 		}
-		c.overrun = c.overrun || full >= aheadLimit
-		drop := c.state == lingering || c.overrun
-		ended = c.err != nil
+		c.overrun = c.overrun || fullFor >= fullRingTimeout
+		discard := c.state == stateLingering || c.overrun
+		ended = c.readErr != nil
 		c.mu.Unlock()
 		var err error
 		switch {
 		case ended:
 			continue
-		case drop:
-			err = c.drain()
-		case free == nil: // far more than a request, or no memory: let serve make room or give up on it
-			time.Sleep(fullPause)
-			full += fullPause
+		case discard:
+			err = c.discardInput()
+		case free == nil: // far more than a request, or no memory: wait for serve to make room or to give up
+			time.Sleep(fullRingPause)
+			fullFor += fullRingPause
 			continue
 		default:
 			var n int
-			n, err = c.c.Read(free)
-			var at time.Time
+			n, err = c.conn.Read(free)
+			var arrived time.Time
 			if n > 0 {
-				at = came.at(time.Now())
+				arrived = clock.arrivalTime(time.Now())
 			}
 			c.mu.Lock()
 			c.in.Commit(n)
 			if n > 0 {
-				c.at = at
+				c.lastRead = arrived
 			}
 			c.mu.Unlock()
 		}
 		switch {
-		case errors.Is(err, os.ErrDeadlineExceeded): // serve wants the ring's memory back, or all thrown away
+		case errors.Is(err, os.ErrDeadlineExceeded): // serve wants the ring's memory released, or input discarded
 			err = nil
-			_ = c.c.SetReadDeadline(time.Time{})
+			_ = c.conn.SetReadDeadline(time.Time{})
 		case err == nil:
-			failures.over()
-		case c.c == c.raw && failures.again(c.raw, err):
+			failures.reset()
+		case c.conn == c.raw && failures.retry(c.raw, err):
 			err = nil
 		}
 		c.mu.Lock()
-		if err != nil && c.err == nil {
-			c.err = err
+		if err != nil && c.readErr == nil {
+			c.readErr = err
 		}
 		c.mu.Unlock()
 		c.signal()
 	}
 	c.mu.Lock()
-	c.over++
-	c.leave()
+	c.goroutinesEnded++
+	c.releaseRings()
 	c.mu.Unlock()
 }
 
-// leave gives the rings back once both goroutines are done with them.
-func (c *serverConn) leave() {
-	if c.over == 2 {
-		c.in.drop()
-		c.out.drop()
+// releaseRings releases the rings once both goroutines have ended.
+func (c *serverConn) releaseRings() {
+	if c.goroutinesEnded == 2 {
+		c.in.release()
+		c.out.release()
 	}
 }
 
-// errRest tells that a connection has ended its time between two requests.
-var errRest = errors.New("at rest")
+// errIdleClose means that a connection is to be closed between two requests.
+var errIdleClose = errors.New("connection idle")
 
-// next waits for a whole request.
-func (c *serverConn) next() (*Request, error) {
-	if !c.become(waiting) {
+// nextRequest waits for a complete request.
+func (c *serverConn) nextRequest() (*Request, error) {
+	if !c.setState(stateWaiting) {
 		return nil, net.ErrClosed
 	}
-	if c.asked {
-		c.seat.rest() // before its first request it is just about to ask
+	if c.hadRequest {
+		c.slot.markIdle() // before the first request, one is expected right away
 	}
-	var began, by time.Time
-	var lack lacks
-	continued := false
-	limit := idleLimit
-	if !c.held { // one of the few places for those that are to be refused
-		limit = spareLimit
-	} else if !c.asked {
-		limit = requestLimit
+	var startedAt, deadline time.Time
+	var missing incomplete
+	sentContinue := false
+	timeout := idleTimeout
+	if !c.withinBudget { // it holds one of the few overflow slots
+		timeout = overflowTimeout
+	} else if !c.hadRequest {
+		timeout = requestTimeout
 	}
-	timer := time.NewTimer(limit)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	for {
 		c.mu.Lock()
-		if c.state == spared {
+		if c.state == stateEvicted {
 			c.mu.Unlock()
 			return nil, net.ErrClosed
 		}
-		if began.IsZero() && c.in.Len() > 0 {
-			began = time.Now()
-			if c.asked || c.parting {
-				timer.Reset(min(limit, requestLimit))
+		if startedAt.IsZero() && c.in.Len() > 0 {
+			startedAt = time.Now()
+			if c.hadRequest || c.closing {
+				timer.Reset(min(timeout, requestTimeout))
 			}
 		}
 		var req *Request
 		var err error
-		if c.in.Len() >= lack.bytes { // else it would only be looked through again
-			req, lack, err = parseRequest(c.in, c.at)
+		if c.in.Len() >= missing.minBytes { // else the same bytes would be parsed again in vain
+			req, missing, err = parseRequest(c.in, c.lastRead)
 		}
-		gone := c.err
+		readErr := c.readErr
 		if req != nil {
-			c.state, c.since, c.asked = serving, time.Now(), true
+			c.state, c.since, c.hadRequest = stateServing, time.Now(), true
 		}
-		rest := c.in.Len() == 0 && began.IsZero()
-		parting, overrun := c.parting, c.overrun
-		if parting && !rest && c.until != by {
-			by = c.until
-			timer.Reset(max(0, min(limit, time.Until(by))))
+		idle := c.in.Len() == 0 && startedAt.IsZero()
+		closing, overrun := c.closing, c.overrun
+		if closing && !idle && c.requestBy != deadline {
+			deadline = c.requestBy
+			timer.Reset(max(0, min(timeout, time.Until(deadline))))
 		}
-		grace := graceLimit - time.Since(c.since) // a first request may be on its way
+		graceLeft := gracePeriod - time.Since(c.since) // the first request may be on its way
 		c.mu.Unlock()
 		switch {
 		case err != nil:
 			return nil, err
 		case req != nil:
-			c.seat.use()
+			c.slot.markBusy()
 			return req, nil
-		case gone != nil:
-			return nil, gone
+		case readErr != nil:
+			return nil, readErr
 		case overrun:
 			return nil, &BadMessage{Status: 413, Detail: "more was sent ahead than is held"}
-		case parting && rest && (c.asked || grace <= 0):
-			return nil, errRest
-		case parting && rest:
-			timer.Reset(grace)
+		case closing && idle && (c.hadRequest || graceLeft <= 0):
+			return nil, errIdleClose
+		case closing && idle:
+			timer.Reset(graceLeft)
 		}
-		if lack.word && !continued {
-			continued = true
-			piece := &replyPiece{w: c.replies, limit: replyLimit}
-			if _, err := piece.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
+		if missing.expectContinue && !sentContinue {
+			sentContinue = true
+			chunk := &replyChunk{w: c.replies, timeout: replyTimeout}
+			if _, err := chunk.Write([]byte("HTTP/1.1 100 Continue\r\n\r\n")); err != nil {
 				return nil, err
 			}
 		}
 		select {
-		case <-c.more:
+		case <-c.wake:
 		case <-timer.C:
 			switch {
-			case began.IsZero():
-				return nil, errRest
-			case !by.IsZero() && !time.Now().Before(by):
+			case startedAt.IsZero():
+				return nil, errIdleClose
+			case !deadline.IsZero() && !time.Now().Before(deadline):
 				return nil, &BadMessage{Status: 503, Detail: "this coordinator ends"}
 			}
 			return nil, &BadMessage{Status: 408, Detail: "the request did not come to its end in time"}
@@ -377,34 +380,35 @@
 	}
 }
 
-// serve takes one request after the other and writes its reply.
+// serve handles requests one after another and writes their replies.
 func (c *serverConn) serve() {
 	defer func() {
 		c.mu.Lock()
-		if c.err == nil {
-			c.err = net.ErrClosed
+		if c.readErr == nil {
+			c.readErr = net.ErrClosed
 		}
-		c.over++
-		c.leave()
+		c.goroutinesEnded++
+		c.releaseRings()
 		c.mu.Unlock()
-		c.shut()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.giveBack()
-		c.s.mu.Unlock()
+		c.closeSocket()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.releaseBudget()
+		c.server.mu.Unlock()
 	}()
 	for {
-		req, err := c.next()
+		req, err := c.nextRequest()
 		var bad *BadMessage
 		if errors.As(err, &bad) {
-			_ = c.write(Response{Status: bad.Status, Body: []byte(bad.Detail + "\n")}, true, false)
-			c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", bad.Detail)
-			c.linger()
+			_ = c.writeReply(Response{Status: bad.Status, Body: []byte(bad.Detail + "\n")}, true, false)
+			c.server.log.Warn("bad request", "client", c.conn.RemoteAddr(), "why", bad.Detail)
+			c.lingerClose()
 			return
 		}
-		if errors.Is(err, errRest) {
-			c.s.log.Debug("connection at rest ended", "client", c.c.RemoteAddr(), "closing", c.s.closing.Load())
-			c.linger()
+		if errors.Is(err, errIdleClose) {
+			c.server.log.Debug("idle connection closed", "client", c.conn.RemoteAddr(),
+				"closing", c.server.closeAfterReply.Load())
+			c.lingerClose()
 		}
 		if err != nil {
 			return
@@ -413,86 +417,89 @@
 		if !ok {
 			return
 		}
-		end := req.Close || resp.Close || c.s.closing.Load() || !c.held || c.turned
-		err = c.write(resp, end, req.Method == "HEAD")
-		if c.replies.wasRescued() {
-			c.s.log.Warn("reply finished for a writer that was held up", "client", c.c.RemoteAddr(), "query", req.ID())
-			end = true
+		closeAfter := req.Close || resp.Close || c.server.closeAfterReply.Load() || !c.withinBudget ||
+			c.rejected
+		err = c.writeReply(resp, closeAfter, req.Method == "HEAD")
+		if c.replies.wasTakenOver() {
+			c.server.log.Warn("reply finished by the watchdog: its writer was stuck", "client", c.conn.RemoteAddr(),
+				"query", req.ID())
+			closeAfter = true
 		}
 		if err != nil {
-			c.s.log.Info("reply not written", "client", c.c.RemoteAddr(), "path", req.Path, "query", req.ID(),
+			c.server.log.Info("reply not written", "client", c.conn.RemoteAddr(), "path", req.Path, "query", req.ID(),
 				"status", resp.Status, "err", err)
 			return
 		}
 		if !resp.DecidedAt.IsZero() {
-			c.s.Delays.Record(delay.Reply, time.Since(resp.DecidedAt), "client", c.c.RemoteAddr(), "query", req.ID(),
-				"status", resp.Status)
+			c.server.Delays.Record(delay.Reply, time.Since(resp.DecidedAt), "client", c.conn.RemoteAddr(),
+				"query", req.ID(), "status", resp.Status)
 		}
-		if end {
-			c.linger()
+		if closeAfter {
+			c.lingerClose()
 			return
 		}
-		if len(req.Body) > largeRing { // else an idle connection would keep a ring as large as its largest body
-			_ = c.c.SetReadDeadline(time.Unix(1, 0))
+		if len(req.Body) > largeRingSize { // else an idle connection would keep a ring as large as its largest body
+			_ = c.conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// exchange has a request handled and waits for its reply or for the end of the client.
+// exchange passes a request to the handler and waits for its reply or until the client has left.
 func (c *serverConn) exchange(req *Request) (Response, bool) {
 	x, reply := NewExchange(c.raw)
-	if !c.held || c.turned {
-		if c.s.OnRejected != nil {
-			c.s.OnRejected(req)
+	if !c.withinBudget || c.rejected {
+		if c.server.OnRejected != nil {
+			c.server.OnRejected(req)
 		}
 		r := Response{Status: 503, Body: []byte("too many connections\n")}
-		after := time.Duration(max(1, math.Ceil(c.after.Seconds()))) * time.Second
-		if c.s.CapRetryAfter != nil {
-			after = c.s.CapRetryAfter(after)
+		after := time.Duration(max(1, math.Ceil(c.retryAfter.Seconds()))) * time.Second
+		if c.server.CapRetryAfter != nil {
+			after = c.server.CapRetryAfter(after)
 		}
 		if after > 0 {
 			r.Header = [][2]string{{"Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64)}}
 		}
 		return r, true
 	}
-	c.s.last.Store(int64(c.since.Sub(c.s.begun))) // when it was taken: it may have waited before
-	gone := c.s.handle(req, x)
-	c.signal() // the word of an end that came along with the request may have been taken with it
+	// The time at which the request was taken, as it may have waited in the ring before.
+	c.server.lastRequest.Store(int64(c.since.Sub(c.server.startedAt)))
+	onDisconnect := c.server.handle(req, x)
+	c.signal() // the wake-up for an end of stream that came with the request may have been consumed already
 	for {
 		select {
 		case r := <-reply:
 			return r, true
-		case <-c.more:
+		case <-c.wake:
 			c.mu.Lock()
-			err := c.err
+			err := c.readErr
 			c.mu.Unlock()
 			if err == nil {
 				continue
 			}
-			if gone != nil {
-				gone()
+			if onDisconnect != nil {
+				onDisconnect()
 			}
-			c.s.log.Info("client left with a request out", "client", c.c.RemoteAddr(), "path", req.Path,
+			c.server.log.Info("client left with a request out", "client", c.conn.RemoteAddr(), "path", req.Path,
 				"query", req.ID(), "after", time.Since(req.ReceivedAt), "err", err)
 			return Response{}, false
 		}
 	}
 }
 
-func (c *serverConn) write(r Response, end, headOnly bool) error {
-	limit := replyLimit + time.Duration(len(r.Body))*time.Microsecond // a megabyte a second
-	return writeResponse(&replyPiece{w: c.replies, limit: limit}, c.out, r, end, headOnly)
+func (c *serverConn) writeReply(r Response, closeAfter, headOnly bool) error {
+	timeout := replyTimeout + time.Duration(len(r.Body))*time.Microsecond // one more second per megabyte
+	return writeResponse(&replyChunk{w: c.replies, timeout: timeout}, c.out, r, closeAfter, headOnly)
 }
 
-// linger tells the client that nothing more will come, and lets it read the reply before the connection goes:
-// closing while bytes of the client lie unread resets the connection, and a reset can overtake the reply.
-// What still comes is thrown away: it is never sent on, and the end tells the client so. One that is still
-// sending gets that long.
-func (c *serverConn) linger() {
-	if !c.become(lingering) {
+// lingerClose shuts down the sending side and lets the client read the reply before the connection is
+// closed: closing while input is unread resets the connection, and the reset can overtake the reply. Further
+// input is discarded: it is never handled, and the close tells the client so. A client that is still sending
+// gets up to lingerTimeout.
+func (c *serverConn) lingerClose() {
+	if !c.setState(stateLingering) {
 		return
 	}
-	if t, ok := c.c.(interface{ CloseWrite() error }); ok {
+	if t, ok := c.conn.(interface{ CloseWrite() error }); ok {
 		_ = t.CloseWrite()
 	}
 	c.mu.Lock()
@@ -500,21 +507,23 @@
 	c.in.Discard(unread)
 	c.mu.Unlock()
 	if unread > 0 {
-		c.s.log.Info("bytes discarded behind the end of a connection", "client", c.c.RemoteAddr(), "bytes", unread)
+		c.server.log.Info("input discarded after a connection's last reply", "client", c.conn.RemoteAddr(),
+			"bytes", unread)
 	}
-	_ = c.c.SetReadDeadline(time.Unix(1, 0)) // from here on fill throws away what comes
-	begun := time.Now()
-	tick := time.NewTicker(lingerQuiet / 5)
+	_ = c.conn.SetReadDeadline(time.Unix(1, 0)) // from here on readLoop discards input
+	startedAt := time.Now()
+	tick := time.NewTicker(lingerIdleTimeout / 5)
 	defer tick.Stop()
-	for time.Since(begun) < lingerLimit {
+	for time.Since(startedAt) < lingerTimeout {
 		select {
-		case <-c.more:
+		case <-c.wake:
 		case <-tick.C:
 		}
 		c.mu.Lock()
-		err, last := c.err, c.at
+		err, lastRead := c.readErr, c.lastRead
 		c.mu.Unlock()
-		if err != nil || time.Since(last) > lingerQuiet && time.Since(begun) > lingerQuiet {
+		if err != nil || time.Since(lastRead) > lingerIdleTimeout &&
+			time.Since(startedAt) > lingerIdleTimeout {
 			return
 		}
 	}
--- a/internal/net/net_test.go
+++ b/internal/net/net_test.go
@@ -45,12 +45,12 @@
 			t.Fatalf("step %d: the contents differ", i)
 		}
 		if sep := []byte{byte(i), byte(i)}; r.Index(sep) != bytes.Index(want, sep) {
-			t.Fatalf("step %d: %d is not the place of a separator", i, r.Index(sep))
+			t.Fatalf("step %d: wrong index %d of a separator", i, r.Index(sep))
 		}
 	}
 }
 
-// A read that is under way fills the place that Free gave, whatever is discarded meanwhile.
+// A read in progress fills the segment that Free returned, even if bytes are discarded in the meantime.
 func TestDiscardDuringAReadMovesNothing(t *testing.T) {
 	r := NewRing(64 << 10)
 	_, _ = r.Write(bytes.Repeat([]byte("x"), 20000))
@@ -63,7 +63,7 @@
 	}
 }
 
-func request(s string) *Ring {
+func ringWith(s string) *Ring {
 	r := NewRing(MaxHead + MaxBody)
 	_, _ = r.Write([]byte(s))
 	return r
@@ -77,7 +77,7 @@
 		"POST /a HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"2;e=1\r\nhi\r\n0\r\nT: 1\r\n\r\n": "POST /a  [hi]",
 	} {
-		// Byte by byte: there must be no request before the last one, and then this one.
+		// Byte by byte: there must be no request before the last byte, and then this one.
 		ring := NewRing(MaxHead + MaxBody)
 		for i := range len(in) {
 			_, _ = ring.Write([]byte{in[i]})
@@ -116,14 +116,14 @@
 		head + "X: " + strings.Repeat("y", MaxHead+1) + "\r\n\r\n":              431,
 	} {
 		var b *BadMessage
-		q, _, err := parseRequest(request(in), time.Time{})
+		q, _, err := parseRequest(ringWith(in), time.Time{})
 		if q != nil || !errors.As(err, &b) || b.Status != status {
 			t.Errorf("%.60q: %v %v, want %d", in, q, err, status)
 		}
 	}
 }
 
-// Any bytes are a request, an error with a status, or the beginning of either.
+// Any input is a request, an error with a status, or a prefix of either.
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte("POST /a?b HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n"))
 	f.Add([]byte("GET http://h HTTP/1.0\r\nContent-Length: 3\r\n\r\nabcd"))
@@ -140,13 +140,13 @@
 	})
 }
 
-// serve starts a server that echoes bodies; a body of "hold" gets no reply until release.
+// echo is a server that echoes bodies. A request with the body "hold" gets no reply until the test sends one.
 type echo struct {
 	*Server
-	mu   sync.Mutex
-	held []*Exchange
-	gone int
-	most atomic.Int64 // what Advise bounds advice by
+	mu            sync.Mutex
+	heldExchanges []*Exchange
+	disconnects   int
+	maxRetryAfter atomic.Int64 // the longest Retry-After
 }
 
 func serve(t *testing.T, budget *Budget) *echo {
@@ -157,8 +157,10 @@
 		t.Fatal(err)
 	}
 	e.Server = s
-	e.most.Store(int64(time.Hour))
-	s.CapRetryAfter = func(after time.Duration) time.Duration { return min(after, time.Duration(e.most.Load())) }
+	e.maxRetryAfter.Store(int64(time.Hour))
+	s.CapRetryAfter = func(after time.Duration) time.Duration {
+		return min(after, time.Duration(e.maxRetryAfter.Load()))
+	}
 	go s.Serve()
 	t.Cleanup(func() { s.Drain(); s.StopListening() })
 	return e
@@ -168,14 +170,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if string(r.Body) == "hold" {
-		e.held = append(e.held, x)
+		e.heldExchanges = append(e.heldExchanges, x)
 	} else {
 		x.Reply(Response{Status: 200, Body: r.Body})
-		x.Reply(Response{Status: 500}) // one reply only
+		x.Reply(Response{Status: 500}) // only the first reply counts
 	}
 	return func() {
 		e.mu.Lock()
-		e.gone++
+		e.disconnects++
 		e.mu.Unlock()
 	}
 }
@@ -186,23 +188,23 @@
 	return f()
 }
 
-// idle counts the connections between requests.
+// idle counts the connections that are idle between requests.
 func (e *echo) idle() (n int) {
 	e.Server.mu.Lock()
 	defer e.Server.mu.Unlock()
 	for c := range e.Server.conns {
-		if use, _ := c.use(time.Now()); use == idle {
+		if rank, _ := c.rank(time.Now()); rank == rankIdle {
 			n++
 		}
 	}
 	return n
 }
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, done func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+	for deadline := time.Now().Add(30 * time.Second); !done(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -232,7 +234,7 @@
 	}
 }
 
-func TestBadRequestsGetAnAnswerAndTheEnd(t *testing.T) {
+func TestBadRequestsGetErrorAndClose(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for in, want := range map[string]string{
 		"junk\r\n\r\n": "HTTP/1.1 400 ",
@@ -244,7 +246,7 @@
 			t.Fatal(err)
 		}
 		_, _ = io.WriteString(c, in)
-		got, _ := io.ReadAll(c) // the end must come, and not overtake the answer
+		got, _ := io.ReadAll(c) // the close must come, and not overtake the reply
 		_ = c.Close()
 		if !strings.HasPrefix(string(got), want) || !strings.Contains(string(got), "Connection: close") {
 			t.Errorf("%.20q: %q", in, got)
@@ -252,16 +254,16 @@
 	}
 }
 
-func TestRequestsInARowAndContinue(t *testing.T) {
+func TestPipelinedRequestsAndContinue(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c, err := net.Dial("tcp", e.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	one := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n"
-	last := strings.Replace(one, "Host", "Connection: close\r\nExpect: 100-continue\r\nHost", 1)
-	_, _ = io.WriteString(c, one+"a"+one+"b"+last)
+	withoutBody := "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1\r\n\r\n"
+	last := strings.Replace(withoutBody, "Host", "Connection: close\r\nExpect: 100-continue\r\nHost", 1)
+	_, _ = io.WriteString(c, withoutBody+"a"+withoutBody+"b"+last)
 	buf, got := make([]byte, 1000), ""
 	for !strings.Contains(got, "100 Continue") {
 		n, err := c.Read(buf)
@@ -278,19 +280,19 @@
 	}
 }
 
-func TestClientThatLeavesIsTold(t *testing.T) {
+func TestClientDisconnectIsNoticed(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c := dial(t, e.Server)
 	if err := c.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	c.Close()
-	until(t, "its end", func() bool { return e.count(func() int { return e.gone }) == 1 })
+	waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.disconnects }) == 1 })
 }
 
-// The end may come in one piece with the request: it must be seen all the same.
-func TestClientThatLeavesAtOnceIsTold(t *testing.T) {
+// The end of the stream may arrive together with the request: it must be noticed all the same.
+func TestImmediateDisconnectIsNoticed(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for i := range 20 {
 		c := dial(t, e.Server)
@@ -298,12 +300,11 @@
 			t.Fatal(err)
 		}
 		c.Close()
-		until(t, "its end", func() bool { return e.count(func() int { return e.gone }) == i+1 })
+		waitFor(t, "its disconnect", func() bool { return e.count(func() int { return e.disconnects }) == i+1 })
 	}
 }
 
-// Beyond the budget an idle connection makes way; where all are busy the new one is refused in so many
-// words.
+// Beyond the budget an idle connection is evicted; if all are busy, the new one gets a 503 reply.
 func TestBudgetOfDescriptors(t *testing.T) {
 	b := NewBudget(4, 2) // two for clients
 	e := serve(t, b)
@@ -312,26 +313,26 @@
 		if r, err := c.post("x"); err != nil || r.Status != 200 {
 			t.Fatal(r, err)
 		}
-		// The reply is here before its connection is idle there, and the one idle for longest makes way.
-		until(t, "an idle one", func() bool { return e.idle() == i+1 })
+		// The reply arrives before the server marks the connection idle, and the longest idle one is evicted.
+		waitFor(t, "an idle connection", func() bool { return e.idle() == i+1 })
 	}
 	third := dial(t, e.Server)
 	if r, err := third.post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("an idle one did not make way: %v %v", r, err)
+		t.Fatalf("no idle connection was evicted: %v %v", r, err)
 	}
 	for _, c := range []*Client{second, third} {
 		if err := c.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	until(t, "both", func() bool { return e.count(func() int { return len(e.held) }) == 2 })
+	waitFor(t, "both", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 2 })
 	r, err := dial(t, e.Server).post("x")
 	if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != "1" {
 		t.Fatalf("%v %v", r, err)
 	}
 	for want, longest := range map[string]time.Duration{"0.5": 500 * time.Millisecond, "": 0} {
-		e.most.Store(int64(longest))
-		until(t, "the end of the one that was refused", func() bool { return e.spare.Load() == 0 })
+		e.maxRetryAfter.Store(int64(longest))
+		waitFor(t, "the end of the refused connection", func() bool { return e.overflow.Load() == 0 })
 		r, err := dial(t, e.Server).post("x")
 		if err != nil || r.Status != 503 || r.Header.Get("Retry-After") != want {
 			t.Fatalf("%v %v, not %q", r, err, want)
@@ -339,13 +340,13 @@
 	}
 	for i, want := range []bool{true, true, false} {
 		if b.AcquireServer() != want {
-			t.Fatalf("server %d: clients took what is kept for servers, or servers got more", i)
+			t.Fatalf("server %d: clients took descriptors reserved for servers, or servers got too many", i)
 		}
 	}
 }
 
-// Whatever a client sends or does not send, it gets an error or the end well within the time it is owed them.
-func TestBadClientsAreNotWaitedFor(t *testing.T) {
+// Whatever a client sends or fails to send, it gets an error or a close within the time limit.
+func TestIncompleteRequestsTimeOut(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	for in, want := range map[string]string{
 		"":                               "",
@@ -361,7 +362,7 @@
 			}
 			defer c.Close()
 			_, _ = io.WriteString(c, in)
-			_ = c.SetReadDeadline(time.Now().Add(7 * time.Second)) // twice what is owed, for slow machines
+			_ = c.SetReadDeadline(time.Now().Add(7 * time.Second)) // twice the time limit, for slow machines
 			got, err := io.ReadAll(c)
 			if err != nil || !strings.HasPrefix(string(got), want) || want == "" && len(got) > 0 {
 				t.Errorf("%q %v", got, err)
@@ -370,8 +371,8 @@
 	}
 }
 
-// A client that is still sending after the error is written gets to read it, for a second and more.
-func TestErrorIsReadByOneThatStillSends(t *testing.T) {
+// A client that keeps sending for more than a second after the error was written can still read it.
+func TestErrorReachesClientThatStillSends(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	c, err := net.Dial("tcp", e.Addr())
 	if err != nil {
@@ -381,7 +382,7 @@
 	_, _ = io.WriteString(c, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000000\r\n\r\n")
 	for i := range 15 {
 		if _, err := c.Write(make([]byte, 500_000)); err != nil {
-			t.Fatalf("piece %d: %v", i, err)
+			t.Fatalf("chunk %d: %v", i, err)
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
@@ -390,56 +391,55 @@
 	}
 }
 
-// A crowd that connects and says nothing, or half a request, makes way for others and for itself before a
-// connection does that has been of use.
-func TestCrowdMakesWayFirst(t *testing.T) {
+// Connections of a flood that send nothing, or half a request, are evicted before a connection that has
+// already carried requests.
+func TestStalledConnectionsAreEvictedFirst(t *testing.T) {
 	e := serve(t, NewBudget(6, 0))
-	usual := dial(t, e.Server)
-	if r, err := usual.post("x"); err != nil || r.Status != 200 {
+	regular := dial(t, e.Server)
+	if r, err := regular.post("x"); err != nil || r.Status != 200 {
 		t.Fatal(r, err)
 	}
 	for i := range 20 {
 		c := dial(t, e.Server)
 		if i%2 == 0 {
-			_, _ = c.c.Write([]byte("POST /"))
+			_, _ = c.conn.Write([]byte("POST /"))
 		}
 		if i >= 4 {
-			until(t, "a place", func() bool { return e.OpenConns() <= 6 })
+			waitFor(t, "an eviction", func() bool { return e.OpenConns() <= 6 })
 		}
 		if i%5 == 4 {
-			time.Sleep(graceLimit + graceLimit/2)
+			time.Sleep(gracePeriod + gracePeriod/2)
 		}
 	}
-	if r, err := usual.post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("the crowd pushed a usual client out: %v %v", r, err)
+	if r, err := regular.post("x"); err != nil || r.Status != 200 {
+		t.Fatalf("the flood evicted a regular client: %v %v", r, err)
 	}
 	if r, err := dial(t, e.Server).post("x"); err != nil || r.Status != 200 {
-		t.Fatalf("a new client was kept out: %v %v", r, err)
+		t.Fatalf("a new client was not served: %v %v", r, err)
 	}
 }
 
-// Large requests that never come to their end take a bounded part of the memory, and none that small ones
-// need.
+// Large requests that are never completed use a bounded share of the memory, and none that small ones need.
 func TestMemoryOfRingsIsBounded(t *testing.T) {
 	b := NewBudget(20, 0)
 	b.LimitRings(64 << 10)
 	e := serve(t, b)
 	for range 8 {
 		c := dial(t, e.Server)
-		_, _ = c.c.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" +
+		_, _ = c.conn.Write([]byte("POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 60000\r\n\r\n" +
 			strings.Repeat("b", 50000)))
 	}
-	until(t, "the end of the memory", func() bool { return b.rings.left.Load() < 16<<10 })
+	waitFor(t, "the ring memory to run out", func() bool { return b.ringMemory.available.Load() < 16<<10 })
 	if r, err := dial(t, e.Server).post(strings.Repeat("z", 3000)); err != nil || r.Status != 200 {
-		t.Fatalf("a usual request found no memory: %v %v", r, err)
+		t.Fatalf("no memory for a small request: %v %v", r, err)
 	}
-	if left := b.rings.left.Load(); left < 0 {
-		t.Fatalf("%d bytes too many", -left)
+	if left := b.ringMemory.available.Load(); left < 0 {
+		t.Fatalf("%d bytes above the limit", -left)
 	}
-	until(t, "the memory back", func() bool { return b.rings.left.Load() == 64<<10 })
+	waitFor(t, "the ring memory to be released", func() bool { return b.ringMemory.available.Load() == 64<<10 })
 }
 
-func TestFinishEndsIdleConnectionsAndNoOthers(t *testing.T) {
+func TestDrainClosesOnlyIdleConnections(t *testing.T) {
 	e := serve(t, NewBudget(10, 0))
 	idle, busy := dial(t, e.Server), dial(t, e.Server)
 	if _, err := idle.post("x"); err != nil {
@@ -448,18 +448,18 @@
 	if err := busy.Write("POST", "/", "x", nil, []byte("hold"), time.Now().Add(9*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the request", func() bool { return e.count(func() int { return len(e.held) }) == 1 })
+	waitFor(t, "the request", func() bool { return e.count(func() int { return len(e.heldExchanges) }) == 1 })
 	e.Drain()
 	if _, err := idle.Read(time.Now().Add(20 * time.Second)); !errors.Is(err, io.EOF) {
-		t.Errorf("the idle connection goes on, or was reset: %v", err)
+		t.Errorf("the idle connection stays open, or was reset: %v", err)
 	}
-	e.held[0].Reply(Response{Status: 200, Body: []byte("done")})
+	e.heldExchanges[0].Reply(Response{Status: 200, Body: []byte("done")})
 	r, err := busy.Read(time.Now().Add(20 * time.Second))
 	if err != nil || string(r.Body) != "done" || busy.Reusable() {
 		t.Fatalf("%v %v", r, err)
 	}
 	if !e.Wait(30 * time.Second) {
-		t.Fatal("connections stay")
+		t.Fatal("connections are still open")
 	}
 }
 
@@ -501,41 +501,42 @@
 		}
 		r, err := cl.Do("GET", "/", "x", nil, nil, time.Now().Add(20*time.Second))
 		if (err == nil) != c.ok || err == nil && (string(r.Body) != c.body || cl.Reusable() != c.sound) {
-			t.Errorf("%.60q: %v, sound %v", c.reply, err, cl.Reusable())
+			t.Errorf("%.60q: %v, reusable %v", c.reply, err, cl.Reusable())
 		}
 		cl.Close()
 		_ = l.Close()
 	}
 }
 
-// Where accept fails for want of a descriptor, the one in hand lets the caller in that waits, who hears at
-// once.
-func TestCallerHearsWithoutADescriptor(t *testing.T) {
+// If accept fails for lack of descriptors, the spare descriptor is used to accept and close the pending
+// connection, so that its client does not wait.
+func TestPendingConnectionRejectedWithoutDescriptors(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	var h inHand
-	if h.turnAway(l, syscall.EMFILE) {
-		t.Error("turned away with nothing in hand")
+	var spare spareDescriptor
+	if spare.rejectOne(l, syscall.EMFILE) {
+		t.Error("rejected a connection without a spare descriptor")
 	}
-	h.take()
-	for _, fail := range []error{syscall.EMFILE, syscall.ENFILE} {
+	spare.open()
+	for _, acceptErr := range []error{syscall.EMFILE, syscall.ENFILE} {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !h.turnAway(l, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", fail)}) || h.f == nil {
-			t.Fatalf("%v: not turned away, or nothing in hand any more", fail)
+		if !spare.rejectOne(l, &net.OpError{Op: "accept",
+			Err: os.NewSyscallError("accept4", acceptErr)}) || spare.file == nil {
+			t.Fatalf("%v: no connection rejected, or no spare descriptor afterwards", acceptErr)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(10 * time.Second))
 		if _, err := c.Read(make([]byte, 1)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("%v: the caller waits: %v", fail, err)
+			t.Errorf("%v: the client still waits: %v", acceptErr, err)
 		}
 		_ = c.Close()
 	}
-	if h.turnAway(l, syscall.ECONNABORTED) {
-		t.Error("turned away for another failure")
+	if spare.rejectOne(l, syscall.ECONNABORTED) {
+		t.Error("rejected a connection after another failure")
 	}
 }
--- a/internal/net/replywriter.go
+++ b/internal/net/replywriter.go
@@ -1,8 +1,8 @@
 package net
 
-// Writing replies to a client. The goroutine that takes the client's requests writes them. Where its thread
-// is held up in the system call, the reply is finished by the watchdog: it puts the bytes out itself and
-// ends the sending side, so that the held call can put out nothing behind them.
+// Writing replies to a client. The goroutine that serves the client's requests writes them. If its thread
+// gets stuck in the write system call, the watchdog finishes the reply: it writes the bytes itself and shuts
+// down the sending side, so that the stuck call cannot send anything after them.
 
 import (
 	"bytes"
@@ -17,73 +17,74 @@
 	"lapislever/internal/watchdog"
 )
 
-// rescueTicks is how many whole ticks the write of a reply has to be held before another goroutine finishes
-// it.
-const rescueTicks = 3
+// takeoverTicks is the number of whole watchdog ticks for which a reply's write has to be stuck before
+// another goroutine takes it over.
+const takeoverTicks = 3
 
-// tcpEstablished is the state of a connection of which neither side has ended (TCP_ESTABLISHED).
+// tcpEstablished is the state of a connection that neither side has closed (TCP_ESTABLISHED).
 const tcpEstablished = 1
 
-// replyWriter is the sending side of a client's connection.
+// replyWriter is the sending side of a client connection.
 type replyWriter struct {
-	conn  net.Conn
-	raw   syscall.RawConn // nil: the connection is not the system's own
-	watch *watchdog.Watchdog
-
-	mu       sync.Mutex // guards what follows
-	sent     uint64     // bytes that the system has taken so far
-	rest     []byte     // what the call under way writes; nil: there is none
-	last     bool       // with these bytes the reply is whole
-	rescuers int        // that may be about to write
-	quiet    sync.Cond  // told when there is none any more
-	rescued  bool       // the sending side has ended with this reply
+	conn     net.Conn
+	raw      syscall.RawConn // nil: not a plain kernel socket
+	watchdog *watchdog.Watchdog
+
+	mu           sync.Mutex // guards the fields below
+	sent         uint64     // bytes that the kernel has accepted so far
+	pending      []byte     // bytes of the system call in progress; nil: none in progress
+	final        bool       // these bytes complete the reply
+	takeovers    int        // takeovers that may be about to write
+	takeoverDone sync.Cond  // signalled when a takeover has finished
+	takenOver    bool       // this reply was finished by a takeover, and the sending side is shut down
 }
 
 func newReplyWriter(conn net.Conn, watch *watchdog.Watchdog) *replyWriter {
-	w := &replyWriter{conn: conn, raw: rawConn(conn), watch: watch}
-	w.quiet.L = &w.mu
+	w := &replyWriter{conn: conn, raw: rawConn(conn), watchdog: watch}
+	w.takeoverDone.L = &w.mu
 	return w
 }
 
-// replyPiece is a part of a reply that is written at a time.
-type replyPiece struct {
-	w     *replyWriter
-	limit time.Duration // for the client to take it, where the system does not take it at once
-	last  bool
+// replyChunk writes one chunk of a reply at a time.
+type replyChunk struct {
+	w       *replyWriter
+	timeout time.Duration // for the write, if the kernel does not accept it immediately
+	final   bool
 }
 
-// Write writes the piece. A limit is set only where the system takes nothing: setting it reads clocks.
-func (p *replyPiece) Write(b []byte) (int, error) {
+// Write writes a chunk. It sets a deadline only once the kernel accepts nothing, as setting one reads the
+// clock.
+func (p *replyChunk) Write(b []byte) (int, error) {
 	w := p.w
 	if w.raw == nil {
-		_ = w.conn.SetWriteDeadline(time.Now().Add(p.limit))
+		_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 		return w.conn.Write(b)
 	}
-	written, limited := 0, false
+	written, deadlineSet := 0, false
 	var failure error
-	var failures passingFailures
+	var failures transientFailures
 	err := w.raw.Write(func(fd uintptr) (done bool) {
 		for written < len(b) {
-			n, callErr := w.call(int(fd), b[written:], p.last)
+			n, callErr := w.writeOnce(int(fd), b[written:], p.final)
 			written += n
 			if errors.Is(callErr, unix.EAGAIN) {
-				if !limited {
-					limited = true
-					_ = w.conn.SetWriteDeadline(time.Now().Add(p.limit))
+				if !deadlineSet {
+					deadlineSet = true
+					_ = w.conn.SetWriteDeadline(time.Now().Add(p.timeout))
 				}
 				return false
 			}
-			if callErr != nil && failures.again(w.conn, callErr) {
+			if callErr != nil && failures.retry(w.conn, callErr) {
 				continue
 			}
 			if failure = callErr; failure != nil {
 				return true
 			}
-			failures.over()
+			failures.reset()
 		}
 		return true
 	})
-	if limited {
+	if deadlineSet {
 		_ = w.conn.SetWriteDeadline(time.Time{})
 	}
 	if failure != nil {
@@ -92,71 +93,71 @@
 	return written, err
 }
 
-// call makes one system call. While somebody else may be about to write it is not left: either the sending
-// side has ended then, or nobody writes any more.
-func (w *replyWriter) call(fd int, b []byte, last bool) (int, error) {
+// writeOnce makes one write system call. It does not return while a takeover may be about to write: by then
+// either the sending side is shut down, or nobody else writes any more.
+func (w *replyWriter) writeOnce(fd int, b []byte, final bool) (int, error) {
 	w.mu.Lock()
-	w.rest, w.last = b, last
+	w.pending, w.final = b, final
 	w.mu.Unlock()
-	watched := w.watch.Begin(w.held)
+	call := w.watchdog.Begin(w.takeOver)
 	n, err := write(fd, b)
-	w.watch.End(watched)
+	w.watchdog.End(call)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rest = nil
-	if n == len(b) && w.rescuers > 0 && !w.rescued {
+	w.pending = nil
+	if n == len(b) && w.takeovers > 0 && !w.takenOver {
 		_ = unix.Shutdown(fd, unix.SHUT_WR)
-		w.rescued = true
+		w.takenOver = true
 	}
-	for w.rescuers > 0 && !w.rescued {
-		w.quiet.Wait()
+	for w.takeovers > 0 && !w.takenOver {
+		w.takeoverDone.Wait()
 	}
-	if w.rescued {
+	if w.takenOver {
 		return len(b), nil
 	}
 	w.sent += uint64(n)
 	return n, err
 }
 
-// held finishes the reply in place of a call that is held up before it has put out a byte. Each such try
-// may be held up in turn, and is followed by another one; the first to write ends the sending side, so that
-// the others write nothing.
-func (w *replyWriter) held(ticks int) {
-	if ticks%rescueTicks != 0 {
+// takeOver finishes the reply on behalf of a system call that is stuck before it has sent a byte. A takeover
+// may get stuck too and is then followed by another one. The first to write shuts down the sending side, so
+// that the others write nothing.
+func (w *replyWriter) takeOver(ticks int) {
+	if ticks%takeoverTicks != 0 {
 		return
 	}
 	w.mu.Lock()
-	if w.rest == nil || !w.last || w.rescued {
+	if w.pending == nil || !w.final || w.takenOver {
 		w.mu.Unlock()
 		return
 	}
-	w.rescuers++
-	sent, rest := w.sent, bytes.Clone(w.rest)
+	w.takeovers++
+	sent, pending := w.sent, bytes.Clone(w.pending)
 	w.mu.Unlock()
 	done := false
-	_ = w.raw.Control(func(fd uintptr) { done = finishReply(int(fd), sent, rest) })
+	_ = w.raw.Control(func(fd uintptr) { done = finishReply(int(fd), sent, pending) })
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.rescuers--
-	w.rescued = w.rescued || done
-	w.quiet.Broadcast()
+	w.takeovers--
+	w.takenOver = w.takenOver || done
+	w.takeoverDone.Broadcast()
 }
 
-// finishReply writes the rest of a reply and ends the sending side, if the system has taken nothing since
-// so many bytes.
-func finishReply(fd int, sent uint64, rest []byte) bool {
-	if taken, ok := bytesTaken(fd); !ok || taken != sent {
+// finishReply writes the rest of a reply and shuts down the sending side, unless the kernel has accepted
+// more than sent bytes in the meantime.
+func finishReply(fd int, sent uint64, pending []byte) bool {
+	if accepted, ok := bytesAccepted(fd); !ok || accepted != sent {
 		return false
 	}
-	if writeAll(rest, func(b []byte) (int, error) { return write(fd, b) }) == 0 {
+	if writeAll(pending, func(b []byte) (int, error) { return write(fd, b) }) == 0 {
 		return false
 	}
 	_ = unix.Shutdown(fd, unix.SHUT_WR)
 	return true
 }
 
-// writeAll makes system calls until all is written or one fails, as the system may take a part only. It
-// returns how much was written.
+// writeAll calls write until all bytes are written or a call fails, as the kernel may accept only a part. It
+// returns the number of bytes written.
 func writeAll(b []byte, write func([]byte) (int, error)) (written int) {
 	for written < len(b) {
 		n, err := write(b[written:])
@@ -168,17 +169,17 @@
 	return written
 }
 
-// wasRescued tells that a reply was finished by the watchdog, and that nothing more can be sent.
-func (w *replyWriter) wasRescued() bool {
+// wasTakenOver reports whether a reply was finished by the watchdog, so that nothing more can be sent.
+func (w *replyWriter) wasTakenOver() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.rescued
+	return w.takenOver
 }
 
-// bytesTaken is how many bytes the system has taken from this process on a connection, sent or not. It is not
-// known where the system does not say so.
-func bytesTaken(fd int) (n uint64, ok bool) {
-	// First what is queued: what is acknowledged meanwhile then counts twice, not never.
+// bytesAccepted returns how many bytes the kernel has accepted from this process on a connection, sent or
+// not. ok is false if the kernel does not report it.
+func bytesAccepted(fd int) (n uint64, ok bool) {
+	// Read the queue size first: bytes acknowledged between the two calls then count twice, not zero times.
 	queued, err := unix.IoctlGetInt(fd, unix.SIOCOUTQ)
 	if err != nil {
 		return 0, false
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and writes the frames of the bench's protocol and turns its settings into the
-// module's own types. It decides nothing.
+// Package wire decodes and encodes the frames of the simulator's protocol and converts its settings to the
+// module's own types. It makes no decisions.
 package wire
 
 import (
@@ -53,14 +53,14 @@
 	maxTellText = 256
 )
 
-// Handler takes the records of one batch in their order.
+// Handler receives the records of a batch in order.
 type Handler interface {
 	Spawn(instance uint32, seed uint64, params string) error
 	Killed(instance uint32)
 	Event(instance uint32, ev balance.Event) error
 }
 
-// FrameError tells where a frame is malformed.
+// FrameError reports where a frame is malformed.
 type FrameError struct {
 	Frame, Byte int
 	What        string
@@ -78,17 +78,18 @@
 
 // Decoder reads batches from a stream.
 type Decoder struct {
-	r     io.Reader
-	buf   []byte
-	frame int
-	lists [16][]balance.Replica
-	given [16]bool
+	r       io.Reader
+	buf     []byte
+	frame   int
+	lists   [16][]balance.Replica
+	defined [16]bool
 }
 
-// NewDecoder returns a decoder of the batches on r.
+// NewDecoder returns a decoder that reads batches from r.
 func NewDecoder(r io.Reader) *Decoder { return &Decoder{r: r} }
 
-// Next reads one batch, hands begin its header and then h its records. It returns io.EOF at a clean end.
+// Next reads one batch and passes its header to begin and then its records to h. It returns io.EOF if the
+// stream ends between frames.
 func (d *Decoder) Next(begin func(Batch), h Handler) error {
 	var head [8]byte
 	d.frame++
@@ -105,7 +106,7 @@
 		return d.fail(4, fmt.Sprintf("a length of %d is not possible", size))
 	}
 	if cap(d.buf) < int(size) {
-		// Grow with what really arrives, so that a false length cannot ask for a gigabyte at once.
+		// Grow with the data that arrives, so that a wrong length cannot allocate a gigabyte at once.
 		d.buf = make([]byte, 0, min(int(size), 1<<20))
 	}
 	if d.buf, err = readN(d.r, d.buf[:0], int(size)); err != nil {
@@ -116,10 +117,10 @@
 	var inst uint32
 	for i := uint32(0); i < count; i++ {
 		at := c.at
-		if inst, err = d.record(&c, inst, h); err != nil {
+		if inst, err = d.decodeRecord(&c, inst, h); err != nil {
 			return err
 		}
-		if c.short {
+		if c.truncated {
 			return d.fail(8+at, "the record is cut short")
 		}
 	}
@@ -149,8 +150,8 @@
 	return &FrameError{Frame: d.frame, Byte: at, What: what}
 }
 
-// record reads one record and returns the instance that the next one concerns.
-func (d *Decoder) record(c *cursor, inst uint32, h Handler) (uint32, error) {
+// decodeRecord decodes one record and returns the instance that the next record belongs to.
+func (d *Decoder) decodeRecord(c *cursor, inst uint32, h Handler) (uint32, error) {
 	at := 8 + c.at
 	code := c.u16()
 	ev := balance.Event{}
@@ -160,7 +161,7 @@
 	case evSpawn:
 		seed := c.u64()
 		params := string(c.bytes(int(c.u32())))
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		if err := h.Spawn(inst, seed, params); err != nil {
@@ -171,13 +172,13 @@
 		h.Killed(inst)
 		return inst, nil
 	case evDefineList:
-		return inst, d.define(c, at)
+		return inst, d.defineList(c, at)
 	case evTargets:
 		ev.Kind = balance.List
 		mode := c.u8()
 		c.u64()
 		id := c.u8()
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		if mode > 3 {
@@ -185,7 +186,7 @@
 		}
 		ev.Mode = balance.ListMode(mode)
 		if ev.Mode != balance.Failed {
-			if id > 15 || !d.given[id] {
+			if id > 15 || !d.defined[id] {
 				return inst, d.fail(at, fmt.Sprintf("list %d was never given", id))
 			}
 			ev.Replicas = d.lists[id]
@@ -242,12 +243,12 @@
 		ev.Replica = c.replica()
 		ev.Elapsed = int64(c.u32())
 	default:
-		if c.short {
+		if c.truncated {
 			return inst, nil
 		}
 		return inst, d.fail(at, fmt.Sprintf("event code %d is not known", code))
 	}
-	if c.short {
+	if c.truncated {
 		return inst, nil
 	}
 	if err := h.Event(inst, ev); err != nil {
@@ -256,10 +257,10 @@
 	return inst, nil
 }
 
-func (d *Decoder) define(c *cursor, at int) error {
+func (d *Decoder) defineList(c *cursor, at int) error {
 	id := c.u8()
 	n := int(c.u32())
-	if c.short {
+	if c.truncated {
 		return nil
 	}
 	if id > 15 {
@@ -268,7 +269,7 @@
 	if n > (len(c.b)-c.at)/entryLen {
 		return d.fail(at, fmt.Sprintf("a list of %d lines is longer than its frame", n))
 	}
-	// A fresh slice: a number may be given anew while an earlier list is still in use in this batch.
+	// A new slice, as a list may be redefined while its earlier version is still in use in the same batch.
 	list := make([]balance.Replica, n)
 	for i := range list {
 		list[i].ID = c.replica()
@@ -279,20 +280,20 @@
 		list[i].Size = float64(c.f32())
 		list[i].Started = int64(c.u64())
 	}
-	d.lists[id], d.given[id] = list, true
+	d.lists[id], d.defined[id] = list, true
 	return nil
 }
 
-// cursor reads little-endian fields; short is set once a read would pass the end.
+// cursor reads little-endian fields; truncated is set once a read would go past the end.
 type cursor struct {
-	b     []byte
-	at    int
-	short bool
+	b         []byte
+	at        int
+	truncated bool
 }
 
 func (c *cursor) bytes(n int) []byte {
-	if c.short || n < 0 || n > len(c.b)-c.at {
-		c.short = true
+	if c.truncated || n < 0 || n > len(c.b)-c.at {
+		c.truncated = true
 		return nil
 	}
 	c.at += n
@@ -316,7 +317,7 @@
 
 func (c *cursor) report() []float32 {
 	n := int(c.u8())
-	if n == 0 || c.short {
+	if n == 0 || c.truncated {
 		return nil
 	}
 	out := make([]float32, 0, n)
@@ -326,10 +327,10 @@
 	return out
 }
 
-// Reply builds one reply frame.
+// Reply builds a reply frame.
 type Reply struct{ b []byte }
 
-// Begin empties the reply and sets the number of the batch that it answers.
+// Begin resets the reply and sets the number of the batch that it replies to.
 func (r *Reply) Begin(seq uint32) {
 	r.b = binary.LittleEndian.AppendUint32(r.b[:0], 0)
 	r.b = binary.LittleEndian.AppendUint32(r.b, seq)
@@ -341,7 +342,7 @@
 	r.u32(instance)
 }
 
-// Bytes finishes the frame.
+// Bytes completes the frame and returns it.
 func (r *Reply) Bytes() []byte {
 	binary.LittleEndian.PutUint32(r.b, uint32(len(r.b)-4))
 	return r.b
@@ -350,8 +351,8 @@
 func (r *Reply) code(c uint16) { r.b = binary.LittleEndian.AppendUint16(r.b, c) }
 func (r *Reply) u32(v uint32)  { r.b = binary.LittleEndian.AppendUint32(r.b, v) }
 
-func (r *Reply) text(s string, most int) {
-	s = s[:min(len(s), most)]
+func (r *Reply) text(s string, maxLen int) {
+	s = s[:min(len(s), maxLen)]
 	r.b = binary.LittleEndian.AppendUint16(r.b, uint16(len(s)))
 	r.b = append(r.b, s...)
 }
@@ -362,7 +363,7 @@
 	}
 }
 
-// Action appends one action of the instance named last.
+// Action appends an action of the current instance.
 func (r *Reply) Action(a balance.Action) {
 	switch a.Kind {
 	case balance.Send:
