--- a/internal/quota/book.go
+++ b/internal/quota/book.go
@@ -7,55 +7,55 @@
 	"slices"
 )
 
-// part is where an amount comes from: what a member owns has three parts, as they may be lost on their own.
+// pool is the origin of an amount. What a member owns comes from three pools, as each can be lost separately.
 type part uint8
 
 const (
-	floor part = iota // never another's, whatever happens
-	rest              // the member's own while a majority says so, see Tenure
-	taken             // that of members that are gone, while a majority says so
+	floor part = iota // always belongs to this member
+	rest              // the rest of the own share, while this member holds its lease; see Leases
+	taken             // the rest of dead members' shares, while this member holds their leases
 	parts
 )
 
-// loan is one between two members.
+// loan is a loan between two members, as one of them records it.
 type loan struct {
 	id    uint64
 	with  string
-	rate  float64 // or how many at a time
+	rate  float64 // requests per second, or units of a concurrency limit
 	until Micros
-	seq   uint32 // of the last request for it
-	asked Micros // and when that was sent
-	part  part   // of a lender: out of what
-	open  int    // of a borrower, where requests are counted while they are open: how many go on it
+	seq   uint32 // sequence number of the last request for it
+	asked Micros // time at which that request was sent
+	part  part   // at the lender: pool it is lent from
+	open  int    // at the borrower of concurrency units: requests in flight on it
 }
 
-// book is the loans of one member in one limit: who has how much of whose, and until when.
+// loanBook records the loans of one member in one limit.
 type book struct {
 	id      uint64
 	period  Micros
-	hold    Micros // for how long what was let in on a loan may go on after its end
+	hold    Micros // time for which a request admitted on a loan may continue after the loan has ended
 	rng     *rand.PCG
 	lent    []loan
 	in      []loan
-	pending []loan // asked for, not granted yet
+	pending []loan // requested, not granted yet
 	seq     uint32
-	width   int  // how many are asked a period at the most: fewer while nobody has any to spare
-	fruit   bool // something was granted since the last time
+	width   int  // maximum number of members asked per period; reduced while nobody grants anything
+	fruit   bool // a loan was granted since the last borrow
 	entitled
 }
 
-// entitled is what a member may use beside the floor, and until when: its own rest, and that of others.
+// leaseWindows are the times in which a member may use the leased part of its own share and of others'.
 type entitled struct {
 	mine  window
 	taken []window
 }
 
-// window is a time, by the clock here.
+// window is a time interval on the local clock.
 type window struct{ from, until Micros }
 
 func (w window) open(now Micros) bool { return now >= w.from && now < w.until }
 
-// next is when the window opens or closes next.
+// nextChange returns the next time at which the window begins or ends.
 func (w window) next(now Micros) Micros {
 	switch {
 	case now < w.from && w.from < w.until:
@@ -66,10 +66,10 @@
 	return math.MaxInt64
 }
 
-// entitle takes in until when this member has its own rest, and those of others that are gone.
+// setWindows sets the times in which this member holds its own lease and those of dead members.
 func (b *book) entitle(mine window, others []window) { b.entitled = entitled{mine, others} }
 
-// count is how many members' rests a part stands for now.
+// count returns how many members' amounts a pool comprises now.
 func (e *entitled) count(p part, now Micros) (n int) {
 	switch {
 	case p == floor, p == rest && e.mine.open(now):
@@ -84,7 +84,7 @@
 	return n
 }
 
-// next is when that changes.
+// nextChange returns the next time at which count changes.
 func (e *entitled) next(now Micros) Micros {
 	at := e.mine.next(now)
 	for _, w := range e.taken {
@@ -93,23 +93,24 @@
 	return at
 }
 
-// term is how long a loan is in use at the borrower at the most, and how long it is out at the lender at the
-// least; and how long who does not know what was lent before has to wait.
+// useTime is how long the borrower uses a loan at most, lentTime how long the lender counts it as lent at
+// least, and startWait how long a process that does not know its predecessor's loans has to wait. They differ
+// by the clock drift, so that a loan ends at the borrower first.
 func (b *book) useFor() Micros  { return span(b.period, 1-2*Drift) }
 func (b *book) outFor() Micros  { return span(b.period, 1+Drift) + held(b.hold) }
 func (b *book) waitFor() Micros { return span(b.period, 1+3*Drift) + held(b.hold) }
 
-// held is for how long what may go on so long by another clock may do so by this one.
+// withDrift is the longest time on this clock for a duration measured on another member's clock.
 func held(hold Micros) Micros { return Micros(float64(hold) * (1 + 3*Drift)) }
 
-// expire drops the loans that are over. A loan here on which requests are still open stays until they end,
-// but lets no more in.
+// expire removes the loans that have ended. A borrowed loan with requests in flight stays until they finish,
+// but admits no more.
 func (b *book) expire(now Micros) {
 	b.lent = slices.DeleteFunc(b.lent, func(l loan) bool { return l.until <= now })
 	b.in = slices.DeleteFunc(b.in, func(l loan) bool { return l.until <= now && l.open == 0 })
 }
 
-// out is how much of a part is lent.
+// lentFrom returns how much of a pool is lent.
 func (b *book) out(p part) (sum float64) {
 	for i := range b.lent {
 		if b.lent[i].part == p {
@@ -119,7 +120,7 @@
 	return sum
 }
 
-// nextEnd is when the next loan ends.
+// nextExpiry returns the time at which the next loan ends.
 func (b *book) nextEnd() Micros {
 	at := Micros(math.MaxInt64)
 	for i := range b.lent {
@@ -133,7 +134,7 @@
 	return at
 }
 
-// The kinds of message: kind, limit (8), loan (8), request (4), amount (8).
+// Message kinds. Format: kind, limit (8 bytes), loan (8), sequence number (4), amount (8).
 const (
 	msgAsk = 1 + iota
 	msgGrant
@@ -148,7 +149,7 @@
 	return binary.LittleEndian.AppendUint64(d, math.Float64bits(amount))
 }
 
-// parse takes a message apart. False: it is none, or of another limit.
+// decode decodes a message. It returns false if the message is malformed or for another limit.
 func (b *book) parse(from string, data []byte) (kind byte, l loan, amount float64, ok bool) {
 	if id, ok := IDOf(data); !ok || id != b.id {
 		return 0, loan{}, 0, false
@@ -158,7 +159,7 @@
 	return data[0], l, amount, amount >= 0 && amount <= 1e12
 }
 
-// IDOf is the limit that a message concerns; false: it is none.
+// MessageLimitID returns the limit that a message is for, or false if it is not a message about a loan.
 func IDOf(data []byte) (uint64, bool) {
 	if len(data) != msgSize || data[0] < msgAsk || data[0] > msgBack {
 		return 0, false
@@ -166,14 +167,14 @@
 	return binary.LittleEndian.Uint64(data[1:]), true
 }
 
-// ask makes a request for a loan, or for it to go on.
+// request returns a request for a loan or its renewal.
 func (b *book) ask(now Micros, l *loan, amount float64) Send {
 	b.seq++
 	l.seq, l.asked = b.seq, now
 	return Send{To: l.with, Data: b.message(msgAsk, l, amount)}
 }
 
-// renew asks for loans to go on, in time, so that a lost answer can be asked for once more.
+// renew requests the renewal of loans early enough that a request can be repeated if the answer is lost.
 func (b *book) renew(now Micros) (out []Send) {
 	for i := range b.in {
 		if l := &b.in[i]; now < l.until && l.until-now < span(b.period, renewAt) {
@@ -183,8 +184,8 @@
 	return out
 }
 
-// borrow asks some others, each for all that lacks: most grant little, and what is too much goes back by
-// itself. How many are asked goes by how many shares lack.
+// borrow asks several members, each for the whole missing amount: most grant little, and an excess is
+// returned later. The number of members asked depends on how many shares are missing.
 func (b *book) borrow(now Micros, lacks, share float64, peers []string) (out []Send) {
 	if len(peers) == 0 {
 		return nil
@@ -205,13 +206,13 @@
 	return out
 }
 
-// forgetAsked drops requests that nobody has granted in time.
+// dropUnanswered removes requests that were not granted in time.
 func (b *book) forgetAsked(now Micros) {
 	b.pending = slices.DeleteFunc(b.pending, func(l loan) bool { return now-l.asked > 2*b.period })
 }
 
-// grant lends, or has a loan go on, and returns what is to be sent. of says how much there is to lend and of
-// what part, where the loan is new; may, whether one of a part may go on.
+// grant grants or renews a loan and returns the messages to send. For a new loan, of returns the amount and
+// the pool to lend from; for an existing one, may reports whether a loan from its pool may be renewed.
 func (b *book) grant(now Micros, l loan, of func() (float64, part), may func(p part) bool) (out []Send) {
 	i := slices.IndexFunc(b.lent, func(x loan) bool { return x.id == l.id && x.with == l.with })
 	if i < 0 {
@@ -221,14 +222,14 @@
 		b.lent = append(b.lent, l)
 		i = len(b.lent) - 1
 	} else if !may(b.lent[i].part) {
-		return nil // it ends at its term
+		return nil // the loan ends with its term
 	}
-	x := &b.lent[i] // it is out before it is granted
+	x := &b.lent[i] // recorded as lent before the borrower is told
 	x.until, x.seq = max(x.until, now+b.outFor()), l.seq
 	return []Send{{To: l.with, Data: b.message(msgGrant, x, x.rate)}}
 }
 
-// granted takes in that a loan was. It returns whether there is more now than before.
+// acceptGrant handles the grant or renewal of a loan. It reports whether the loan was added or extended.
 func (b *book) granted(now Micros, l loan, amount float64) bool {
 	same := func(x loan) bool { return x.id == l.id && x.with == l.with }
 	if i := slices.IndexFunc(b.in, same); i >= 0 {
@@ -252,12 +253,12 @@
 	return true
 }
 
-// back takes in that a loan was given back.
+// endLoan handles the return of a loan.
 func (b *book) back(l loan) {
 	b.lent = slices.DeleteFunc(b.lent, func(x loan) bool { return x.id == l.id && x.with == l.with })
 }
 
-// Lend is a loan that is out, as one process hands it to the next.
+// SavedLoan is a granted loan as one process hands it over to the next.
 type Lend struct {
 	ID   uint64  `json:"id"`
 	With string  `json:"with"`
@@ -266,7 +267,7 @@
 	Part uint8   `json:"part,omitempty"`
 }
 
-// save is what is lent, for the next process.
+// saveLent returns the granted loans for the successor.
 func (b *book) save(now Micros) (lent []Lend) {
 	for _, l := range b.lent {
 		lent = append(lent, Lend{l.id, l.with, l.rate, l.until - now, uint8(l.part)})
@@ -274,7 +275,7 @@
 	return lent
 }
 
-// inherit takes over what another process has lent.
+// restoreLent adds the loans that another process has granted.
 func (b *book) inherit(now Micros, lent []Lend) {
 	for _, l := range lent {
 		b.lent = append(b.lent, loan{id: l.ID, with: l.With, rate: l.Rate, until: now + l.Left,
@@ -282,7 +283,7 @@
 	}
 }
 
-// stalest is how long ago the oldest loan here was last granted.
+// stalest returns the time since the oldest borrowed loan was last granted.
 func (b *book) stalest(now Micros) (stale Micros) {
 	for i := range b.in {
 		stale = max(stale, now-b.in[i].asked)
--- a/internal/quota/chaos_test.go
+++ b/internal/quota/chaos_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// process is one member's: its tenure, a limit by rate and one on what is open.
+// memberProcess is one member's process with its leases, a rate limit and a concurrency limit.
 type process struct {
 	tenure *Tenure
 	share  *Share
@@ -15,13 +15,13 @@
 	open   []opened
 }
 
-// opened is a request that was let in.
+// openRequest is an admitted request in flight.
 type opened struct {
 	at   Place
-	ends Micros // by its member's clock
+	ends Micros // on its member's clock
 }
 
-// fleet is members with both kinds of limit and the votes on who has whose rest, under faults.
+// faultFleet simulates members with both kinds of limit and with leases, under faults.
 type fleet struct {
 	t        testing.TB
 	rng      *rand.Rand
@@ -33,7 +33,7 @@
 	procs    []*process
 	skew     []float64
 	offset   []float64
-	demand   []float64 // a second
+	demand   []float64 // requests per second
 	owed     []float64
 	down     []bool
 	frozen   []bool
@@ -41,14 +41,14 @@
 	loss     float64
 	late     float64
 	cut      func(a, b int) bool
-	alive    func(i int) []string // as a member sees it: right or wrong
+	alive    func(i int) []string // members that member i believes to be alive, which may be wrong
 	starts   uint64
 	hasty    bool
-	worst    float64 // sum of rates over the limit's
-	most     int     // open at a time
-	twice    int     // moments at which two had one member's rest
-	let      int
-	letEarly int // of them, by rate, since the last look
+	worst    float64 // maximum sum of the rates in use, relative to the limit
+	most     int     // maximum number of requests in flight
+	twice    int     // number of steps in which two members held the same lease
+	let      int     // requests admitted by the rate limit
+	letEarly int     // the same, reset by tests
 	bytes    int
 }
 
@@ -129,7 +129,7 @@
 	return append(out, p.slots.Tick(now, others)...)
 }
 
-// step lets 20 ms go by.
+// step advances the time by 20 ms.
 func (f *fleet) step(tick bool) {
 	f.now += 20_000
 	flying := f.flying
@@ -146,7 +146,7 @@
 	holders := map[string]int{}
 	for i, p := range f.procs {
 		now := f.clock(i)
-		if !f.down[i] { // a request of one that is stopped is open until its time, whoever looks
+		if !f.down[i] { // a stopped process's requests stay in flight until their end
 			for _, o := range p.open {
 				if o.ends > now {
 					open++
@@ -204,7 +204,7 @@
 	}
 }
 
-// chaos does things to members, links and views, again and again.
+// chaos injects random faults into members and links and changes the demand, for a number of rounds.
 func (f *fleet) chaos(rounds int) {
 	n := len(f.procs)
 	for range rounds {
@@ -221,7 +221,7 @@
 		case 4:
 			mask := f.rng.Uint64()
 			f.cut = func(a, b int) bool { return mask>>a&1 != mask>>b&1 }
-		case 5: // one way only
+		case 5: // one direction only
 			from := f.rng.IntN(n)
 			f.cut = func(a, _ int) bool { return a == from }
 		case 6:
@@ -240,13 +240,13 @@
 	}
 }
 
-// Whatever happens to members, links, clocks and views: the rates in use add up to the limit at most, no more
-// are open than may be, and nobody's rest has two holders.
+// Under faults of members, links, clocks and membership views, the rates in use never exceed the limit, no
+// more requests are in flight than allowed, and no lease has two holders.
 func TestNeverOverWithTenure(t *testing.T) {
 	for seed := range uint64(10) {
 		f := newFleet(t, 3+int(seed)%4, seed, 0.5)
 		f.loss, f.late = 0.3*float64(seed%2), 0.1*float64(seed%3)
-		if seed%4 == 3 { // views that are just wrong
+		if seed%4 == 3 { // views that randomly miss living members
 			right := f.alive
 			f.alive = func(i int) []string {
 				return slices.DeleteFunc(right(i), func(s string) bool { return s != f.names[i] && f.rng.IntN(3) == 0 })
@@ -257,13 +257,14 @@
 		}
 		f.chaos(120)
 		if f.worst > 1.000001 || f.most > int(f.some.Rate) || f.twice > 0 || f.let == 0 || f.most < 10 {
-			t.Fatalf("seed %d: rates add up to %.4f of the limit, %d open of %.0f, %d times two holders, %d let in",
+			t.Fatalf("seed %d: rates reach %.4f of the limit, %d in flight of %.0f, %d times two holders, %d admitted",
 				seed, f.worst, f.most, f.some.Rate, f.twice, f.let)
 		}
 	}
 }
 
-// A voter that votes as soon as it has started is found: two have one member's rest.
+// A voter that votes as soon as it has started lets two members hold the same lease, and the checks detect
+// that.
 func TestAHastyVoterIsFound(t *testing.T) {
 	for seed := range uint64(40) {
 		f := newFleet(t, 3, seed, 0.5)
@@ -273,11 +274,12 @@
 			return
 		}
 	}
-	t.Fatal("never two holders although voters forget")
+	t.Fatal("a lease never had two holders although restarted voters forget their votes")
 }
 
-// The rest of a dead member's share is in use by another within 3 terms and 2 periods of its death's being
-// known, on the side of a majority; a minority keeps the floor; the member has it back within as long.
+// Another member uses the leased part of a dead member's share within 3 terms and 2 periods after the death
+// is known, and the member has it back within 4 terms after its return. In a partition the majority uses the
+// leased parts of the others, and the minority keeps its floor.
 func TestTheDeadsShareIsUsed(t *testing.T) {
 	f := newFleet(t, 5, 7, 0.5)
 	for i := range f.demand {
@@ -290,17 +292,17 @@
 	}
 	f.run(4 * Term)
 	if got := rate(); got < 0.95*f.rate.Rate {
-		t.Fatalf("%.0f of %.0f a second while all are there", got, f.rate.Rate)
+		t.Fatalf("%.0f requests per second of %.0f with all members alive", got, f.rate.Rate)
 	}
 	f.down[4] = true
 	f.run(3*Term + 2)
-	if got := rate(); got < 0.88*f.rate.Rate { // 4/5 and half of the fifth
-		t.Errorf("%.0f of %.0f a second without one", got, f.rate.Rate)
+	if got := rate(); got < 0.88*f.rate.Rate { // 4/5 and half of the last fifth
+		t.Errorf("%.0f requests per second of %.0f with one member dead", got, f.rate.Rate)
 	}
 	f.start(4)
 	f.run(4 * Term)
 	if got := rate(); got < 0.95*f.rate.Rate {
-		t.Errorf("%.0f of %.0f a second with it back", got, f.rate.Rate)
+		t.Errorf("%.0f requests per second of %.0f after its return", got, f.rate.Rate)
 	}
 	f.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	f.run(4 * Term)
@@ -314,19 +316,20 @@
 		sides[i/3] += float64(p.share.Granted-before[i]) / 5
 	}
 	if sides[0] < 0.75*f.rate.Rate || sides[1] < 0.18*f.rate.Rate || sides[0]+sides[1] > f.rate.Rate {
-		t.Errorf("cut in 3 and 2 they use %.0f and %.0f a second of %.0f", sides[0], sides[1], f.rate.Rate)
+		t.Errorf("partition of 3 and 2: %.0f and %.0f requests per second of %.0f", sides[0], sides[1], f.rate.Rate)
 	}
-	t.Logf("cut in 3 and 2: %.0f and %.0f a second of %.0f", sides[0], sides[1], f.rate.Rate)
+	t.Logf("partition of 3 and 2: %.0f and %.0f requests per second of %.0f", sides[0], sides[1], f.rate.Rate)
 }
 
-// What is open at a time: all traffic at one of five has most of it, and each its own again when it wants it.
+// Concurrency slots are lent: with all traffic at one of five members it has most of them, and each member
+// has its own slots back when it needs them.
 func TestSlotsAreLent(t *testing.T) {
 	f := newFleet(t, 5, 8, 1)
 	f.demand[1] = 200
 	f.run(3 * Term)
 	open := f.procs[1].slots.opened()
 	if float64(open) < 0.85*f.some.Rate {
-		t.Errorf("%d of %.0f open at the one with all traffic", open, f.some.Rate)
+		t.Errorf("%d of %.0f in flight at the member with all traffic", open, f.some.Rate)
 	}
 	for i := range f.demand {
 		f.demand[i] = 200
@@ -334,15 +337,16 @@
 	f.run(4 * Term)
 	for i, p := range f.procs {
 		if n := p.slots.opened(); n < 7 {
-			t.Errorf("member %d has %d open of its 8", i, n)
+			t.Errorf("member %d has %d requests in flight of its 8", i, n)
 		}
 	}
 	if f.most > int(f.some.Rate) {
-		t.Errorf("%d were open", f.most)
+		t.Errorf("%d requests were in flight", f.most)
 	}
 }
 
-// An upgrade: what is open at the old process counts, and both together have no more than the member.
+// During an upgrade the requests in flight at the old process count, and both processes together have no more
+// slots than the member.
 func TestSlotsOfTwoProcesses(t *testing.T) {
 	now := Micros(1)
 	s := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 1, now)
@@ -351,14 +355,14 @@
 	for range 5 {
 		at, ok, _ := s.Take(now, now+1_000_000)
 		if !ok {
-			t.Fatal("turned away")
+			t.Fatal("a request within the share is refused")
 		}
 		places = append(places, at)
 	}
 	next := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 2, now)
 	next.Hold(now)
 	if _, ok, _ := next.Take(now, now+1); ok {
-		t.Fatal("let in before it is told")
+		t.Fatal("a suspended process admits a request")
 	}
 	next.Inherit(now, s.Split(now))
 	n, m := 0, 0
@@ -371,13 +375,13 @@
 		}
 	}
 	if n != 2 || m != 1 {
-		t.Fatalf("beside 5 that are open the new process opens %d and the old one %d, of 8", n, m)
+		t.Fatalf("beside 5 requests in flight the new process admits %d and the old one %d, of 8", n, m)
 	}
 	for _, at := range places {
 		s.Done(now, at)
 	}
 	next.Alone(now, false)
 	if _, ok, _ := next.Take(now, now+1); !ok {
-		t.Fatal("alone it has no more")
+		t.Fatal("after the old process has ended the new one admits no more")
 	}
 }
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// state is three members, of which one wants more, with messages that may be delivered in any order, twice or
-// never, and processes that may start anew.
+// shareState is a state of the model: three members, one of which demands more than its share. Messages may
+// be delivered in any order, twice or never, and processes may restart.
 type state struct {
 	now    Micros
 	shares [3]*Share
@@ -46,7 +46,7 @@
 	}
 }
 
-// print stands for a state; numbers drawn at random count by their order only.
+// fingerprint returns a hash of the state. Random IDs are replaced by their order of appearance.
 func (x *state) print() uint64 {
 	var b []byte
 	ids := map[uint64]uint64{}
@@ -78,7 +78,7 @@
 	return xxhash.Sum64(b)
 }
 
-// over tells that the rates in use add up to more than the limit.
+// exceeds reports whether the rates in use add up to more than the limit.
 func (x *state) over(limit Limit) bool {
 	sum := 0.0
 	for _, s := range x.shares {
@@ -88,7 +88,8 @@
 	return sum > limit.Rate/(1+Drift)*(1+1e-9)
 }
 
-// explore tries every choice for so many steps, depth first.
+// explore tries every sequence of up to steps events, depth first, in at most most states. It returns the
+// first sequence that exceeds the limit.
 func explore(limit Limit, steps, most int, forget bool) (found []string, states int) {
 	first := &state{now: 1_000_000_000}
 	for i := range first.shares {
@@ -148,7 +149,7 @@
 			}
 		}
 		step("a third of a term", func(c *state) { c.now += span(period, 0.33) })
-		step("the third member's turn", func(c *state) {
+		step("tick 2", func(c *state) {
 			c.shares[2].count = 100
 			c.send(2, c.shares[2].Tick(c.now, []string{"m0", "m1"}))
 			c.flying = c.flying[max(0, len(c.flying)-6):]
@@ -157,8 +158,8 @@
 	return nil, states
 }
 
-// No order of delivery, loss, repetition, restart and time has the rates add up to more than the limit; a
-// start that forgets what was lent is found.
+// No sequence of deliveries, losses, duplicates, restarts and time steps makes the rates add up to more than
+// the limit. The same search finds the fault of a process that forgets its predecessor's loans.
 func TestEveryOrder(t *testing.T) {
 	limit := Limit{Name: "l", ID: 7, Rate: 30, Burst: 9}
 	steps, most := 7, 60_000
@@ -168,15 +169,15 @@
 	found, states := explore(limit, steps, most, false)
 	t.Logf("%d states", states)
 	if found != nil {
-		t.Fatalf("over after %v", found)
+		t.Fatalf("limit exceeded after %v", found)
 	}
 	if found, states = explore(limit, steps, most, true); found == nil {
-		t.Fatalf("a forgotten loan is not found in %d states", states)
+		t.Fatalf("the fault of a forgotten loan was not found in %d states", states)
 	}
-	t.Logf("planted fault found after %d states: %v", states, found)
+	t.Logf("injected fault found after %d states: %v", states, found)
 }
 
-// BenchmarkTakeFromAllCores is one decision under the lock that fronts share.
+// BenchmarkTakeFromAllCores measures one decision under a lock that all cores contend for, as the fronts do.
 func BenchmarkTakeFromAllCores(b *testing.B) {
 	s := NewShare(Limit{ID: 7, Rate: 1e6, Burst: 1e5}, 3, period, 1, 0)
 	var lock sync.Mutex
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -6,48 +6,48 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a limit that holds for each key on its own.
+// Bounds of a limit that applies to each key separately.
 const (
-	MostKeys   = 10_000 // keys with a share of their own at a member; the others are in the sketch
+	MostKeys   = 10_000 // keys with their own share at a member; all others are counted in the sketch
 	rows       = 4
-	columns    = 16384 // of a row
-	keyIdle    = 10    // periods after which a key that asks for nothing has no share of its own any more
-	keySends   = 64    // messages of all keys a period
-	keysLooked = 2048  // keys that have their turn a period
+	columns    = 16384 // cells per row
+	keyIdle    = 10    // periods without requests after which a key loses its own share
+	keySends   = 64    // maximum number of messages per period for all keys together
+	keysLooked = 2048  // maximum number of keys whose share is updated per period
 )
 
-// KeyID is a key of a limit, the same at all members. Two keys of one limit that have the same one (of 10,000
-// some two do with a chance of one in a hundred) have one share together: it is stricter then, not over.
+// KeyID returns the ID of a key of a limit, identical at all members. Two keys with the same ID (the
+// probability of any collision among 10,000 keys is about 1%) are limited together: too strictly, but the
+// limit is not exceeded.
 func KeyID(limit uint64, key string) uint64 {
 	return KeyOf(limit, xxhash.Sum64String(key))
 }
 
-// KeyOf is the same for a key that is a number already.
+// KeyIDFromNumber is KeyID for a key that is a number.
 func KeyOf(limit, key uint64) uint64 { return limit&^math.MaxUint32 | max(1, key&math.MaxUint32) }
 
-// LimitOf is the limit of a key's number.
+// LimitIDOf returns the limit that a key ID belongs to.
 func LimitOf(id uint64) uint64 { return id &^ math.MaxUint32 }
 
-// LimitID is the number of a limit without its keys.
+// LimitID returns the ID of a limit by its name; the low 32 bits are left for keys.
 func LimitID(name string) uint64 { return xxhash.Sum64String(name) &^ math.MaxUint32 }
 
-// cell is a bucket that several keys share: how full it was, and when.
+// sketchCell is a leaky bucket that several keys share: its level at a time.
 type cell struct {
 	level float32
-	at    float32 // seconds since the sketch began
+	at    float32 // seconds since the sketch was created
 }
 
-// sketch bounds what each of very many keys gets, in fixed memory: a count-min sketch (Cormode and
+// sketch limits the rate of each of very many keys in constant memory. It is a count-min sketch (Cormode and
 // Muthukrishnan, J. Algorithms 55(1), 2005, §3) with conservative update (Estan and Varghese, SIGCOMM 2002,
-// §3.2) of leaky buckets, which run empty with time. No cell of a key is ever less full than a bucket of that
-// key's own would be, so that no key gets more than its rate; one may get less where all its cells are filled
-// by others.
+// §3.2) whose cells are leaky buckets. No cell of a key is ever less full than a separate bucket for that key
+// would be, so no key gets more than its rate; a key may get less if all of its cells are filled by others.
 type sketch struct {
 	cells [rows][columns]cell
 	begun Micros
 }
 
-// take lets one in if the least full of the key's cells has room.
+// take admits one request if the least full of the key's cells has room.
 func (s *sketch) take(now Micros, key uint64, rate, most float64) bool {
 	at := float32(float64(now-s.begun) / 1e6)
 	var mine [rows]*cell
@@ -69,7 +69,7 @@
 	return true
 }
 
-// fill is what a key that had a bucket of its own takes along into the sketch.
+// add carries the level of a key that had its own bucket over into the sketch.
 func (s *sketch) fill(now Micros, key uint64, used float64) {
 	at := float32(float64(now-s.begun) / 1e6)
 	for r := range rows {
@@ -79,9 +79,9 @@
 	}
 }
 
-// Keys is one member's part in a limit that holds for each key on its own: for each tenant, say. Keys that
-// ask for more than the member's share have a share of their own, which borrows and lends; all others are in
-// a sketch.
+// KeyedShares is one member's share of a limit that applies to each key separately, for example to each
+// tenant. Keys that demand more than the member's share get their own Share, which borrows and lends; all
+// others are counted in a sketch.
 type Keys struct {
 	Limit
 	members int
@@ -94,23 +94,23 @@
 	known   map[uint64]*Share // by KeyID
 	order   []uint64
 	turn    int
-	left    int // of a period's messages
+	left    int // messages that may still be sent in this period
 	Granted int64
 	Refused int64
-	Crowded int64 // times that a key found no room for a share of its own
+	Crowded int64 // times that a key could not get its own share
 }
 
-// NewKeys returns the part of a member that starts from nothing.
+// NewKeyedShares returns the shares of a member that starts without state from a predecessor.
 func NewKeys(l Limit, members int, period Micros, seed uint64, now Micros) *Keys {
 	l.Floor = 1
 	return &Keys{Limit: l, members: members, period: period, seed: seed, tail: &sketch{begun: now},
 		known: map[uint64]*Share{}, usable: now + span(period, 1+3*Drift)}
 }
 
-// Len is how many keys have a share of their own.
+// Len returns the number of keys that have their own share.
 func (k *Keys) Len() int { return len(k.known) }
 
-// Take asks whether one more of a key may be let in now, and if not after how long.
+// Take reports whether one more request of a key may be admitted now, and if not, when to retry.
 func (k *Keys) Take(now Micros, id uint64) (ok bool, after Micros) {
 	if s := k.known[id]; s != nil {
 		if ok, after = s.Take(now); ok {
@@ -136,7 +136,7 @@
 	return false, k.period
 }
 
-// Return gives back what Take has let in and nobody used.
+// Refund returns the token of a request that Take admitted and that was not used.
 func (k *Keys) Return(id uint64) {
 	if s := k.known[id]; s != nil {
 		s.Return()
@@ -144,8 +144,8 @@
 	k.Granted--
 }
 
-// own gives a key a share of its own, if there is room. Its bucket is empty: the sketch may have let in as
-// much as it holds.
+// ensureShare returns the key's own share and creates it if there is room. A new bucket is empty, as the
+// sketch may already have admitted as much as it holds.
 func (k *Keys) own(now Micros, id uint64) *Share {
 	if s := k.known[id]; s != nil {
 		return s
@@ -165,7 +165,7 @@
 	return s
 }
 
-// Tick is to be called once a period, with the other members that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (k *Keys) Tick(now Micros, peers []string) (out []Send) {
 	k.left = keySends
 	for range min(keysLooked, len(k.order)) {
@@ -189,14 +189,14 @@
 	return out
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (k *Keys) Receive(now Micros, from string, data []byte) []Send {
 	id, ok := IDOf(data)
 	if !ok || id&^math.MaxUint32 != k.ID || k.left <= 0 {
 		return nil
 	}
 	s := k.known[id]
-	if s == nil && data[0] == msgAsk { // whoever asks for some of it gets what is not used here
+	if s == nil && data[0] == msgAsk { // create the share, so that the unused amount can be lent
 		s = k.own(now, id)
 	}
 	if s == nil {
@@ -208,7 +208,7 @@
 	return out
 }
 
-// Figures are those of now, over all keys that have a share of their own.
+// Stats returns the current figures, summed over all keys that have their own share.
 func (k *Keys) Figures(now Micros) (f Figures) {
 	for _, s := range k.known {
 		g := s.Figures(now)
@@ -220,7 +220,7 @@
 	return f
 }
 
-// Split leaves this process what is never lent, and returns what the next one has to know.
+// HandOver leaves this process only what is never lent, and returns the loans that the successor has to know.
 func (k *Keys) Split(now Micros) map[uint64][]Lend {
 	out := map[uint64][]Lend{}
 	for id, s := range k.known {
@@ -228,11 +228,11 @@
 			out[id] = lent
 		}
 	}
-	k.held = true // what has no share of its own is the next process's
+	k.held = true // keys without their own share belong to the successor
 	return out
 }
 
-// Inherit goes on after another process of this member, with its keys.
+// TakeOver continues after another process of this member, with its loans by key.
 func (k *Keys) Inherit(now Micros, from map[uint64][]Lend) {
 	k.held, k.usable = false, now
 	for id, lent := range from {
@@ -244,10 +244,10 @@
 	}
 }
 
-// Hold leaves this process nothing until Inherit or Alone.
+// Suspend leaves this process nothing until TakeOver or OtherProcessEnded.
 func (k *Keys) Hold(Micros) { k.held = true }
 
-// Alone tells that the other process of this member is over.
+// OtherProcessEnded notes that the other process of this member has ended; see Share.OtherProcessEnded.
 func (k *Keys) Alone(now Micros, unknown bool) {
 	k.held = false
 	if unknown {
@@ -258,7 +258,7 @@
 	}
 }
 
-// Void leaves this member nothing while others turn it down.
+// SetDisabled sets whether this member may use nothing; see Share.SetDisabled.
 func (k *Keys) Void(now Micros, on bool) {
 	if k.void && !on {
 		k.usable = max(k.usable, now+span(k.period, 1+3*Drift))
@@ -269,7 +269,7 @@
 	}
 }
 
-// Configure takes in another rate and burst, and another number of members.
+// Configure sets the rate, the burst and the number of members.
 func (k *Keys) Configure(now Micros, rate, burst float64, members int) {
 	k.Rate, k.Burst, k.members = rate, burst, members
 	for _, s := range k.known {
@@ -277,5 +277,5 @@
 	}
 }
 
-// Entitle does nothing: all of a key's share is its member's own.
+// SetEntitlement does nothing: the whole share of a key always belongs to its member.
 func (k *Keys) Entitle(Micros, Entitlement) {}
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// keyed are members with a limit for each key, links that lose nothing, and a count of what each key got.
+// keyedFleet simulates members with a limit for each key and reliable links, and records the admitted
+// requests by key.
 type keyed struct {
 	now   Micros
 	procs []*Keys
@@ -33,7 +34,7 @@
 	return ok
 }
 
-// tick is a period's end: all messages arrive at once.
+// tick ends a period: all messages arrive immediately.
 func (x *keyed) tick() {
 	type letter struct {
 		from int
@@ -62,7 +63,7 @@
 	}
 }
 
-// over names a key that got more in a window than its rate and burst allow.
+// exceededKey describes a key that got more in a time window than its rate and burst allow, or returns "".
 func (x *keyed) over() string {
 	for id, at := range x.let {
 		for _, span := range []Micros{100_000, 1_000_000, 5_000_000} {
@@ -72,7 +73,7 @@
 					first++
 				}
 				if n, most := float64(i-first+1), x.limit.Rate*float64(span)/1e6+x.limit.Burst; n > most {
-					return fmt.Sprintf("key %x got %.0f in %d us, where %.0f may be", id, n, span, most)
+					return fmt.Sprintf("key %x got %.0f in %d us, limit %.0f", id, n, span, most)
 				}
 			}
 		}
@@ -80,8 +81,9 @@
 	return ""
 }
 
-// Each of many keys has the rate for itself: one that is heavy at one member gets nine tenths of it there,
-// small ones are let in beside it, a key that moves to and fro between sketch and share is never over.
+// Each key has the rate for itself: a heavy key at one member gets nine tenths of the rate there, small keys
+// are admitted beside it, and a key that alternates between the sketch and its own share never exceeds the
+// limit.
 func TestEachKeyHasItsOwn(t *testing.T) {
 	x := newKeyed(3)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -94,7 +96,7 @@
 				x.ask(0, "heavy")
 				x.ask(0, "heavy")
 			}
-			if p%40 < 20 { // now and then
+			if p%40 < 20 { // intermittent demand
 				for range 3 {
 					x.ask(rng.IntN(3), "moody")
 				}
@@ -118,21 +120,20 @@
 		}
 	}
 	if got := float64(n) / (float64(x.now-from) / 1e6); got < 0.88*x.limit.Rate {
-		t.Errorf("the heavy key gets %.1f of %.0f a second", got, x.limit.Rate)
+		t.Errorf("the heavy key gets %.1f requests per second of %.0f", got, x.limit.Rate)
 	}
 	if float64(smallIn) < 0.98*float64(small) {
-		t.Errorf("%d of %d of small keys are let in", smallIn, small)
+		t.Errorf("%d of %d requests of small keys are admitted", smallIn, small)
 	}
 	if over := x.over(); over != "" {
 		t.Error(over)
 	}
 	if n := x.procs[0].Len(); n > 40 {
-		t.Errorf("%d keys have a share of their own", n)
+		t.Errorf("%d keys have their own share", n)
 	}
 }
 
-// Ten thousand heavy keys have shares of their own and one more does not; those that stop asking give their
-// room up.
+// Ten thousand heavy keys get their own shares and further ones do not. Keys without requests lose theirs.
 func TestKeysAreBounded(t *testing.T) {
 	x := newKeyed(2)
 	x.now += 20 * period
@@ -142,26 +143,26 @@
 		}
 	}
 	if n := x.procs[0].Len(); n != MostKeys || x.procs[0].Crowded == 0 {
-		t.Fatalf("%d keys, crowded %d", n, x.procs[0].Crowded)
+		t.Fatalf("%d keys, %d overflows", n, x.procs[0].Crowded)
 	}
 	for range 400 {
 		x.now += period
 		x.tick()
 	}
 	if a, b := x.procs[0].Len(), x.procs[1].Len(); a+b > 0 {
-		t.Errorf("%d and %d keys still have shares of their own", a, b)
+		t.Errorf("%d and %d keys still have their own share", a, b)
 	}
 	if len(x.procs[0].order) > 0 {
-		t.Error("the order is kept")
+		t.Error("the order of the keys still has entries")
 	}
 }
 
-// What the sketch costs: small keys that are turned away although alone they would not be, by how many there
-// are, against a plain map of buckets, and the memory of both.
+// Compares the sketch with a plain map of buckets: the fraction of requests that it refuses although their
+// key is within its limit, by the number of keys, and the memory of keyed shares.
 func TestTheTailAgainstAPlainMap(t *testing.T) {
 	for _, x := range []struct {
 		keys int
-		most float64 // share of wrong refusals
+		most float64 // allowed fraction of wrong refusals
 	}{{1_000, 0.0001}, {10_000, 0.001}, {100_000, 0.05}} {
 		rng := rand.New(rand.NewPCG(7, 7))
 		tail := &sketch{}
@@ -193,10 +194,10 @@
 		}
 		share := float64(wrong) / float64(asked)
 		if over > 0 || share > x.most {
-			t.Errorf("%d keys: %d let in that a map would not, %.4f of %d turned away for nothing", x.keys, over,
+			t.Errorf("%d keys: %d admitted that a map would refuse, %.4f of %d refused wrongly", x.keys, over,
 				share, asked)
 		}
-		t.Logf("%d keys: %.5f of %d turned away for nothing", x.keys, share, asked)
+		t.Logf("%d keys: %.5f of %d refused wrongly", x.keys, share, asked)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -211,15 +212,15 @@
 	clear(x.let)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("%d keys of their own and the sketch: %.1f MB", x.procs[0].Len(),
+	t.Logf("%d keys with their own share, and the sketch: %.1f MB", x.procs[0].Len(),
 		float64(after.HeapAlloc-before.HeapAlloc)/1e6)
 	if n := after.HeapAlloc - before.HeapAlloc; n > 12<<20 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("keyed shares use %d bytes", n)
 	}
 	runtime.KeepAlive(x)
 }
 
-// BenchmarkKeyTake is one decision among 10,000 keys, a tenth of them with a share of their own.
+// BenchmarkKeyTake measures one decision among 10,000 keys, a tenth of which have their own share.
 func BenchmarkKeyTake(b *testing.B) {
 	x := newKeyed(2)
 	x.now += 20 * period
--- a/internal/quota/measure_test.go
+++ b/internal/quota/measure_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Measured: how much of a limit is in use, how fast, and at what cost, by the number of members and where the
-// traffic is; beside a fixed split and gossiped counts. LAPISLEVER_LONG=1 prints the table.
+// Measures how much of a limit is in use, how fast and at what cost, by the number of members and the number
+// of members with traffic, compared with a fixed split and with gossiped counts. LAPISLEVER_LONG=1 prints the
+// table.
 func TestMeasureLending(t *testing.T) {
 	if os.Getenv("LAPISLEVER_LONG") == "" {
 		t.Skip("a long measurement")
@@ -18,7 +19,7 @@
 			for i := range n {
 				f.start(i)
 			}
-			f.alive = func(int) []string { return f.names } // right, and dear to compute at this size
+			f.alive = func(int) []string { return f.names } // constant, as computing it is expensive at this size
 			f.run(12)
 			f.bytes = 0
 			for i := range hot {
@@ -46,10 +47,11 @@
 				float64(hot)/float64(n), f.worst, float64(f.bytes)/5/float64(n))
 		}
 	}
-	// Gossiped counts: each tells all what it has let in, once a period, and uses what the others leave.
+	// Gossiped counts: each member sends all others its admitted count once per period, and uses what they
+	// leave.
 	for _, cutFor := range []int{0, 10, 50} {
 		const n, rate = 5, 200.0
-		known := [n][n]float64{} // of a second
+		known := [n][n]float64{} // per second
 		worst := 0.0
 		for p := range 200 {
 			let := [n]float64{}
@@ -65,14 +67,14 @@
 				sum += let[i]
 			}
 			if worst = max(worst, sum/rate); p > 60 && p <= 60+cutFor {
-				continue // nobody hears anybody
+				continue // all members are isolated
 			}
 			for i := range n {
 				for j := range n {
 					known[i][j] = let[j]
 				}
 			}
-			if p == 50 { // demand moves: all news is old
+			if p == 50 { // demand moves, and all counts are outdated
 				known = [n][n]float64{}
 			}
 		}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,37 +1,38 @@
-// Package quota divides limits among the members of a fleet so that together they are never over them: each
-// owns a fixed share and lends what it does not need for a term. It does no input or output, reads no clock
-// and starts no goroutine. docs/LIMITS.md has the design and the proof.
+// Package quota divides fleet-wide limits among the members of a fleet so that together they never exceed
+// them. Each member owns a fixed share and lends what it does not need to other members for a fixed period.
+// The package does no I/O, reads no clock and starts no goroutine. The design and the proof are in
+// docs/LIMITS.md.
 package quota
 
 import "math/rand/v2"
 
-// Micros is a time or a span in microseconds, of a clock that only goes forward.
+// Micros is a point in time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
-// Rules of lending.
+// Parameters of lending.
 const (
-	Term      = 10   // periods that a loan is for
-	Drift     = 0.01 // by which clocks may run fast or slow
-	Kept      = 0.1  // of a share: never lent
-	renewAt   = 0.5  // of the term
-	spare     = 1.2  // times the demand that a member keeps for itself, or asks for
-	leastLoan = 0.02 // of a share
-	leastAsks = 4    // members asked a period, at the least and the most,
+	Term      = 10   // duration of a loan or lease, in periods
+	Drift     = 0.01 // maximum clock rate error, fast or slow
+	Kept      = 0.1  // fraction of a share that is never lent
+	renewAt   = 0.5  // remaining fraction of the term below which a loan is renewed
+	spare     = 1.2  // factor on the demand that a member keeps for itself or asks for
+	leastLoan = 0.02 // smallest loan, as a fraction of a share
+	leastAsks = 4    // minimum and maximum number of members asked per period
 	mostAsks  = 64
-	asksFor   = 1.25 // and for each share that lacks
-	demandFor = 2.0  // periods over which demand is smoothed as it falls
-	mostLoans = 2048 // out, or in, at a time
-	giveBack  = 2    // periods without need after which a loan goes back
+	asksFor   = 1.25 // members asked per missing share
+	demandFor = 2.0  // periods over which falling demand is smoothed
+	mostLoans = 2048 // maximum number of loans granted, and of loans borrowed, at a time
+	giveBack  = 2    // periods without need after which a loan is returned
 )
 
-// Limit is a limit over the whole fleet.
+// Limit is a limit for the whole fleet.
 type Limit struct {
 	Name  string
-	ID    uint64  // the same at all members
-	Rate  float64 // a second
-	Burst float64 // and at once
-	// Floor is the part of each member's share that is its own whatever happens; of the rest a majority says
-	// whose it is. 0 counts as 1: all is its own.
+	ID    uint64  // identical at all members
+	Rate  float64 // requests per second
+	Burst float64 // bucket size, in requests
+	// Floor is the fraction of each member's share that always belongs to that member. The rest is leased by
+	// a majority vote. 0 means 1: the whole share belongs to the member.
 	Floor float64
 }
 
@@ -42,42 +43,42 @@
 	return l.Floor
 }
 
-// Send is a message to another member.
+// Message is a message to another member.
 type Send struct {
 	To   string
 	Data []byte
 }
 
-// Share is one member's part in one limit by rate.
+// Share is one member's share of a rate limit, implemented as a token bucket.
 type Share struct {
 	Limit
 	book
 	members int
 
-	usable Micros  // from then on the whole share is
-	void   bool    // nothing is
-	part   float64 // of the share that is this process's: an upgrade leaves a part to another one
+	usable Micros  // time from which the whole share may be used
+	void   bool    // nothing may be used
+	part   float64 // fraction of the share for this process; during an upgrade another process has the rest
 
-	rate   float64        // in use now
-	own    float64        // of it, what is not borrowed
-	avail  [parts]float64 // and of that, what is of which part
-	change Micros         // when that changes by itself next
+	rate   float64        // rate of the bucket now
+	own    float64        // the part of rate that is not borrowed
+	avail  [parts]float64 // own by pool
+	change Micros         // time of the next change of these without a message
 	tokens float64
 	at     Micros
 
-	count    float64 // asked for in this period
-	demand   float64 // a second, smoothed
-	idle     int     // periods in which no loan was needed
-	usedAt   Micros
-	lastTake Micros // when something was last asked for here, or by another member
+	count    float64 // requests in this period
+	demand   float64 // requests per second, smoothed
+	idle     int     // consecutive periods in which no loan was needed
+	usedAt   Micros  // start of the interval that used counts
+	lastTake Micros  // time of the last request here or message of another member
 	used     int64
-	usedWas  float64 // a second, of the last whole second
+	usedWas  float64 // admitted requests per second in the last complete interval
 	Granted  int64
 	Refused  int64
-	Forget   bool // planted, for checkers: a start does not wait for its predecessor's loans
+	Forget   bool // injected fault for tests: a new process does not wait for its predecessor's loans to end
 }
 
-// NewShare returns the share of a member that starts from nothing.
+// NewShare returns the share of a member that starts without state from a predecessor.
 func NewShare(l Limit, members int, period Micros, seed uint64, now Micros) *Share {
 	s := &Share{Limit: l, book: book{id: l.ID, period: period, rng: rand.NewPCG(seed, 9)}, members: members,
 		part: 1, at: now, usedAt: now}
@@ -86,13 +87,14 @@
 	return s
 }
 
-// span is so many terms.
+// terms returns the duration of n terms.
 func span(period Micros, terms float64) Micros { return Micros(terms * Term * float64(period)) }
 
-// share is what this member owns. A clock that runs fast lets more in by as much.
+// share is the rate this member owns. It is reduced by Drift, as a fast clock fills the bucket that much
+// faster.
 func (s *Share) share() float64 { return s.Rate / (1 + Drift) / float64(s.members) }
 
-// amount is what this member has of a part, lent or not.
+// owned is the rate this member has in a pool, including what is lent.
 func (s *Share) amount(p part, now Micros) float64 {
 	f := s.floorPart()
 	if p != floor {
@@ -101,7 +103,7 @@
 	return s.share() * s.part * f * float64(s.entitled.count(p, now))
 }
 
-// settle finds the rate that is in use from now on.
+// recompute updates the rate that applies from now on.
 func (s *Share) settle(now Micros) {
 	s.expire(now)
 	s.change = min(s.nextEnd(), s.next(now))
@@ -130,10 +132,10 @@
 	s.tokens = min(s.tokens, s.cap())
 }
 
-// cap is how much the bucket holds.
+// capacity is the size of the bucket.
 func (s *Share) cap() float64 { return s.Burst * s.rate / s.Rate }
 
-// refill lets the bucket run up to now, each stretch by the rate that held then.
+// refill adds tokens up to now, using for each interval the rate that applied in it.
 func (s *Share) refill(now Micros) {
 	for now >= s.change {
 		at := max(s.at, s.change)
@@ -143,7 +145,7 @@
 	s.run(now)
 }
 
-// run fills the bucket by the rate in use.
+// fill adds tokens up to now at the current rate.
 func (s *Share) run(now Micros) {
 	if now > s.at {
 		s.tokens = min(s.cap(), s.tokens+s.rate*float64(now-s.at)/1e6)
@@ -151,7 +153,7 @@
 	}
 }
 
-// Take asks whether one more may be let in now. If not, it returns after how long it may be.
+// Take reports whether one more request may be admitted now, and if not, when to retry.
 func (s *Share) Take(now Micros) (ok bool, after Micros) {
 	s.refill(now)
 	s.lastTake = now
@@ -169,14 +171,14 @@
 	return false, Micros((1 - s.tokens) / s.rate * 1e6)
 }
 
-// Tick is to be called once a period, with the other members that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (s *Share) Tick(now Micros, peers []string) (out []Send) {
 	s.refill(now)
 	if took := now - s.usedAt; took >= 1_000_000 {
 		s.usedWas, s.used, s.usedAt = float64(s.used)*1e6/float64(took), 0, now
 	}
 	asked := s.count * 1e6 / float64(s.period)
-	s.demand = max(s.demand+(asked-s.demand)/demandFor, min(asked, s.Rate)*0.9) // it rises at once
+	s.demand = max(s.demand+(asked-s.demand)/demandFor, min(asked, s.Rate)*0.9) // a rise counts immediately
 	s.count = 0
 	s.forgetAsked(now)
 	want := min(s.Rate, s.demand*spare)
@@ -199,15 +201,16 @@
 	return append(out, s.borrow(now, lacks, s.share(), peers)...)
 }
 
-// Entitle takes in from and until when this member has the rest of its own share, and those of others.
+// SetEntitlement sets the times in which this member holds the leased part of its own share and those of
+// other members.
 func (s *Share) Entitle(now Micros, e Entitlement) {
 	s.refill(now)
 	s.entitle(e.windows(s.hold))
 	s.settle(now)
 }
 
-// giveBack gives back the loans without which there is enough. They are not used any more before anybody
-// hears of it.
+// returnLoans returns the loans that are not needed to cover want. It stops using a loan before the lender
+// is told.
 func (s *Share) giveBack(now Micros, want float64) (out []Send) {
 	for len(s.in) > 0 && s.rate-s.in[0].rate >= want {
 		out = append(out, Send{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
@@ -217,7 +220,7 @@
 	return out
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (s *Share) Receive(now Micros, from string, data []byte) (out []Send) {
 	kind, l, rate, ok := s.parse(from, data)
 	if !ok {
@@ -243,7 +246,7 @@
 	return out
 }
 
-// lendable is what a member can spare, of the part of which that is most.
+// lendable returns how much this member can spare, all from the pool that has most to spare.
 func (s *Share) lendable(now Micros) (float64, part) {
 	if s.void || now < s.usable && !s.Forget {
 		return 0, floor
@@ -258,18 +261,18 @@
 	return max(0, min(s.own-keep, s.avail[most]-least[most])), most
 }
 
-// needed tells that this member wants its share back.
+// needed reports whether this member needs its own share back.
 func (s *Share) needed() bool { return s.demand*spare > s.own }
 
-// Figures are what operators see of a share. Rates are a second.
+// Stats are the figures that operators see of a share. Rates are per second.
 type Figures struct {
-	Share   float64 // in use here
-	Used    float64 // let in here in the last second
-	InDoubt float64 // of the own share: lent, or may have been by a predecessor
-	Stale   Micros  // how long ago the oldest loan here was last granted
+	Share   float64 // amount this member may use
+	Used    float64 // admitted here in the last second
+	InDoubt float64 // part of the own share that is lent, or that a predecessor may have lent
+	Stale   Micros  // time since the oldest borrowed loan was last granted or renewed
 }
 
-// Figures are those of now.
+// Stats returns the current figures.
 func (s *Share) Figures(now Micros) Figures {
 	s.refill(now)
 	f := Figures{Share: s.rate, Used: s.usedWas, InDoubt: max(0, s.share()-s.own)}
@@ -277,8 +280,8 @@
 	return f
 }
 
-// Split leaves this process the part that is never lent, and returns what the next one has to know. What was
-// borrowed is given up.
+// HandOver leaves this process only the fraction that is never lent, and returns the loans that the successor
+// has to know. Borrowed loans are dropped.
 func (s *Share) Split(now Micros) (lent []Lend) {
 	s.refill(now)
 	lent = s.save(now)
@@ -288,7 +291,7 @@
 	return lent
 }
 
-// Inherit goes on with all but the part that the process before this one keeps; until Alone.
+// TakeOver continues with everything except the fraction that the predecessor keeps until OtherProcessEnded.
 func (s *Share) Inherit(now Micros, lent []Lend) {
 	s.refill(now)
 	s.inherit(now, lent)
@@ -296,8 +299,8 @@
 	s.settle(now)
 }
 
-// Configure takes in another rate and burst, and another number of members. What is lent stays lent: where
-// the new share is less than that, it is over by as much until the loans end, a term at most.
+// Configure sets the rate, the burst and the number of members. Existing loans continue: if they exceed the
+// new share, the limit is exceeded by the difference until they end, for one term at most.
 func (s *Share) Configure(now Micros, rate, burst float64, members int) {
 	if rate == s.Rate && burst == s.Burst && members == s.members {
 		return
@@ -307,8 +310,8 @@
 	s.settle(now)
 }
 
-// Void leaves this member nothing while others turn it down: they do not count on it. Afterwards it waits as
-// after a start.
+// SetDisabled sets whether this member may use nothing, as is the case while other members reject it and do
+// not account for what it uses. When enabled again it waits as after a start.
 func (s *Share) Void(now Micros, on bool) {
 	if on == s.void {
 		return
@@ -320,22 +323,23 @@
 	s.settle(now)
 }
 
-// Hold leaves this process nothing until Inherit or Alone: another one of this member has all.
+// Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
+// has the whole share.
 func (s *Share) Hold(now Micros) {
 	s.refill(now)
 	s.part = 0
 	s.settle(now)
 }
 
-// Return gives back what Take has let in and nobody used.
+// Refund returns the token of a request that Take admitted and that was not used.
 func (s *Share) Return() {
 	s.tokens = min(s.cap(), s.tokens+1)
 	s.used--
 	s.Granted--
 }
 
-// Alone tells that the other process of this member is over. One that goes on in its own place does not know
-// what that one has lent, and waits as after a start.
+// OtherProcessEnded notes that the other process of this member has ended. If the loans of that process are
+// unknown, this one waits as after a start.
 func (s *Share) Alone(now Micros, unknown bool) {
 	s.refill(now)
 	s.part = 1
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -8,7 +8,8 @@
 
 const period = 200_000
 
-// world is a fleet of shares with clocks of their own, links that do anything, and a count of what is let in.
+// shareFleet simulates a fleet of shares with drifting clocks and unreliable links, and records the admitted
+// requests.
 type world struct {
 	t      testing.TB
 	rng    *rand.Rand
@@ -17,18 +18,18 @@
 	shares []*Share
 	skew   []float64
 	offset []float64
-	demand []float64 // a second
+	demand []float64 // requests per second
 	owed   []float64
 	down   []bool
 	frozen []bool
 	flying []flight
 	loss   float64
-	late   float64 // share of messages that come much later
+	late   float64 // fraction of messages that arrive much later
 	cut    func(a, b int) bool
-	let    []Micros // when something was let in, in real time
+	let    []Micros // real times of the admitted requests
 	seed   uint64
 	forget bool
-	worst  float64 // the largest sum of rates, over the limit's
+	worst  float64 // maximum sum of the rates in use, relative to the limit
 }
 
 type flight struct {
@@ -52,7 +53,7 @@
 	return w
 }
 
-// clock is a member's time: it never stops, also while the process does.
+// clock returns a member's local time, which also runs while its process is stopped.
 func (w *world) clock(i int) Micros { return Micros(w.offset[i] + float64(w.now)*w.skew[i]) }
 
 func (w *world) start(i int) {
@@ -76,7 +77,7 @@
 	}
 }
 
-// step lets 10 ms go by.
+// step advances the time by 10 ms.
 func (w *world) step(tick bool) {
 	w.now += 10_000
 	flying := w.flying
@@ -113,7 +114,8 @@
 	}
 	w.worst = max(w.worst, sum/(w.limit.Rate/(1+Drift)))
 	if caps > w.limit.Burst*1.000001 && !w.forget {
-		w.t.Fatalf("%.1f s: buckets hold %.2f of %.0f", float64(w.now)/1e6, caps, w.limit.Burst)
+		w.t.Fatalf("after %.1f s: capacity of all buckets %.2f, limit %.0f", float64(w.now)/1e6, caps,
+			w.limit.Burst)
 	}
 }
 
@@ -125,7 +127,7 @@
 	}
 }
 
-// over is by how many the worst window has more in it than its limit.
+// excess returns by how many admitted requests the worst time window exceeds its limit.
 func (w *world) over() float64 {
 	worst := 0.0
 	for _, span := range []Micros{100_000, 500_000, 1_000_000, 3_000_000, 10_000_000} {
@@ -146,7 +148,7 @@
 	return float64(len(w.let)-before) / (float64(periods*period) / 1e6)
 }
 
-// chaos does things to members and links, again and again.
+// chaos injects random faults into members and links and changes the demand, for a number of rounds.
 func (w *world) chaos(rounds int) {
 	n := len(w.shares)
 	for range rounds {
@@ -155,7 +157,7 @@
 		case 0:
 			w.down[i] = true
 		case 1:
-			w.start(i) // a crash and a start at once
+			w.start(i) // crash and immediate restart
 		case 2:
 			w.frozen[i] = true
 		case 3:
@@ -181,8 +183,9 @@
 	}
 }
 
-// Whatever crashes, restarts, stops, is cut off, lost or late, with clocks that drift: the rates in use never
-// add up to more than the limit, the buckets hold no more than its burst, and no window has more in it.
+// With crashes, restarts, stopped processes, partitions, lost and late messages and drifting clocks, the
+// rates in use never add up to more than the limit, the buckets never hold more than its burst, and no time
+// window contains more requests than allowed.
 func TestNeverOver(t *testing.T) {
 	for seed := range uint64(12) {
 		w := newWorld(t, 3+int(seed)%3, seed)
@@ -192,19 +195,20 @@
 		}
 		w.chaos(150)
 		if w.worst > 1.000001 || w.over() > 0 {
-			t.Fatalf("seed %d: rates add up to %.4f of the limit, a window has %.1f too many", seed, w.worst, w.over())
+			t.Fatalf("seed %d: rates reach %.4f of the limit, a window exceeds it by %.1f", seed, w.worst, w.over())
 		}
 	}
 }
 
-// A start that does not wait for what its predecessor has lent is over, and the check finds that.
+// A process that does not wait for its predecessor's loans to end exceeds the limit, and the checks of
+// shareFleet detect that.
 func TestAForgottenLoanIsFound(t *testing.T) {
 	for seed := range uint64(20) {
 		w := newWorld(t, 3, seed)
 		w.forget = true
 		w.demand[0] = 400
 		w.run(20)
-		for i := range w.shares { // the lenders start anew, all at once
+		for i := range w.shares { // restart all lenders at the same time
 			if i > 0 {
 				w.start(i)
 				w.demand[i] = 400
@@ -215,18 +219,18 @@
 			return
 		}
 	}
-	t.Fatal("never over although loans are forgotten")
+	t.Fatal("the limit was never exceeded although restarted processes forget their loans")
 }
 
-// With all traffic at one of five, nine tenths of the limit are in use within 3 s, and after the lenders want
-// their shares back each has its own again within two terms.
+// With all traffic at one of five members, nine tenths of the limit are in use within 3 s. When the lenders
+// need their shares again, each has its own back within two terms.
 func TestLendingIsWorthHaving(t *testing.T) {
 	w := newWorld(t, 5, 3)
 	w.run(15)
 	w.demand[2] = 400
 	w.run(15) // 3 s
 	if got := w.rateOver(10); got < 0.9*w.limit.Rate {
-		t.Fatalf("%.0f of %.0f a second in use", got, w.limit.Rate)
+		t.Fatalf("%.0f requests per second admitted of %.0f", got, w.limit.Rate)
 	}
 	for i := range w.demand {
 		w.demand[i] = 400
@@ -239,18 +243,18 @@
 	w.run(25)
 	for i, s := range w.shares {
 		if got := float64(s.Granted-before[i]) / 5; got < 0.8*w.limit.Rate/5 {
-			t.Errorf("member %d has %.0f a second of its %.0f", i, got, w.limit.Rate/5)
+			t.Errorf("member %d admits %.0f requests per second of its %.0f", i, got, w.limit.Rate/5)
 		}
 	}
-	// Cut off, each keeps its floor.
+	// When all members are isolated, each keeps its own share.
 	w.cut = func(int, int) bool { return true }
 	w.run(2 * Term)
 	if got := w.rateOver(25); got < 0.95*w.limit.Rate {
-		t.Errorf("all cut off: %.0f of %.0f a second", got, w.limit.Rate)
+		t.Errorf("all members isolated: %.0f requests per second admitted of %.0f", got, w.limit.Rate)
 	}
 }
 
-// Demand that moves to another member every second is followed without ever being over.
+// Shares follow demand that moves to another member every second, and the limit is never exceeded.
 func TestDemandThatMoves(t *testing.T) {
 	w := newWorld(t, 3, 4)
 	w.run(15)
@@ -263,16 +267,17 @@
 	}
 	served := float64(len(w.let)) / (60 * 180)
 	if served < 0.5 || w.over() > 0 {
-		t.Fatalf("%.2f of what was asked for was let in, over by %.1f", served, w.over())
+		t.Fatalf("%.2f of the requests were admitted, limit exceeded by %.1f", served, w.over())
 	}
-	t.Logf("%.2f of what moved every second was let in", served)
+	t.Logf("%.2f of the requests were admitted", served)
 }
 
-// An upgrade: two processes of one member, and the old one alone again where the new one fails.
+// During an upgrade the two processes of a member together with all others stay within the limit, also after
+// the old process has ended.
 func TestTwoProcessesOfOneMember(t *testing.T) {
 	w := newWorld(t, 3, 5)
 	w.run(15)
-	w.demand[0] = 400 // borrows from 1
+	w.demand[0] = 400 // member 0 borrows from member 1
 	w.run(15)
 	old := w.shares[1]
 	lent := old.Split(w.clock(1))
@@ -286,13 +291,13 @@
 	for range 30 {
 		w.run(1)
 		if sum := old.rate + next.rate + w.shares[0].rate + w.shares[2].rate; sum > w.limit.Rate/(1+Drift)+1e-6 {
-			t.Fatalf("together %.1f of %.1f", sum, w.limit.Rate)
+			t.Fatalf("rates add up to %.1f, limit %.1f", sum, w.limit.Rate)
 		}
 	}
 	next.Alone(w.clock(1), false)
 	w.run(5)
 	if w.worst > 1.000001 {
-		t.Fatalf("%.3f of the limit", w.worst)
+		t.Fatalf("rates reach %.3f of the limit", w.worst)
 	}
 }
 
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -5,38 +5,39 @@
 	"math/rand/v2"
 )
 
-// Slots is one member's part in a limit on what is open at a time over the fleet. It owns whole units and
-// lends them as a Share lends rates. What is let in on another's unit may end after the loan, but at most the
-// limit's hold later: its lender counts it out for that long (see book.outFor).
+// Slots is one member's share of a fleet-wide concurrency limit. It owns whole concurrency slots and lends
+// them as a Share lends rates. A request admitted on a borrowed slot may end after the loan, but at most the
+// limit's hold time later: the lender counts the slot as lent for that long (see loanBook.lentTime).
 type Slots struct {
-	Limit // Rate is how many at a time
+	Limit // Rate is the number of requests in flight
 	book
 	members int
-	place   int // among the roster: the first few own what does not divide; -1: not known
+	place   int // index in the roster: the first members own the remainder of the division; -1: unknown
 
 	usable  Micros
 	void    bool
-	reserve float64 // of the floor, that the process before this one keeps
-	only    float64 // of the floor, that this one keeps beside the process after it; -1: there is none
+	reserve float64 // slots of the floor that the predecessor keeps
+	only    float64 // slots of the floor that this process keeps beside its successor; -1: no successor
 	avail   [parts]float64
-	open    [parts]int // on units of one's own
+	open    [parts]int // requests in flight on own slots
 	change  Micros
 
-	peak    int // open, and asked for in vain, at the most in this period
-	vain    int
+	peak    int // maximum number of requests in flight in this period
+	vain    int // requests refused in this period
 	demand  float64
 	idle    int
 	Granted int64
 	Refused int64
 }
 
-// Place is where one let in counts until it ends.
+// Slot identifies the slot that an admitted request holds until it ends.
 type Place struct {
 	own  part
-	loan uint64 // 0: on a unit of one's own
+	loan uint64 // 0: an own slot
 }
 
-// NewSlots returns the part of a member that starts from nothing. hold is how long what is let in may last.
+// NewSlots returns the slots of a member that starts without state from a predecessor. hold is the longest
+// duration of a request on a slot outside the floor.
 func NewSlots(l Limit, members, place int, period, hold Micros, seed uint64, now Micros) *Slots {
 	s := &Slots{Limit: l, book: book{id: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
 		members: members, place: place, only: -1}
@@ -45,7 +46,7 @@
 	return s
 }
 
-// share is how many this member owns.
+// share is the number of slots this member owns.
 func (s *Slots) share() float64 {
 	n := math.Floor(s.Rate / float64(s.members))
 	if s.place >= 0 && float64(s.place) < s.Rate-n*float64(s.members) {
@@ -54,7 +55,7 @@
 	return n
 }
 
-// kept is how many are never lent.
+// kept is the number of slots that are never lent.
 func (s *Slots) kept() float64 { return min(s.share(), max(1, math.Floor(Kept*s.share()))) }
 
 func (s *Slots) amount(p part, now Micros) float64 {
@@ -70,7 +71,7 @@
 	return (s.share() - own) * float64(s.entitled.count(p, now))
 }
 
-// settle finds how many may be open now.
+// recompute updates how many requests may be in flight from now on.
 func (s *Slots) settle(now Micros) {
 	s.expire(now)
 	s.change = min(s.nextEnd(), s.next(now))
@@ -95,7 +96,7 @@
 	}
 }
 
-// opened is how many are open.
+// inFlight returns the number of requests in flight.
 func (s *Slots) opened() (n int) {
 	for p := range parts {
 		n += s.open[p]
@@ -106,7 +107,7 @@
 	return n
 }
 
-// total is how many may be open here now.
+// total returns the number of requests that may be in flight here now.
 func (s *Slots) total(now Micros) (sum float64) {
 	for p := range parts {
 		sum += s.avail[p]
@@ -119,12 +120,13 @@
 	return sum
 }
 
-// Take asks whether one more that ends by the time given may be let in now, and where it counts until Done.
+// Take reports whether one more request that ends by the given time may be admitted now, and returns the slot
+// that it holds until Release.
 func (s *Slots) Take(now, ends Micros) (at Place, ok bool, after Micros) {
 	s.refresh(now)
 	s.peak = max(s.peak, s.opened()+1)
 	for p := range parts {
-		// What is not the member's own whatever happens is for what ends in time only.
+		// Slots outside the floor are only for requests that end within the hold time.
 		if float64(s.open[p]) < s.avail[p] && (p == floor || ends-now <= s.hold) {
 			s.open[p]++
 			s.Granted++
@@ -143,7 +145,7 @@
 	return Place{}, false, s.period
 }
 
-// Done tells that one let in has ended.
+// Release frees the slot of a request that has ended.
 func (s *Slots) Done(now Micros, at Place) {
 	s.refresh(now)
 	if at.loan == 0 {
@@ -158,7 +160,7 @@
 	}
 }
 
-// free is how many units of a part may be lent: none on which something is open, nor those that never are.
+// free returns how many slots of a pool may be lent: those without a request that are not reserved.
 func (s *Slots) free(p part) float64 {
 	n := s.avail[p] - float64(s.open[p])
 	if p == floor {
@@ -167,7 +169,7 @@
 	return n
 }
 
-// Tick is to be called once a period, with the other members that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (s *Slots) Tick(now Micros, peers []string) (out []Send) {
 	s.settle(now)
 	asked := float64(s.peak + s.vain)
@@ -196,7 +198,7 @@
 	return out
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (s *Slots) Receive(now Micros, from string, data []byte) (out []Send) {
 	kind, l, amount, ok := s.parse(from, data)
 	if !ok {
@@ -216,7 +218,7 @@
 	return out
 }
 
-// lendable is how many a member can spare of those that are wanted, of the part of which it has most.
+// lendable returns how many of the wanted slots this member can spare, all from the pool that has most free.
 func (s *Slots) lendable(now Micros, wanted float64) (float64, part) {
 	if s.void || now < s.usable || s.only >= 0 {
 		return 0, floor
@@ -232,7 +234,7 @@
 	return math.Floor(min(wanted, max(0, own-keep), max(0, s.free(most)))), most
 }
 
-// needed tells that this member wants its own back.
+// needed reports whether this member needs its own slots back.
 func (s *Slots) needed() bool {
 	own := 0.0
 	for p := range parts {
@@ -241,7 +243,7 @@
 	return math.Ceil(s.demand*spare) > own
 }
 
-// Figures are those of now: how many may be open here, and are.
+// Stats returns the current figures: how many requests may be in flight here, and how many are.
 func (s *Slots) Figures(now Micros) Figures {
 	s.settle(now)
 	own := 0.0
@@ -252,15 +254,16 @@
 		Stale: s.stalest(now)}
 }
 
-// Entitle takes in from and until when this member has the rest of its own share, and those of others.
+// SetEntitlement sets the times in which this member holds the leased part of its own share and those of
+// other members.
 func (s *Slots) Entitle(now Micros, e Entitlement) {
 	s.refresh(now)
 	s.entitle(e.windows(s.hold))
 	s.settle(now)
 }
 
-// Split leaves this process what is open on its own units and one more, and returns what the next one has to
-// know: the first line is what stays here.
+// HandOver leaves this process the own slots in use and one more, and returns what the successor has to know.
+// The first entry, which names no member, is the number of slots that stay here.
 func (s *Slots) Split(now Micros) (lent []Lend) {
 	s.settle(now)
 	stays := 0.0
@@ -268,7 +271,7 @@
 		stays += float64(s.open[p])
 	}
 	own := math.Ceil(s.share() * s.floorPart())
-	if stays++; stays > own { // what is open on the rest ends by itself, within the hold
+	if stays++; stays > own { // requests on the leased part end within the hold time
 		stays = own
 	}
 	lent = append([]Lend{{Rate: stays}}, s.save(now)...)
@@ -278,7 +281,7 @@
 	return lent
 }
 
-// Inherit goes on with all but what the process before this one keeps; until Alone.
+// TakeOver continues with everything except what the predecessor keeps until OtherProcessEnded.
 func (s *Slots) Inherit(now Micros, lent []Lend) {
 	if len(lent) > 0 && lent[0].With == "" {
 		s.reserve, lent = lent[0].Rate, lent[1:]
@@ -288,14 +291,15 @@
 	s.settle(now)
 }
 
-// Hold leaves this process nothing until Inherit or Alone: another one of this member has all.
+// Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
+// has all slots.
 func (s *Slots) Hold(now Micros) {
 	s.only = 0
 	s.settle(now)
 }
 
-// Alone tells that the other process of this member is over. One that goes on in its own place does not know
-// what that one has lent, and waits as after a start.
+// OtherProcessEnded notes that the other process of this member has ended. If the loans of that process are
+// unknown, this one waits as after a start.
 func (s *Slots) Alone(now Micros, unknown bool) {
 	s.reserve, s.only = 0, -1
 	if unknown {
@@ -304,7 +308,8 @@
 	s.settle(now)
 }
 
-// Void leaves this member nothing while others turn it down. Afterwards it waits as after a start.
+// SetDisabled sets whether this member may use nothing, as is the case while other members reject it. When
+// enabled again it waits as after a start.
 func (s *Slots) Void(now Micros, on bool) {
 	if on == s.void {
 		return
@@ -315,7 +320,7 @@
 	s.settle(now)
 }
 
-// Configure takes in another limit, and another number of members. What is open stays open.
+// Configure sets the limit, the number of members and the index in the roster. Requests in flight continue.
 func (s *Slots) Configure(now Micros, limit float64, members, place int) {
 	if limit == s.Rate && members == s.members && place == s.place {
 		return
--- a/internal/quota/tenure.go
+++ b/internal/quota/tenure.go
@@ -7,24 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// MostVoters is the greatest roster whose members vote: each asks each of them twice a term.
+// MaxVoters is the size of the largest roster whose members vote, as each member asks every voter twice per
+// term.
 const MostVoters = 9
 
-// A tenure says who has the rest of a member's shares: the member itself, or one that stands in for it once
-// it is gone. It is held by the votes of a majority for a term each (Gifford, SOSP 1979, §2; leases: Gray and
-// Cheriton, SOSP 1989, §2), as in PaxosLease (Trencséni, Gazsó, Reinhardt, 2012, §4) without a disk: a voter
-// that has started anew does not vote for as long as votes of its predecessor may hold. It departs from that
-// in that there is one round and no ballots: a voter votes for whoever asks first while its vote is free. Two
-// who ask at once may keep each other from a majority for a term; here one alone asks for what is a member's,
-// and for one that is gone the first by rendezvous hashing among the living.
+// A lease says who has the part of a member's shares above the floor: the member itself, or a substitute once
+// the member is dead. A lease is held by the votes of a majority, each for one term (Gifford, SOSP 1979, §2;
+// leases: Gray and Cheriton, SOSP 1989, §2). The protocol is that of PaxosLease (Trencséni, Gazsó, Reinhardt,
+// 2012, §4) without a disk: a voter that has restarted does not vote for as long as votes of its predecessor
+// may be valid. Unlike PaxosLease it has one round and no ballots: a voter votes for the first member that
+// asks while its vote is free. Two members that ask at the same time may keep each other from a majority for
+// a term. Here normally only one member asks for a lease: its owner, or, once that is dead, the first of the
+// living members by rendezvous hashing.
 
-// Entitlement is what a member may use beside the floor of its shares. Times are by its clock.
+// Entitlement is what a member may use above the floor of its shares. Times are on its own clock.
 type Entitlement struct {
 	mine  window
 	taken []window
 }
 
-// windows are the times of use: what was acquired anew may be lent by who had it before for one wait longer.
+// windows returns the times of use. A newly acquired lease is usable later by the hold time, as loans of its
+// previous holder count as lent for that much longer.
 func (e Entitlement) windows(hold Micros) (window, []window) {
 	shift := func(w window) window {
 		if w.from > 0 {
@@ -39,37 +42,38 @@
 	return shift(e.mine), taken
 }
 
-// vote is given to one member for a thing.
+// vote is a vote given to a member for one lease.
 type vote struct {
 	to    string
 	until Micros
 }
 
-// claim is what a member wants to have, or has.
+// lease is a lease that this member holds or tries to get.
 type claim struct {
-	of    string // whose rest
-	asked Micros // when it last asked
+	of    string // member whose share it is
+	asked Micros // time of the last request for votes
 	seq   uint32
-	term  []Micros // until when each voter's vote counts here, by voter
-	since Micros   // from when on a majority has been for it without a break; 0: it is not
+	term  []Micros // expiry of each voter's vote, by index of the voter
+	since Micros   // start of use: one wait after the majority was reached; 0: it was never reached
 	until Micros
 }
 
-// Tenure is a member's part: as a voter, and as one that wants to have.
+// Leases is the state of one member as a voter and as a holder of leases.
 type Tenure struct {
 	self   string
-	roster []string // sorted: the voters
-	stamp  uint32   // of it: other rosters' votes do not count
+	roster []string // the voters, sorted
+	stamp  uint32   // hash of the roster: votes of other rosters do not count
 	period Micros
 	votes  map[string]vote
-	silent Micros // no votes before that
+	silent Micros // time before which this member does not vote
 	claims []claim
 	seq    uint32
-	Hasty  bool // planted, for checkers: a voter votes as soon as it has started
+	Hasty  bool // injected fault for tests: a voter votes as soon as it has started
 }
 
-// NewTenure returns that of a process that starts from nothing. Votes count among members with the same
-// roster and stamp only. Nil: the roster is none that votes.
+// NewLeases returns the state of a process that starts without state from a predecessor. Votes only count
+// among members with the same roster and stamp. It returns nil if the roster is too small or too large to
+// vote, or does not contain self.
 func NewTenure(self string, roster []string, stamp uint32, period, now Micros) *Tenure {
 	if len(roster) < 3 || len(roster) > MostVoters || !slices.Contains(roster, self) {
 		return nil
@@ -85,10 +89,11 @@
 
 func (t *Tenure) claim(of string) claim { return claim{of: of, term: make([]Micros, len(t.roster))} }
 
-// majority of the voters.
+// quorum is the number of votes that is a majority.
 func (t *Tenure) majority() int { return len(t.roster)/2 + 1 }
 
-// The kinds of a tenure's message: kind, stamp (4), request (4), the place of the member whose rest it is.
+// Message kinds. Format: kind, stamp (4 bytes), sequence number (4), roster index of the member whose lease
+// it is (1).
 const (
 	msgWant = 8 + iota
 	msgVote
@@ -102,12 +107,13 @@
 	return append(b, byte(slices.Index(t.roster, of)))
 }
 
-// IsTenure tells that a message is one of a tenure.
+// IsLeaseMessage reports whether a message is about a lease.
 func IsTenure(data []byte) bool {
 	return len(data) == tenureSize && data[0] >= msgWant && data[0] <= msgFree
 }
 
-// standIn is who takes a member's rest over: the first of the living by rendezvous hashing.
+// substituteFor returns the member that takes over a dead member's lease: the first of the living members by
+// rendezvous hashing.
 func standIn(of string, alive []string) (who string) {
 	best := uint64(0)
 	for _, name := range alive {
@@ -118,7 +124,7 @@
 	return who
 }
 
-// Tick is to be called once a period with the members that are alive, this one among them.
+// Tick must be called once per period with the members that are alive, including this one.
 func (t *Tenure) Tick(now Micros, alive []string) (out []Send) {
 	want := []string{t.self}
 	for _, name := range t.roster {
@@ -130,7 +136,7 @@
 		if slices.Contains(want, c.of) {
 			return false
 		}
-		for _, v := range t.roster { // it is not used any more before anybody hears of that
+		for _, v := range t.roster { // use has ended before the voters are told
 			out = append(out, t.post(now, v, t.message(msgFree, c.seq, c.of))...)
 		}
 		return true
@@ -142,7 +148,7 @@
 			i = len(t.claims) - 1
 		}
 		c := &t.claims[i]
-		every := 2 * t.period // until it has it, then twice a term and more
+		every := 2 * t.period // between requests; a held lease is not renewed before half of its term
 		if c.until > now && c.until-now > span(t.period, renewAt) {
 			continue
 		}
@@ -158,7 +164,7 @@
 	return out
 }
 
-// post sends to another member, or takes in what goes to this one.
+// deliver returns a message to another member for sending, and handles a message to this one itself.
 func (t *Tenure) post(now Micros, to string, data []byte) []Send {
 	if to != t.self {
 		return []Send{{To: to, Data: data}}
@@ -169,7 +175,7 @@
 	return nil
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (t *Tenure) Receive(now Micros, from string, data []byte) []Send {
 	if !IsTenure(data) || binary.LittleEndian.Uint32(data[1:]) != t.stamp || int(data[9]) >= len(t.roster) {
 		return nil
@@ -201,20 +207,20 @@
 	return nil
 }
 
-// count finds until when a majority is for a claim.
+// countVotes updates until when a majority has voted for a lease.
 func (c *claim) count(now Micros, majority int, wait Micros) {
 	terms := slices.Sorted(slices.Values(c.term))
 	until := terms[len(terms)-majority]
 	if until <= now {
 		return
 	}
-	if c.until <= now { // there was a break
+	if c.until <= now { // the lease was not held until now
 		c.since = now + wait
 	}
 	c.until = until
 }
 
-// Entitlement is what this member may use now and until when, if nothing more is heard.
+// Entitlement returns what this member may use, and until when if it receives no more votes.
 func (t *Tenure) Entitlement(now Micros) (e Entitlement) {
 	for i := range t.claims {
 		c := &t.claims[i]
@@ -230,7 +236,7 @@
 	return e
 }
 
-// Holds are the members whose rest this one has or is about to have, itself among them.
+// Held returns the members whose leases this one holds, including itself. A lease may not be usable yet.
 func (t *Tenure) Holds(now Micros) (of []string) {
 	for i := range t.claims {
 		if c := &t.claims[i]; c.until > now {
@@ -240,7 +246,7 @@
 	return of
 }
 
-// Held is a tenure as one process hands it to the next. Times are from now on.
+// LeaseSnapshot is the state that one process hands over to the next. Times are relative to the handover.
 type Held struct {
 	Roster []string        `json:"roster"`
 	Since  Micros          `json:"since"`
@@ -249,13 +255,13 @@
 	Silent Micros          `json:"silent"`
 }
 
-// Vote is one that was given.
+// SavedVote is a vote that was given.
 type Vote struct {
 	To   string `json:"to"`
 	Left Micros `json:"left"`
 }
 
-// Save hands over what this process has and has voted; it has and votes nothing any more.
+// HandOver returns the lease and the votes of this process. It holds no leases and does not vote any more.
 func (t *Tenure) Save(now Micros) Held {
 	h := Held{Roster: t.roster, Votes: map[string]Vote{}, Silent: max(0, t.silent-now)}
 	for of, v := range t.votes {
@@ -272,7 +278,7 @@
 	return h
 }
 
-// Resume goes on from where another process of this member has stopped.
+// TakeOver continues with the state of another process of this member.
 func (t *Tenure) Resume(now Micros, h Held) {
 	if !slices.Equal(h.Roster, t.roster) {
 		return
--- a/internal/quota/tenure_test.go
+++ b/internal/quota/tenure_test.go
@@ -11,11 +11,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ballot is three members that vote on each other's rests.
+// leaseState is a state of the model: three members that vote on each other's leases.
 type ballot struct {
 	now    Micros
 	procs  [3]*Tenure
-	views  [3]int // which others each holds to be alive, by bits
+	views  [3]int // bit set of the members that each believes to be alive
 	flying []flight
 	starts int
 	path   []string
@@ -58,7 +58,7 @@
 	x.send(i, x.procs[i].Tick(x.now, alive))
 }
 
-// two tells that two members have one's rest at a time.
+// heldTwice reports whether a lease has two holders.
 func (x *ballot) two() bool {
 	holders := map[string]int{}
 	for _, t := range x.procs {
@@ -104,7 +104,8 @@
 	return xxhash.Sum64(b)
 }
 
-// exploreVotes tries every choice for so many steps.
+// exploreLeases tries every sequence of up to steps events, in at most most states. It returns the first
+// sequence after which a lease has two holders.
 func exploreVotes(steps, most int, hasty bool) (found []string, states int) {
 	first := &ballot{now: 1_000_000_000}
 	begin := func(x *ballot, i int) {
@@ -116,7 +117,7 @@
 		begin(first, i)
 	}
 	first.now += span(period, 1.1)
-	for i := range first.procs { // all are up, and the third has its own rest
+	for i := range first.procs { // all members are up, and the third holds its own lease
 		first.views[i] = 7
 	}
 	for first.tick(2); len(first.flying) > 0; {
@@ -163,8 +164,8 @@
 			if x.starts < 2 {
 				step(fmt.Sprint("restart ", i), func(c *ballot) { c.starts++; begin(c, i) })
 			}
-			step(fmt.Sprint("the turn of ", i), func(c *ballot) { c.tick(i) })
-			step(fmt.Sprint("the third is dead to ", i), func(c *ballot) {
+			step(fmt.Sprint("tick ", i), func(c *ballot) { c.tick(i) })
+			step(fmt.Sprint("member 2 is dead to ", i), func(c *ballot) {
 				if c.views[i] &^= 4; i == 2 {
 					c.views[i] = 7
 				}
@@ -175,8 +176,8 @@
 	return nil, states
 }
 
-// No order of delivery, loss, repetition, restart, wrong views and time gives one member's rest to two; a
-// voter that votes as soon as it has started is found.
+// No sequence of deliveries, losses, duplicates, restarts, wrong views and time steps gives a lease two
+// holders. The same search finds the fault of a voter that votes as soon as it has started.
 func TestEveryOrderOfVotes(t *testing.T) {
 	found, states := exploreVotes(7, 25_000, false)
 	if found != nil {
@@ -185,12 +186,12 @@
 	t.Logf("%d states", states)
 	found, states = exploreVotes(7, 600_000, true)
 	if found == nil {
-		t.Fatalf("a hasty voter is not found in %d states", states)
+		t.Fatalf("the fault of voting without the start wait was not found in %d states", states)
 	}
-	t.Logf("planted fault found after %d states: %v", states, found)
+	t.Logf("injected fault found after %d states: %v", states, found)
 }
 
-// lockInput is one event in the life of a member's rest, as its holder sees it.
+// lockOperation is the acquisition or release of a lease, as its holder sees it.
 type lockInput struct {
 	who  int
 	take bool
@@ -209,7 +210,7 @@
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
-// holdings plays faults and returns the history of who had which member's rest.
+// leaseHistory runs a fleet under faults and returns the history of the holders of each lease.
 func holdings(t *testing.T, seed uint64, hasty bool) map[string][]porcupine.Operation {
 	f := newFleet(t, 3, seed, 0.5)
 	f.hasty = hasty
@@ -223,7 +224,7 @@
 	look := func() {
 		for i, p := range f.procs {
 			now := map[string]bool{}
-			if !f.down[i] { // who is stopped looks at its clock before it uses anything
+			if !f.down[i] { // a stopped process checks its clock before it uses a lease
 				for _, of := range p.tenure.Holds(f.clock(i)) {
 					now[of] = true
 				}
@@ -269,15 +270,15 @@
 	return out
 }
 
-// The history of each rest is that of a lock: taken when it is free, given back by who has it. With hasty
-// voters it is not.
+// The history of each lease is that of a lock: acquired when free, released by its holder. With voters that
+// vote without the start wait it is not.
 func TestRestsAreHeldLikeLocks(t *testing.T) {
 	operations, wrong := 0, 0
 	for seed := range uint64(6) {
 		for of, history := range holdings(t, seed, false) {
 			operations += len(history)
 			if !porcupine.CheckOperations(oneHolder, history) {
-				t.Errorf("seed %d: the rest of %s is not held like a lock", seed, of)
+				t.Errorf("seed %d: the lease of %s does not behave like a lock", seed, of)
 			}
 		}
 	}
@@ -289,7 +290,7 @@
 		}
 	}
 	if operations < 50 || wrong == 0 {
-		t.Errorf("%d takings and givings, %d histories of hasty voters that are wrong", operations, wrong)
+		t.Errorf("%d operations, %d wrong histories with the injected fault", operations, wrong)
 	}
-	t.Logf("%d takings and givings; %d wrong histories with hasty voters", operations, wrong)
+	t.Logf("%d operations; %d wrong histories with the injected fault", operations, wrong)
 }
