--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -12,8 +12,8 @@
 
 const simPeriod = 200_000
 
-// court is a fleet of juries on virtual time before data nodes that may be sick. Each member avoids a node
-// for a while after a bad outcome, as its module does.
+// detectorFleet simulates, on virtual time, a fleet of outlier detectors and data nodes that may be sick.
+// Each member avoids a node for some time after a bad outcome, as its module does.
 type court struct {
 	rng     *rand.Rand
 	juries  []*Jury
@@ -21,12 +21,12 @@
 	zones   []string
 	now     Micros
 	nodes   int
-	asks    float64                         // of a member in a period
-	loss    float64                         // of messages
-	cut     func(a, b int) bool             // between members
-	outcome func(m, n int) (Ending, Micros) // of a member's attempt at a node
+	asks    float64                         // attempts per member and period
+	loss    float64                         // fraction of messages lost
+	cut     func(a, b int) bool             // members that cannot reach each other
+	outcome func(m, n int) (Ending, Micros) // outcome of an attempt of member m at node n
 	avoid   [][]Micros
-	tries   [][]int // by member and node, while that was open to it
+	tries   [][]int // attempts by member and node
 	bytes   int
 }
 
@@ -47,7 +47,7 @@
 
 func nodeName(n uint64) string { return fmt.Sprintf("n%d", n) }
 
-// out tells that a member holds a node to be out.
+// isSick reports whether a verdict that applies to a member says that a node is sick.
 func (c *court) out(m, n int) bool {
 	for _, v := range c.tables[m].Evidence(c.now, nodeName(uint64(n))) {
 		if _, z := v.Node(); z == "" || z == c.zones[m] {
@@ -57,7 +57,8 @@
 	return false
 }
 
-// period lets one pass: attempts, then messages, then judgements, which all in reach merge at once.
+// period simulates one period: first attempts, then messages, then verdicts, which all reachable members
+// merge immediately.
 func (c *court) period() {
 	c.now += simPeriod
 	for m, j := range c.juries {
@@ -105,7 +106,7 @@
 		}
 		more, ok := c.juries[to].Receive(c.now, Voter{name(l.from), c.zones[l.from]}, l.Data)
 		if !ok {
-			panic("a message of a jury is none")
+			panic("a detector rejects the message of another one")
 		}
 		for _, s := range more {
 			post = append(post, letter{to, s})
@@ -143,7 +144,7 @@
 	}
 }
 
-// judged are all that any member holds to be sick now.
+// sickNodes returns the subjects of all verdicts by evidence that are in force at any member.
 func (c *court) judged() (all []string) {
 	for _, t := range c.tables {
 		for _, e := range t.entries {
@@ -156,7 +157,8 @@
 	return all
 }
 
-// untilJudged lets periods pass until something is judged, and returns how many, or -1.
+// untilSick simulates periods until a node is found sick. It returns their number, or -1 if there were more
+// than most.
 func (c *court) untilJudged(most int) int {
 	for i := range most {
 		if c.period(); len(c.judged()) > 0 {
@@ -166,7 +168,8 @@
 	return -1
 }
 
-// What is sick is judged, by what it is sick for, within a window; what is not is never judged.
+// Sick nodes are found within a window, with a verdict for the members that they are sick for. Healthy nodes
+// are never found sick.
 func TestEvidence(t *testing.T) {
 	failing := func(c *court, of func(m, n int) bool) {
 		c.outcome = func(m, n int) (Ending, Micros) {
@@ -182,7 +185,7 @@
 		asks    float64
 		loss    float64
 		begin   func(c *court)
-		want    string // judged; empty: nothing may be
+		want    string // subjects of the verdicts; empty: there may be none
 	}{
 		{"failing", 5, 8, 0, func(c *court) { failing(c, func(_, n int) bool { return n == 3 }) }, "n3"},
 		{"failing, a third of messages lost", 12, 8, 0.3, func(c *court) {
@@ -204,7 +207,7 @@
 				return Served, 10_000
 			}
 		}, "n3"},
-		{"beaten by hedged requests, soon", 5, 8, 0, func(c *court) {
+		{"loses to hedged requests early", 5, 8, 0, func(c *court) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return Beaten, 60_000
@@ -212,7 +215,7 @@
 				return Served, 20_000
 			}
 		}, "n3"},
-		{"one in ten is beaten anywhere", 5, 8, 0, func(c *court) {
+		{"one in ten loses to a hedged request at every node", 5, 8, 0, func(c *court) {
 			c.outcome = func(int, int) (Ending, Micros) {
 				if c.rng.IntN(10) == 0 {
 					return Beaten, 60_000
@@ -220,7 +223,7 @@
 				return Served, 20_000
 			}
 		}, ""},
-		{"deaf", 5, 8, 0, func(c *court) {
+		{"unresponsive", 5, 8, 0, func(c *court) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return Unheard, 500_000
@@ -228,23 +231,23 @@
 				return Served, 10_000
 			}
 		}, "n3"},
-		{"deaf to one zone", 6, 8, 0, func(c *court) {
+		{"failing for one zone", 6, 8, 0, func(c *court) {
 			failing(c, func(m, n int) bool { return n == 3 && c.zones[m] == "a" })
 		}, "n3@a"},
 		{"one member's links", 5, 8, 0, func(c *court) { failing(c, func(m, _ int) bool { return m == 1 }) }, ""},
-		{"one member's way to a node", 5, 8, 0, func(c *court) {
+		{"one member's path to a node", 5, 8, 0, func(c *court) {
 			failing(c, func(m, n int) bool { return m == 1 && n == 3 })
 		}, ""},
-		{"all that one zone reaches", 6, 8, 0, func(c *court) {
+		{"all nodes as seen from one zone", 6, 8, 0, func(c *court) {
 			failing(c, func(m, _ int) bool { return c.zones[m] == "a" })
 		}, ""},
 		{"everything is slow", 5, 8, 0, func(c *court) {
 			c.outcome = func(_, n int) (Ending, Micros) { return Unheard, 700_000 }
 		}, ""},
-		{"one in a hundred fails anywhere", 5, 8, 0, func(c *court) {
+		{"one in a hundred fails at every node", 5, 8, 0, func(c *court) {
 			failing(c, func(int, int) bool { return c.rng.IntN(100) == 0 })
 		}, ""},
-		{"a blink", 12, 3, 0, func(c *court) {
+		{"failing for two periods", 12, 3, 0, func(c *court) {
 			from := c.now
 			failing(c, func(_, n int) bool { return n == 3 && c.now < from+2*simPeriod })
 		}, ""},
@@ -260,14 +263,14 @@
 				took := c.untilJudged(2 * Window)
 				got := strings.Join(c.judged(), " ")
 				if got != x.want || x.want != "" && took > Window {
-					t.Errorf("seed %d: %q judged after %d periods, not %q", seed, got, took, x.want)
+					t.Errorf("seed %d: %q sick after %d periods, want %q", seed, got, took, x.want)
 				}
 			}
 		})
 	}
 }
 
-// That one member's word is enough, and nobody's against it counts, is a fault that these checks find.
+// The checks detect the injected fault that one reporter suffices and no opposing report counts.
 func TestOneAccuserIsFound(t *testing.T) {
 	c := newCourt(5, 8, []string{"a", "b"}, 8, 1)
 	for _, j := range c.juries {
@@ -280,12 +283,12 @@
 		return Served, 10_000
 	}
 	if c.untilJudged(2*Window) < 0 {
-		t.Fatal("nothing is judged by one accuser")
+		t.Fatal("no node was found sick by a single reporter")
 	}
 }
 
-// Sides that are cut off from each other together hold no more to be sick than the share, and a minority
-// gives no word that only one zone is behind.
+// The sides of a partition together declare no more nodes sick than the share, and a minority issues no
+// verdict that rests on one zone only.
 func TestEvidenceWhileCut(t *testing.T) {
 	c := newCourt(5, 16, []string{"a", "b"}, 12, 3)
 	c.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
@@ -298,15 +301,16 @@
 	for range 3 * Window {
 		c.period()
 		if got := c.judged(); len(got) > 4 {
-			t.Fatalf("%v: more than a quarter of 16", got)
+			t.Fatalf("sick: %v, more than a quarter of 16 nodes", got)
 		}
 	}
 	if c.untilJudged(4*Window) < 0 {
-		t.Fatal("nothing is ever judged")
+		t.Fatal("no node was found sick")
 	}
 }
 
-// A node that comes back sick is out for longer each time; an operator's word against a judgement holds.
+// A node that becomes sick again is ejected for longer each time, and an operator's withdrawal of a verdict
+// blocks further ones for some time.
 func TestRelapseAndPardon(t *testing.T) {
 	table := NewTable("a")
 	now := Micros(1)
@@ -314,40 +318,40 @@
 	for range 7 {
 		v, ok := table.Sick(now, simPeriod, "n", Judgement{Reason: "failing"})
 		if !ok {
-			t.Fatal("not judged again")
+			t.Fatal("no further verdict may be issued")
 		}
 		v, _ = table.Say(now, 1, v)
 		if _, again := table.Sick(now+1, simPeriod, "n", Judgement{}); again {
-			t.Fatal("judged while it is out")
+			t.Fatal("a verdict may be issued while another is in force")
 		}
 		spans = append(spans, v.Span/simPeriod)
 		now += v.Span
 		if _, ok := table.Sick(now+5*simPeriod, simPeriod, "n", Judgement{Since: 6}); ok {
-			t.Fatal("judged by what it was judged by before")
+			t.Fatal("a verdict may be issued on the evidence of the previous one")
 		}
 		now += 2 * simPeriod
 	}
 	if want := []Micros{50, 100, 200, 400, 800, 800, 800}; !slices.Equal(spans, want) {
-		t.Errorf("out for %v periods, not %v", spans, want)
+		t.Errorf("ejected for %v periods, want %v", spans, want)
 	}
 	now += (relapse + 1) * 800 * simPeriod
 	v, _ := table.Sick(now, simPeriod, "n", Judgement{})
 	if v.Span != sickSpan*simPeriod {
-		t.Errorf("long after its last illness it is out for %d periods", v.Span/simPeriod)
+		t.Errorf("long after the last verdict the node is ejected for %d periods", v.Span/simPeriod)
 	}
 	v, _ = table.Say(now, 1, v)
 	v.On, v.Span = false, 0
 	_, _ = table.Say(now, 1, v)
 	if _, ok := table.Sick(now+pardon*Window*simPeriod-1, simPeriod, "n", Judgement{}); ok {
-		t.Error("an operator's word against it does not hold")
+		t.Error("an operator's withdrawal does not block a new verdict")
 	}
 	if _, ok := table.Sick(now+pardon*Window*simPeriod, simPeriod, "n", Judgement{}); !ok {
-		t.Error("it holds forever")
+		t.Error("an operator's withdrawal blocks new verdicts for too long")
 	}
 }
 
-// Whatever is judged: no shard is without a node, no more are out than the share (or one), the first to be
-// judged go first, and one more judgement takes none out of it that was judged before.
+// For any sick nodes: no shard loses its last node, no more nodes are ejected than the share (or one), and
+// another sick node at the end of the list does not bring back one that is ejected.
 func TestGuard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := rapid.IntRange(1, 5).Draw(t, "cells")
@@ -361,7 +365,7 @@
 		sick := rapid.SliceOfN(rapid.Uint64Range(0, 18), 0, 12).Draw(t, "sick")
 		out := Guard(nodes, sick, cells, reach, share)
 		if len(out) > max(1, int(share*float64(len(nodes)))) {
-			t.Fatalf("%d of %d are out", len(out), len(nodes))
+			t.Fatalf("%d of %d nodes are ejected", len(out), len(nodes))
 		}
 		held := func(s int, without map[uint64]bool) bool {
 			return slices.ContainsFunc(nodes, func(n Holder) bool {
@@ -370,22 +374,22 @@
 		}
 		for s := range cells {
 			if held(s, nil) && !held(s, out) {
-				t.Fatalf("shard %d has lost its last node: %v", s, out)
+				t.Fatalf("shard %d lost its last node: %v", s, out)
 			}
 		}
 		more := Guard(nodes, append(slices.Clone(sick), 0), cells, reach, share)
 		for id := range out {
 			if !more[id] {
-				t.Fatalf("%d is in again for one more judgement", id)
+				t.Fatalf("node %d is not ejected any more after another node became sick", id)
 			}
 		}
 		if len(Guard(nodes, sick, cells, reach, 0)) > 0 {
-			t.Fatal("some are out where none may be")
+			t.Fatal("nodes are ejected although the share is 0")
 		}
 	})
 }
 
-// Any bytes are taken or turned down, and nothing grows beyond its bound.
+// Any input is handled or rejected, and state and messages stay within their bounds.
 func FuzzJury(f *testing.F) {
 	c := newCourt(3, 4, []string{"a"}, 8, 1)
 	c.outcome = func(_, n int) (Ending, Micros) { return Broken, 1 }
@@ -398,7 +402,7 @@
 		j := NewJury(Voter{"m", "a"}, simPeriod, most)
 		out, ok := j.Receive(5*simPeriod, Voter{"o", "b"}, data)
 		if !ok && len(out) > 0 {
-			t.Fatal("what is none is answered")
+			t.Fatal("a malformed message is answered")
 		}
 		for _, s := range append(out, j.Tick(6*simPeriod, []Voter{{"o", "b"}}, 2, true)...) {
 			if len(s.Data) > most {
@@ -407,12 +411,12 @@
 		}
 		j.Judge(20 * simPeriod)
 		if len(j.trials) > mostCases {
-			t.Fatal("too many cases")
+			t.Fatalf("%d cases", len(j.trials))
 		}
 	})
 }
 
-// Memory and messages are bounded where everything is sick.
+// Memory and messages are bounded when all nodes are sick.
 func TestEvidenceIsBounded(t *testing.T) {
 	w := NewWitness(simPeriod)
 	for n := range uint64(2 * mostNodes) {
@@ -428,15 +432,15 @@
 		c.period()
 	}
 	if most := 30 * 20 * 2 * (jurySends + mostAsked) * most; c.bytes > most {
-		t.Errorf("%d bytes, where %d may be", c.bytes, most)
+		t.Errorf("%d bytes sent, limit %d", c.bytes, most)
 	}
 	w.Expire(simPeriod * (Window + 3))
 	if len(w.nodes) > 0 {
-		t.Error("old evidence is kept")
+		t.Error("old observations are kept")
 	}
 }
 
-// BenchmarkSee is what the core pays for one outcome, beside a lock.
+// BenchmarkObserve measures the cost of one outcome for the core, without the lock.
 func BenchmarkSee(b *testing.B) {
 	w := NewWitness(simPeriod)
 	b.ReportAllocs()
@@ -445,7 +449,7 @@
 	}
 }
 
-// BenchmarkGuard is one look at a list of 200 with 20 judged.
+// BenchmarkLimitEjections measures one call with a list of 200 nodes, 20 of them sick.
 func BenchmarkGuard(b *testing.B) {
 	var nodes []Holder
 	var sick []uint64
--- a/internal/verdict/guard.go
+++ b/internal/verdict/guard.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// Holder is a data node as the guard sees it.
+// ListedNode is a data node from discovery, as far as LimitEjections needs it.
 type Holder struct {
 	ID   uint64
 	Cell int
-	Up   bool // gets work, but for judgements
+	Up   bool // gets requests unless it is ejected as sick
 }
 
-// Guard chooses which of the nodes that are judged sick are out at a member: the first to be judged first,
-// never more than a share of all (but one, in any case), and never the last node that is up of a shard's
-// cells. A shard s is held by the cells (s+j) mod cells, j < reach. It depends on nothing but its arguments,
-// so members that hold the same and see the same list choose the same.
+// LimitEjections chooses which of the sick nodes a member ejects. Nodes that were found sick first come
+// first. It never ejects more than a share of all nodes (or one node, if that is more), and never the last
+// node that is up in a shard's cells. Shard s is held by the cells (s+j) mod cells, j < reach. The result
+// depends only on the arguments, so members with the same verdicts and the same list eject the same nodes.
 func Guard(nodes []Holder, sick []uint64, cells, reach int, share float64) map[uint64]bool {
 	out := map[uint64]bool{}
 	cells, reach = max(1, cells), max(1, reach)
@@ -39,7 +39,7 @@
 	return out
 }
 
-// served tells that every shard that a cell holds has a node that is up.
+// shardsServed reports whether every shard in a cell has a node that is up.
 func served(up []int, cell, reach int) bool {
 	for first := cell - reach + 1; first <= cell; first++ {
 		n := 0
@@ -53,9 +53,9 @@
 	return true
 }
 
-// Sick is the verdict that a judgement is, and whether it may be given: not while one holds, not on what
-// was seen before it ended, nor for a while after an operator has said otherwise. One that comes back sick is
-// out for longer each time. name is the node's.
+// SickVerdict returns the verdict for an outlier, and whether it may be issued. It may not while an earlier
+// one is in force, on evidence from before that ended, or for some time after an operator has withdrawn one.
+// The span of the verdict doubles each time the node becomes sick again soon. name is the node's name.
 func (t *Table) Sick(now, period Micros, name string, j Judgement) (v Verdict, ok bool) {
 	v = Verdict{Kind: Sick, What: name, On: true, By: "evidence", Reason: j.Reason, Span: sickSpan * period}
 	if j.Zone != "" {
@@ -70,7 +70,7 @@
 	switch {
 	case e.holds(age), !e.On && age < pardon*Window*period:
 		return v, false
-	case e.On && Micros(j.Since+1)*period > age-e.Span: // it stands on what the one before stood on
+	case e.On && Micros(j.Since+1)*period > age-e.Span: // based on the evidence of the previous verdict
 		return v, false
 	case e.On && age < (1+relapse)*e.Span:
 		v.Span = min(2*e.Span, sickMost*sickSpan*period)
@@ -78,7 +78,8 @@
 	return v, true
 }
 
-// Ill counts the nodes that are held to be sick at members of a zone; those judged for others do not count.
+// CountSick returns the number of nodes that are sick for members of a zone. Nodes that are sick only for
+// other zones do not count. An empty zone counts the nodes of all zones.
 func (t *Table) Ill(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
 		_, z := e.Node()
@@ -89,7 +90,7 @@
 	return n
 }
 
-// Node is the data node that a verdict is on, and the zone for whose members it holds; empty: for all.
+// Node returns the data node that a verdict is on, and the zone to whose members it applies; empty: to all.
 func (v *Verdict) Node() (name, zone string) {
 	if i := strings.LastIndexByte(v.What, '@'); v.Kind == Path && i >= 0 {
 		return v.What[:i], v.What[i+1:]
@@ -97,7 +98,7 @@
 	return v.What, ""
 }
 
-// Evidence are the verdicts by evidence that hold for a node.
+// SickVerdicts returns the verdicts by evidence that are in force for a node.
 func (t *Table) Evidence(now Micros, name string) (out []Verdict) {
 	for _, e := range t.entries {
 		if n, _ := e.Node(); (e.Kind == Sick || e.Kind == Path) && n == name && e.holds(now-e.born) {
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -1,6 +1,6 @@
 package verdict
 
-// Who judges a node, and by what: members' counts are pooled at a few judges.
+// Outlier detection: the members' tallies of a node are pooled at a few members, its evaluators.
 
 import (
 	"cmp"
@@ -13,51 +13,51 @@
 	"lapislever/internal/datagram"
 )
 
-// Rules of judging. Times are in periods.
+// Parameters of outlier detection. Durations are in periods.
 const (
-	judges     = 3   // of a node
-	enough     = 3   // bad outcomes, of all who count
-	lasting    = 10  // since the first bad one, in which others would have found the node well again
-	askEvery   = 5   // a judge asks others so often
-	answers    = 2   // after which it has their answers
-	fresh      = 30  // a report counts so long
-	tellAnew   = 10  // one that has not changed is told again after that
-	sickSpan   = 50  // a node is out the first time
-	sickMost   = 16  // times that at most, if it comes back sick
-	relapse    = 4   // spans within which that is so
-	pardon     = 10  // windows for which an operator's word against a judgement holds
-	jurySends  = 16  // datagrams a period
-	mostCases  = 256 // at a judge
-	mostAsked  = 16  // members asked by a judge at a time
+	judges     = 3   // evaluators per node
+	enough     = 3   // minimum number of bad outcomes, over all reporters
+	lasting    = 10  // minimum age of the first bad outcome: by then others have seen whether the node is well
+	askEvery   = 5   // interval at which an evaluator queries other members
+	answers    = 2   // time after which it has their answers
+	fresh      = 30  // time for which a report counts
+	tellAnew   = 10  // time after which an unchanged report is repeated
+	sickSpan   = 50  // duration of a node's first ejection
+	sickMost   = 16  // maximum multiple of that for a node that becomes sick again
+	relapse    = 4   // number of spans within which a node counts as sick again
+	pardon     = 10  // number of windows for which an operator's withdrawal blocks a new ejection
+	jurySends  = 16  // maximum number of datagrams per period
+	mostCases  = 256 // maximum number of nodes under evaluation at a member
+	mostAsked  = 16  // maximum number of members queried about a node at a time
 	tallySize  = 8 + 4*2
 	questSize  = 8 + 2
-	mostVoters = 3 // members whose word is enough in any fleet
+	mostVoters = 3 // number of reporters that suffices in a fleet of any size
 )
 
-// The kinds of a jury's message.
+// Message kinds.
 const (
-	msgTally = 1 + iota // flags, then a node and its tally, again and again
-	msgQuest            // nodes, and since how many periods
+	msgTally = 1 + iota // flags, then pairs of a node and its tally
+	msgQuest            // pairs of a node and the number of periods asked about
 )
 
-// The flags of a msgTally.
+// Flags of msgTally.
 const (
-	isSound  = 1 << iota // the sender's word counts
-	isAnswer             // to a msgQuest: its good outcomes are of the time that was asked about
+	isSound  = 1 << iota // the sender's tallies count as evidence
+	isAnswer             // answer to msgTallyQuery: the good outcomes cover the time asked about
 )
 
-// Voter is a member that is alive.
+// Member is a member of the fleet that is alive.
 type Voter struct{ Name, Zone string }
 
-// Judgement is that a node is sick: for all, or for the members of a zone.
+// Outlier is a node that was found sick, for all members or for those of one zone.
 type Judgement struct {
 	Node   uint64
-	Zone   string // empty: for all
+	Zone   string // empty: for all members
 	Reason string
-	Since  int // how many periods ago the first bad outcome was that it stands on
+	Since  int // age of the first bad outcome that it is based on, in periods
 }
 
-// report is what one member says of a node.
+// report is one member's report on a node.
 type report struct {
 	Tally
 	zone  string
@@ -65,27 +65,28 @@
 	at    Micros
 }
 
-// age is how many periods ago something was that was so many periods ago when the report came.
+// age returns the present age, in periods, of an event whose age was then when the report arrived.
 func (r *report) age(now, period Micros, then uint16) int { return int(then) + int((now-r.at)/period) }
 
-// trial is what a judge knows of a node.
+// nodeCase is what an evaluator knows of a node.
 type trial struct {
 	reports map[string]report
-	asked   Micros // when the last members were
+	asked   Micros // time of the last query to other members
 	turn    int
 }
 
-// lastTold is what a judge was last told of a node.
+// lastReport is the tally of a node that was last reported to its evaluators.
 type lastTold struct {
 	Tally
 	at Micros
 }
 
-// Jury is a member's part in judging: it tells judges what it has seen, and is one for some nodes.
+// OutlierDetector is one member's part in outlier detection: it reports its tallies to the evaluators of each
+// node, and is itself an evaluator of some nodes.
 type Jury struct {
 	*Witness
 	self   Voter
-	most   int // bytes of a message
+	most   int // maximum size of a message, in bytes
 	voters []Voter
 	size   int
 	sound  bool
@@ -93,23 +94,23 @@
 	told   map[uint64]lastTold
 	sent   int
 	out    []Send
-	// Credulous is planted, for checkers: one member's word is enough, and nobody's against it counts.
+	// Credulous is an injected fault for tests: one reporter suffices, and no opposing report counts.
 	Credulous bool
 }
 
-// NewJury returns a jury whose messages have so many bytes at most.
+// NewOutlierDetector returns a detector for the member self. most is the maximum size of a message, in bytes.
 func NewJury(self Voter, period Micros, most int) *Jury {
 	return &Jury{Witness: NewWitness(period), self: self, most: most, trials: map[uint64]*trial{},
 		told: map[uint64]lastTold{}}
 }
 
-// Quorum is how many members have to say so in a fleet of so many, dead ones among them: as many as a death
-// takes (docs/FLEET.md).
+// Quorum returns how many members must report a node as bad in a fleet of the given size, including dead
+// members: as many as it takes to declare a member dead (docs/FLEET.md).
 func Quorum(size int) int { return min(mostVoters, size/2+1) }
 
-// MayBeOut is how many nodes the members that see one another may hold to be sick at a time: a share of all
-// nodes, divided by how many of the fleet they are. So sides that are cut off from each other together stay
-// within the share, or one node where that is less, which a majority may.
+// MaxSick returns how many nodes a group of members that see one another may declare sick at a time: the
+// given share of all nodes, in proportion to the group's part of the fleet. So the sides of a partition
+// together stay within the share. If that is less than one node, a majority may declare one.
 func MayBeOut(nodes int, share float64, alive, size int) int {
 	n := int(share * float64(nodes) * float64(alive) / float64(max(1, size)))
 	if n == 0 && share > 0 && nodes > 1 && 2*alive > size {
@@ -118,8 +119,8 @@
 	return n
 }
 
-// judgesOf are the members that judge a node: those that stand first by rendezvous hashing (Thaler and
-// Ravishankar, 1998, §3), so that all name the same without a word.
+// evaluatorsOf returns the evaluators of a node: the first members by rendezvous hashing (Thaler and
+// Ravishankar, 1998, §3), so that all members choose the same ones without communication.
 func (j *Jury) judgesOf(node uint64) []Voter {
 	type ranked struct {
 		Voter
@@ -152,8 +153,8 @@
 	return true
 }
 
-// Tick is to be called once a period with the others that are alive, how many members the fleet has, dead
-// ones among them, and whether this member is well otherwise. It returns what is to be sent.
+// Tick must be called once per period with the other members that are alive, the size of the fleet including
+// dead members, and whether this member is healthy otherwise. It returns the messages to send.
 func (j *Jury) Tick(now Micros, others []Voter, size int, well bool) []Send {
 	j.Expire(now)
 	j.voters = append([]Voter{j.self}, others...)
@@ -174,7 +175,7 @@
 	return b
 }
 
-// tallyHead is the begin of a message with tallies.
+// tallyHeader returns the header of a message with tallies.
 func (j *Jury) tallyHead(answer bool) []byte {
 	flags := byte(0)
 	if j.sound {
@@ -186,8 +187,8 @@
 	return []byte{msgTally, flags}
 }
 
-// tell reports each node of which much is bad to its judges: where that has changed, or is long ago. Of one
-// that has become well that is told once.
+// reportTallies reports each failing node to its evaluators if the tally has changed or the last report is
+// old. A node that has recovered is reported once more.
 func (j *Jury) tell(now Micros) {
 	bouts := j.Bouts()
 	for id := range j.told {
@@ -233,8 +234,9 @@
 	}
 }
 
-// book notes what a member says of a node; one that is no case here becomes one if anything is bad. Only an
-// answer tells of all good outcomes since the case began; what comes unasked does not lower them.
+// record stores a member's report on a node, and opens a case for the node if there are bad outcomes. Only an
+// answer to a query counts all good outcomes since the case began, so an unsolicited report does not lower
+// their number.
 func (j *Jury) book(now Micros, from Voter, node uint64, t Tally, sound, answer bool) {
 	c := j.trials[node]
 	if c == nil {
@@ -250,12 +252,12 @@
 	c.reports[from.Name] = report{Tally: t, zone: from.Zone, sound: sound, at: now}
 }
 
-// lives tells that a member is alive.
+// isAlive reports whether a member is alive.
 func (j *Jury) lives(who string) bool {
 	return slices.ContainsFunc(j.voters, func(v Voter) bool { return v.Name == who })
 }
 
-// ask has other members say what they have seen of the nodes that are cases here.
+// queryMembers asks other members for their tallies of the nodes under evaluation here.
 func (j *Jury) ask(now Micros) {
 	quests := map[string][]byte{}
 	ids := make([]uint64, 0, len(j.trials))
@@ -310,7 +312,8 @@
 	}
 }
 
-// Receive takes in a message of another member. It returns false where that is none, and what is to be sent.
+// Receive handles a message from another member. It returns the messages to send, and false if the message is
+// malformed.
 func (j *Jury) Receive(now Micros, from Voter, data []byte) (out []Send, ok bool) {
 	if len(data) < 2 {
 		return nil, false
@@ -348,14 +351,14 @@
 	return nil, true
 }
 
-// Acquit forgets what spoke against a node.
+// ClearEvidence removes all evidence about a node.
 func (j *Jury) Acquit(node uint64) {
 	delete(j.nodes, node)
 	delete(j.trials, node)
 	delete(j.told, node)
 }
 
-// zoneCount is what is known of a node from one zone.
+// zoneCount is the sum of the reports on a node from one zone.
 type zoneCount struct {
 	zone              string
 	ill, good, accuse int
@@ -363,7 +366,7 @@
 	firstAge          int
 }
 
-// Judge returns the nodes that are sick by what has been reported.
+// Outliers returns the nodes that are sick by the reports received.
 func (j *Jury) Judge(now Micros) (out []Judgement) {
 	ids := make([]uint64, 0, len(j.trials))
 	for id := range j.trials {
@@ -383,7 +386,7 @@
 	return out
 }
 
-// weigh judges one node.
+// evaluate decides whether one node is sick.
 func (j *Jury) weigh(now Micros, c *trial) (Judgement, bool) {
 	zones := map[string]*zoneCount{}
 	all := &zoneCount{}
@@ -409,7 +412,7 @@
 	if j.Credulous {
 		need = 1
 	}
-	accusing := 0 // zones that accuse
+	accusing := 0 // zones that report the node as bad
 	for _, z := range zones {
 		if z.accuse > 0 && z.ill >= z.good {
 			accusing++
@@ -452,8 +455,9 @@
 	z.firstAge = max(z.firstAge, r.age(now, period, r.First))
 }
 
-// sick tells that enough members have seen enough, and that it is long enough ago that who has seen nothing
-// bad would have told by now that the node is well. Where all have seen it they all avoid it anyway.
+// sick reports whether enough members have seen enough bad outcomes, and the first one is old enough that
+// members without bad outcomes would have reported by now that the node is well. If all members have seen bad
+// outcomes, they avoid the node anyway.
 func (z *zoneCount) sick(need int) bool {
 	return z.accuse >= need && z.ill >= enough && z.ill >= z.good && z.firstAge >= lasting
 }
--- a/internal/verdict/spread.go
+++ b/internal/verdict/spread.go
@@ -1,7 +1,8 @@
 package verdict
 
-// How members tell one another: new entries directly until each is known to hold them, and what that has
-// missed by comparing sums, stamps and then entries.
+// The gossip protocol. A member sends the verdicts that it issued directly to all others until each is known
+// to have applied them. Differences that remain are repaired by comparing bucket sums, then stamps, then
+// entries.
 
 import (
 	"cmp"
@@ -14,67 +15,67 @@
 )
 
 const (
-	budget   = 16 // datagrams a period
-	directly = 8  // of them, those that carry new entries
-	compares = 2  // members whose sums differ that are asked a period
+	budget   = 16 // datagrams per period
+	directly = 8  // datagrams per period that carry own new entries
+	compares = 2  // members with a different digest that are compared with per period
 	buckets  = 64
 )
 
-// The kinds of message.
+// Message kinds.
 const (
 	msgEntries = 1 + iota // entries with their ages
-	msgSums               // salt, 64 sums of 16 bits
-	msgList               // from and to hash, and all stamps in between
-	msgWant               // hashes
-	msgAck                // hashes and stamps of what the sender has carried out
+	msgSums               // salt, 64 bucket sums of 16 bits
+	msgList               // first and last hash of a range, and all hashes and stamps in it
+	msgWant               // hashes of the entries requested
+	msgAck                // hashes and stamps of entries that the sender has applied
 )
 
-// Send is a message to another member.
+// Message is a message to another member.
 type Send struct {
 	To   string
 	Data []byte
 }
 
-// Untold is what a member says in place of its digest that has not been told what the fleet holds. Digests
-// are odd.
+// UnsyncedDigest is what a member announces instead of its digest until it has the fleet's table. It cannot
+// be a digest, as those are odd.
 const Untold uint32 = 2
 
-// untoldFor is for how many periods all others have to be untold as well, or so many as untoldMost where
-// there are more, with none that is told, for there to be nothing to be told.
+// A member concludes that there is no table to get if for unsyncedPeriods consecutive periods no peer was
+// synced, and maxUnsyncedPeers of them (or all, if they are fewer) announced that they are not.
 const (
 	untoldFor  = 3
 	untoldMost = 16
 )
 
-// Peer is another member that is alive. Sum is what it last announced; 0: nothing yet.
+// Peer is another member that is alive. Digest is what it last announced; 0: nothing yet.
 type Peer struct {
 	Name string
 	Sum  uint32
 }
 
-// Spreader tells others what a table holds.
+// Gossiper replicates a table to the other members.
 type Spreader struct {
 	*Table
 	rng    *rand.PCG
-	most   int // bytes of a message
-	left   int // of the period's budget,
-	pushes int // and of that for news
+	most   int // maximum size of a message, in bytes
+	left   int // datagrams left in this period
+	pushes int // datagrams left in this period for pushing new entries
 	peers  []Peer
 	turn   int
 	out    []Send
-	acks   map[string][]*entry // to be told to who gave or sent them
+	acks   map[string][]*entry // acknowledgements to send to the issuers and senders of entries
 	told   bool
-	none   int   // periods in which nobody knew anything
-	Sent   int64 // messages
+	none   int   // consecutive periods in which no synced member was seen
+	Sent   int64 // number of messages sent
 }
 
-// NewSpreader returns a spreader whose messages have so many bytes at most.
+// NewGossiper returns a gossiper for a table. most is the maximum size of a message, in bytes.
 func NewSpreader(t *Table, seed uint64, most int) *Spreader {
 	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), most: most,
 		acks: map[string][]*entry{}}
 }
 
-// Announce is what others are told: the digest, once this member knows what they hold.
+// AnnouncedDigest returns what this member announces: its digest, or UnsyncedDigest until it is synced.
 func (s *Spreader) Announce() uint32 {
 	if !s.told {
 		return Untold
@@ -82,10 +83,10 @@
 	return s.Digest()
 }
 
-// Told tells that another member's table has been taken in, or that there is none to take.
+// Synced reports whether this member has merged the table of another one, or there is none to merge.
 func (s *Spreader) Told() bool { return s.told }
 
-// Take hands over what is to be sent and carried out.
+// TakePending returns and clears the messages to send and the changes to carry out.
 func (s *Spreader) Take() ([]Send, []Change) {
 	s.flushAcks()
 	out := s.out
@@ -103,7 +104,7 @@
 	return true
 }
 
-// Tick is to be called once a period with those that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (s *Spreader) Tick(now Micros, peers []Peer) {
 	s.peers = peers
 	s.left, s.pushes = budget, budget
@@ -115,7 +116,7 @@
 	all := true
 	for _, e := range s.entries {
 		for who := range e.held {
-			if _, ok := alive[who]; !ok { // it may come back without
+			if _, ok := alive[who]; !ok { // it may restart without the entry
 				delete(e.held, who)
 			}
 		}
@@ -130,7 +131,7 @@
 		}
 		switch {
 		case p.Sum == 0:
-		case p.Sum == Untold: // it asks by itself, and its own table tells nothing
+		case p.Sum == Untold: // it starts the comparison itself, and its own table is incomplete
 			untold++
 		case p.Sum == s.Digest():
 			s.holder(p.Name)
@@ -151,7 +152,7 @@
 	}
 }
 
-// holder books that a member holds all that is carried out here.
+// markHolder notes that a member has all entries that are applied here.
 func (s *Spreader) holder(who string) {
 	for _, e := range s.entries {
 		if e.applied {
@@ -160,7 +161,7 @@
 	}
 }
 
-// spread sends what this member gave itself to those that are not known to hold it, one after the other.
+// sendOwn sends the entries that this member issued to the members not known to have them, in turn.
 func (s *Spreader) spread(now Micros, most int) {
 	for range s.peers {
 		s.turn++
@@ -187,7 +188,8 @@
 	}
 }
 
-// Push sends an entry that is new here to some at once: to all if this member gave it and they are few.
+// Push sends an entry that is new here to some members immediately: to up to a period's budget of members if
+// this member issued it, otherwise to a few.
 func (s *Spreader) Push(now Micros, v Verdict) {
 	i, ok := s.find(&v)
 	if !ok || len(s.peers) == 0 {
@@ -201,7 +203,7 @@
 		s.turn++
 		if p := s.peers[s.turn%len(s.peers)]; !s.entries[i].held[p.Name] {
 			if s.pushes--; s.pushes < 0 {
-				return // much is said at once: the next periods carry it
+				return // many entries at once: the next periods send the others
 			}
 			s.Sent++
 			s.out = append(s.out, Send{To: p.Name, Data: s.append([]byte{msgEntries}, now, s.entries[i])})
@@ -211,7 +213,7 @@
 
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
-// append adds an entry to a message; it is returned as it was where there is no room.
+// appendEntry adds an entry to a message. If there is no room it returns the message unchanged.
 func (s *Spreader) append(b []byte, now Micros, e *entry) []byte {
 	was := len(b)
 	flags := byte(0)
@@ -229,7 +231,7 @@
 	if len(b) > s.most && was > 1 {
 		return b[:was]
 	}
-	if len(b) > s.most { // alone it has to fit: what people say about it is cut
+	if len(b) > s.most { // a single entry has to fit: omit the texts written by people
 		b = b[:was]
 		short := *e
 		short.Reason, short.By = "", ""
@@ -238,13 +240,13 @@
 	return b
 }
 
-// ageMost bounds what a message may claim: a hundred years.
+// maxAge is the greatest age or span that a message may contain: a hundred years.
 const ageMost = 100 * 365 * 24 * 3600 * 1_000_000
 
-// maxMember is the longest name of a member.
+// maxMember is the maximum length of a member's name.
 const maxMember = 40
 
-// readVerdict reads one entry.
+// readVerdict decodes one entry.
 func readVerdict(r *datagram.Reader) (v Verdict, age Micros) {
 	head := r.Take(2)
 	v.Kind, v.On, v.Word = Kind(head[0]), head[1]&1 == 1, Word(head[1]>>1)
@@ -257,7 +259,7 @@
 	return v, Micros(a)
 }
 
-// Receive takes in a message of another member. It returns false where that is none.
+// Receive handles a message from another member. It returns false if the message is malformed.
 func (s *Spreader) Receive(now Micros, from string, data []byte) bool {
 	if len(data) == 0 {
 		return false
@@ -280,7 +282,7 @@
 		for _, x := range list {
 			s.Merge(now, x.v, x.age)
 			if i, ok := s.find(&x.v); ok && !x.v.after(&s.entries[i].Verdict) &&
-				!s.entries[i].after(&x.v) { // the sender has it
+				!s.entries[i].after(&x.v) { // the sender has the same entry
 				s.entries[i].held[from] = s.entries[i].held[from] || s.entries[i].Member == from
 				if s.entries[i].applied {
 					s.acks[from] = append(s.acks[from], s.entries[i])
@@ -321,7 +323,7 @@
 	return true
 }
 
-// Applied tells that a verdict is carried out here; who gave it waits to hear that.
+// Applied notes that a verdict has been carried out here, and queues an acknowledgement to its issuer.
 func (s *Spreader) Applied(v Verdict) {
 	s.Table.Applied(v)
 	if i, ok := s.find(&v); ok && s.entries[i].applied && v.Member != s.self {
@@ -329,7 +331,7 @@
 	}
 }
 
-// flushAcks tells who gave or sent something that it is carried out here.
+// flushAcks acknowledges entries that are applied here to the members that issued or sent them.
 func (s *Spreader) flushAcks() {
 	for _, to := range slices.Sorted(maps.Keys(s.acks)) {
 		for list := s.acks[to]; len(list) > 0; {
@@ -345,7 +347,7 @@
 	clear(s.acks)
 }
 
-// bucketSums are the sums of the buckets, by hash.
+// bucketSums returns the sums of the entries by bucket, which is the high bits of the hash.
 func (s *Spreader) bucketSums(salt uint32) (sums [buckets]uint16) {
 	for _, e := range s.entries {
 		sums[e.hash>>26] += uint16(e.salted(salt))
@@ -353,8 +355,8 @@
 	return sums
 }
 
-// sums asks a member where its table differs. The salt makes that two different buckets look alike once at
-// the most.
+// sendSums sends the bucket sums to a member, which answers with the buckets that differ. The salt is new
+// each time, so that a collision of two different buckets does not repeat.
 func (s *Spreader) sums(to string) {
 	salt := uint32(s.rng.Uint64())
 	b := binary.LittleEndian.AppendUint32([]byte{msgSums}, salt)
@@ -364,14 +366,14 @@
 	s.send(to, b)
 }
 
-// list sends the stamps in the buckets that differ, in datagrams that each tell which hashes they cover.
+// sendStamps sends the stamps in the buckets that differ. Each datagram states the range of hashes it covers.
 func (s *Spreader) list(to string, salt uint32, theirs []byte) {
 	mine := s.bucketSums(salt)
 	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
 			b.hash)
 	})
-	first := int(s.rng.Uint64() % buckets) // so that what the budget leaves out is not always the same
+	first := int(s.rng.Uint64() % buckets) // random, so that the budget does not always omit the same buckets
 	for k := range buckets {
 		i := (first + k) % buckets
 		if mine[i] == binary.LittleEndian.Uint16(theirs[2*i:]) {
@@ -409,8 +411,8 @@
 	return b
 }
 
-// compare holds another's stamps in a range against one's own: what it lacks is sent, what is lacking here is
-// asked for.
+// compareStamps compares another member's stamps in a range with the own ones. It sends the entries that are
+// newer here, and requests those that are newer there.
 func (s *Spreader) compare(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
@@ -451,7 +453,7 @@
 	return out
 }
 
-// entriesTo sends the entries that are chosen, as many to a datagram as fit.
+// sendEntries sends the chosen entries, as many per datagram as fit.
 func (s *Spreader) entriesTo(now Micros, to string, chosen func(e *entry) bool) {
 	b := []byte{msgEntries}
 	for _, e := range s.entries {
--- a/internal/verdict/table.go
+++ b/internal/verdict/table.go
@@ -1,6 +1,7 @@
-// Package verdict keeps what is said of data nodes and the like for the whole fleet: one table that merges
-// the same at every member, and the rules by which members tell one another. It does no input or output,
-// reads no clock and starts no goroutine. docs/VERDICTS.md has the design.
+// Package verdict keeps the decisions on data nodes, client prefixes and settings that apply to the whole
+// fleet. It has a table that merges identically at every member, the gossip protocol that replicates it, and
+// outlier detection by pooled evidence. The package does no I/O, reads no clock and starts no goroutine. The
+// design is in docs/VERDICTS.md.
 package verdict
 
 import (
@@ -13,36 +14,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Micros is a time or a span in microseconds, of a clock that only goes forward.
+// Micros is a point in time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
 // Bounds of a table.
 const (
-	Most       = 4096 // entries, tombstones among them
-	MaxWhat    = 96   // bytes of a name
+	Most       = 4096 // entries, including tombstones
+	MaxWhat    = 96   // bytes of a subject's name
 	MaxBy      = 32
 	MaxReason  = 56
-	KeepEnded  = 3600 * 1_000_000 // us that an entry is kept after its end
-	counterBit = 16               // of a stamp: the lower bits count, the others are milliseconds
+	KeepEnded  = 3600 * 1_000_000 // microseconds for which an entry is kept after its end
+	counterBit = 16               // low bits of a stamp that are a counter; the others are milliseconds
 )
 
-// Kind is what sort of thing a verdict is on.
+// Kind is the kind of a verdict's subject.
 type Kind uint8
 
-// The kinds of thing.
+// The kinds of subject.
 const (
-	Node   Kind = 1 + iota // a data node, by discovery's id
-	Prefix                 // of clients' addresses
-	// Setting is a member's own settings of something that all have: What is NAME@MEMBER, Reason the text.
+	Node   Kind = 1 + iota // a data node that operators have cordoned, by its ID in discovery
+	Prefix                 // a prefix of client addresses
+	// Setting is one member's value of a setting that all members have: What is NAME@MEMBER, Reason the value.
 	Setting
-	Sick // a data node that members have found sick, see Jury
-	Path // the same for the members of a zone: What is NODE@ZONE
+	Sick // a data node that is sick by pooled evidence, see OutlierDetector
+	Path // a data node that is sick for the members of one zone: What is NODE@ZONE
 )
 
-// Word is what a verdict on a prefix says.
+// PrefixAction is what a verdict on a prefix does.
 type Word uint8
 
-// The words on a prefix.
+// The actions on a prefix.
 const (
 	Ban Word = iota
 	Pin
@@ -64,67 +65,67 @@
 	return "node_out"
 }
 
-// Errors of Say.
+// Errors of Issue.
 var (
 	ErrFull = errors.New("no room for another verdict")
 	ErrForm = errors.New("a name is missing or too long")
 )
 
-// Verdict is what is said of one thing.
+// Verdict is a decision on one subject.
 type Verdict struct {
 	Kind   Kind
 	What   string
-	Word   Word // on a prefix
-	On     bool // false: taken back
+	Word   Word // only for a prefix
+	On     bool // false: withdrawn
 	By     string
 	Reason string
-	Span   Micros // for how long it holds; 0: until it is taken back
+	Span   Micros // duration; 0: until it is withdrawn
 
-	Stamp  uint64 // of the hybrid logical clock
-	Member string // that gave it
+	Stamp  uint64 // time of the hybrid logical clock
+	Member string // member that issued it
 }
 
-// entry is a verdict as it is held here.
+// entry is a verdict in the table.
 type entry struct {
 	Verdict
 	hash    uint32
-	born    Micros // when it was given, by the clock here
-	applied bool   // carried out here
-	ended   bool   // its end was told here
-	held    map[string]bool
+	born    Micros          // local time at which it was issued
+	applied bool            // carried out here
+	ended   bool            // its end was reported as a Change
+	held    map[string]bool // other members known to have applied it
 }
 
-// key orders things.
+// compareKeys orders verdicts by their subjects.
 func compareKeys(a, b *Verdict) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), strings.Compare(a.What, b.What))
 }
 
-// after tells that a verdict outranks another on the same thing.
+// supersedes reports whether a verdict takes precedence over another one on the same subject.
 func (v *Verdict) after(o *Verdict) bool {
 	return v.Stamp > o.Stamp || v.Stamp == o.Stamp && v.Member > o.Member
 }
 
-// holds tells that it is in force at an age.
+// inForce reports whether the verdict is in force at an age.
 func (v *Verdict) holds(age Micros) bool { return v.On && (v.Span == 0 || age < v.Span) }
 
-// Change tells that something is in force, or not any more, and has to be carried out; then Applied has to be
+// Change is a verdict that has come into force or ended, and has to be carried out. Applied must then be
 // called with the same verdict.
 type Change struct {
 	Verdict Verdict
 	Holds   bool
-	Left    Micros // for how much longer; 0: until it is taken back
+	Left    Micros // remaining duration; 0: until it is withdrawn
 }
 
-// Table is all verdicts that a member knows.
+// Table holds all verdicts that a member knows.
 type Table struct {
 	self    string
 	clock   uint64
-	entries []*entry // by kind and name
-	sum     uint64   // over what is applied
+	entries []*entry // sorted by kind and name
+	sum     uint64   // sum over the applied entries
 	changes []Change
 }
 
-// NewTable returns an empty table of a member.
+// NewTable returns an empty table for the member self.
 func NewTable(self string) *Table { return &Table{self: self} }
 
 func (t *Table) find(v *Verdict) (int, bool) {
@@ -134,8 +135,8 @@
 	})
 }
 
-// Say gives a verdict at this member. wall is its wall clock in milliseconds, which only orders verdicts that
-// do not know of one another.
+// Issue issues a verdict at this member. wall is its wall clock in milliseconds, which only orders verdicts
+// that were issued without knowledge of each other.
 func (t *Table) Say(now Micros, wall int64, v Verdict) (Verdict, error) {
 	if v.What == "" || len(v.What) > MaxWhat || len(v.By) > MaxBy || len(v.Reason) > MaxReason || v.Span < 0 {
 		return v, ErrForm
@@ -148,7 +149,7 @@
 	return v, nil
 }
 
-// Merge takes in a verdict of an age. It returns whether that was news.
+// Merge adds a verdict of the given age. It reports whether the verdict was new.
 func (t *Table) Merge(now Micros, v Verdict, age Micros) bool {
 	t.clock = max(t.clock, v.Stamp)
 	i, known := t.find(&v)
@@ -182,7 +183,7 @@
 	return true
 }
 
-// over tells that an entry of an age is not to be kept any more.
+// outdated reports whether an entry of an age no longer has to be kept.
 func (t *Table) over(v *Verdict, age Micros) bool {
 	if v.On && v.Span == 0 {
 		return false
@@ -194,7 +195,7 @@
 	return age >= end+KeepEnded
 }
 
-// makeRoom drops the entry that has ended longest ago.
+// makeRoom removes the oldest entry that has ended, and returns false if none has.
 func (t *Table) makeRoom(now Micros) bool {
 	oldest := -1
 	for i, e := range t.entries {
@@ -216,7 +217,7 @@
 	t.entries = slices.Delete(t.entries, i, i+1)
 }
 
-// Expire ends what has lasted its span, and drops what has been over for long.
+// Expire ends verdicts whose span is over, and removes outdated entries.
 func (t *Table) Expire(now Micros) {
 	for i := len(t.entries) - 1; i >= 0; i-- {
 		e := t.entries[i]
@@ -229,14 +230,14 @@
 	}
 }
 
-// Take hands over what has to be carried out.
+// TakeChanges returns and clears the changes that have to be carried out.
 func (t *Table) Take() []Change {
 	c := t.changes
 	t.changes = nil
 	return c
 }
 
-// Applied tells that a verdict, or its end, is carried out at this member.
+// Applied notes that a verdict, or its end, has been carried out at this member.
 func (t *Table) Applied(v Verdict) {
 	if i, ok := t.find(&v); ok {
 		if e := t.entries[i]; e.Stamp == v.Stamp && e.Member == v.Member && !e.applied {
@@ -246,10 +247,11 @@
 	}
 }
 
-// Digest stands for all that is carried out here: equal at two members that hold the same. It is never 0.
+// Digest is a hash of all applied entries: two members with the same entries have the same digest. It is
+// always odd.
 func (t *Table) Digest() uint32 { return uint32(t.sum>>32) | 1 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
 func hashOf(v *Verdict) uint32 {
@@ -265,14 +267,14 @@
 	return xxhash.Sum64(b)
 }
 
-// Line is one verdict as operators see it.
+// Status is one verdict as operators see it.
 type Line struct {
 	Verdict
 	Age  Micros
-	Held []string // members that are known to hold it, this one among them if it does
+	Held []string // members known to have applied it, including this one if it has
 }
 
-// Lines are all verdicts that are in force.
+// InForce returns all verdicts that are in force.
 func (t *Table) Lines(now Micros) []Line {
 	var out []Line
 	for _, e := range t.entries {
@@ -283,7 +285,7 @@
 	return out
 }
 
-// Settings are what members have said of a thing of theirs, by member.
+// Settings returns the members' values of a setting, by member.
 func (t *Table) Settings(now Micros, name string) map[string]string {
 	out := map[string]string{}
 	for _, e := range t.entries {
@@ -295,7 +297,7 @@
 	return out
 }
 
-// Line is the entry on a thing, in force or not.
+// Lookup returns the entry on a subject, whether in force or not.
 func (t *Table) Line(now Micros, kind Kind, what string) (Line, bool) {
 	i, ok := t.find(&Verdict{Kind: kind, What: what})
 	if !ok {
@@ -316,13 +318,13 @@
 	return l
 }
 
-// Saved is a verdict with its age, as one process hands it to the next.
+// Saved is a verdict with its age as one process hands it over to the next.
 type Saved struct {
 	Verdict
 	Age Micros
 }
 
-// Save is the whole table.
+// Snapshot returns the whole table.
 func (t *Table) Save(now Micros) []Saved {
 	out := make([]Saved, 0, len(t.entries))
 	for _, e := range t.entries {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -17,7 +17,7 @@
 
 func node(what string, on bool) Verdict { return Verdict{Kind: Node, What: what, On: on} }
 
-// picture is what of a table has to be equal at all who know the same.
+// summary describes the part of a table that must be equal at all members with the same knowledge.
 func picture(t *Table, now Micros) (s string) {
 	for _, e := range t.entries {
 		s += fmt.Sprintf("%s %v %d %s ends %v; ", e.What, e.On, e.Stamp, e.Member, e.holds(now-e.born))
@@ -25,7 +25,7 @@
 	return s
 }
 
-// The same entries in any order, split and repeated anyhow, give the same table: the merge is commutative,
+// The same entries in any order and with repetitions give the same table: the merge is commutative,
 // associative and idempotent.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,7 +38,7 @@
 			v := node(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "what"), rapid.Bool().Draw(t, "on"))
 			v.Stamp, v.Member = rapid.Uint64Range(1, 6).Draw(t, "stamp"), rapid.SampledFrom([]string{"x",
 				"y"}).Draw(t, "m")
-			v.On = v.Stamp%2 == 0 // one stamp of one member says one thing
+			v.On = v.Stamp%2 == 0 // entries with the same stamp and member are equal
 			v.Span = Micros(v.Stamp%3) * second
 			items = append(items, item{v, rapid.Int64Range(0, 4*second).Draw(t, "age")})
 		}
@@ -56,12 +56,12 @@
 	})
 }
 
-// All interleavings of three members and two contradicting verdicts on one thing: each member hears the
-// two in either order, or from another that has merged them, and all end with the same one. A merge that
-// takes what came last is found to differ.
+// All interleavings of two contradicting verdicts on one subject at three members: each member receives the
+// two in either order, and possibly one of them twice, and all end with the same one. With an injected fault,
+// a merge that keeps the last arrival, they differ.
 func TestEveryInterleavingOfTwoContraryVerdicts(t *testing.T) {
 	run := func(planted bool) (differ int) {
-		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two who speak
+		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two issuers
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
 				one, _ := tables[0].Say(0, 1_000_000, node("n", true))
@@ -71,7 +71,7 @@
 					if order>>i&1 == 1 {
 						list = []Verdict{two, one}
 					}
-					if order>>(3+i)&1 == 1 { // and once more
+					if order>>(3+i)&1 == 1 { // receive the first one again
 						list = append(list, list[0])
 					}
 					for _, v := range list {
@@ -98,27 +98,28 @@
 		t.Fatalf("%d interleavings end in different verdicts", n)
 	}
 	if run(true) == 0 {
-		t.Fatal("a merge by arrival is not found out")
+		t.Fatal("the fault of a merge by order of arrival is not detected")
 	}
 }
 
-// Who has seen a verdict has the last word, although their clock is minutes behind, or has jumped back.
+// A verdict issued with knowledge of another one supersedes it, even if the issuer's clock is far behind or
+// has jumped back.
 func TestTheLastWordIsTheLast(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
 	v, _ := a.Say(0, 9_000_000, node("n", true))
 	b.Merge(0, v, 0)
-	w, _ := b.Say(0, 1_000, node("n", false)) // its clock is far behind
+	w, _ := b.Say(0, 1_000, node("n", false)) // b's clock is far behind
 	if !a.Merge(0, w, 0) {
-		t.Fatal("the later word is not taken")
+		t.Fatal("the later verdict is not merged")
 	}
-	x, _ := a.Say(0, 500, node("n", true)) // a's clock has jumped
+	x, _ := a.Say(0, 500, node("n", true)) // a's clock has jumped back
 	if !b.Merge(0, x, 0) || !x.after(&w) {
-		t.Fatal("a clock that jumped back has the last word no more")
+		t.Fatal("a verdict issued after a clock jumped back does not supersede the earlier one")
 	}
 }
 
-// A verdict ends by its age, whatever links and clocks do, is not brought back by what is late, and is
-// forgotten after its time.
+// A verdict ends by its age, independently of delays and of the time of its arrival. A late message does not
+// bring it back, and it is removed after the retention time.
 func TestEnds(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
 	v := node("n", true)
@@ -130,21 +131,21 @@
 	for _, table := range []*Table{a, b} {
 		table.Expire(9 * second)
 		if len(table.Take()) > 0 || len(table.Lines(9*second)) != 1 {
-			t.Fatal("it ends early")
+			t.Fatal("the verdict ends early")
 		}
 		table.Expire(10 * second)
 		if c := table.Take(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
 			t.Fatalf("%+v", c)
 		}
 		if table.Merge(11*second, v, second) || len(table.Lines(11*second)) > 0 {
-			t.Fatal("a late datagram brings it back")
+			t.Fatal("a late message brings the verdict back")
 		}
 		table.Expire(10*second + KeepEnded)
 		if table.Len() != 0 {
-			t.Fatal("it is never forgotten")
+			t.Fatal("the verdict is not removed")
 		}
 		if table.Merge(0, v, 10*second+KeepEnded) {
-			t.Fatal("what all have forgotten is taken in")
+			t.Fatal("an outdated verdict is merged")
 		}
 	}
 }
@@ -157,17 +158,17 @@
 		}
 	}
 	if _, err := table.Say(0, 0, node("one more", true)); err != nil {
-		t.Fatal("the one that was taken back did not make way:", err)
+		t.Fatal("the withdrawn verdict was not evicted:", err)
 	}
 	if _, err := table.Say(0, 0, node("and one", true)); err == nil || table.Len() != Most {
 		t.Fatalf("%d entries", table.Len())
 	}
 	if _, err := table.Say(0, 0, node("", true)); err == nil {
-		t.Fatal("a verdict on nothing")
+		t.Fatal("a verdict without a subject was issued")
 	}
 }
 
-// net is some members whose messages get lost now and then.
+// gossipNet simulates members with lossy links.
 type net struct {
 	now   Micros
 	all   []*Spreader
@@ -187,7 +188,7 @@
 
 func name(i int) string { return fmt.Sprintf("m%04d", i) }
 
-// round is one period: each looks at the sums of a few others, as their probes tell them.
+// round simulates one period: each member learns the digests of a few others, as from their probes.
 func (w *net) round() {
 	w.now += second / 5
 	for i, s := range w.all {
@@ -202,7 +203,7 @@
 					p.Sum = known.Sum
 				}
 			}
-			if w.rng.IntN(len(w.all)) < 3 { // heard lately
+			if w.rng.IntN(len(w.all)) < 3 { // probed in this period
 				p.Sum = o.Announce()
 			}
 			peers = append(peers, p)
@@ -223,7 +224,7 @@
 				_, _ = fmt.Sscanf(m.To, "m%04d", &j)
 				w.sent += len(m.Data)
 				if len(m.Data) > most {
-					panic("a message is too long")
+					panic("a message exceeds the maximum size")
 				}
 				if w.rng.Float64() >= w.loss && w.sides(i, j) {
 					w.all[j].Receive(w.now, name(i), m.Data)
@@ -253,8 +254,8 @@
 	return true
 }
 
-// A verdict reaches all within its bound at 30% loss, its giver knows who holds it, and one who starts from
-// nothing is told by others than the giver.
+// With 30% loss a verdict reaches all members within the bound, its issuer learns which members have it, and
+// an issuer that restarts without state gets it back from the others.
 func TestSpreading(t *testing.T) {
 	sizes := []int{3, 12, 100}
 	if os.Getenv("LAPISLEVER_LONG") != "" {
@@ -270,7 +271,7 @@
 			}
 			return true
 		}) < 0 {
-			t.Fatal("a fleet that starts anew never finds that there is nothing to be told")
+			t.Fatal("a new fleet does not become synced")
 		}
 		v, err := w.all[0].Say(w.now, 1, node("n", true))
 		if err != nil {
@@ -289,28 +290,28 @@
 			return true
 		})
 		if took < 0 {
-			t.Fatalf("%d members: not within %d periods", n, limit)
+			t.Fatalf("%d members: the verdict did not reach all within %d periods", n, limit)
 		}
 		t.Logf("%d members: %d periods", n, took)
 		if w.until(20*limit, func() bool { l, _ := w.all[0].Line(w.now, Node, "n"); return len(l.Held) == n }) < 0 {
-			t.Fatal("its giver never learns who holds it")
+			t.Fatal("the issuer does not learn which members have the verdict")
 		}
-		w.all[0] = NewSpreader(NewTable(name(0)), 99, most) // the giver starts anew
+		w.all[0] = NewSpreader(NewTable(name(0)), 99, most) // the issuer restarts
 		if w.until(limit+4, func() bool { return len(w.all[0].Lines(w.now)) == 1 && w.all[0].Told() }) < 0 {
-			t.Fatal("who starts from nothing is not told")
+			t.Fatal("a member that restarts without state does not get the verdict")
 		}
 		if w.all[0].entries[0].Stamp != v.Stamp {
-			t.Fatal("told something else")
+			t.Fatal("the restarted member got a different verdict")
 		}
 	}
 }
 
-// Of many that start from nothing at once none passes for one that knows: they are told by the one that does,
-// and where nobody does, each goes on after a few periods.
+// Members that restart without state at the same time do not sync with each other but with the one that has
+// the table. If no member has it, each becomes synced after a few periods.
 func TestTheUntoldDoNotTellEachOther(t *testing.T) {
 	w := newNet(6, 0, 9)
 	if w.until(30, func() bool { return w.all[5].Told() }) < untoldFor {
-		t.Fatal("told at once, by those who know nothing")
+		t.Fatal("synced immediately by members without a table")
 	}
 	for range 10 {
 		w.round()
@@ -326,16 +327,17 @@
 		w.round()
 		for _, s := range w.all {
 			if s.Told() && len(s.Lines(w.now)) != 1 {
-				t.Fatal("held to be told, and knows nothing")
+				t.Fatal("a member is synced without having the verdict")
 			}
 		}
 	}
 	if !w.all[5].Told() {
-		t.Fatal("never told")
+		t.Fatal("a restarted member does not become synced")
 	}
 }
 
-// A thousand at once arrive at all, in bounded messages a period; and so do those of both sides of a cut.
+// A thousand verdicts at once reach all members with a bounded number of messages per period, and after a
+// partition so do the verdicts of both sides.
 func TestManyAtOnce(t *testing.T) {
 	w := newNet(8, 0.1, 7)
 	for range 40 {
@@ -348,9 +350,9 @@
 	}
 	took := w.until(400, w.agree)
 	if took < 0 || w.all[5].Len() != 1000 {
-		t.Fatalf("%d of 1000 after 400 periods", w.all[5].Len())
+		t.Fatalf("%d of 1000 verdicts after 400 periods", w.all[5].Len())
 	}
-	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes a member and period", took, w.sent/8/max(1, took))
+	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes per member and period", took, w.sent/8/max(1, took))
 	w.sides = func(i, j int) bool { return (i < 4) == (j < 4) }
 	for i := range 60 {
 		_, _ = w.all[0].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i), false))
@@ -359,7 +361,7 @@
 	}
 	w.sides = func(int, int) bool { return true }
 	if w.until(100, w.agree) < 0 {
-		t.Fatal("no one table after the heal")
+		t.Fatal("the tables differ after the partition has healed")
 	}
 }
 
@@ -383,11 +385,11 @@
 		sends, _ := s.Take()
 		for _, m := range sends {
 			if len(m.Data) > most {
-				t.Fatalf("%d bytes", len(m.Data))
+				t.Fatalf("a message of %d bytes", len(m.Data))
 			}
 		}
 		if s.Len() > 1+len(data)/34 {
-			t.Fatalf("%d entries of %d bytes", s.Len(), len(data))
+			t.Fatalf("%d entries from a message of %d bytes", s.Len(), len(data))
 		}
 	})
 }
--- a/internal/verdict/witness.go
+++ b/internal/verdict/witness.go
@@ -1,76 +1,79 @@
 package verdict
 
-// What a member sees of data nodes itself, as evidence for others: docs/VERDICTS.md, 'Evidence'.
+// A member's own observations of data nodes, which it reports to others as evidence: docs/VERDICTS.md,
+// 'Evidence'.
 
 import "slices"
 
-// Rules of evidence. Times are in periods.
+// Parameters of evidence. Durations are in periods unless noted.
 const (
-	Window    = 150 // what is older than that is no evidence
-	slots     = 50  // of a window, by which good outcomes are counted
+	Window    = 150 // age after which an observation no longer counts
+	slots     = 50  // slots per window in which good outcomes are counted
 	mostNodes = 4096
-	boutEnds  = 6      // good outcomes in a row after which a bout of bad ones is over
-	lateBy    = 8.0    // times the usual time of the class
-	lateLeast = 50_000 // us: what takes less is never late
-	// beatenLeast is how many attempts have to be beaten, with none served between, before one counts: whoever
-	// answers is beaten now and then, but who answers nobody is hidden behind its hedged requests.
+	boutEnds  = 6      // consecutive good outcomes that end a bout of bad ones
+	lateBy    = 8.0    // an attempt is late above this multiple of its class's median
+	lateLeast = 50_000 // microseconds; a shorter attempt is never late
+	// beatenLeast is the number of attempts that must lose to a hedged one, with none served in between, before
+	// one counts as bad. Any healthy node loses now and then, but a node that answers nothing would otherwise
+	// stay hidden behind the hedged attempts.
 	beatenLeast = 2
-	usualStep   = 1.05 // by which one outcome moves the usual time
-	mostKinds   = 256  // classes whose usual time is kept
+	usualStep   = 1.05 // factor by which one outcome moves the median
+	mostKinds   = 256  // maximum number of classes whose median is kept
 )
 
-// Ending is how an attempt at a node ended, as evidence sees it.
+// Outcome is the outcome of an attempt, as far as it is evidence about the node.
 type Ending uint8
 
-// The endings that count. What a node turns away because it is full is none of them: overload is no sickness.
+// The outcomes that count. A rejection by a full node is not among them: overload is not sickness.
 const (
-	Served  Ending = iota // late, if it took long
-	Broken                // an error, a lost connection, or none
-	Unheard               // no answer in its time; late only if that was long
-	GivenUp               // withdrawn: late if it had taken long by then, else nothing
-	Beaten                // withdrawn, as an attempt of the same part that was sent later has been answered
+	Served  Ending = iota // answered; late if it took long
+	Broken                // an error, a lost connection, or no connection
+	Unheard               // no answer before the time-out; ignored if the time-out was very short
+	GivenUp               // cancelled; late if it had already taken long, otherwise ignored
+	Beaten                // cancelled, as a later attempt of the same part was answered first
 )
 
-// Tally is what one member has seen of one node: the bad outcomes of the present bout, and the good ones
-// since that began or since a judge has asked about, whichever are more.
+// Tally is one member's count of one node's outcomes: the bad ones of the current bout, and the good ones
+// since the bout began or since the time that an evaluator asked about, whichever are more.
 type Tally struct {
 	Good, Bad, Late uint16
-	First           uint16 // how many periods ago the first bad one was
+	First           uint16 // age of the first bad outcome, in periods
 }
 
-// sick tells that more was bad than good.
+// sick reports whether there are bad outcomes, and no fewer than good ones.
 func (t *Tally) sick() bool { return t.ill() > 0 && t.ill() >= int(t.Good) }
 
 func (t *Tally) ill() int { return int(t.Bad) + int(t.Late) }
 
-// seen is one node.
+// nodeRecord is what was observed of one node.
 type seen struct {
-	good        [slots]uint16 // by slot
-	newest      Micros        // slot that was written last
-	bad, late   int           // of the bout
-	well, row   int           // good ones of the bout, and in a row at its end
-	first, last Micros
-	at          Micros // of the last outcome of any kind
-	beaten      int    // attempts that were, since it last served one
+	good        [slots]uint16 // good outcomes by slot
+	newest      Micros        // latest slot
+	bad, late   int           // bad outcomes of the current bout
+	well, row   int           // good outcomes since the bout began, and consecutive ones up to now
+	first, last Micros        // first and last bad outcome of the bout
+	at          Micros        // last outcome of any kind
+	beaten      int           // attempts that lost to a hedged one since the node last served one
 }
 
-// Witness counts what this member sees. It is not safe for several goroutines at once.
+// Observer counts the outcomes that this member observes. It is not safe for concurrent use.
 type Witness struct {
 	period Micros
 	nodes  map[uint64]*seen
-	usual  map[int]float64 // by class, us
+	usual  map[int]float64 // median duration by class, in microseconds
 }
 
-// NewWitness returns one that has seen nothing.
+// NewObserver returns an observer without observations.
 func NewWitness(period Micros) *Witness {
 	return &Witness{period: period, nodes: map[uint64]*seen{}, usual: map[int]float64{}}
 }
 
 func (w *Witness) slot(now Micros) Micros { return now / (Window / slots * w.period) }
 
-// late tells that a time is far over what is usual for a class, and counts it. The usual time is the median,
-// kept in one number that each outcome moves by a step (frugal streaming: Ma, Muthukrishnan and Sandler,
-// 2013, §3; the step is a factor here, as times of classes differ by orders of magnitude).
+// isLate reports whether a duration is far above the median of its class, and if counts is set, adds it to
+// the median. The median is estimated by one number that each outcome moves by a step (frugal streaming: Ma,
+// Muthukrishnan and Sandler, 2013, §3; the step is a factor here, as durations of classes differ by orders of
+// magnitude).
 func (w *Witness) late(class int, took Micros, counts bool) bool {
 	m, known := w.usual[class]
 	if !known {
@@ -89,7 +92,7 @@
 	return took >= lateLeast && float64(took) > lateBy*m
 }
 
-// See takes in how an attempt at a node ended that took so long.
+// Observe records the outcome and the duration of an attempt.
 func (w *Witness) See(now Micros, node uint64, class int, e Ending, took Micros) {
 	late := w.late(class, took, e == Served)
 	if e == GivenUp && !late || e == Unheard && !late && took < lateLeast {
@@ -141,7 +144,7 @@
 	}
 }
 
-// turn clears the slots that have passed.
+// advance clears the slots up to the given one.
 func (n *seen) turn(slot Micros) {
 	for i := max(n.newest+1, slot-slots+1); i <= slot; i++ {
 		n.good[i%slots] = 0
@@ -149,7 +152,7 @@
 	n.newest = max(n.newest, slot)
 }
 
-// Expire forgets what is too old to count.
+// Expire removes observations that are too old to count.
 func (w *Witness) Expire(now Micros) {
 	for id, n := range w.nodes {
 		if n.bad+n.late > 0 && now-n.last > Window*w.period {
@@ -161,7 +164,8 @@
 	}
 }
 
-// Tally is what is to be told of a node, with the good outcomes of the last so many periods.
+// Tally returns the counts of a node. The good outcomes are those of the last periods, in whole slots, or
+// those since the bout began, if they are more.
 func (w *Witness) Tally(now Micros, node uint64, periods int) Tally {
 	n := w.nodes[node]
 	if n == nil {
@@ -181,7 +185,7 @@
 		First: short(int((now - n.first) / w.period))}
 }
 
-// Bouts are the nodes with bad outcomes of late, by id.
+// FailingNodes returns the nodes with recent bad outcomes, sorted by ID.
 func (w *Witness) Bouts() (ids []uint64) {
 	for id, n := range w.nodes {
 		if n.bad+n.late > 0 {
@@ -192,8 +196,8 @@
 	return ids
 }
 
-// Sound tells that this member's word counts: where more than half of the nodes that it has met of late seem
-// sick to it, its own links are, or all are overloaded.
+// Reliable reports whether this member's tallies count as evidence. If more than half of the nodes that it
+// has recently used look sick, the cause is its own network or a general overload.
 func (w *Witness) Sound(now Micros) bool {
 	met, sick := 0, 0
 	for id := range w.nodes {
