--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload decides what the fleet as one turns away when it is asked for more than the servers can
-// do: one level by worth, and a budget for all that is sent again. It does no input or output, reads no clock
-// and starts no goroutine. docs/OVERLOAD.md has the design.
+// Package overload decides which requests the fleet sheds when the load exceeds the capacity of the servers:
+// by one fleet-wide level on the requests' worth, and by a budget for retries. The package does no I/O, reads
+// no clock and starts no goroutine. The design is in docs/OVERLOAD.md.
 package overload
 
 import (
@@ -12,38 +12,39 @@
 	"lapislever/internal/datagram"
 )
 
-// Micros is a time or a span in microseconds, of a clock that only goes forward.
+// Micros is a point in time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
-// Rules of the level. Times are in periods.
+// Parameters of the level. Durations are in periods.
 const (
-	Ranks      = 8 // of classes by worth
-	Shares     = 8 // of one rank, by request
+	Ranks      = 8 // ranks of classes by worth
+	Shares     = 8 // divisions of a rank, by hash of the request
 	Buckets    = Ranks * Shares
-	Window     = 3          // between two changes of the level
-	fresh      = 2 * Window // a report counts so long
-	high       = 0.25       // of what was let in came to nothing: there is a level
-	low        = 0.03       // and below that it is tried how much more can be done
-	leastIn    = 20         // of a window: with fewer nothing is told from chance
-	margin     = 0.25       // let in beyond what was answered,
-	marginMost = 1          // and at the most
-	slack      = 1          // buckets up that may be chance
-	careful    = 2          // windows in a row with next to nothing in vain, before the margin grows
-	forget     = 0.05       // of what servers were able to, in a window
-	unlearn    = 0.2        // the same while over a quarter comes to nothing
-	harmful    = 0.35       // in vain in a period here: then clients' repeats count against the budget
-	heavy      = 0.4        // in vain of a window: the margin shrinks by steep times what is over
-	steep      = 4
-	stale      = 2 * Window // after which a keeper that is not heard counts as gone
+	Window     = 3          // interval between evaluations of the level
+	fresh      = 2 * Window // number of reports kept per member
+	high       = 0.25       // fraction of admitted requests that fail above which shedding starts
+	low        = 0.03       // fraction of failures below which the margin may grow
+	leastIn    = 20         // admitted requests in a window below which failures are not significant
+	margin     = 0.25       // fraction admitted beyond the estimated capacity, initially
+	marginMost = 1          // and at most
+	slack      = 1          // rise of the level, in buckets, that is treated as noise
+	careful    = 2          // consecutive windows with few failures before the margin grows
+	forget     = 0.05       // decay of the estimated capacity per window
+	unlearn    = 0.2        // the same while the fraction of failures is above highFailures
+	harmful    = 0.35       // fraction of failures in a period here above which clients' retries use the budget
+	heavy      = 0.4        // fraction of failures in a window above which the margin shrinks
+	steep      = 4          // by this factor on the excess
+	stale      = 2 * Window // time without a message after which the owner of the level counts as gone
 )
 
-// Rules of what is sent again.
+// Parameters of the retry budget.
 const (
-	Extra     = 0.1 // of what is sent for the first time
-	extraMost = 20  // that may be saved up
+	Extra     = 0.1 // retries per first send
+	extraMost = 20  // maximum number of tokens for retries
 )
 
-// Rank is the place of each class by worth, the most worthy last. Classes of equal worth share a rank.
+// RankByWorth returns the rank of each class by worth, the highest worth last. Classes of equal worth share a
+// rank.
 func Rank(worth []float64) []int {
 	sorted := slices.Clone(worth)
 	slices.Sort(sorted)
@@ -56,18 +57,18 @@
 	return out
 }
 
-// Priority is the bucket of a request: by its class's rank, and within that by a hash of what all its tries
-// have in common, so that a try meets the same verdict at any member (DAGOR: Zhou et al., SoCC 2018, §4.2.2
-// and 4.2.3, where it is the user's).
+// Priority returns the bucket of a request: by the rank of its class, and within the rank by a hash of a key
+// that all retries of the request share, so that every member decides the same on each retry (DAGOR: Zhou et
+// al., SoCC 2018, §4.2.2 and 4.2.3, where the user is hashed).
 func Priority(rank int, who string) int {
 	return min(max(rank, 0), Ranks-1)*Shares + int(xxhash.Sum64String(who)%Shares)
 }
 
-// Count is what one member has seen since its last report.
+// Counts are the requests that one member has seen since its last report.
 type Count struct {
-	Offered [Buckets]uint16 // asked for the first time, by bucket, as far as clients mark repeats
-	In      uint32          // let in, and ended by now,
-	Bad     uint32          // and of that: refused, failed, or given up by its client
+	Offered [Buckets]uint16 // requests by bucket, without those that clients mark as retries
+	In      uint32          // admitted requests that have ended
+	Bad     uint32          // those of Admitted that were refused, failed or cancelled by the client
 }
 
 func (c *Count) add(o *Count) {
@@ -78,58 +79,60 @@
 	c.Bad += o.Bad
 }
 
-// Send is a message to another member.
+// Message is a message to another member.
 type Send struct {
 	To   string
 	Data []byte
 }
 
-// told is what a keeper has of a member.
+// memberReports are the last reports of one member.
 type told struct {
-	counts [fresh]Count // by report, in turn
+	counts [fresh]Count // ring buffer
 	at     [fresh]Micros
 	next   int
 }
 
-// Guard is one member's part: it lets in by the level, counts, and reports; one of all keeps the level.
+// Controller is one member's overload controller: it admits requests by the level, counts outcomes and
+// reports them. One member, the owner, sets the level for the fleet.
 type Guard struct {
 	self   string
 	period Micros
 	level  int
 	keeper string
-	since  Micros // the keeper is that one
-	heard  Micros // the level last came from there
-	now    Count
-	weighs Micros // as the keeper: when the level was last weighed
-	streak int
+	since  Micros // time at which this owner was chosen
+	heard  Micros // time at which the owner last sent the level
+	now    Count  // counts since the last report
+	weighs Micros // time at which this member last evaluated the level
+	streak int    // consecutive windows with few failures
 	able   float64
 	from   map[string]*told
 	tokens float64
-	busy   bool // what is sent again is bounded
-	harm   bool // most of what is let in comes to nothing: clients' repeats are bounded as well
+	busy   bool // attempts that are sent again use the budget
+	harm   bool // many admitted requests fail: clients' retries use the budget as well
 
-	Shed   [Buckets]int64 // turned away by the level
-	Spent  int64          // sent again,
-	Denied int64          // and not
-	First  int64          // sent for the first time
+	Shed   [Buckets]int64 // requests shed, by bucket
+	Spent  int64          // attempts and requests sent again
+	Denied int64          // retries denied by the budget
+	First  int64          // first sends
 }
 
-// NewGuard returns that of a member that starts.
+// NewController returns the controller of a member that starts.
 func NewGuard(self string, period Micros) *Guard {
 	return &Guard{self: self, period: period, from: map[string]*told{}, tokens: extraMost}
 }
 
-// Level is what is turned away: all below. 0: nothing.
+// Level returns the bucket below which requests are shed; 0: none are.
 func (g *Guard) Level() int { return g.level }
 
-// Keeper is who keeps the level, and since when.
+// LevelOwner returns the member that sets the level, and since when.
 func (g *Guard) Keeper() (string, Micros) { return g.keeper, g.since }
 
-// Admit tells whether a request of a priority is let in. If not, after how long it may come back: spread, so
-// that those who are turned away together do not come back together. who is any number of the request's.
+// Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
+// spread, so that requests that are shed together do not come back together. who is a number that differs by
+// request.
 func (g *Guard) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
-	// Repeats are no measure of what will come once they need not be made; counted where they pass, they made
-	// the level swing, as it rose by them and fell without them.
+	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
+	// level oscillated: it rose with the retries and fell without them.
 	if c := &g.now.Offered[priority]; !repeat && *c < 1<<16-1 {
 		*c++
 	}
@@ -140,20 +143,21 @@
 	return false, g.comeBack(who)
 }
 
-// comeBack is when to: the later the more is turned away, and any time within that and twice that.
+// retryAfter returns when a shed request may be retried: a time that grows with the level, plus a random part
+// of up to the same length.
 func (g *Guard) comeBack(who uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
 	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, who))%uint64(base))
 }
 
-// Ended books how a request that was let in ended. well: answered in time.
+// Finished records the outcome of an admitted request. well means that it was answered in time.
 func (g *Guard) Ended(well bool) {
 	if g.now.In++; !well {
 		g.now.Bad++
 	}
 }
 
-// again takes one from the budget for what is sent again, while that is bounded.
+// allowRetry takes a token of the retry budget, if the budget applies now.
 func (g *Guard) again() bool {
 	if !g.busy {
 		g.Spent++
@@ -168,9 +172,9 @@
 	return true
 }
 
-// Send asks whether an attempt may be sent: the first of its part always, another one by the budget, which is
-// a share of first ones. As each member's is a share of its own, all members' together are the same share of
-// all, at any number of members and without a word between them.
+// AllowSend reports whether an attempt may be sent: the first attempt of a part always, a further one by the
+// retry budget, which is a fraction of the first attempts. As each member limits itself to this fraction, so
+// does the fleet, with any number of members and without communication.
 func (g *Guard) Send(first bool) bool {
 	if first {
 		g.First++
@@ -180,10 +184,10 @@
 	return g.again()
 }
 
-// Budget is how many may have been sent again by now, had it been bounded all the time.
+// RetryBudget returns how many retries would have been allowed by now if the budget had always applied.
 func (g *Guard) Budget() int64 { return extraMost + int64(Extra*float64(g.First)) }
 
-// keeperOf is who keeps the level among those that are alive, by rendezvous hashing.
+// ownerOf returns the member that sets the level, by rendezvous hashing over the living members.
 func keeperOf(alive []string) (who string) {
 	best := uint64(0)
 	for _, name := range alive {
@@ -194,13 +198,13 @@
 	return who
 }
 
-// The kinds of message.
+// Message kinds.
 const (
-	msgReport = 1 + iota // level, then a count
+	msgReport = 1 + iota // level, then counts
 	msgLevel             // level
 )
 
-// Tick is to be called once a period with the others that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (g *Guard) Tick(now Micros, others []string) (out []Send) {
 	if keeper := keeperOf(append([]string{g.self}, others...)); keeper != g.keeper {
 		g.keeper, g.since, g.heard = keeper, now, now
@@ -211,7 +215,7 @@
 	g.harm = count.In >= leastIn/4 && float64(count.Bad) > harmful*float64(count.In)
 	g.busy = g.level > 0 || count.In >= leastIn/4 && float64(count.Bad) > high*float64(count.In)
 	if g.keeper != g.self {
-		if now-g.heard > stale*g.period { // by its own evidence, from the level that it heard last
+		if now-g.heard > stale*g.period { // continue from the last known level by the own counts
 			g.book(now, g.self, &count)
 			g.due(now)
 		}
@@ -228,7 +232,7 @@
 	return out
 }
 
-// due weighs once a window.
+// evaluateIfDue evaluates the level once per window.
 func (g *Guard) due(now Micros) {
 	if now-g.weighs >= Window*g.period {
 		g.weighs = now
@@ -246,10 +250,10 @@
 	t.next++
 }
 
-// weigh sets the level by what all have reported of the last window: down by a part of what is let in while
-// more than a tenth of that comes to nothing, up while next to nothing does (additive and multiplicative as
-// in DAGOR, §4.2.3, with its histogram of what is offered; the evidence is how requests end and not how long
-// they wait, as no coordinator sees a server's queue).
+// evaluate sets the level by all members' reports on the last window. It admits less while many
+// of the admitted requests fails, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the
+// offered load; the signal is how requests end and not how long they wait, as a coordinator does not see the
+// servers' queues). See NextLevel.
 func (g *Guard) weigh(now Micros) {
 	var sum Count
 	for _, t := range g.from {
@@ -268,9 +272,9 @@
 	g.level = Next(g.level, g.streak, g.able, &sum)
 }
 
-// Able is how many the servers are known to be able to answer in a window: the most of late, forgotten faster
-// while more is let in than they answer. What one such window has brought says little: where queues have just
-// been full, much of it went into what nobody waited for any more.
+// EstimateCapacity returns how many requests the servers can answer in a window: the recent maximum, which
+// decays faster while more is admitted than they answer. A single overloaded window says little: after queues
+// were full, much of the servers' work goes into requests that nobody waits for any more.
 func Able(able float64, sum *Count) float64 {
 	lost := forget
 	if sum.In >= leastIn && float64(sum.Bad) > high*float64(sum.In) {
@@ -279,19 +283,20 @@
 	return max(float64(sum.In-sum.Bad), able*(1-lost))
 }
 
-// Next is the level after a window of a level, where so many windows in a row hardly anything came to
-// nothing. It lets in what is worth most, as much as the servers are able to and a margin: the margin is what
-// finds out that more can be done, as the window of TCP does beyond what was acknowledged (Jacobson, SIGCOMM
-// 1988, §1), and doubles while nothing speaks against it. What the margin is too much the members' modules
-// refuse. A first form that lowered what is let in by how much of it was refused (DAGOR, §4.2.3) turned away
-// what the servers could have done: a refusal at once is no harm, and no sign of how much can be done.
+// NextLevel returns the level after a window in which level applied. streak is the number of consecutive
+// windows with few failures. It admits the requests of the highest worth, up to the servers' estimated
+// capacity plus a margin. The margin probes for more capacity, as TCP's window does beyond what was
+// acknowledged (Jacobson, SIGCOMM 1988, §1), and doubles as long as there are few failures. The members'
+// modules refuse what the margin admits in excess. An earlier version that reduced the admitted load by the
+// fraction refused (DAGOR, §4.2.3) shed requests that the servers could have answered: an immediate refusal
+// does no harm and does not show how much capacity there is.
 func Next(level, streak int, able float64, sum *Count) int {
 	bad := float64(sum.Bad) / float64(max(1, sum.In))
 	if level == 0 && (sum.In < leastIn || bad <= high) {
 		return 0
 	}
 	more := min(marginMost, margin*float64(int(1)<<min(max(0, streak-careful), 8)))
-	more -= steep * max(0, bad-heavy) // clients' repeats come on top of what is let in, and much is wasted
+	more -= steep * max(0, bad-heavy) // clients' retries add to the admitted load, and much work is wasted
 	room := max(leastIn, able*(1+more))
 	next, letIn := Buckets, 0.0
 	for next > 0 && letIn+float64(sum.Offered[next-1]) <= room {
@@ -299,12 +304,13 @@
 		letIn += float64(sum.Offered[next])
 	}
 	if next = min(next, Buckets-1); next > level && float64(next-level) <= slack && bad <= high {
-		return level // chance
+		return level // within the noise
 	}
 	return next
 }
 
-// Receive takes in a message of another member. It returns false where that is none.
+// Receive handles a message from another member. It returns the messages to send, and false if the message is
+// malformed.
 func (g *Guard) Receive(now Micros, from string, data []byte) (out []Send, ok bool) {
 	r := &datagram.Reader{B: data}
 	switch kind, level := r.U8(), int(r.U8()); {
@@ -316,10 +322,10 @@
 			return nil, false
 		}
 		if g.keeper != g.self {
-			return nil, true // it sees another fleet than this member: soon they see the same
+			return nil, true // the sender's view of the fleet differs; the views converge soon
 		}
 		if g.from[from] == nil && now-g.since < Window*g.period {
-			g.level = max(g.level, level) // a keeper that is new goes on from the strictest
+			g.level = max(g.level, level) // a new owner continues from the strictest level
 		}
 		g.book(now, from, &c)
 		return []Send{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
@@ -335,7 +341,7 @@
 	return nil, false
 }
 
-// Heard is how long ago the level last came from who keeps it.
+// LevelAge returns the time since the owner last sent the level; 0 at the owner itself.
 func (g *Guard) Heard(now Micros) Micros {
 	if g.keeper == g.self {
 		return 0
@@ -343,7 +349,7 @@
 	return now - g.heard
 }
 
-// encode writes a count: first the buckets that anything was asked of.
+// encodeCounts encodes counts. A bit set says which buckets follow, as empty ones are omitted.
 func encode(c *Count) []byte {
 	var set uint64
 	b := make([]byte, 0, 16+2*Buckets)
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -11,17 +11,18 @@
 
 const period = 200_000
 
-// plant is a fleet of guards before servers that do so much and no more: what is beyond is refused late, at
-// random, and the more comes the less they do (each refusal costs a part of an answer).
+// serverFleet simulates a fleet of controllers and servers of limited capacity. Requests beyond the capacity
+// fail late and at random, and each failure wastes a fraction of an answer, so that the servers answer less
+// the more they are overloaded.
 type plant struct {
 	rng      *rand.Rand
 	guards   []*Guard
 	now      Micros
-	capacity float64 // a period
-	offered  float64
-	retries  int     // times that clients ask again, two periods later
-	waste    float64 // of an answer, that each request costs that comes to nothing
-	again    [][]int
+	capacity float64 // answers per period
+	offered  float64 // new requests per period
+	retries  int     // retries per request, each two periods later
+	waste    float64 // fraction of an answer that each failed request costs
+	again    [][]int // retries by period from now on
 	cut      func(a, b int) bool
 	served   [Ranks]int
 	asked    [Ranks]int
@@ -43,7 +44,7 @@
 
 func (p *plant) period() {
 	p.now += period
-	var ask []int // requests, by number, and in the last digit how often they were asked before
+	var ask []int // requests by ID; the last decimal digit is the number of the retry
 	for range int(p.offered) {
 		ask = append(ask, 10*p.rng.IntN(1<<30))
 	}
@@ -108,7 +109,7 @@
 		}
 		out, ok := p.guards[to].Receive(p.now, p.names[l.from], l.Data)
 		if !ok {
-			panic("a message of a guard is none")
+			panic("a controller rejects the message of another one")
 		}
 		for _, s := range out {
 			post = append(post, letter{to, s})
@@ -130,21 +131,22 @@
 	return float64(all) / float64(periods) / p.capacity, share(4), share(7)
 }
 
-// At 2 and 3 times what the servers can do, they do nine tenths of it, what is worth most is served first,
-// all members have one level that does not swing, and when it is over nothing is turned away any more.
+// At 2 and 3 times the capacity of the servers, they answer nine tenths of their capacity, requests of the
+// highest worth are served first, all members have the same level, and it does not oscillate. After the
+// overload nothing is shed any more.
 func TestOneLevel(t *testing.T) {
 	for _, members := range []int{3, 30} {
 		for _, times := range []float64{2, 3} {
 			p := newPlant(members, uint64(members))
 			p.offered = 0.7 * p.capacity
 			if good, _, _ := p.run(100); good < 0.68 || p.guards[0].level != 0 {
-				t.Fatalf("%d members, not overloaded: %.2f served at level %d", members, good, p.guards[0].level)
+				t.Fatalf("%d members, no overload: %.2f served at level %d", members, good, p.guards[0].level)
 			}
 			p.offered = times * p.capacity
 			p.run(100)
 			good, worst, best := p.run(200)
 			if good < 0.88 || best < 0.75 || worst > 0.2 {
-				t.Errorf("%d members, %g times: %.2f served, %.2f of the least worthy, %.2f of the most", members, times,
+				t.Errorf("%d members, load %g: %.2f served, %.2f of the lowest rank, %.2f of the highest", members, times,
 					good, worst, best)
 			}
 			lo, hi := Buckets, 0
@@ -152,26 +154,27 @@
 				lo, hi = min(lo, l), max(hi, l)
 			}
 			if hi-lo > 6 {
-				t.Errorf("%d members, %g times: the level swings from %d to %d", members, times, lo, hi)
+				t.Errorf("%d members, load %g: the level oscillates between %d and %d", members, times, lo, hi)
 			}
 			for _, g := range p.guards {
 				if g.level != p.guards[0].level && g.level != p.levels[len(p.levels)-2] {
-					t.Errorf("levels %d and %d at a time", g.level, p.guards[0].level)
+					t.Errorf("levels %d and %d at the same time", g.level, p.guards[0].level)
 				}
 			}
 			p.offered = 0.7 * p.capacity
 			p.run(100)
 			if good, _, _ := p.run(50); good < 0.68 || p.guards[0].level != 0 {
-				t.Errorf("%d members, after it: %.2f served at level %d", members, good, p.guards[0].level)
+				t.Errorf("%d members, after the overload: %.2f served at level %d", members, good, p.guards[0].level)
 			}
-			t.Logf("%d members, %g times: %.2f of capacity, %.2f of the least worthy, %.2f of the most, "+
+			t.Logf("%d members, load %g: %.2f of capacity, %.2f of the lowest rank, %.2f of the highest, "+
 				"levels %d to %d", members, times, good, worst, best, lo, hi)
 		}
 	}
 }
 
-// afterTrigger is what is answered 10 to 20 s after a trigger of 10 s in which servers did a fifth, of what
-// they can do; 0.85 of it is asked for, and clients ask so many times again.
+// goodputAfterTrigger returns the goodput, relative to the capacity, 10 to 20 s after a trigger of 10 s in
+// which the servers had a fifth of their capacity. The offered load is 0.85 of the capacity, and clients
+// retry the given number of times.
 func afterTrigger(seed uint64, retries int, guarded bool) float64 {
 	p := newPlant(5, seed)
 	p.retries, p.waste = retries, 0.5
@@ -196,13 +199,13 @@
 	return good
 }
 
-// After a trigger, with clients that ask again, the fleet is out of it by itself. Where each asks three times
-// more and half an answer is lost for each request in vain, it takes longer than 10 s at some seeds, and is
+// After a trigger, with clients that retry, the fleet recovers by itself. With three retries per request and
+// half an answer wasted per failure, recovery takes longer than 10 s with some seeds, but the goodput is
 // never worse than without the level.
 func TestOutOfItByItself(t *testing.T) {
 	for seed := range uint64(6) {
 		if good := afterTrigger(seed, 2, true); good < 0.95*0.85 {
-			t.Errorf("seed %d: %.2f served 10 s after the trigger, where 0.85 was before", seed, good)
+			t.Errorf("seed %d: %.2f served 10 s after the trigger, 0.85 before", seed, good)
 		}
 	}
 	gain := 0.0
@@ -212,17 +215,18 @@
 			t.Errorf("seed %d: %.2f served with the level, %.2f without", seed, with, without)
 		}
 		gain += (with - without) / 8
-		t.Logf("seed %d, three times more: served 10 to 20 s after it: %.2f with the level, %.2f without",
+		t.Logf("seed %d, three retries: served 10 to 20 s after the trigger: %.2f with the level, %.2f without",
 			seed, with,
 			without)
 	}
 	if gain < 0.05 {
-		t.Errorf("%.3f more is served with the level", gain)
+		t.Errorf("only %.3f more is served with the level", gain)
 	}
 }
 
-// Who keeps the level dies, and another goes on from it; cut in two each side has its own; one that does not
-// hear the keeper goes on by its own evidence from the level that it heard last.
+// If the owner of the level dies, another member continues from its level. In a partition each side has its
+// own owner. A member that gets no messages from the owner continues by its own counts from the last known
+// level.
 func TestTheKeeperGoes(t *testing.T) {
 	p := newPlant(5, 3)
 	p.offered = 2 * p.capacity
@@ -234,19 +238,19 @@
 	p.run(Window - 1)
 	other := (keeper + 1) % 5
 	if got := p.guards[other].level; got < level-8 || p.guards[other].keeper == p.guards[keeper].keeper {
-		t.Errorf("level %d after its keeper has gone, %d before", got, level)
+		t.Errorf("level %d after its owner has gone, %d before", got, level)
 	}
 	if good, _, _ := p.run(100); good < 0.85 {
-		t.Errorf("%.2f served on two sides", good)
+		t.Errorf("%.2f served during the partition", good)
 	}
 	p.cut = func(int, int) bool { return false }
 	p.run(2 * Window)
 	for _, g := range p.guards {
 		if g.keeper != p.guards[0].keeper {
-			t.Error("two keepers after the heal")
+			t.Error("two owners after the partition has healed")
 		}
 	}
-	// The keeper is seen to live, and nothing comes from it.
+	// The owner is alive, but no message comes from it.
 	others := []string{"m0", "m1", "m2", "m3"}
 	var g *Guard
 	for i := 0; g == nil || g.keeper == g.self; i++ {
@@ -254,7 +258,7 @@
 		g.Tick(1, others)
 	}
 	if _, ok := g.Receive(2, g.keeper, []byte{msgLevel, 30}); !ok || g.level != 30 {
-		t.Fatal("the level is not taken")
+		t.Fatal("the owner's level is not applied")
 	}
 	for i := range Micros(60) {
 		for range 40 {
@@ -262,16 +266,16 @@
 			g.Ended(false)
 		}
 		if g.Tick(2+i*period, others); g.level < 30 {
-			t.Fatalf("level %d while all that is let in comes to nothing", g.level)
+			t.Fatalf("level %d while all admitted requests fail", g.level)
 		}
 	}
 	if g.level < 40 {
-		t.Errorf("level %d by its own evidence", g.level)
+		t.Errorf("level %d by the member's own counts", g.level)
 	}
 }
 
-// What is sent again is a tenth of first sends and some to begin with, at any number of members, while that
-// is bounded; and not bounded else.
+// While the retry budget applies, retries are at most a tenth of the first sends plus the initial tokens,
+// with any number of members. Otherwise they are not limited.
 func TestTheBudget(t *testing.T) {
 	for _, members := range []int{1, 10, 100} {
 		first, again := 0, 0
@@ -287,23 +291,23 @@
 				}
 			}
 			if g.Spent > g.Budget() || g.Denied == 0 {
-				t.Fatalf("%d spent of %d", g.Spent, g.Budget())
+				t.Fatalf("%d retries sent, budget %d, %d denied", g.Spent, g.Budget(), g.Denied)
 			}
 		}
 		if most := float64(first)*Extra + float64(extraMost*members); float64(again) > most {
-			t.Errorf("%d members: %d first and %d more", members, first, again)
+			t.Errorf("%d members: %d first sends and %d retries", members, first, again)
 		}
 	}
 	g := NewGuard("a", period)
 	for range 100 {
 		if !g.Send(false) {
-			t.Fatal("bounded though nothing is overloaded")
+			t.Fatal("a retry is denied without overload")
 		}
 	}
 }
 
-// The next level: never out of range; none where nothing was wrong; what it lets in is no more than was
-// answered and the margin, but for the least that tells anything.
+// The next level is always in range, and 0 without overload. It admits no more than what was answered plus
+// the maximum margin, or minAdmitted requests if that is more.
 func TestNext(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var c Count
@@ -323,14 +327,15 @@
 		case next < 0 || next >= Buckets:
 			t.Fatalf("level %d", next)
 		case level == 0 && bad <= high && next > 0:
-			t.Fatalf("level %d with %.2f in vain", next, bad)
+			t.Fatalf("level %d with %.2f failed", next, bad)
 		case next != level && letIn > max(leastIn, float64(c.In-c.Bad)*(1+marginMost)):
-			t.Fatalf("level %d lets in %.0f, where %d were answered", next, letIn, c.In-c.Bad)
+			t.Fatalf("level %d admits %.0f, but %d were answered", next, letIn, c.In-c.Bad)
 		}
 	})
 }
 
-// Equal worths share a rank, the most worthy has the last, and all tries of a request have one bucket.
+// Classes of equal worth share a rank, the highest worth has the last one, and all retries of a request have
+// the same bucket.
 func TestRanks(t *testing.T) {
 	got := Rank([]float64{2, 1, 2, 9})
 	if got[3] != Ranks-1 || got[0] != got[2] || got[0] != Ranks-2 || got[1] != Ranks-3 {
@@ -338,7 +343,7 @@
 	}
 	once, again := Priority(3, "a"), Priority(3, "a")
 	if once != again || once/Shares != 3 || Priority(99, "a") >= Buckets {
-		t.Error("priorities")
+		t.Errorf("priorities %d, %d and %d", once, again, Priority(99, "a"))
 	}
 	seen := map[Micros]bool{}
 	g := NewGuard("a", period)
@@ -346,12 +351,12 @@
 	for i := range uint64(500) {
 		_, after := g.Admit(0, i, false)
 		if after < period || after > 60*period {
-			t.Fatalf("come back after %d", after)
+			t.Fatalf("retry after %d us", after)
 		}
 		seen[after/(period/4)] = true
 	}
 	if len(seen) < 50 {
-		t.Errorf("who is turned away together comes back at %d moments", len(seen))
+		t.Errorf("requests that are shed together have only %d different retry times", len(seen))
 	}
 }
 
@@ -371,14 +376,14 @@
 	})
 }
 
-// The longest report fits a datagram's room for messages.
+// The longest report fits into the maximum message size of a datagram.
 func TestReportsFit(t *testing.T) {
 	var c Count
 	for b := range c.Offered {
 		c.Offered[b] = 1<<16 - 1
 	}
 	if n := 2 + len(encode(&c)); n > 190 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("the longest report has %d bytes", n)
 	}
 }
 
@@ -390,7 +395,7 @@
 	}
 }
 
-// Measured: the same at 300 and 1,000 members. LAPISLEVER_LONG=1 prints the table.
+// Measures the level at up to 1,000 members. LAPISLEVER_LONG=1 prints the table.
 func TestMeasureLevel(t *testing.T) {
 	if os.Getenv("LAPISLEVER_LONG") == "" {
 		t.Skip("a long measurement")
@@ -413,8 +418,8 @@
 			for p.period(); p.guards[0].level > 0 && until < 200; until++ {
 				p.period()
 			}
-			t.Logf("%4d members, %.1f times: %.3f of capacity answered, %.2f of the least worthy, "+
-				"%.2f of the most, level %d to %d, %.0f B a second and member, no level %d periods after it", members,
+			t.Logf("%4d members, load %.1f: %.3f of capacity answered, %.2f of the lowest rank, "+
+				"%.2f of the highest, level %d to %d, %.0f B per second and member, level 0 after %d periods", members,
 				times, good, worst, best, lo, hi, float64(sent)/8/float64(members), until)
 		}
 	}
