--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -14,7 +14,8 @@
 	return netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 }
 
-// The trie against a scan, over prefixes of both families that come, change and go.
+// Compares the trie with a linear scan while prefixes of both address families are added, changed and
+// removed.
 func TestTrieAgainstAScan(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -71,45 +72,46 @@
 		}
 	}
 	first := at(0, "10.0.0.1")
-	want("the first", first, Admit, None)
-	want("the second", at(0, "10.0.0.1"), Admit, None)
+	want("first connection", first, Admit, None)
+	want("second connection", at(0, "10.0.0.1"), Admit, None)
 	d := at(0, "10.0.0.1")
-	want("beyond the burst", d, Refuse, TooFast)
+	want("above the burst", d, Refuse, TooFast)
 	if d.After > sec {
-		t.Errorf("told to come back after %d us where a second brings one", d.After)
+		t.Errorf("retry after %d us at a rate of one per second", d.After)
 	}
-	want("when it was told to", at(d.After, "10.0.0.1"), Admit, None)
-	want("a fourth open one", at(5*sec, "10.0.0.1"), Refuse, TooMany)
+	want("after the retry time", at(d.After, "10.0.0.1"), Admit, None)
+	want("fourth open connection", at(5*sec, "10.0.0.1"), Refuse, TooMany)
 	g.Leave(first.ID)
 	g.Leave(first.ID)
-	want("after one has left", at(8*sec, "10.0.0.1"), Admit, None)
+	want("after one has ended", at(8*sec, "10.0.0.1"), Admit, None)
 	for i := range 5 {
-		want("known clients are not held to the rate", at(0, "10.1.2.3"), Admit, None)
+		want("known clients have no rate limit", at(0, "10.1.2.3"), Admit, None)
 		_ = i
 	}
-	want("but to their own cap", at(0, "10.1.2.3"), Refuse, TooMany)
-	want("an override", at(0, "10.2.0.1"), Admit, None)
-	want("its cap", at(0, "10.2.0.1"), Refuse, TooMany)
-	want("another of the prefix", at(0, "10.2.0.2"), Admit, None)
-	want("the prefix's cap", at(0, "10.2.0.3"), Refuse, BlockCap)
+	want("known clients' own cap", at(0, "10.1.2.3"), Refuse, TooMany)
+	want("address with a rule", at(0, "10.2.0.1"), Admit, None)
+	want("cap of the rule", at(0, "10.2.0.1"), Refuse, TooMany)
+	want("another address of the prefix", at(0, "10.2.0.2"), Admit, None)
+	want("cap of the prefix", at(0, "10.2.0.3"), Refuse, BlockCap)
 	for range 20 {
 		want("behind a gateway", at(0, "10.3.0.9"), Admit, None)
 	}
-	want("beside the gateway", at(0, "10.3.0.8"), Admit, None)
+	want("address next to the gateway", at(0, "10.3.0.8"), Admit, None)
 	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*sec)
 	want("banned", at(10*sec, "10.0.0.7"), Refuse, Banned)
 	g.Adopt(Limits{Track: 100, Everyone: Rule{Open: 3}})
-	want("banned after new limits", at(11*sec, "::ffff:10.0.0.7"), Refuse, Banned)
+	want("banned, after new limits", at(11*sec, "::ffff:10.0.0.7"), Refuse, Banned)
 	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*sec)
-	want("pinned within", at(12*sec, "10.0.0.7"), Admit, None)
-	want("the ban's end", at(20*sec, "10.0.0.8"), Admit, None)
+	want("pinned within a banned prefix", at(12*sec, "10.0.0.7"), Admit, None)
+	want("after the end of the ban", at(20*sec, "10.0.0.8"), Admit, None)
 	if n := len(g.Holds(20 * sec)); n != 0 {
-		t.Errorf("%d words in force", n)
+		t.Errorf("%d bans and pins in force", n)
 	}
 }
 
-// At the limit: the reserve is for known clients, unproved ones have places of their own for a while, and who
-// is idle makes way: unknown for all, known for known only.
+// At capacity: the reserve is for known clients, connections that have not authenticated have their own slots
+// for a limited time, and idle connections are closed for new ones: those of unknown clients for any, those
+// of known clients only for known ones.
 func TestAtTheLimit(t *testing.T) {
 	known := netip.MustParsePrefix("10.9.0.0/16")
 	g := New(Limits{Reserve: 2, Proving: 1, ProveIn: sec, Track: 100, Rules: []Rule{{Prefix: known,
@@ -128,30 +130,30 @@
 		ids = append(ids, d.ID)
 	}
 	if d := arrive("10.0.0.9", false); d.Verdict != Refuse || d.Reason != Full {
-		t.Errorf("an unknown one at the last places: %+v", d)
+		t.Errorf("unknown client at the reserve: %+v", d)
 	}
 	p := arrive("10.0.0.10", true)
 	if p.Verdict != ToProve {
-		t.Errorf("one that may prove itself: %+v", p)
+		t.Errorf("client that may authenticate: %+v", p)
 	}
 	if d := arrive("10.0.0.11", true); d.Verdict != Refuse || d.Reason != Unproved {
-		t.Errorf("one too many of those: %+v", d)
+		t.Errorf("one client too many that may authenticate: %+v", d)
 	}
 	if d := arrive("10.9.0.1", false); d.Verdict != Reserved {
-		t.Errorf("a known one: %+v", d)
+		t.Errorf("known client: %+v", d)
 	}
 	if d := g.Prove(sec/2, p.ID, "head-office", true); d.Verdict != Admit || g.used[reserve] != 2 {
-		t.Errorf("a proof: %+v, %v", d, g.used)
+		t.Errorf("authentication: %+v, %v", d, g.used)
 	}
 	if d := arrive("10.9.0.2", false); d.Verdict != Refuse || d.Reason != Full {
-		t.Errorf("known, with nothing left: %+v", d)
+		t.Errorf("known client with no slot left: %+v", d)
 	}
 	late := arrive("10.0.0.12", true)
 	if over := g.Overdue(2 * sec); len(over) != 1 || over[0] != late.ID {
 		t.Errorf("overdue: %v", over)
 	}
 	if d := g.Prove(2*sec, late.ID, "x", true); d.Reason != Unproved {
-		t.Errorf("a proof that comes too late: %+v", d)
+		t.Errorf("late authentication: %+v", d)
 	}
 	g.Leave(late.ID)
 	g.Rest(ids[1])
@@ -159,22 +161,22 @@
 	g.Use(ids[1])
 	g.Rest(p.ID)
 	if d := arrive("10.0.0.13", false); d.Verdict != MakeRoom || d.ID != ids[0] {
-		t.Errorf("an unknown one makes an unknown idle one go: %+v", d)
+		t.Errorf("an unknown client must evict the idle unknown one: %+v", d)
 	}
 	g.Leave(ids[0])
 	if d := arrive("10.0.0.13", false); d.Verdict != Admit {
-		t.Errorf("and has its place: %+v", d)
+		t.Errorf("an unknown client must get the slot of the evicted one: %+v", d)
 	}
 	if d := arrive("10.0.0.14", false); d.Verdict != Refuse {
-		t.Errorf("but none of the known ones': %+v", d)
+		t.Errorf("an unknown client must not evict a known one: %+v", d)
 	}
 	if d := arrive("10.9.0.3", false); d.Verdict != MakeRoom || d.ID != p.ID {
-		t.Errorf("a known one makes a known idle one go: %+v", d)
+		t.Errorf("a known client must evict the idle known one: %+v", d)
 	}
 }
 
-// Whatever happens in whatever order: counts are true, the limit and the reserve hold, a connection in use is
-// never named, and at the end nothing is left.
+// Over random histories the counts are correct, the capacity and the reserve are respected, a busy connection
+// is never evicted, and at the end no state is left.
 func TestGateOverLongHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -220,7 +222,7 @@
 				switch d.Verdict {
 				case MakeRoom:
 					if open[d.ID].busy || open[d.ID].known && !known {
-						t.Fatalf("seed %d: %+v is to make way for %v", seed, open[d.ID], a)
+						t.Fatalf("seed %d: %+v is to be evicted for %v", seed, open[d.ID], a)
 					}
 					g.Leave(d.ID)
 					delete(open, d.ID)
@@ -234,7 +236,7 @@
 					}
 					if len(open) > places || !known && unknown > max(0, places-l.Reserve) ||
 						d.Verdict == Reserved && !known {
-						t.Fatalf("seed %d: %d open, %d unknown of %d places: %+v", seed, len(open), unknown, places, d)
+						t.Fatalf("seed %d: %d open, %d unknown of %d slots: %+v", seed, len(open), unknown, places, d)
 					}
 				}
 			case 4:
@@ -264,7 +266,7 @@
 				}
 			case 8:
 				if rng.IntN(20) == 0 {
-					places = 4 + rng.IntN(12) // shares move: who is in stays in
+					places = 4 + rng.IntN(12) // admitted connections stay
 				} else if rng.IntN(20) == 0 {
 					g.Adopt(l)
 				}
@@ -278,19 +280,19 @@
 		check()
 		for _, s := range g.addrs.m {
 			if s.open != 0 {
-				t.Fatalf("seed %d: %+v is left", seed, s)
+				t.Fatalf("seed %d: %+v still has open connections", seed, s)
 			}
 		}
 		if len(g.names) != 0 || g.idle[0].first != nil || g.idle[1].first != nil || len(g.unready) != 0 ||
 			len(g.addrs.m) > l.Track {
-			t.Fatalf("seed %d: %d names, %d addresses, %d unready are left", seed, len(g.names), len(g.addrs.m),
-				len(g.unready))
+			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(g.names),
+				len(g.addrs.m), len(g.unready))
 		}
 	}
 }
 
-// Under a flood of distinct addresses memory is bounded, nobody is refused wrongly, and a forgotten address
-// gains one burst at most.
+// Under a flood of distinct addresses memory is bounded and no client is refused wrongly. An evicted address
+// gains at most one burst.
 func TestFloodOfAddresses(t *testing.T) {
 	g := New(Limits{Track: 1000, Everyone: Rule{Rate: 1, Burst: 2}})
 	now := Micros(0)
@@ -298,17 +300,17 @@
 		now += 10
 		d := g.Arrive(now, Arrival{Addr: addr(i), Places: 100})
 		if d.Verdict != Admit {
-			t.Fatalf("address %d, which came once: %+v", i, d)
+			t.Fatalf("first connection of address %d: %+v", i, d)
 		}
 		g.Leave(d.ID)
 	}
 	if len(g.addrs.m) > 1000 || g.addrs.forgotten != 199_000 {
-		t.Errorf("%d remembered, %d forgotten", len(g.addrs.m), g.addrs.forgotten)
+		t.Errorf("%d tracked, %d evicted", len(g.addrs.m), g.addrs.forgotten)
 	}
 }
 
-// BenchmarkArrive is one connection's life among 1e5 addresses, by the gate and by a plain map without
-// bounds.
+// BenchmarkArrive measures admitting and removing a connection among 1e5 addresses, with the controller and
+// with an unbounded map and a linear scan.
 func BenchmarkArrive(b *testing.B) {
 	const addresses = 100_000
 	measure := func(b *testing.B, one func(i int)) {
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -1,6 +1,7 @@
-// Package admission decides which connections a listener takes: caps by address, block and identity, a
-// reserve for known clients, places for those that have yet to prove who they are, and what makes way. It
-// does no input or output and reads no clock. docs/ADMISSION.md weighs the ways.
+// Package admission decides which connections a listener accepts. It applies caps by address, address block
+// and identity, a reserve for known clients and a number of slots for connections that have not authenticated
+// yet, and it chooses idle connections to close when there is no free slot. The package does no I/O and reads
+// no clock. docs/ADMISSION.md compares the alternatives.
 package admission
 
 import (
@@ -9,59 +10,60 @@
 	"slices"
 )
 
-// Micros is a time or a span in microseconds on a clock that only goes forward.
+// Micros is a point in time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
-// Rule binds the addresses of a prefix; the longest one counts. 0 leaves a cap to the rule for everybody.
+// Rule applies to the addresses of a prefix; the longest matching prefix counts. A cap of 0 is taken from
+// Limits.Default.
 type Rule struct {
 	Prefix  netip.Prefix
-	Open    int     // connections of one address, or of one identity behind a gateway
-	Rate    float64 // new ones a second, of one address
-	Burst   float64 // that may come at once
-	All     int     // connections of the whole prefix
-	Known   bool
-	Gateway bool // many clients behind one address
+	Open    int     // maximum number of connections per address, or per identity behind a gateway
+	Rate    float64 // new connections per second and address
+	Burst   float64 // new connections at once
+	All     int     // maximum number of connections of the whole prefix
+	Known   bool    // clients of this prefix are known
+	Gateway bool    // many clients share one address
 }
 
-// Limits are what a gate keeps to.
+// Limits are the limits that a Controller enforces.
 type Limits struct {
-	Reserve  int    // places for known clients only
-	Proving  int    // places for connections that have yet to prove who they are
-	ProveIn  Micros // and for how long they may hold them
-	Track    int    // addresses, and blocks, that something is remembered of
-	Block    Rule   // of each /24 and /64: Open, Rate and Burst
+	Reserve  int    // slots for known clients only
+	Proving  int    // slots for connections that have not authenticated yet
+	ProveIn  Micros // time within which those must authenticate
+	Track    int    // maximum number of addresses, and of blocks, that are tracked
+	Block    Rule   // MaxOpen, Rate and Burst of each /24 (IPv4) and /64 (IPv6)
 	Everyone Rule
 	Rules    []Rule
 }
 
-// Verdict is the word on an arrival.
+// Outcome is the outcome of a Decision.
 type Verdict uint8
 
-// The verdicts.
+// The outcomes.
 const (
 	Admit    Verdict = iota
-	Reserved         // admitted, from the reserve
-	ToProve          // admitted, until it has proved who it is
-	MakeRoom         // close the connection named, and ask again
-	Refuse           // with a reason
+	Reserved         // admitted from the reserve
+	ToProve          // admitted, but must authenticate in time
+	MakeRoom         // close the given idle connection, then ask again
+	Refuse           // refused for the given reason
 )
 
-// Reason tells why an arrival was refused.
+// Reason is the reason of a refusal.
 type Reason uint8
 
 // The reasons.
 const (
 	None Reason = iota
 	Banned
-	TooFast  // too many new ones of its address
-	TooMany  // too many open of its address, or identity
-	BlockCap // of its block or prefix
-	Full     // no place is left for its kind
-	Unproved // no place is left to prove itself, or its time to is over
+	TooFast  // too many new connections from its address
+	TooMany  // too many open connections from its address or identity
+	BlockCap // too many connections from its block or prefix
+	Full     // no slot is left for its kind
+	Unproved // no slot is left for authenticating, or the time for it is over
 	reasons
 )
 
-// String is the reason's name in figures.
+// String returns the name of the reason in the statistics.
 func (r Reason) String() string {
 	return [reasons]string{"", "banned", "too_fast", "too_many", "block_cap", "full", "unproved"}[r]
 }
@@ -69,19 +71,19 @@
 // Arrival is a new connection.
 type Arrival struct {
 	Addr   netip.Addr
-	Proves bool // its listener asks for a proof that it may or may not give
-	Places int  // that clients may hold at this moment, of all kinds
+	Proves bool // the listener asks for a proof of identity, which the client may or may not give
+	Places int  // number of slots for clients at this moment, of all kinds
 }
 
-// Decision is the gate's word.
+// Decision is the answer to an arrival or an authentication.
 type Decision struct {
 	Verdict Verdict
-	ID      uint64 // of the connection admitted, or of the one to be closed
+	ID      uint64 // connection that is admitted, or that has to be closed
 	Reason  Reason
-	After   Micros // when to come back
+	After   Micros // time after which the client may retry
 }
 
-// kinds of places
+// The kinds of slots.
 const (
 	general = iota
 	reserve
@@ -89,7 +91,7 @@
 	kinds
 )
 
-// conn is one connection that is in.
+// conn is an admitted connection.
 type conn struct {
 	id         uint64
 	addr       *seen
@@ -99,37 +101,37 @@
 	kind       int
 	known      bool
 	idle       bool
-	prev, next *conn // in the list of idle ones of its standing
+	prev, next *conn // in the list of idle connections of known or of unknown clients
 	provesBy   Micros
 }
 
-// seen is what is remembered of an address, a block or an identity.
+// tracked is the state of an address, a block or an identity.
 type seen struct {
-	addr       netip.Addr // of an address or a block
-	name       string     // of an identity
+	addr       netip.Addr // for an address or a block
+	name       string     // for an identity
 	open       int
 	tokens     float64
 	at         Micros
 	arrivals   int64
 	refused    int64
-	prev, next *seen // by use, least recent first; only while nothing is open
+	prev, next *seen // in the LRU list, least recent first; only while it has no open connection
 	listed     bool
 }
 
-// ruleState is a rule with what is open under it.
+// ruleState is a rule with its number of open connections.
 type ruleState struct {
 	Rule
 	open int
 }
 
-// hold is a word of operators on a prefix.
+// override is an operator's ban or pin of a prefix.
 type hold struct {
 	prefix netip.Prefix
 	pinned bool
 	until  Micros
 }
 
-// Gate is the state. It is not safe for concurrent use.
+// Controller is an admission controller for connections. It is not safe for concurrent use.
 type Gate struct {
 	l       Limits
 	rules   Trie[ruleState]
@@ -137,16 +139,16 @@
 	conns   map[uint64]*conn
 	next    uint64
 	used    [kinds]int
-	places  int         // as the last arrival told
-	idle    [2]idleList // unknown, known
+	places  int         // number of slots at the last arrival
+	idle    [2]idleList // of unknown and of known clients
 	addrs   table
 	blocks  table
 	names   map[string]*seen
 	refused [reasons]int64
-	unready []*conn // those that prove, in the order of their time
+	unready []*conn // connections that have not authenticated yet, by deadline
 }
 
-// New returns an empty gate.
+// New returns a controller without connections.
 func New(l Limits) *Gate {
 	g := &Gate{conns: map[uint64]*conn{}, names: map[string]*seen{}}
 	g.addrs.m, g.blocks.m = map[netip.Addr]*seen{}, map[netip.Addr]*seen{}
@@ -154,7 +156,7 @@
 	return g
 }
 
-// Adopt takes new limits in. Who is in stays in; operators' words stay.
+// SetLimits sets new limits. Admitted connections, bans and pins stay.
 func (g *Gate) Adopt(l Limits) {
 	g.l, g.rules = l, Trie[ruleState]{}
 	for _, r := range l.Rules {
@@ -168,10 +170,10 @@
 	g.addrs.most, g.blocks.most = max(1, l.Track), max(1, l.Track)
 }
 
-// rule is the rule of an address, or nil where only that for everybody binds it.
+// rule returns the rule of an address, or nil if only the default applies.
 func (g *Gate) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
 
-// blockOf is the block of an address.
+// blockOf returns the block of an address: its /24 for IPv4, its /64 for IPv6.
 func blockOf(a netip.Addr) netip.Addr {
 	size := 64
 	if a.Is4() {
@@ -181,7 +183,7 @@
 	return p.Addr()
 }
 
-// take takes a token for a new connection, and tells when there will be one where there is none.
+// takeToken takes a token for a new connection. If there is none, it returns when there will be one.
 func (s *seen) take(now Micros, rate, burst float64) (ok bool, after Micros) {
 	if rate <= 0 {
 		return true, 0
@@ -201,7 +203,7 @@
 	return true, 0
 }
 
-// Arrive is the word on an arrival.
+// Decide decides on a new connection.
 func (g *Gate) Arrive(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
 	rule, known := g.rule(a.Addr), false
@@ -228,7 +230,7 @@
 		}
 		known = true
 	}
-	if !known { // who is known is not held to what keeps strangers off
+	if !known { // the rate limits and the block's limits only apply to unknown clients
 		if ok, after := addr.take(now, bound.Rate, bound.Burst); !ok {
 			return refuse(TooFast, after)
 		}
@@ -253,7 +255,7 @@
 		if c := g.spare(known); c != nil {
 			g.addrs.rest(addr)
 			g.blocks.rest(block)
-			addr.tokens++ // it asks again
+			addr.tokens++ // the caller asks again, which takes the tokens anew
 			block.tokens++
 			return Decision{Verdict: MakeRoom, ID: c.id}
 		}
@@ -278,10 +280,10 @@
 	return Decision{Verdict: [...]Verdict{Admit, Reserved, ToProve}[kind], ID: c.id}
 }
 
-// retry is when to come back where nobody knows when there will be room.
+// defaultRetryAfter is the retry time if it is unknown when a slot will be free.
 const retry = 1_000_000
 
-// place finds a place for an arrival.
+// findSlot finds the kind of slot for an arrival.
 func (g *Gate) place(places int, known, proves bool) (kind int, ok bool) {
 	total := g.used[general] + g.used[reserve] + g.used[proving]
 	if total >= places {
@@ -300,7 +302,8 @@
 	return 0, false
 }
 
-// spare is the connection that can best make way, if any may: unknown before known, the longest idle first.
+// evictable returns the connection to close for an arrival, or nil: the longest idle one of an unknown
+// client, or, for an arrival of a known client, of a known one.
 func (g *Gate) spare(known bool) *conn {
 	if c := g.idle[0].first; c != nil {
 		return c
@@ -311,8 +314,8 @@
 	return nil
 }
 
-// Prove tells that a connection has proved an identity; known is what the listener's roots say of it. It
-// returns a refusal where that identity has too many open, or its time was over.
+// Authenticate notes that a connection has proved an identity. known means that it is signed by the
+// listener's client roots. It refuses the connection if the identity has too many open, or the time was over.
 func (g *Gate) Prove(now Micros, id uint64, identity string, known bool) Decision {
 	c := g.conns[id]
 	if c == nil {
@@ -351,8 +354,8 @@
 		}
 	}
 	if c.kind == proving {
-		// It has had its time: it goes on where there is room for its kind, or not at all.
-		g.used[proving]-- // its own place is free for that
+		// Its slot was only for authenticating: it now needs one of another kind.
+		g.used[proving]-- // its present slot counts as free for that
 		kind, ok := g.place(g.places, c.known, false)
 		g.used[proving]++
 		if !ok {
@@ -370,7 +373,7 @@
 	g.unready = slices.DeleteFunc(g.unready, func(x *conn) bool { return x == c })
 }
 
-// Overdue are the connections whose time to prove themselves is over: they are to be closed.
+// Overdue returns the connections that have not authenticated in time. They must be closed.
 func (g *Gate) Overdue(now Micros) (ids []uint64) {
 	for _, c := range g.unready {
 		if now > c.provesBy {
@@ -380,21 +383,21 @@
 	return ids
 }
 
-// Use tells that a connection carries a request, Rest that it carries none: only then may it make way.
+// MarkBusy notes that a connection carries a request. Only idle connections are closed to free a slot.
 func (g *Gate) Use(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.unlist(c)
 	}
 }
 
-// Rest tells that a connection is between requests.
+// MarkIdle notes that a connection carries no request.
 func (g *Gate) Rest(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.list(c)
 	}
 }
 
-// Leave tells that a connection has ended. Only the first word counts.
+// Remove notes that a connection has ended. Further calls have no effect.
 func (g *Gate) Leave(id uint64) {
 	c := g.conns[id]
 	if c == nil {
@@ -462,7 +465,7 @@
 	c.idle, c.prev, c.next = false, nil, nil
 }
 
-// table remembers addresses; of those with nothing open the least recent make way.
+// table tracks addresses. It evicts the least recently used ones that have no open connection.
 type table struct {
 	m           map[netip.Addr]*seen
 	most        int
@@ -470,7 +473,8 @@
 	forgotten   int64
 }
 
-// get finds what is remembered of an address, or begins anew. It counts as used until rest or hold is called.
+// get returns the state of an address, and creates it if necessary. The address is not evicted until release
+// is called, or while it has open connections.
 func (t *table) get(a netip.Addr) *seen {
 	s := t.m[a]
 	if s == nil {
@@ -485,7 +489,7 @@
 
 func (t *table) hold(s *seen) { s.open++ }
 
-// rest lists what has nothing open, as the most recent.
+// release adds an address without open connections to the LRU list, as the most recent.
 func (t *table) rest(s *seen) {
 	if s.open > 0 || s.listed {
 		return
@@ -500,7 +504,7 @@
 	t.trim(t.most)
 }
 
-// trim forgets what has nothing open, the least recent first, until no more than so many are left.
+// trim evicts addresses without open connections, the least recent first, until at most most are left.
 func (t *table) trim(most int) {
 	for len(t.m) > most && t.first != nil {
 		old := t.first
@@ -527,7 +531,7 @@
 	s.listed, s.prev, s.next = false, nil, nil
 }
 
-// hold is the word of operators that counts for an address.
+// override returns the ban or pin that applies to an address, or nil.
 func (g *Gate) hold(now Micros, a netip.Addr) *hold {
 	for {
 		h := g.holds.Find(a)
@@ -538,23 +542,23 @@
 	}
 }
 
-// Ban refuses a prefix until a time, Pin takes it for known.
+// Ban refuses connections from a prefix until a time.
 func (g *Gate) Ban(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), false, until}) }
 
-// Pin takes a prefix for known until a time.
+// Pin treats clients of a prefix as known until a time.
 func (g *Gate) Pin(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), true, until}) }
 
-// Lift takes a ban or a pin back.
+// Lift withdraws the ban or pin of a prefix.
 func (g *Gate) Lift(p netip.Prefix) { g.holds.Put(p, nil) }
 
-// Hold is a ban or a pin.
+// Override is a ban or a pin of a prefix.
 type Hold struct {
 	Prefix netip.Prefix
 	Pinned bool
 	Until  Micros
 }
 
-// Holds are those in force.
+// Overrides returns the bans and pins in force.
 func (g *Gate) Holds(now Micros) (list []Hold) {
 	g.holds.Each(func(h *hold) {
 		if now < h.until {
@@ -564,7 +568,7 @@
 	return list
 }
 
-// Held are the connections of a prefix, to be closed when it is banned and they rest.
+// ConnsIn returns the connections of a prefix. When the prefix is banned, the idle ones are closed.
 func (g *Gate) Held(p netip.Prefix) (ids []uint64) {
 	for id, c := range g.conns {
 		if p.Contains(c.addr.addr) {
@@ -575,7 +579,7 @@
 	return ids
 }
 
-// Top is an address with what it has open and what it was refused.
+// Top is an address with its numbers of open, new and refused connections.
 type Top struct {
 	Addr     string
 	Open     int
@@ -583,16 +587,16 @@
 	Refused  int64
 }
 
-// Figures are what operators see.
+// Stats are the statistics that operators see.
 type Figures struct {
-	General, Reserve, Proving int // places in use
+	General, Reserve, Proving int // slots in use
 	Addresses                 int
 	Forgotten                 int64
 	Refused                   map[string]int64
 	Top                       []Top
 }
 
-// Figures are the gate's counts and its n busiest addresses.
+// Stats returns the statistics with the n busiest addresses.
 func (g *Gate) Figures(n int) Figures {
 	f := Figures{General: g.used[general], Reserve: g.used[reserve], Proving: g.used[proving],
 		Addresses: len(g.addrs.m), Forgotten: g.addrs.forgotten, Refused: map[string]int64{}}
--- a/internal/admission/trie.go
+++ b/internal/admission/trie.go
@@ -1,7 +1,7 @@
 package admission
 
-// Prefixes by longest match, path-compressed: a node has a child only where two prefixes part, so that a
-// look-up costs no more steps than there are distinct prefixes on the way.
+// A path-compressed trie for longest-prefix matching. A node has two children only where prefixes diverge, so
+// that a look-up takes no more steps than there are distinct prefixes on its path.
 
 import (
 	"encoding/binary"
@@ -9,7 +9,7 @@
 	"net/netip"
 )
 
-// bitsOf is an address as 128 bits; IPv4 stands in the first 32.
+// addrBits is an address as 128 bits; an IPv4 address is in the first 32.
 type bitsOf struct{ hi, lo uint64 }
 
 func bitsFrom(a netip.Addr) bitsOf {
@@ -28,7 +28,7 @@
 	return int(x.lo >> (127 - i) & 1)
 }
 
-// common is how many of the first most bits two have in common.
+// commonPrefix returns the length of the common prefix of two addresses, at most most bits.
 func (x bitsOf) common(y bitsOf, most int) int {
 	n := 128
 	if d := x.hi ^ y.hi; d != 0 {
@@ -52,7 +52,7 @@
 	n    int
 }
 
-// Len is how many prefixes are held.
+// Len returns the number of prefixes.
 func (t *Trie[T]) Len() int { return t.n }
 
 func family(a netip.Addr) int {
@@ -62,7 +62,7 @@
 	return 1
 }
 
-// Put sets a prefix's value, or takes it away where it is nil.
+// Put sets the value of a prefix, or deletes the prefix if v is nil.
 func (t *Trie[T]) Put(p netip.Prefix, v *T) {
 	p = p.Masked()
 	at, key, size := &t.root[family(p.Addr())], bitsFrom(p.Addr()), p.Bits()
@@ -86,14 +86,14 @@
 			n.value = v
 			*at = n.shrunk()
 			return
-		case same == n.size: // further down
+		case same == n.size: // below n
 			at = &n.child[key.bit(same)]
 			if v == nil && *at == nil {
 				return
 			}
 		case v == nil:
 			return
-		default: // they part, or ours is above
+		default: // the prefixes diverge, or p is above n
 			top := &trieNode[T]{key: key, size: same}
 			top.child[n.key.bit(same)] = n
 			if same == size {
@@ -108,7 +108,8 @@
 	}
 }
 
-// shrunk is what is left of a node that may hold nothing any more.
+// collapsed returns the node that replaces n, which may have lost its value: n itself if it is still needed,
+// otherwise its only child or nil.
 func (n *trieNode[T]) shrunk() *trieNode[T] {
 	switch {
 	case n.value != nil || n.child[0] != nil && n.child[1] != nil:
@@ -119,7 +120,7 @@
 	return n.child[1]
 }
 
-// Find is the value of the longest prefix that holds an address, or nil.
+// Find returns the value of the longest prefix that contains an address, or nil.
 func (t *Trie[T]) Find(a netip.Addr) (found *T) {
 	a = a.Unmap()
 	key, most := bitsFrom(a), a.BitLen()
@@ -135,7 +136,7 @@
 	return found
 }
 
-// Each calls f for every prefix's value.
+// Each calls f with the value of every prefix.
 func (t *Trie[T]) Each(f func(*T)) {
 	var walk func(*trieNode[T])
 	walk = func(n *trieNode[T]) {
