--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const sec = Micros(1_000_000)
+const second = Micros(1_000_000)
 
 func addr(i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
@@ -16,7 +16,7 @@
 
 // Compares the trie with a linear scan while prefixes of both address families are added, changed and
 // removed.
-func TestTrieAgainstAScan(t *testing.T) {
+func TestTrieAgainstScan(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		any := func() netip.Addr {
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestCapsRatesAndHolds(t *testing.T) {
+func TestCapsRatesAndOverrides(t *testing.T) {
 	g := New(Limits{Reserve: 2, Track: 100, Everyone: Rule{Open: 3, Rate: 1, Burst: 2}, Rules: []Rule{
 		{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Known: true, Open: 5},
 		{Prefix: netip.MustParsePrefix("10.2.0.0/16"), Open: 1, All: 2},
@@ -65,7 +65,7 @@
 	at := func(now Micros, a string) Decision {
 		return g.Arrive(now, Arrival{Addr: netip.MustParseAddr(a), Places: 100})
 	}
-	want := func(what string, d Decision, v Verdict, r Reason) {
+	want := func(what string, d Decision, v Outcome, r Reason) {
 		t.Helper()
 		if d.Verdict != v || d.Reason != r || v == Refuse && d.After <= 0 {
 			t.Errorf("%s: %+v", what, d)
@@ -76,14 +76,14 @@
 	want("second connection", at(0, "10.0.0.1"), Admit, None)
 	d := at(0, "10.0.0.1")
 	want("above the burst", d, Refuse, TooFast)
-	if d.After > sec {
+	if d.After > second {
 		t.Errorf("retry after %d us at a rate of one per second", d.After)
 	}
 	want("after the retry time", at(d.After, "10.0.0.1"), Admit, None)
-	want("fourth open connection", at(5*sec, "10.0.0.1"), Refuse, TooMany)
+	want("fourth open connection", at(5*second, "10.0.0.1"), Refuse, TooMany)
 	g.Leave(first.ID)
 	g.Leave(first.ID)
-	want("after one has ended", at(8*sec, "10.0.0.1"), Admit, None)
+	want("after one has ended", at(8*second, "10.0.0.1"), Admit, None)
 	for i := range 5 {
 		want("known clients have no rate limit", at(0, "10.1.2.3"), Admit, None)
 		_ = i
@@ -97,14 +97,14 @@
 		want("behind a gateway", at(0, "10.3.0.9"), Admit, None)
 	}
 	want("address next to the gateway", at(0, "10.3.0.8"), Admit, None)
-	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*sec)
-	want("banned", at(10*sec, "10.0.0.7"), Refuse, Banned)
+	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*second)
+	want("banned", at(10*second, "10.0.0.7"), Refuse, Banned)
 	g.Adopt(Limits{Track: 100, Everyone: Rule{Open: 3}})
-	want("banned, after new limits", at(11*sec, "::ffff:10.0.0.7"), Refuse, Banned)
-	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*sec)
-	want("pinned within a banned prefix", at(12*sec, "10.0.0.7"), Admit, None)
-	want("after the end of the ban", at(20*sec, "10.0.0.8"), Admit, None)
-	if n := len(g.Holds(20 * sec)); n != 0 {
+	want("banned, after new limits", at(11*second, "::ffff:10.0.0.7"), Refuse, Banned)
+	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*second)
+	want("pinned within a banned prefix", at(12*second, "10.0.0.7"), Admit, None)
+	want("after the end of the ban", at(20*second, "10.0.0.8"), Admit, None)
+	if n := len(g.Holds(20 * second)); n != 0 {
 		t.Errorf("%d bans and pins in force", n)
 	}
 }
@@ -112,9 +112,9 @@
 // At capacity: the reserve is for known clients, connections that have not authenticated have their own slots
 // for a limited time, and idle connections are closed for new ones: those of unknown clients for any, those
 // of known clients only for known ones.
-func TestAtTheLimit(t *testing.T) {
+func TestAtCapacity(t *testing.T) {
 	known := netip.MustParsePrefix("10.9.0.0/16")
-	g := New(Limits{Reserve: 2, Proving: 1, ProveIn: sec, Track: 100, Rules: []Rule{{Prefix: known,
+	g := New(Limits{Reserve: 2, Proving: 1, ProveIn: second, Track: 100, Rules: []Rule{{Prefix: known,
 		Known: true}}})
 	n := 0
 	arrive := func(a string, proves bool) Decision {
@@ -133,26 +133,26 @@
 		t.Errorf("unknown client at the reserve: %+v", d)
 	}
 	p := arrive("10.0.0.10", true)
-	if p.Verdict != ToProve {
+	if p.Verdict != AdmitUnauthenticated {
 		t.Errorf("client that may authenticate: %+v", p)
 	}
-	if d := arrive("10.0.0.11", true); d.Verdict != Refuse || d.Reason != Unproved {
+	if d := arrive("10.0.0.11", true); d.Verdict != Refuse || d.Reason != Unauthenticated {
 		t.Errorf("one client too many that may authenticate: %+v", d)
 	}
-	if d := arrive("10.9.0.1", false); d.Verdict != Reserved {
+	if d := arrive("10.9.0.1", false); d.Verdict != AdmitReserved {
 		t.Errorf("known client: %+v", d)
 	}
-	if d := g.Prove(sec/2, p.ID, "head-office", true); d.Verdict != Admit || g.used[reserve] != 2 {
-		t.Errorf("authentication: %+v, %v", d, g.used)
+	if d := g.Prove(second/2, p.ID, "head-office", true); d.Verdict != Admit || g.inUse[kindReserve] != 2 {
+		t.Errorf("authentication: %+v, %v", d, g.inUse)
 	}
 	if d := arrive("10.9.0.2", false); d.Verdict != Refuse || d.Reason != Full {
 		t.Errorf("known client with no slot left: %+v", d)
 	}
 	late := arrive("10.0.0.12", true)
-	if over := g.Overdue(2 * sec); len(over) != 1 || over[0] != late.ID {
+	if over := g.Overdue(2 * second); len(over) != 1 || over[0] != late.ID {
 		t.Errorf("overdue: %v", over)
 	}
-	if d := g.Prove(2*sec, late.ID, "x", true); d.Reason != Unproved {
+	if d := g.Prove(2*second, late.ID, "x", true); d.Reason != Unauthenticated {
 		t.Errorf("late authentication: %+v", d)
 	}
 	g.Leave(late.ID)
@@ -177,10 +177,10 @@
 
 // Over random histories the counts are correct, the capacity and the reserve are respected, a busy connection
 // is never evicted, and at the end no state is left.
-func TestGateOverLongHistories(t *testing.T) {
+func TestControllerOverLongHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveIn: sec, Track: 1 + rng.IntN(20),
+		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveIn: second, Track: 1 + rng.IntN(20),
 			Everyone: Rule{Open: rng.IntN(5), Rate: float64(rng.IntN(3)), Burst: 3},
 			Rules: []Rule{{Prefix: netip.MustParsePrefix("10.0.0.0/29"), Known: true},
 				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), All: 3},
@@ -201,14 +201,14 @@
 					unknown++
 				}
 			}
-			total := g.used[general] + g.used[reserve] + g.used[proving]
-			if total != len(open) || g.used[general] < 0 || g.used[reserve] < 0 || g.used[proving] < 0 {
-				t.Fatalf("seed %d: counts %v, %d open", seed, g.used, len(open))
+			total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
+			if total != len(open) || g.inUse[kindGeneral] < 0 || g.inUse[kindReserve] < 0 || g.inUse[kindProving] < 0 {
+				t.Fatalf("seed %d: counts %v, %d open", seed, g.inUse, len(open))
 			}
 			_ = unknown
 		}
 		for range 4000 {
-			now += rng.Int64N(sec / 4)
+			now += rng.Int64N(second / 4)
 			var some uint64
 			for id := range open {
 				some = id
@@ -226,7 +226,7 @@
 					}
 					g.Leave(d.ID)
 					delete(open, d.ID)
-				case Admit, Reserved, ToProve:
+				case Admit, AdmitReserved, AdmitUnauthenticated:
 					open[d.ID] = &in{known: known, busy: true, addr: a}
 					unknown := 0
 					for _, c := range open {
@@ -235,7 +235,7 @@
 						}
 					}
 					if len(open) > places || !known && unknown > max(0, places-l.Reserve) ||
-						d.Verdict == Reserved && !known {
+						d.Verdict == AdmitReserved && !known {
 						t.Fatalf("seed %d: %d open, %d unknown of %d slots: %+v", seed, len(open), unknown, places, d)
 					}
 				}
@@ -278,15 +278,15 @@
 			delete(open, id)
 		}
 		check()
-		for _, s := range g.addrs.m {
+		for _, s := range g.addrs.byAddr {
 			if s.open != 0 {
 				t.Fatalf("seed %d: %+v still has open connections", seed, s)
 			}
 		}
-		if len(g.names) != 0 || g.idle[0].first != nil || g.idle[1].first != nil || len(g.unready) != 0 ||
-			len(g.addrs.m) > l.Track {
-			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(g.names),
-				len(g.addrs.m), len(g.unready))
+		if len(g.identities) != 0 || g.idle[0].first != nil || g.idle[1].first != nil ||
+			len(g.unauthenticated) != 0 || len(g.addrs.byAddr) > l.Track {
+			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(g.identities),
+				len(g.addrs.byAddr), len(g.unauthenticated))
 		}
 	}
 }
@@ -304,8 +304,8 @@
 		}
 		g.Leave(d.ID)
 	}
-	if len(g.addrs.m) > 1000 || g.addrs.forgotten != 199_000 {
-		t.Errorf("%d tracked, %d evicted", len(g.addrs.m), g.addrs.forgotten)
+	if len(g.addrs.byAddr) > 1000 || g.addrs.evicted != 199_000 {
+		t.Errorf("%d tracked, %d evicted", len(g.addrs.byAddr), g.addrs.evicted)
 	}
 }
 
@@ -345,7 +345,7 @@
 		})
 	}
 	b.Run("map and scan", func(b *testing.B) {
-		m := map[netip.Addr]*seen{}
+		m := map[netip.Addr]*tracked{}
 		var rules []netip.Prefix
 		for i := range 1000 {
 			rules = append(rules, netip.PrefixFrom(addr(i*1000), 28))
@@ -361,10 +361,10 @@
 			}
 			s := m[a]
 			if s == nil {
-				s = &seen{addr: a}
+				s = &tracked{addr: a}
 				m[a] = s
 			}
-			s.take(now, 10, 20)
+			s.takeToken(now, 10, 20)
 		})
 	})
 }
--- a/internal/admission/gate.go
+++ b/internal/admission/gate.go
@@ -37,15 +37,15 @@
 }
 
 // Outcome is the outcome of a Decision.
-type Verdict uint8
+type Outcome uint8
 
 // The outcomes.
 const (
-	Admit    Verdict = iota
-	Reserved         // admitted from the reserve
-	ToProve          // admitted, but must authenticate in time
-	MakeRoom         // close the given idle connection, then ask again
-	Refuse           // refused for the given reason
+	Admit                Outcome = iota
+	AdmitReserved                // admitted from the reserve
+	AdmitUnauthenticated         // admitted, but must authenticate in time
+	MakeRoom                     // close the given idle connection, then ask again
+	Refuse                       // refused for the given reason
 )
 
 // Reason is the reason of a refusal.
@@ -55,17 +55,17 @@
 const (
 	None Reason = iota
 	Banned
-	TooFast  // too many new connections from its address
-	TooMany  // too many open connections from its address or identity
-	BlockCap // too many connections from its block or prefix
-	Full     // no slot is left for its kind
-	Unproved // no slot is left for authenticating, or the time for it is over
-	reasons
+	TooFast         // too many new connections from its address
+	TooMany         // too many open connections from its address or identity
+	BlockCap        // too many connections from its block or prefix
+	Full            // no slot is left for its kind
+	Unauthenticated // no slot is left for authenticating, or the time for it is over
+	reasonCount
 )
 
 // String returns the name of the reason in the statistics.
 func (r Reason) String() string {
-	return [reasons]string{"", "banned", "too_fast", "too_many", "block_cap", "full", "unproved"}[r]
+	return [reasonCount]string{"", "banned", "too_fast", "too_many", "block_cap", "full", "unproved"}[r]
 }
 
 // Arrival is a new connection.
@@ -77,7 +77,7 @@
 
 // Decision is the answer to an arrival or an authentication.
 type Decision struct {
-	Verdict Verdict
+	Verdict Outcome
 	ID      uint64 // connection that is admitted, or that has to be closed
 	Reason  Reason
 	After   Micros // time after which the client may retry
@@ -85,36 +85,36 @@
 
 // The kinds of slots.
 const (
-	general = iota
-	reserve
-	proving
-	kinds
+	kindGeneral = iota
+	kindReserve
+	kindProving
+	kindCount
 )
 
 // conn is an admitted connection.
 type conn struct {
-	id         uint64
-	addr       *seen
-	block      *seen
-	rule       *ruleState
-	identity   *seen
-	kind       int
-	known      bool
-	idle       bool
-	prev, next *conn // in the list of idle connections of known or of unknown clients
-	provesBy   Micros
+	id           uint64
+	addr         *tracked
+	block        *tracked
+	rule         *ruleState
+	identity     *tracked
+	kind         int
+	known        bool
+	idle         bool
+	prev, next   *conn // in the list of idle connections of known or of unknown clients
+	authDeadline Micros
 }
 
 // tracked is the state of an address, a block or an identity.
-type seen struct {
+type tracked struct {
 	addr       netip.Addr // for an address or a block
 	name       string     // for an identity
 	open       int
 	tokens     float64
-	at         Micros
+	refilledAt Micros
 	arrivals   int64
 	refused    int64
-	prev, next *seen // in the LRU list, least recent first; only while it has no open connection
+	prev, next *tracked // in the LRU list, least recent first; only while it has no open connection
 	listed     bool
 }
 
@@ -125,7 +125,7 @@
 }
 
 // override is an operator's ban or pin of a prefix.
-type hold struct {
+type override struct {
 	prefix netip.Prefix
 	pinned bool
 	until  Micros
@@ -133,32 +133,32 @@
 
 // Controller is an admission controller for connections. It is not safe for concurrent use.
 type Gate struct {
-	l       Limits
-	rules   Trie[ruleState]
-	holds   Trie[hold]
-	conns   map[uint64]*conn
-	next    uint64
-	used    [kinds]int
-	places  int         // number of slots at the last arrival
-	idle    [2]idleList // of unknown and of known clients
-	addrs   table
-	blocks  table
-	names   map[string]*seen
-	refused [reasons]int64
-	unready []*conn // connections that have not authenticated yet, by deadline
+	limits          Limits
+	rules           Trie[ruleState]
+	overrides       Trie[override]
+	conns           map[uint64]*conn
+	lastID          uint64
+	inUse           [kindCount]int
+	capacity        int         // number of slots at the last arrival
+	idle            [2]idleList // of unknown and of known clients
+	addrs           addrTable
+	blocks          addrTable
+	identities      map[string]*tracked
+	refused         [reasonCount]int64
+	unauthenticated []*conn // connections that have not authenticated yet, by deadline
 }
 
 // New returns a controller without connections.
 func New(l Limits) *Gate {
-	g := &Gate{conns: map[uint64]*conn{}, names: map[string]*seen{}}
-	g.addrs.m, g.blocks.m = map[netip.Addr]*seen{}, map[netip.Addr]*seen{}
+	g := &Gate{conns: map[uint64]*conn{}, identities: map[string]*tracked{}}
+	g.addrs.byAddr, g.blocks.byAddr = map[netip.Addr]*tracked{}, map[netip.Addr]*tracked{}
 	g.Adopt(l)
 	return g
 }
 
 // SetLimits sets new limits. Admitted connections, bans and pins stay.
 func (g *Gate) Adopt(l Limits) {
-	g.l, g.rules = l, Trie[ruleState]{}
+	g.limits, g.rules = l, Trie[ruleState]{}
 	for _, r := range l.Rules {
 		g.rules.Put(r.Prefix, &ruleState{Rule: r})
 	}
@@ -167,7 +167,7 @@
 			c.rule.open++
 		}
 	}
-	g.addrs.most, g.blocks.most = max(1, l.Track), max(1, l.Track)
+	g.addrs.maxEntries, g.blocks.maxEntries = max(1, l.Track), max(1, l.Track)
 }
 
 // rule returns the rule of an address, or nil if only the default applies.
@@ -184,7 +184,7 @@
 }
 
 // takeToken takes a token for a new connection. If there is none, it returns when there will be one.
-func (s *seen) take(now Micros, rate, burst float64) (ok bool, after Micros) {
+func (s *tracked) takeToken(now Micros, rate, burst float64) (ok bool, after Micros) {
 	if rate <= 0 {
 		return true, 0
 	}
@@ -192,9 +192,9 @@
 	if s.arrivals == 0 {
 		s.tokens = burst
 	} else {
-		s.tokens = min(burst, s.tokens+rate*float64(now-s.at)/1e6)
+		s.tokens = min(burst, s.tokens+rate*float64(now-s.refilledAt)/1e6)
 	}
-	s.at = now
+	s.refilledAt = now
 	s.arrivals++
 	if s.tokens < 1 {
 		return false, Micros((1 - s.tokens) / rate * 1e6)
@@ -207,7 +207,7 @@
 func (g *Gate) Arrive(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
 	rule, known := g.rule(a.Addr), false
-	bound := g.l.Everyone
+	bound := g.limits.Everyone
 	if rule != nil {
 		known = rule.Known
 		bound.Open = cmp.Or(rule.Open, bound.Open)
@@ -220,91 +220,91 @@
 	refuse := func(why Reason, after Micros) Decision {
 		g.refused[why]++
 		addr.refused++
-		g.addrs.rest(addr)
-		g.blocks.rest(block)
+		g.addrs.release(addr)
+		g.blocks.release(block)
 		return Decision{Verdict: Refuse, Reason: why, After: max(after, 1)}
 	}
-	if h := g.hold(now, a.Addr); h != nil {
+	if h := g.override(now, a.Addr); h != nil {
 		if !h.pinned {
 			return refuse(Banned, h.until-now)
 		}
 		known = true
 	}
 	if !known { // the rate limits and the block's limits only apply to unknown clients
-		if ok, after := addr.take(now, bound.Rate, bound.Burst); !ok {
+		if ok, after := addr.takeToken(now, bound.Rate, bound.Burst); !ok {
 			return refuse(TooFast, after)
 		}
-		if ok, after := block.take(now, g.l.Block.Rate, g.l.Block.Burst); !ok && !bound.Gateway {
+		if ok, after := block.takeToken(now, g.limits.Block.Rate, g.limits.Block.Burst); !ok && !bound.Gateway {
 			return refuse(BlockCap, after)
 		}
-		if g.l.Block.Open > 0 && block.open >= g.l.Block.Open && !bound.Gateway {
-			return refuse(BlockCap, retry)
+		if g.limits.Block.Open > 0 && block.open >= g.limits.Block.Open && !bound.Gateway {
+			return refuse(BlockCap, defaultRetryAfter)
 		}
 	} else {
 		addr.arrivals++
 	}
 	if bound.Open > 0 && addr.open >= bound.Open && !bound.Gateway {
-		return refuse(TooMany, retry)
+		return refuse(TooMany, defaultRetryAfter)
 	}
 	if rule != nil && rule.All > 0 && rule.open >= rule.All {
-		return refuse(BlockCap, retry)
+		return refuse(BlockCap, defaultRetryAfter)
 	}
-	g.places = a.Places
-	kind, ok := g.place(a.Places, known, a.Proves)
+	g.capacity = a.Places
+	kind, ok := g.findSlot(a.Places, known, a.Proves)
 	if !ok {
-		if c := g.spare(known); c != nil {
-			g.addrs.rest(addr)
-			g.blocks.rest(block)
+		if c := g.evictable(known); c != nil {
+			g.addrs.release(addr)
+			g.blocks.release(block)
 			addr.tokens++ // the caller asks again, which takes the tokens anew
 			block.tokens++
 			return Decision{Verdict: MakeRoom, ID: c.id}
 		}
 		if a.Proves {
-			return refuse(Unproved, retry)
+			return refuse(Unauthenticated, defaultRetryAfter)
 		}
-		return refuse(Full, retry)
+		return refuse(Full, defaultRetryAfter)
 	}
-	g.next++
-	c := &conn{id: g.next, addr: addr, block: block, rule: rule, kind: kind, known: known}
-	if kind == proving {
-		c.provesBy = now + g.l.ProveIn
-		g.unready = append(g.unready, c)
+	g.lastID++
+	c := &conn{id: g.lastID, addr: addr, block: block, rule: rule, kind: kind, known: known}
+	if kind == kindProving {
+		c.authDeadline = now + g.limits.ProveIn
+		g.unauthenticated = append(g.unauthenticated, c)
 	}
 	g.conns[c.id] = c
-	g.used[kind]++
-	g.addrs.hold(addr)
-	g.blocks.hold(block)
+	g.inUse[kind]++
+	g.addrs.retain(addr)
+	g.blocks.retain(block)
 	if rule != nil {
 		rule.open++
 	}
-	return Decision{Verdict: [...]Verdict{Admit, Reserved, ToProve}[kind], ID: c.id}
+	return Decision{Verdict: [...]Outcome{Admit, AdmitReserved, AdmitUnauthenticated}[kind], ID: c.id}
 }
 
 // defaultRetryAfter is the retry time if it is unknown when a slot will be free.
-const retry = 1_000_000
+const defaultRetryAfter = 1_000_000
 
 // findSlot finds the kind of slot for an arrival.
-func (g *Gate) place(places int, known, proves bool) (kind int, ok bool) {
-	total := g.used[general] + g.used[reserve] + g.used[proving]
+func (g *Gate) findSlot(places int, known, proves bool) (kind int, ok bool) {
+	total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
 	if total >= places {
 		return 0, false
 	}
-	kept := min(g.l.Reserve+g.l.Proving, places)
+	kept := min(g.limits.Reserve+g.limits.Proving, places)
 	switch {
-	case g.used[general] < places-kept:
-		return general, true
-	case known && g.used[reserve] < min(g.l.Reserve, places):
-		return reserve, true
-	case proves && !known && g.used[proving] < g.l.Proving &&
-		g.used[general]+g.used[proving] < places-g.l.Reserve:
-		return proving, true
+	case g.inUse[kindGeneral] < places-kept:
+		return kindGeneral, true
+	case known && g.inUse[kindReserve] < min(g.limits.Reserve, places):
+		return kindReserve, true
+	case proves && !known && g.inUse[kindProving] < g.limits.Proving &&
+		g.inUse[kindGeneral]+g.inUse[kindProving] < places-g.limits.Reserve:
+		return kindProving, true
 	}
 	return 0, false
 }
 
 // evictable returns the connection to close for an arrival, or nil: the longest idle one of an unknown
 // client, or, for an arrival of a known client, of a known one.
-func (g *Gate) spare(known bool) *conn {
+func (g *Gate) evictable(known bool) *conn {
 	if c := g.idle[0].first; c != nil {
 		return c
 	}
@@ -319,22 +319,22 @@
 func (g *Gate) Prove(now Micros, id uint64, identity string, known bool) Decision {
 	c := g.conns[id]
 	if c == nil {
-		return Decision{Verdict: Refuse, Reason: Unproved, After: retry}
+		return Decision{Verdict: Refuse, Reason: Unauthenticated, After: defaultRetryAfter}
 	}
 	refuse := func(why Reason) Decision {
 		g.refused[why]++
-		return Decision{Verdict: Refuse, Reason: why, After: retry}
+		return Decision{Verdict: Refuse, Reason: why, After: defaultRetryAfter}
 	}
-	if c.kind == proving && now > c.provesBy {
-		return refuse(Unproved)
+	if c.kind == kindProving && now > c.authDeadline {
+		return refuse(Unauthenticated)
 	}
 	if c.identity == nil && identity != "" {
-		s := g.names[identity]
+		s := g.identities[identity]
 		if s == nil {
-			s = &seen{name: identity}
-			g.names[identity] = s
+			s = &tracked{name: identity}
+			g.identities[identity] = s
 		}
-		most := g.l.Everyone.Open
+		most := g.limits.Everyone.Open
 		if c.rule != nil {
 			most = cmp.Or(c.rule.Open, most)
 		}
@@ -347,36 +347,36 @@
 	}
 	if known && !c.known {
 		wasIdle := c.idle
-		g.unlist(c)
+		g.removeIdle(c)
 		c.known = true
 		if wasIdle {
-			g.list(c)
+			g.addIdle(c)
 		}
 	}
-	if c.kind == proving {
+	if c.kind == kindProving {
 		// Its slot was only for authenticating: it now needs one of another kind.
-		g.used[proving]-- // its present slot counts as free for that
-		kind, ok := g.place(g.places, c.known, false)
-		g.used[proving]++
+		g.inUse[kindProving]-- // its present slot counts as free for that
+		kind, ok := g.findSlot(g.capacity, c.known, false)
+		g.inUse[kindProving]++
 		if !ok {
 			return refuse(Full)
 		}
-		g.move(c, kind)
+		g.changeKind(c, kind)
 	}
 	return Decision{Verdict: Admit, ID: id}
 }
 
-func (g *Gate) move(c *conn, kind int) {
-	g.used[c.kind]--
-	g.used[kind]++
+func (g *Gate) changeKind(c *conn, kind int) {
+	g.inUse[c.kind]--
+	g.inUse[kind]++
 	c.kind = kind
-	g.unready = slices.DeleteFunc(g.unready, func(x *conn) bool { return x == c })
+	g.unauthenticated = slices.DeleteFunc(g.unauthenticated, func(x *conn) bool { return x == c })
 }
 
 // Overdue returns the connections that have not authenticated in time. They must be closed.
 func (g *Gate) Overdue(now Micros) (ids []uint64) {
-	for _, c := range g.unready {
-		if now > c.provesBy {
+	for _, c := range g.unauthenticated {
+		if now > c.authDeadline {
 			ids = append(ids, c.id)
 		}
 	}
@@ -386,14 +386,14 @@
 // MarkBusy notes that a connection carries a request. Only idle connections are closed to free a slot.
 func (g *Gate) Use(id uint64) {
 	if c := g.conns[id]; c != nil {
-		g.unlist(c)
+		g.removeIdle(c)
 	}
 }
 
 // MarkIdle notes that a connection carries no request.
 func (g *Gate) Rest(id uint64) {
 	if c := g.conns[id]; c != nil {
-		g.list(c)
+		g.addIdle(c)
 	}
 }
 
@@ -403,22 +403,22 @@
 	if c == nil {
 		return
 	}
-	g.unlist(c)
+	g.removeIdle(c)
 	delete(g.conns, id)
-	g.used[c.kind]--
-	if c.kind == proving {
-		g.unready = slices.DeleteFunc(g.unready, func(x *conn) bool { return x == c })
+	g.inUse[c.kind]--
+	if c.kind == kindProving {
+		g.unauthenticated = slices.DeleteFunc(g.unauthenticated, func(x *conn) bool { return x == c })
 	}
 	c.addr.open--
-	g.addrs.rest(c.addr)
+	g.addrs.release(c.addr)
 	c.block.open--
-	g.blocks.rest(c.block)
+	g.blocks.release(c.block)
 	if c.rule != nil {
 		c.rule.open--
 	}
 	if s := c.identity; s != nil {
 		if s.open--; s.open == 0 {
-			delete(g.names, s.name)
+			delete(g.identities, s.name)
 		}
 	}
 }
@@ -426,18 +426,18 @@
 // idleList is a list of idle connections, the longest idle first.
 type idleList struct{ first, last *conn }
 
-func (g *Gate) standing(c *conn) *idleList {
+func (g *Gate) idleListOf(c *conn) *idleList {
 	if c.known {
 		return &g.idle[1]
 	}
 	return &g.idle[0]
 }
 
-func (g *Gate) list(c *conn) {
+func (g *Gate) addIdle(c *conn) {
 	if c.idle {
 		return
 	}
-	l := g.standing(c)
+	l := g.idleListOf(c)
 	c.idle, c.prev, c.next = true, l.last, nil
 	if l.last != nil {
 		l.last.next = c
@@ -447,11 +447,11 @@
 	l.last = c
 }
 
-func (g *Gate) unlist(c *conn) {
+func (g *Gate) removeIdle(c *conn) {
 	if !c.idle {
 		return
 	}
-	l := g.standing(c)
+	l := g.idleListOf(c)
 	if c.prev != nil {
 		c.prev.next = c.next
 	} else {
@@ -465,32 +465,32 @@
 	c.idle, c.prev, c.next = false, nil, nil
 }
 
-// table tracks addresses. It evicts the least recently used ones that have no open connection.
-type table struct {
-	m           map[netip.Addr]*seen
-	most        int
-	first, last *seen
-	forgotten   int64
+// addrTable tracks addresses. It evicts the least recently used ones that have no open connection.
+type addrTable struct {
+	byAddr      map[netip.Addr]*tracked
+	maxEntries  int
+	first, last *tracked
+	evicted     int64
 }
 
 // get returns the state of an address, and creates it if necessary. The address is not evicted until release
 // is called, or while it has open connections.
-func (t *table) get(a netip.Addr) *seen {
-	s := t.m[a]
+func (t *addrTable) get(a netip.Addr) *tracked {
+	s := t.byAddr[a]
 	if s == nil {
-		t.trim(t.most - 1)
-		s = &seen{addr: a}
-		t.m[a] = s
+		t.trim(t.maxEntries - 1)
+		s = &tracked{addr: a}
+		t.byAddr[a] = s
 	} else {
 		t.unlist(s)
 	}
 	return s
 }
 
-func (t *table) hold(s *seen) { s.open++ }
+func (t *addrTable) retain(s *tracked) { s.open++ }
 
 // release adds an address without open connections to the LRU list, as the most recent.
-func (t *table) rest(s *seen) {
+func (t *addrTable) release(s *tracked) {
 	if s.open > 0 || s.listed {
 		return
 	}
@@ -501,20 +501,20 @@
 		t.first = s
 	}
 	t.last = s
-	t.trim(t.most)
+	t.trim(t.maxEntries)
 }
 
 // trim evicts addresses without open connections, the least recent first, until at most most are left.
-func (t *table) trim(most int) {
-	for len(t.m) > most && t.first != nil {
+func (t *addrTable) trim(most int) {
+	for len(t.byAddr) > most && t.first != nil {
 		old := t.first
 		t.unlist(old)
-		delete(t.m, old.addr)
-		t.forgotten++
+		delete(t.byAddr, old.addr)
+		t.evicted++
 	}
 }
 
-func (t *table) unlist(s *seen) {
+func (t *addrTable) unlist(s *tracked) {
 	if !s.listed {
 		return
 	}
@@ -532,37 +532,41 @@
 }
 
 // override returns the ban or pin that applies to an address, or nil.
-func (g *Gate) hold(now Micros, a netip.Addr) *hold {
+func (g *Gate) override(now Micros, a netip.Addr) *override {
 	for {
-		h := g.holds.Find(a)
+		h := g.overrides.Find(a)
 		if h == nil || now < h.until {
 			return h
 		}
-		g.holds.Put(h.prefix, nil)
+		g.overrides.Put(h.prefix, nil)
 	}
 }
 
 // Ban refuses connections from a prefix until a time.
-func (g *Gate) Ban(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), false, until}) }
+func (g *Gate) Ban(p netip.Prefix, until Micros) {
+	g.overrides.Put(p, &override{p.Masked(), false, until})
+}
 
 // Pin treats clients of a prefix as known until a time.
-func (g *Gate) Pin(p netip.Prefix, until Micros) { g.holds.Put(p, &hold{p.Masked(), true, until}) }
+func (g *Gate) Pin(p netip.Prefix, until Micros) {
+	g.overrides.Put(p, &override{p.Masked(), true, until})
+}
 
 // Lift withdraws the ban or pin of a prefix.
-func (g *Gate) Lift(p netip.Prefix) { g.holds.Put(p, nil) }
+func (g *Gate) Lift(p netip.Prefix) { g.overrides.Put(p, nil) }
 
 // Override is a ban or a pin of a prefix.
-type Hold struct {
+type Override struct {
 	Prefix netip.Prefix
 	Pinned bool
 	Until  Micros
 }
 
 // Overrides returns the bans and pins in force.
-func (g *Gate) Holds(now Micros) (list []Hold) {
-	g.holds.Each(func(h *hold) {
+func (g *Gate) Holds(now Micros) (list []Override) {
+	g.overrides.Each(func(h *override) {
 		if now < h.until {
-			list = append(list, Hold{h.prefix, h.pinned, h.until})
+			list = append(list, Override{h.prefix, h.pinned, h.until})
 		}
 	})
 	return list
@@ -598,14 +602,14 @@
 
 // Stats returns the statistics with the n busiest addresses.
 func (g *Gate) Figures(n int) Figures {
-	f := Figures{General: g.used[general], Reserve: g.used[reserve], Proving: g.used[proving],
-		Addresses: len(g.addrs.m), Forgotten: g.addrs.forgotten, Refused: map[string]int64{}}
-	for r := None + 1; r < reasons; r++ {
+	f := Figures{General: g.inUse[kindGeneral], Reserve: g.inUse[kindReserve], Proving: g.inUse[kindProving],
+		Addresses: len(g.addrs.byAddr), Forgotten: g.addrs.evicted, Refused: map[string]int64{}}
+	for r := None + 1; r < reasonCount; r++ {
 		if g.refused[r] > 0 {
 			f.Refused[r.String()] = g.refused[r]
 		}
 	}
-	for _, s := range g.addrs.m {
+	for _, s := range g.addrs.byAddr {
 		f.Top = append(f.Top, Top{s.addr.String(), s.open, s.arrivals, s.refused})
 	}
 	slices.SortFunc(f.Top, func(a, b Top) int {
--- a/internal/admission/trie.go
+++ b/internal/admission/trie.go
@@ -10,18 +10,18 @@
 )
 
 // addrBits is an address as 128 bits; an IPv4 address is in the first 32.
-type bitsOf struct{ hi, lo uint64 }
+type addrBits struct{ hi, lo uint64 }
 
-func bitsFrom(a netip.Addr) bitsOf {
+func toBits(a netip.Addr) addrBits {
 	if a.Is4() {
 		b := a.As4()
-		return bitsOf{uint64(binary.BigEndian.Uint32(b[:])) << 32, 0}
+		return addrBits{uint64(binary.BigEndian.Uint32(b[:])) << 32, 0}
 	}
 	b := a.As16()
-	return bitsOf{binary.BigEndian.Uint64(b[:8]), binary.BigEndian.Uint64(b[8:])}
+	return addrBits{binary.BigEndian.Uint64(b[:8]), binary.BigEndian.Uint64(b[8:])}
 }
 
-func (x bitsOf) bit(i int) int {
+func (x addrBits) bit(i int) int {
 	if i < 64 {
 		return int(x.hi >> (63 - i) & 1)
 	}
@@ -29,7 +29,7 @@
 }
 
 // commonPrefix returns the length of the common prefix of two addresses, at most most bits.
-func (x bitsOf) common(y bitsOf, most int) int {
+func (x addrBits) commonPrefix(y addrBits, most int) int {
 	n := 128
 	if d := x.hi ^ y.hi; d != 0 {
 		n = bits.LeadingZeros64(d)
@@ -40,7 +40,7 @@
 }
 
 type trieNode[T any] struct {
-	key   bitsOf
+	key   addrBits
 	size  int
 	value *T
 	child [2]*trieNode[T]
@@ -48,12 +48,12 @@
 
 // Trie maps prefixes to values. The zero Trie is empty. It is not safe for concurrent use.
 type Trie[T any] struct {
-	root [2]*trieNode[T] // IPv4 and IPv6
-	n    int
+	root  [2]*trieNode[T] // IPv4 and IPv6
+	count int
 }
 
 // Len returns the number of prefixes.
-func (t *Trie[T]) Len() int { return t.n }
+func (t *Trie[T]) Len() int { return t.count }
 
 func family(a netip.Addr) int {
 	if a.Is4() {
@@ -65,26 +65,26 @@
 // Put sets the value of a prefix, or deletes the prefix if v is nil.
 func (t *Trie[T]) Put(p netip.Prefix, v *T) {
 	p = p.Masked()
-	at, key, size := &t.root[family(p.Addr())], bitsFrom(p.Addr()), p.Bits()
+	at, key, size := &t.root[family(p.Addr())], toBits(p.Addr()), p.Bits()
 	for {
 		n := *at
 		if n == nil {
 			if v != nil {
 				*at = &trieNode[T]{key: key, size: size, value: v}
-				t.n++
+				t.count++
 			}
 			return
 		}
-		same := key.common(n.key, min(size, n.size))
+		same := key.commonPrefix(n.key, min(size, n.size))
 		switch {
 		case same == n.size && same == size:
 			if n.value == nil && v != nil {
-				t.n++
+				t.count++
 			} else if n.value != nil && v == nil {
-				t.n--
+				t.count--
 			}
 			n.value = v
-			*at = n.shrunk()
+			*at = n.collapsed()
 			return
 		case same == n.size: // below n
 			at = &n.child[key.bit(same)]
@@ -102,7 +102,7 @@
 				top.child[key.bit(same)] = &trieNode[T]{key: key, size: size, value: v}
 			}
 			*at = top
-			t.n++
+			t.count++
 			return
 		}
 	}
@@ -110,7 +110,7 @@
 
 // collapsed returns the node that replaces n, which may have lost its value: n itself if it is still needed,
 // otherwise its only child or nil.
-func (n *trieNode[T]) shrunk() *trieNode[T] {
+func (n *trieNode[T]) collapsed() *trieNode[T] {
 	switch {
 	case n.value != nil || n.child[0] != nil && n.child[1] != nil:
 		return n
@@ -123,8 +123,8 @@
 // Find returns the value of the longest prefix that contains an address, or nil.
 func (t *Trie[T]) Find(a netip.Addr) (found *T) {
 	a = a.Unmap()
-	key, most := bitsFrom(a), a.BitLen()
-	for n := t.root[family(a)]; n != nil && key.common(n.key, n.size) == n.size; {
+	key, most := toBits(a), a.BitLen()
+	for n := t.root[family(a)]; n != nil && key.commonPrefix(n.key, n.size) == n.size; {
 		if n.value != nil {
 			found = n.value
 		}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -17,30 +17,30 @@
 
 // Parameters of the level. Durations are in periods.
 const (
-	Ranks      = 8 // ranks of classes by worth
-	Shares     = 8 // divisions of a rank, by hash of the request
-	Buckets    = Ranks * Shares
-	Window     = 3          // interval between evaluations of the level
-	fresh      = 2 * Window // number of reports kept per member
-	high       = 0.25       // fraction of admitted requests that fail above which shedding starts
-	low        = 0.03       // fraction of failures below which the margin may grow
-	leastIn    = 20         // admitted requests in a window below which failures are not significant
-	margin     = 0.25       // fraction admitted beyond the estimated capacity, initially
-	marginMost = 1          // and at most
-	slack      = 1          // rise of the level, in buckets, that is treated as noise
-	careful    = 2          // consecutive windows with few failures before the margin grows
-	forget     = 0.05       // decay of the estimated capacity per window
-	unlearn    = 0.2        // the same while the fraction of failures is above highFailures
-	harmful    = 0.35       // fraction of failures in a period here above which clients' retries use the budget
-	heavy      = 0.4        // fraction of failures in a window above which the margin shrinks
-	steep      = 4          // by this factor on the excess
-	stale      = 2 * Window // time without a message after which the owner of the level counts as gone
+	Ranks             = 8 // ranks of classes by worth
+	RankDivisions     = 8 // divisions of a rank, by hash of the request
+	Buckets           = Ranks * RankDivisions
+	Window            = 3          // interval between evaluations of the level
+	reportHistory     = 2 * Window // number of reports kept per member
+	highFailures      = 0.25       // fraction of admitted requests that fail above which shedding starts
+	lowFailures       = 0.03       // fraction of failures below which the margin may grow
+	minAdmitted       = 20         // admitted requests in a window below which failures are not significant
+	initialMargin     = 0.25       // fraction admitted beyond the estimated capacity, initially
+	maxMargin         = 1          // and at most
+	levelNoise        = 1          // rise of the level, in buckets, that is treated as noise
+	calmWindows       = 2          // consecutive windows with few failures before the margin grows
+	capacityDecay     = 0.05       // decay of the estimated capacity per window
+	fastCapacityDecay = 0.2        // the same while the fraction of failures is above highFailures
+	retryFailures     = 0.35       // fraction of local failures in a period that limits client retries
+	heavyFailures     = 0.4        // fraction of failures in a window above which the margin shrinks
+	marginCut         = 4          // by this factor on the excess
+	ownerTimeout      = 2 * Window // time without a message after which the owner of the level counts as gone
 )
 
 // Parameters of the retry budget.
 const (
-	Extra     = 0.1 // retries per first send
-	extraMost = 20  // maximum number of tokens for retries
+	RetryRatio     = 0.1 // retries per first send
+	maxRetryTokens = 20  // maximum number of tokens for retries
 )
 
 // RankByWorth returns the rank of each class by worth, the highest worth last. Classes of equal worth share a
@@ -61,22 +61,22 @@
 // that all retries of the request share, so that every member decides the same on each retry (DAGOR: Zhou et
 // al., SoCC 2018, §4.2.2 and 4.2.3, where the user is hashed).
 func Priority(rank int, who string) int {
-	return min(max(rank, 0), Ranks-1)*Shares + int(xxhash.Sum64String(who)%Shares)
+	return min(max(rank, 0), Ranks-1)*RankDivisions + int(xxhash.Sum64String(who)%RankDivisions)
 }
 
 // Counts are the requests that one member has seen since its last report.
-type Count struct {
-	Offered [Buckets]uint16 // requests by bucket, without those that clients mark as retries
-	In      uint32          // admitted requests that have ended
-	Bad     uint32          // those of Admitted that were refused, failed or cancelled by the client
+type Counts struct {
+	Offered  [Buckets]uint16 // requests by bucket, without those that clients mark as retries
+	Admitted uint32          // admitted requests that have ended
+	Failed   uint32          // those of Admitted that were refused, failed or cancelled by the client
 }
 
-func (c *Count) add(o *Count) {
+func (c *Counts) add(o *Counts) {
 	for b := range c.Offered {
 		c.Offered[b] = uint16(min(int(c.Offered[b])+int(o.Offered[b]), 1<<16-1))
 	}
-	c.In += o.In
-	c.Bad += o.Bad
+	c.Admitted += o.Admitted
+	c.Failed += o.Failed
 }
 
 // Message is a message to another member.
@@ -86,46 +86,46 @@
 }
 
 // memberReports are the last reports of one member.
-type told struct {
-	counts [fresh]Count // ring buffer
-	at     [fresh]Micros
+type memberReports struct {
+	counts [reportHistory]Counts // ring buffer
+	at     [reportHistory]Micros
 	next   int
 }
 
 // Controller is one member's overload controller: it admits requests by the level, counts outcomes and
 // reports them. One member, the owner, sets the level for the fleet.
 type Guard struct {
-	self   string
-	period Micros
-	level  int
-	keeper string
-	since  Micros // time at which this owner was chosen
-	heard  Micros // time at which the owner last sent the level
-	now    Count  // counts since the last report
-	weighs Micros // time at which this member last evaluated the level
-	streak int    // consecutive windows with few failures
-	able   float64
-	from   map[string]*told
-	tokens float64
-	busy   bool // attempts that are sent again use the budget
-	harm   bool // many admitted requests fail: clients' retries use the budget as well
-
-	Shed   [Buckets]int64 // requests shed, by bucket
-	Spent  int64          // attempts and requests sent again
-	Denied int64          // retries denied by the budget
-	First  int64          // first sends
+	self               string
+	period             Micros
+	level              int
+	owner              string
+	ownerSince         Micros // time at which this owner was chosen
+	levelAt            Micros // time at which the owner last sent the level
+	counts             Counts // counts since the last report
+	evaluatedAt        Micros // time at which this member last evaluated the level
+	calmStreak         int    // consecutive windows with few failures
+	capacity           float64
+	reports            map[string]*memberReports
+	retryTokens        float64
+	limitAttempts      bool // attempts that are sent again use the budget
+	limitClientRetries bool // many admitted requests fail: clients' retries use the budget as well
+
+	Shed       [Buckets]int64 // requests shed, by bucket
+	Spent      int64          // attempts and requests sent again
+	Denied     int64          // retries denied by the budget
+	FirstSends int64          // first sends
 }
 
 // NewController returns the controller of a member that starts.
 func NewGuard(self string, period Micros) *Guard {
-	return &Guard{self: self, period: period, from: map[string]*told{}, tokens: extraMost}
+	return &Guard{self: self, period: period, reports: map[string]*memberReports{}, retryTokens: maxRetryTokens}
 }
 
 // Level returns the bucket below which requests are shed; 0: none are.
 func (g *Guard) Level() int { return g.level }
 
 // LevelOwner returns the member that sets the level, and since when.
-func (g *Guard) Keeper() (string, Micros) { return g.keeper, g.since }
+func (g *Guard) Keeper() (string, Micros) { return g.owner, g.ownerSince }
 
 // Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
 // spread, so that requests that are shed together do not come back together. who is a number that differs by
@@ -133,41 +133,41 @@
 func (g *Guard) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
 	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
 	// level oscillated: it rose with the retries and fell without them.
-	if c := &g.now.Offered[priority]; !repeat && *c < 1<<16-1 {
+	if c := &g.counts.Offered[priority]; !repeat && *c < 1<<16-1 {
 		*c++
 	}
-	if priority >= g.level && (!repeat || !g.harm || g.again()) {
+	if priority >= g.level && (!repeat || !g.limitClientRetries || g.allowRetry()) {
 		return true, 0
 	}
 	g.Shed[priority]++
-	return false, g.comeBack(who)
+	return false, g.retryAfter(who)
 }
 
 // retryAfter returns when a shed request may be retried: a time that grows with the level, plus a random part
 // of up to the same length.
-func (g *Guard) comeBack(who uint64) Micros {
+func (g *Guard) retryAfter(who uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
 	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, who))%uint64(base))
 }
 
 // Finished records the outcome of an admitted request. well means that it was answered in time.
 func (g *Guard) Ended(well bool) {
-	if g.now.In++; !well {
-		g.now.Bad++
+	if g.counts.Admitted++; !well {
+		g.counts.Failed++
 	}
 }
 
 // allowRetry takes a token of the retry budget, if the budget applies now.
-func (g *Guard) again() bool {
-	if !g.busy {
+func (g *Guard) allowRetry() bool {
+	if !g.limitAttempts {
 		g.Spent++
 		return true
 	}
-	if g.tokens < 1 {
+	if g.retryTokens < 1 {
 		g.Denied++
 		return false
 	}
-	g.tokens--
+	g.retryTokens--
 	g.Spent++
 	return true
 }
@@ -177,18 +177,18 @@
 // does the fleet, with any number of members and without communication.
 func (g *Guard) Send(first bool) bool {
 	if first {
-		g.First++
-		g.tokens = min(extraMost, g.tokens+Extra)
+		g.FirstSends++
+		g.retryTokens = min(maxRetryTokens, g.retryTokens+RetryRatio)
 		return true
 	}
-	return g.again()
+	return g.allowRetry()
 }
 
 // RetryBudget returns how many retries would have been allowed by now if the budget had always applied.
-func (g *Guard) Budget() int64 { return extraMost + int64(Extra*float64(g.First)) }
+func (g *Guard) Budget() int64 { return maxRetryTokens + int64(RetryRatio*float64(g.FirstSends)) }
 
 // ownerOf returns the member that sets the level, by rendezvous hashing over the living members.
-func keeperOf(alive []string) (who string) {
+func ownerOf(alive []string) (who string) {
 	best := uint64(0)
 	for _, name := range alive {
 		if h := xxhash.Sum64String(name + "\nlevel"); who == "" || h > best {
@@ -206,47 +206,49 @@
 
 // Tick must be called once per period with the other members that are alive.
 func (g *Guard) Tick(now Micros, others []string) (out []Send) {
-	if keeper := keeperOf(append([]string{g.self}, others...)); keeper != g.keeper {
-		g.keeper, g.since, g.heard = keeper, now, now
-		clear(g.from)
+	if keeper := ownerOf(append([]string{g.self}, others...)); keeper != g.owner {
+		g.owner, g.ownerSince, g.levelAt = keeper, now, now
+		clear(g.reports)
 	}
-	count := g.now
-	g.now = Count{}
-	g.harm = count.In >= leastIn/4 && float64(count.Bad) > harmful*float64(count.In)
-	g.busy = g.level > 0 || count.In >= leastIn/4 && float64(count.Bad) > high*float64(count.In)
-	if g.keeper != g.self {
-		if now-g.heard > stale*g.period { // continue from the last known level by the own counts
-			g.book(now, g.self, &count)
-			g.due(now)
+	count := g.counts
+	g.counts = Counts{}
+	g.limitClientRetries = count.Admitted >= minAdmitted/4 &&
+		float64(count.Failed) > retryFailures*float64(count.Admitted)
+	g.limitAttempts = g.level > 0 || count.Admitted >= minAdmitted/4 &&
+		float64(count.Failed) > highFailures*float64(count.Admitted)
+	if g.owner != g.self {
+		if now-g.levelAt > ownerTimeout*g.period { // continue from the last known level by the own counts
+			g.record(now, g.self, &count)
+			g.evaluateIfDue(now)
 		}
-		b := append([]byte{msgReport, byte(g.level)}, encode(&count)...)
-		return append(out, Send{To: g.keeper, Data: b})
+		b := append([]byte{msgReport, byte(g.level)}, encodeCounts(&count)...)
+		return append(out, Send{To: g.owner, Data: b})
 	}
-	g.book(now, g.self, &count)
-	for who := range g.from {
+	g.record(now, g.self, &count)
+	for who := range g.reports {
 		if who != g.self && !slices.Contains(others, who) {
-			delete(g.from, who)
+			delete(g.reports, who)
 		}
 	}
-	g.due(now)
+	g.evaluateIfDue(now)
 	return out
 }
 
 // evaluateIfDue evaluates the level once per window.
-func (g *Guard) due(now Micros) {
-	if now-g.weighs >= Window*g.period {
-		g.weighs = now
-		g.weigh(now)
+func (g *Guard) evaluateIfDue(now Micros) {
+	if now-g.evaluatedAt >= Window*g.period {
+		g.evaluatedAt = now
+		g.evaluate(now)
 	}
 }
 
-func (g *Guard) book(now Micros, who string, c *Count) {
-	t := g.from[who]
+func (g *Guard) record(now Micros, who string, c *Counts) {
+	t := g.reports[who]
 	if t == nil {
-		t = &told{}
-		g.from[who] = t
+		t = &memberReports{}
+		g.reports[who] = t
 	}
-	t.counts[t.next%fresh], t.at[t.next%fresh] = *c, now
+	t.counts[t.next%reportHistory], t.at[t.next%reportHistory] = *c, now
 	t.next++
 }
 
@@ -254,33 +256,33 @@
 // of the admitted requests fails, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the
 // offered load; the signal is how requests end and not how long they wait, as a coordinator does not see the
 // servers' queues). See NextLevel.
-func (g *Guard) weigh(now Micros) {
-	var sum Count
-	for _, t := range g.from {
+func (g *Guard) evaluate(now Micros) {
+	var sum Counts
+	for _, t := range g.reports {
 		for i := range t.counts {
 			if t.at[i] > 0 && now-t.at[i] < Window*g.period+g.period/2 {
 				sum.add(&t.counts[i])
 			}
 		}
 	}
-	if float64(sum.Bad) < low*float64(sum.In) {
-		g.streak++
+	if float64(sum.Failed) < lowFailures*float64(sum.Admitted) {
+		g.calmStreak++
 	} else {
-		g.streak = 0
+		g.calmStreak = 0
 	}
-	g.able = Able(g.able, &sum)
-	g.level = Next(g.level, g.streak, g.able, &sum)
+	g.capacity = EstimateCapacity(g.capacity, &sum)
+	g.level = NextLevel(g.level, g.calmStreak, g.capacity, &sum)
 }
 
 // EstimateCapacity returns how many requests the servers can answer in a window: the recent maximum, which
 // decays faster while more is admitted than they answer. A single overloaded window says little: after queues
 // were full, much of the servers' work goes into requests that nobody waits for any more.
-func Able(able float64, sum *Count) float64 {
-	lost := forget
-	if sum.In >= leastIn && float64(sum.Bad) > high*float64(sum.In) {
-		lost = unlearn
+func EstimateCapacity(able float64, sum *Counts) float64 {
+	lost := capacityDecay
+	if sum.Admitted >= minAdmitted && float64(sum.Failed) > highFailures*float64(sum.Admitted) {
+		lost = fastCapacityDecay
 	}
-	return max(float64(sum.In-sum.Bad), able*(1-lost))
+	return max(float64(sum.Admitted-sum.Failed), able*(1-lost))
 }
 
 // NextLevel returns the level after a window in which level applied. streak is the number of consecutive
@@ -290,20 +292,21 @@
 // modules refuse what the margin admits in excess. An earlier version that reduced the admitted load by the
 // fraction refused (DAGOR, §4.2.3) shed requests that the servers could have answered: an immediate refusal
 // does no harm and does not show how much capacity there is.
-func Next(level, streak int, able float64, sum *Count) int {
-	bad := float64(sum.Bad) / float64(max(1, sum.In))
-	if level == 0 && (sum.In < leastIn || bad <= high) {
+func NextLevel(level, streak int, able float64, sum *Counts) int {
+	bad := float64(sum.Failed) / float64(max(1, sum.Admitted))
+	if level == 0 && (sum.Admitted < minAdmitted || bad <= highFailures) {
 		return 0
 	}
-	more := min(marginMost, margin*float64(int(1)<<min(max(0, streak-careful), 8)))
-	more -= steep * max(0, bad-heavy) // clients' retries add to the admitted load, and much work is wasted
-	room := max(leastIn, able*(1+more))
+	more := min(maxMargin, initialMargin*float64(int(1)<<min(max(0, streak-calmWindows), 8)))
+	// Clients' retries add to the admitted load, and much work is wasted.
+	more -= marginCut * max(0, bad-heavyFailures)
+	room := max(minAdmitted, able*(1+more))
 	next, letIn := Buckets, 0.0
 	for next > 0 && letIn+float64(sum.Offered[next-1]) <= room {
 		next--
 		letIn += float64(sum.Offered[next])
 	}
-	if next = min(next, Buckets-1); next > level && float64(next-level) <= slack && bad <= high {
+	if next = min(next, Buckets-1); next > level && float64(next-level) <= levelNoise && bad <= highFailures {
 		return level // within the noise
 	}
 	return next
@@ -317,24 +320,24 @@
 	case r.Bad || level >= Buckets:
 		return nil, false
 	case kind == msgReport:
-		c, ok := decode(r)
+		c, ok := decodeCounts(r)
 		if !ok {
 			return nil, false
 		}
-		if g.keeper != g.self {
+		if g.owner != g.self {
 			return nil, true // the sender's view of the fleet differs; the views converge soon
 		}
-		if g.from[from] == nil && now-g.since < Window*g.period {
+		if g.reports[from] == nil && now-g.ownerSince < Window*g.period {
 			g.level = max(g.level, level) // a new owner continues from the strictest level
 		}
-		g.book(now, from, &c)
+		g.record(now, from, &c)
 		return []Send{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
 	case kind == msgLevel:
 		if len(r.B) > 0 {
 			return nil, false
 		}
-		if from == g.keeper {
-			g.level, g.heard = level, now
+		if from == g.owner {
+			g.level, g.levelAt = level, now
 		}
 		return nil, true
 	}
@@ -343,18 +346,18 @@
 
 // LevelAge returns the time since the owner last sent the level; 0 at the owner itself.
 func (g *Guard) Heard(now Micros) Micros {
-	if g.keeper == g.self {
+	if g.owner == g.self {
 		return 0
 	}
-	return now - g.heard
+	return now - g.levelAt
 }
 
 // encodeCounts encodes counts. A bit set says which buckets follow, as empty ones are omitted.
-func encode(c *Count) []byte {
+func encodeCounts(c *Counts) []byte {
 	var set uint64
 	b := make([]byte, 0, 16+2*Buckets)
-	b = binary.LittleEndian.AppendUint32(b, c.In)
-	b = binary.LittleEndian.AppendUint32(b, c.Bad)
+	b = binary.LittleEndian.AppendUint32(b, c.Admitted)
+	b = binary.LittleEndian.AppendUint32(b, c.Failed)
 	for i, n := range c.Offered {
 		if n > 0 {
 			set |= 1 << i
@@ -369,13 +372,13 @@
 	return b
 }
 
-func decode(r *datagram.Reader) (c Count, ok bool) {
-	c.In, c.Bad = r.U32(), r.U32()
+func decodeCounts(r *datagram.Reader) (c Counts, ok bool) {
+	c.Admitted, c.Failed = r.U32(), r.U32()
 	set := r.U64()
 	for i := range c.Offered {
 		if set>>i&1 == 1 {
 			c.Offered[i] = r.U16()
 		}
 	}
-	return c, !r.Bad && len(r.B) == 0 && c.Bad <= c.In && c.In < 1<<24
+	return c, !r.Bad && len(r.B) == 0 && c.Failed <= c.Admitted && c.Admitted < 1<<24
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -14,46 +14,46 @@
 // serverFleet simulates a fleet of controllers and servers of limited capacity. Requests beyond the capacity
 // fail late and at random, and each failure wastes a fraction of an answer, so that the servers answer less
 // the more they are overloaded.
-type plant struct {
-	rng      *rand.Rand
-	guards   []*Guard
-	now      Micros
-	capacity float64 // answers per period
-	offered  float64 // new requests per period
-	retries  int     // retries per request, each two periods later
-	waste    float64 // fraction of an answer that each failed request costs
-	again    [][]int // retries by period from now on
-	cut      func(a, b int) bool
-	served   [Ranks]int
-	asked    [Ranks]int
-	bytes    int
-	levels   []int
-	names    []string
+type serverFleet struct {
+	rng         *rand.Rand
+	controllers []*Guard
+	now         Micros
+	capacity    float64 // answers per period
+	offered     float64 // new requests per period
+	retries     int     // retries per request, each two periods later
+	waste       float64 // fraction of an answer that each failed request costs
+	retryQueue  [][]int // retries by period from now on
+	cut         func(a, b int) bool
+	served      [Ranks]int
+	asked       [Ranks]int
+	bytes       int
+	levels      []int
+	names       []string
 }
 
-func newPlant(n int, seed uint64) *plant {
-	p := &plant{rng: rand.New(rand.NewPCG(seed, 1)), now: 1, capacity: 200, waste: 0.2,
+func newServerFleet(n int, seed uint64) *serverFleet {
+	p := &serverFleet{rng: rand.New(rand.NewPCG(seed, 1)), now: 1, capacity: 200, waste: 0.2,
 		cut: func(int, int) bool { return false }}
 	for i := range n {
 		p.names = append(p.names, fmt.Sprint("m", i))
-		p.guards = append(p.guards, NewGuard(p.names[i], period))
+		p.controllers = append(p.controllers, NewGuard(p.names[i], period))
 	}
-	p.again = make([][]int, 4)
+	p.retryQueue = make([][]int, 4)
 	return p
 }
 
-func (p *plant) period() {
+func (p *serverFleet) period() {
 	p.now += period
 	var ask []int // requests by ID; the last decimal digit is the number of the retry
 	for range int(p.offered) {
 		ask = append(ask, 10*p.rng.IntN(1<<30))
 	}
-	repeats := p.again[0]
-	p.again = append(p.again[1:], nil)
+	repeats := p.retryQueue[0]
+	p.retryQueue = append(p.retryQueue[1:], nil)
 	var in []int
 	var by []*Guard
 	try := func(id int, repeat bool) {
-		g := p.guards[p.rng.IntN(len(p.guards))]
+		g := p.controllers[p.rng.IntN(len(p.controllers))]
 		id, tries := id/10, id%10
 		rank := 4 + id%4
 		if !repeat {
@@ -62,7 +62,7 @@
 		if ok, _ := g.Admit(Priority(rank, fmt.Sprint(id)), uint64(id), repeat); ok {
 			in, by = append(in, 10*id+tries), append(by, g)
 		} else if tries < p.retries {
-			p.again[2] = append(p.again[2], 10*id+tries+1)
+			p.retryQueue[2] = append(p.retryQueue[2], 10*id+tries+1)
 		}
 	}
 	for _, id := range ask {
@@ -79,7 +79,7 @@
 			does--
 			p.served[4+in[k]/10%4]++
 		} else if in[k]%10 < p.retries {
-			p.again[2] = append(p.again[2], in[k]+1)
+			p.retryQueue[2] = append(p.retryQueue[2], in[k]+1)
 		}
 	}
 	type letter struct {
@@ -87,9 +87,9 @@
 		Send
 	}
 	var post []letter
-	for i, g := range p.guards {
+	for i, g := range p.controllers {
 		var others []string
-		for j := range p.guards {
+		for j := range p.controllers {
 			if j != i && !p.cut(i, j) {
 				others = append(others, p.names[j])
 			}
@@ -107,7 +107,7 @@
 		if p.cut(l.from, to) {
 			continue
 		}
-		out, ok := p.guards[to].Receive(p.now, p.names[l.from], l.Data)
+		out, ok := p.controllers[to].Receive(p.now, p.names[l.from], l.Data)
 		if !ok {
 			panic("a controller rejects the message of another one")
 		}
@@ -115,10 +115,10 @@
 			post = append(post, letter{to, s})
 		}
 	}
-	p.levels = append(p.levels, p.guards[0].level)
+	p.levels = append(p.levels, p.controllers[0].level)
 }
 
-func (p *plant) run(periods int) (goodput float64, worst, best float64) {
+func (p *serverFleet) run(periods int) (goodput float64, worst, best float64) {
 	p.served, p.asked = [Ranks]int{}, [Ranks]int{}
 	for range periods {
 		p.period()
@@ -134,13 +134,13 @@
 // At 2 and 3 times the capacity of the servers, they answer nine tenths of their capacity, requests of the
 // highest worth are served first, all members have the same level, and it does not oscillate. After the
 // overload nothing is shed any more.
-func TestOneLevel(t *testing.T) {
+func TestFleetSharesOneLevel(t *testing.T) {
 	for _, members := range []int{3, 30} {
 		for _, times := range []float64{2, 3} {
-			p := newPlant(members, uint64(members))
+			p := newServerFleet(members, uint64(members))
 			p.offered = 0.7 * p.capacity
-			if good, _, _ := p.run(100); good < 0.68 || p.guards[0].level != 0 {
-				t.Fatalf("%d members, no overload: %.2f served at level %d", members, good, p.guards[0].level)
+			if good, _, _ := p.run(100); good < 0.68 || p.controllers[0].level != 0 {
+				t.Fatalf("%d members, no overload: %.2f served at level %d", members, good, p.controllers[0].level)
 			}
 			p.offered = times * p.capacity
 			p.run(100)
@@ -156,15 +156,15 @@
 			if hi-lo > 6 {
 				t.Errorf("%d members, load %g: the level oscillates between %d and %d", members, times, lo, hi)
 			}
-			for _, g := range p.guards {
-				if g.level != p.guards[0].level && g.level != p.levels[len(p.levels)-2] {
-					t.Errorf("levels %d and %d at the same time", g.level, p.guards[0].level)
+			for _, g := range p.controllers {
+				if g.level != p.controllers[0].level && g.level != p.levels[len(p.levels)-2] {
+					t.Errorf("levels %d and %d at the same time", g.level, p.controllers[0].level)
 				}
 			}
 			p.offered = 0.7 * p.capacity
 			p.run(100)
-			if good, _, _ := p.run(50); good < 0.68 || p.guards[0].level != 0 {
-				t.Errorf("%d members, after the overload: %.2f served at level %d", members, good, p.guards[0].level)
+			if good, _, _ := p.run(50); good < 0.68 || p.controllers[0].level != 0 {
+				t.Errorf("%d members, after the overload: %.2f served at level %d", members, good, p.controllers[0].level)
 			}
 			t.Logf("%d members, load %g: %.2f of capacity, %.2f of the lowest rank, %.2f of the highest, "+
 				"levels %d to %d", members, times, good, worst, best, lo, hi)
@@ -175,8 +175,8 @@
 // goodputAfterTrigger returns the goodput, relative to the capacity, 10 to 20 s after a trigger of 10 s in
 // which the servers had a fifth of their capacity. The offered load is 0.85 of the capacity, and clients
 // retry the given number of times.
-func afterTrigger(seed uint64, retries int, guarded bool) float64 {
-	p := newPlant(5, seed)
+func goodputAfterTrigger(seed uint64, retries int, guarded bool) float64 {
+	p := newServerFleet(5, seed)
 	p.retries, p.waste = retries, 0.5
 	p.offered = 0.85 * p.capacity
 	p.run(50)
@@ -184,14 +184,14 @@
 	p.run(50)
 	p.capacity *= 5
 	if !guarded {
-		for _, g := range p.guards {
-			g.keeper = "nobody"
+		for _, g := range p.controllers {
+			g.owner = "nobody"
 		}
 	}
 	for range 50 {
 		if p.period(); !guarded {
-			for _, g := range p.guards {
-				g.level, g.busy, g.harm = 0, false, false
+			for _, g := range p.controllers {
+				g.level, g.limitAttempts, g.limitClientRetries = 0, false, false
 			}
 		}
 	}
@@ -202,15 +202,15 @@
 // After a trigger, with clients that retry, the fleet recovers by itself. With three retries per request and
 // half an answer wasted per failure, recovery takes longer than 10 s with some seeds, but the goodput is
 // never worse than without the level.
-func TestOutOfItByItself(t *testing.T) {
+func TestRecoversFromTrigger(t *testing.T) {
 	for seed := range uint64(6) {
-		if good := afterTrigger(seed, 2, true); good < 0.95*0.85 {
+		if good := goodputAfterTrigger(seed, 2, true); good < 0.95*0.85 {
 			t.Errorf("seed %d: %.2f served 10 s after the trigger, 0.85 before", seed, good)
 		}
 	}
 	gain := 0.0
 	for seed := range uint64(8) {
-		with, without := afterTrigger(seed, 3, true), afterTrigger(seed, 3, false)
+		with, without := goodputAfterTrigger(seed, 3, true), goodputAfterTrigger(seed, 3, false)
 		if with < without-0.03 {
 			t.Errorf("seed %d: %.2f served with the level, %.2f without", seed, with, without)
 		}
@@ -227,17 +227,18 @@
 // If the owner of the level dies, another member continues from its level. In a partition each side has its
 // own owner. A member that gets no messages from the owner continues by its own counts from the last known
 // level.
-func TestTheKeeperGoes(t *testing.T) {
-	p := newPlant(5, 3)
+func TestLevelOwnerFails(t *testing.T) {
+	p := newServerFleet(5, 3)
 	p.offered = 2 * p.capacity
 	p.run(100)
-	level := p.guards[0].level
+	level := p.controllers[0].level
 	var keeper int
-	_, _ = fmt.Sscanf(p.guards[0].keeper, "m%d", &keeper)
+	_, _ = fmt.Sscanf(p.controllers[0].owner, "m%d", &keeper)
 	p.cut = func(a, b int) bool { return a != b && (a == keeper || b == keeper) }
 	p.run(Window - 1)
 	other := (keeper + 1) % 5
-	if got := p.guards[other].level; got < level-8 || p.guards[other].keeper == p.guards[keeper].keeper {
+	if got := p.controllers[other].level; got < level-8 ||
+		p.controllers[other].owner == p.controllers[keeper].owner {
 		t.Errorf("level %d after its owner has gone, %d before", got, level)
 	}
 	if good, _, _ := p.run(100); good < 0.85 {
@@ -245,19 +246,19 @@
 	}
 	p.cut = func(int, int) bool { return false }
 	p.run(2 * Window)
-	for _, g := range p.guards {
-		if g.keeper != p.guards[0].keeper {
+	for _, g := range p.controllers {
+		if g.owner != p.controllers[0].owner {
 			t.Error("two owners after the partition has healed")
 		}
 	}
 	// The owner is alive, but no message comes from it.
 	others := []string{"m0", "m1", "m2", "m3"}
 	var g *Guard
-	for i := 0; g == nil || g.keeper == g.self; i++ {
+	for i := 0; g == nil || g.owner == g.self; i++ {
 		g = NewGuard(fmt.Sprint("x", i), period)
 		g.Tick(1, others)
 	}
-	if _, ok := g.Receive(2, g.keeper, []byte{msgLevel, 30}); !ok || g.level != 30 {
+	if _, ok := g.Receive(2, g.owner, []byte{msgLevel, 30}); !ok || g.level != 30 {
 		t.Fatal("the owner's level is not applied")
 	}
 	for i := range Micros(60) {
@@ -276,12 +277,12 @@
 
 // While the retry budget applies, retries are at most a tenth of the first sends plus the initial tokens,
 // with any number of members. Otherwise they are not limited.
-func TestTheBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	for _, members := range []int{1, 10, 100} {
 		first, again := 0, 0
 		for i := range members {
 			g := NewGuard(fmt.Sprint(i), period)
-			g.busy = true
+			g.limitAttempts = true
 			for range 1000 {
 				if g.Send(true) {
 					first++
@@ -294,7 +295,7 @@
 				t.Fatalf("%d retries sent, budget %d, %d denied", g.Spent, g.Budget(), g.Denied)
 			}
 		}
-		if most := float64(first)*Extra + float64(extraMost*members); float64(again) > most {
+		if most := float64(first)*RetryRatio + float64(maxRetryTokens*members); float64(again) > most {
 			t.Errorf("%d members: %d first sends and %d retries", members, first, again)
 		}
 	}
@@ -308,17 +309,17 @@
 
 // The next level is always in range, and 0 without overload. It admits no more than what was answered plus
 // the maximum margin, or minAdmitted requests if that is more.
-func TestNext(t *testing.T) {
+func TestNextLevel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var c Count
+		var c Counts
 		for b := range c.Offered {
 			c.Offered[b] = rapid.Uint16Range(0, 500).Draw(t, "offered")
 		}
-		c.In = rapid.Uint32Range(0, 10_000).Draw(t, "in")
-		c.Bad = rapid.Uint32Range(0, c.In).Draw(t, "bad")
+		c.Admitted = rapid.Uint32Range(0, 10_000).Draw(t, "in")
+		c.Failed = rapid.Uint32Range(0, c.Admitted).Draw(t, "bad")
 		level := rapid.IntRange(0, Buckets-1).Draw(t, "level")
-		next := Next(level, rapid.IntRange(0, 20).Draw(t, "streak"), float64(c.In-c.Bad), &c)
-		bad := float64(c.Bad) / float64(max(1, c.In))
+		next := NextLevel(level, rapid.IntRange(0, 20).Draw(t, "streak"), float64(c.Admitted-c.Failed), &c)
+		bad := float64(c.Failed) / float64(max(1, c.Admitted))
 		letIn := 0.0
 		for b := max(next, 0); b < Buckets-1; b++ { // the last bucket is never turned away
 			letIn += float64(c.Offered[b])
@@ -326,10 +327,10 @@
 		switch {
 		case next < 0 || next >= Buckets:
 			t.Fatalf("level %d", next)
-		case level == 0 && bad <= high && next > 0:
+		case level == 0 && bad <= highFailures && next > 0:
 			t.Fatalf("level %d with %.2f failed", next, bad)
-		case next != level && letIn > max(leastIn, float64(c.In-c.Bad)*(1+marginMost)):
-			t.Fatalf("level %d admits %.0f, but %d were answered", next, letIn, c.In-c.Bad)
+		case next != level && letIn > max(minAdmitted, float64(c.Admitted-c.Failed)*(1+maxMargin)):
+			t.Fatalf("level %d admits %.0f, but %d were answered", next, letIn, c.Admitted-c.Failed)
 		}
 	})
 }
@@ -342,7 +343,7 @@
 		t.Errorf("%v", got)
 	}
 	once, again := Priority(3, "a"), Priority(3, "a")
-	if once != again || once/Shares != 3 || Priority(99, "a") >= Buckets {
+	if once != again || once/RankDivisions != 3 || Priority(99, "a") >= Buckets {
 		t.Errorf("priorities %d, %d and %d", once, again, Priority(99, "a"))
 	}
 	seen := map[Micros]bool{}
@@ -361,9 +362,9 @@
 }
 
 func FuzzReceive(f *testing.F) {
-	c := Count{In: 5, Bad: 1}
+	c := Counts{Admitted: 5, Failed: 1}
 	c.Offered[3] = 7
-	f.Add(append([]byte{msgReport, 1}, encode(&c)...))
+	f.Add(append([]byte{msgReport, 1}, encodeCounts(&c)...))
 	f.Add([]byte{msgLevel, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		g := NewGuard("a", period)
@@ -378,11 +379,11 @@
 
 // The longest report fits into the maximum message size of a datagram.
 func TestReportsFit(t *testing.T) {
-	var c Count
+	var c Counts
 	for b := range c.Offered {
 		c.Offered[b] = 1<<16 - 1
 	}
-	if n := 2 + len(encode(&c)); n > 190 {
+	if n := 2 + len(encodeCounts(&c)); n > 190 {
 		t.Errorf("the longest report has %d bytes", n)
 	}
 }
@@ -402,7 +403,7 @@
 	}
 	for _, members := range []int{3, 30, 300, 1000} {
 		for _, times := range []float64{0.7, 1, 1.5, 2, 3} {
-			p := newPlant(members, uint64(members))
+			p := newServerFleet(members, uint64(members))
 			p.capacity = max(200, float64(4*members))
 			p.offered = times * p.capacity
 			p.run(40)
@@ -415,7 +416,7 @@
 			sent := p.bytes
 			p.offered = 0.7 * p.capacity
 			until := 0
-			for p.period(); p.guards[0].level > 0 && until < 200; until++ {
+			for p.period(); p.controllers[0].level > 0 && until < 200; until++ {
 				p.period()
 			}
 			t.Logf("%4d members, load %.1f: %.3f of capacity answered, %.2f of the lowest rank, "+
--- a/internal/quota/chaos_test.go
+++ b/internal/quota/chaos_test.go
@@ -8,63 +8,63 @@
 )
 
 // memberProcess is one member's process with its leases, a rate limit and a concurrency limit.
-type process struct {
-	tenure *Tenure
+type memberProcess struct {
+	leases *Tenure
 	share  *Share
 	slots  *Slots
-	open   []opened
+	open   []openRequest
 }
 
 // openRequest is an admitted request in flight.
-type opened struct {
-	at   Place
+type openRequest struct {
+	slot Place
 	ends Micros // on its member's clock
 }
 
 // faultFleet simulates members with both kinds of limit and with leases, under faults.
-type fleet struct {
-	t        testing.TB
-	rng      *rand.Rand
-	now      Micros
-	rate     Limit
-	some     Limit
-	hold     Micros
-	names    []string
-	procs    []*process
-	skew     []float64
-	offset   []float64
-	demand   []float64 // requests per second
-	owed     []float64
-	down     []bool
-	frozen   []bool
-	flying   []flight
-	loss     float64
-	late     float64
-	cut      func(a, b int) bool
-	alive    func(i int) []string // members that member i believes to be alive, which may be wrong
-	starts   uint64
-	hasty    bool
-	worst    float64 // maximum sum of the rates in use, relative to the limit
-	most     int     // maximum number of requests in flight
-	twice    int     // number of steps in which two members held the same lease
-	let      int     // requests admitted by the rate limit
-	letEarly int     // the same, reset by tests
-	bytes    int
+type faultFleet struct {
+	t              testing.TB
+	rng            *rand.Rand
+	now            Micros
+	rate           Limit
+	concurrency    Limit
+	hold           Micros
+	names          []string
+	procs          []*memberProcess
+	skew           []float64
+	offset         []float64
+	demand         []float64 // requests per second
+	owed           []float64
+	down           []bool
+	frozen         []bool
+	inFlight       []message
+	loss           float64
+	lateFraction   float64
+	cut            func(a, b int) bool
+	alive          func(i int) []string // members that member i believes to be alive, which may be wrong
+	starts         uint64
+	noStartWait    bool
+	maxRate        float64 // maximum sum of the rates in use, relative to the limit
+	maxOpen        int     // maximum number of requests in flight
+	doubleHeld     int     // number of steps in which two members held the same lease
+	admitted       int     // requests admitted by the rate limit
+	admittedByRate int     // the same, reset by tests
+	bytes          int
 }
 
-func newFleet(t testing.TB, n int, seed uint64, part float64) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 4)), now: 1_000_000, hold: 2_000_000,
-		rate: Limit{Name: "r", ID: 1, Rate: 200, Burst: 50, Floor: part},
-		some: Limit{Name: "c", ID: 2, Rate: 40, Floor: part}, starts: seed,
+func newFaultFleet(t testing.TB, n int, seed uint64, part float64) *faultFleet {
+	f := &faultFleet{t: t, rng: rand.New(rand.NewPCG(seed, 4)), now: 1_000_000, hold: 2_000_000,
+		rate:        Limit{Name: "r", ID: 1, Rate: 200, Burst: 50, Floor: part},
+		concurrency: Limit{Name: "c", ID: 2, Rate: 40, Floor: part}, starts: seed,
 		cut: func(int, int) bool { return false }}
 	for i := range n {
 		f.names = append(f.names, fmt.Sprint("m", i))
-		f.skew = append(f.skew, 1+Drift*(2*f.rng.Float64()-1))
+		f.skew = append(f.skew, 1+MaxDrift*(2*f.rng.Float64()-1))
 		f.offset = append(f.offset, f.rng.Float64()*1e9)
 	}
 	f.demand, f.owed = make([]float64, n), make([]float64, n)
 	f.down, f.frozen = make([]bool, n), make([]bool, n)
-	f.procs = make([]*process, n)
+	f.procs = make([]*memberProcess, n)
 	f.alive = func(i int) (names []string) {
 		for j := range f.names {
 			if i == j || !f.down[j] && !f.frozen[j] && !f.cut(i, j) {
@@ -79,48 +79,48 @@
 	return f
 }
 
-func (f *fleet) clock(i int) Micros { return Micros(f.offset[i] + float64(f.now)*f.skew[i]) }
+func (f *faultFleet) clock(i int) Micros { return Micros(f.offset[i] + float64(f.now)*f.skew[i]) }
 
-func (f *fleet) start(i int) {
+func (f *faultFleet) start(i int) {
 	f.starts++
 	now := f.clock(i)
-	p := &process{share: NewShare(f.rate, len(f.names), period, f.starts, now),
-		slots:  NewSlots(f.some, len(f.names), i, period, f.hold, f.starts, now),
-		tenure: NewTenure(f.names[i], f.names, 7, period, now)}
-	if p.tenure != nil {
-		p.tenure.Hasty = f.hasty
+	p := &memberProcess{share: NewShare(f.rate, len(f.names), period, f.starts, now),
+		slots:  NewSlots(f.concurrency, len(f.names), i, period, f.hold, f.starts, now),
+		leases: NewTenure(f.names[i], f.names, 7, period, now)}
+	if p.leases != nil {
+		p.leases.FaultNoStartWait = f.noStartWait
 	}
 	f.procs[i], f.down[i], f.frozen[i] = p, false, false
 }
 
-func (f *fleet) send(from int, list []Send) {
+func (f *faultFleet) send(from int, list []Send) {
 	for _, s := range list {
 		to := slices.Index(f.names, s.To)
 		f.bytes += len(s.Data)
 		wait := Micros(f.rng.IntN(3_000))
-		if f.rng.Float64() < f.late {
+		if f.rng.Float64() < f.lateFraction {
 			wait += Micros(f.rng.IntN(4_000_000))
 		}
 		if f.rng.Float64() >= f.loss && !f.cut(from, to) {
-			f.flying = append(f.flying, flight{f.now + wait, from, to, s.Data})
+			f.inFlight = append(f.inFlight, message{f.now + wait, from, to, s.Data})
 		}
 	}
 }
 
-func (p *process) receive(now Micros, from string, data []byte) []Send {
+func (p *memberProcess) receive(now Micros, from string, data []byte) []Send {
 	switch id, _ := IDOf(data); {
-	case IsTenure(data) && p.tenure != nil:
-		return p.tenure.Receive(now, from, data)
+	case IsTenure(data) && p.leases != nil:
+		return p.leases.Receive(now, from, data)
 	case id == 1:
 		return p.share.Receive(now, from, data)
 	}
 	return p.slots.Receive(now, from, data)
 }
 
-func (p *process) tick(now Micros, alive []string, self string) (out []Send) {
-	if p.tenure != nil {
-		out = p.tenure.Tick(now, alive)
-		e := p.tenure.Entitlement(now)
+func (p *memberProcess) tick(now Micros, alive []string, self string) (out []Send) {
+	if p.leases != nil {
+		out = p.leases.Tick(now, alive)
+		e := p.leases.Entitlement(now)
 		p.share.Entitle(now, e)
 		p.slots.Entitle(now, e)
 	}
@@ -130,14 +130,14 @@
 }
 
 // step advances the time by 20 ms.
-func (f *fleet) step(tick bool) {
+func (f *faultFleet) step(tick bool) {
 	f.now += 20_000
-	flying := f.flying
-	f.flying = nil
+	flying := f.inFlight
+	f.inFlight = nil
 	for _, x := range flying {
 		switch {
 		case x.at > f.now || f.frozen[x.to]:
-			f.flying = append(f.flying, x)
+			f.inFlight = append(f.inFlight, x)
 		case !f.down[x.to]:
 			f.send(x.to, f.procs[x.to].receive(f.clock(x.to), f.names[x.from], x.data))
 		}
@@ -156,13 +156,13 @@
 		if f.down[i] || f.frozen[i] {
 			continue
 		}
-		p.open = slices.DeleteFunc(p.open, func(o opened) bool {
+		p.open = slices.DeleteFunc(p.open, func(o openRequest) bool {
 			done := o.ends <= now || f.rng.IntN(40) == 0
 			if done && o.ends > now {
 				open--
 			}
 			if done {
-				p.slots.Done(now, o.at)
+				p.slots.Done(now, o.slot)
 			}
 			return done
 		})
@@ -171,32 +171,32 @@
 		}
 		for f.owed[i] += f.demand[i] / 50; f.owed[i] >= 1; f.owed[i]-- {
 			if ok, _ := p.share.Take(now); ok {
-				f.let++
-				f.letEarly++
+				f.admitted++
+				f.admittedByRate++
 			}
 			ends := now + 1 + Micros(f.rng.Int64N(f.hold))
 			if at, ok, _ := p.slots.Take(now, ends); ok {
-				p.open = append(p.open, opened{at, ends})
+				p.open = append(p.open, openRequest{at, ends})
 				open++
 			}
 		}
 		p.share.refill(now)
 		sum += p.share.rate
-		if p.tenure != nil {
-			for _, of := range p.tenure.Holds(now) {
+		if p.leases != nil {
+			for _, of := range p.leases.Holds(now) {
 				holders[of]++
 			}
 		}
 	}
 	for _, n := range holders {
 		if n > 1 {
-			f.twice++
+			f.doubleHeld++
 		}
 	}
-	f.worst, f.most = max(f.worst, sum/(f.rate.Rate/(1+Drift))), max(f.most, open)
+	f.maxRate, f.maxOpen = max(f.maxRate, sum/(f.rate.Rate/(1+MaxDrift))), max(f.maxOpen, open)
 }
 
-func (f *fleet) run(periods int) {
+func (f *faultFleet) run(periods int) {
 	for range periods {
 		for k := range period / 20_000 {
 			f.step(k == 0)
@@ -205,7 +205,7 @@
 }
 
 // chaos injects random faults into members and links and changes the demand, for a number of rounds.
-func (f *fleet) chaos(rounds int) {
+func (f *faultFleet) chaos(rounds int) {
 	n := len(f.procs)
 	for range rounds {
 		i := f.rng.IntN(n)
@@ -242,10 +242,10 @@
 
 // Under faults of members, links, clocks and membership views, the rates in use never exceed the limit, no
 // more requests are in flight than allowed, and no lease has two holders.
-func TestNeverOverWithTenure(t *testing.T) {
+func TestLimitNeverExceededWithLeases(t *testing.T) {
 	for seed := range uint64(10) {
-		f := newFleet(t, 3+int(seed)%4, seed, 0.5)
-		f.loss, f.late = 0.3*float64(seed%2), 0.1*float64(seed%3)
+		f := newFaultFleet(t, 3+int(seed)%4, seed, 0.5)
+		f.loss, f.lateFraction = 0.3*float64(seed%2), 0.1*float64(seed%3)
 		if seed%4 == 3 { // views that randomly miss living members
 			right := f.alive
 			f.alive = func(i int) []string {
@@ -256,21 +256,22 @@
 			f.demand[i] = 150
 		}
 		f.chaos(120)
-		if f.worst > 1.000001 || f.most > int(f.some.Rate) || f.twice > 0 || f.let == 0 || f.most < 10 {
+		if f.maxRate > 1.000001 || f.maxOpen > int(f.concurrency.Rate) || f.doubleHeld > 0 || f.admitted == 0 ||
+			f.maxOpen < 10 {
 			t.Fatalf("seed %d: rates reach %.4f of the limit, %d in flight of %.0f, %d times two holders, %d admitted",
-				seed, f.worst, f.most, f.some.Rate, f.twice, f.let)
+				seed, f.maxRate, f.maxOpen, f.concurrency.Rate, f.doubleHeld, f.admitted)
 		}
 	}
 }
 
 // A voter that votes as soon as it has started lets two members hold the same lease, and the checks detect
 // that.
-func TestAHastyVoterIsFound(t *testing.T) {
+func TestDetectsVoteWithoutStartWait(t *testing.T) {
 	for seed := range uint64(40) {
-		f := newFleet(t, 3, seed, 0.5)
-		f.hasty = true
+		f := newFaultFleet(t, 3, seed, 0.5)
+		f.noStartWait = true
 		f.chaos(60)
-		if f.twice > 0 {
+		if f.doubleHeld > 0 {
 			return
 		}
 	}
@@ -280,32 +281,32 @@
 // Another member uses the leased part of a dead member's share within 3 terms and 2 periods after the death
 // is known, and the member has it back within 4 terms after its return. In a partition the majority uses the
 // leased parts of the others, and the minority keeps its floor.
-func TestTheDeadsShareIsUsed(t *testing.T) {
-	f := newFleet(t, 5, 7, 0.5)
+func TestShareOfDeadMemberIsUsed(t *testing.T) {
+	f := newFaultFleet(t, 5, 7, 0.5)
 	for i := range f.demand {
 		f.demand[i] = 200
 	}
 	rate := func() float64 {
-		f.letEarly = 0
+		f.admittedByRate = 0
 		f.run(25)
-		return float64(f.letEarly) / 5
+		return float64(f.admittedByRate) / 5
 	}
-	f.run(4 * Term)
+	f.run(4 * TermPeriods)
 	if got := rate(); got < 0.95*f.rate.Rate {
 		t.Fatalf("%.0f requests per second of %.0f with all members alive", got, f.rate.Rate)
 	}
 	f.down[4] = true
-	f.run(3*Term + 2)
+	f.run(3*TermPeriods + 2)
 	if got := rate(); got < 0.88*f.rate.Rate { // 4/5 and half of the last fifth
 		t.Errorf("%.0f requests per second of %.0f with one member dead", got, f.rate.Rate)
 	}
 	f.start(4)
-	f.run(4 * Term)
+	f.run(4 * TermPeriods)
 	if got := rate(); got < 0.95*f.rate.Rate {
 		t.Errorf("%.0f requests per second of %.0f after its return", got, f.rate.Rate)
 	}
 	f.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
-	f.run(4 * Term)
+	f.run(4 * TermPeriods)
 	sides := [2]float64{}
 	before := make([]int64, 5)
 	for i, p := range f.procs {
@@ -324,30 +325,30 @@
 // Concurrency slots are lent: with all traffic at one of five members it has most of them, and each member
 // has its own slots back when it needs them.
 func TestSlotsAreLent(t *testing.T) {
-	f := newFleet(t, 5, 8, 1)
+	f := newFaultFleet(t, 5, 8, 1)
 	f.demand[1] = 200
-	f.run(3 * Term)
-	open := f.procs[1].slots.opened()
-	if float64(open) < 0.85*f.some.Rate {
-		t.Errorf("%d of %.0f in flight at the member with all traffic", open, f.some.Rate)
+	f.run(3 * TermPeriods)
+	open := f.procs[1].slots.inFlight()
+	if float64(open) < 0.85*f.concurrency.Rate {
+		t.Errorf("%d of %.0f in flight at the member with all traffic", open, f.concurrency.Rate)
 	}
 	for i := range f.demand {
 		f.demand[i] = 200
 	}
-	f.run(4 * Term)
+	f.run(4 * TermPeriods)
 	for i, p := range f.procs {
-		if n := p.slots.opened(); n < 7 {
+		if n := p.slots.inFlight(); n < 7 {
 			t.Errorf("member %d has %d requests in flight of its 8", i, n)
 		}
 	}
-	if f.most > int(f.some.Rate) {
-		t.Errorf("%d requests were in flight", f.most)
+	if f.maxOpen > int(f.concurrency.Rate) {
+		t.Errorf("%d requests were in flight", f.maxOpen)
 	}
 }
 
 // During an upgrade the requests in flight at the old process count, and both processes together have no more
 // slots than the member.
-func TestSlotsOfTwoProcesses(t *testing.T) {
+func TestSlotsOfTwoProcessesOfOneMember(t *testing.T) {
 	now := Micros(1)
 	s := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 1, now)
 	now += 10_000_000
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -15,39 +15,39 @@
 
 // shareState is a state of the model: three members, one of which demands more than its share. Messages may
 // be delivered in any order, twice or never, and processes may restart.
-type state struct {
-	now    Micros
-	shares [3]*Share
-	flying []flight
-	starts int
-	path   []string
+type shareState struct {
+	now      Micros
+	shares   [3]*Share
+	inFlight []message
+	starts   int
+	path     []string
 }
 
 func (s *Share) clone() *Share {
 	c := *s
 	rng := *s.rng
 	c.rng = &rng
-	c.lent, c.in, c.pending = slices.Clone(s.lent), slices.Clone(s.in), slices.Clone(s.pending)
+	c.lent, c.borrowed, c.pending = slices.Clone(s.lent), slices.Clone(s.borrowed), slices.Clone(s.pending)
 	return &c
 }
 
-func (x *state) clone() *state {
+func (x *shareState) clone() *shareState {
 	c := *x
 	for i := range c.shares {
 		c.shares[i] = x.shares[i].clone()
 	}
-	c.flying, c.path = slices.Clone(x.flying), slices.Clip(x.path)
+	c.inFlight, c.path = slices.Clone(x.inFlight), slices.Clip(x.path)
 	return &c
 }
 
-func (x *state) send(from int, list []Send) {
+func (x *shareState) send(from int, list []Send) {
 	for _, m := range list {
-		x.flying = append(x.flying, flight{from: from, to: int(m.To[1] - '0'), data: m.Data})
+		x.inFlight = append(x.inFlight, message{from: from, to: int(m.To[1] - '0'), data: m.Data})
 	}
 }
 
 // fingerprint returns a hash of the state. Random IDs are replaced by their order of appearance.
-func (x *state) print() uint64 {
+func (x *shareState) fingerprint() uint64 {
 	var b []byte
 	ids := map[uint64]uint64{}
 	put := func(n ...uint64) {
@@ -63,15 +63,15 @@
 	}
 	put(uint64(x.starts))
 	for _, s := range x.shares {
-		put(uint64(max(0, s.usable-x.now)), math.Float64bits(s.rate), math.Float64bits(s.demand))
-		for k, list := range [][]loan{s.lent, s.in, s.pending} {
+		put(uint64(max(0, s.usableFrom-x.now)), math.Float64bits(s.rate), math.Float64bits(s.demand))
+		for k, list := range [][]loan{s.lent, s.borrowed, s.pending} {
 			for _, l := range list {
-				put(uint64(k), name(l.id), math.Float64bits(l.rate), uint64(max(0, l.until-x.now)), uint64(x.now-l.asked),
-					uint64(l.seq))
+				put(uint64(k), name(l.id), math.Float64bits(l.amount), uint64(max(0, l.until-x.now)),
+					uint64(x.now-l.askedAt), uint64(l.seq))
 			}
 		}
 	}
-	for _, f := range x.flying {
+	for _, f := range x.inFlight {
 		put(uint64(f.from), uint64(f.to), uint64(f.data[0]), name(binary.LittleEndian.Uint64(f.data[9:])),
 			uint64(binary.LittleEndian.Uint32(f.data[17:])), binary.LittleEndian.Uint64(f.data[21:]))
 	}
@@ -79,33 +79,33 @@
 }
 
 // exceeds reports whether the rates in use add up to more than the limit.
-func (x *state) over(limit Limit) bool {
+func (x *shareState) exceeds(limit Limit) bool {
 	sum := 0.0
 	for _, s := range x.shares {
 		s.refill(x.now)
 		sum += s.rate
 	}
-	return sum > limit.Rate/(1+Drift)*(1+1e-9)
+	return sum > limit.Rate/(1+MaxDrift)*(1+1e-9)
 }
 
 // explore tries every sequence of up to steps events, depth first, in at most most states. It returns the
 // first sequence that exceeds the limit.
 func explore(limit Limit, steps, most int, forget bool) (found []string, states int) {
-	first := &state{now: 1_000_000_000}
+	first := &shareState{now: 1_000_000_000}
 	for i := range first.shares {
 		first.shares[i] = NewShare(limit, 3, period, uint64(i+1), first.now)
-		first.shares[i].Forget = forget
+		first.shares[i].FaultNoStartWait = forget
 	}
-	first.now += span(period, 2)
+	first.now += terms(period, 2)
 	for i, s := range first.shares {
 		s.refill(first.now)
 		if i == 2 {
-			s.count = 100
+			s.asked = 100
 		}
 	}
 	first.send(2, first.shares[2].Tick(first.now, []string{"m0", "m1"}))
 	type todo struct {
-		*state
+		*shareState
 		left int
 	}
 	seen := map[uint64]int{}
@@ -113,46 +113,46 @@
 	for len(stack) > 0 && states < most {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if x.over(limit) {
+		if x.exceeds(limit) {
 			return x.path, states
 		}
-		p := x.print()
+		p := x.fingerprint()
 		if left, ok := seen[p]; x.left == 0 || ok && left >= x.left {
 			continue
 		}
 		seen[p] = x.left
 		states++
-		step := func(what string, do func(c *state)) {
+		step := func(what string, do func(c *shareState)) {
 			c := x.clone()
 			do(c)
 			c.path = append(c.path, what)
 			stack = append(stack, todo{c, x.left - 1})
 		}
-		for k, f := range x.flying {
+		for k, f := range x.inFlight {
 			what := fmt.Sprint(f.from, ">", f.to, " kind ", f.data[0])
-			deliver := func(c *state) {
+			deliver := func(c *shareState) {
 				c.send(f.to, c.shares[f.to].Receive(c.now, fmt.Sprint("m", f.from), f.data))
 			}
-			step("lose "+what, func(c *state) { c.flying = slices.Delete(c.flying, k, k+1) })
-			step("deliver "+what, func(c *state) { c.flying = slices.Delete(c.flying, k, k+1); deliver(c) })
-			if len(x.flying) < 5 {
+			step("lose "+what, func(c *shareState) { c.inFlight = slices.Delete(c.inFlight, k, k+1) })
+			step("deliver "+what, func(c *shareState) { c.inFlight = slices.Delete(c.inFlight, k, k+1); deliver(c) })
+			if len(x.inFlight) < 5 {
 				step("deliver and keep "+what, deliver)
 			}
 		}
 		for i := range x.shares {
 			if x.starts < 2 {
-				step(fmt.Sprint("restart ", i), func(c *state) {
+				step(fmt.Sprint("restart ", i), func(c *shareState) {
 					c.starts++
 					c.shares[i] = NewShare(limit, 3, period, uint64(10+c.starts), c.now)
-					c.shares[i].Forget = forget
+					c.shares[i].FaultNoStartWait = forget
 				})
 			}
 		}
-		step("a third of a term", func(c *state) { c.now += span(period, 0.33) })
-		step("tick 2", func(c *state) {
-			c.shares[2].count = 100
+		step("a third of a term", func(c *shareState) { c.now += terms(period, 0.33) })
+		step("tick 2", func(c *shareState) {
+			c.shares[2].asked = 100
 			c.send(2, c.shares[2].Tick(c.now, []string{"m0", "m1"}))
-			c.flying = c.flying[max(0, len(c.flying)-6):]
+			c.inFlight = c.inFlight[max(0, len(c.inFlight)-6):]
 		})
 	}
 	return nil, states
@@ -160,7 +160,7 @@
 
 // No sequence of deliveries, losses, duplicates, restarts and time steps makes the rates add up to more than
 // the limit. The same search finds the fault of a process that forgets its predecessor's loans.
-func TestEveryOrder(t *testing.T) {
+func TestEveryMessageOrder(t *testing.T) {
 	limit := Limit{Name: "l", ID: 7, Rate: 30, Burst: 9}
 	steps, most := 7, 60_000
 	if os.Getenv("LAPISLEVER_LONG") != "" {
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -8,12 +8,12 @@
 
 // Bounds of a limit that applies to each key separately.
 const (
-	MostKeys   = 10_000 // keys with their own share at a member; all others are counted in the sketch
-	rows       = 4
-	columns    = 16384 // cells per row
-	keyIdle    = 10    // periods without requests after which a key loses its own share
-	keySends   = 64    // maximum number of messages per period for all keys together
-	keysLooked = 2048  // maximum number of keys whose share is updated per period
+	MaxKeys        = 10_000 // keys with their own share at a member; all others are counted in the sketch
+	sketchRows     = 4
+	sketchColumns  = 16384 // cells per row
+	keyIdlePeriods = 10    // periods without requests after which a key loses its own share
+	maxKeyMessages = 64    // maximum number of messages per period for all keys together
+	keysPerTick    = 2048  // maximum number of keys whose share is updated per period
 )
 
 // KeyID returns the ID of a key of a limit, identical at all members. Two keys with the same ID (the
@@ -33,7 +33,7 @@
 func LimitID(name string) uint64 { return xxhash.Sum64String(name) &^ math.MaxUint32 }
 
 // sketchCell is a leaky bucket that several keys share: its level at a time.
-type cell struct {
+type sketchCell struct {
 	level float32
 	at    float32 // seconds since the sketch was created
 }
@@ -43,18 +43,18 @@
 // §3.2) whose cells are leaky buckets. No cell of a key is ever less full than a separate bucket for that key
 // would be, so no key gets more than its rate; a key may get less if all of its cells are filled by others.
 type sketch struct {
-	cells [rows][columns]cell
-	begun Micros
+	cells     [sketchRows][sketchColumns]sketchCell
+	createdAt Micros
 }
 
 // take admits one request if the least full of the key's cells has room.
 func (s *sketch) take(now Micros, key uint64, rate, most float64) bool {
-	at := float32(float64(now-s.begun) / 1e6)
-	var mine [rows]*cell
+	at := float32(float64(now-s.createdAt) / 1e6)
+	var mine [sketchRows]*sketchCell
 	least := float32(math.MaxFloat32)
 	for r := range mine {
 		key *= 0x9E3779B97F4A7C15
-		c := &s.cells[r][key>>32%columns]
+		c := &s.cells[r][key>>32%sketchColumns]
 		c.level = max(0, c.level-(at-c.at)*float32(rate))
 		c.at = at
 		mine[r] = c
@@ -70,11 +70,11 @@
 }
 
 // add carries the level of a key that had its own bucket over into the sketch.
-func (s *sketch) fill(now Micros, key uint64, used float64) {
-	at := float32(float64(now-s.begun) / 1e6)
-	for r := range rows {
+func (s *sketch) add(now Micros, key uint64, used float64) {
+	at := float32(float64(now-s.createdAt) / 1e6)
+	for r := range sketchRows {
 		key *= 0x9E3779B97F4A7C15
-		c := &s.cells[r][key>>32%columns]
+		c := &s.cells[r][key>>32%sketchColumns]
 		c.level, c.at = max(c.level, float32(used)), at
 	}
 }
@@ -84,35 +84,35 @@
 // others are counted in a sketch.
 type Keys struct {
 	Limit
-	members int
-	period  Micros
-	seed    uint64
-	usable  Micros
-	held    bool
-	void    bool
-	tail    *sketch
-	known   map[uint64]*Share // by KeyID
-	order   []uint64
-	turn    int
-	left    int // messages that may still be sent in this period
-	Granted int64
-	Refused int64
-	Crowded int64 // times that a key could not get its own share
+	members      int
+	period       Micros
+	seed         uint64
+	usableFrom   Micros
+	suspended    bool
+	disabled     bool
+	sketch       *sketch
+	shares       map[uint64]*Share // by KeyID
+	order        []uint64
+	nextKey      int
+	messagesLeft int // messages that may still be sent in this period
+	Granted      int64
+	Refused      int64
+	Overflows    int64 // times that a key could not get its own share
 }
 
 // NewKeyedShares returns the shares of a member that starts without state from a predecessor.
 func NewKeys(l Limit, members int, period Micros, seed uint64, now Micros) *Keys {
 	l.Floor = 1
-	return &Keys{Limit: l, members: members, period: period, seed: seed, tail: &sketch{begun: now},
-		known: map[uint64]*Share{}, usable: now + span(period, 1+3*Drift)}
+	return &Keys{Limit: l, members: members, period: period, seed: seed, sketch: &sketch{createdAt: now},
+		shares: map[uint64]*Share{}, usableFrom: now + terms(period, 1+3*MaxDrift)}
 }
 
 // Len returns the number of keys that have their own share.
-func (k *Keys) Len() int { return len(k.known) }
+func (k *Keys) Len() int { return len(k.shares) }
 
 // Take reports whether one more request of a key may be admitted now, and if not, when to retry.
 func (k *Keys) Take(now Micros, id uint64) (ok bool, after Micros) {
-	if s := k.known[id]; s != nil {
+	if s := k.shares[id]; s != nil {
 		if ok, after = s.Take(now); ok {
 			k.Granted++
 		} else {
@@ -121,24 +121,24 @@
 		return ok, after
 	}
 	part := 1.0
-	if now < k.usable {
-		part = Kept
+	if now < k.usableFrom {
+		part = KeptFraction
 	}
-	rate := k.Rate / (1 + Drift) / float64(k.members) * part
-	if !k.void && !k.held && k.tail.take(now, id, rate, k.Burst/float64(k.members)*part) {
+	rate := k.Rate / (1 + MaxDrift) / float64(k.members) * part
+	if !k.disabled && !k.suspended && k.sketch.take(now, id, rate, k.Burst/float64(k.members)*part) {
 		k.Granted++
 		return true, 0
 	}
 	k.Refused++
-	if s := k.own(now, id); s != nil {
-		s.count++
+	if s := k.ensureShare(now, id); s != nil {
+		s.asked++
 	}
 	return false, k.period
 }
 
 // Refund returns the token of a request that Take admitted and that was not used.
 func (k *Keys) Return(id uint64) {
-	if s := k.known[id]; s != nil {
+	if s := k.shares[id]; s != nil {
 		s.Return()
 	}
 	k.Granted--
@@ -146,40 +146,40 @@
 
 // ensureShare returns the key's own share and creates it if there is room. A new bucket is empty, as the
 // sketch may already have admitted as much as it holds.
-func (k *Keys) own(now Micros, id uint64) *Share {
-	if s := k.known[id]; s != nil {
+func (k *Keys) ensureShare(now Micros, id uint64) *Share {
+	if s := k.shares[id]; s != nil {
 		return s
 	}
-	if len(k.known) >= MostKeys || k.void || k.held {
-		k.Crowded++
+	if len(k.shares) >= MaxKeys || k.disabled || k.suspended {
+		k.Overflows++
 		return nil
 	}
 	l := k.Limit
 	l.ID = id
 	k.seed++
 	s := NewShare(l, k.members, k.period, k.seed, now)
-	s.usable = min(s.usable, max(now, k.usable))
-	s.settle(now)
-	k.known[id] = s
+	s.usableFrom = min(s.usableFrom, max(now, k.usableFrom))
+	s.recompute(now)
+	k.shares[id] = s
 	k.order = append(k.order, id)
 	return s
 }
 
 // Tick must be called once per period with the other members that are alive.
 func (k *Keys) Tick(now Micros, peers []string) (out []Send) {
-	k.left = keySends
-	for range min(keysLooked, len(k.order)) {
-		k.turn++
-		i := k.turn % len(k.order)
+	k.messagesLeft = maxKeyMessages
+	for range min(keysPerTick, len(k.order)) {
+		k.nextKey++
+		i := k.nextKey % len(k.order)
 		id := k.order[i]
-		s := k.known[id]
+		s := k.shares[id]
 		sends := s.Tick(now, peers)
-		out = append(out, sends[:min(len(sends), k.left)]...)
-		k.left -= min(len(sends), k.left)
-		if idle := s.demand < leastLoan*s.share(); idle && now-s.lastTake > keyIdle*k.period &&
-			len(s.lent)+len(s.in)+len(s.pending) == 0 {
-			k.tail.fill(now, id, max(0, s.cap()-s.tokens))
-			delete(k.known, id)
+		out = append(out, sends[:min(len(sends), k.messagesLeft)]...)
+		k.messagesLeft -= min(len(sends), k.messagesLeft)
+		if idle := s.demand < minLoan*s.share(); idle && now-s.lastAsked > keyIdlePeriods*k.period &&
+			len(s.lent)+len(s.borrowed)+len(s.pending) == 0 {
+			k.sketch.add(now, id, max(0, s.capacity()-s.tokens))
+			delete(k.shares, id)
 			k.order[i] = k.order[len(k.order)-1]
 			if k.order = k.order[:len(k.order)-1]; len(k.order) == 0 {
 				break
@@ -192,25 +192,25 @@
 // Receive handles a message from another member.
 func (k *Keys) Receive(now Micros, from string, data []byte) []Send {
 	id, ok := IDOf(data)
-	if !ok || id&^math.MaxUint32 != k.ID || k.left <= 0 {
+	if !ok || id&^math.MaxUint32 != k.ID || k.messagesLeft <= 0 {
 		return nil
 	}
-	s := k.known[id]
-	if s == nil && data[0] == msgAsk { // create the share, so that the unused amount can be lent
-		s = k.own(now, id)
+	s := k.shares[id]
+	if s == nil && data[0] == msgRequest { // create the share, so that the unused amount can be lent
+		s = k.ensureShare(now, id)
 	}
 	if s == nil {
 		return nil
 	}
-	s.lastTake = now
+	s.lastAsked = now
 	out := s.Receive(now, from, data)
-	k.left -= len(out)
+	k.messagesLeft -= len(out)
 	return out
 }
 
 // Stats returns the current figures, summed over all keys that have their own share.
 func (k *Keys) Figures(now Micros) (f Figures) {
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		g := s.Figures(now)
 		f.Share += g.Share
 		f.Used += g.Used
@@ -223,21 +223,21 @@
 // HandOver leaves this process only what is never lent, and returns the loans that the successor has to know.
 func (k *Keys) Split(now Micros) map[uint64][]Lend {
 	out := map[uint64][]Lend{}
-	for id, s := range k.known {
+	for id, s := range k.shares {
 		if lent := s.Split(now); len(lent) > 0 {
 			out[id] = lent
 		}
 	}
-	k.held = true // keys without their own share belong to the successor
+	k.suspended = true // keys without their own share belong to the successor
 	return out
 }
 
 // TakeOver continues after another process of this member, with its loans by key.
 func (k *Keys) Inherit(now Micros, from map[uint64][]Lend) {
-	k.held, k.usable = false, now
+	k.suspended, k.usableFrom = false, now
 	for id, lent := range from {
 		if id&^math.MaxUint32 == k.ID {
-			if s := k.own(now, id); s != nil {
+			if s := k.ensureShare(now, id); s != nil {
 				s.Inherit(now, lent)
 			}
 		}
@@ -245,26 +245,26 @@
 }
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded.
-func (k *Keys) Hold(Micros) { k.held = true }
+func (k *Keys) Hold(Micros) { k.suspended = true }
 
 // OtherProcessEnded notes that the other process of this member has ended; see Share.OtherProcessEnded.
 func (k *Keys) Alone(now Micros, unknown bool) {
-	k.held = false
+	k.suspended = false
 	if unknown {
-		k.usable = now + span(k.period, 1+3*Drift)
+		k.usableFrom = now + terms(k.period, 1+3*MaxDrift)
 	}
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		s.Alone(now, unknown)
 	}
 }
 
 // SetDisabled sets whether this member may use nothing; see Share.SetDisabled.
 func (k *Keys) Void(now Micros, on bool) {
-	if k.void && !on {
-		k.usable = max(k.usable, now+span(k.period, 1+3*Drift))
+	if k.disabled && !on {
+		k.usableFrom = max(k.usableFrom, now+terms(k.period, 1+3*MaxDrift))
 	}
-	k.void = on
-	for _, s := range k.known {
+	k.disabled = on
+	for _, s := range k.shares {
 		s.Void(now, on)
 	}
 }
@@ -272,7 +272,7 @@
 // Configure sets the rate, the burst and the number of members.
 func (k *Keys) Configure(now Micros, rate, burst float64, members int) {
 	k.Rate, k.Burst, k.members = rate, burst, members
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		s.Configure(now, rate, burst, members)
 	}
 }
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -9,15 +9,15 @@
 
 // keyedFleet simulates members with a limit for each key and reliable links, and records the admitted
 // requests by key.
-type keyed struct {
-	now   Micros
-	procs []*Keys
-	let   map[uint64][]Micros
-	limit Limit
+type keyedFleet struct {
+	now      Micros
+	procs    []*Keys
+	admitted map[uint64][]Micros
+	limit    Limit
 }
 
-func newKeyed(n int) *keyed {
-	x := &keyed{now: 1, let: map[uint64][]Micros{},
+func newKeyedFleet(n int) *keyedFleet {
+	x := &keyedFleet{now: 1, admitted: map[uint64][]Micros{},
 		limit: Limit{Name: "t", ID: LimitID("t"), Rate: 30, Burst: 9}}
 	for i := range n {
 		x.procs = append(x.procs, NewKeys(x.limit, n, period, uint64(i+1), 1))
@@ -25,17 +25,17 @@
 	return x
 }
 
-func (x *keyed) ask(i int, key string) bool {
+func (x *keyedFleet) ask(i int, key string) bool {
 	id := KeyID(x.limit.ID, key)
 	ok, _ := x.procs[i].Take(x.now, id)
 	if ok {
-		x.let[id] = append(x.let[id], x.now)
+		x.admitted[id] = append(x.admitted[id], x.now)
 	}
 	return ok
 }
 
 // tick ends a period: all messages arrive immediately.
-func (x *keyed) tick() {
+func (x *keyedFleet) tick() {
 	type letter struct {
 		from int
 		Send
@@ -64,8 +64,8 @@
 }
 
 // exceededKey describes a key that got more in a time window than its rate and burst allow, or returns "".
-func (x *keyed) over() string {
-	for id, at := range x.let {
+func (x *keyedFleet) exceededKey() string {
+	for id, at := range x.admitted {
 		for _, span := range []Micros{100_000, 1_000_000, 5_000_000} {
 			first := 0
 			for i, t := range at {
@@ -84,8 +84,8 @@
 // Each key has the rate for itself: a heavy key at one member gets nine tenths of the rate there, small keys
 // are admitted beside it, and a key that alternates between the sketch and its own share never exceeds the
 // limit.
-func TestEachKeyHasItsOwn(t *testing.T) {
-	x := newKeyed(3)
+func TestEachKeyIsLimitedSeparately(t *testing.T) {
+	x := newKeyedFleet(3)
 	rng := rand.New(rand.NewPCG(1, 1))
 	small, smallIn := 0, 0
 	from := Micros(0)
@@ -114,7 +114,7 @@
 		x.tick()
 	}
 	n := 0
-	for _, at := range x.let[KeyID(x.limit.ID, "heavy")] {
+	for _, at := range x.admitted[KeyID(x.limit.ID, "heavy")] {
 		if at > from {
 			n++
 		}
@@ -125,7 +125,7 @@
 	if float64(smallIn) < 0.98*float64(small) {
 		t.Errorf("%d of %d requests of small keys are admitted", smallIn, small)
 	}
-	if over := x.over(); over != "" {
+	if over := x.exceededKey(); over != "" {
 		t.Error(over)
 	}
 	if n := x.procs[0].Len(); n > 40 {
@@ -135,15 +135,15 @@
 
 // Ten thousand heavy keys get their own shares and further ones do not. Keys without requests lose theirs.
 func TestKeysAreBounded(t *testing.T) {
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
-	for i := range MostKeys + 50 {
+	for i := range MaxKeys + 50 {
 		for range 8 {
 			x.ask(0, fmt.Sprint(i))
 		}
 	}
-	if n := x.procs[0].Len(); n != MostKeys || x.procs[0].Crowded == 0 {
-		t.Fatalf("%d keys, %d overflows", n, x.procs[0].Crowded)
+	if n := x.procs[0].Len(); n != MaxKeys || x.procs[0].Overflows == 0 {
+		t.Fatalf("%d keys, %d overflows", n, x.procs[0].Overflows)
 	}
 	for range 400 {
 		x.now += period
@@ -159,7 +159,7 @@
 
 // Compares the sketch with a plain map of buckets: the fraction of requests that it refuses although their
 // key is within its limit, by the number of keys, and the memory of keyed shares.
-func TestTheTailAgainstAPlainMap(t *testing.T) {
+func TestSketchAgainstPlainMap(t *testing.T) {
 	for _, x := range []struct {
 		keys int
 		most float64 // allowed fraction of wrong refusals
@@ -202,14 +202,14 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
-	for i := range MostKeys {
+	for i := range MaxKeys {
 		for range 6 {
 			x.ask(0, fmt.Sprint(i))
 		}
 	}
-	clear(x.let)
+	clear(x.admitted)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	t.Logf("%d keys with their own share, and the sketch: %.1f MB", x.procs[0].Len(),
@@ -222,7 +222,7 @@
 
 // BenchmarkKeyTake measures one decision among 10,000 keys, a tenth of which have their own share.
 func BenchmarkKeyTake(b *testing.B) {
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
 	ids := make([]uint64, 10_000)
 	for i := range ids {
--- a/internal/quota/measure_test.go
+++ b/internal/quota/measure_test.go
@@ -14,7 +14,7 @@
 	}
 	for _, n := range []int{3, 5, 10, 100, 300, 1000} {
 		for _, hot := range []int{1, max(1, n/10), n} {
-			f := newFleet(t, n, uint64(n), 1)
+			f := newFaultFleet(t, n, uint64(n), 1)
 			f.rate.Rate, f.rate.Burst = float64(20*n), float64(5*n)
 			for i := range n {
 				f.start(i)
@@ -32,19 +32,19 @@
 				for i := range hot {
 					sum += f.procs[i].share.rate
 				}
-				if until < 0 && sum >= 0.9*f.rate.Rate/(1+Drift) {
+				if until < 0 && sum >= 0.9*f.rate.Rate/(1+MaxDrift) {
 					until = p + 1
 				}
 				if p > 60 && until >= 0 {
 					break
 				}
 			}
-			f.bytes, f.letEarly = 0, 0
+			f.bytes, f.admittedByRate = 0, 0
 			f.run(25)
 			t.Logf("%4d members, traffic at %4d: 0.9 in use after %3d periods, then %.3f let in "+
 				"(a fixed split: %.3f), worst sum %.4f, %.0f B a second and member", n, hot, until,
-				float64(f.letEarly)/5/f.rate.Rate,
-				float64(hot)/float64(n), f.worst, float64(f.bytes)/5/float64(n))
+				float64(f.admittedByRate)/5/f.rate.Rate,
+				float64(hot)/float64(n), f.maxRate, float64(f.bytes)/5/float64(n))
 		}
 	}
 	// Gossiped counts: each member sends all others its admitted count once per period, and uses what they
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -11,18 +11,18 @@
 
 // Parameters of lending.
 const (
-	Term      = 10   // duration of a loan or lease, in periods
-	Drift     = 0.01 // maximum clock rate error, fast or slow
-	Kept      = 0.1  // fraction of a share that is never lent
-	renewAt   = 0.5  // remaining fraction of the term below which a loan is renewed
-	spare     = 1.2  // factor on the demand that a member keeps for itself or asks for
-	leastLoan = 0.02 // smallest loan, as a fraction of a share
-	leastAsks = 4    // minimum and maximum number of members asked per period
-	mostAsks  = 64
-	asksFor   = 1.25 // members asked per missing share
-	demandFor = 2.0  // periods over which falling demand is smoothed
-	mostLoans = 2048 // maximum number of loans granted, and of loans borrowed, at a time
-	giveBack  = 2    // periods without need after which a loan is returned
+	TermPeriods      = 10   // duration of a loan or lease, in periods
+	MaxDrift         = 0.01 // maximum clock rate error, fast or slow
+	KeptFraction     = 0.1  // fraction of a share that is never lent
+	renewBelow       = 0.5  // remaining fraction of the term below which a loan is renewed
+	headroom         = 1.2  // factor on the demand that a member keeps for itself or asks for
+	minLoan          = 0.02 // smallest loan, as a fraction of a share
+	minAsks          = 4    // minimum and maximum number of members asked per period
+	maxAsks          = 64
+	asksPerShare     = 1.25 // members asked per missing share
+	demandDecay      = 2.0  // periods over which falling demand is smoothed
+	maxLoans         = 2048 // maximum number of loans granted, and of loans borrowed, at a time
+	idleBeforeReturn = 2    // periods without need after which a loan is returned
 )
 
 // Limit is a limit for the whole fleet.
@@ -36,7 +36,7 @@
 	Floor float64
 }
 
-func (l *Limit) floorPart() float64 {
+func (l *Limit) floorFraction() float64 {
 	if l.Floor <= 0 || l.Floor > 1 {
 		return 1
 	}
@@ -52,112 +52,112 @@
 // Share is one member's share of a rate limit, implemented as a token bucket.
 type Share struct {
 	Limit
-	book
+	loanBook
 	members int
 
-	usable Micros  // time from which the whole share may be used
-	void   bool    // nothing may be used
-	part   float64 // fraction of the share for this process; during an upgrade another process has the rest
-
-	rate   float64        // rate of the bucket now
-	own    float64        // the part of rate that is not borrowed
-	avail  [parts]float64 // own by pool
-	change Micros         // time of the next change of these without a message
-	tokens float64
-	at     Micros
-
-	count    float64 // requests in this period
-	demand   float64 // requests per second, smoothed
-	idle     int     // consecutive periods in which no loan was needed
-	usedAt   Micros  // start of the interval that used counts
-	lastTake Micros  // time of the last request here or message of another member
-	used     int64
-	usedWas  float64 // admitted requests per second in the last complete interval
-	Granted  int64
-	Refused  int64
-	Forget   bool // injected fault for tests: a new process does not wait for its predecessor's loans to end
+	usableFrom Micros  // time from which the whole share may be used
+	disabled   bool    // nothing may be used
+	fraction   float64 // fraction of the share for this process; during an upgrade another process has the rest
+
+	rate       float64            // rate of the bucket now
+	ownRate    float64            // the part of rate that is not borrowed
+	available  [poolCount]float64 // own by pool
+	changesAt  Micros             // time of the next change of these without a message
+	tokens     float64
+	refilledAt Micros
+
+	asked            float64 // requests in this period
+	demand           float64 // requests per second, smoothed
+	idlePeriods      int     // consecutive periods in which no loan was needed
+	usedSince        Micros  // start of the interval that used counts
+	lastAsked        Micros  // time of the last request here or message of another member
+	used             int64
+	usedRate         float64 // admitted requests per second in the last complete interval
+	Granted          int64
+	Refused          int64
+	FaultNoStartWait bool // injected fault for tests: a new process does not wait for old loans to end
 }
 
 // NewShare returns the share of a member that starts without state from a predecessor.
 func NewShare(l Limit, members int, period Micros, seed uint64, now Micros) *Share {
-	s := &Share{Limit: l, book: book{id: l.ID, period: period, rng: rand.NewPCG(seed, 9)}, members: members,
-		part: 1, at: now, usedAt: now}
-	s.usable = now + s.waitFor()
-	s.settle(now)
+	s := &Share{Limit: l, loanBook: loanBook{limitID: l.ID, period: period, rng: rand.NewPCG(seed, 9)},
+		members: members, fraction: 1, refilledAt: now, usedSince: now}
+	s.usableFrom = now + s.startWait()
+	s.recompute(now)
 	return s
 }
 
 // terms returns the duration of n terms.
-func span(period Micros, terms float64) Micros { return Micros(terms * Term * float64(period)) }
+func terms(period Micros, terms float64) Micros { return Micros(terms * TermPeriods * float64(period)) }
 
 // share is the rate this member owns. It is reduced by Drift, as a fast clock fills the bucket that much
 // faster.
-func (s *Share) share() float64 { return s.Rate / (1 + Drift) / float64(s.members) }
+func (s *Share) share() float64 { return s.Rate / (1 + MaxDrift) / float64(s.members) }
 
 // owned is the rate this member has in a pool, including what is lent.
-func (s *Share) amount(p part, now Micros) float64 {
-	f := s.floorPart()
+func (s *Share) owned(p pool, now Micros) float64 {
+	f := s.floorFraction()
 	if p != floor {
 		f = 1 - f
 	}
-	return s.share() * s.part * f * float64(s.entitled.count(p, now))
+	return s.share() * s.fraction * f * float64(s.leaseWindows.count(p, now))
 }
 
 // recompute updates the rate that applies from now on.
-func (s *Share) settle(now Micros) {
+func (s *Share) recompute(now Micros) {
 	s.expire(now)
-	s.change = min(s.nextEnd(), s.next(now))
-	s.own = 0
-	waits := now < s.usable && !s.Forget
-	for p := range parts {
-		have := s.amount(p, now)
+	s.changesAt = min(s.nextExpiry(), s.nextChange(now))
+	s.ownRate = 0
+	waits := now < s.usableFrom && !s.FaultNoStartWait
+	for p := range poolCount {
+		have := s.owned(p, now)
 		if waits && p == floor {
-			have = min(have, s.share()*Kept)
+			have = min(have, s.share()*KeptFraction)
 		} else if waits {
 			have = 0
 		}
-		s.avail[p] = max(0, have-s.out(p))
-		s.own += s.avail[p]
+		s.available[p] = max(0, have-s.lentFrom(p))
+		s.ownRate += s.available[p]
 	}
 	if waits {
-		s.change = min(s.change, s.usable)
+		s.changesAt = min(s.changesAt, s.usableFrom)
 	}
-	if s.void {
-		s.own, s.avail, s.in = 0, [parts]float64{}, nil
+	if s.disabled {
+		s.ownRate, s.available, s.borrowed = 0, [poolCount]float64{}, nil
 	}
-	s.rate = s.own
-	for i := range s.in {
-		s.rate += s.in[i].rate
+	s.rate = s.ownRate
+	for i := range s.borrowed {
+		s.rate += s.borrowed[i].amount
 	}
-	s.tokens = min(s.tokens, s.cap())
+	s.tokens = min(s.tokens, s.capacity())
 }
 
 // capacity is the size of the bucket.
-func (s *Share) cap() float64 { return s.Burst * s.rate / s.Rate }
+func (s *Share) capacity() float64 { return s.Burst * s.rate / s.Rate }
 
 // refill adds tokens up to now, using for each interval the rate that applied in it.
 func (s *Share) refill(now Micros) {
-	for now >= s.change {
-		at := max(s.at, s.change)
-		s.run(at)
-		s.settle(at)
+	for now >= s.changesAt {
+		at := max(s.refilledAt, s.changesAt)
+		s.fill(at)
+		s.recompute(at)
 	}
-	s.run(now)
+	s.fill(now)
 }
 
 // fill adds tokens up to now at the current rate.
-func (s *Share) run(now Micros) {
-	if now > s.at {
-		s.tokens = min(s.cap(), s.tokens+s.rate*float64(now-s.at)/1e6)
-		s.at = now
+func (s *Share) fill(now Micros) {
+	if now > s.refilledAt {
+		s.tokens = min(s.capacity(), s.tokens+s.rate*float64(now-s.refilledAt)/1e6)
+		s.refilledAt = now
 	}
 }
 
 // Take reports whether one more request may be admitted now, and if not, when to retry.
 func (s *Share) Take(now Micros) (ok bool, after Micros) {
 	s.refill(now)
-	s.lastTake = now
-	s.count++
+	s.lastAsked = now
+	s.asked++
 	if s.tokens >= 1 {
 		s.tokens--
 		s.used++
@@ -165,8 +165,8 @@
 		return true, 0
 	}
 	s.Refused++
-	if s.rate <= 0 || s.cap() < 1 {
-		return false, span(s.period, 0.5)
+	if s.rate <= 0 || s.capacity() < 1 {
+		return false, terms(s.period, 0.5)
 	}
 	return false, Micros((1 - s.tokens) / s.rate * 1e6)
 }
@@ -174,28 +174,28 @@
 // Tick must be called once per period with the other members that are alive.
 func (s *Share) Tick(now Micros, peers []string) (out []Send) {
 	s.refill(now)
-	if took := now - s.usedAt; took >= 1_000_000 {
-		s.usedWas, s.used, s.usedAt = float64(s.used)*1e6/float64(took), 0, now
+	if took := now - s.usedSince; took >= 1_000_000 {
+		s.usedRate, s.used, s.usedSince = float64(s.used)*1e6/float64(took), 0, now
 	}
-	asked := s.count * 1e6 / float64(s.period)
-	s.demand = max(s.demand+(asked-s.demand)/demandFor, min(asked, s.Rate)*0.9) // a rise counts immediately
-	s.count = 0
-	s.forgetAsked(now)
-	want := min(s.Rate, s.demand*spare)
+	asked := s.asked * 1e6 / float64(s.period)
+	s.demand = max(s.demand+(asked-s.demand)/demandDecay, min(asked, s.Rate)*0.9) // a rise counts immediately
+	s.asked = 0
+	s.dropUnanswered(now)
+	want := min(s.Rate, s.demand*headroom)
 	lacks := want - s.rate
-	if s.void {
+	if s.disabled {
 		return nil
 	}
-	if s.idle++; len(s.in) == 0 || s.rate-s.in[0].rate < want {
-		s.idle = 0
+	if s.idlePeriods++; len(s.borrowed) == 0 || s.rate-s.borrowed[0].amount < want {
+		s.idlePeriods = 0
 	}
-	if s.idle >= giveBack {
-		out = append(out, s.giveBack(now, want)...)
+	if s.idlePeriods >= idleBeforeReturn {
+		out = append(out, s.returnLoans(now, want)...)
 	}
-	if s.idle == 0 {
+	if s.idlePeriods == 0 {
 		out = append(out, s.renew(now)...)
 	}
-	if lacks <= leastLoan*s.share() {
+	if lacks <= minLoan*s.share() {
 		return out
 	}
 	return append(out, s.borrow(now, lacks, s.share(), peers)...)
@@ -205,64 +205,64 @@
 // other members.
 func (s *Share) Entitle(now Micros, e Entitlement) {
 	s.refill(now)
-	s.entitle(e.windows(s.hold))
-	s.settle(now)
+	s.setWindows(e.windows(s.hold))
+	s.recompute(now)
 }
 
 // returnLoans returns the loans that are not needed to cover want. It stops using a loan before the lender
 // is told.
-func (s *Share) giveBack(now Micros, want float64) (out []Send) {
-	for len(s.in) > 0 && s.rate-s.in[0].rate >= want {
-		out = append(out, Send{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
-		s.in = s.in[1:]
-		s.settle(now)
+func (s *Share) returnLoans(now Micros, want float64) (out []Send) {
+	for len(s.borrowed) > 0 && s.rate-s.borrowed[0].amount >= want {
+		out = append(out, Send{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
+		s.borrowed = s.borrowed[1:]
+		s.recompute(now)
 	}
 	return out
 }
 
 // Receive handles a message from another member.
 func (s *Share) Receive(now Micros, from string, data []byte) (out []Send) {
-	kind, l, rate, ok := s.parse(from, data)
+	kind, l, rate, ok := s.decode(from, data)
 	if !ok {
 		return nil
 	}
 	s.refill(now)
-	s.settle(now)
+	s.recompute(now)
 	switch kind {
-	case msgAsk:
-		out = s.grant(now, l, func() (float64, part) {
+	case msgRequest:
+		out = s.grant(now, l, func() (float64, pool) {
 			most, p := s.lendable(now)
-			if rate = min(rate, most); rate < leastLoan*s.share() {
+			if rate = min(rate, most); rate < minLoan*s.share() {
 				return 0, p
 			}
 			return rate, p
-		}, func(p part) bool { return !s.needed() && s.amount(p, now) >= s.out(p) })
+		}, func(p pool) bool { return !s.needed() && s.owned(p, now) >= s.lentFrom(p) })
 	case msgGrant:
-		s.granted(now, l, rate)
-	case msgBack:
-		s.back(l)
+		s.acceptGrant(now, l, rate)
+	case msgReturn:
+		s.endLoan(l)
 	}
-	s.settle(now)
+	s.recompute(now)
 	return out
 }
 
 // lendable returns how much this member can spare, all from the pool that has most to spare.
-func (s *Share) lendable(now Micros) (float64, part) {
-	if s.void || now < s.usable && !s.Forget {
+func (s *Share) lendable(now Micros) (float64, pool) {
+	if s.disabled || now < s.usableFrom && !s.FaultNoStartWait {
 		return 0, floor
 	}
-	keep := max(Kept*s.share(), min(s.share(), s.demand*spare))
-	most, least := rest, [parts]float64{floor: Kept * s.share()}
-	for p := range parts {
-		if s.avail[p]-least[p] > s.avail[most]-least[most] {
+	keep := max(KeptFraction*s.share(), min(s.share(), s.demand*headroom))
+	most, least := leased, [poolCount]float64{floor: KeptFraction * s.share()}
+	for p := range poolCount {
+		if s.available[p]-least[p] > s.available[most]-least[most] {
 			most = p
 		}
 	}
-	return max(0, min(s.own-keep, s.avail[most]-least[most])), most
+	return max(0, min(s.ownRate-keep, s.available[most]-least[most])), most
 }
 
 // needed reports whether this member needs its own share back.
-func (s *Share) needed() bool { return s.demand*spare > s.own }
+func (s *Share) needed() bool { return s.demand*headroom > s.ownRate }
 
 // Stats are the figures that operators see of a share. Rates are per second.
 type Figures struct {
@@ -275,7 +275,7 @@
 // Stats returns the current figures.
 func (s *Share) Figures(now Micros) Figures {
 	s.refill(now)
-	f := Figures{Share: s.rate, Used: s.usedWas, InDoubt: max(0, s.share()-s.own)}
+	f := Figures{Share: s.rate, Used: s.usedRate, InDoubt: max(0, s.share()-s.ownRate)}
 	f.Stale = s.stalest(now)
 	return f
 }
@@ -284,19 +284,19 @@
 // has to know. Borrowed loans are dropped.
 func (s *Share) Split(now Micros) (lent []Lend) {
 	s.refill(now)
-	lent = s.save(now)
-	s.entitle(window{}, nil)
-	s.in, s.lent, s.pending, s.part = nil, nil, nil, Kept
-	s.settle(now)
+	lent = s.saveLent(now)
+	s.setWindows(window{}, nil)
+	s.borrowed, s.lent, s.pending, s.fraction = nil, nil, nil, KeptFraction
+	s.recompute(now)
 	return lent
 }
 
 // TakeOver continues with everything except the fraction that the predecessor keeps until OtherProcessEnded.
 func (s *Share) Inherit(now Micros, lent []Lend) {
 	s.refill(now)
-	s.inherit(now, lent)
-	s.usable, s.part = now, 1-Kept
-	s.settle(now)
+	s.restoreLent(now, lent)
+	s.usableFrom, s.fraction = now, 1-KeptFraction
+	s.recompute(now)
 }
 
 // Configure sets the rate, the burst and the number of members. Existing loans continue: if they exceed the
@@ -307,33 +307,33 @@
 	}
 	s.refill(now)
 	s.Rate, s.Burst, s.members = rate, burst, members
-	s.settle(now)
+	s.recompute(now)
 }
 
 // SetDisabled sets whether this member may use nothing, as is the case while other members reject it and do
 // not account for what it uses. When enabled again it waits as after a start.
 func (s *Share) Void(now Micros, on bool) {
-	if on == s.void {
+	if on == s.disabled {
 		return
 	}
 	s.refill(now)
-	if s.void = on; !on {
-		s.usable = max(s.usable, now+s.waitFor())
+	if s.disabled = on; !on {
+		s.usableFrom = max(s.usableFrom, now+s.startWait())
 	}
-	s.settle(now)
+	s.recompute(now)
 }
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
 // has the whole share.
 func (s *Share) Hold(now Micros) {
 	s.refill(now)
-	s.part = 0
-	s.settle(now)
+	s.fraction = 0
+	s.recompute(now)
 }
 
 // Refund returns the token of a request that Take admitted and that was not used.
 func (s *Share) Return() {
-	s.tokens = min(s.cap(), s.tokens+1)
+	s.tokens = min(s.capacity(), s.tokens+1)
 	s.used--
 	s.Granted--
 }
@@ -342,9 +342,9 @@
 // unknown, this one waits as after a start.
 func (s *Share) Alone(now Micros, unknown bool) {
 	s.refill(now)
-	s.part = 1
+	s.fraction = 1
 	if unknown {
-		s.usable = now + s.waitFor()
+		s.usableFrom = now + s.startWait()
 	}
-	s.settle(now)
+	s.recompute(now)
 }
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -10,111 +10,112 @@
 // limit's hold time later: the lender counts the slot as lent for that long (see loanBook.lentTime).
 type Slots struct {
 	Limit // Rate is the number of requests in flight
-	book
-	members int
-	place   int // index in the roster: the first members own the remainder of the division; -1: unknown
+	loanBook
+	members     int
+	rosterIndex int // index in the roster: the first members own the remainder of the division; -1: unknown
 
-	usable  Micros
-	void    bool
-	reserve float64 // slots of the floor that the predecessor keeps
-	only    float64 // slots of the floor that this process keeps beside its successor; -1: no successor
-	avail   [parts]float64
-	open    [parts]int // requests in flight on own slots
-	change  Micros
+	usableFrom          Micros
+	disabled            bool
+	keptByPredecessor   float64 // slots of the floor that the predecessor keeps
+	keptBesideSuccessor float64 // slots of the floor kept beside the successor; -1: no successor
+	available           [poolCount]float64
+	inFlightOwn         [poolCount]int // requests in flight on own slots
+	changesAt           Micros
 
-	peak    int // maximum number of requests in flight in this period
-	vain    int // requests refused in this period
-	demand  float64
-	idle    int
-	Granted int64
-	Refused int64
+	peak            int // maximum number of requests in flight in this period
+	refusedInPeriod int // requests refused in this period
+	demand          float64
+	idlePeriods     int
+	Granted         int64
+	Refused         int64
 }
 
 // Slot identifies the slot that an admitted request holds until it ends.
 type Place struct {
-	own  part
-	loan uint64 // 0: an own slot
+	pool   pool
+	loanID uint64 // 0: an own slot
 }
 
 // NewSlots returns the slots of a member that starts without state from a predecessor. hold is the longest
 // duration of a request on a slot outside the floor.
 func NewSlots(l Limit, members, place int, period, hold Micros, seed uint64, now Micros) *Slots {
-	s := &Slots{Limit: l, book: book{id: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
-		members: members, place: place, only: -1}
-	s.usable = now + s.waitFor()
-	s.settle(now)
+	s := &Slots{Limit: l,
+		loanBook: loanBook{limitID: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
+		members:  members, rosterIndex: place, keptBesideSuccessor: -1}
+	s.usableFrom = now + s.startWait()
+	s.recompute(now)
 	return s
 }
 
 // share is the number of slots this member owns.
 func (s *Slots) share() float64 {
 	n := math.Floor(s.Rate / float64(s.members))
-	if s.place >= 0 && float64(s.place) < s.Rate-n*float64(s.members) {
+	if s.rosterIndex >= 0 && float64(s.rosterIndex) < s.Rate-n*float64(s.members) {
 		n++
 	}
 	return n
 }
 
 // kept is the number of slots that are never lent.
-func (s *Slots) kept() float64 { return min(s.share(), max(1, math.Floor(Kept*s.share()))) }
+func (s *Slots) kept() float64 { return min(s.share(), max(1, math.Floor(KeptFraction*s.share()))) }
 
-func (s *Slots) amount(p part, now Micros) float64 {
-	own := math.Ceil(s.share() * s.floorPart())
+func (s *Slots) owned(p pool, now Micros) float64 {
+	own := math.Ceil(s.share() * s.floorFraction())
 	switch {
-	case p == floor && s.only >= 0:
-		return min(own, s.only)
+	case p == floor && s.keptBesideSuccessor >= 0:
+		return min(own, s.keptBesideSuccessor)
 	case p == floor:
-		return max(0, own-s.reserve)
-	case s.only >= 0:
+		return max(0, own-s.keptByPredecessor)
+	case s.keptBesideSuccessor >= 0:
 		return 0
 	}
-	return (s.share() - own) * float64(s.entitled.count(p, now))
+	return (s.share() - own) * float64(s.leaseWindows.count(p, now))
 }
 
 // recompute updates how many requests may be in flight from now on.
-func (s *Slots) settle(now Micros) {
+func (s *Slots) recompute(now Micros) {
 	s.expire(now)
-	s.change = min(s.nextEnd(), s.next(now))
-	for p := range parts {
-		have := s.amount(p, now)
-		if now < s.usable {
-			if s.change = min(s.change, s.usable); p == floor {
+	s.changesAt = min(s.nextExpiry(), s.nextChange(now))
+	for p := range poolCount {
+		have := s.owned(p, now)
+		if now < s.usableFrom {
+			if s.changesAt = min(s.changesAt, s.usableFrom); p == floor {
 				have = min(have, s.kept())
 			} else {
 				have = 0
 			}
 		}
-		if s.avail[p] = max(0, have-s.out(p)); s.void {
-			s.avail[p] = 0
+		if s.available[p] = max(0, have-s.lentFrom(p)); s.disabled {
+			s.available[p] = 0
 		}
 	}
 }
 
 func (s *Slots) refresh(now Micros) {
-	for now >= s.change {
-		s.settle(s.change)
+	for now >= s.changesAt {
+		s.recompute(s.changesAt)
 	}
 }
 
 // inFlight returns the number of requests in flight.
-func (s *Slots) opened() (n int) {
-	for p := range parts {
-		n += s.open[p]
+func (s *Slots) inFlight() (n int) {
+	for p := range poolCount {
+		n += s.inFlightOwn[p]
 	}
-	for i := range s.in {
-		n += s.in[i].open
+	for i := range s.borrowed {
+		n += s.borrowed[i].inFlight
 	}
 	return n
 }
 
 // total returns the number of requests that may be in flight here now.
 func (s *Slots) total(now Micros) (sum float64) {
-	for p := range parts {
-		sum += s.avail[p]
+	for p := range poolCount {
+		sum += s.available[p]
 	}
-	for i := range s.in {
-		if s.in[i].until > now {
-			sum += s.in[i].rate
+	for i := range s.borrowed {
+		if s.borrowed[i].until > now {
+			sum += s.borrowed[i].amount
 		}
 	}
 	return sum
@@ -124,45 +125,46 @@
 // that it holds until Release.
 func (s *Slots) Take(now, ends Micros) (at Place, ok bool, after Micros) {
 	s.refresh(now)
-	s.peak = max(s.peak, s.opened()+1)
-	for p := range parts {
+	s.peak = max(s.peak, s.inFlight()+1)
+	for p := range poolCount {
 		// Slots outside the floor are only for requests that end within the hold time.
-		if float64(s.open[p]) < s.avail[p] && (p == floor || ends-now <= s.hold) {
-			s.open[p]++
+		if float64(s.inFlightOwn[p]) < s.available[p] && (p == floor || ends-now <= s.hold) {
+			s.inFlightOwn[p]++
 			s.Granted++
-			return Place{own: p}, true, 0
+			return Place{pool: p}, true, 0
 		}
 	}
-	for i := range s.in {
-		if l := &s.in[i]; float64(l.open) < l.rate && now < l.until && ends-now <= s.hold && !s.void {
-			l.open++
+	for i := range s.borrowed {
+		if l := &s.borrowed[i]; float64(l.inFlight) < l.amount && now < l.until && ends-now <= s.hold &&
+			!s.disabled {
+			l.inFlight++
 			s.Granted++
-			return Place{loan: l.id}, true, 0
+			return Place{loanID: l.id}, true, 0
 		}
 	}
 	s.Refused++
-	s.vain++
+	s.refusedInPeriod++
 	return Place{}, false, s.period
 }
 
 // Release frees the slot of a request that has ended.
 func (s *Slots) Done(now Micros, at Place) {
 	s.refresh(now)
-	if at.loan == 0 {
-		s.open[at.own] = max(0, s.open[at.own]-1)
+	if at.loanID == 0 {
+		s.inFlightOwn[at.pool] = max(0, s.inFlightOwn[at.pool]-1)
 		return
 	}
-	for i := range s.in {
-		if l := &s.in[i]; l.id == at.loan && l.open > 0 {
-			l.open--
+	for i := range s.borrowed {
+		if l := &s.borrowed[i]; l.id == at.loanID && l.inFlight > 0 {
+			l.inFlight--
 			return
 		}
 	}
 }
 
 // free returns how many slots of a pool may be lent: those without a request that are not reserved.
-func (s *Slots) free(p part) float64 {
-	n := s.avail[p] - float64(s.open[p])
+func (s *Slots) free(p pool) float64 {
+	n := s.available[p] - float64(s.inFlightOwn[p])
 	if p == floor {
 		n -= s.kept()
 	}
@@ -171,27 +173,28 @@
 
 // Tick must be called once per period with the other members that are alive.
 func (s *Slots) Tick(now Micros, peers []string) (out []Send) {
-	s.settle(now)
-	asked := float64(s.peak + s.vain)
-	s.demand = max(s.demand+(asked-s.demand)/demandFor, min(asked, s.Rate))
-	s.peak, s.vain = s.opened(), 0
-	s.forgetAsked(now)
-	if s.void {
+	s.recompute(now)
+	asked := float64(s.peak + s.refusedInPeriod)
+	s.demand = max(s.demand+(asked-s.demand)/demandDecay, min(asked, s.Rate))
+	s.peak, s.refusedInPeriod = s.inFlight(), 0
+	s.dropUnanswered(now)
+	if s.disabled {
 		return nil
 	}
-	want, have := math.Ceil(min(s.Rate, s.demand*spare)), s.total(now)
-	if s.idle++; len(s.in) == 0 || have-s.in[0].rate < want {
-		s.idle = 0
+	want, have := math.Ceil(min(s.Rate, s.demand*headroom)), s.total(now)
+	if s.idlePeriods++; len(s.borrowed) == 0 || have-s.borrowed[0].amount < want {
+		s.idlePeriods = 0
 	}
-	for s.idle >= giveBack && len(s.in) > 0 && s.in[0].open == 0 && have-s.in[0].rate >= want {
-		have -= s.in[0].rate
-		out = append(out, Send{To: s.in[0].with, Data: s.message(msgBack, &s.in[0], 0)})
-		s.in = s.in[1:]
+	for s.idlePeriods >= idleBeforeReturn && len(s.borrowed) > 0 && s.borrowed[0].inFlight == 0 &&
+		have-s.borrowed[0].amount >= want {
+		have -= s.borrowed[0].amount
+		out = append(out, Send{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
+		s.borrowed = s.borrowed[1:]
 	}
-	if s.idle == 0 {
+	if s.idlePeriods == 0 {
 		out = append(out, s.renew(now)...)
 	}
-	s.settle(now)
+	s.recompute(now)
 	if lacks := want - have; lacks >= 1 {
 		out = append(out, s.borrow(now, lacks, s.share(), peers)...)
 	}
@@ -200,57 +203,57 @@
 
 // Receive handles a message from another member.
 func (s *Slots) Receive(now Micros, from string, data []byte) (out []Send) {
-	kind, l, amount, ok := s.parse(from, data)
+	kind, l, amount, ok := s.decode(from, data)
 	if !ok {
 		return nil
 	}
-	s.settle(now)
+	s.recompute(now)
 	switch kind {
-	case msgAsk:
-		out = s.grant(now, l, func() (float64, part) { return s.lendable(now, math.Floor(amount)) },
-			func(p part) bool { return !s.needed() && s.amount(p, now) >= s.out(p) })
+	case msgRequest:
+		out = s.grant(now, l, func() (float64, pool) { return s.lendable(now, math.Floor(amount)) },
+			func(p pool) bool { return !s.needed() && s.owned(p, now) >= s.lentFrom(p) })
 	case msgGrant:
-		s.granted(now, l, math.Floor(amount))
-	case msgBack:
-		s.back(l)
+		s.acceptGrant(now, l, math.Floor(amount))
+	case msgReturn:
+		s.endLoan(l)
 	}
-	s.settle(now)
+	s.recompute(now)
 	return out
 }
 
 // lendable returns how many of the wanted slots this member can spare, all from the pool that has most free.
-func (s *Slots) lendable(now Micros, wanted float64) (float64, part) {
-	if s.void || now < s.usable || s.only >= 0 {
+func (s *Slots) lendable(now Micros, wanted float64) (float64, pool) {
+	if s.disabled || now < s.usableFrom || s.keptBesideSuccessor >= 0 {
 		return 0, floor
 	}
-	own, most := 0.0, rest
-	for p := range parts {
-		own += s.avail[p]
+	own, most := 0.0, leased
+	for p := range poolCount {
+		own += s.available[p]
 		if s.free(p) > s.free(most) {
 			most = p
 		}
 	}
-	keep := max(s.kept(), min(s.share(), math.Ceil(s.demand*spare)))
+	keep := max(s.kept(), min(s.share(), math.Ceil(s.demand*headroom)))
 	return math.Floor(min(wanted, max(0, own-keep), max(0, s.free(most)))), most
 }
 
 // needed reports whether this member needs its own slots back.
 func (s *Slots) needed() bool {
 	own := 0.0
-	for p := range parts {
-		own += s.avail[p]
+	for p := range poolCount {
+		own += s.available[p]
 	}
-	return math.Ceil(s.demand*spare) > own
+	return math.Ceil(s.demand*headroom) > own
 }
 
 // Stats returns the current figures: how many requests may be in flight here, and how many are.
 func (s *Slots) Figures(now Micros) Figures {
-	s.settle(now)
+	s.recompute(now)
 	own := 0.0
-	for p := range parts {
-		own += s.avail[p]
+	for p := range poolCount {
+		own += s.available[p]
 	}
-	return Figures{Share: s.total(now), Used: float64(s.opened()), InDoubt: max(0, s.share()-own),
+	return Figures{Share: s.total(now), Used: float64(s.inFlight()), InDoubt: max(0, s.share()-own),
 		Stale: s.stalest(now)}
 }
 
@@ -258,73 +261,73 @@
 // other members.
 func (s *Slots) Entitle(now Micros, e Entitlement) {
 	s.refresh(now)
-	s.entitle(e.windows(s.hold))
-	s.settle(now)
+	s.setWindows(e.windows(s.hold))
+	s.recompute(now)
 }
 
 // HandOver leaves this process the own slots in use and one more, and returns what the successor has to know.
 // The first entry, which names no member, is the number of slots that stay here.
 func (s *Slots) Split(now Micros) (lent []Lend) {
-	s.settle(now)
+	s.recompute(now)
 	stays := 0.0
-	for p := range parts {
-		stays += float64(s.open[p])
+	for p := range poolCount {
+		stays += float64(s.inFlightOwn[p])
 	}
-	own := math.Ceil(s.share() * s.floorPart())
+	own := math.Ceil(s.share() * s.floorFraction())
 	if stays++; stays > own { // requests on the leased part end within the hold time
 		stays = own
 	}
-	lent = append([]Lend{{Rate: stays}}, s.save(now)...)
-	s.only, s.lent, s.pending = stays, nil, nil
-	s.entitle(window{}, nil)
-	s.settle(now)
+	lent = append([]Lend{{Amount: stays}}, s.saveLent(now)...)
+	s.keptBesideSuccessor, s.lent, s.pending = stays, nil, nil
+	s.setWindows(window{}, nil)
+	s.recompute(now)
 	return lent
 }
 
 // TakeOver continues with everything except what the predecessor keeps until OtherProcessEnded.
 func (s *Slots) Inherit(now Micros, lent []Lend) {
-	if len(lent) > 0 && lent[0].With == "" {
-		s.reserve, lent = lent[0].Rate, lent[1:]
+	if len(lent) > 0 && lent[0].Peer == "" {
+		s.keptByPredecessor, lent = lent[0].Amount, lent[1:]
 	}
-	s.inherit(now, lent)
-	s.usable, s.only = now, -1
-	s.settle(now)
+	s.restoreLent(now, lent)
+	s.usableFrom, s.keptBesideSuccessor = now, -1
+	s.recompute(now)
 }
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
 // has all slots.
 func (s *Slots) Hold(now Micros) {
-	s.only = 0
-	s.settle(now)
+	s.keptBesideSuccessor = 0
+	s.recompute(now)
 }
 
 // OtherProcessEnded notes that the other process of this member has ended. If the loans of that process are
 // unknown, this one waits as after a start.
 func (s *Slots) Alone(now Micros, unknown bool) {
-	s.reserve, s.only = 0, -1
+	s.keptByPredecessor, s.keptBesideSuccessor = 0, -1
 	if unknown {
-		s.usable = now + s.waitFor()
+		s.usableFrom = now + s.startWait()
 	}
-	s.settle(now)
+	s.recompute(now)
 }
 
 // SetDisabled sets whether this member may use nothing, as is the case while other members reject it. When
 // enabled again it waits as after a start.
 func (s *Slots) Void(now Micros, on bool) {
-	if on == s.void {
+	if on == s.disabled {
 		return
 	}
-	if s.void = on; !on {
-		s.usable = max(s.usable, now+s.waitFor())
+	if s.disabled = on; !on {
+		s.usableFrom = max(s.usableFrom, now+s.startWait())
 	}
-	s.settle(now)
+	s.recompute(now)
 }
 
 // Configure sets the limit, the number of members and the index in the roster. Requests in flight continue.
 func (s *Slots) Configure(now Micros, limit float64, members, place int) {
-	if limit == s.Rate && members == s.members && place == s.place {
+	if limit == s.Rate && members == s.members && place == s.rosterIndex {
 		return
 	}
-	s.Rate, s.members, s.place = limit, members, place
-	s.settle(now)
+	s.Rate, s.members, s.rosterIndex = limit, members, place
+	s.recompute(now)
 }
--- a/internal/quota/tenure.go
+++ b/internal/quota/tenure.go
@@ -22,8 +22,8 @@
 
 // Entitlement is what a member may use above the floor of its shares. Times are on its own clock.
 type Entitlement struct {
-	mine  window
-	taken []window
+	own       window
+	takenOver []window
 }
 
 // windows returns the times of use. A newly acquired lease is usable later by the hold time, as loans of its
@@ -31,15 +31,15 @@
 func (e Entitlement) windows(hold Micros) (window, []window) {
 	shift := func(w window) window {
 		if w.from > 0 {
-			w.from += held(hold)
+			w.from += withDrift(hold)
 		}
 		return w
 	}
 	var taken []window
-	for _, w := range e.taken {
+	for _, w := range e.takenOver {
 		taken = append(taken, shift(w))
 	}
-	return shift(e.mine), taken
+	return shift(e.own), taken
 }
 
 // vote is a vote given to a member for one lease.
@@ -49,26 +49,26 @@
 }
 
 // lease is a lease that this member holds or tries to get.
-type claim struct {
-	of    string // member whose share it is
-	asked Micros // time of the last request for votes
-	seq   uint32
-	term  []Micros // expiry of each voter's vote, by index of the voter
-	since Micros   // start of use: one wait after the majority was reached; 0: it was never reached
-	until Micros
+type lease struct {
+	owner      string // member whose share it is
+	askedAt    Micros // time of the last request for votes
+	seq        uint32
+	votedUntil []Micros // expiry of each voter's vote, by index of the voter
+	usableFrom Micros   // start of use: one wait after the majority was reached; 0: it was never reached
+	until      Micros
 }
 
 // Leases is the state of one member as a voter and as a holder of leases.
 type Tenure struct {
-	self   string
-	roster []string // the voters, sorted
-	stamp  uint32   // hash of the roster: votes of other rosters do not count
-	period Micros
-	votes  map[string]vote
-	silent Micros // time before which this member does not vote
-	claims []claim
-	seq    uint32
-	Hasty  bool // injected fault for tests: a voter votes as soon as it has started
+	self             string
+	voters           []string // the voters, sorted
+	rosterHash       uint32   // hash of the roster: votes of other rosters do not count
+	period           Micros
+	votes            map[string]vote
+	votesFrom        Micros // time before which this member does not vote
+	leases           []lease
+	seq              uint32
+	FaultNoStartWait bool // injected fault for tests: a voter votes as soon as it has started
 }
 
 // NewLeases returns the state of a process that starts without state from a predecessor. Votes only count
@@ -78,43 +78,45 @@
 	if len(roster) < 3 || len(roster) > MostVoters || !slices.Contains(roster, self) {
 		return nil
 	}
-	t := &Tenure{self: self, roster: slices.Sorted(slices.Values(roster)), period: period,
-		stamp: stamp, votes: map[string]vote{}, silent: now + span(period, 1+3*Drift)}
-	for _, name := range t.roster {
-		t.stamp = t.stamp*31 + uint32(xxhash.Sum64String(name))
+	t := &Tenure{self: self, voters: slices.Sorted(slices.Values(roster)), period: period,
+		rosterHash: stamp, votes: map[string]vote{}, votesFrom: now + terms(period, 1+3*MaxDrift)}
+	for _, name := range t.voters {
+		t.rosterHash = t.rosterHash*31 + uint32(xxhash.Sum64String(name))
 	}
-	t.claims = []claim{t.claim(self)}
+	t.leases = []lease{t.newLease(self)}
 	return t
 }
 
-func (t *Tenure) claim(of string) claim { return claim{of: of, term: make([]Micros, len(t.roster))} }
+func (t *Tenure) newLease(of string) lease {
+	return lease{owner: of, votedUntil: make([]Micros, len(t.voters))}
+}
 
 // quorum is the number of votes that is a majority.
-func (t *Tenure) majority() int { return len(t.roster)/2 + 1 }
+func (t *Tenure) quorum() int { return len(t.voters)/2 + 1 }
 
 // Message kinds. Format: kind, stamp (4 bytes), sequence number (4), roster index of the member whose lease
 // it is (1).
 const (
-	msgWant = 8 + iota
+	msgRequestVote = 8 + iota
 	msgVote
-	msgFree
-	tenureSize = 1 + 4 + 4 + 1
+	msgReleaseVote
+	leaseMessageSize = 1 + 4 + 4 + 1
 )
 
-func (t *Tenure) message(kind byte, seq uint32, of string) []byte {
-	b := binary.LittleEndian.AppendUint32([]byte{kind}, t.stamp)
+func (t *Tenure) encode(kind byte, seq uint32, of string) []byte {
+	b := binary.LittleEndian.AppendUint32([]byte{kind}, t.rosterHash)
 	b = binary.LittleEndian.AppendUint32(b, seq)
-	return append(b, byte(slices.Index(t.roster, of)))
+	return append(b, byte(slices.Index(t.voters, of)))
 }
 
 // IsLeaseMessage reports whether a message is about a lease.
 func IsTenure(data []byte) bool {
-	return len(data) == tenureSize && data[0] >= msgWant && data[0] <= msgFree
+	return len(data) == leaseMessageSize && data[0] >= msgRequestVote && data[0] <= msgReleaseVote
 }
 
 // substituteFor returns the member that takes over a dead member's lease: the first of the living members by
 // rendezvous hashing.
-func standIn(of string, alive []string) (who string) {
+func substituteFor(of string, alive []string) (who string) {
 	best := uint64(0)
 	for _, name := range alive {
 		if h := xxhash.Sum64String(name + "\n" + of); who == "" || h > best {
@@ -127,45 +129,45 @@
 // Tick must be called once per period with the members that are alive, including this one.
 func (t *Tenure) Tick(now Micros, alive []string) (out []Send) {
 	want := []string{t.self}
-	for _, name := range t.roster {
-		if !slices.Contains(alive, name) && standIn(name, alive) == t.self {
+	for _, name := range t.voters {
+		if !slices.Contains(alive, name) && substituteFor(name, alive) == t.self {
 			want = append(want, name)
 		}
 	}
-	t.claims = slices.DeleteFunc(t.claims, func(c claim) bool {
-		if slices.Contains(want, c.of) {
+	t.leases = slices.DeleteFunc(t.leases, func(c lease) bool {
+		if slices.Contains(want, c.owner) {
 			return false
 		}
-		for _, v := range t.roster { // use has ended before the voters are told
-			out = append(out, t.post(now, v, t.message(msgFree, c.seq, c.of))...)
+		for _, v := range t.voters { // use has ended before the voters are told
+			out = append(out, t.deliver(now, v, t.encode(msgReleaseVote, c.seq, c.owner))...)
 		}
 		return true
 	})
 	for _, name := range want {
-		i := slices.IndexFunc(t.claims, func(c claim) bool { return c.of == name })
+		i := slices.IndexFunc(t.leases, func(c lease) bool { return c.owner == name })
 		if i < 0 {
-			t.claims = append(t.claims, t.claim(name))
-			i = len(t.claims) - 1
+			t.leases = append(t.leases, t.newLease(name))
+			i = len(t.leases) - 1
 		}
-		c := &t.claims[i]
+		c := &t.leases[i]
 		every := 2 * t.period // between requests; a held lease is not renewed before half of its term
-		if c.until > now && c.until-now > span(t.period, renewAt) {
+		if c.until > now && c.until-now > terms(t.period, renewBelow) {
 			continue
 		}
-		if c.asked > 0 && now-c.asked < every {
+		if c.askedAt > 0 && now-c.askedAt < every {
 			continue
 		}
 		t.seq++
-		c.seq, c.asked = t.seq, now
-		for _, v := range t.roster {
-			out = append(out, t.post(now, v, t.message(msgWant, c.seq, name))...)
+		c.seq, c.askedAt = t.seq, now
+		for _, v := range t.voters {
+			out = append(out, t.deliver(now, v, t.encode(msgRequestVote, c.seq, name))...)
 		}
 	}
 	return out
 }
 
 // deliver returns a message to another member for sending, and handles a message to this one itself.
-func (t *Tenure) post(now Micros, to string, data []byte) []Send {
+func (t *Tenure) deliver(now Micros, to string, data []byte) []Send {
 	if to != t.self {
 		return []Send{{To: to, Data: data}}
 	}
@@ -177,29 +179,29 @@
 
 // Receive handles a message from another member.
 func (t *Tenure) Receive(now Micros, from string, data []byte) []Send {
-	if !IsTenure(data) || binary.LittleEndian.Uint32(data[1:]) != t.stamp || int(data[9]) >= len(t.roster) {
+	if !IsTenure(data) || binary.LittleEndian.Uint32(data[1:]) != t.rosterHash || int(data[9]) >= len(t.voters) {
 		return nil
 	}
-	voter := slices.Index(t.roster, from)
-	seq, of := binary.LittleEndian.Uint32(data[5:]), t.roster[data[9]]
+	voter := slices.Index(t.voters, from)
+	seq, of := binary.LittleEndian.Uint32(data[5:]), t.voters[data[9]]
 	if voter < 0 {
 		return nil
 	}
 	switch v := t.votes[of]; data[0] {
-	case msgWant:
-		if now < t.silent && !t.Hasty || now < v.until && v.to != from {
+	case msgRequestVote:
+		if now < t.votesFrom && !t.FaultNoStartWait || now < v.until && v.to != from {
 			return nil
 		}
-		t.votes[of] = vote{from, now + span(t.period, 1+Drift)}
-		return []Send{{To: from, Data: t.message(msgVote, seq, of)}}
+		t.votes[of] = vote{from, now + terms(t.period, 1+MaxDrift)}
+		return []Send{{To: from, Data: t.encode(msgVote, seq, of)}}
 	case msgVote:
-		for i := range t.claims {
-			if c := &t.claims[i]; c.of == of && c.seq == seq {
-				c.term[voter] = c.asked + span(t.period, 1-2*Drift)
-				c.count(now, t.majority(), span(t.period, 1+3*Drift))
+		for i := range t.leases {
+			if c := &t.leases[i]; c.owner == of && c.seq == seq {
+				c.votedUntil[voter] = c.askedAt + terms(t.period, 1-2*MaxDrift)
+				c.countVotes(now, t.quorum(), terms(t.period, 1+3*MaxDrift))
 			}
 		}
-	case msgFree:
+	case msgReleaseVote:
 		if v.to == from {
 			delete(t.votes, of)
 		}
@@ -208,29 +210,29 @@
 }
 
 // countVotes updates until when a majority has voted for a lease.
-func (c *claim) count(now Micros, majority int, wait Micros) {
-	terms := slices.Sorted(slices.Values(c.term))
+func (c *lease) countVotes(now Micros, majority int, wait Micros) {
+	terms := slices.Sorted(slices.Values(c.votedUntil))
 	until := terms[len(terms)-majority]
 	if until <= now {
 		return
 	}
 	if c.until <= now { // the lease was not held until now
-		c.since = now + wait
+		c.usableFrom = now + wait
 	}
 	c.until = until
 }
 
 // Entitlement returns what this member may use, and until when if it receives no more votes.
 func (t *Tenure) Entitlement(now Micros) (e Entitlement) {
-	for i := range t.claims {
-		c := &t.claims[i]
+	for i := range t.leases {
+		c := &t.leases[i]
 		if c.until <= now {
 			continue
 		}
-		if w := (window{c.since, c.until}); c.of == t.self {
-			e.mine = w
+		if w := (window{c.usableFrom, c.until}); c.owner == t.self {
+			e.own = w
 		} else {
-			e.taken = append(e.taken, w)
+			e.takenOver = append(e.takenOver, w)
 		}
 	}
 	return e
@@ -238,9 +240,9 @@
 
 // Held returns the members whose leases this one holds, including itself. A lease may not be usable yet.
 func (t *Tenure) Holds(now Micros) (of []string) {
-	for i := range t.claims {
-		if c := &t.claims[i]; c.until > now {
-			of = append(of, c.of)
+	for i := range t.leases {
+		if c := &t.leases[i]; c.until > now {
+			of = append(of, c.owner)
 		}
 	}
 	return of
@@ -248,48 +250,48 @@
 
 // LeaseSnapshot is the state that one process hands over to the next. Times are relative to the handover.
 type Held struct {
-	Roster []string        `json:"roster"`
-	Since  Micros          `json:"since"`
-	Until  Micros          `json:"until"`
-	Votes  map[string]Vote `json:"votes"`
-	Silent Micros          `json:"silent"`
+	Roster     []string             `json:"roster"`
+	UsableFrom Micros               `json:"since"`
+	Until      Micros               `json:"until"`
+	Votes      map[string]SavedVote `json:"votes"`
+	VotesFrom  Micros               `json:"silent"`
 }
 
 // SavedVote is a vote that was given.
-type Vote struct {
-	To   string `json:"to"`
-	Left Micros `json:"left"`
+type SavedVote struct {
+	To        string `json:"to"`
+	Remaining Micros `json:"left"`
 }
 
 // HandOver returns the lease and the votes of this process. It holds no leases and does not vote any more.
 func (t *Tenure) Save(now Micros) Held {
-	h := Held{Roster: t.roster, Votes: map[string]Vote{}, Silent: max(0, t.silent-now)}
+	h := Held{Roster: t.voters, Votes: map[string]SavedVote{}, VotesFrom: max(0, t.votesFrom-now)}
 	for of, v := range t.votes {
 		if v.until > now {
-			h.Votes[of] = Vote{v.to, v.until - now}
+			h.Votes[of] = SavedVote{v.to, v.until - now}
 		}
 	}
-	for i := range t.claims {
-		if c := &t.claims[i]; c.of == t.self && c.until > now {
-			h.Since, h.Until = c.since-now, c.until-now
+	for i := range t.leases {
+		if c := &t.leases[i]; c.owner == t.self && c.until > now {
+			h.UsableFrom, h.Until = c.usableFrom-now, c.until-now
 		}
 	}
-	t.claims, t.silent = nil, 1<<62
+	t.leases, t.votesFrom = nil, 1<<62
 	return h
 }
 
 // TakeOver continues with the state of another process of this member.
 func (t *Tenure) Resume(now Micros, h Held) {
-	if !slices.Equal(h.Roster, t.roster) {
+	if !slices.Equal(h.Roster, t.voters) {
 		return
 	}
-	t.silent = now + h.Silent
+	t.votesFrom = now + h.VotesFrom
 	for of, v := range h.Votes {
-		if slices.Contains(t.roster, of) {
-			t.votes[of] = vote{v.To, now + v.Left}
+		if slices.Contains(t.voters, of) {
+			t.votes[of] = vote{v.To, now + v.Remaining}
 		}
 	}
-	if c := &t.claims[0]; h.Until > 0 {
-		c.since, c.until = now+h.Since, now+h.Until
+	if c := &t.leases[0]; h.Until > 0 {
+		c.usableFrom, c.until = now+h.UsableFrom, now+h.Until
 	}
 }
--- a/internal/quota/tenure_test.go
+++ b/internal/quota/tenure_test.go
@@ -12,45 +12,45 @@
 )
 
 // leaseState is a state of the model: three members that vote on each other's leases.
-type ballot struct {
-	now    Micros
-	procs  [3]*Tenure
-	views  [3]int // bit set of the members that each believes to be alive
-	flying []flight
-	starts int
-	path   []string
+type leaseState struct {
+	now      Micros
+	procs    [3]*Tenure
+	views    [3]int // bit set of the members that each believes to be alive
+	inFlight []message
+	starts   int
+	path     []string
 }
 
-var three = []string{"m0", "m1", "m2"}
+var threeMembers = []string{"m0", "m1", "m2"}
 
 func (t *Tenure) clone() *Tenure {
 	c := *t
-	c.votes, c.claims = maps.Clone(t.votes), slices.Clone(t.claims)
-	for i := range c.claims {
-		c.claims[i].term = slices.Clone(c.claims[i].term)
+	c.votes, c.leases = maps.Clone(t.votes), slices.Clone(t.leases)
+	for i := range c.leases {
+		c.leases[i].votedUntil = slices.Clone(c.leases[i].votedUntil)
 	}
 	return &c
 }
 
-func (x *ballot) clone() *ballot {
+func (x *leaseState) clone() *leaseState {
 	c := *x
 	for i := range c.procs {
 		c.procs[i] = x.procs[i].clone()
 	}
-	c.flying, c.path = slices.Clone(x.flying), slices.Clip(x.path)
+	c.inFlight, c.path = slices.Clone(x.inFlight), slices.Clip(x.path)
 	return &c
 }
 
-func (x *ballot) send(from int, list []Send) {
+func (x *leaseState) send(from int, list []Send) {
 	for _, m := range list {
-		x.flying = append(x.flying, flight{from: from, to: slices.Index(three, m.To), data: m.Data})
+		x.inFlight = append(x.inFlight, message{from: from, to: slices.Index(threeMembers, m.To), data: m.Data})
 	}
-	x.flying = x.flying[max(0, len(x.flying)-6):]
+	x.inFlight = x.inFlight[max(0, len(x.inFlight)-6):]
 }
 
-func (x *ballot) tick(i int) {
+func (x *leaseState) tick(i int) {
 	var alive []string
-	for j, name := range three {
+	for j, name := range threeMembers {
 		if j == i || x.views[i]>>j&1 == 1 {
 			alive = append(alive, name)
 		}
@@ -59,7 +59,7 @@
 }
 
 // heldTwice reports whether a lease has two holders.
-func (x *ballot) two() bool {
+func (x *leaseState) heldTwice() bool {
 	holders := map[string]int{}
 	for _, t := range x.procs {
 		for _, of := range t.Holds(x.now) {
@@ -74,7 +74,7 @@
 	return false
 }
 
-func (x *ballot) print() uint64 {
+func (x *leaseState) fingerprint() uint64 {
 	var b []byte
 	put := func(n ...Micros) {
 		for _, v := range n {
@@ -83,21 +83,21 @@
 	}
 	put(Micros(x.starts))
 	for i, t := range x.procs {
-		put(max(0, t.silent-x.now), Micros(x.views[i]))
-		for _, name := range three {
+		put(max(0, t.votesFrom-x.now), Micros(x.views[i]))
+		for _, name := range threeMembers {
 			v := t.votes[name]
 			b = append(append(b, v.to...), '/')
 			put(max(0, v.until-x.now))
 		}
-		for _, c := range t.claims {
-			b = append(append(b, c.of...), '/')
-			put(max(0, c.until-x.now), Micros(c.seq), x.now-c.asked)
-			for _, u := range c.term {
+		for _, c := range t.leases {
+			b = append(append(b, c.owner...), '/')
+			put(max(0, c.until-x.now), Micros(c.seq), x.now-c.askedAt)
+			for _, u := range c.votedUntil {
 				put(max(0, u-x.now))
 			}
 		}
 	}
-	for _, f := range x.flying {
+	for _, f := range x.inFlight {
 		put(Micros(f.from), Micros(f.to))
 		b = append(b, f.data...)
 	}
@@ -106,27 +106,27 @@
 
 // exploreLeases tries every sequence of up to steps events, in at most most states. It returns the first
 // sequence after which a lease has two holders.
-func exploreVotes(steps, most int, hasty bool) (found []string, states int) {
-	first := &ballot{now: 1_000_000_000}
-	begin := func(x *ballot, i int) {
-		x.procs[i] = NewTenure(three[i], three, 7, period, x.now)
-		x.procs[i].Hasty = hasty
+func exploreLeases(steps, most int, hasty bool) (found []string, states int) {
+	first := &leaseState{now: 1_000_000_000}
+	begin := func(x *leaseState, i int) {
+		x.procs[i] = NewTenure(threeMembers[i], threeMembers, 7, period, x.now)
+		x.procs[i].FaultNoStartWait = hasty
 		x.views[i] = 7
 	}
 	for i := range first.procs {
 		begin(first, i)
 	}
-	first.now += span(period, 1.1)
+	first.now += terms(period, 1.1)
 	for i := range first.procs { // all members are up, and the third holds its own lease
 		first.views[i] = 7
 	}
-	for first.tick(2); len(first.flying) > 0; {
-		f := first.flying[0]
-		first.flying = first.flying[1:]
-		first.send(f.to, first.procs[f.to].Receive(first.now, three[f.from], f.data))
+	for first.tick(2); len(first.inFlight) > 0; {
+		f := first.inFlight[0]
+		first.inFlight = first.inFlight[1:]
+		first.send(f.to, first.procs[f.to].Receive(first.now, threeMembers[f.from], f.data))
 	}
 	type todo struct {
-		*ballot
+		*leaseState
 		left int
 	}
 	seen := map[uint64]int{}
@@ -134,57 +134,57 @@
 	for len(stack) > 0 && states < most {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
-		if x.two() {
+		if x.heldTwice() {
 			return x.path, states
 		}
-		p := x.print()
+		p := x.fingerprint()
 		if left, ok := seen[p]; x.left == 0 || ok && left >= x.left {
 			continue
 		}
 		seen[p] = x.left
 		states++
-		step := func(what string, do func(c *ballot)) {
+		step := func(what string, do func(c *leaseState)) {
 			c := x.clone()
 			do(c)
 			c.path = append(c.path, what)
 			stack = append(stack, todo{c, x.left - 1})
 		}
-		for k, f := range x.flying {
+		for k, f := range x.inFlight {
 			what := fmt.Sprint(f.from, ">", f.to, " kind ", f.data[0])
-			deliver := func(c *ballot) {
-				c.send(f.to, c.procs[f.to].Receive(c.now, three[f.from], f.data))
+			deliver := func(c *leaseState) {
+				c.send(f.to, c.procs[f.to].Receive(c.now, threeMembers[f.from], f.data))
 			}
-			step("lose "+what, func(c *ballot) { c.flying = slices.Delete(c.flying, k, k+1) })
-			step("deliver "+what, func(c *ballot) { c.flying = slices.Delete(c.flying, k, k+1); deliver(c) })
-			if len(x.flying) < 4 {
+			step("lose "+what, func(c *leaseState) { c.inFlight = slices.Delete(c.inFlight, k, k+1) })
+			step("deliver "+what, func(c *leaseState) { c.inFlight = slices.Delete(c.inFlight, k, k+1); deliver(c) })
+			if len(x.inFlight) < 4 {
 				step("deliver and keep "+what, deliver)
 			}
 		}
 		for i := range x.procs {
 			if x.starts < 2 {
-				step(fmt.Sprint("restart ", i), func(c *ballot) { c.starts++; begin(c, i) })
+				step(fmt.Sprint("restart ", i), func(c *leaseState) { c.starts++; begin(c, i) })
 			}
-			step(fmt.Sprint("tick ", i), func(c *ballot) { c.tick(i) })
-			step(fmt.Sprint("member 2 is dead to ", i), func(c *ballot) {
+			step(fmt.Sprint("tick ", i), func(c *leaseState) { c.tick(i) })
+			step(fmt.Sprint("member 2 is dead to ", i), func(c *leaseState) {
 				if c.views[i] &^= 4; i == 2 {
 					c.views[i] = 7
 				}
 			})
 		}
-		step("half a term", func(c *ballot) { c.now += span(period, 0.5) })
+		step("half a term", func(c *leaseState) { c.now += terms(period, 0.5) })
 	}
 	return nil, states
 }
 
 // No sequence of deliveries, losses, duplicates, restarts, wrong views and time steps gives a lease two
 // holders. The same search finds the fault of a voter that votes as soon as it has started.
-func TestEveryOrderOfVotes(t *testing.T) {
-	found, states := exploreVotes(7, 25_000, false)
+func TestEveryVoteOrder(t *testing.T) {
+	found, states := exploreLeases(7, 25_000, false)
 	if found != nil {
 		t.Fatalf("two holders after %v", found)
 	}
 	t.Logf("%d states", states)
-	found, states = exploreVotes(7, 600_000, true)
+	found, states = exploreLeases(7, 600_000, true)
 	if found == nil {
 		t.Fatalf("the fault of voting without the start wait was not found in %d states", states)
 	}
@@ -192,28 +192,28 @@
 }
 
 // lockOperation is the acquisition or release of a lease, as its holder sees it.
-type lockInput struct {
-	who  int
-	take bool
+type lockOperation struct {
+	holder  int
+	acquire bool
 }
 
-var oneHolder = porcupine.Model{
+var lockModel = porcupine.Model{
 	Init: func() any { return -1 },
 	Step: func(state, input, _ any) (bool, any) {
-		switch in := input.(lockInput); {
-		case in.take:
-			return state.(int) < 0, in.who
+		switch in := input.(lockOperation); {
+		case in.acquire:
+			return state.(int) < 0, in.holder
 		default:
-			return state.(int) == in.who, -1
+			return state.(int) == in.holder, -1
 		}
 	},
 	DescribeOperation: func(input, _ any) string { return fmt.Sprintf("%+v", input) },
 }
 
 // leaseHistory runs a fleet under faults and returns the history of the holders of each lease.
-func holdings(t *testing.T, seed uint64, hasty bool) map[string][]porcupine.Operation {
-	f := newFleet(t, 3, seed, 0.5)
-	f.hasty = hasty
+func leaseHistory(t *testing.T, seed uint64, hasty bool) map[string][]porcupine.Operation {
+	f := newFaultFleet(t, 3, seed, 0.5)
+	f.noStartWait = hasty
 	f.loss = 0.1
 	out := map[string][]porcupine.Operation{}
 	type held struct {
@@ -225,7 +225,7 @@
 		for i, p := range f.procs {
 			now := map[string]bool{}
 			if !f.down[i] { // a stopped process checks its clock before it uses a lease
-				for _, of := range p.tenure.Holds(f.clock(i)) {
+				for _, of := range p.leases.Holds(f.clock(i)) {
 					now[of] = true
 				}
 			}
@@ -233,7 +233,7 @@
 				k := held{of, i}
 				if has[k] != now[of] {
 					has[k] = now[of]
-					out[of] = append(out[of], porcupine.Operation{ClientId: i, Input: lockInput{i, now[of]},
+					out[of] = append(out[of], porcupine.Operation{ClientId: i, Input: lockOperation{i, now[of]},
 						Call: f.now - 20_000, Return: f.now})
 				}
 			}
@@ -272,19 +272,19 @@
 
 // The history of each lease is that of a lock: acquired when free, released by its holder. With voters that
 // vote without the start wait it is not.
-func TestRestsAreHeldLikeLocks(t *testing.T) {
+func TestLeasesBehaveLikeLocks(t *testing.T) {
 	operations, wrong := 0, 0
 	for seed := range uint64(6) {
-		for of, history := range holdings(t, seed, false) {
+		for of, history := range leaseHistory(t, seed, false) {
 			operations += len(history)
-			if !porcupine.CheckOperations(oneHolder, history) {
+			if !porcupine.CheckOperations(lockModel, history) {
 				t.Errorf("seed %d: the lease of %s does not behave like a lock", seed, of)
 			}
 		}
 	}
 	for seed := uint64(0); seed < 100 && wrong == 0; seed++ {
-		for _, history := range holdings(t, seed, true) {
-			if !porcupine.CheckOperations(oneHolder, history) {
+		for _, history := range leaseHistory(t, seed, true) {
+			if !porcupine.CheckOperations(lockModel, history) {
 				wrong++
 			}
 		}
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -14,31 +14,32 @@
 
 // detectorFleet simulates, on virtual time, a fleet of outlier detectors and data nodes that may be sick.
 // Each member avoids a node for some time after a bad outcome, as its module does.
-type court struct {
-	rng     *rand.Rand
-	juries  []*Jury
-	tables  []*Table
-	zones   []string
-	now     Micros
-	nodes   int
-	asks    float64                         // attempts per member and period
-	loss    float64                         // fraction of messages lost
-	cut     func(a, b int) bool             // members that cannot reach each other
-	outcome func(m, n int) (Ending, Micros) // outcome of an attempt of member m at node n
-	avoid   [][]Micros
-	tries   [][]int // attempts by member and node
-	bytes   int
+type detectorFleet struct {
+	rng           *rand.Rand
+	detectors     []*Jury
+	tables        []*Table
+	zones         []string
+	now           Micros
+	nodes         int
+	attempts      float64                         // attempts per member and period
+	loss          float64                         // fraction of messages lost
+	cut           func(a, b int) bool             // members that cannot reach each other
+	outcome       func(m, n int) (Ending, Micros) // outcome of an attempt of member m at node n
+	avoidUntil    [][]Micros
+	attemptCounts [][]int // attempts by member and node
+	bytes         int
 }
 
-func newCourt(members, nodes int, zones []string, asks float64, seed uint64) *court {
-	c := &court{rng: rand.New(rand.NewPCG(seed, 2)), nodes: nodes, asks: asks, now: 1_000 * simPeriod}
+func newDetectorFleet(members, nodes int, zones []string, asks float64, seed uint64) *detectorFleet {
+	c := &detectorFleet{rng: rand.New(rand.NewPCG(seed, 2)), nodes: nodes, attempts: asks,
+		now: 1_000 * simPeriod}
 	for i := range members {
 		z := zones[i%len(zones)]
 		c.zones = append(c.zones, z)
-		c.juries = append(c.juries, NewJury(Voter{name(i), z}, simPeriod, most))
-		c.tables = append(c.tables, NewTable(name(i)))
-		c.avoid = append(c.avoid, make([]Micros, nodes))
-		c.tries = append(c.tries, make([]int, nodes))
+		c.detectors = append(c.detectors, NewJury(Voter{memberName(i), z}, simPeriod, maxMessage))
+		c.tables = append(c.tables, NewTable(memberName(i)))
+		c.avoidUntil = append(c.avoidUntil, make([]Micros, nodes))
+		c.attemptCounts = append(c.attemptCounts, make([]int, nodes))
 	}
 	c.cut = func(int, int) bool { return false }
 	c.outcome = func(int, int) (Ending, Micros) { return Served, 10_000 }
@@ -48,7 +49,7 @@
 func nodeName(n uint64) string { return fmt.Sprintf("n%d", n) }
 
 // isSick reports whether a verdict that applies to a member says that a node is sick.
-func (c *court) out(m, n int) bool {
+func (c *detectorFleet) isSick(m, n int) bool {
 	for _, v := range c.tables[m].Evidence(c.now, nodeName(uint64(n))) {
 		if _, z := v.Node(); z == "" || z == c.zones[m] {
 			return true
@@ -59,22 +60,22 @@
 
 // period simulates one period: first attempts, then messages, then verdicts, which all reachable members
 // merge immediately.
-func (c *court) period() {
+func (c *detectorFleet) period() {
 	c.now += simPeriod
-	for m, j := range c.juries {
-		k := int(c.asks)
-		if c.rng.Float64() < c.asks-float64(k) {
+	for m, j := range c.detectors {
+		k := int(c.attempts)
+		if c.rng.Float64() < c.attempts-float64(k) {
 			k++
 		}
 		for range k {
 			n := c.rng.IntN(c.nodes)
-			if c.avoid[m][n] > c.now || c.out(m, n) {
+			if c.avoidUntil[m][n] > c.now || c.isSick(m, n) {
 				continue
 			}
-			c.tries[m][n]++
+			c.attemptCounts[m][n]++
 			e, took := c.outcome(m, n)
 			if took += Micros(c.rng.IntN(4_000)); e != Served || took > 400_000 {
-				c.avoid[m][n] = c.now + Micros(20+c.rng.IntN(20))*simPeriod
+				c.avoidUntil[m][n] = c.now + Micros(20+c.rng.IntN(20))*simPeriod
 			}
 			j.See(c.now, uint64(n), 0, e, took)
 		}
@@ -84,14 +85,14 @@
 		Send
 	}
 	var post []letter
-	for m, j := range c.juries {
+	for m, j := range c.detectors {
 		var others []Voter
-		for o := range c.juries {
+		for o := range c.detectors {
 			if o != m && !c.cut(m, o) {
-				others = append(others, Voter{name(o), c.zones[o]})
+				others = append(others, Voter{memberName(o), c.zones[o]})
 			}
 		}
-		for _, s := range j.Tick(c.now, others, len(c.juries), true) {
+		for _, s := range j.Tick(c.now, others, len(c.detectors), true) {
 			post = append(post, letter{m, s})
 		}
 	}
@@ -104,7 +105,7 @@
 		if c.cut(l.from, to) || c.rng.Float64() < c.loss {
 			continue
 		}
-		more, ok := c.juries[to].Receive(c.now, Voter{name(l.from), c.zones[l.from]}, l.Data)
+		more, ok := c.detectors[to].Receive(c.now, Voter{memberName(l.from), c.zones[l.from]}, l.Data)
 		if !ok {
 			panic("a detector rejects the message of another one")
 		}
@@ -114,24 +115,24 @@
 	}
 	for m, t := range c.tables {
 		t.Expire(c.now)
-		for _, x := range t.Take() {
+		for _, x := range t.TakeChanges() {
 			if n := 0; !x.Holds {
 				name, _ := x.Verdict.Node()
 				_, _ = fmt.Sscanf(name, "n%d", &n)
-				c.juries[m].Acquit(uint64(n))
+				c.detectors[m].Acquit(uint64(n))
 			}
 		}
 	}
-	for m, j := range c.juries {
+	for m, j := range c.detectors {
 		alive := 0
-		for o := range c.juries {
+		for o := range c.detectors {
 			if !c.cut(m, o) {
 				alive++
 			}
 		}
 		for _, x := range j.Judge(c.now) {
 			v, ok := c.tables[m].Sick(c.now, simPeriod, nodeName(x.Node), x)
-			if !ok || c.tables[m].Ill(c.now, x.Zone) >= MayBeOut(c.nodes, 0.25, alive, len(c.juries)) {
+			if !ok || c.tables[m].Ill(c.now, x.Zone) >= MayBeOut(c.nodes, 0.25, alive, len(c.detectors)) {
 				continue
 			}
 			v, _ = c.tables[m].Say(c.now, c.now/1000, v)
@@ -145,10 +146,10 @@
 }
 
 // sickNodes returns the subjects of all verdicts by evidence that are in force at any member.
-func (c *court) judged() (all []string) {
+func (c *detectorFleet) sickNodes() (all []string) {
 	for _, t := range c.tables {
 		for _, e := range t.entries {
-			if (e.Kind == Sick || e.Kind == Path) && e.holds(c.now-e.born) && !slices.Contains(all, e.What) {
+			if (e.Kind == Sick || e.Kind == Path) && e.inForce(c.now-e.issuedAt) && !slices.Contains(all, e.What) {
 				all = append(all, e.What)
 			}
 		}
@@ -159,9 +160,9 @@
 
 // untilSick simulates periods until a node is found sick. It returns their number, or -1 if there were more
 // than most.
-func (c *court) untilJudged(most int) int {
+func (c *detectorFleet) untilSick(most int) int {
 	for i := range most {
-		if c.period(); len(c.judged()) > 0 {
+		if c.period(); len(c.sickNodes()) > 0 {
 			return i
 		}
 	}
@@ -171,7 +172,7 @@
 // Sick nodes are found within a window, with a verdict for the members that they are sick for. Healthy nodes
 // are never found sick.
 func TestEvidence(t *testing.T) {
-	failing := func(c *court, of func(m, n int) bool) {
+	failing := func(c *detectorFleet, of func(m, n int) bool) {
 		c.outcome = func(m, n int) (Ending, Micros) {
 			if of(m, n) {
 				return Broken, 1_000
@@ -184,14 +185,14 @@
 		members int
 		asks    float64
 		loss    float64
-		begin   func(c *court)
+		begin   func(c *detectorFleet)
 		want    string // subjects of the verdicts; empty: there may be none
 	}{
-		{"failing", 5, 8, 0, func(c *court) { failing(c, func(_, n int) bool { return n == 3 }) }, "n3"},
-		{"failing, a third of messages lost", 12, 8, 0.3, func(c *court) {
+		{"failing", 5, 8, 0, func(c *detectorFleet) { failing(c, func(_, n int) bool { return n == 3 }) }, "n3"},
+		{"failing, a third of messages lost", 12, 8, 0.3, func(c *detectorFleet) {
 			failing(c, func(_, n int) bool { return n == 3 })
 		}, "n3"},
-		{"slow", 5, 8, 0, func(c *court) {
+		{"slow", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return Served, 600_000
@@ -199,7 +200,7 @@
 				return Served, 10_000
 			}
 		}, "n3"},
-		{"hedged before it answers", 5, 8, 0, func(c *court) {
+		{"hedged before it answers", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return GivenUp, 300_000
@@ -207,7 +208,7 @@
 				return Served, 10_000
 			}
 		}, "n3"},
-		{"loses to hedged requests early", 5, 8, 0, func(c *court) {
+		{"loses to hedged requests early", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return Beaten, 60_000
@@ -215,7 +216,7 @@
 				return Served, 20_000
 			}
 		}, "n3"},
-		{"one in ten loses to a hedged request at every node", 5, 8, 0, func(c *court) {
+		{"one in ten loses to a hedged request at every node", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(int, int) (Ending, Micros) {
 				if c.rng.IntN(10) == 0 {
 					return Beaten, 60_000
@@ -223,7 +224,7 @@
 				return Served, 20_000
 			}
 		}, ""},
-		{"unresponsive", 5, 8, 0, func(c *court) {
+		{"unresponsive", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(_, n int) (Ending, Micros) {
 				if n == 3 {
 					return Unheard, 500_000
@@ -231,37 +232,39 @@
 				return Served, 10_000
 			}
 		}, "n3"},
-		{"failing for one zone", 6, 8, 0, func(c *court) {
+		{"failing for one zone", 6, 8, 0, func(c *detectorFleet) {
 			failing(c, func(m, n int) bool { return n == 3 && c.zones[m] == "a" })
 		}, "n3@a"},
-		{"one member's links", 5, 8, 0, func(c *court) { failing(c, func(m, _ int) bool { return m == 1 }) }, ""},
-		{"one member's path to a node", 5, 8, 0, func(c *court) {
+		{"one member's links", 5, 8, 0, func(c *detectorFleet) {
+			failing(c, func(m, _ int) bool { return m == 1 })
+		}, ""},
+		{"one member's path to a node", 5, 8, 0, func(c *detectorFleet) {
 			failing(c, func(m, n int) bool { return m == 1 && n == 3 })
 		}, ""},
-		{"all nodes as seen from one zone", 6, 8, 0, func(c *court) {
+		{"all nodes as seen from one zone", 6, 8, 0, func(c *detectorFleet) {
 			failing(c, func(m, _ int) bool { return c.zones[m] == "a" })
 		}, ""},
-		{"everything is slow", 5, 8, 0, func(c *court) {
+		{"everything is slow", 5, 8, 0, func(c *detectorFleet) {
 			c.outcome = func(_, n int) (Ending, Micros) { return Unheard, 700_000 }
 		}, ""},
-		{"one in a hundred fails at every node", 5, 8, 0, func(c *court) {
+		{"one in a hundred fails at every node", 5, 8, 0, func(c *detectorFleet) {
 			failing(c, func(int, int) bool { return c.rng.IntN(100) == 0 })
 		}, ""},
-		{"failing for two periods", 12, 3, 0, func(c *court) {
+		{"failing for two periods", 12, 3, 0, func(c *detectorFleet) {
 			from := c.now
 			failing(c, func(_, n int) bool { return n == 3 && c.now < from+2*simPeriod })
 		}, ""},
-		{"full, not sick", 5, 8, 0, func(c *court) {}, ""},
+		{"full, not sick", 5, 8, 0, func(c *detectorFleet) {}, ""},
 	} {
 		t.Run(x.name, func(t *testing.T) {
 			for seed := range uint64(3) {
-				c := newCourt(x.members, 8, []string{"a", "b"}, x.asks, seed)
+				c := newDetectorFleet(x.members, 8, []string{"a", "b"}, x.asks, seed)
 				for range 60 {
 					c.period()
 				}
 				x.begin(c)
-				took := c.untilJudged(2 * Window)
-				got := strings.Join(c.judged(), " ")
+				took := c.untilSick(2 * Window)
+				got := strings.Join(c.sickNodes(), " ")
 				if got != x.want || x.want != "" && took > Window {
 					t.Errorf("seed %d: %q sick after %d periods, want %q", seed, got, took, x.want)
 				}
@@ -271,10 +274,10 @@
 }
 
 // The checks detect the injected fault that one reporter suffices and no opposing report counts.
-func TestOneAccuserIsFound(t *testing.T) {
-	c := newCourt(5, 8, []string{"a", "b"}, 8, 1)
-	for _, j := range c.juries {
-		j.Credulous = true
+func TestDetectsSingleReporter(t *testing.T) {
+	c := newDetectorFleet(5, 8, []string{"a", "b"}, 8, 1)
+	for _, j := range c.detectors {
+		j.FaultSingleReporter = true
 	}
 	c.outcome = func(m, n int) (Ending, Micros) {
 		if m == 1 && n == 3 {
@@ -282,15 +285,15 @@
 		}
 		return Served, 10_000
 	}
-	if c.untilJudged(2*Window) < 0 {
+	if c.untilSick(2*Window) < 0 {
 		t.Fatal("no node was found sick by a single reporter")
 	}
 }
 
 // The sides of a partition together declare no more nodes sick than the share, and a minority issues no
 // verdict that rests on one zone only.
-func TestEvidenceWhileCut(t *testing.T) {
-	c := newCourt(5, 16, []string{"a", "b"}, 12, 3)
+func TestEvidenceDuringPartition(t *testing.T) {
+	c := newDetectorFleet(5, 16, []string{"a", "b"}, 12, 3)
 	c.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
 	c.outcome = func(m, n int) (Ending, Micros) {
 		if n < 10 && (n%2 == 0) == (m < 3) {
@@ -300,18 +303,18 @@
 	}
 	for range 3 * Window {
 		c.period()
-		if got := c.judged(); len(got) > 4 {
+		if got := c.sickNodes(); len(got) > 4 {
 			t.Fatalf("sick: %v, more than a quarter of 16 nodes", got)
 		}
 	}
-	if c.untilJudged(4*Window) < 0 {
+	if c.untilSick(4*Window) < 0 {
 		t.Fatal("no node was found sick")
 	}
 }
 
 // A node that becomes sick again is ejected for longer each time, and an operator's withdrawal of a verdict
 // blocks further ones for some time.
-func TestRelapseAndPardon(t *testing.T) {
+func TestRelapseAndOperatorWithdrawal(t *testing.T) {
 	table := NewTable("a")
 	now := Micros(1)
 	spans := []Micros{}
@@ -326,7 +329,7 @@
 		}
 		spans = append(spans, v.Span/simPeriod)
 		now += v.Span
-		if _, ok := table.Sick(now+5*simPeriod, simPeriod, "n", Judgement{Since: 6}); ok {
+		if _, ok := table.Sick(now+5*simPeriod, simPeriod, "n", Judgement{FirstBadAge: 6}); ok {
 			t.Fatal("a verdict may be issued on the evidence of the previous one")
 		}
 		now += 2 * simPeriod
@@ -334,7 +337,7 @@
 	if want := []Micros{50, 100, 200, 400, 800, 800, 800}; !slices.Equal(spans, want) {
 		t.Errorf("ejected for %v periods, want %v", spans, want)
 	}
-	now += (relapse + 1) * 800 * simPeriod
+	now += (relapseSpans + 1) * 800 * simPeriod
 	v, _ := table.Sick(now, simPeriod, "n", Judgement{})
 	if v.Span != sickSpan*simPeriod {
 		t.Errorf("long after the last verdict the node is ejected for %d periods", v.Span/simPeriod)
@@ -342,17 +345,17 @@
 	v, _ = table.Say(now, 1, v)
 	v.On, v.Span = false, 0
 	_, _ = table.Say(now, 1, v)
-	if _, ok := table.Sick(now+pardon*Window*simPeriod-1, simPeriod, "n", Judgement{}); ok {
+	if _, ok := table.Sick(now+withdrawalWindows*Window*simPeriod-1, simPeriod, "n", Judgement{}); ok {
 		t.Error("an operator's withdrawal does not block a new verdict")
 	}
-	if _, ok := table.Sick(now+pardon*Window*simPeriod, simPeriod, "n", Judgement{}); !ok {
+	if _, ok := table.Sick(now+withdrawalWindows*Window*simPeriod, simPeriod, "n", Judgement{}); !ok {
 		t.Error("an operator's withdrawal blocks new verdicts for too long")
 	}
 }
 
 // For any sick nodes: no shard loses its last node, no more nodes are ejected than the share (or one), and
 // another sick node at the end of the list does not bring back one that is ejected.
-func TestGuard(t *testing.T) {
+func TestLimitEjections(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cells := rapid.IntRange(1, 5).Draw(t, "cells")
 		reach := rapid.IntRange(1, 5).Draw(t, "reach")
@@ -390,28 +393,28 @@
 }
 
 // Any input is handled or rejected, and state and messages stay within their bounds.
-func FuzzJury(f *testing.F) {
-	c := newCourt(3, 4, []string{"a"}, 8, 1)
+func FuzzOutlierDetector(f *testing.F) {
+	c := newDetectorFleet(3, 4, []string{"a"}, 8, 1)
 	c.outcome = func(_, n int) (Ending, Micros) { return Broken, 1 }
 	c.period()
-	for _, s := range c.juries[0].Tick(c.now+simPeriod, []Voter{{"m0001", "a"}}, 3, true) {
+	for _, s := range c.detectors[0].Tick(c.now+simPeriod, []Voter{{"m0001", "a"}}, 3, true) {
 		f.Add(s.Data)
 	}
-	f.Add([]byte{msgQuest, 1, 2, 3, 4, 5, 6, 7, 8, 255, 255})
+	f.Add([]byte{msgTallyQuery, 1, 2, 3, 4, 5, 6, 7, 8, 255, 255})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		j := NewJury(Voter{"m", "a"}, simPeriod, most)
+		j := NewJury(Voter{"m", "a"}, simPeriod, maxMessage)
 		out, ok := j.Receive(5*simPeriod, Voter{"o", "b"}, data)
 		if !ok && len(out) > 0 {
 			t.Fatal("a malformed message is answered")
 		}
 		for _, s := range append(out, j.Tick(6*simPeriod, []Voter{{"o", "b"}}, 2, true)...) {
-			if len(s.Data) > most {
+			if len(s.Data) > maxMessage {
 				t.Fatalf("a message of %d bytes", len(s.Data))
 			}
 		}
 		j.Judge(20 * simPeriod)
-		if len(j.trials) > mostCases {
-			t.Fatalf("%d cases", len(j.trials))
+		if len(j.cases) > maxCases {
+			t.Fatalf("%d cases", len(j.cases))
 		}
 	})
 }
@@ -419,19 +422,19 @@
 // Memory and messages are bounded when all nodes are sick.
 func TestEvidenceIsBounded(t *testing.T) {
 	w := NewWitness(simPeriod)
-	for n := range uint64(2 * mostNodes) {
+	for n := range uint64(2 * maxNodes) {
 		w.See(simPeriod, n, int(n), Broken, 1)
 		w.See(simPeriod, n, int(n), Served, 1)
 	}
-	if len(w.nodes) > mostNodes || len(w.usual) > mostKinds {
-		t.Errorf("%d nodes, %d classes", len(w.nodes), len(w.usual))
+	if len(w.nodes) > maxNodes || len(w.medians) > maxClasses {
+		t.Errorf("%d nodes, %d classes", len(w.nodes), len(w.medians))
 	}
-	c := newCourt(30, 200, []string{"a", "b", "c"}, 20, 1)
+	c := newDetectorFleet(30, 200, []string{"a", "b", "c"}, 20, 1)
 	c.outcome = func(int, int) (Ending, Micros) { return Broken, 1 }
 	for range 20 {
 		c.period()
 	}
-	if most := 30 * 20 * 2 * (jurySends + mostAsked) * most; c.bytes > most {
+	if most := 30 * 20 * 2 * (maxReportDatagrams + maxQueried) * maxMessage; c.bytes > most {
 		t.Errorf("%d bytes sent, limit %d", c.bytes, most)
 	}
 	w.Expire(simPeriod * (Window + 3))
@@ -441,7 +444,7 @@
 }
 
 // BenchmarkObserve measures the cost of one outcome for the core, without the lock.
-func BenchmarkSee(b *testing.B) {
+func BenchmarkObserve(b *testing.B) {
 	w := NewWitness(simPeriod)
 	b.ReportAllocs()
 	for i := range b.N {
@@ -450,7 +453,7 @@
 }
 
 // BenchmarkLimitEjections measures one call with a list of 200 nodes, 20 of them sick.
-func BenchmarkGuard(b *testing.B) {
+func BenchmarkLimitEjections(b *testing.B) {
 	var nodes []Holder
 	var sick []uint64
 	for i := range uint64(200) {
--- a/internal/verdict/guard.go
+++ b/internal/verdict/guard.go
@@ -30,7 +30,7 @@
 		if !ok || out[id] || len(out) >= most || share <= 0 {
 			continue
 		}
-		if up[c]--; !served(up, c, min(reach, cells)) {
+		if up[c]--; !shardsServed(up, c, min(reach, cells)) {
 			up[c]++
 			continue
 		}
@@ -40,7 +40,7 @@
 }
 
 // shardsServed reports whether every shard in a cell has a node that is up.
-func served(up []int, cell, reach int) bool {
+func shardsServed(up []int, cell, reach int) bool {
 	for first := cell - reach + 1; first <= cell; first++ {
 		n := 0
 		for j := range reach {
@@ -66,14 +66,14 @@
 		return v, true
 	}
 	e := t.entries[i]
-	age := now - e.born
+	age := now - e.issuedAt
 	switch {
-	case e.holds(age), !e.On && age < pardon*Window*period:
+	case e.inForce(age), !e.On && age < withdrawalWindows*Window*period:
 		return v, false
-	case e.On && Micros(j.Since+1)*period > age-e.Span: // based on the evidence of the previous verdict
+	case e.On && Micros(j.FirstBadAge+1)*period > age-e.Span: // based on the evidence of the previous verdict
 		return v, false
-	case e.On && age < (1+relapse)*e.Span:
-		v.Span = min(2*e.Span, sickMost*sickSpan*period)
+	case e.On && age < (1+relapseSpans)*e.Span:
+		v.Span = min(2*e.Span, maxSickMultiple*sickSpan*period)
 	}
 	return v, true
 }
@@ -83,7 +83,7 @@
 func (t *Table) Ill(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
 		_, z := e.Node()
-		if (e.Kind == Sick || e.Kind == Path && (zone == "" || z == zone)) && e.holds(now-e.born) {
+		if (e.Kind == Sick || e.Kind == Path && (zone == "" || z == zone)) && e.inForce(now-e.issuedAt) {
 			n++
 		}
 	}
@@ -101,7 +101,7 @@
 // SickVerdicts returns the verdicts by evidence that are in force for a node.
 func (t *Table) Evidence(now Micros, name string) (out []Verdict) {
 	for _, e := range t.entries {
-		if n, _ := e.Node(); (e.Kind == Sick || e.Kind == Path) && n == name && e.holds(now-e.born) {
+		if n, _ := e.Node(); (e.Kind == Sick || e.Kind == Path) && n == name && e.inForce(now-e.issuedAt) {
 			out = append(out, e.Verdict)
 		}
 	}
--- a/internal/verdict/spread.go
+++ b/internal/verdict/spread.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	budget   = 16 // datagrams per period
-	directly = 8  // datagrams per period that carry own new entries
-	compares = 2  // members with a different digest that are compared with per period
-	buckets  = 64
+	maxDatagrams = 16 // datagrams per period
+	maxDirect    = 8  // datagrams per period that carry own new entries
+	maxCompares  = 2  // members with a different digest that are compared with per period
+	buckets      = 64
 )
 
 // Message kinds.
 const (
 	msgEntries = 1 + iota // entries with their ages
 	msgSums               // salt, 64 bucket sums of 16 bits
-	msgList               // first and last hash of a range, and all hashes and stamps in it
-	msgWant               // hashes of the entries requested
+	msgStamps             // first and last hash of a range, and all hashes and stamps in it
+	msgRequest            // hashes of the entries requested
 	msgAck                // hashes and stamps of entries that the sender has applied
 )
 
@@ -38,13 +38,13 @@
 
 // UnsyncedDigest is what a member announces instead of its digest until it has the fleet's table. It cannot
 // be a digest, as those are odd.
-const Untold uint32 = 2
+const UnsyncedDigest uint32 = 2
 
 // A member concludes that there is no table to get if for unsyncedPeriods consecutive periods no peer was
 // synced, and maxUnsyncedPeers of them (or all, if they are fewer) announced that they are not.
 const (
-	untoldFor  = 3
-	untoldMost = 16
+	unsyncedPeriods  = 3
+	maxUnsyncedPeers = 16
 )
 
 // Peer is another member that is alive. Digest is what it last announced; 0: nothing yet.
@@ -56,58 +56,58 @@
 // Gossiper replicates a table to the other members.
 type Spreader struct {
 	*Table
-	rng    *rand.PCG
-	most   int // maximum size of a message, in bytes
-	left   int // datagrams left in this period
-	pushes int // datagrams left in this period for pushing new entries
-	peers  []Peer
-	turn   int
-	out    []Send
-	acks   map[string][]*entry // acknowledgements to send to the issuers and senders of entries
-	told   bool
-	none   int   // consecutive periods in which no synced member was seen
-	Sent   int64 // number of messages sent
+	rng           *rand.PCG
+	maxMessage    int // maximum size of a message, in bytes
+	datagramsLeft int // datagrams left in this period
+	pushesLeft    int // datagrams left in this period for pushing new entries
+	peers         []Peer
+	nextPeer      int
+	outbox        []Send
+	acks          map[string][]*entry // acknowledgements to send to the issuers and senders of entries
+	synced        bool
+	noneSynced    int   // consecutive periods in which no synced member was seen
+	Sent          int64 // number of messages sent
 }
 
 // NewGossiper returns a gossiper for a table. most is the maximum size of a message, in bytes.
 func NewSpreader(t *Table, seed uint64, most int) *Spreader {
-	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), most: most,
+	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), maxMessage: most,
 		acks: map[string][]*entry{}}
 }
 
 // AnnouncedDigest returns what this member announces: its digest, or UnsyncedDigest until it is synced.
 func (s *Spreader) Announce() uint32 {
-	if !s.told {
-		return Untold
+	if !s.synced {
+		return UnsyncedDigest
 	}
 	return s.Digest()
 }
 
 // Synced reports whether this member has merged the table of another one, or there is none to merge.
-func (s *Spreader) Told() bool { return s.told }
+func (s *Spreader) Told() bool { return s.synced }
 
 // TakePending returns and clears the messages to send and the changes to carry out.
 func (s *Spreader) Take() ([]Send, []Change) {
 	s.flushAcks()
-	out := s.out
-	s.out = nil
-	return out, s.Table.Take()
+	out := s.outbox
+	s.outbox = nil
+	return out, s.Table.TakeChanges()
 }
 
 func (s *Spreader) send(to string, b []byte) bool {
-	if s.left <= 0 {
+	if s.datagramsLeft <= 0 {
 		return false
 	}
-	s.left--
+	s.datagramsLeft--
 	s.Sent++
-	s.out = append(s.out, Send{To: to, Data: b})
+	s.outbox = append(s.outbox, Send{To: to, Data: b})
 	return true
 }
 
 // Tick must be called once per period with the other members that are alive.
 func (s *Spreader) Tick(now Micros, peers []Peer) {
 	s.peers = peers
-	s.left, s.pushes = budget, budget
+	s.datagramsLeft, s.pushesLeft = maxDatagrams, maxDatagrams
 	s.Expire(now)
 	alive := make(map[string]uint32, len(peers))
 	for _, p := range peers {
@@ -115,68 +115,68 @@
 	}
 	all := true
 	for _, e := range s.entries {
-		for who := range e.held {
+		for who := range e.heldBy {
 			if _, ok := alive[who]; !ok { // it may restart without the entry
-				delete(e.held, who)
+				delete(e.heldBy, who)
 			}
 		}
 		all = all && e.applied
 	}
-	s.told = s.told || len(peers) == 0
+	s.synced = s.synced || len(peers) == 0
 	var differ []Peer
 	untold, knows := 0, 0
 	for _, p := range peers {
-		if p.Sum != 0 && p.Sum != Untold {
+		if p.Sum != 0 && p.Sum != UnsyncedDigest {
 			knows++
 		}
 		switch {
 		case p.Sum == 0:
-		case p.Sum == Untold: // it starts the comparison itself, and its own table is incomplete
+		case p.Sum == UnsyncedDigest: // it starts the comparison itself, and its own table is incomplete
 			untold++
 		case p.Sum == s.Digest():
-			s.holder(p.Name)
-			s.told = s.told || all
+			s.markHolder(p.Name)
+			s.synced = s.synced || all
 		default:
 			differ = append(differ, p)
 		}
 	}
-	if s.none++; knows > 0 || untold < min(untoldMost, len(peers)) {
-		s.none = 0
+	if s.noneSynced++; knows > 0 || untold < min(maxUnsyncedPeers, len(peers)) {
+		s.noneSynced = 0
 	}
-	s.told = s.told || s.none >= untoldFor
-	s.spread(now, directly)
-	for i := range min(compares, len(differ)) {
+	s.synced = s.synced || s.noneSynced >= unsyncedPeriods
+	s.sendOwn(now, maxDirect)
+	for i := range min(maxCompares, len(differ)) {
 		j := i + int(s.rng.Uint64()%uint64(len(differ)-i))
 		differ[i], differ[j] = differ[j], differ[i]
-		s.sums(differ[i].Name)
+		s.sendSums(differ[i].Name)
 	}
 }
 
 // markHolder notes that a member has all entries that are applied here.
-func (s *Spreader) holder(who string) {
+func (s *Spreader) markHolder(who string) {
 	for _, e := range s.entries {
 		if e.applied {
-			e.held[who] = true
+			e.heldBy[who] = true
 		}
 	}
 }
 
 // sendOwn sends the entries that this member issued to the members not known to have them, in turn.
-func (s *Spreader) spread(now Micros, most int) {
+func (s *Spreader) sendOwn(now Micros, most int) {
 	for range s.peers {
-		s.turn++
-		p := s.peers[s.turn%len(s.peers)].Name
+		s.nextPeer++
+		p := s.peers[s.nextPeer%len(s.peers)].Name
 		b := []byte{msgEntries}
 		for _, e := range s.entries {
-			if e.Member != s.self || e.held[p] {
+			if e.Member != s.self || e.heldBy[p] {
 				continue
 			}
-			grown := s.append(b, now, e)
+			grown := s.appendEntry(b, now, e)
 			if len(grown) == len(b) {
 				if most--; most <= 0 || !s.send(p, b) {
 					return
 				}
-				grown = s.append([]byte{msgEntries}, now, e)
+				grown = s.appendEntry([]byte{msgEntries}, now, e)
 			}
 			b = grown
 		}
@@ -197,16 +197,16 @@
 	}
 	n := 3
 	if v.Member == s.self {
-		n = budget
+		n = maxDatagrams
 	}
 	for range min(n, len(s.peers)) {
-		s.turn++
-		if p := s.peers[s.turn%len(s.peers)]; !s.entries[i].held[p.Name] {
-			if s.pushes--; s.pushes < 0 {
+		s.nextPeer++
+		if p := s.peers[s.nextPeer%len(s.peers)]; !s.entries[i].heldBy[p.Name] {
+			if s.pushesLeft--; s.pushesLeft < 0 {
 				return // many entries at once: the next periods send the others
 			}
 			s.Sent++
-			s.out = append(s.out, Send{To: p.Name, Data: s.append([]byte{msgEntries}, now, s.entries[i])})
+			s.outbox = append(s.outbox, Send{To: p.Name, Data: s.appendEntry([]byte{msgEntries}, now, s.entries[i])})
 		}
 	}
 }
@@ -214,7 +214,7 @@
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // appendEntry adds an entry to a message. If there is no room it returns the message unchanged.
-func (s *Spreader) append(b []byte, now Micros, e *entry) []byte {
+func (s *Spreader) appendEntry(b []byte, now Micros, e *entry) []byte {
 	was := len(b)
 	flags := byte(0)
 	if e.On {
@@ -223,38 +223,38 @@
 	flags |= byte(e.Word) << 1
 	b = append(b, byte(e.Kind), flags)
 	b = binary.LittleEndian.AppendUint64(b, e.Stamp)
-	b = binary.LittleEndian.AppendUint64(b, uint64(max(0, now-e.born)))
+	b = binary.LittleEndian.AppendUint64(b, uint64(max(0, now-e.issuedAt)))
 	b = binary.LittleEndian.AppendUint64(b, uint64(e.Span))
 	for _, text := range []string{e.What, e.Member, e.By, e.Reason} {
 		b = appendText(b, text)
 	}
-	if len(b) > s.most && was > 1 {
+	if len(b) > s.maxMessage && was > 1 {
 		return b[:was]
 	}
-	if len(b) > s.most { // a single entry has to fit: omit the texts written by people
+	if len(b) > s.maxMessage { // a single entry has to fit: omit the texts written by people
 		b = b[:was]
 		short := *e
 		short.Reason, short.By = "", ""
-		return s.append(b, now, &short)
+		return s.appendEntry(b, now, &short)
 	}
 	return b
 }
 
 // maxAge is the greatest age or span that a message may contain: a hundred years.
-const ageMost = 100 * 365 * 24 * 3600 * 1_000_000
+const maxAge = 100 * 365 * 24 * 3600 * 1_000_000
 
-// maxMember is the maximum length of a member's name.
-const maxMember = 40
+// maxMemberName is the maximum length of a member's name.
+const maxMemberName = 40
 
 // readVerdict decodes one entry.
 func readVerdict(r *datagram.Reader) (v Verdict, age Micros) {
 	head := r.Take(2)
-	v.Kind, v.On, v.Word = Kind(head[0]), head[1]&1 == 1, Word(head[1]>>1)
+	v.Kind, v.On, v.Word = Kind(head[0]), head[1]&1 == 1, PrefixAction(head[1]>>1)
 	v.Stamp = r.U64()
 	a, span := r.U64(), r.U64()
-	v.What, v.Member, v.By, v.Reason = r.Text(MaxWhat), r.Text(maxMember), r.Text(MaxBy), r.Text(MaxReason)
-	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > Path || v.What == "" || a > ageMost ||
-		span > ageMost
+	v.What, v.Member, v.By, v.Reason = r.Text(MaxWhat), r.Text(maxMemberName), r.Text(MaxBy), r.Text(MaxReason)
+	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > Path || v.What == "" || a > maxAge ||
+		span > maxAge
 	v.Span = Micros(span)
 	return v, Micros(a)
 }
@@ -281,9 +281,9 @@
 		}
 		for _, x := range list {
 			s.Merge(now, x.v, x.age)
-			if i, ok := s.find(&x.v); ok && !x.v.after(&s.entries[i].Verdict) &&
-				!s.entries[i].after(&x.v) { // the sender has the same entry
-				s.entries[i].held[from] = s.entries[i].held[from] || s.entries[i].Member == from
+			if i, ok := s.find(&x.v); ok && !x.v.supersedes(&s.entries[i].Verdict) &&
+				!s.entries[i].supersedes(&x.v) { // the sender has the same entry
+				s.entries[i].heldBy[from] = s.entries[i].heldBy[from] || s.entries[i].Member == from
 				if s.entries[i].applied {
 					s.acks[from] = append(s.acks[from], s.entries[i])
 				}
@@ -295,10 +295,10 @@
 		if r.Bad {
 			return false
 		}
-		s.list(from, salt, theirs)
-	case msgList:
-		return s.compare(now, from, r)
-	case msgWant:
+		s.sendStamps(from, salt, theirs)
+	case msgStamps:
+		return s.compareStamps(now, from, r)
+	case msgRequest:
 		var want []uint32
 		for len(r.B) > 0 && !r.Bad {
 			want = append(want, r.U32())
@@ -306,13 +306,13 @@
 		if r.Bad {
 			return false
 		}
-		s.entriesTo(now, from, func(e *entry) bool { return slices.Contains(want, e.hash) })
+		s.sendEntries(now, from, func(e *entry) bool { return slices.Contains(want, e.hash) })
 	case msgAck:
 		for len(r.B) > 0 && !r.Bad {
 			hash, stamp := r.U32(), r.U64()
 			for _, e := range s.entries {
 				if !r.Bad && e.hash == hash && e.Stamp == stamp {
-					e.held[from] = true
+					e.heldBy[from] = true
 				}
 			}
 		}
@@ -336,12 +336,12 @@
 	for _, to := range slices.Sorted(maps.Keys(s.acks)) {
 		for list := s.acks[to]; len(list) > 0; {
 			b := []byte{msgAck}
-			for len(list) > 0 && len(b)+12 <= s.most {
+			for len(list) > 0 && len(b)+12 <= s.maxMessage {
 				b = binary.LittleEndian.AppendUint32(b, list[0].hash)
 				b = binary.LittleEndian.AppendUint64(b, list[0].Stamp)
 				list = list[1:]
 			}
-			s.out = append(s.out, Send{To: to, Data: b})
+			s.outbox = append(s.outbox, Send{To: to, Data: b})
 		}
 	}
 	clear(s.acks)
@@ -350,14 +350,14 @@
 // bucketSums returns the sums of the entries by bucket, which is the high bits of the hash.
 func (s *Spreader) bucketSums(salt uint32) (sums [buckets]uint16) {
 	for _, e := range s.entries {
-		sums[e.hash>>26] += uint16(e.salted(salt))
+		sums[e.hash>>26] += uint16(e.saltedSum(salt))
 	}
 	return sums
 }
 
 // sendSums sends the bucket sums to a member, which answers with the buckets that differ. The salt is new
 // each time, so that a collision of two different buckets does not repeat.
-func (s *Spreader) sums(to string) {
+func (s *Spreader) sendSums(to string) {
 	salt := uint32(s.rng.Uint64())
 	b := binary.LittleEndian.AppendUint32([]byte{msgSums}, salt)
 	for _, x := range s.bucketSums(salt) {
@@ -367,7 +367,7 @@
 }
 
 // sendStamps sends the stamps in the buckets that differ. Each datagram states the range of hashes it covers.
-func (s *Spreader) list(to string, salt uint32, theirs []byte) {
+func (s *Spreader) sendStamps(to string, salt uint32, theirs []byte) {
 	mine := s.bucketSums(salt)
 	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
@@ -381,39 +381,39 @@
 		}
 		lo := uint32(i) << 26
 		hi := lo + (1<<26 - 1)
-		b := begin(lo)
+		b := beginStamps(lo)
 		for _, e := range byHash {
 			if e.hash < lo || e.hash > hi {
 				continue
 			}
-			if len(b)+12 > s.most {
-				if !s.send(to, closeAt(b, e.hash-1)) {
+			if len(b)+12 > s.maxMessage {
+				if !s.send(to, endStamps(b, e.hash-1)) {
 					return
 				}
-				b = begin(e.hash)
+				b = beginStamps(e.hash)
 			}
 			b = binary.LittleEndian.AppendUint32(b, e.hash)
 			b = binary.LittleEndian.AppendUint64(b, e.Stamp)
 		}
-		if !s.send(to, closeAt(b, hi)) {
+		if !s.send(to, endStamps(b, hi)) {
 			return
 		}
 	}
 }
 
-func begin(lo uint32) []byte {
-	b := binary.LittleEndian.AppendUint32([]byte{msgList}, lo)
+func beginStamps(lo uint32) []byte {
+	b := binary.LittleEndian.AppendUint32([]byte{msgStamps}, lo)
 	return binary.LittleEndian.AppendUint32(b, 0)
 }
 
-func closeAt(b []byte, hi uint32) []byte {
+func endStamps(b []byte, hi uint32) []byte {
 	binary.LittleEndian.PutUint32(b[5:], hi)
 	return b
 }
 
 // compareStamps compares another member's stamps in a range with the own ones. It sends the entries that are
 // newer here, and requests those that are newer there.
-func (s *Spreader) compare(now Micros, from string, r *datagram.Reader) bool {
+func (s *Spreader) compareStamps(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
 	for len(r.B) > 0 && !r.Bad {
@@ -429,12 +429,12 @@
 			own[e.hash] = max(own[e.hash], e.Stamp)
 		}
 	}
-	s.entriesTo(now, from, func(e *entry) bool {
+	s.sendEntries(now, from, func(e *entry) bool {
 		return e.hash >= lo && e.hash <= hi && e.Stamp > theirs[e.hash]
 	})
-	b := []byte{msgWant}
+	b := []byte{msgRequest}
 	for _, h := range sortedKeys(theirs) {
-		if theirs[h] > own[h] && len(b)+4 <= s.most {
+		if theirs[h] > own[h] && len(b)+4 <= s.maxMessage {
 			b = binary.LittleEndian.AppendUint32(b, h)
 		}
 	}
@@ -454,18 +454,18 @@
 }
 
 // sendEntries sends the chosen entries, as many per datagram as fit.
-func (s *Spreader) entriesTo(now Micros, to string, chosen func(e *entry) bool) {
+func (s *Spreader) sendEntries(now Micros, to string, chosen func(e *entry) bool) {
 	b := []byte{msgEntries}
 	for _, e := range s.entries {
 		if !chosen(e) {
 			continue
 		}
-		grown := s.append(b, now, e)
+		grown := s.appendEntry(b, now, e)
 		if len(grown) == len(b) {
 			if !s.send(to, b) {
 				return
 			}
-			grown = s.append([]byte{msgEntries}, now, e)
+			grown = s.appendEntry([]byte{msgEntries}, now, e)
 		}
 		b = grown
 	}
