--- a/internal/verdict/table.go
+++ b/internal/verdict/table.go
@@ -19,12 +19,12 @@
 
 // Bounds of a table.
 const (
-	Most       = 4096 // entries, including tombstones
-	MaxWhat    = 96   // bytes of a subject's name
-	MaxBy      = 32
-	MaxReason  = 56
-	KeepEnded  = 3600 * 1_000_000 // microseconds for which an entry is kept after its end
-	counterBit = 16               // low bits of a stamp that are a counter; the others are milliseconds
+	MaxEntries  = 4096 // entries, including tombstones
+	MaxWhat     = 96   // bytes of a subject's name
+	MaxBy       = 32
+	MaxReason   = 56
+	RetainEnded = 3600 * 1_000_000 // microseconds for which an entry is kept after its end
+	counterBits = 16               // low bits of a stamp that are a counter; the others are milliseconds
 )
 
 // Kind is the kind of a verdict's subject.
@@ -41,11 +41,11 @@
 )
 
 // PrefixAction is what a verdict on a prefix does.
-type Word uint8
+type PrefixAction uint8
 
 // The actions on a prefix.
 const (
-	Ban Word = iota
+	Ban PrefixAction = iota
 	Pin
 )
 
@@ -75,8 +75,8 @@
 type Verdict struct {
 	Kind   Kind
 	What   string
-	Word   Word // only for a prefix
-	On     bool // false: withdrawn
+	Word   PrefixAction // only for a prefix
+	On     bool         // false: withdrawn
 	By     string
 	Reason string
 	Span   Micros // duration; 0: until it is withdrawn
@@ -88,11 +88,11 @@
 // entry is a verdict in the table.
 type entry struct {
 	Verdict
-	hash    uint32
-	born    Micros          // local time at which it was issued
-	applied bool            // carried out here
-	ended   bool            // its end was reported as a Change
-	held    map[string]bool // other members known to have applied it
+	hash        uint32
+	issuedAt    Micros          // local time at which it was issued
+	applied     bool            // carried out here
+	endReported bool            // its end was reported as a Change
+	heldBy      map[string]bool // other members known to have applied it
 }
 
 // compareKeys orders verdicts by their subjects.
@@ -101,12 +101,12 @@
 }
 
 // supersedes reports whether a verdict takes precedence over another one on the same subject.
-func (v *Verdict) after(o *Verdict) bool {
+func (v *Verdict) supersedes(o *Verdict) bool {
 	return v.Stamp > o.Stamp || v.Stamp == o.Stamp && v.Member > o.Member
 }
 
 // inForce reports whether the verdict is in force at an age.
-func (v *Verdict) holds(age Micros) bool { return v.On && (v.Span == 0 || age < v.Span) }
+func (v *Verdict) inForce(age Micros) bool { return v.On && (v.Span == 0 || age < v.Span) }
 
 // Change is a verdict that has come into force or ended, and has to be carried out. Applied must then be
 // called with the same verdict.
@@ -141,7 +141,7 @@
 	if v.What == "" || len(v.What) > MaxWhat || len(v.By) > MaxBy || len(v.Reason) > MaxReason || v.Span < 0 {
 		return v, ErrForm
 	}
-	t.clock = max(t.clock, uint64(max(0, wall))<<counterBit) + 1
+	t.clock = max(t.clock, uint64(max(0, wall))<<counterBits) + 1
 	v.Stamp, v.Member = t.clock, t.self
 	if !t.Merge(now, v, 0) {
 		return v, ErrFull
@@ -156,14 +156,14 @@
 	if known {
 		e := t.entries[i]
 		if e.Stamp == v.Stamp && e.Member == v.Member {
-			e.born = min(e.born, now-age)
+			e.issuedAt = min(e.issuedAt, now-age)
 			return false
 		}
-		if !v.after(&e.Verdict) {
+		if !v.supersedes(&e.Verdict) {
 			return false
 		}
 	} else {
-		if t.over(&v, age) || len(t.entries) >= Most && !t.makeRoom(now) {
+		if t.outdated(&v, age) || len(t.entries) >= MaxEntries && !t.makeRoom(now) {
 			return false
 		}
 		i, _ = t.find(&v)
@@ -173,9 +173,9 @@
 	if e.applied {
 		t.sum -= e.sum()
 	}
-	*e = entry{Verdict: v, hash: hashOf(&v), born: now - age, held: map[string]bool{}}
-	e.ended = !v.holds(age)
-	c := Change{Verdict: v, Holds: !e.ended}
+	*e = entry{Verdict: v, hash: hashOf(&v), issuedAt: now - age, heldBy: map[string]bool{}}
+	e.endReported = !v.inForce(age)
+	c := Change{Verdict: v, Holds: !e.endReported}
 	if v.Span > 0 {
 		c.Left = max(0, v.Span-age)
 	}
@@ -184,7 +184,7 @@
 }
 
 // outdated reports whether an entry of an age no longer has to be kept.
-func (t *Table) over(v *Verdict, age Micros) bool {
+func (t *Table) outdated(v *Verdict, age Micros) bool {
 	if v.On && v.Span == 0 {
 		return false
 	}
@@ -192,25 +192,25 @@
 	if v.On {
 		end = v.Span
 	}
-	return age >= end+KeepEnded
+	return age >= end+RetainEnded
 }
 
 // makeRoom removes the oldest entry that has ended, and returns false if none has.
 func (t *Table) makeRoom(now Micros) bool {
 	oldest := -1
 	for i, e := range t.entries {
-		if !e.holds(now-e.born) && (oldest < 0 || e.born < t.entries[oldest].born) {
+		if !e.inForce(now-e.issuedAt) && (oldest < 0 || e.issuedAt < t.entries[oldest].issuedAt) {
 			oldest = i
 		}
 	}
 	if oldest < 0 {
 		return false
 	}
-	t.drop(oldest)
+	t.remove(oldest)
 	return true
 }
 
-func (t *Table) drop(i int) {
+func (t *Table) remove(i int) {
 	if e := t.entries[i]; e.applied {
 		t.sum -= e.sum()
 	}
@@ -221,17 +221,17 @@
 func (t *Table) Expire(now Micros) {
 	for i := len(t.entries) - 1; i >= 0; i-- {
 		e := t.entries[i]
-		if t.over(&e.Verdict, now-e.born) {
-			t.drop(i)
-		} else if !e.ended && !e.holds(now-e.born) {
-			e.ended = true
+		if t.outdated(&e.Verdict, now-e.issuedAt) {
+			t.remove(i)
+		} else if !e.endReported && !e.inForce(now-e.issuedAt) {
+			e.endReported = true
 			t.changes = append(t.changes, Change{Verdict: e.Verdict})
 		}
 	}
 }
 
 // TakeChanges returns and clears the changes that have to be carried out.
-func (t *Table) Take() []Change {
+func (t *Table) TakeChanges() []Change {
 	c := t.changes
 	t.changes = nil
 	return c
@@ -258,9 +258,9 @@
 	return uint32(xxhash.Sum64String(string(rune(v.Kind))+v.What) >> 32)
 }
 
-func (e *entry) sum() uint64 { return e.salted(0) }
+func (e *entry) sum() uint64 { return e.saltedSum(0) }
 
-func (e *entry) salted(salt uint32) uint64 {
+func (e *entry) saltedSum(salt uint32) uint64 {
 	b := binary.LittleEndian.AppendUint32(nil, salt)
 	b = binary.LittleEndian.AppendUint64(b, e.Stamp)
 	b = append(append(append(b, byte(e.Kind)), e.What...), e.Member...)
@@ -278,8 +278,8 @@
 func (t *Table) Lines(now Micros) []Line {
 	var out []Line
 	for _, e := range t.entries {
-		if e.holds(now - e.born) {
-			out = append(out, t.line(now, e))
+		if e.inForce(now - e.issuedAt) {
+			out = append(out, t.status(now, e))
 		}
 	}
 	return out
@@ -290,7 +290,7 @@
 	out := map[string]string{}
 	for _, e := range t.entries {
 		if what, by, ok := strings.Cut(e.What, "@"); ok && e.Kind == Setting && what == name &&
-			by == e.Member && e.holds(now-e.born) {
+			by == e.Member && e.inForce(now-e.issuedAt) {
 			out[by] = e.Reason
 		}
 	}
@@ -303,12 +303,12 @@
 	if !ok {
 		return Line{}, false
 	}
-	return t.line(now, t.entries[i]), true
+	return t.status(now, t.entries[i]), true
 }
 
-func (t *Table) line(now Micros, e *entry) Line {
-	l := Line{Verdict: e.Verdict, Age: now - e.born}
-	for who := range e.held {
+func (t *Table) status(now Micros, e *entry) Line {
+	l := Line{Verdict: e.Verdict, Age: now - e.issuedAt}
+	for who := range e.heldBy {
 		l.Held = append(l.Held, who)
 	}
 	if e.applied {
@@ -328,7 +328,7 @@
 func (t *Table) Save(now Micros) []Saved {
 	out := make([]Saved, 0, len(t.entries))
 	for _, e := range t.entries {
-		out = append(out, Saved{Verdict: e.Verdict, Age: now - e.born})
+		out = append(out, Saved{Verdict: e.Verdict, Age: now - e.issuedAt})
 	}
 	return out
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	second = 1_000_000
-	most   = 190
+	second     = 1_000_000
+	maxMessage = 190
 )
 
-func node(what string, on bool) Verdict { return Verdict{Kind: Node, What: what, On: on} }
+func nodeVerdict(what string, on bool) Verdict { return Verdict{Kind: Node, What: what, On: on} }
 
 // summary describes the part of a table that must be equal at all members with the same knowledge.
-func picture(t *Table, now Micros) (s string) {
+func summary(t *Table, now Micros) (s string) {
 	for _, e := range t.entries {
-		s += fmt.Sprintf("%s %v %d %s ends %v; ", e.What, e.On, e.Stamp, e.Member, e.holds(now-e.born))
+		s += fmt.Sprintf("%s %v %d %s ends %v; ", e.What, e.On, e.Stamp, e.Member, e.inForce(now-e.issuedAt))
 	}
 	return s
 }
@@ -35,7 +35,7 @@
 		}
 		var items []item
 		for range rapid.IntRange(1, 12).Draw(t, "n") {
-			v := node(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "what"), rapid.Bool().Draw(t, "on"))
+			v := nodeVerdict(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "what"), rapid.Bool().Draw(t, "on"))
 			v.Stamp, v.Member = rapid.Uint64Range(1, 6).Draw(t, "stamp"), rapid.SampledFrom([]string{"x",
 				"y"}).Draw(t, "m")
 			v.On = v.Stamp%2 == 0 // entries with the same stamp and member are equal
@@ -47,7 +47,7 @@
 			for _, x := range order {
 				table.Merge(10*second, x.v, x.age)
 			}
-			return picture(table, 10*second)
+			return summary(table, 10*second)
 		}
 		twice := rapid.Permutation(append(slices.Clone(items), items...)).Draw(t, "twice")
 		if a, b := merge(items), merge(twice); a != b {
@@ -59,13 +59,13 @@
 // All interleavings of two contradicting verdicts on one subject at three members: each member receives the
 // two in either order, and possibly one of them twice, and all end with the same one. With an injected fault,
 // a merge that keeps the last arrival, they differ.
-func TestEveryInterleavingOfTwoContraryVerdicts(t *testing.T) {
+func TestInterleavingsOfContraryVerdicts(t *testing.T) {
 	run := func(planted bool) (differ int) {
 		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two issuers
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
-				one, _ := tables[0].Say(0, 1_000_000, node("n", true))
-				two, _ := tables[1].Say(0, 1_000_000+gap, node("n", false))
+				one, _ := tables[0].Say(0, 1_000_000, nodeVerdict("n", true))
+				two, _ := tables[1].Say(0, 1_000_000+gap, nodeVerdict("n", false))
 				for i, table := range tables {
 					list := []Verdict{one, two}
 					if order>>i&1 == 1 {
@@ -104,106 +104,107 @@
 
 // A verdict issued with knowledge of another one supersedes it, even if the issuer's clock is far behind or
 // has jumped back.
-func TestTheLastWordIsTheLast(t *testing.T) {
+func TestLaterVerdictWins(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v, _ := a.Say(0, 9_000_000, node("n", true))
+	v, _ := a.Say(0, 9_000_000, nodeVerdict("n", true))
 	b.Merge(0, v, 0)
-	w, _ := b.Say(0, 1_000, node("n", false)) // b's clock is far behind
+	w, _ := b.Say(0, 1_000, nodeVerdict("n", false)) // b's clock is far behind
 	if !a.Merge(0, w, 0) {
 		t.Fatal("the later verdict is not merged")
 	}
-	x, _ := a.Say(0, 500, node("n", true)) // a's clock has jumped back
-	if !b.Merge(0, x, 0) || !x.after(&w) {
+	x, _ := a.Say(0, 500, nodeVerdict("n", true)) // a's clock has jumped back
+	if !b.Merge(0, x, 0) || !x.supersedes(&w) {
 		t.Fatal("a verdict issued after a clock jumped back does not supersede the earlier one")
 	}
 }
 
 // A verdict ends by its age, independently of delays and of the time of its arrival. A late message does not
 // bring it back, and it is removed after the retention time.
-func TestEnds(t *testing.T) {
+func TestVerdictsExpire(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v := node("n", true)
+	v := nodeVerdict("n", true)
 	v.Span = 10 * second
 	v, _ = a.Say(0, 1, v)
 	b.Merge(4*second, v, 4*second)
-	a.Take()
-	b.Take()
+	a.TakeChanges()
+	b.TakeChanges()
 	for _, table := range []*Table{a, b} {
 		table.Expire(9 * second)
-		if len(table.Take()) > 0 || len(table.Lines(9*second)) != 1 {
+		if len(table.TakeChanges()) > 0 || len(table.Lines(9*second)) != 1 {
 			t.Fatal("the verdict ends early")
 		}
 		table.Expire(10 * second)
-		if c := table.Take(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
+		if c := table.TakeChanges(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
 			t.Fatalf("%+v", c)
 		}
 		if table.Merge(11*second, v, second) || len(table.Lines(11*second)) > 0 {
 			t.Fatal("a late message brings the verdict back")
 		}
-		table.Expire(10*second + KeepEnded)
+		table.Expire(10*second + RetainEnded)
 		if table.Len() != 0 {
 			t.Fatal("the verdict is not removed")
 		}
-		if table.Merge(0, v, 10*second+KeepEnded) {
+		if table.Merge(0, v, 10*second+RetainEnded) {
 			t.Fatal("an outdated verdict is merged")
 		}
 	}
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable("a")
-	for i := range Most {
-		if _, err := table.Say(0, 0, node(fmt.Sprint("n", i), i > 0)); err != nil {
+	for i := range MaxEntries {
+		if _, err := table.Say(0, 0, nodeVerdict(fmt.Sprint("n", i), i > 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := table.Say(0, 0, node("one more", true)); err != nil {
+	if _, err := table.Say(0, 0, nodeVerdict("one more", true)); err != nil {
 		t.Fatal("the withdrawn verdict was not evicted:", err)
 	}
-	if _, err := table.Say(0, 0, node("and one", true)); err == nil || table.Len() != Most {
+	if _, err := table.Say(0, 0, nodeVerdict("and one", true)); err == nil || table.Len() != MaxEntries {
 		t.Fatalf("%d entries", table.Len())
 	}
-	if _, err := table.Say(0, 0, node("", true)); err == nil {
+	if _, err := table.Say(0, 0, nodeVerdict("", true)); err == nil {
 		t.Fatal("a verdict without a subject was issued")
 	}
 }
 
 // gossipNet simulates members with lossy links.
-type net struct {
-	now   Micros
-	all   []*Spreader
-	rng   *rand.Rand
-	loss  float64
-	sent  int
-	sides func(i, j int) bool
+type gossipNet struct {
+	now       Micros
+	members   []*Spreader
+	rng       *rand.Rand
+	loss      float64
+	sent      int
+	connected func(i, j int) bool
 }
 
-func newNet(n int, loss float64, seed uint64) *net {
-	w := &net{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss, sides: func(int, int) bool { return true }}
+func newGossipNet(n int, loss float64, seed uint64) *gossipNet {
+	w := &gossipNet{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss,
+		connected: func(int, int) bool { return true }}
 	for i := range n {
-		w.all = append(w.all, NewSpreader(NewTable(name(i)), seed+uint64(i), most))
+		w.members = append(w.members, NewSpreader(NewTable(memberName(i)), seed+uint64(i), maxMessage))
 	}
 	return w
 }
 
-func name(i int) string { return fmt.Sprintf("m%04d", i) }
+func memberName(i int) string { return fmt.Sprintf("m%04d", i) }
 
 // round simulates one period: each member learns the digests of a few others, as from their probes.
-func (w *net) round() {
+func (w *gossipNet) round() {
 	w.now += second / 5
-	for i, s := range w.all {
+	for i, s := range w.members {
 		var peers []Peer
-		for j, o := range w.all {
-			if i == j || !w.sides(i, j) {
+		for j, o := range w.members {
+			if i == j || !w.connected(i, j) {
 				continue
 			}
-			p := Peer{Name: name(j)}
+			p := Peer{Name: memberName(j)}
 			for _, known := range s.peers {
 				if known.Name == p.Name {
 					p.Sum = known.Sum
 				}
 			}
-			if w.rng.IntN(len(w.all)) < 3 { // probed in this period
+			if w.rng.IntN(len(w.members)) < 3 { // probed in this period
 				p.Sum = o.Announce()
 			}
 			peers = append(peers, p)
@@ -212,7 +213,7 @@
 	}
 	for more := true; more; {
 		more = false
-		for i, s := range w.all {
+		for i, s := range w.members {
 			sends, changes := s.Take()
 			for _, c := range changes {
 				s.Applied(c.Verdict)
@@ -223,11 +224,11 @@
 				var j int
 				_, _ = fmt.Sscanf(m.To, "m%04d", &j)
 				w.sent += len(m.Data)
-				if len(m.Data) > most {
+				if len(m.Data) > maxMessage {
 					panic("a message exceeds the maximum size")
 				}
-				if w.rng.Float64() >= w.loss && w.sides(i, j) {
-					w.all[j].Receive(w.now, name(i), m.Data)
+				if w.rng.Float64() >= w.loss && w.connected(i, j) {
+					w.members[j].Receive(w.now, memberName(i), m.Data)
 				}
 				more = true
 			}
@@ -235,7 +236,7 @@
 	}
 }
 
-func (w *net) until(most int, ok func() bool) int {
+func (w *gossipNet) runUntil(most int, ok func() bool) int {
 	for n := range most {
 		if ok() {
 			return n
@@ -245,9 +246,9 @@
 	return -1
 }
 
-func (w *net) agree() bool {
-	for _, s := range w.all {
-		if s.Digest() != w.all[0].Digest() || s.Len() != w.all[0].Len() {
+func (w *gossipNet) agree() bool {
+	for _, s := range w.members {
+		if s.Digest() != w.members[0].Digest() || s.Len() != w.members[0].Len() {
 			return false
 		}
 	}
@@ -256,15 +257,15 @@
 
 // With 30% loss a verdict reaches all members within the bound, its issuer learns which members have it, and
 // an issuer that restarts without state gets it back from the others.
-func TestSpreading(t *testing.T) {
+func TestGossip(t *testing.T) {
 	sizes := []int{3, 12, 100}
 	if os.Getenv("LAPISLEVER_LONG") != "" {
 		sizes = append(sizes, 300, 1000)
 	}
 	for _, n := range sizes {
-		w := newNet(n, 0.3, uint64(n))
-		if w.until(200, func() bool {
-			for _, s := range w.all {
+		w := newGossipNet(n, 0.3, uint64(n))
+		if w.runUntil(200, func() bool {
+			for _, s := range w.members {
 				if !s.Told() {
 					return false
 				}
@@ -273,7 +274,7 @@
 		}) < 0 {
 			t.Fatal("a new fleet does not become synced")
 		}
-		v, err := w.all[0].Say(w.now, 1, node("n", true))
+		v, err := w.members[0].Say(w.now, 1, nodeVerdict("n", true))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -281,8 +282,8 @@
 		for 1<<((limit-4)/2) < n {
 			limit += 2
 		}
-		took := w.until(limit, func() bool {
-			for _, s := range w.all {
+		took := w.runUntil(limit, func() bool {
+			for _, s := range w.members {
 				if len(s.Lines(w.now)) != 1 {
 					return false
 				}
@@ -293,14 +294,19 @@
 			t.Fatalf("%d members: the verdict did not reach all within %d periods", n, limit)
 		}
 		t.Logf("%d members: %d periods", n, took)
-		if w.until(20*limit, func() bool { l, _ := w.all[0].Line(w.now, Node, "n"); return len(l.Held) == n }) < 0 {
+		if w.runUntil(20*limit, func() bool {
+			l, _ := w.members[0].Line(w.now, Node, "n")
+			return len(l.Held) == n
+		}) < 0 {
 			t.Fatal("the issuer does not learn which members have the verdict")
 		}
-		w.all[0] = NewSpreader(NewTable(name(0)), 99, most) // the issuer restarts
-		if w.until(limit+4, func() bool { return len(w.all[0].Lines(w.now)) == 1 && w.all[0].Told() }) < 0 {
+		w.members[0] = NewSpreader(NewTable(memberName(0)), 99, maxMessage) // the issuer restarts
+		if w.runUntil(limit+4, func() bool {
+			return len(w.members[0].Lines(w.now)) == 1 && w.members[0].Told()
+		}) < 0 {
 			t.Fatal("a member that restarts without state does not get the verdict")
 		}
-		if w.all[0].entries[0].Stamp != v.Stamp {
+		if w.members[0].entries[0].Stamp != v.Stamp {
 			t.Fatal("the restarted member got a different verdict")
 		}
 	}
@@ -308,83 +314,83 @@
 
 // Members that restart without state at the same time do not sync with each other but with the one that has
 // the table. If no member has it, each becomes synced after a few periods.
-func TestTheUntoldDoNotTellEachOther(t *testing.T) {
-	w := newNet(6, 0, 9)
-	if w.until(30, func() bool { return w.all[5].Told() }) < untoldFor {
+func TestUnsyncedMembersDoNotSyncEachOther(t *testing.T) {
+	w := newGossipNet(6, 0, 9)
+	if w.runUntil(30, func() bool { return w.members[5].Told() }) < unsyncedPeriods {
 		t.Fatal("synced immediately by members without a table")
 	}
 	for range 10 {
 		w.round()
 	}
-	if _, err := w.all[0].Say(w.now, 1, node("n", true)); err != nil {
+	if _, err := w.members[0].Say(w.now, 1, nodeVerdict("n", true)); err != nil {
 		t.Fatal(err)
 	}
 	w.round()
 	for i := 1; i < 6; i++ {
-		w.all[i] = NewSpreader(NewTable(name(i)), uint64(50+i), most)
+		w.members[i] = NewSpreader(NewTable(memberName(i)), uint64(50+i), maxMessage)
 	}
 	for range 20 {
 		w.round()
-		for _, s := range w.all {
+		for _, s := range w.members {
 			if s.Told() && len(s.Lines(w.now)) != 1 {
 				t.Fatal("a member is synced without having the verdict")
 			}
 		}
 	}
-	if !w.all[5].Told() {
+	if !w.members[5].Told() {
 		t.Fatal("a restarted member does not become synced")
 	}
 }
 
 // A thousand verdicts at once reach all members with a bounded number of messages per period, and after a
 // partition so do the verdicts of both sides.
-func TestManyAtOnce(t *testing.T) {
-	w := newNet(8, 0.1, 7)
+func TestManyVerdictsAtOnce(t *testing.T) {
+	w := newGossipNet(8, 0.1, 7)
 	for range 40 {
 		w.round()
 	}
 	for i := range 1000 {
-		if _, err := w.all[i%3].Say(w.now, 1, node(fmt.Sprintf("node-%04d", i), true)); err != nil {
+		if _, err := w.members[i%3].Say(w.now, 1, nodeVerdict(fmt.Sprintf("node-%04d", i), true)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	took := w.until(400, w.agree)
-	if took < 0 || w.all[5].Len() != 1000 {
-		t.Fatalf("%d of 1000 verdicts after 400 periods", w.all[5].Len())
+	took := w.runUntil(400, w.agree)
+	if took < 0 || w.members[5].Len() != 1000 {
+		t.Fatalf("%d of 1000 verdicts after 400 periods", w.members[5].Len())
 	}
 	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes per member and period", took, w.sent/8/max(1, took))
-	w.sides = func(i, j int) bool { return (i < 4) == (j < 4) }
+	w.connected = func(i, j int) bool { return (i < 4) == (j < 4) }
 	for i := range 60 {
-		_, _ = w.all[0].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i), false))
-		_, _ = w.all[7].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i+30), false))
+		_, _ = w.members[0].Say(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i), false))
+		_, _ = w.members[7].Say(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i+30), false))
 		w.round()
 	}
-	w.sides = func(int, int) bool { return true }
-	if w.until(100, w.agree) < 0 {
+	w.connected = func(int, int) bool { return true }
+	if w.runUntil(100, w.agree) < 0 {
 		t.Fatal("the tables differ after the partition has healed")
 	}
 }
 
 func FuzzReceive(f *testing.F) {
-	w := newNet(2, 0, 3)
+	w := newGossipNet(2, 0, 3)
 	w.round()
-	_, _ = w.all[0].Say(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
+	_, _ = w.members[0].Say(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
 		Span: 60 * second})
-	for _, s := range w.all {
-		s.Tick(w.now, []Peer{{Name: name(0), Sum: 5}, {Name: name(1), Sum: 7}})
+	for _, s := range w.members {
+		s.Tick(w.now, []Peer{{Name: memberName(0), Sum: 5}, {Name: memberName(1), Sum: 7}})
 		sends, _ := s.Take()
 		for _, m := range sends {
 			f.Add(m.Data)
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewSpreader(NewTable("z"), 1, most)
+		s := NewSpreader(NewTable("z"), 1, maxMessage)
 		s.Tick(0, []Peer{{Name: "y", Sum: 9}})
-		_, _ = s.Say(0, 1, node("n", true))
+		_, _ = s.Say(0, 1, nodeVerdict("n", true))
 		s.Receive(second, "y", data)
 		sends, _ := s.Take()
 		for _, m := range sends {
-			if len(m.Data) > most {
+			if len(m.Data) > maxMessage {
 				t.Fatalf("a message of %d bytes", len(m.Data))
 			}
 		}
@@ -397,9 +403,9 @@
 func BenchmarkMerge(b *testing.B) {
 	table := NewTable("a")
 	for i := range 1000 {
-		_, _ = table.Say(0, 0, node(fmt.Sprintf("node-%04d", i), true))
+		_, _ = table.Say(0, 0, nodeVerdict(fmt.Sprintf("node-%04d", i), true))
 	}
-	v := node("node-0500", true)
+	v := nodeVerdict("node-0500", true)
 	v.Member = "b"
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
--- a/internal/verdict/witness.go
+++ b/internal/verdict/witness.go
@@ -7,18 +7,18 @@
 
 // Parameters of evidence. Durations are in periods unless noted.
 const (
-	Window    = 150 // age after which an observation no longer counts
-	slots     = 50  // slots per window in which good outcomes are counted
-	mostNodes = 4096
-	boutEnds  = 6      // consecutive good outcomes that end a bout of bad ones
-	lateBy    = 8.0    // an attempt is late above this multiple of its class's median
-	lateLeast = 50_000 // microseconds; a shorter attempt is never late
-	// beatenLeast is the number of attempts that must lose to a hedged one, with none served in between, before
+	Window       = 150 // age after which an observation no longer counts
+	windowSlots  = 50  // slots per window in which good outcomes are counted
+	maxNodes     = 4096
+	boutEndRun   = 6      // consecutive good outcomes that end a bout of bad ones
+	lateMultiple = 8.0    // an attempt is late above this multiple of its class's median
+	minLate      = 50_000 // microseconds; a shorter attempt is never late
+	// minHedgeWins is the number of attempts that must lose to a hedged one, with none served in between, before
 	// one counts as bad. Any healthy node loses now and then, but a node that answers nothing would otherwise
 	// stay hidden behind the hedged attempts.
-	beatenLeast = 2
-	usualStep   = 1.05 // factor by which one outcome moves the median
-	mostKinds   = 256  // maximum number of classes whose median is kept
+	minHedgeWins = 2
+	medianStep   = 1.05 // factor by which one outcome moves the median
+	maxClasses   = 256  // maximum number of classes whose median is kept
 )
 
 // Outcome is the outcome of an attempt, as far as it is evidence about the node.
@@ -41,88 +41,88 @@
 }
 
 // sick reports whether there are bad outcomes, and no fewer than good ones.
-func (t *Tally) sick() bool { return t.ill() > 0 && t.ill() >= int(t.Good) }
+func (t *Tally) sick() bool { return t.failures() > 0 && t.failures() >= int(t.Good) }
 
-func (t *Tally) ill() int { return int(t.Bad) + int(t.Late) }
+func (t *Tally) failures() int { return int(t.Bad) + int(t.Late) }
 
 // nodeRecord is what was observed of one node.
-type seen struct {
-	good        [slots]uint16 // good outcomes by slot
-	newest      Micros        // latest slot
-	bad, late   int           // bad outcomes of the current bout
-	well, row   int           // good outcomes since the bout began, and consecutive ones up to now
-	first, last Micros        // first and last bad outcome of the bout
-	at          Micros        // last outcome of any kind
-	beaten      int           // attempts that lost to a hedged one since the node last served one
+type nodeRecord struct {
+	good              [windowSlots]uint16 // good outcomes by slot
+	newestSlot        Micros              // latest slot
+	bad, late         int                 // bad outcomes of the current bout
+	boutGood, goodRun int                 // good outcomes since the bout began, and consecutive ones up to now
+	firstBad, lastBad Micros              // first and last bad outcome of the bout
+	lastOutcome       Micros              // last outcome of any kind
+	hedgeWins         int                 // attempts that lost to a hedged one since the node last served one
 }
 
-// Observer counts the outcomes that this member observes. It is not safe for concurrent use.
+// Witness counts the outcomes that this member observes. It is not safe for concurrent use.
 type Witness struct {
-	period Micros
-	nodes  map[uint64]*seen
-	usual  map[int]float64 // median duration by class, in microseconds
+	period  Micros
+	nodes   map[uint64]*nodeRecord
+	medians map[int]float64 // median duration by class, in microseconds
 }
 
-// NewObserver returns an observer without observations.
+// NewWitness returns an observer without observations.
 func NewWitness(period Micros) *Witness {
-	return &Witness{period: period, nodes: map[uint64]*seen{}, usual: map[int]float64{}}
+	return &Witness{period: period, nodes: map[uint64]*nodeRecord{}, medians: map[int]float64{}}
 }
 
-func (w *Witness) slot(now Micros) Micros { return now / (Window / slots * w.period) }
+func (w *Witness) slot(now Micros) Micros { return now / (Window / windowSlots * w.period) }
 
 // isLate reports whether a duration is far above the median of its class, and if counts is set, adds it to
 // the median. The median is estimated by one number that each outcome moves by a step (frugal streaming: Ma,
 // Muthukrishnan and Sandler, 2013, §3; the step is a factor here, as durations of classes differ by orders of
 // magnitude).
-func (w *Witness) late(class int, took Micros, counts bool) bool {
-	m, known := w.usual[class]
+func (w *Witness) isLate(class int, took Micros, counts bool) bool {
+	m, known := w.medians[class]
 	if !known {
-		if counts && len(w.usual) < mostKinds {
-			w.usual[class] = float64(max(1, took))
+		if counts && len(w.medians) < maxClasses {
+			w.medians[class] = float64(max(1, took))
 		}
 		return false
 	}
 	if counts {
 		if float64(took) > m {
-			w.usual[class] = m * usualStep
+			w.medians[class] = m * medianStep
 		} else {
-			w.usual[class] = max(1, m/usualStep)
+			w.medians[class] = max(1, m/medianStep)
 		}
 	}
-	return took >= lateLeast && float64(took) > lateBy*m
+	return took >= minLate && float64(took) > lateMultiple*m
 }
 
 // Observe records the outcome and the duration of an attempt.
 func (w *Witness) See(now Micros, node uint64, class int, e Ending, took Micros) {
-	late := w.late(class, took, e == Served)
-	if e == GivenUp && !late || e == Unheard && !late && took < lateLeast {
+	late := w.isLate(class, took, e == Served)
+	if e == GivenUp && !late || e == Unheard && !late && took < minLate {
 		return
 	}
 	n := w.nodes[node]
 	if n == nil {
-		if len(w.nodes) >= mostNodes {
+		if len(w.nodes) >= maxNodes {
 			return
 		}
-		n = &seen{newest: w.slot(now)}
+		n = &nodeRecord{newestSlot: w.slot(now)}
 		w.nodes[node] = n
 	}
-	n.at = now
+	n.lastOutcome = now
 	if e == Served {
-		n.beaten = 0
+		n.hedgeWins = 0
 	}
 	if e == Served && !late {
-		n.served(w.slot(now))
+		n.recordServed(w.slot(now))
 		return
 	}
 	if e == Beaten {
-		if n.beaten++; n.beaten < beatenLeast {
+		if n.hedgeWins++; n.hedgeWins < minHedgeWins {
 			return
 		}
 	}
 	if n.bad+n.late == 0 {
-		n.first, n.well = now, 0
+		n.firstBad, n.boutGood = now, 0
 	}
-	n.last, n.row = now, 0
+	n.lastBad, n.goodRun = now, 0
 	if e == Broken || e == Unheard {
 		n.bad++
 	} else {
@@ -130,35 +130,35 @@
 	}
 }
 
-func (n *seen) served(slot Micros) {
-	n.turn(slot)
-	if c := &n.good[slot%slots]; *c < 1<<16-1 {
+func (n *nodeRecord) recordServed(slot Micros) {
+	n.advance(slot)
+	if c := &n.good[slot%windowSlots]; *c < 1<<16-1 {
 		*c++
 	}
 	if n.bad+n.late == 0 {
 		return
 	}
-	n.well++
-	if n.row++; n.row >= boutEnds {
+	n.boutGood++
+	if n.goodRun++; n.goodRun >= boutEndRun {
 		n.bad, n.late = 0, 0
 	}
 }
 
 // advance clears the slots up to the given one.
-func (n *seen) turn(slot Micros) {
-	for i := max(n.newest+1, slot-slots+1); i <= slot; i++ {
-		n.good[i%slots] = 0
+func (n *nodeRecord) advance(slot Micros) {
+	for i := max(n.newestSlot+1, slot-windowSlots+1); i <= slot; i++ {
+		n.good[i%windowSlots] = 0
 	}
-	n.newest = max(n.newest, slot)
+	n.newestSlot = max(n.newestSlot, slot)
 }
 
 // Expire removes observations that are too old to count.
 func (w *Witness) Expire(now Micros) {
 	for id, n := range w.nodes {
-		if n.bad+n.late > 0 && now-n.last > Window*w.period {
+		if n.bad+n.late > 0 && now-n.lastBad > Window*w.period {
 			n.bad, n.late = 0, 0
 		}
-		if now-n.at > Window*w.period {
+		if now-n.lastOutcome > Window*w.period {
 			delete(w.nodes, id)
 		}
 	}
@@ -172,17 +172,17 @@
 		return Tally{}
 	}
 	short := func(x int) uint16 { return uint16(min(x, 1<<16-1)) }
-	n.turn(w.slot(now))
+	n.advance(w.slot(now))
 	good := 0
 	from := w.slot(now-Micros(periods)*w.period) + 1 // whole slots
-	for i := max(0, n.newest-slots+1, from); i <= n.newest; i++ {
-		good += int(n.good[i%slots])
+	for i := max(0, n.newestSlot-windowSlots+1, from); i <= n.newestSlot; i++ {
+		good += int(n.good[i%windowSlots])
 	}
 	if n.bad+n.late == 0 {
 		return Tally{Good: short(good)}
 	}
-	return Tally{Good: short(max(good, n.well)), Bad: short(n.bad), Late: short(n.late),
-		First: short(int((now - n.first) / w.period))}
+	return Tally{Good: short(max(good, n.boutGood)), Bad: short(n.bad), Late: short(n.late),
+		First: short(int((now - n.firstBad) / w.period))}
 }
 
 // FailingNodes returns the nodes with recent bad outcomes, sorted by ID.
@@ -198,7 +198,7 @@
 
 // Reliable reports whether this member's tallies count as evidence. If more than half of the nodes that it
 // has recently used look sick, the cause is its own network or a general overload.
-func (w *Witness) Sound(now Micros) bool {
+func (w *Witness) Reliable(now Micros) bool {
 	met, sick := 0, 0
 	for id := range w.nodes {
 		met++
