--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -184,7 +184,7 @@
 }
 
 // takeToken takes a token for a new connection. If there is none, it returns when there will be one.
-func (s *tracked) takeToken(now Micros, rate, burst float64) (ok bool, after Micros) {
+func (s *tracked) takeToken(now Micros, rate, burst float64) (ok bool, retryAfter Micros) {
 	if rate <= 0 {
 		return true, 0
 	}
@@ -207,22 +207,22 @@
 func (g *Gate) Arrive(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
 	rule, known := g.rule(a.Addr), false
-	bound := g.limits.Everyone
+	effective := g.limits.Everyone
 	if rule != nil {
 		known = rule.Known
-		bound.Open = cmp.Or(rule.Open, bound.Open)
+		effective.Open = cmp.Or(rule.Open, effective.Open)
 		if rule.Rate > 0 {
-			bound.Rate, bound.Burst = rule.Rate, rule.Burst
+			effective.Rate, effective.Burst = rule.Rate, rule.Burst
 		}
-		bound.Gateway = rule.Gateway
+		effective.Gateway = rule.Gateway
 	}
 	addr, block := g.addrs.get(a.Addr), g.blocks.get(blockOf(a.Addr))
-	refuse := func(why Reason, after Micros) Decision {
-		g.refused[why]++
+	refuse := func(reason Reason, retryAfter Micros) Decision {
+		g.refused[reason]++
 		addr.refused++
 		g.addrs.release(addr)
 		g.blocks.release(block)
-		return Decision{Verdict: Refuse, Reason: why, After: max(after, 1)}
+		return Decision{Verdict: Refuse, Reason: reason, After: max(retryAfter, 1)}
 	}
 	if h := g.override(now, a.Addr); h != nil {
 		if !h.pinned {
@@ -231,19 +231,20 @@
 		known = true
 	}
 	if !known { // the rate limits and the block's limits only apply to unknown clients
-		if ok, after := addr.takeToken(now, bound.Rate, bound.Burst); !ok {
-			return refuse(TooFast, after)
+		if ok, retryAfter := addr.takeToken(now, effective.Rate, effective.Burst); !ok {
+			return refuse(TooFast, retryAfter)
 		}
-		if ok, after := block.takeToken(now, g.limits.Block.Rate, g.limits.Block.Burst); !ok && !bound.Gateway {
-			return refuse(BlockCap, after)
+		if ok, retryAfter := block.takeToken(now, g.limits.Block.Rate, g.limits.Block.Burst); !ok &&
+			!effective.Gateway {
+			return refuse(BlockCap, retryAfter)
 		}
-		if g.limits.Block.Open > 0 && block.open >= g.limits.Block.Open && !bound.Gateway {
+		if g.limits.Block.Open > 0 && block.open >= g.limits.Block.Open && !effective.Gateway {
 			return refuse(BlockCap, defaultRetryAfter)
 		}
 	} else {
 		addr.arrivals++
 	}
-	if bound.Open > 0 && addr.open >= bound.Open && !bound.Gateway {
+	if effective.Open > 0 && addr.open >= effective.Open && !effective.Gateway {
 		return refuse(TooMany, defaultRetryAfter)
 	}
 	if rule != nil && rule.All > 0 && rule.open >= rule.All {
@@ -284,19 +285,19 @@
 const defaultRetryAfter = 1_000_000
 
 // findSlot finds the kind of slot for an arrival.
-func (g *Gate) findSlot(places int, known, proves bool) (kind int, ok bool) {
+func (g *Gate) findSlot(capacity int, known, proves bool) (kind int, ok bool) {
 	total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
-	if total >= places {
+	if total >= capacity {
 		return 0, false
 	}
-	kept := min(g.limits.Reserve+g.limits.Proving, places)
+	reserved := min(g.limits.Reserve+g.limits.Proving, capacity)
 	switch {
-	case g.inUse[kindGeneral] < places-kept:
+	case g.inUse[kindGeneral] < capacity-reserved:
 		return kindGeneral, true
-	case known && g.inUse[kindReserve] < min(g.limits.Reserve, places):
+	case known && g.inUse[kindReserve] < min(g.limits.Reserve, capacity):
 		return kindReserve, true
 	case proves && !known && g.inUse[kindProving] < g.limits.Proving &&
-		g.inUse[kindGeneral]+g.inUse[kindProving] < places-g.limits.Reserve:
+		g.inUse[kindGeneral]+g.inUse[kindProving] < capacity-g.limits.Reserve:
 		return kindProving, true
 	}
 	return 0, false
@@ -321,9 +322,9 @@
 	if c == nil {
 		return Decision{Verdict: Refuse, Reason: Unauthenticated, After: defaultRetryAfter}
 	}
-	refuse := func(why Reason) Decision {
-		g.refused[why]++
-		return Decision{Verdict: Refuse, Reason: why, After: defaultRetryAfter}
+	refuse := func(reason Reason) Decision {
+		g.refused[reason]++
+		return Decision{Verdict: Refuse, Reason: reason, After: defaultRetryAfter}
 	}
 	if c.kind == kindProving && now > c.authDeadline {
 		return refuse(Unauthenticated)
@@ -334,11 +335,11 @@
 			s = &tracked{name: identity}
 			g.identities[identity] = s
 		}
-		most := g.limits.Everyone.Open
+		maxOpen := g.limits.Everyone.Open
 		if c.rule != nil {
-			most = cmp.Or(c.rule.Open, most)
+			maxOpen = cmp.Or(c.rule.Open, maxOpen)
 		}
-		if most > 0 && s.open >= most {
+		if maxOpen > 0 && s.open >= maxOpen {
 			return refuse(TooMany)
 		}
 		s.open++
@@ -504,9 +505,9 @@
 	t.trim(t.maxEntries)
 }
 
-// trim evicts addresses without open connections, the least recent first, until at most most are left.
-func (t *addrTable) trim(most int) {
-	for len(t.byAddr) > most && t.first != nil {
+// trim evicts addresses without open connections, the least recent first, until at most limit are left.
+func (t *addrTable) trim(limit int) {
+	for len(t.byAddr) > limit && t.first != nil {
 		old := t.first
 		t.unlist(old)
 		delete(t.byAddr, old.addr)
--- a/internal/admission/trie.go
+++ b/internal/admission/trie.go
@@ -28,15 +28,15 @@
 	return int(x.lo >> (127 - i) & 1)
 }
 
-// commonPrefix returns the length of the common prefix of two addresses, at most most bits.
-func (x addrBits) commonPrefix(y addrBits, most int) int {
+// commonPrefix returns the length of the common prefix of two addresses, at most maxBits.
+func (x addrBits) commonPrefix(y addrBits, maxBits int) int {
 	n := 128
 	if d := x.hi ^ y.hi; d != 0 {
 		n = bits.LeadingZeros64(d)
 	} else if d := x.lo ^ y.lo; d != 0 {
 		n = 64 + bits.LeadingZeros64(d)
 	}
-	return min(n, most)
+	return min(n, maxBits)
 }
 
 type trieNode[T any] struct {
@@ -123,12 +123,12 @@
 // Find returns the value of the longest prefix that contains an address, or nil.
 func (t *Trie[T]) Find(a netip.Addr) (found *T) {
 	a = a.Unmap()
-	key, most := toBits(a), a.BitLen()
+	key, bitLen := toBits(a), a.BitLen()
 	for n := t.root[family(a)]; n != nil && key.commonPrefix(n.key, n.size) == n.size; {
 		if n.value != nil {
 			found = n.value
 		}
-		if n.size >= most {
+		if n.size >= bitLen {
 			break
 		}
 		n = n.child[key.bit(n.size)]
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -51,8 +51,8 @@
 	sorted = slices.Compact(sorted)
 	out := make([]int, len(worth))
 	for i, w := range worth {
-		place := slices.Index(sorted, w)
-		out[i] = Ranks - 1 - min(Ranks-1, len(sorted)-1-place)
+		index := slices.Index(sorted, w)
+		out[i] = Ranks - 1 - min(Ranks-1, len(sorted)-1-index)
 	}
 	return out
 }
@@ -60,8 +60,8 @@
 // Priority returns the bucket of a request: by the rank of its class, and within the rank by a hash of a key
 // that all retries of the request share, so that every member decides the same on each retry (DAGOR: Zhou et
 // al., SoCC 2018, §4.2.2 and 4.2.3, where the user is hashed).
-func Priority(rank int, who string) int {
-	return min(max(rank, 0), Ranks-1)*RankDivisions + int(xxhash.Sum64String(who)%RankDivisions)
+func Priority(rank int, key string) int {
+	return min(max(rank, 0), Ranks-1)*RankDivisions + int(xxhash.Sum64String(key)%RankDivisions)
 }
 
 // Counts are the requests that one member has seen since its last report.
@@ -128,9 +128,9 @@
 func (g *Guard) Keeper() (string, Micros) { return g.owner, g.ownerSince }
 
 // Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
-// spread, so that requests that are shed together do not come back together. who is a number that differs by
+// spread, so that requests that are shed together do not come back together. id is a number that differs by
 // request.
-func (g *Guard) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
+func (g *Guard) Admit(priority int, id uint64, repeat bool) (ok bool, retryAfter Micros) {
 	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
 	// level oscillated: it rose with the retries and fell without them.
 	if c := &g.counts.Offered[priority]; !repeat && *c < 1<<16-1 {
@@ -140,19 +140,19 @@
 		return true, 0
 	}
 	g.Shed[priority]++
-	return false, g.retryAfter(who)
+	return false, g.retryAfter(id)
 }
 
 // retryAfter returns when a shed request may be retried: a time that grows with the level, plus a random part
 // of up to the same length.
-func (g *Guard) retryAfter(who uint64) Micros {
+func (g *Guard) retryAfter(id uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
-	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, who))%uint64(base))
+	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, id))%uint64(base))
 }
 
-// Finished records the outcome of an admitted request. well means that it was answered in time.
-func (g *Guard) Ended(well bool) {
-	if g.counts.Admitted++; !well {
+// Finished records the end of an admitted request, and whether it was answered in time.
+func (g *Guard) Ended(inTime bool) {
+	if g.counts.Admitted++; !inTime {
 		g.counts.Failed++
 	}
 }
@@ -188,14 +188,14 @@
 func (g *Guard) Budget() int64 { return maxRetryTokens + int64(RetryRatio*float64(g.FirstSends)) }
 
 // ownerOf returns the member that sets the level, by rendezvous hashing over the living members.
-func ownerOf(alive []string) (who string) {
-	best := uint64(0)
+func ownerOf(alive []string) (owner string) {
+	bestHash := uint64(0)
 	for _, name := range alive {
-		if h := xxhash.Sum64String(name + "\nlevel"); who == "" || h > best {
-			who, best = name, h
+		if h := xxhash.Sum64String(name + "\nlevel"); owner == "" || h > bestHash {
+			owner, bestHash = name, h
 		}
 	}
-	return who
+	return owner
 }
 
 // Message kinds.
@@ -225,9 +225,9 @@
 		return append(out, Send{To: g.owner, Data: b})
 	}
 	g.record(now, g.self, &count)
-	for who := range g.reports {
-		if who != g.self && !slices.Contains(others, who) {
-			delete(g.reports, who)
+	for member := range g.reports {
+		if member != g.self && !slices.Contains(others, member) {
+			delete(g.reports, member)
 		}
 	}
 	g.evaluateIfDue(now)
@@ -242,11 +242,11 @@
 	}
 }
 
-func (g *Guard) record(now Micros, who string, c *Counts) {
-	t := g.reports[who]
+func (g *Guard) record(now Micros, member string, c *Counts) {
+	t := g.reports[member]
 	if t == nil {
 		t = &memberReports{}
-		g.reports[who] = t
+		g.reports[member] = t
 	}
 	t.counts[t.next%reportHistory], t.at[t.next%reportHistory] = *c, now
 	t.next++
@@ -277,12 +277,12 @@
 // EstimateCapacity returns how many requests the servers can answer in a window: the recent maximum, which
 // decays faster while more is admitted than they answer. A single overloaded window says little: after queues
 // were full, much of the servers' work goes into requests that nobody waits for any more.
-func EstimateCapacity(able float64, sum *Counts) float64 {
-	lost := capacityDecay
+func EstimateCapacity(capacity float64, sum *Counts) float64 {
+	decay := capacityDecay
 	if sum.Admitted >= minAdmitted && float64(sum.Failed) > highFailures*float64(sum.Admitted) {
-		lost = fastCapacityDecay
+		decay = fastCapacityDecay
 	}
-	return max(float64(sum.Admitted-sum.Failed), able*(1-lost))
+	return max(float64(sum.Admitted-sum.Failed), capacity*(1-decay))
 }
 
 // NextLevel returns the level after a window in which level applied. streak is the number of consecutive
@@ -292,21 +292,21 @@
 // modules refuse what the margin admits in excess. An earlier version that reduced the admitted load by the
 // fraction refused (DAGOR, §4.2.3) shed requests that the servers could have answered: an immediate refusal
 // does no harm and does not show how much capacity there is.
-func NextLevel(level, streak int, able float64, sum *Counts) int {
-	bad := float64(sum.Failed) / float64(max(1, sum.Admitted))
-	if level == 0 && (sum.Admitted < minAdmitted || bad <= highFailures) {
+func NextLevel(level, streak int, capacity float64, sum *Counts) int {
+	failed := float64(sum.Failed) / float64(max(1, sum.Admitted))
+	if level == 0 && (sum.Admitted < minAdmitted || failed <= highFailures) {
 		return 0
 	}
-	more := min(maxMargin, initialMargin*float64(int(1)<<min(max(0, streak-calmWindows), 8)))
+	margin := min(maxMargin, initialMargin*float64(int(1)<<min(max(0, streak-calmWindows), 8)))
 	// Clients' retries add to the admitted load, and much work is wasted.
-	more -= marginCut * max(0, bad-heavyFailures)
-	room := max(minAdmitted, able*(1+more))
-	next, letIn := Buckets, 0.0
-	for next > 0 && letIn+float64(sum.Offered[next-1]) <= room {
+	margin -= marginCut * max(0, failed-heavyFailures)
+	room := max(minAdmitted, capacity*(1+margin))
+	next, admitted := Buckets, 0.0
+	for next > 0 && admitted+float64(sum.Offered[next-1]) <= room {
 		next--
-		letIn += float64(sum.Offered[next])
+		admitted += float64(sum.Offered[next])
 	}
-	if next = min(next, Buckets-1); next > level && float64(next-level) <= levelNoise && bad <= highFailures {
+	if next = min(next, Buckets-1); next > level && float64(next-level) <= levelNoise && failed <= highFailures {
 		return level // within the noise
 	}
 	return next
@@ -354,16 +354,16 @@
 
 // encodeCounts encodes counts. A bit set says which buckets follow, as empty ones are omitted.
 func encodeCounts(c *Counts) []byte {
-	var set uint64
+	var nonEmpty uint64
 	b := make([]byte, 0, 16+2*Buckets)
 	b = binary.LittleEndian.AppendUint32(b, c.Admitted)
 	b = binary.LittleEndian.AppendUint32(b, c.Failed)
 	for i, n := range c.Offered {
 		if n > 0 {
-			set |= 1 << i
+			nonEmpty |= 1 << i
 		}
 	}
-	b = binary.LittleEndian.AppendUint64(b, set)
+	b = binary.LittleEndian.AppendUint64(b, nonEmpty)
 	for _, n := range c.Offered {
 		if n > 0 {
 			b = binary.LittleEndian.AppendUint16(b, n)
@@ -374,9 +374,9 @@
 
 func decodeCounts(r *datagram.Reader) (c Counts, ok bool) {
 	c.Admitted, c.Failed = r.U32(), r.U32()
-	set := r.U64()
+	nonEmpty := r.U64()
 	for i := range c.Offered {
-		if set>>i&1 == 1 {
+		if nonEmpty>>i&1 == 1 {
 			c.Offered[i] = r.U16()
 		}
 	}
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -48,34 +48,34 @@
 }
 
 // take admits one request if the least full of the key's cells has room.
-func (s *sketch) take(now Micros, key uint64, rate, most float64) bool {
-	at := float32(float64(now-s.createdAt) / 1e6)
-	var mine [sketchRows]*sketchCell
+func (s *sketch) take(now Micros, key uint64, rate, maxLevel float64) bool {
+	seconds := float32(float64(now-s.createdAt) / 1e6)
+	var cells [sketchRows]*sketchCell
 	least := float32(math.MaxFloat32)
-	for r := range mine {
+	for r := range cells {
 		key *= 0x9E3779B97F4A7C15
 		c := &s.cells[r][key>>32%sketchColumns]
-		c.level = max(0, c.level-(at-c.at)*float32(rate))
-		c.at = at
-		mine[r] = c
+		c.level = max(0, c.level-(seconds-c.at)*float32(rate))
+		c.at = seconds
+		cells[r] = c
 		least = min(least, c.level)
 	}
-	if float64(least)+1 > most {
+	if float64(least)+1 > maxLevel {
 		return false
 	}
-	for _, c := range mine {
+	for _, c := range cells {
 		c.level = max(c.level, least+1)
 	}
 	return true
 }
 
 // add carries the level of a key that had its own bucket over into the sketch.
-func (s *sketch) add(now Micros, key uint64, used float64) {
-	at := float32(float64(now-s.createdAt) / 1e6)
+func (s *sketch) add(now Micros, key uint64, level float64) {
+	seconds := float32(float64(now-s.createdAt) / 1e6)
 	for r := range sketchRows {
 		key *= 0x9E3779B97F4A7C15
 		c := &s.cells[r][key>>32%sketchColumns]
-		c.level, c.at = max(c.level, float32(used)), at
+		c.level, c.at = max(c.level, float32(level)), seconds
 	}
 }
 
@@ -111,21 +111,21 @@
 func (k *Keys) Len() int { return len(k.shares) }
 
 // Take reports whether one more request of a key may be admitted now, and if not, when to retry.
-func (k *Keys) Take(now Micros, id uint64) (ok bool, after Micros) {
+func (k *Keys) Take(now Micros, id uint64) (ok bool, retryAfter Micros) {
 	if s := k.shares[id]; s != nil {
-		if ok, after = s.Take(now); ok {
+		if ok, retryAfter = s.Take(now); ok {
 			k.Granted++
 		} else {
 			k.Refused++
 		}
-		return ok, after
+		return ok, retryAfter
 	}
-	part := 1.0
+	fraction := 1.0
 	if now < k.usableFrom {
-		part = KeptFraction
+		fraction = KeptFraction
 	}
-	rate := k.Rate / (1 + MaxDrift) / float64(k.members) * part
-	if !k.disabled && !k.suspended && k.sketch.take(now, id, rate, k.Burst/float64(k.members)*part) {
+	rate := k.Rate / (1 + MaxDrift) / float64(k.members) * fraction
+	if !k.disabled && !k.suspended && k.sketch.take(now, id, rate, k.Burst/float64(k.members)*fraction) {
 		k.Granted++
 		return true, 0
 	}
@@ -233,9 +233,9 @@
 }
 
 // TakeOver continues after another process of this member, with its loans by key.
-func (k *Keys) Inherit(now Micros, from map[uint64][]Lend) {
+func (k *Keys) Inherit(now Micros, lentByKey map[uint64][]Lend) {
 	k.suspended, k.usableFrom = false, now
-	for id, lent := range from {
+	for id, lent := range lentByKey {
 		if id&^math.MaxUint32 == k.ID {
 			if s := k.ensureShare(now, id); s != nil {
 				s.Inherit(now, lent)
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -87,8 +87,8 @@
 	return t
 }
 
-func (t *Tenure) newLease(of string) lease {
-	return lease{owner: of, votedUntil: make([]Micros, len(t.voters))}
+func (t *Tenure) newLease(owner string) lease {
+	return lease{owner: owner, votedUntil: make([]Micros, len(t.voters))}
 }
 
 // quorum is the number of votes that is a majority.
@@ -103,10 +103,10 @@
 	leaseMessageSize = 1 + 4 + 4 + 1
 )
 
-func (t *Tenure) encode(kind byte, seq uint32, of string) []byte {
+func (t *Tenure) encode(kind byte, seq uint32, owner string) []byte {
 	b := binary.LittleEndian.AppendUint32([]byte{kind}, t.rosterHash)
 	b = binary.LittleEndian.AppendUint32(b, seq)
-	return append(b, byte(slices.Index(t.voters, of)))
+	return append(b, byte(slices.Index(t.voters, owner)))
 }
 
 // IsLeaseMessage reports whether a message is about a lease.
@@ -116,26 +116,26 @@
 
 // substituteFor returns the member that takes over a dead member's lease: the first of the living members by
 // rendezvous hashing.
-func substituteFor(of string, alive []string) (who string) {
-	best := uint64(0)
+func substituteFor(owner string, alive []string) (substitute string) {
+	bestHash := uint64(0)
 	for _, name := range alive {
-		if h := xxhash.Sum64String(name + "\n" + of); who == "" || h > best {
-			who, best = name, h
+		if h := xxhash.Sum64String(name + "\n" + owner); substitute == "" || h > bestHash {
+			substitute, bestHash = name, h
 		}
 	}
-	return who
+	return substitute
 }
 
 // Tick must be called once per period with the members that are alive, including this one.
 func (t *Tenure) Tick(now Micros, alive []string) (out []Send) {
-	want := []string{t.self}
+	wanted := []string{t.self}
 	for _, name := range t.voters {
 		if !slices.Contains(alive, name) && substituteFor(name, alive) == t.self {
-			want = append(want, name)
+			wanted = append(wanted, name)
 		}
 	}
 	t.leases = slices.DeleteFunc(t.leases, func(c lease) bool {
-		if slices.Contains(want, c.owner) {
+		if slices.Contains(wanted, c.owner) {
 			return false
 		}
 		for _, v := range t.voters { // use has ended before the voters are told
@@ -143,18 +143,18 @@
 		}
 		return true
 	})
-	for _, name := range want {
+	for _, name := range wanted {
 		i := slices.IndexFunc(t.leases, func(c lease) bool { return c.owner == name })
 		if i < 0 {
 			t.leases = append(t.leases, t.newLease(name))
 			i = len(t.leases) - 1
 		}
 		c := &t.leases[i]
-		every := 2 * t.period // between requests; a held lease is not renewed before half of its term
+		retryInterval := 2 * t.period // between requests; a held lease is not renewed before half of its term
 		if c.until > now && c.until-now > terms(t.period, renewBelow) {
 			continue
 		}
-		if c.askedAt > 0 && now-c.askedAt < every {
+		if c.askedAt > 0 && now-c.askedAt < retryInterval {
 			continue
 		}
 		t.seq++
@@ -183,36 +183,36 @@
 		return nil
 	}
 	voter := slices.Index(t.voters, from)
-	seq, of := binary.LittleEndian.Uint32(data[5:]), t.voters[data[9]]
+	seq, owner := binary.LittleEndian.Uint32(data[5:]), t.voters[data[9]]
 	if voter < 0 {
 		return nil
 	}
-	switch v := t.votes[of]; data[0] {
+	switch v := t.votes[owner]; data[0] {
 	case msgRequestVote:
 		if now < t.votesFrom && !t.FaultNoStartWait || now < v.until && v.to != from {
 			return nil
 		}
-		t.votes[of] = vote{from, now + terms(t.period, 1+MaxDrift)}
-		return []Send{{To: from, Data: t.encode(msgVote, seq, of)}}
+		t.votes[owner] = vote{from, now + terms(t.period, 1+MaxDrift)}
+		return []Send{{To: from, Data: t.encode(msgVote, seq, owner)}}
 	case msgVote:
 		for i := range t.leases {
-			if c := &t.leases[i]; c.owner == of && c.seq == seq {
+			if c := &t.leases[i]; c.owner == owner && c.seq == seq {
 				c.votedUntil[voter] = c.askedAt + terms(t.period, 1-2*MaxDrift)
 				c.countVotes(now, t.quorum(), terms(t.period, 1+3*MaxDrift))
 			}
 		}
 	case msgReleaseVote:
 		if v.to == from {
-			delete(t.votes, of)
+			delete(t.votes, owner)
 		}
 	}
 	return nil
 }
 
 // countVotes updates until when a majority has voted for a lease.
-func (c *lease) countVotes(now Micros, majority int, wait Micros) {
-	terms := slices.Sorted(slices.Values(c.votedUntil))
-	until := terms[len(terms)-majority]
+func (c *lease) countVotes(now Micros, quorum int, wait Micros) {
+	expiries := slices.Sorted(slices.Values(c.votedUntil))
+	until := expiries[len(expiries)-quorum]
 	if until <= now {
 		return
 	}
@@ -239,13 +239,13 @@
 }
 
 // Held returns the members whose leases this one holds, including itself. A lease may not be usable yet.
-func (t *Tenure) Holds(now Micros) (of []string) {
+func (t *Tenure) Holds(now Micros) (owners []string) {
 	for i := range t.leases {
 		if c := &t.leases[i]; c.until > now {
-			of = append(of, c.owner)
+			owners = append(owners, c.owner)
 		}
 	}
-	return of
+	return owners
 }
 
 // LeaseSnapshot is the state that one process hands over to the next. Times are relative to the handover.
@@ -266,9 +266,9 @@
 // HandOver returns the lease and the votes of this process. It holds no leases and does not vote any more.
 func (t *Tenure) Save(now Micros) Held {
 	h := Held{Roster: t.voters, Votes: map[string]SavedVote{}, VotesFrom: max(0, t.votesFrom-now)}
-	for of, v := range t.votes {
+	for owner, v := range t.votes {
 		if v.until > now {
-			h.Votes[of] = SavedVote{v.to, v.until - now}
+			h.Votes[owner] = SavedVote{v.to, v.until - now}
 		}
 	}
 	for i := range t.leases {
@@ -286,9 +286,9 @@
 		return
 	}
 	t.votesFrom = now + h.VotesFrom
-	for of, v := range h.Votes {
-		if slices.Contains(t.voters, of) {
-			t.votes[of] = vote{v.To, now + v.Remaining}
+	for owner, v := range h.Votes {
+		if slices.Contains(t.voters, owner) {
+			t.votes[owner] = vote{v.To, now + v.Remaining}
 		}
 	}
 	if c := &t.leases[0]; h.Until > 0 {
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -67,8 +67,8 @@
 }
 
 // setWindows sets the times in which this member holds its own lease and those of dead members.
-func (b *loanBook) setWindows(mine window, others []window) {
-	b.leaseWindows = leaseWindows{mine, others}
+func (b *loanBook) setWindows(own window, others []window) {
+	b.leaseWindows = leaseWindows{own, others}
 }
 
 // count returns how many members' amounts a pool comprises now.
@@ -103,7 +103,7 @@
 func (b *loanBook) startWait() Micros { return terms(b.period, 1+3*MaxDrift) + withDrift(b.hold) }
 
 // withDrift is the longest time on this clock for a duration measured on another member's clock.
-func withDrift(hold Micros) Micros { return Micros(float64(hold) * (1 + 3*MaxDrift)) }
+func withDrift(d Micros) Micros { return Micros(float64(d) * (1 + 3*MaxDrift)) }
 
 // expire removes the loans that have ended. A borrowed loan with requests in flight stays until they finish,
 // but admits no more.
@@ -188,7 +188,7 @@
 
 // borrow asks several members, each for the whole missing amount: most grant little, and an excess is
 // returned later. The number of members asked depends on how many shares are missing.
-func (b *loanBook) borrow(now Micros, lacks, share float64, peers []string) (out []Send) {
+func (b *loanBook) borrow(now Micros, missing, share float64, peers []string) (out []Send) {
 	if len(peers) == 0 {
 		return nil
 	}
@@ -200,10 +200,10 @@
 		b.fanout = max(1, b.fanout/2)
 	}
 	b.granted = false
-	n := min(max(1, int(asksPerShare*lacks/max(share, 1e-9))), b.fanout, len(peers))
+	n := min(max(1, int(asksPerShare*missing/max(share, 1e-9))), b.fanout, len(peers))
 	for i := range min(n, maxLoans-len(b.borrowed)-len(b.pending)) {
 		b.pending = append(b.pending, loan{id: b.rng.Uint64(), peer: peers[(first+i)%len(peers)]})
-		out = append(out, b.request(now, &b.pending[len(b.pending)-1], lacks))
+		out = append(out, b.request(now, &b.pending[len(b.pending)-1], missing))
 	}
 	return out
 }
@@ -213,17 +213,18 @@
 	b.pending = slices.DeleteFunc(b.pending, func(l loan) bool { return now-l.askedAt > 2*b.period })
 }
 
-// grant grants or renews a loan and returns the messages to send. For a new loan, of returns the amount and
-// the pool to lend from; for an existing one, may reports whether a loan from its pool may be renewed.
-func (b *loanBook) grant(now Micros, l loan, of func() (float64, pool), may func(p pool) bool) (out []Send) {
+// grant grants or renews a loan and returns the messages to send. newLoan returns the amount of a new loan
+// and the pool to lend from; mayRenew reports whether an existing loan from a pool may be renewed.
+func (b *loanBook) grant(now Micros, l loan, newLoan func() (float64, pool),
+	mayRenew func(p pool) bool) (out []Send) {
 	i := slices.IndexFunc(b.lent, func(x loan) bool { return x.id == l.id && x.peer == l.peer })
 	if i < 0 {
-		if l.amount, l.pool = of(); l.amount <= 0 || len(b.lent) >= maxLoans {
+		if l.amount, l.pool = newLoan(); l.amount <= 0 || len(b.lent) >= maxLoans {
 			return nil
 		}
 		b.lent = append(b.lent, l)
 		i = len(b.lent) - 1
-	} else if !may(b.lent[i].pool) {
+	} else if !mayRenew(b.lent[i].pool) {
 		return nil // the loan ends with its term
 	}
 	x := &b.lent[i] // recorded as lent before the borrower is told
@@ -286,9 +287,9 @@
 }
 
 // stalest returns the time since the oldest borrowed loan was last granted.
-func (b *loanBook) stalest(now Micros) (stale Micros) {
+func (b *loanBook) stalest(now Micros) (age Micros) {
 	for i := range b.borrowed {
-		stale = max(stale, now-b.borrowed[i].askedAt)
+		age = max(age, now-b.borrowed[i].askedAt)
 	}
-	return stale
+	return age
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -88,19 +88,19 @@
 }
 
 // terms returns the duration of n terms.
-func terms(period Micros, terms float64) Micros { return Micros(terms * TermPeriods * float64(period)) }
+func terms(period Micros, n float64) Micros { return Micros(n * TermPeriods * float64(period)) }
 
-// share is the rate this member owns. It is reduced by Drift, as a fast clock fills the bucket that much
+// share is the rate this member owns. It is reduced by MaxDrift, as a fast clock fills the bucket that much
 // faster.
 func (s *Share) share() float64 { return s.Rate / (1 + MaxDrift) / float64(s.members) }
 
 // owned is the rate this member has in a pool, including what is lent.
 func (s *Share) owned(p pool, now Micros) float64 {
-	f := s.floorFraction()
+	fraction := s.floorFraction()
 	if p != floor {
-		f = 1 - f
+		fraction = 1 - fraction
 	}
-	return s.share() * s.fraction * f * float64(s.leaseWindows.count(p, now))
+	return s.share() * s.fraction * fraction * float64(s.leaseWindows.count(p, now))
 }
 
 // recompute updates the rate that applies from now on.
@@ -108,18 +108,18 @@
 	s.expire(now)
 	s.changesAt = min(s.nextExpiry(), s.nextChange(now))
 	s.ownRate = 0
-	waits := now < s.usableFrom && !s.FaultNoStartWait
+	waiting := now < s.usableFrom && !s.FaultNoStartWait
 	for p := range poolCount {
-		have := s.owned(p, now)
-		if waits && p == floor {
-			have = min(have, s.share()*KeptFraction)
-		} else if waits {
-			have = 0
+		amount := s.owned(p, now)
+		if waiting && p == floor {
+			amount = min(amount, s.share()*KeptFraction)
+		} else if waiting {
+			amount = 0
 		}
-		s.available[p] = max(0, have-s.lentFrom(p))
+		s.available[p] = max(0, amount-s.lentFrom(p))
 		s.ownRate += s.available[p]
 	}
-	if waits {
+	if waiting {
 		s.changesAt = min(s.changesAt, s.usableFrom)
 	}
 	if s.disabled {
@@ -154,7 +154,7 @@
 }
 
 // Take reports whether one more request may be admitted now, and if not, when to retry.
-func (s *Share) Take(now Micros) (ok bool, after Micros) {
+func (s *Share) Take(now Micros) (ok bool, retryAfter Micros) {
 	s.refill(now)
 	s.lastAsked = now
 	s.asked++
@@ -174,15 +174,15 @@
 // Tick must be called once per period with the other members that are alive.
 func (s *Share) Tick(now Micros, peers []string) (out []Send) {
 	s.refill(now)
-	if took := now - s.usedSince; took >= 1_000_000 {
-		s.usedRate, s.used, s.usedSince = float64(s.used)*1e6/float64(took), 0, now
+	if elapsed := now - s.usedSince; elapsed >= 1_000_000 {
+		s.usedRate, s.used, s.usedSince = float64(s.used)*1e6/float64(elapsed), 0, now
 	}
 	asked := s.asked * 1e6 / float64(s.period)
 	s.demand = max(s.demand+(asked-s.demand)/demandDecay, min(asked, s.Rate)*0.9) // a rise counts immediately
 	s.asked = 0
 	s.dropUnanswered(now)
 	want := min(s.Rate, s.demand*headroom)
-	lacks := want - s.rate
+	missing := want - s.rate
 	if s.disabled {
 		return nil
 	}
@@ -195,10 +195,10 @@
 	if s.idlePeriods == 0 {
 		out = append(out, s.renew(now)...)
 	}
-	if lacks <= minLoan*s.share() {
+	if missing <= minLoan*s.share() {
 		return out
 	}
-	return append(out, s.borrow(now, lacks, s.share(), peers)...)
+	return append(out, s.borrow(now, missing, s.share(), peers)...)
 }
 
 // SetEntitlement sets the times in which this member holds the leased part of its own share and those of
@@ -209,10 +209,10 @@
 	s.recompute(now)
 }
 
-// returnLoans returns the loans that are not needed to cover want. It stops using a loan before the lender
+// returnLoans returns the loans that are not needed to cover wanted. It stops using a loan before the lender
 // is told.
-func (s *Share) returnLoans(now Micros, want float64) (out []Send) {
-	for len(s.borrowed) > 0 && s.rate-s.borrowed[0].amount >= want {
+func (s *Share) returnLoans(now Micros, wanted float64) (out []Send) {
+	for len(s.borrowed) > 0 && s.rate-s.borrowed[0].amount >= wanted {
 		out = append(out, Send{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
 		s.borrowed = s.borrowed[1:]
 		s.recompute(now)
@@ -231,8 +231,8 @@
 	switch kind {
 	case msgRequest:
 		out = s.grant(now, l, func() (float64, pool) {
-			most, p := s.lendable(now)
-			if rate = min(rate, most); rate < minLoan*s.share() {
+			spare, p := s.lendable(now)
+			if rate = min(rate, spare); rate < minLoan*s.share() {
 				return 0, p
 			}
 			return rate, p
@@ -251,14 +251,14 @@
 	if s.disabled || now < s.usableFrom && !s.FaultNoStartWait {
 		return 0, floor
 	}
-	keep := max(KeptFraction*s.share(), min(s.share(), s.demand*headroom))
-	most, least := leased, [poolCount]float64{floor: KeptFraction * s.share()}
+	reserved := max(KeptFraction*s.share(), min(s.share(), s.demand*headroom))
+	best, unlendable := leased, [poolCount]float64{floor: KeptFraction * s.share()}
 	for p := range poolCount {
-		if s.available[p]-least[p] > s.available[most]-least[most] {
-			most = p
+		if s.available[p]-unlendable[p] > s.available[best]-unlendable[best] {
+			best = p
 		}
 	}
-	return max(0, min(s.ownRate-keep, s.available[most]-least[most])), most
+	return max(0, min(s.ownRate-reserved, s.available[best]-unlendable[best])), best
 }
 
 // needed reports whether this member needs its own share back.
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -123,7 +123,7 @@
 
 // Take reports whether one more request that ends by the given time may be admitted now, and returns the slot
 // that it holds until Release.
-func (s *Slots) Take(now, ends Micros) (at Place, ok bool, after Micros) {
+func (s *Slots) Take(now, ends Micros) (slot Place, ok bool, retryAfter Micros) {
 	s.refresh(now)
 	s.peak = max(s.peak, s.inFlight()+1)
 	for p := range poolCount {
@@ -148,14 +148,14 @@
 }
 
 // Release frees the slot of a request that has ended.
-func (s *Slots) Done(now Micros, at Place) {
+func (s *Slots) Done(now Micros, slot Place) {
 	s.refresh(now)
-	if at.loanID == 0 {
-		s.inFlightOwn[at.pool] = max(0, s.inFlightOwn[at.pool]-1)
+	if slot.loanID == 0 {
+		s.inFlightOwn[slot.pool] = max(0, s.inFlightOwn[slot.pool]-1)
 		return
 	}
 	for i := range s.borrowed {
-		if l := &s.borrowed[i]; l.id == at.loanID && l.inFlight > 0 {
+		if l := &s.borrowed[i]; l.id == slot.loanID && l.inFlight > 0 {
 			l.inFlight--
 			return
 		}
@@ -195,8 +195,8 @@
 		out = append(out, s.renew(now)...)
 	}
 	s.recompute(now)
-	if lacks := want - have; lacks >= 1 {
-		out = append(out, s.borrow(now, lacks, s.share(), peers)...)
+	if missing := want - have; missing >= 1 {
+		out = append(out, s.borrow(now, missing, s.share(), peers)...)
 	}
 	return out
 }
@@ -226,15 +226,15 @@
 	if s.disabled || now < s.usableFrom || s.keptBesideSuccessor >= 0 {
 		return 0, floor
 	}
-	own, most := 0.0, leased
+	own, best := 0.0, leased
 	for p := range poolCount {
 		own += s.available[p]
-		if s.free(p) > s.free(most) {
-			most = p
+		if s.free(p) > s.free(best) {
+			best = p
 		}
 	}
-	keep := max(s.kept(), min(s.share(), math.Ceil(s.demand*headroom)))
-	return math.Floor(min(wanted, max(0, own-keep), max(0, s.free(most)))), most
+	reserved := max(s.kept(), min(s.share(), math.Ceil(s.demand*headroom)))
+	return math.Floor(min(wanted, max(0, own-reserved), max(0, s.free(best)))), best
 }
 
 // needed reports whether this member needs its own slots back.
@@ -269,16 +269,16 @@
 // The first entry, which names no member, is the number of slots that stay here.
 func (s *Slots) Split(now Micros) (lent []Lend) {
 	s.recompute(now)
-	stays := 0.0
+	kept := 0.0
 	for p := range poolCount {
-		stays += float64(s.inFlightOwn[p])
+		kept += float64(s.inFlightOwn[p])
 	}
 	own := math.Ceil(s.share() * s.floorFraction())
-	if stays++; stays > own { // requests on the leased part end within the hold time
-		stays = own
+	if kept++; kept > own { // requests on the leased part end within the hold time
+		kept = own
 	}
-	lent = append([]Lend{{Amount: stays}}, s.saveLent(now)...)
-	s.keptBesideSuccessor, s.lent, s.pending = stays, nil, nil
+	lent = append([]Lend{{Amount: kept}}, s.saveLent(now)...)
+	s.keptBesideSuccessor, s.lent, s.pending = kept, nil, nil
 	s.setWindows(window{}, nil)
 	s.recompute(now)
 	return lent
--- a/internal/verdict/ejections.go
+++ b/internal/verdict/ejections.go
@@ -24,10 +24,10 @@
 			cellOf[n.ID] = c
 		}
 	}
-	most := max(1, int(share*float64(len(nodes))))
+	maxOut := max(1, int(share*float64(len(nodes))))
 	for _, id := range sick {
 		c, ok := cellOf[id]
-		if !ok || out[id] || len(out) >= most || share <= 0 {
+		if !ok || out[id] || len(out) >= maxOut || share <= 0 {
 			continue
 		}
 		if up[c]--; !shardsServed(up, c, min(reach, cells)) {
@@ -56,10 +56,10 @@
 // SickVerdict returns the verdict for an outlier, and whether it may be issued. It may not while an earlier
 // one is in force, on evidence from before that ended, or for some time after an operator has withdrawn one.
 // The span of the verdict doubles each time the node becomes sick again soon. name is the node's name.
-func (t *Table) Sick(now, period Micros, name string, j Judgement) (v Verdict, ok bool) {
-	v = Verdict{Kind: Sick, What: name, On: true, By: "evidence", Reason: j.Reason, Span: sickSpan * period}
-	if j.Zone != "" {
-		v.Kind, v.What = Path, name+"@"+j.Zone
+func (t *Table) Sick(now, period Micros, name string, o Judgement) (v Verdict, ok bool) {
+	v = Verdict{Kind: Sick, What: name, On: true, By: "evidence", Reason: o.Reason, Span: sickSpan * period}
+	if o.Zone != "" {
+		v.Kind, v.What = Path, name+"@"+o.Zone
 	}
 	i, known := t.find(&v)
 	if !known {
@@ -70,7 +70,7 @@
 	switch {
 	case e.inForce(age), !e.On && age < withdrawalWindows*Window*period:
 		return v, false
-	case e.On && Micros(j.FirstBadAge+1)*period > age-e.Span: // based on the evidence of the previous verdict
+	case e.On && Micros(o.FirstBadAge+1)*period > age-e.Span: // based on the evidence of the previous verdict
 		return v, false
 	case e.On && age < (1+relapseSpans)*e.Span:
 		v.Span = min(2*e.Span, maxSickMultiple*sickSpan*period)
@@ -82,8 +82,8 @@
 // other zones do not count. An empty zone counts the nodes of all zones.
 func (t *Table) Ill(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
-		_, z := e.Node()
-		if (e.Kind == Sick || e.Kind == Path && (zone == "" || z == zone)) && e.inForce(now-e.issuedAt) {
+		_, nodeZone := e.Node()
+		if (e.Kind == Sick || e.Kind == Path && (zone == "" || nodeZone == zone)) && e.inForce(now-e.issuedAt) {
 			n++
 		}
 	}
--- a/internal/verdict/gossip.go
+++ b/internal/verdict/gossip.go
@@ -69,9 +69,9 @@
 	Sent          int64 // number of messages sent
 }
 
-// NewGossiper returns a gossiper for a table. most is the maximum size of a message, in bytes.
-func NewSpreader(t *Table, seed uint64, most int) *Spreader {
-	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), maxMessage: most,
+// NewGossiper returns a gossiper for a table. Its messages have at most maxMessage bytes.
+func NewSpreader(t *Table, seed uint64, maxMessage int) *Spreader {
+	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), maxMessage: maxMessage,
 		acks: map[string][]*entry{}}
 }
 
@@ -115,24 +115,24 @@
 	}
 	all := true
 	for _, e := range s.entries {
-		for who := range e.heldBy {
-			if _, ok := alive[who]; !ok { // it may restart without the entry
-				delete(e.heldBy, who)
+		for name := range e.heldBy {
+			if _, ok := alive[name]; !ok { // it may restart without the entry
+				delete(e.heldBy, name)
 			}
 		}
 		all = all && e.applied
 	}
 	s.synced = s.synced || len(peers) == 0
 	var differ []Peer
-	untold, knows := 0, 0
+	unsyncedPeers, syncedPeers := 0, 0
 	for _, p := range peers {
 		if p.Sum != 0 && p.Sum != UnsyncedDigest {
-			knows++
+			syncedPeers++
 		}
 		switch {
 		case p.Sum == 0:
 		case p.Sum == UnsyncedDigest: // it starts the comparison itself, and its own table is incomplete
-			untold++
+			unsyncedPeers++
 		case p.Sum == s.Digest():
 			s.markHolder(p.Name)
 			s.synced = s.synced || all
@@ -140,7 +140,7 @@
 			differ = append(differ, p)
 		}
 	}
-	if s.noneSynced++; knows > 0 || untold < min(maxUnsyncedPeers, len(peers)) {
+	if s.noneSynced++; syncedPeers > 0 || unsyncedPeers < min(maxUnsyncedPeers, len(peers)) {
 		s.noneSynced = 0
 	}
 	s.synced = s.synced || s.noneSynced >= unsyncedPeriods
@@ -153,16 +153,16 @@
 }
 
 // markHolder notes that a member has all entries that are applied here.
-func (s *Spreader) markHolder(who string) {
+func (s *Spreader) markHolder(name string) {
 	for _, e := range s.entries {
 		if e.applied {
-			e.heldBy[who] = true
+			e.heldBy[name] = true
 		}
 	}
 }
 
 // sendOwn sends the entries that this member issued to the members not known to have them, in turn.
-func (s *Spreader) sendOwn(now Micros, most int) {
+func (s *Spreader) sendOwn(now Micros, maxMessages int) {
 	for range s.peers {
 		s.nextPeer++
 		p := s.peers[s.nextPeer%len(s.peers)].Name
@@ -171,17 +171,17 @@
 			if e.Member != s.self || e.heldBy[p] {
 				continue
 			}
-			grown := s.appendEntry(b, now, e)
-			if len(grown) == len(b) {
-				if most--; most <= 0 || !s.send(p, b) {
+			extended := s.appendEntry(b, now, e)
+			if len(extended) == len(b) {
+				if maxMessages--; maxMessages <= 0 || !s.send(p, b) {
 					return
 				}
-				grown = s.appendEntry([]byte{msgEntries}, now, e)
+				extended = s.appendEntry([]byte{msgEntries}, now, e)
 			}
-			b = grown
+			b = extended
 		}
 		if len(b) > 1 {
-			if most--; !s.send(p, b) || most <= 0 {
+			if maxMessages--; !s.send(p, b) || maxMessages <= 0 {
 				return
 			}
 		}
@@ -215,7 +215,7 @@
 
 // appendEntry adds an entry to a message. If there is no room it returns the message unchanged.
 func (s *Spreader) appendEntry(b []byte, now Micros, e *entry) []byte {
-	was := len(b)
+	start := len(b)
 	flags := byte(0)
 	if e.On {
 		flags = 1
@@ -228,11 +228,11 @@
 	for _, text := range []string{e.What, e.Member, e.By, e.Reason} {
 		b = appendText(b, text)
 	}
-	if len(b) > s.maxMessage && was > 1 {
-		return b[:was]
+	if len(b) > s.maxMessage && start > 1 {
+		return b[:start]
 	}
 	if len(b) > s.maxMessage { // a single entry has to fit: omit the texts written by people
-		b = b[:was]
+		b = b[:start]
 		short := *e
 		short.Reason, short.By = "", ""
 		return s.appendEntry(b, now, &short)
@@ -299,14 +299,14 @@
 	case msgStamps:
 		return s.compareStamps(now, from, r)
 	case msgRequest:
-		var want []uint32
+		var wanted []uint32
 		for len(r.B) > 0 && !r.Bad {
-			want = append(want, r.U32())
+			wanted = append(wanted, r.U32())
 		}
 		if r.Bad {
 			return false
 		}
-		s.sendEntries(now, from, func(e *entry) bool { return slices.Contains(want, e.hash) })
+		s.sendEntries(now, from, func(e *entry) bool { return slices.Contains(wanted, e.hash) })
 	case msgAck:
 		for len(r.B) > 0 && !r.Bad {
 			hash, stamp := r.U32(), r.U64()
@@ -368,7 +368,7 @@
 
 // sendStamps sends the stamps in the buckets that differ. Each datagram states the range of hashes it covers.
 func (s *Spreader) sendStamps(to string, salt uint32, theirs []byte) {
-	mine := s.bucketSums(salt)
+	own := s.bucketSums(salt)
 	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
 			b.hash)
@@ -376,7 +376,7 @@
 	first := int(s.rng.Uint64() % buckets) // random, so that the budget does not always omit the same buckets
 	for k := range buckets {
 		i := (first + k) % buckets
-		if mine[i] == binary.LittleEndian.Uint16(theirs[2*i:]) {
+		if own[i] == binary.LittleEndian.Uint16(theirs[2*i:]) {
 			continue
 		}
 		lo := uint32(i) << 26
@@ -460,14 +460,14 @@
 		if !chosen(e) {
 			continue
 		}
-		grown := s.appendEntry(b, now, e)
-		if len(grown) == len(b) {
+		extended := s.appendEntry(b, now, e)
+		if len(extended) == len(b) {
 			if !s.send(to, b) {
 				return
 			}
-			grown = s.appendEntry([]byte{msgEntries}, now, e)
+			extended = s.appendEntry([]byte{msgEntries}, now, e)
 		}
-		b = grown
+		b = extended
 	}
 	if len(b) > 1 {
 		s.send(to, b)
--- a/internal/verdict/observer.go
+++ b/internal/verdict/observer.go
@@ -74,28 +74,28 @@
 // the median. The median is estimated by one number that each outcome moves by a step (frugal streaming: Ma,
 // Muthukrishnan and Sandler, 2013, §3; the step is a factor here, as durations of classes differ by orders of
 // magnitude).
-func (w *Witness) isLate(class int, took Micros, counts bool) bool {
-	m, known := w.medians[class]
+func (w *Witness) isLate(class int, elapsed Micros, counts bool) bool {
+	median, known := w.medians[class]
 	if !known {
 		if counts && len(w.medians) < maxClasses {
-			w.medians[class] = float64(max(1, took))
+			w.medians[class] = float64(max(1, elapsed))
 		}
 		return false
 	}
 	if counts {
-		if float64(took) > m {
-			w.medians[class] = m * medianStep
+		if float64(elapsed) > median {
+			w.medians[class] = median * medianStep
 		} else {
-			w.medians[class] = max(1, m/medianStep)
+			w.medians[class] = max(1, median/medianStep)
 		}
 	}
-	return took >= minLate && float64(took) > lateMultiple*m
+	return elapsed >= minLate && float64(elapsed) > lateMultiple*median
 }
 
 // Observe records the outcome and the duration of an attempt.
-func (w *Witness) See(now Micros, node uint64, class int, e Ending, took Micros) {
-	late := w.isLate(class, took, e == Served)
-	if e == GivenUp && !late || e == Unheard && !late && took < minLate {
+func (w *Witness) See(now Micros, node uint64, class int, e Ending, elapsed Micros) {
+	late := w.isLate(class, elapsed, e == Served)
+	if e == GivenUp && !late || e == Unheard && !late && elapsed < minLate {
 		return
 	}
 	n := w.nodes[node]
--- a/internal/verdict/outliers.go
+++ b/internal/verdict/outliers.go
@@ -100,9 +100,9 @@
 	FaultSingleReporter bool
 }
 
-// NewOutlierDetector returns a detector for the member self. most is the maximum size of a message, in bytes.
-func NewJury(self Voter, period Micros, most int) *Jury {
-	return &Jury{Witness: NewWitness(period), self: self, maxMessage: most, cases: map[uint64]*nodeCase{},
+// NewOutlierDetector returns a detector for the member self. Its messages have at most maxMessage bytes.
+func NewJury(self Voter, period Micros, maxMessage int) *Jury {
+	return &Jury{Witness: NewWitness(period), self: self, maxMessage: maxMessage, cases: map[uint64]*nodeCase{},
 		reported: map[uint64]lastReport{}}
 }
 
@@ -157,11 +157,11 @@
 
 // Tick must be called once per period with the other members that are alive, the size of the fleet including
 // dead members, and whether this member is healthy otherwise. It returns the messages to send.
-func (j *Jury) Tick(now Micros, others []Voter, size int, well bool) []Send {
+func (j *Jury) Tick(now Micros, others []Voter, size int, healthy bool) []Send {
 	j.Expire(now)
 	j.members = append([]Voter{j.self}, others...)
 	j.fleetSize, j.sent = max(size, len(j.members)), 0
-	j.reliable = well && j.Reliable(now)
+	j.reliable = healthy && j.Reliable(now)
 	j.reportTallies(now)
 	j.queryMembers(now)
 	out := j.outbox
@@ -192,20 +192,20 @@
 // reportTallies reports each failing node to its evaluators if the tally has changed or the last report is
 // old. A node that has recovered is reported once more.
 func (j *Jury) reportTallies(now Micros) {
-	bouts := j.Bouts()
+	failing := j.Bouts()
 	for id := range j.reported {
-		if _, ill := slices.BinarySearch(bouts, id); !ill {
-			bouts = append(bouts, id)
+		if _, isFailing := slices.BinarySearch(failing, id); !isFailing {
+			failing = append(failing, id)
 		}
 	}
-	slices.Sort(bouts)
+	slices.Sort(failing)
 	batch := map[string][]byte{}
 	var order []string
-	for _, id := range bouts {
+	for _, id := range failing {
 		t := j.Tally(now, id, 0)
-		was, before := j.reported[id]
-		same := before && was.Good == t.Good && was.Bad == t.Bad && was.Late == t.Late
-		if same && now-was.at < reportRefresh*j.period {
+		last, known := j.reported[id]
+		same := known && last.Good == t.Good && last.Bad == t.Bad && last.Late == t.Late
+		if same && now-last.at < reportRefresh*j.period {
 			continue
 		}
 		if j.reported[id] = (lastReport{t, now}); t.failures() == 0 {
@@ -248,20 +248,20 @@
 		c = &nodeCase{reports: map[string]report{}}
 		j.cases[node] = c
 	}
-	if was, ok := c.reports[from.Name]; ok && !answer {
-		t.Good = max(t.Good, was.Good)
+	if previous, ok := c.reports[from.Name]; ok && !answer {
+		t.Good = max(t.Good, previous.Good)
 	}
 	c.reports[from.Name] = report{Tally: t, zone: from.Zone, reliable: sound, receivedAt: now}
 }
 
 // isAlive reports whether a member is alive.
-func (j *Jury) isAlive(who string) bool {
-	return slices.ContainsFunc(j.members, func(v Voter) bool { return v.Name == who })
+func (j *Jury) isAlive(name string) bool {
+	return slices.ContainsFunc(j.members, func(v Voter) bool { return v.Name == name })
 }
 
 // queryMembers asks other members for their tallies of the nodes under evaluation here.
 func (j *Jury) queryMembers(now Micros) {
-	quests := map[string][]byte{}
+	queries := map[string][]byte{}
 	ids := make([]uint64, 0, len(j.cases))
 	for id := range j.cases {
 		ids = append(ids, id)
@@ -269,16 +269,16 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		c := j.cases[id]
-		ill, since := 0, 0
-		for who, r := range c.reports {
-			if now-r.receivedAt > reportLifetime*j.period || !j.isAlive(who) {
-				delete(c.reports, who)
+		failures, since := 0, 0
+		for member, r := range c.reports {
+			if now-r.receivedAt > reportLifetime*j.period || !j.isAlive(member) {
+				delete(c.reports, member)
 				continue
 			}
-			ill += r.failures()
+			failures += r.failures()
 			since = max(since, r.age(now, j.period, r.First))
 		}
-		if ill == 0 {
+		if failures == 0 {
 			delete(j.cases, id)
 			continue
 		}
@@ -291,24 +291,24 @@
 		for range n {
 			c.nextMember++
 			to := j.members[1+c.nextMember%(len(j.members)-1)].Name
-			b := quests[to]
+			b := queries[to]
 			if b == nil {
 				b = []byte{msgTallyQuery}
 			}
 			if len(b)+querySize <= j.maxMessage {
 				b = binary.LittleEndian.AppendUint64(b, id)
-				quests[to] = binary.LittleEndian.AppendUint16(b, uint16(min(since, 1<<16-1)))
+				queries[to] = binary.LittleEndian.AppendUint16(b, uint16(min(since, 1<<16-1)))
 			}
 		}
 	}
-	names := make([]string, 0, len(quests))
-	for name := range quests {
+	names := make([]string, 0, len(queries))
+	for name := range queries {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for i := range names {
 		to := names[(i+int(now/j.period))%len(names)]
-		if !j.send(to, quests[to]) {
+		if !j.send(to, queries[to]) {
 			return
 		}
 	}
@@ -392,8 +392,8 @@
 func (j *Jury) evaluate(now Micros, c *nodeCase) (Judgement, bool) {
 	zones := map[string]*zoneCount{}
 	all := &zoneCount{}
-	for _, who := range sortedNames(c.reports) {
-		r := c.reports[who]
+	for _, name := range sortedNames(c.reports) {
+		r := c.reports[name]
 		if !r.reliable || j.FaultSingleReporter && !r.sick() {
 			continue
 		}
@@ -414,13 +414,13 @@
 	if j.FaultSingleReporter {
 		need = 1
 	}
-	accusing := 0 // zones that report the node as bad
+	badZones := 0 // zones that report the node as bad
 	for _, z := range zones {
 		if z.reporters > 0 && z.failures >= z.good {
-			accusing++
+			badZones++
 		}
 	}
-	if all.sick(need) && accusing >= min(2, len(alive)) {
+	if all.sick(need) && badZones >= min(2, len(alive)) {
 		return Judgement{Reason: all.reason(len(zones)), FirstBadAge: all.firstBadAge}, true
 	}
 	var worst *zoneCount
--- a/internal/verdict/table.go
+++ b/internal/verdict/table.go
@@ -308,8 +308,8 @@
 
 func (t *Table) status(now Micros, e *entry) Line {
 	l := Line{Verdict: e.Verdict, Age: now - e.issuedAt}
-	for who := range e.heldBy {
-		l.Held = append(l.Held, who)
+	for member := range e.heldBy {
+		l.Held = append(l.Held, member)
 	}
 	if e.applied {
 		l.Held = append(l.Held, t.self)
