--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -44,15 +44,15 @@
 
 func (p *serverFleet) period() {
 	p.now += period
-	var ask []int // requests by ID; the last decimal digit is the number of the retry
+	var requests []int // requests by ID; the last decimal digit is the number of the retry
 	for range int(p.offered) {
-		ask = append(ask, 10*p.rng.IntN(1<<30))
+		requests = append(requests, 10*p.rng.IntN(1<<30))
 	}
 	repeats := p.retryQueue[0]
 	p.retryQueue = append(p.retryQueue[1:], nil)
-	var in []int
-	var by []*Guard
-	try := func(id int, repeat bool) {
+	var admitted []int
+	var admittedBy []*Guard
+	send := func(id int, repeat bool) {
 		g := p.controllers[p.rng.IntN(len(p.controllers))]
 		id, tries := id/10, id%10
 		rank := 4 + id%4
@@ -60,33 +60,33 @@
 			p.asked[rank]++
 		}
 		if ok, _ := g.Admit(Priority(rank, fmt.Sprint(id)), uint64(id), repeat); ok {
-			in, by = append(in, 10*id+tries), append(by, g)
+			admitted, admittedBy = append(admitted, 10*id+tries), append(admittedBy, g)
 		} else if tries < p.retries {
 			p.retryQueue[2] = append(p.retryQueue[2], 10*id+tries+1)
 		}
 	}
-	for _, id := range ask {
-		try(id, false)
+	for _, id := range requests {
+		send(id, false)
 	}
 	for _, id := range repeats {
-		try(id, true)
-	}
-	over := max(0, float64(len(in))-p.capacity)
-	does := max(0, p.capacity-over*p.waste)
-	for _, k := range p.rng.Perm(len(in)) {
-		well := does >= 1
-		if by[k].Ended(well); well {
-			does--
-			p.served[4+in[k]/10%4]++
-		} else if in[k]%10 < p.retries {
-			p.retryQueue[2] = append(p.retryQueue[2], in[k]+1)
+		send(id, true)
+	}
+	over := max(0, float64(len(admitted))-p.capacity)
+	answers := max(0, p.capacity-over*p.waste)
+	for _, k := range p.rng.Perm(len(admitted)) {
+		answered := answers >= 1
+		if admittedBy[k].Ended(answered); answered {
+			answers--
+			p.served[4+admitted[k]/10%4]++
+		} else if admitted[k]%10 < p.retries {
+			p.retryQueue[2] = append(p.retryQueue[2], admitted[k]+1)
 		}
 	}
-	type letter struct {
+	type envelope struct {
 		from int
 		Send
 	}
-	var post []letter
+	var queue []envelope
 	for i, g := range p.controllers {
 		var others []string
 		for j := range p.controllers {
@@ -95,24 +95,24 @@
 			}
 		}
 		for _, s := range g.Tick(p.now, others) {
-			post = append(post, letter{i, s})
+			queue = append(queue, envelope{i, s})
 		}
 	}
-	for len(post) > 0 {
-		l := post[0]
-		post = post[1:]
+	for len(queue) > 0 {
+		msg := queue[0]
+		queue = queue[1:]
 		var to int
-		_, _ = fmt.Sscanf(l.To, "m%d", &to)
-		p.bytes += len(l.Data)
-		if p.cut(l.from, to) {
+		_, _ = fmt.Sscanf(msg.To, "m%d", &to)
+		p.bytes += len(msg.Data)
+		if p.cut(msg.from, to) {
 			continue
 		}
-		out, ok := p.controllers[to].Receive(p.now, p.names[l.from], l.Data)
+		out, ok := p.controllers[to].Receive(p.now, p.names[msg.from], msg.Data)
 		if !ok {
 			panic("a controller rejects the message of another one")
 		}
 		for _, s := range out {
-			post = append(post, letter{to, s})
+			queue = append(queue, envelope{to, s})
 		}
 	}
 	p.levels = append(p.levels, p.controllers[0].level)
@@ -136,17 +136,17 @@
 // overload nothing is shed any more.
 func TestFleetSharesOneLevel(t *testing.T) {
 	for _, members := range []int{3, 30} {
-		for _, times := range []float64{2, 3} {
+		for _, load := range []float64{2, 3} {
 			p := newServerFleet(members, uint64(members))
 			p.offered = 0.7 * p.capacity
 			if good, _, _ := p.run(100); good < 0.68 || p.controllers[0].level != 0 {
 				t.Fatalf("%d members, no overload: %.2f served at level %d", members, good, p.controllers[0].level)
 			}
-			p.offered = times * p.capacity
+			p.offered = load * p.capacity
 			p.run(100)
 			good, worst, best := p.run(200)
 			if good < 0.88 || best < 0.75 || worst > 0.2 {
-				t.Errorf("%d members, load %g: %.2f served, %.2f of the lowest rank, %.2f of the highest", members, times,
+				t.Errorf("%d members, load %g: %.2f served, %.2f of the lowest rank, %.2f of the highest", members, load,
 					good, worst, best)
 			}
 			lo, hi := Buckets, 0
@@ -154,7 +154,7 @@
 				lo, hi = min(lo, l), max(hi, l)
 			}
 			if hi-lo > 6 {
-				t.Errorf("%d members, load %g: the level oscillates between %d and %d", members, times, lo, hi)
+				t.Errorf("%d members, load %g: the level oscillates between %d and %d", members, load, lo, hi)
 			}
 			for _, g := range p.controllers {
 				if g.level != p.controllers[0].level && g.level != p.levels[len(p.levels)-2] {
@@ -167,7 +167,7 @@
 				t.Errorf("%d members, after the overload: %.2f served at level %d", members, good, p.controllers[0].level)
 			}
 			t.Logf("%d members, load %g: %.2f of capacity, %.2f of the lowest rank, %.2f of the highest, "+
-				"levels %d to %d", members, times, good, worst, best, lo, hi)
+				"levels %d to %d", members, load, good, worst, best, lo, hi)
 		}
 	}
 }
@@ -402,10 +402,10 @@
 		t.Skip("a long measurement")
 	}
 	for _, members := range []int{3, 30, 300, 1000} {
-		for _, times := range []float64{0.7, 1, 1.5, 2, 3} {
+		for _, load := range []float64{0.7, 1, 1.5, 2, 3} {
 			p := newServerFleet(members, uint64(members))
 			p.capacity = max(200, float64(4*members))
-			p.offered = times * p.capacity
+			p.offered = load * p.capacity
 			p.run(40)
 			p.bytes, p.levels = 0, nil
 			good, worst, best := p.run(40)
@@ -421,7 +421,7 @@
 			}
 			t.Logf("%4d members, load %.1f: %.3f of capacity answered, %.2f of the lowest rank, "+
 				"%.2f of the highest, level %d to %d, %.0f B per second and member, level 0 after %d periods", members,
-				times, good, worst, best, lo, hi, float64(sent)/8/float64(members), until)
+				load, good, worst, best, lo, hi, float64(sent)/8/float64(members), until)
 		}
 	}
 }
--- a/internal/quota/chaos_test.go
+++ b/internal/quota/chaos_test.go
@@ -132,9 +132,9 @@
 // step advances the time by 20 ms.
 func (f *faultFleet) step(tick bool) {
 	f.now += 20_000
-	flying := f.inFlight
+	pending := f.inFlight
 	f.inFlight = nil
-	for _, x := range flying {
+	for _, x := range pending {
 		switch {
 		case x.at > f.now || f.frozen[x.to]:
 			f.inFlight = append(f.inFlight, x)
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -173,9 +173,9 @@
 		i := k.nextKey % len(k.order)
 		id := k.order[i]
 		s := k.shares[id]
-		sends := s.Tick(now, peers)
-		out = append(out, sends[:min(len(sends), k.messagesLeft)]...)
-		k.messagesLeft -= min(len(sends), k.messagesLeft)
+		messages := s.Tick(now, peers)
+		out = append(out, messages[:min(len(messages), k.messagesLeft)]...)
+		k.messagesLeft -= min(len(messages), k.messagesLeft)
 		if idle := s.demand < minLoan*s.share(); idle && now-s.lastAsked > keyIdlePeriods*k.period &&
 			len(s.lent)+len(s.borrowed)+len(s.pending) == 0 {
 			k.sketch.add(now, id, max(0, s.capacity()-s.tokens))
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -36,11 +36,11 @@
 
 // tick ends a period: all messages arrive immediately.
 func (x *keyedFleet) tick() {
-	type letter struct {
+	type envelope struct {
 		from int
 		Send
 	}
-	var post []letter
+	var queue []envelope
 	for i, k := range x.procs {
 		var peers []string
 		for j := range x.procs {
@@ -49,16 +49,16 @@
 			}
 		}
 		for _, s := range k.Tick(x.now, peers) {
-			post = append(post, letter{i, s})
+			queue = append(queue, envelope{i, s})
 		}
 	}
-	for len(post) > 0 {
-		l := post[0]
-		post = post[1:]
+	for len(queue) > 0 {
+		e := queue[0]
+		queue = queue[1:]
 		var to int
-		_, _ = fmt.Sscanf(l.To, "m%d", &to)
-		for _, s := range x.procs[to].Receive(x.now, fmt.Sprint("m", l.from), l.Data) {
-			post = append(post, letter{to, s})
+		_, _ = fmt.Sscanf(e.To, "m%d", &to)
+		for _, s := range x.procs[to].Receive(x.now, fmt.Sprint("m", e.from), e.Data) {
+			queue = append(queue, envelope{to, s})
 		}
 	}
 }
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -35,11 +35,11 @@
 		}
 		return w
 	}
-	var taken []window
+	var takenOver []window
 	for _, w := range e.takenOver {
-		taken = append(taken, shift(w))
+		takenOver = append(takenOver, shift(w))
 	}
-	return shift(e.own), taken
+	return shift(e.own), takenOver
 }
 
 // vote is a vote given to a member for one lease.
@@ -134,33 +134,33 @@
 			wanted = append(wanted, name)
 		}
 	}
-	t.leases = slices.DeleteFunc(t.leases, func(c lease) bool {
-		if slices.Contains(wanted, c.owner) {
+	t.leases = slices.DeleteFunc(t.leases, func(l lease) bool {
+		if slices.Contains(wanted, l.owner) {
 			return false
 		}
 		for _, v := range t.voters { // use has ended before the voters are told
-			out = append(out, t.deliver(now, v, t.encode(msgReleaseVote, c.seq, c.owner))...)
+			out = append(out, t.deliver(now, v, t.encode(msgReleaseVote, l.seq, l.owner))...)
 		}
 		return true
 	})
 	for _, name := range wanted {
-		i := slices.IndexFunc(t.leases, func(c lease) bool { return c.owner == name })
+		i := slices.IndexFunc(t.leases, func(l lease) bool { return l.owner == name })
 		if i < 0 {
 			t.leases = append(t.leases, t.newLease(name))
 			i = len(t.leases) - 1
 		}
-		c := &t.leases[i]
+		l := &t.leases[i]
 		retryInterval := 2 * t.period // between requests; a held lease is not renewed before half of its term
-		if c.until > now && c.until-now > terms(t.period, renewBelow) {
+		if l.until > now && l.until-now > terms(t.period, renewBelow) {
 			continue
 		}
-		if c.askedAt > 0 && now-c.askedAt < retryInterval {
+		if l.askedAt > 0 && now-l.askedAt < retryInterval {
 			continue
 		}
 		t.seq++
-		c.seq, c.askedAt = t.seq, now
+		l.seq, l.askedAt = t.seq, now
 		for _, v := range t.voters {
-			out = append(out, t.deliver(now, v, t.encode(msgRequestVote, c.seq, name))...)
+			out = append(out, t.deliver(now, v, t.encode(msgRequestVote, l.seq, name))...)
 		}
 	}
 	return out
@@ -196,9 +196,9 @@
 		return []Send{{To: from, Data: t.encode(msgVote, seq, owner)}}
 	case msgVote:
 		for i := range t.leases {
-			if c := &t.leases[i]; c.owner == owner && c.seq == seq {
-				c.votedUntil[voter] = c.askedAt + terms(t.period, 1-2*MaxDrift)
-				c.countVotes(now, t.quorum(), terms(t.period, 1+3*MaxDrift))
+			if l := &t.leases[i]; l.owner == owner && l.seq == seq {
+				l.votedUntil[voter] = l.askedAt + terms(t.period, 1-2*MaxDrift)
+				l.countVotes(now, t.quorum(), terms(t.period, 1+3*MaxDrift))
 			}
 		}
 	case msgReleaseVote:
@@ -210,26 +210,26 @@
 }
 
 // countVotes updates until when a majority has voted for a lease.
-func (c *lease) countVotes(now Micros, quorum int, wait Micros) {
-	expiries := slices.Sorted(slices.Values(c.votedUntil))
+func (l *lease) countVotes(now Micros, quorum int, wait Micros) {
+	expiries := slices.Sorted(slices.Values(l.votedUntil))
 	until := expiries[len(expiries)-quorum]
 	if until <= now {
 		return
 	}
-	if c.until <= now { // the lease was not held until now
-		c.usableFrom = now + wait
+	if l.until <= now { // the lease was not held until now
+		l.usableFrom = now + wait
 	}
-	c.until = until
+	l.until = until
 }
 
 // Entitlement returns what this member may use, and until when if it receives no more votes.
 func (t *Tenure) Entitlement(now Micros) (e Entitlement) {
 	for i := range t.leases {
-		c := &t.leases[i]
-		if c.until <= now {
+		l := &t.leases[i]
+		if l.until <= now {
 			continue
 		}
-		if w := (window{c.usableFrom, c.until}); c.owner == t.self {
+		if w := (window{l.usableFrom, l.until}); l.owner == t.self {
 			e.own = w
 		} else {
 			e.takenOver = append(e.takenOver, w)
@@ -241,8 +241,8 @@
 // Held returns the members whose leases this one holds, including itself. A lease may not be usable yet.
 func (t *Tenure) Holds(now Micros) (owners []string) {
 	for i := range t.leases {
-		if c := &t.leases[i]; c.until > now {
-			owners = append(owners, c.owner)
+		if l := &t.leases[i]; l.until > now {
+			owners = append(owners, l.owner)
 		}
 	}
 	return owners
@@ -272,8 +272,8 @@
 		}
 	}
 	for i := range t.leases {
-		if c := &t.leases[i]; c.owner == t.self && c.until > now {
-			h.UsableFrom, h.Until = c.usableFrom-now, c.until-now
+		if l := &t.leases[i]; l.owner == t.self && l.until > now {
+			h.UsableFrom, h.Until = l.usableFrom-now, l.until-now
 		}
 	}
 	t.leases, t.votesFrom = nil, 1<<62
@@ -291,7 +291,7 @@
 			t.votes[owner] = vote{v.To, now + v.Remaining}
 		}
 	}
-	if c := &t.leases[0]; h.Until > 0 {
-		c.usableFrom, c.until = now+h.UsableFrom, now+h.Until
+	if l := &t.leases[0]; h.Until > 0 {
+		l.usableFrom, l.until = now+h.UsableFrom, now+h.Until
 	}
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -81,9 +81,9 @@
 // step advances the time by 10 ms.
 func (w *shareFleet) step(tick bool) {
 	w.now += 10_000
-	flying := w.inFlight
+	pending := w.inFlight
 	w.inFlight = nil
-	for _, f := range flying {
+	for _, f := range pending {
 		switch {
 		case f.at > w.now || w.frozen[f.to]:
 			w.inFlight = append(w.inFlight, f)
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -38,10 +38,10 @@
 
 // NewSlots returns the slots of a member that starts without state from a predecessor. hold is the longest
 // duration of a request on a slot outside the floor.
-func NewSlots(l Limit, members, place int, period, hold Micros, seed uint64, now Micros) *Slots {
+func NewSlots(l Limit, members, rosterIndex int, period, hold Micros, seed uint64, now Micros) *Slots {
 	s := &Slots{Limit: l,
 		loanBook: loanBook{limitID: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
-		members:  members, rosterIndex: place, keptBesideSuccessor: -1}
+		members:  members, rosterIndex: rosterIndex, keptBesideSuccessor: -1}
 	s.usableFrom = now + s.startWait()
 	s.recompute(now)
 	return s
@@ -77,15 +77,15 @@
 	s.expire(now)
 	s.changesAt = min(s.nextExpiry(), s.nextChange(now))
 	for p := range poolCount {
-		have := s.owned(p, now)
+		amount := s.owned(p, now)
 		if now < s.usableFrom {
 			if s.changesAt = min(s.changesAt, s.usableFrom); p == floor {
-				have = min(have, s.kept())
+				amount = min(amount, s.kept())
 			} else {
-				have = 0
+				amount = 0
 			}
 		}
-		if s.available[p] = max(0, have-s.lentFrom(p)); s.disabled {
+		if s.available[p] = max(0, amount-s.lentFrom(p)); s.disabled {
 			s.available[p] = 0
 		}
 	}
@@ -162,7 +162,7 @@
 	}
 }
 
-// free returns how many slots of a pool may be lent: those without a request that are not reserved.
+// free returns how many slots of a pool may be lent: those that hold no request and are not reserved.
 func (s *Slots) free(p pool) float64 {
 	n := s.available[p] - float64(s.inFlightOwn[p])
 	if p == floor {
@@ -324,10 +324,10 @@
 }
 
 // Configure sets the limit, the number of members and the index in the roster. Requests in flight continue.
-func (s *Slots) Configure(now Micros, limit float64, members, place int) {
-	if limit == s.Rate && members == s.members && place == s.rosterIndex {
+func (s *Slots) Configure(now Micros, limit float64, members, rosterIndex int) {
+	if limit == s.Rate && members == s.members && rosterIndex == s.rosterIndex {
 		return
 	}
-	s.Rate, s.members, s.rosterIndex = limit, members, place
+	s.Rate, s.members, s.rosterIndex = limit, members, rosterIndex
 	s.recompute(now)
 }
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -30,8 +30,8 @@
 	bytes         int
 }
 
-func newDetectorFleet(members, nodes int, zones []string, asks float64, seed uint64) *detectorFleet {
-	c := &detectorFleet{rng: rand.New(rand.NewPCG(seed, 2)), nodes: nodes, attempts: asks,
+func newDetectorFleet(members, nodes int, zones []string, attempts float64, seed uint64) *detectorFleet {
+	c := &detectorFleet{rng: rand.New(rand.NewPCG(seed, 2)), nodes: nodes, attempts: attempts,
 		now: 1_000 * simPeriod}
 	for i := range members {
 		z := zones[i%len(zones)]
@@ -80,11 +80,11 @@
 			j.See(c.now, uint64(n), 0, e, took)
 		}
 	}
-	type letter struct {
+	type envelope struct {
 		from int
 		Send
 	}
-	var post []letter
+	var queue []envelope
 	for m, j := range c.detectors {
 		var others []Voter
 		for o := range c.detectors {
@@ -93,24 +93,24 @@
 			}
 		}
 		for _, s := range j.Tick(c.now, others, len(c.detectors), true) {
-			post = append(post, letter{m, s})
+			queue = append(queue, envelope{m, s})
 		}
 	}
-	for len(post) > 0 {
-		l := post[0]
-		post = post[1:]
+	for len(queue) > 0 {
+		msg := queue[0]
+		queue = queue[1:]
 		var to int
-		_, _ = fmt.Sscanf(l.To, "m%d", &to)
-		c.bytes += len(l.Data)
-		if c.cut(l.from, to) || c.rng.Float64() < c.loss {
+		_, _ = fmt.Sscanf(msg.To, "m%d", &to)
+		c.bytes += len(msg.Data)
+		if c.cut(msg.from, to) || c.rng.Float64() < c.loss {
 			continue
 		}
-		more, ok := c.detectors[to].Receive(c.now, Voter{memberName(l.from), c.zones[l.from]}, l.Data)
+		more, ok := c.detectors[to].Receive(c.now, Voter{memberName(msg.from), c.zones[msg.from]}, msg.Data)
 		if !ok {
 			panic("a detector rejects the message of another one")
 		}
 		for _, s := range more {
-			post = append(post, letter{to, s})
+			queue = append(queue, envelope{to, s})
 		}
 	}
 	for m, t := range c.tables {
