--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -130,13 +130,13 @@
 // Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
 // spread, so that requests that are shed together do not come back together. id is a number that differs by
 // request.
-func (g *Guard) Admit(priority int, id uint64, repeat bool) (ok bool, retryAfter Micros) {
+func (g *Guard) Admit(priority int, id uint64, retry bool) (ok bool, retryAfter Micros) {
 	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
 	// level oscillated: it rose with the retries and fell without them.
-	if c := &g.counts.Offered[priority]; !repeat && *c < 1<<16-1 {
+	if c := &g.counts.Offered[priority]; !retry && *c < 1<<16-1 {
 		*c++
 	}
-	if priority >= g.level && (!repeat || !g.limitClientRetries || g.allowRetry()) {
+	if priority >= g.level && (!retry || !g.limitClientRetries || g.allowRetry()) {
 		return true, 0
 	}
 	g.Shed[priority]++
@@ -206,8 +206,8 @@
 
 // Tick must be called once per period with the other members that are alive.
 func (g *Guard) Tick(now Micros, others []string) (out []Send) {
-	if keeper := ownerOf(append([]string{g.self}, others...)); keeper != g.owner {
-		g.owner, g.ownerSince, g.levelAt = keeper, now, now
+	if owner := ownerOf(append([]string{g.self}, others...)); owner != g.owner {
+		g.owner, g.ownerSince, g.levelAt = owner, now, now
 		clear(g.reports)
 	}
 	count := g.counts
@@ -252,10 +252,10 @@
 	t.next++
 }
 
-// evaluate sets the level by all members' reports on the last window. It admits less while many
-// of the admitted requests fails, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the
-// offered load; the signal is how requests end and not how long they wait, as a coordinator does not see the
-// servers' queues). See NextLevel.
+// evaluate sets the level by all members' reports on the last window. It admits less while many of the
+// admitted requests fail, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the offered
+// load; the signal is how requests end and not how long they wait, as a coordinator does not see the servers'
+// queues). See NextLevel.
 func (g *Guard) evaluate(now Micros) {
 	var sum Counts
 	for _, t := range g.reports {
--- a/internal/verdict/outliers.go
+++ b/internal/verdict/outliers.go
@@ -239,7 +239,7 @@
 // record stores a member's report on a node, and opens a case for the node if there are bad outcomes. Only an
 // answer to a query counts all good outcomes since the case began, so an unsolicited report does not lower
 // their number.
-func (j *Jury) record(now Micros, from Voter, node uint64, t Tally, sound, answer bool) {
+func (j *Jury) record(now Micros, from Voter, node uint64, t Tally, reliable, answer bool) {
 	c := j.cases[node]
 	if c == nil {
 		if t.failures() == 0 || len(j.cases) >= maxCases {
@@ -251,7 +251,7 @@
 	if previous, ok := c.reports[from.Name]; ok && !answer {
 		t.Good = max(t.Good, previous.Good)
 	}
-	c.reports[from.Name] = report{Tally: t, zone: from.Zone, reliable: sound, receivedAt: now}
+	c.reports[from.Name] = report{Tally: t, zone: from.Zone, reliable: reliable, receivedAt: now}
 }
 
 // isAlive reports whether a member is alive.
@@ -269,20 +269,20 @@
 	slices.Sort(ids)
 	for _, id := range ids {
 		c := j.cases[id]
-		failures, since := 0, 0
+		failures, periods := 0, 0
 		for member, r := range c.reports {
 			if now-r.receivedAt > reportLifetime*j.period || !j.isAlive(member) {
 				delete(c.reports, member)
 				continue
 			}
 			failures += r.failures()
-			since = max(since, r.age(now, j.period, r.First))
+			periods = max(periods, r.age(now, j.period, r.First))
 		}
 		if failures == 0 {
 			delete(j.cases, id)
 			continue
 		}
-		j.record(now, j.self, id, j.Tally(now, id, since), j.reliable, true)
+		j.record(now, j.self, id, j.Tally(now, id, periods), j.reliable, true)
 		if now-c.queriedAt < queryInterval*j.period && c.queriedAt > 0 || len(j.members) < 2 {
 			continue
 		}
@@ -297,7 +297,7 @@
 			}
 			if len(b)+querySize <= j.maxMessage {
 				b = binary.LittleEndian.AppendUint64(b, id)
-				queries[to] = binary.LittleEndian.AppendUint16(b, uint16(min(since, 1<<16-1)))
+				queries[to] = binary.LittleEndian.AppendUint16(b, uint16(min(periods, 1<<16-1)))
 			}
 		}
 	}
