--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -175,7 +175,7 @@
 // goodputAfterTrigger returns the goodput, relative to the capacity, 10 to 20 s after a trigger of 10 s in
 // which the servers had a fifth of their capacity. The offered load is 0.85 of the capacity, and clients
 // retry the given number of times.
-func goodputAfterTrigger(seed uint64, retries int, guarded bool) float64 {
+func goodputAfterTrigger(seed uint64, retries int, withLevel bool) float64 {
 	p := newServerFleet(5, seed)
 	p.retries, p.waste = retries, 0.5
 	p.offered = 0.85 * p.capacity
@@ -183,13 +183,13 @@
 	p.capacity /= 5
 	p.run(50)
 	p.capacity *= 5
-	if !guarded {
+	if !withLevel {
 		for _, g := range p.controllers {
 			g.owner = "nobody"
 		}
 	}
 	for range 50 {
-		if p.period(); !guarded {
+		if p.period(); !withLevel {
 			for _, g := range p.controllers {
 				g.level, g.limitAttempts, g.limitClientRetries = 0, false, false
 			}
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -158,10 +158,10 @@
 	return all
 }
 
-// untilSick simulates periods until a node is found sick. It returns their number, or -1 if there were more
-// than most.
-func (c *detectorFleet) untilSick(most int) int {
-	for i := range most {
+// untilSick simulates up to maxPeriods periods until a node is found sick. It returns the number of periods
+// before, or -1.
+func (c *detectorFleet) untilSick(maxPeriods int) int {
+	for i := range maxPeriods {
 		if c.period(); len(c.sickNodes()) > 0 {
 			return i
 		}
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -60,7 +60,7 @@
 // two in either order, and possibly one of them twice, and all end with the same one. With an injected fault,
 // a merge that keeps the last arrival, they differ.
 func TestInterleavingsOfContraryVerdicts(t *testing.T) {
-	run := func(planted bool) (differ int) {
+	run := func(injectFault bool) (differ int) {
 		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two issuers
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
@@ -75,7 +75,7 @@
 						list = append(list, list[0])
 					}
 					for _, v := range list {
-						if planted {
+						if injectFault {
 							v.Stamp += uint64(table.Len()) + table.clock
 						}
 						table.Merge(0, v, 0)
@@ -211,16 +211,16 @@
 		}
 		s.Tick(w.now, peers)
 	}
-	for more := true; more; {
-		more = false
+	for active := true; active; {
+		active = false
 		for i, s := range w.members {
-			sends, changes := s.Take()
+			messages, changes := s.Take()
 			for _, c := range changes {
 				s.Applied(c.Verdict)
 				s.Push(w.now, c.Verdict)
-				more = true
+				active = true
 			}
-			for _, m := range sends {
+			for _, m := range messages {
 				var j int
 				_, _ = fmt.Sscanf(m.To, "m%04d", &j)
 				w.sent += len(m.Data)
@@ -230,14 +230,14 @@
 				if w.rng.Float64() >= w.loss && w.connected(i, j) {
 					w.members[j].Receive(w.now, memberName(i), m.Data)
 				}
-				more = true
+				active = true
 			}
 		}
 	}
 }
 
-func (w *gossipNet) runUntil(most int, ok func() bool) int {
-	for n := range most {
+func (w *gossipNet) runUntil(maxRounds int, ok func() bool) int {
+	for n := range maxRounds {
 		if ok() {
 			return n
 		}
