--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -16,24 +16,24 @@
 // Rule applies to the addresses of a prefix; the longest matching prefix counts. A cap of 0 is taken from
 // Limits.Default.
 type Rule struct {
-	Prefix  netip.Prefix
-	Open    int     // maximum number of connections per address, or per identity behind a gateway
-	Rate    float64 // new connections per second and address
-	Burst   float64 // new connections at once
-	All     int     // maximum number of connections of the whole prefix
-	Known   bool    // clients of this prefix are known
-	Gateway bool    // many clients share one address
+	Prefix   netip.Prefix
+	MaxOpen  int     // maximum number of connections per address, or per identity behind a gateway
+	Rate     float64 // new connections per second and address
+	Burst    float64 // new connections at once
+	MaxTotal int     // maximum number of connections of the whole prefix
+	Known    bool    // clients of this prefix are known
+	Gateway  bool    // many clients share one address
 }
 
 // Limits are the limits that a Controller enforces.
 type Limits struct {
-	Reserve  int    // slots for known clients only
-	Proving  int    // slots for connections that have not authenticated yet
-	ProveIn  Micros // time within which those must authenticate
-	Track    int    // maximum number of addresses, and of blocks, that are tracked
-	Block    Rule   // MaxOpen, Rate and Burst of each /24 (IPv4) and /64 (IPv6)
-	Everyone Rule
-	Rules    []Rule
+	Reserve      int    // slots for known clients only
+	Proving      int    // slots for connections that have not authenticated yet
+	ProveTimeout Micros // time within which those must authenticate
+	MaxTracked   int    // maximum number of addresses, and of blocks, that are tracked
+	Block        Rule   // MaxOpen, Rate and Burst of each /24 (IPv4) and /64 (IPv6)
+	Default      Rule
+	Rules        []Rule
 }
 
 // Outcome is the outcome of a Decision.
@@ -44,7 +44,7 @@
 	Admit                Outcome = iota
 	AdmitReserved                // admitted from the reserve
 	AdmitUnauthenticated         // admitted, but must authenticate in time
-	MakeRoom                     // close the given idle connection, then ask again
+	EvictIdle                    // close the given idle connection, then ask again
 	Refuse                       // refused for the given reason
 )
 
@@ -70,17 +70,17 @@
 
 // Arrival is a new connection.
 type Arrival struct {
-	Addr   netip.Addr
-	Proves bool // the listener asks for a proof of identity, which the client may or may not give
-	Places int  // number of slots for clients at this moment, of all kinds
+	Addr          netip.Addr
+	Authenticates bool // the listener asks for a proof of identity, which the client may or may not give
+	Capacity      int  // number of slots for clients at this moment, of all kinds
 }
 
 // Decision is the answer to an arrival or an authentication.
 type Decision struct {
-	Verdict Outcome
-	ID      uint64 // connection that is admitted, or that has to be closed
-	Reason  Reason
-	After   Micros // time after which the client may retry
+	Outcome    Outcome
+	ID         uint64 // connection that is admitted, or that has to be closed
+	Reason     Reason
+	RetryAfter Micros // time after which the client may retry
 }
 
 // The kinds of slots.
@@ -132,7 +132,7 @@
 }
 
 // Controller is an admission controller for connections. It is not safe for concurrent use.
-type Gate struct {
+type Controller struct {
 	limits          Limits
 	rules           Trie[ruleState]
 	overrides       Trie[override]
@@ -149,15 +149,15 @@
 }
 
 // New returns a controller without connections.
-func New(l Limits) *Gate {
-	g := &Gate{conns: map[uint64]*conn{}, identities: map[string]*tracked{}}
+func New(l Limits) *Controller {
+	g := &Controller{conns: map[uint64]*conn{}, identities: map[string]*tracked{}}
 	g.addrs.byAddr, g.blocks.byAddr = map[netip.Addr]*tracked{}, map[netip.Addr]*tracked{}
-	g.Adopt(l)
+	g.SetLimits(l)
 	return g
 }
 
 // SetLimits sets new limits. Admitted connections, bans and pins stay.
-func (g *Gate) Adopt(l Limits) {
+func (g *Controller) SetLimits(l Limits) {
 	g.limits, g.rules = l, Trie[ruleState]{}
 	for _, r := range l.Rules {
 		g.rules.Put(r.Prefix, &ruleState{Rule: r})
@@ -167,11 +167,11 @@
 			c.rule.open++
 		}
 	}
-	g.addrs.maxEntries, g.blocks.maxEntries = max(1, l.Track), max(1, l.Track)
+	g.addrs.maxEntries, g.blocks.maxEntries = max(1, l.MaxTracked), max(1, l.MaxTracked)
 }
 
 // rule returns the rule of an address, or nil if only the default applies.
-func (g *Gate) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
+func (g *Controller) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
 
 // blockOf returns the block of an address: its /24 for IPv4, its /64 for IPv6.
 func blockOf(a netip.Addr) netip.Addr {
@@ -204,13 +204,13 @@
 }
 
 // Decide decides on a new connection.
-func (g *Gate) Arrive(now Micros, a Arrival) Decision {
+func (g *Controller) Decide(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
 	rule, known := g.rule(a.Addr), false
-	effective := g.limits.Everyone
+	effective := g.limits.Default
 	if rule != nil {
 		known = rule.Known
-		effective.Open = cmp.Or(rule.Open, effective.Open)
+		effective.MaxOpen = cmp.Or(rule.MaxOpen, effective.MaxOpen)
 		if rule.Rate > 0 {
 			effective.Rate, effective.Burst = rule.Rate, rule.Burst
 		}
@@ -222,7 +222,7 @@
 		addr.refused++
 		g.addrs.release(addr)
 		g.blocks.release(block)
-		return Decision{Verdict: Refuse, Reason: reason, After: max(retryAfter, 1)}
+		return Decision{Outcome: Refuse, Reason: reason, RetryAfter: max(retryAfter, 1)}
 	}
 	if h := g.override(now, a.Addr); h != nil {
 		if !h.pinned {
@@ -238,29 +238,29 @@
 			!effective.Gateway {
 			return refuse(BlockCap, retryAfter)
 		}
-		if g.limits.Block.Open > 0 && block.open >= g.limits.Block.Open && !effective.Gateway {
+		if g.limits.Block.MaxOpen > 0 && block.open >= g.limits.Block.MaxOpen && !effective.Gateway {
 			return refuse(BlockCap, defaultRetryAfter)
 		}
 	} else {
 		addr.arrivals++
 	}
-	if effective.Open > 0 && addr.open >= effective.Open && !effective.Gateway {
+	if effective.MaxOpen > 0 && addr.open >= effective.MaxOpen && !effective.Gateway {
 		return refuse(TooMany, defaultRetryAfter)
 	}
-	if rule != nil && rule.All > 0 && rule.open >= rule.All {
+	if rule != nil && rule.MaxTotal > 0 && rule.open >= rule.MaxTotal {
 		return refuse(BlockCap, defaultRetryAfter)
 	}
-	g.capacity = a.Places
-	kind, ok := g.findSlot(a.Places, known, a.Proves)
+	g.capacity = a.Capacity
+	kind, ok := g.findSlot(a.Capacity, known, a.Authenticates)
 	if !ok {
 		if c := g.evictable(known); c != nil {
 			g.addrs.release(addr)
 			g.blocks.release(block)
 			addr.tokens++ // the caller asks again, which takes the tokens anew
 			block.tokens++
-			return Decision{Verdict: MakeRoom, ID: c.id}
+			return Decision{Outcome: EvictIdle, ID: c.id}
 		}
-		if a.Proves {
+		if a.Authenticates {
 			return refuse(Unauthenticated, defaultRetryAfter)
 		}
 		return refuse(Full, defaultRetryAfter)
@@ -268,7 +268,7 @@
 	g.lastID++
 	c := &conn{id: g.lastID, addr: addr, block: block, rule: rule, kind: kind, known: known}
 	if kind == kindProving {
-		c.authDeadline = now + g.limits.ProveIn
+		c.authDeadline = now + g.limits.ProveTimeout
 		g.unauthenticated = append(g.unauthenticated, c)
 	}
 	g.conns[c.id] = c
@@ -278,14 +278,14 @@
 	if rule != nil {
 		rule.open++
 	}
-	return Decision{Verdict: [...]Outcome{Admit, AdmitReserved, AdmitUnauthenticated}[kind], ID: c.id}
+	return Decision{Outcome: [...]Outcome{Admit, AdmitReserved, AdmitUnauthenticated}[kind], ID: c.id}
 }
 
 // defaultRetryAfter is the retry time if it is unknown when a slot will be free.
 const defaultRetryAfter = 1_000_000
 
 // findSlot finds the kind of slot for an arrival.
-func (g *Gate) findSlot(capacity int, known, proves bool) (kind int, ok bool) {
+func (g *Controller) findSlot(capacity int, known, proves bool) (kind int, ok bool) {
 	total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
 	if total >= capacity {
 		return 0, false
@@ -305,7 +305,7 @@
 
 // evictable returns the connection to close for an arrival, or nil: the longest idle one of an unknown
 // client, or, for an arrival of a known client, of a known one.
-func (g *Gate) evictable(known bool) *conn {
+func (g *Controller) evictable(known bool) *conn {
 	if c := g.idle[0].first; c != nil {
 		return c
 	}
@@ -317,14 +317,14 @@
 
 // Authenticate notes that a connection has proved an identity. known means that it is signed by the
 // listener's client roots. It refuses the connection if the identity has too many open, or the time was over.
-func (g *Gate) Prove(now Micros, id uint64, identity string, known bool) Decision {
+func (g *Controller) Authenticate(now Micros, id uint64, identity string, known bool) Decision {
 	c := g.conns[id]
 	if c == nil {
-		return Decision{Verdict: Refuse, Reason: Unauthenticated, After: defaultRetryAfter}
+		return Decision{Outcome: Refuse, Reason: Unauthenticated, RetryAfter: defaultRetryAfter}
 	}
 	refuse := func(reason Reason) Decision {
 		g.refused[reason]++
-		return Decision{Verdict: Refuse, Reason: reason, After: defaultRetryAfter}
+		return Decision{Outcome: Refuse, Reason: reason, RetryAfter: defaultRetryAfter}
 	}
 	if c.kind == kindProving && now > c.authDeadline {
 		return refuse(Unauthenticated)
@@ -335,9 +335,9 @@
 			s = &tracked{name: identity}
 			g.identities[identity] = s
 		}
-		maxOpen := g.limits.Everyone.Open
+		maxOpen := g.limits.Default.MaxOpen
 		if c.rule != nil {
-			maxOpen = cmp.Or(c.rule.Open, maxOpen)
+			maxOpen = cmp.Or(c.rule.MaxOpen, maxOpen)
 		}
 		if maxOpen > 0 && s.open >= maxOpen {
 			return refuse(TooMany)
@@ -364,10 +364,10 @@
 		}
 		g.changeKind(c, kind)
 	}
-	return Decision{Verdict: Admit, ID: id}
+	return Decision{Outcome: Admit, ID: id}
 }
 
-func (g *Gate) changeKind(c *conn, kind int) {
+func (g *Controller) changeKind(c *conn, kind int) {
 	g.inUse[c.kind]--
 	g.inUse[kind]++
 	c.kind = kind
@@ -375,7 +375,7 @@
 }
 
 // Overdue returns the connections that have not authenticated in time. They must be closed.
-func (g *Gate) Overdue(now Micros) (ids []uint64) {
+func (g *Controller) Overdue(now Micros) (ids []uint64) {
 	for _, c := range g.unauthenticated {
 		if now > c.authDeadline {
 			ids = append(ids, c.id)
@@ -385,21 +385,21 @@
 }
 
 // MarkBusy notes that a connection carries a request. Only idle connections are closed to free a slot.
-func (g *Gate) Use(id uint64) {
+func (g *Controller) MarkBusy(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.removeIdle(c)
 	}
 }
 
 // MarkIdle notes that a connection carries no request.
-func (g *Gate) Rest(id uint64) {
+func (g *Controller) MarkIdle(id uint64) {
 	if c := g.conns[id]; c != nil {
 		g.addIdle(c)
 	}
 }
 
 // Remove notes that a connection has ended. Further calls have no effect.
-func (g *Gate) Leave(id uint64) {
+func (g *Controller) Remove(id uint64) {
 	c := g.conns[id]
 	if c == nil {
 		return
@@ -427,14 +427,14 @@
 // idleList is a list of idle connections, the longest idle first.
 type idleList struct{ first, last *conn }
 
-func (g *Gate) idleListOf(c *conn) *idleList {
+func (g *Controller) idleListOf(c *conn) *idleList {
 	if c.known {
 		return &g.idle[1]
 	}
 	return &g.idle[0]
 }
 
-func (g *Gate) addIdle(c *conn) {
+func (g *Controller) addIdle(c *conn) {
 	if c.idle {
 		return
 	}
@@ -448,7 +448,7 @@
 	l.last = c
 }
 
-func (g *Gate) removeIdle(c *conn) {
+func (g *Controller) removeIdle(c *conn) {
 	if !c.idle {
 		return
 	}
@@ -533,7 +533,7 @@
 }
 
 // override returns the ban or pin that applies to an address, or nil.
-func (g *Gate) override(now Micros, a netip.Addr) *override {
+func (g *Controller) override(now Micros, a netip.Addr) *override {
 	for {
 		h := g.overrides.Find(a)
 		if h == nil || now < h.until {
@@ -544,17 +544,17 @@
 }
 
 // Ban refuses connections from a prefix until a time.
-func (g *Gate) Ban(p netip.Prefix, until Micros) {
+func (g *Controller) Ban(p netip.Prefix, until Micros) {
 	g.overrides.Put(p, &override{p.Masked(), false, until})
 }
 
 // Pin treats clients of a prefix as known until a time.
-func (g *Gate) Pin(p netip.Prefix, until Micros) {
+func (g *Controller) Pin(p netip.Prefix, until Micros) {
 	g.overrides.Put(p, &override{p.Masked(), true, until})
 }
 
 // Lift withdraws the ban or pin of a prefix.
-func (g *Gate) Lift(p netip.Prefix) { g.overrides.Put(p, nil) }
+func (g *Controller) Lift(p netip.Prefix) { g.overrides.Put(p, nil) }
 
 // Override is a ban or a pin of a prefix.
 type Override struct {
@@ -564,7 +564,7 @@
 }
 
 // Overrides returns the bans and pins in force.
-func (g *Gate) Holds(now Micros) (list []Override) {
+func (g *Controller) Overrides(now Micros) (list []Override) {
 	g.overrides.Each(func(h *override) {
 		if now < h.until {
 			list = append(list, Override{h.prefix, h.pinned, h.until})
@@ -574,7 +574,7 @@
 }
 
 // ConnsIn returns the connections of a prefix. When the prefix is banned, the idle ones are closed.
-func (g *Gate) Held(p netip.Prefix) (ids []uint64) {
+func (g *Controller) ConnsIn(p netip.Prefix) (ids []uint64) {
 	for id, c := range g.conns {
 		if p.Contains(c.addr.addr) {
 			ids = append(ids, id)
@@ -593,7 +593,7 @@
 }
 
 // Stats are the statistics that operators see.
-type Figures struct {
+type Stats struct {
 	General, Reserve, Proving int // slots in use
 	Addresses                 int
 	Forgotten                 int64
@@ -602,8 +602,8 @@
 }
 
 // Stats returns the statistics with the n busiest addresses.
-func (g *Gate) Figures(n int) Figures {
-	f := Figures{General: g.inUse[kindGeneral], Reserve: g.inUse[kindReserve], Proving: g.inUse[kindProving],
+func (g *Controller) Stats(n int) Stats {
+	f := Stats{General: g.inUse[kindGeneral], Reserve: g.inUse[kindReserve], Proving: g.inUse[kindProving],
 		Addresses: len(g.addrs.byAddr), Forgotten: g.addrs.evicted, Refused: map[string]int64{}}
 	for r := None + 1; r < reasonCount; r++ {
 		if g.refused[r] > 0 {
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -144,7 +144,7 @@
 func (c *conn) load() int { return len(c.waiting) + len(c.streams) }
 
 // most is how many it may carry at a time; the caller holds mu.
-func (c *conn) most() int { return int(min(uint32(c.b.cfg.Streams), c.streamsM)) }
+func (c *conn) most() int { return int(min(uint32(c.b.cfg.StreamsPerConn), c.streamsM)) }
 
 // add queues a call. It returns false where the connection takes nothing new.
 func (c *conn) add(s *stream) bool {
@@ -345,7 +345,7 @@
 		if s.whole || s.ended && writing { // of what is just being written it is not known how far it comes
 			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
-				r = translate.Result{Outcome: balance.Spoilt, Reason: translate.BadReply}
+				r = translate.Result{Outcome: balance.Malformed, Reason: translate.BadReply}
 			}
 		}
 		c.b.done(c.n, s.a, r, core.Value{}, nil)
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -138,31 +138,31 @@
 	t    *testing.T
 	b    *Backend
 	mu   sync.Mutex
-	ends map[*core.Attempt]core.Outcome
+	ends map[*core.Attempt]core.AttemptDone
 	many map[*core.Attempt]int
 	look []core.ProbeDone
 	n    int
 }
 
-var bounds = Config{Streams: 4, Conns: 1, Queue: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
-	Idle:       time.Minute,
-	WriteLimit: time.Second}
+var bounds = Config{StreamsPerConn: 4, ConnsPerNode: 1, QueuePerNode: 8, MaxValue: 4096, DialTimeout: 2 * time.Second,
+	IdleTimeout:  time.Minute,
+	WriteTimeout: time.Second}
 
-func newRig(t *testing.T, cfg Config, keys *Keyring, nodes ...Target) *rig {
-	r := &rig{t: t, ends: map[*core.Attempt]core.Outcome{}, many: map[*core.Attempt]int{}}
+func newRig(t *testing.T, cfg Config, keys *Credentials, nodes ...Target) *rig {
+	r := &rig{t: t, ends: map[*core.Attempt]core.AttemptDone{}, many: map[*core.Attempt]int{}}
 	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			switch e := e.(type) {
-			case core.Outcome:
+			case core.AttemptDone:
 				r.ends[e.Attempt] = e
 				r.many[e.Attempt]++
 			case core.ProbeDone:
 				r.look = append(r.look, e)
 			}
 		})
-	r.b.Learn(nodes)
+	r.b.SetTargets(nodes)
 	t.Cleanup(r.b.Close)
 	return r
 }
@@ -172,17 +172,17 @@
 // send sends one attempt with a body of so many bytes.
 func (r *rig) send(size int, timeout time.Duration, by ...time.Time) *core.Attempt {
 	r.n++
-	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Text: []byte(strings.Repeat("x", size)),
+	a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", r.n), Payload: []byte(strings.Repeat("x", size)),
 		Parts: []core.PartSpec{{Shard: 1}}}, Shard: 1, Replica: core.ServerID("a"), Timeout: timeout}
 	if len(by) > 0 {
-		a.Before = by[0]
+		a.StartBy = by[0]
 	}
-	a.Until = time.Now().Add(a.Timeout)
+	a.Deadline = time.Now().Add(a.Timeout)
 	r.b.Send(a.Replica, []*core.Attempt{a})
 	return a
 }
 
-func (r *rig) ended(a *core.Attempt) (core.Outcome, bool) {
+func (r *rig) ended(a *core.Attempt) (core.AttemptDone, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o, ok := r.ends[a]
@@ -244,7 +244,7 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.b.count.Tries.Load() == 3 })
+		standin.Until(t, "both to be written", func() bool { return r.b.count.AttemptsSent.Load() == 3 })
 		close(sent)
 		r.want("the one that it leaves out", second, balance.NotSent)
 		r.want("the one behind that", third, balance.NotSent)
@@ -313,10 +313,10 @@
 		first := r.send(10, time.Minute)
 		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("one whose time passed while it waited", r.send(10, 50*time.Millisecond), balance.NotSent)
-		if !r.b.Withdraw(r.send(10, time.Minute)) {
+		if !r.b.Cancel(r.send(10, time.Minute)) {
 			t.Error("one that waits may have run")
 		}
-		if r.b.Withdraw(first) {
+		if r.b.Cancel(first) {
 			t.Error("one that was written whole has never run")
 		}
 		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
@@ -345,7 +345,7 @@
 	r.send(10, time.Minute)
 	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
-	back := r.b.Stop(core.ServerID("a"))
+	back := r.b.CancelQueued(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d taken back", len(back))
 	}
@@ -364,7 +364,7 @@
 		return standin.NewDo{Text: "v"}
 	})
 	cfg := bounds
-	cfg.Conns, cfg.Queue = 2, 2
+	cfg.ConnsPerNode, cfg.QueuePerNode = 2, 2
 	r := newRig(t, cfg, nil, target(n))
 	var all []*core.Attempt
 	for i := range 3 {
@@ -416,7 +416,7 @@
 func TestSendsBesideTheWriter(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
 	cfg := bounds
-	cfg.Streams, cfg.Conns, cfg.Queue = 100, 2, 1000
+	cfg.StreamsPerConn, cfg.ConnsPerNode, cfg.QueuePerNode = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
 	done := make(chan bool)
 	go func() {
@@ -469,13 +469,13 @@
 		}
 	}()
 	cfg := bounds
-	cfg.WriteLimit = 200 * time.Millisecond
+	cfg.WriteTimeout = 200 * time.Millisecond
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
 		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.b.budget.Used() == 0 })
+	standin.Until(t, "the descriptors", func() bool { return r.b.budget.InUse() == 0 })
 }
 
 // A connection on which nothing comes any more is found out by a ping, once a call on it has timed out.
@@ -501,7 +501,7 @@
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	a, b := r.send(10, time.Minute), r.send(10, time.Minute)
 	time.Sleep(250 * time.Millisecond)
-	if r.b.Withdraw(a) {
+	if r.b.Cancel(a) {
 		t.Error("one that was written whole has never run")
 	}
 	r.want("the other call", b, balance.Reset)
@@ -528,7 +528,7 @@
 func TestKeysChangeInService(t *testing.T) {
 	ca := standin.NewAuthority(t)
 	dir := t.TempDir()
-	files := KeyFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
+	files := CredentialFiles{CA: filepath.Join(dir, "ca"), Cert: filepath.Join(dir, "cert"), Key: filepath.Join(dir,
 		"key")}
 	put := func(path string, b []byte) {
 		if err := os.WriteFile(path, b, 0o600); err != nil {
@@ -538,7 +538,7 @@
 	pair := func(name string) { c, k := ca.Issue(name); put(files.Cert, c); put(files.Key, k) }
 	put(files.CA, ca.PEM())
 	pair("one")
-	keys, err := OpenKeyring(files)
+	keys, err := LoadCredentials(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -586,7 +586,7 @@
 	if changed, err := keys.Reload(); !changed || err != nil {
 		t.Fatalf("%v %v", changed, err)
 	}
-	r.b.Rekey()
+	r.b.RetireTLSConns()
 	r.want("a call with the new keys", r.send(10, time.Minute), balance.OK)
 	if _, ok := r.ended(open); ok {
 		t.Error("the open call was lost")
@@ -600,7 +600,7 @@
 	}
 	wrong := to
 	wrong.ServerName = "somebody"
-	r.b.Learn([]Target{wrong})
+	r.b.SetTargets([]Target{wrong})
 	r.want("a node of another name", r.send(10, time.Minute), balance.NoConnection)
 }
 
@@ -615,7 +615,7 @@
 	r := newRig(t, bounds, nil, Target{Name: "a", Address: l.Addr().String()})
 	node := r.b.nodes[core.ServerID("a")]
 	for range 50 {
-		if !r.b.budget.TakeServer() {
+		if !r.b.budget.AcquireServer() {
 			t.Fatal("no descriptor")
 		}
 		c := newConn(r.b, node)
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -32,10 +32,10 @@
 	base   *platform.Config
 	log    *slog.Logger
 	form   *platform.Front
-	keys   *grpcnode.Keyring
+	keys   *grpcnode.Credentials
 	tally  translate.Tally
 	router *router
-	keeper *lnet.Keeper // nil: the budget alone speaks
+	keeper *lnet.AdmissionController // nil: the budget alone speaks
 	secure atomic.Pointer[tls.Config]
 	budget *lnet.Budget
 	core   *core.Core
@@ -53,13 +53,13 @@
 	f := &Front{cfg: cfg, base: base, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
 		var err error
-		f.keys, err = grpcnode.OpenKeyring(grpcnode.KeyFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
+		f.keys, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
 	}
 	if cfg.Admission != nil {
-		f.keeper = lnet.NewKeeper(cfg.Admission.limits())
+		f.keeper = lnet.NewAdmissionController(cfg.Admission.limits())
 	}
 	if cfg.ListenTLS.Cert != "" {
 		c, err := cfg.ListenTLS.load()
@@ -90,11 +90,11 @@
 		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.serve); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		f.http.Keeper = f.keeper
+		f.http.Admission = f.keeper
 		if f.secure.Load() != nil {
-			f.http.Secure = lnet.SecureBy(f.secure.Load)
+			f.http.Handshake = lnet.TLSHandshake(f.secure.Load)
 		}
-		f.http.TurnedAway = func(r *lnet.Request) { f.count(r, core.Refused) }
+		f.http.OnRejected = func(r *lnet.Request) { f.count(r, core.Refused) }
 	}
 	if f.cfg.AJP.Listen != "" {
 		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{Size: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
@@ -106,7 +106,7 @@
 			}
 			return fmt.Errorf("ajp.listen: %w", err)
 		}
-		f.ajp.Keeper = f.keeper
+		f.ajp.Admission = f.keeper
 	}
 	f.list(f.cfg)
 	if f.http != nil {
@@ -156,10 +156,10 @@
 		replicas = append(replicas, r)
 	}
 	f.listed = listed
-	f.router.old.Learn(hosts, true)
-	f.router.anew.Learn(targets)
+	f.router.old.UpdateHosts(hosts, true)
+	f.router.anew.SetTargets(targets)
 	f.router.learn(forms)
-	f.core.Post(core.Listed{Mode: balance.Full, Replicas: replicas, Heard: time.Now()})
+	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
 
 // ServerName is a server's name by its number; false: there is none.
@@ -193,7 +193,7 @@
 	f.rekey()
 	switch {
 	case f.keeper != nil && cfg.Admission != nil:
-		f.keeper.Adopt(cfg.Admission.limits())
+		f.keeper.SetLimits(cfg.Admission.limits())
 	case (f.keeper != nil) != (cfg.Admission != nil):
 		f.log.Warn("a change of the file takes a restart", "key", "admission")
 	}
@@ -202,11 +202,11 @@
 	}
 }
 
-// Settle takes new settings in: classes and their rules.
-func (f *Front) Settle(balance.Settings) {}
+// ApplySettings takes new settings in: classes and their rules.
+func (f *Front) ApplySettings(balance.Settings) {}
 
 // Conform has requests read by the classes of a configuration that was taken in.
-func (f *Front) Conform(base *platform.Config) { f.form.Adopt(base) }
+func (f *Front) Conform(base *platform.Config) { f.form.SetConfig(base) }
 
 // watch looks at the keys now and then.
 func (f *Front) watch() {
@@ -233,7 +233,7 @@
 		f.log.Error("keys not reloaded: the old ones stay", "err", err)
 	case changed:
 		f.log.Info("keys reloaded")
-		f.router.anew.Rekey()
+		f.router.anew.RetireTLSConns()
 	}
 }
 
@@ -251,8 +251,8 @@
 	return http, ajp
 }
 
-// Retire tells who asks that this front is not ready any more.
-func (f *Front) Retire() { f.ending.Store(true) }
+// MarkNotReady tells who asks that this front is not ready any more.
+func (f *Front) MarkNotReady() { f.ending.Store(true) }
 
 // each calls a function for every listener.
 func (f *Front) each(h func(*lnet.Server), a func(*ajp.Server)) {
@@ -269,12 +269,14 @@
 	f.each((*lnet.Server).StopListening, (*ajp.Server).StopListening)
 }
 
-// Wind has replies end their connections from now on.
-func (f *Front) Wind() { f.each((*lnet.Server).Wind, (*ajp.Server).Wind) }
+// CloseAfterReply has replies end their connections from now on.
+func (f *Front) CloseAfterReply() {
+	f.each((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
+}
 
-// Finish winds, and closes idle connections.
-func (f *Front) Finish() {
-	f.each((*lnet.Server).Finish, (*ajp.Server).Finish)
+// Drain winds, and closes idle connections.
+func (f *Front) Drain() {
+	f.each((*lnet.Server).Drain, (*ajp.Server).Drain)
 	f.halted.Do(func() { close(f.stop) })
 }
 
@@ -297,7 +299,7 @@
 	return all
 }
 
-func (f *Front) count(r *lnet.Request, e core.Ending) {
+func (f *Front) count(r *lnet.Request, e core.QueryOutcome) {
 	if class := platform.ClassName(r); slices.Contains(f.base.Classes, class) {
 		f.core.Counts().Class(class).Add(e)
 	}
@@ -315,24 +317,24 @@
 	}
 	q, bad := f.form.Parse(r)
 	if bad != nil {
-		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.What)
-		f.count(r, platform.EndingOf(bad.Status))
-		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.What + "\n"), Close: true})
+		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.Detail)
+		f.count(r, platform.OutcomeForStatus(bad.Status))
+		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
 	j := &job{f: f, x: x, class: platform.ClassName(r)}
 	if v := f.router.known(q); v != translate.Allowed {
 		f.log.Warn("a keyed request is not taken", "class", j.class, "why", v)
 		f.tally.Add(v.Reason())
-		j.reply(translate.Turn(v), f.core.FullAdvice())
+		j.reply(translate.Turn(v), f.core.FullRetryAfter())
 		return nil
 	}
 	q.Client, q.Data, q.ClientLeft = j, j, x.ClientLeft
 	if !f.core.Submit(q) {
-		j.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
 // job is a query's client, and what its attempts met.
@@ -346,18 +348,18 @@
 // ClassName is the query's class.
 func (j *job) ClassName() string { return j.class }
 
-// Note hears why an attempt brought nothing.
-func (j *job) Note(why translate.Reason) { j.why.Store(uint32(why)) }
+// RecordFailure hears why an attempt brought nothing.
+func (j *job) RecordFailure(why translate.Reason) { j.why.Store(uint32(why)) }
 
 // Final replies.
-func (j *job) Final(f core.Final) {
-	if f.Ending == core.Answered {
+func (j *job) Final(f core.FinalAnswer) {
+	if f.Outcome == core.Answered {
 		r := platform.Answer(f, j.f.log)
-		j.f.core.Counts().Class(j.class).Add(platform.EndingOf(r.Status))
+		j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
 		j.x.Reply(r)
 		return
 	}
-	j.reply(translate.Failed(f.Ending == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
+	j.reply(translate.Failed(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
 		f.RetryAfter)
 }
 
@@ -367,6 +369,6 @@
 	if w.Refused {
 		r = platform.Refusal(after)
 	}
-	j.f.core.Counts().Class(j.class).Add(platform.EndingOf(r.Status))
+	j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
 	j.x.Reply(r)
 }
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg, err := platform.Alone(file.Standalone())
+	cfg, err := platform.Standalone(file.Standalone())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -238,8 +238,8 @@
 }
 
 // figure is a class's count.
-func (r *running) figure(class string, e core.Ending) int64 {
-	return r.f.core.Counts().Class(class).Of(e)
+func (r *running) figure(class string, e core.QueryOutcome) int64 {
+	return r.f.core.Counts().Class(class).Count(e)
 }
 
 // Figures count each request once, in whichever way it came and ended.
@@ -333,7 +333,7 @@
 		}
 	}
 	<-ended
-	standin.Until(t, "the end of the calls", func() bool { return r.f.http.Open()+r.f.ajp.Open() == 0 })
+	standin.Until(t, "the end of the calls", func() bool { return r.f.http.OpenConns()+r.f.ajp.OpenConns() == 0 })
 }
 
 // A terminal's retry is a query of its own, so that the module knows of no window: the guard's is given to
@@ -344,14 +344,14 @@
 	r, id := f.router, core.ServerID("a")
 	r.post = func(core.Event) {}
 	r.old = platform.NewNodes(f.base, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{}, r.tell)
-	r.old.Learn([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
+	r.old.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
 	r.learn(map[balance.ReplicaID]string{id: OldForm})
 	const window = 3 * time.Second
 	rules := &balance.Class{Effect: balance.Keyed, Window: window.Microseconds()}
 	send := func(name string, before time.Time) *core.Attempt {
 		t.Helper()
 		a := &core.Attempt{Query: &core.Query{Name: name, Key: "k", Rules: rules}, Replica: id,
-			Timeout: time.Minute, Until: time.Now().Add(time.Minute), Before: before}
+			Timeout: time.Minute, Deadline: time.Now().Add(time.Minute), StartBy: before}
 		sent := len(n.Parts())
 		r.Send(id, []*core.Attempt{a})
 		standin.Until(t, name, func() bool { return len(n.Parts()) > sent })
@@ -359,14 +359,14 @@
 	}
 	begun := time.Now()
 	first := send("first", time.Time{})
-	if d := first.Before.Sub(begun); d < window || d > window+time.Second {
+	if d := first.StartBy.Sub(begun); d < window || d > window+time.Second {
 		t.Fatalf("the window of a first send ends after %v", d)
 	}
-	if retry := send("retry", time.Time{}); !retry.Before.Equal(first.Before) {
-		t.Errorf("a retry may begin until %v, its key is forgotten at %v", retry.Before, first.Before)
+	if retry := send("retry", time.Time{}); !retry.StartBy.Equal(first.StartBy) {
+		t.Errorf("a retry may begin until %v, its key is forgotten at %v", retry.StartBy, first.StartBy)
 	}
-	earlier := first.Before.Add(-time.Second)
-	if repeat := send("repeat", earlier); !repeat.Before.Equal(earlier) {
-		t.Errorf("the module's own window has become %v, not %v", repeat.Before, earlier)
+	earlier := first.StartBy.Add(-time.Second)
+	if repeat := send("repeat", earlier); !repeat.StartBy.Equal(earlier) {
+		t.Errorf("the module's own window has become %v, not %v", repeat.StartBy, earlier)
 	}
 }
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -45,7 +45,7 @@
 
 // RankByWorth returns the rank of each class by worth, the highest worth last. Classes of equal worth share a
 // rank.
-func Rank(worth []float64) []int {
+func RankByWorth(worth []float64) []int {
 	sorted := slices.Clone(worth)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
@@ -80,7 +80,7 @@
 }
 
 // Message is a message to another member.
-type Send struct {
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -94,7 +94,7 @@
 
 // Controller is one member's overload controller: it admits requests by the level, counts outcomes and
 // reports them. One member, the owner, sets the level for the fleet.
-type Guard struct {
+type Controller struct {
 	self               string
 	period             Micros
 	level              int
@@ -110,27 +110,27 @@
 	limitAttempts      bool // attempts that are sent again use the budget
 	limitClientRetries bool // many admitted requests fail: clients' retries use the budget as well
 
-	Shed       [Buckets]int64 // requests shed, by bucket
-	Spent      int64          // attempts and requests sent again
-	Denied     int64          // retries denied by the budget
-	FirstSends int64          // first sends
+	Shed          [Buckets]int64 // requests shed, by bucket
+	RetriesSent   int64          // attempts and requests sent again
+	RetriesDenied int64          // retries denied by the budget
+	FirstSends    int64          // first sends
 }
 
 // NewController returns the controller of a member that starts.
-func NewGuard(self string, period Micros) *Guard {
-	return &Guard{self: self, period: period, reports: map[string]*memberReports{}, retryTokens: maxRetryTokens}
+func NewController(self string, period Micros) *Controller {
+	return &Controller{self: self, period: period, reports: map[string]*memberReports{}, retryTokens: maxRetryTokens}
 }
 
 // Level returns the bucket below which requests are shed; 0: none are.
-func (g *Guard) Level() int { return g.level }
+func (g *Controller) Level() int { return g.level }
 
 // LevelOwner returns the member that sets the level, and since when.
-func (g *Guard) Keeper() (string, Micros) { return g.owner, g.ownerSince }
+func (g *Controller) LevelOwner() (string, Micros) { return g.owner, g.ownerSince }
 
 // Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
 // spread, so that requests that are shed together do not come back together. id is a number that differs by
 // request.
-func (g *Guard) Admit(priority int, id uint64, retry bool) (ok bool, retryAfter Micros) {
+func (g *Controller) Admit(priority int, id uint64, retry bool) (ok bool, retryAfter Micros) {
 	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
 	// level oscillated: it rose with the retries and fell without them.
 	if c := &g.counts.Offered[priority]; !retry && *c < 1<<16-1 {
@@ -145,37 +145,37 @@
 
 // retryAfter returns when a shed request may be retried: a time that grows with the level, plus a random part
 // of up to the same length.
-func (g *Guard) retryAfter(id uint64) Micros {
+func (g *Controller) retryAfter(id uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
 	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, id))%uint64(base))
 }
 
 // Finished records the end of an admitted request, and whether it was answered in time.
-func (g *Guard) Ended(inTime bool) {
+func (g *Controller) Finished(inTime bool) {
 	if g.counts.Admitted++; !inTime {
 		g.counts.Failed++
 	}
 }
 
 // allowRetry takes a token of the retry budget, if the budget applies now.
-func (g *Guard) allowRetry() bool {
+func (g *Controller) allowRetry() bool {
 	if !g.limitAttempts {
-		g.Spent++
+		g.RetriesSent++
 		return true
 	}
 	if g.retryTokens < 1 {
-		g.Denied++
+		g.RetriesDenied++
 		return false
 	}
 	g.retryTokens--
-	g.Spent++
+	g.RetriesSent++
 	return true
 }
 
 // AllowSend reports whether an attempt may be sent: the first attempt of a part always, a further one by the
 // retry budget, which is a fraction of the first attempts. As each member limits itself to this fraction, so
 // does the fleet, with any number of members and without communication.
-func (g *Guard) Send(first bool) bool {
+func (g *Controller) AllowSend(first bool) bool {
 	if first {
 		g.FirstSends++
 		g.retryTokens = min(maxRetryTokens, g.retryTokens+RetryRatio)
@@ -185,7 +185,9 @@
 }
 
 // RetryBudget returns how many retries would have been allowed by now if the budget had always applied.
-func (g *Guard) Budget() int64 { return maxRetryTokens + int64(RetryRatio*float64(g.FirstSends)) }
+func (g *Controller) RetryBudget() int64 {
+	return maxRetryTokens + int64(RetryRatio*float64(g.FirstSends))
+}
 
 // ownerOf returns the member that sets the level, by rendezvous hashing over the living members.
 func ownerOf(alive []string) (owner string) {
@@ -205,7 +207,7 @@
 )
 
 // Tick must be called once per period with the other members that are alive.
-func (g *Guard) Tick(now Micros, others []string) (out []Send) {
+func (g *Controller) Tick(now Micros, others []string) (out []Message) {
 	if owner := ownerOf(append([]string{g.self}, others...)); owner != g.owner {
 		g.owner, g.ownerSince, g.levelAt = owner, now, now
 		clear(g.reports)
@@ -222,7 +224,7 @@
 			g.evaluateIfDue(now)
 		}
 		b := append([]byte{msgReport, byte(g.level)}, encodeCounts(&count)...)
-		return append(out, Send{To: g.owner, Data: b})
+		return append(out, Message{To: g.owner, Data: b})
 	}
 	g.record(now, g.self, &count)
 	for member := range g.reports {
@@ -235,14 +237,14 @@
 }
 
 // evaluateIfDue evaluates the level once per window.
-func (g *Guard) evaluateIfDue(now Micros) {
+func (g *Controller) evaluateIfDue(now Micros) {
 	if now-g.evaluatedAt >= Window*g.period {
 		g.evaluatedAt = now
 		g.evaluate(now)
 	}
 }
 
-func (g *Guard) record(now Micros, member string, c *Counts) {
+func (g *Controller) record(now Micros, member string, c *Counts) {
 	t := g.reports[member]
 	if t == nil {
 		t = &memberReports{}
@@ -256,7 +258,7 @@
 // admitted requests fail, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the offered
 // load; the signal is how requests end and not how long they wait, as a coordinator does not see the servers'
 // queues). See NextLevel.
-func (g *Guard) evaluate(now Micros) {
+func (g *Controller) evaluate(now Micros) {
 	var sum Counts
 	for _, t := range g.reports {
 		for i := range t.counts {
@@ -314,8 +316,8 @@
 
 // Receive handles a message from another member. It returns the messages to send, and false if the message is
 // malformed.
-func (g *Guard) Receive(now Micros, from string, data []byte) (out []Send, ok bool) {
-	r := &datagram.Reader{B: data}
+func (g *Controller) Receive(now Micros, from string, data []byte) (out []Message, ok bool) {
+	r := &datagram.Reader{Rest: data}
 	switch kind, level := r.U8(), int(r.U8()); {
 	case r.Bad || level >= Buckets:
 		return nil, false
@@ -331,9 +333,9 @@
 			g.level = max(g.level, level) // a new owner continues from the strictest level
 		}
 		g.record(now, from, &c)
-		return []Send{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
+		return []Message{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
 	case kind == msgLevel:
-		if len(r.B) > 0 {
+		if len(r.Rest) > 0 {
 			return nil, false
 		}
 		if from == g.owner {
@@ -345,7 +347,7 @@
 }
 
 // LevelAge returns the time since the owner last sent the level; 0 at the owner itself.
-func (g *Guard) Heard(now Micros) Micros {
+func (g *Controller) LevelAge(now Micros) Micros {
 	if g.owner == g.self {
 		return 0
 	}
@@ -380,5 +382,5 @@
 			c.Offered[i] = r.U16()
 		}
 	}
-	return c, !r.Bad && len(r.B) == 0 && c.Failed <= c.Admitted && c.Admitted < 1<<24
+	return c, !r.Bad && len(r.Rest) == 0 && c.Failed <= c.Admitted && c.Admitted < 1<<24
 }
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -16,7 +16,7 @@
 // the more they are overloaded.
 type serverFleet struct {
 	rng         *rand.Rand
-	controllers []*Guard
+	controllers []*Controller
 	now         Micros
 	capacity    float64 // answers per period
 	offered     float64 // new requests per period
@@ -36,7 +36,7 @@
 		cut: func(int, int) bool { return false }}
 	for i := range n {
 		p.names = append(p.names, fmt.Sprint("m", i))
-		p.controllers = append(p.controllers, NewGuard(p.names[i], period))
+		p.controllers = append(p.controllers, NewController(p.names[i], period))
 	}
 	p.retryQueue = make([][]int, 4)
 	return p
@@ -51,7 +51,7 @@
 	repeats := p.retryQueue[0]
 	p.retryQueue = append(p.retryQueue[1:], nil)
 	var admitted []int
-	var admittedBy []*Guard
+	var admittedBy []*Controller
 	send := func(id int, repeat bool) {
 		g := p.controllers[p.rng.IntN(len(p.controllers))]
 		id, tries := id/10, id%10
@@ -75,7 +75,7 @@
 	answers := max(0, p.capacity-over*p.waste)
 	for _, k := range p.rng.Perm(len(admitted)) {
 		answered := answers >= 1
-		if admittedBy[k].Ended(answered); answered {
+		if admittedBy[k].Finished(answered); answered {
 			answers--
 			p.served[4+admitted[k]/10%4]++
 		} else if admitted[k]%10 < p.retries {
@@ -84,7 +84,7 @@
 	}
 	type envelope struct {
 		from int
-		Send
+		Message
 	}
 	var queue []envelope
 	for i, g := range p.controllers {
@@ -253,9 +253,9 @@
 	}
 	// The owner is alive, but no message comes from it.
 	others := []string{"m0", "m1", "m2", "m3"}
-	var g *Guard
+	var g *Controller
 	for i := 0; g == nil || g.owner == g.self; i++ {
-		g = NewGuard(fmt.Sprint("x", i), period)
+		g = NewController(fmt.Sprint("x", i), period)
 		g.Tick(1, others)
 	}
 	if _, ok := g.Receive(2, g.owner, []byte{msgLevel, 30}); !ok || g.level != 30 {
@@ -264,7 +264,7 @@
 	for i := range Micros(60) {
 		for range 40 {
 			g.Admit(40, 1, false)
-			g.Ended(false)
+			g.Finished(false)
 		}
 		if g.Tick(2+i*period, others); g.level < 30 {
 			t.Fatalf("level %d while all admitted requests fail", g.level)
@@ -281,27 +281,27 @@
 	for _, members := range []int{1, 10, 100} {
 		first, again := 0, 0
 		for i := range members {
-			g := NewGuard(fmt.Sprint(i), period)
+			g := NewController(fmt.Sprint(i), period)
 			g.limitAttempts = true
 			for range 1000 {
-				if g.Send(true) {
+				if g.AllowSend(true) {
 					first++
 				}
-				if g.Send(false) {
+				if g.AllowSend(false) {
 					again++
 				}
 			}
-			if g.Spent > g.Budget() || g.Denied == 0 {
-				t.Fatalf("%d retries sent, budget %d, %d denied", g.Spent, g.Budget(), g.Denied)
+			if g.RetriesSent > g.RetryBudget() || g.RetriesDenied == 0 {
+				t.Fatalf("%d retries sent, budget %d, %d denied", g.RetriesSent, g.RetryBudget(), g.RetriesDenied)
 			}
 		}
 		if most := float64(first)*RetryRatio + float64(maxRetryTokens*members); float64(again) > most {
 			t.Errorf("%d members: %d first sends and %d retries", members, first, again)
 		}
 	}
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	for range 100 {
-		if !g.Send(false) {
+		if !g.AllowSend(false) {
 			t.Fatal("a retry is denied without overload")
 		}
 	}
@@ -338,7 +338,7 @@
 // Classes of equal worth share a rank, the highest worth has the last one, and all retries of a request have
 // the same bucket.
 func TestRanks(t *testing.T) {
-	got := Rank([]float64{2, 1, 2, 9})
+	got := RankByWorth([]float64{2, 1, 2, 9})
 	if got[3] != Ranks-1 || got[0] != got[2] || got[0] != Ranks-2 || got[1] != Ranks-3 {
 		t.Errorf("%v", got)
 	}
@@ -347,7 +347,7 @@
 		t.Errorf("priorities %d, %d and %d", once, again, Priority(99, "a"))
 	}
 	seen := map[Micros]bool{}
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	g.level = Buckets - 1
 	for i := range uint64(500) {
 		_, after := g.Admit(0, i, false)
@@ -367,7 +367,7 @@
 	f.Add(append([]byte{msgReport, 1}, encodeCounts(&c)...))
 	f.Add([]byte{msgLevel, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		g := NewGuard("a", period)
+		g := NewController("a", period)
 		g.Tick(1, nil)
 		out, ok := g.Receive(2, "b", data)
 		if !ok && len(out) > 0 || g.level < 0 || g.level >= Buckets {
@@ -389,7 +389,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	g := NewGuard("a", period)
+	g := NewController("a", period)
 	b.ReportAllocs()
 	for i := range b.N {
 		g.Admit(Priority(i%8, "k1234567"), uint64(i), false)
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -63,7 +63,7 @@
 type cordonWord struct {
 	Server balance.ReplicaID `json:"server"`
 	Out    bool              `json:"out"`
-	By     core.Author       `json:"by,omitempty"`
+	By     core.CordonSource `json:"by,omitempty"`
 	At     balance.Micros    `json:"at"`
 }
 
@@ -344,11 +344,11 @@
 		most = min(most, u.mine)
 	}
 	u.mu.Unlock()
-	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.SpareMost
+	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.MaxOverflow
 	if !alone {
 		part, spare = part/2, leastSpare
 	}
-	u.budget.Limit(most, most/nodeShare, spare)
+	u.budget.SetLimits(most, most/nodeShare, spare)
 	debug.SetMemoryLimit(part)
 	u.k.halve(!alone)
 }
@@ -443,7 +443,7 @@
 			u.k.log.Info("the successor serves")
 			l.say(word{Heard: true})
 			if u.k.fleet != nil { // from now on that one is the member
-				l.say(word{Fleet: u.k.fleet.Release()})
+				l.say(word{Fleet: u.k.fleet.HandOver()})
 			}
 		}
 		u.obey(w)
@@ -460,7 +460,7 @@
 		u.k.log.Warn("the successor is gone")
 		u.limit()
 		if u.k.fleet != nil {
-			u.k.fleet.Again()
+			u.k.fleet.Reclaim()
 		}
 		go u.open()
 	}
@@ -480,7 +480,7 @@
 		u.mu.Lock()
 		mine := u.whole() / 2
 		if u.k.ending.Load() {
-			mine = min(u.mine, u.budget.Used()+endingSpare)
+			mine = min(u.mine, u.budget.InUse()+endingSpare)
 		}
 		changed := mine != u.mine
 		u.mine = mine
@@ -497,7 +497,7 @@
 }
 
 // rest is what the successor may take: what this process neither holds nor may. The caller holds mu.
-func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.Used())) }
+func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.InUse())) }
 
 // greet makes room for a successor and sends it the greeting with the sockets beside it. Their modes stay as
 // they are: both processes poll them. The successor is there to be told before what operators have said is
@@ -508,16 +508,16 @@
 	mine := u.mine
 	u.mu.Unlock()
 	u.limit()
-	for u.budget.Used() > mine && u.k.server.MakeWay() {
+	for u.budget.InUse() > mine && u.k.server.EvictStalled() {
 	}
-	said, ok := u.k.core.Cordoned(linkWait / 2)
+	said, ok := u.k.core.HandoverState(linkWait / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
 	most := u.rest()
 	u.mu.Unlock()
-	w := word{Out: said.Out, Barred: said.Barred, Since: said.Since, Memory: said.Memory, Now: said.Now,
+	w := word{Out: said.Cordons, Barred: said.FleetCordons, Since: said.RestoredAt, Memory: said.Memory, Now: said.Clock,
 		Most: most}
 	socks := []any{u.k.server.Listener()}
 	w.Sockets = []string{"listen"}
@@ -590,7 +590,7 @@
 		u.limit()
 		u.k.log.Info("the old process is gone")
 		if u.k.fleet != nil {
-			u.k.fleet.Alone()
+			u.k.fleet.PredecessorGone()
 		}
 	}()
 }
@@ -619,12 +619,12 @@
 func (u *upgrade) obey(w word) {
 	if c := w.Cordon; c != nil {
 		// Its moment is by the other process's clock, and the wall clock may have been stepped: now is as good.
-		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
+		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Out, Source: c.By, AllowUnlisted: true})
 	}
 }
 
 // pass tells the other process, if there is one, of an operator's call, or of the fleet's word.
-func (u *upgrade) pass(id balance.ReplicaID, by core.Author, out bool) {
+func (u *upgrade) pass(id balance.ReplicaID, by core.CordonSource, out bool) {
 	u.mu.Lock()
 	links := [2]*link{u.old, u.successor}
 	u.mu.Unlock()
--- a/internal/quota/chaos_test.go
+++ b/internal/quota/chaos_test.go
@@ -9,7 +9,7 @@
 
 // memberProcess is one member's process with its leases, a rate limit and a concurrency limit.
 type memberProcess struct {
-	leases *Tenure
+	leases *Leases
 	share  *Share
 	slots  *Slots
 	open   []openRequest
@@ -17,7 +17,7 @@
 
 // openRequest is an admitted request in flight.
 type openRequest struct {
-	slot Place
+	slot Slot
 	ends Micros // on its member's clock
 }
 
@@ -86,14 +86,14 @@
 	now := f.clock(i)
 	p := &memberProcess{share: NewShare(f.rate, len(f.names), period, f.starts, now),
 		slots:  NewSlots(f.concurrency, len(f.names), i, period, f.hold, f.starts, now),
-		leases: NewTenure(f.names[i], f.names, 7, period, now)}
+		leases: NewLeases(f.names[i], f.names, 7, period, now)}
 	if p.leases != nil {
 		p.leases.FaultNoStartWait = f.noStartWait
 	}
 	f.procs[i], f.down[i], f.frozen[i] = p, false, false
 }
 
-func (f *faultFleet) send(from int, list []Send) {
+func (f *faultFleet) send(from int, list []Message) {
 	for _, s := range list {
 		to := slices.Index(f.names, s.To)
 		f.bytes += len(s.Data)
@@ -107,9 +107,9 @@
 	}
 }
 
-func (p *memberProcess) receive(now Micros, from string, data []byte) []Send {
-	switch id, _ := IDOf(data); {
-	case IsTenure(data) && p.leases != nil:
+func (p *memberProcess) receive(now Micros, from string, data []byte) []Message {
+	switch id, _ := MessageLimitID(data); {
+	case IsLeaseMessage(data) && p.leases != nil:
 		return p.leases.Receive(now, from, data)
 	case id == 1:
 		return p.share.Receive(now, from, data)
@@ -117,12 +117,12 @@
 	return p.slots.Receive(now, from, data)
 }
 
-func (p *memberProcess) tick(now Micros, alive []string, self string) (out []Send) {
+func (p *memberProcess) tick(now Micros, alive []string, self string) (out []Message) {
 	if p.leases != nil {
 		out = p.leases.Tick(now, alive)
 		e := p.leases.Entitlement(now)
-		p.share.Entitle(now, e)
-		p.slots.Entitle(now, e)
+		p.share.SetEntitlement(now, e)
+		p.slots.SetEntitlement(now, e)
 	}
 	others := slices.DeleteFunc(slices.Clone(alive), func(s string) bool { return s == self })
 	out = append(out, p.share.Tick(now, others)...)
@@ -162,7 +162,7 @@
 				open--
 			}
 			if done {
-				p.slots.Done(now, o.slot)
+				p.slots.Release(now, o.slot)
 			}
 			return done
 		})
@@ -183,7 +183,7 @@
 		p.share.refill(now)
 		sum += p.share.rate
 		if p.leases != nil {
-			for _, of := range p.leases.Holds(now) {
+			for _, of := range p.leases.Held(now) {
 				holders[of]++
 			}
 		}
@@ -352,7 +352,7 @@
 	now := Micros(1)
 	s := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 1, now)
 	now += 10_000_000
-	var places []Place
+	var places []Slot
 	for range 5 {
 		at, ok, _ := s.Take(now, now+1_000_000)
 		if !ok {
@@ -361,11 +361,11 @@
 		places = append(places, at)
 	}
 	next := NewSlots(Limit{ID: 2, Rate: 24}, 3, 0, period, 2_000_000, 2, now)
-	next.Hold(now)
+	next.Suspend(now)
 	if _, ok, _ := next.Take(now, now+1); ok {
 		t.Fatal("a suspended process admits a request")
 	}
-	next.Inherit(now, s.Split(now))
+	next.TakeOver(now, s.HandOver(now))
 	n, m := 0, 0
 	for range 20 {
 		if _, ok, _ := next.Take(now, now+1); ok {
@@ -379,9 +379,9 @@
 		t.Fatalf("beside 5 requests in flight the new process admits %d and the old one %d, of 8", n, m)
 	}
 	for _, at := range places {
-		s.Done(now, at)
+		s.Release(now, at)
 	}
-	next.Alone(now, false)
+	next.OtherProcessEnded(now, false)
 	if _, ok, _ := next.Take(now, now+1); !ok {
 		t.Fatal("after the old process has ended the new one admits no more")
 	}
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -40,7 +40,7 @@
 	return &c
 }
 
-func (x *shareState) send(from int, list []Send) {
+func (x *shareState) send(from int, list []Message) {
 	for _, m := range list {
 		x.inFlight = append(x.inFlight, message{from: from, to: int(m.To[1] - '0'), data: m.Data})
 	}
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -20,14 +20,16 @@
 // probability of any collision among 10,000 keys is about 1%) are limited together: too strictly, but the
 // limit is not exceeded.
 func KeyID(limit uint64, key string) uint64 {
-	return KeyOf(limit, xxhash.Sum64String(key))
+	return KeyIDFromNumber(limit, xxhash.Sum64String(key))
 }
 
 // KeyIDFromNumber is KeyID for a key that is a number.
-func KeyOf(limit, key uint64) uint64 { return limit&^math.MaxUint32 | max(1, key&math.MaxUint32) }
+func KeyIDFromNumber(limit, key uint64) uint64 {
+	return limit&^math.MaxUint32 | max(1, key&math.MaxUint32)
+}
 
 // LimitIDOf returns the limit that a key ID belongs to.
-func LimitOf(id uint64) uint64 { return id &^ math.MaxUint32 }
+func LimitIDOf(id uint64) uint64 { return id &^ math.MaxUint32 }
 
 // LimitID returns the ID of a limit by its name; the low 32 bits are left for keys.
 func LimitID(name string) uint64 { return xxhash.Sum64String(name) &^ math.MaxUint32 }
@@ -82,7 +84,7 @@
 // KeyedShares is one member's share of a limit that applies to each key separately, for example to each
 // tenant. Keys that demand more than the member's share get their own Share, which borrows and lends; all
 // others are counted in a sketch.
-type Keys struct {
+type KeyedShares struct {
 	Limit
 	members      int
 	period       Micros
@@ -101,17 +103,17 @@
 }
 
 // NewKeyedShares returns the shares of a member that starts without state from a predecessor.
-func NewKeys(l Limit, members int, period Micros, seed uint64, now Micros) *Keys {
+func NewKeyedShares(l Limit, members int, period Micros, seed uint64, now Micros) *KeyedShares {
 	l.Floor = 1
-	return &Keys{Limit: l, members: members, period: period, seed: seed, sketch: &sketch{createdAt: now},
+	return &KeyedShares{Limit: l, members: members, period: period, seed: seed, sketch: &sketch{createdAt: now},
 		shares: map[uint64]*Share{}, usableFrom: now + terms(period, 1+3*MaxDrift)}
 }
 
 // Len returns the number of keys that have their own share.
-func (k *Keys) Len() int { return len(k.shares) }
+func (k *KeyedShares) Len() int { return len(k.shares) }
 
 // Take reports whether one more request of a key may be admitted now, and if not, when to retry.
-func (k *Keys) Take(now Micros, id uint64) (ok bool, retryAfter Micros) {
+func (k *KeyedShares) Take(now Micros, id uint64) (ok bool, retryAfter Micros) {
 	if s := k.shares[id]; s != nil {
 		if ok, retryAfter = s.Take(now); ok {
 			k.Granted++
@@ -137,16 +139,16 @@
 }
 
 // Refund returns the token of a request that Take admitted and that was not used.
-func (k *Keys) Return(id uint64) {
+func (k *KeyedShares) Refund(id uint64) {
 	if s := k.shares[id]; s != nil {
-		s.Return()
+		s.Refund()
 	}
 	k.Granted--
 }
 
 // ensureShare returns the key's own share and creates it if there is room. A new bucket is empty, as the
 // sketch may already have admitted as much as it holds.
-func (k *Keys) ensureShare(now Micros, id uint64) *Share {
+func (k *KeyedShares) ensureShare(now Micros, id uint64) *Share {
 	if s := k.shares[id]; s != nil {
 		return s
 	}
@@ -166,7 +168,7 @@
 }
 
 // Tick must be called once per period with the other members that are alive.
-func (k *Keys) Tick(now Micros, peers []string) (out []Send) {
+func (k *KeyedShares) Tick(now Micros, peers []string) (out []Message) {
 	k.messagesLeft = maxKeyMessages
 	for range min(keysPerTick, len(k.order)) {
 		k.nextKey++
@@ -190,8 +192,8 @@
 }
 
 // Receive handles a message from another member.
-func (k *Keys) Receive(now Micros, from string, data []byte) []Send {
-	id, ok := IDOf(data)
+func (k *KeyedShares) Receive(now Micros, from string, data []byte) []Message {
+	id, ok := MessageLimitID(data)
 	if !ok || id&^math.MaxUint32 != k.ID || k.messagesLeft <= 0 {
 		return nil
 	}
@@ -209,9 +211,9 @@
 }
 
 // Stats returns the current figures, summed over all keys that have their own share.
-func (k *Keys) Figures(now Micros) (f Figures) {
+func (k *KeyedShares) Stats(now Micros) (f Stats) {
 	for _, s := range k.shares {
-		g := s.Figures(now)
+		g := s.Stats(now)
 		f.Share += g.Share
 		f.Used += g.Used
 		f.InDoubt += g.InDoubt
@@ -221,10 +223,10 @@
 }
 
 // HandOver leaves this process only what is never lent, and returns the loans that the successor has to know.
-func (k *Keys) Split(now Micros) map[uint64][]Lend {
-	out := map[uint64][]Lend{}
+func (k *KeyedShares) HandOver(now Micros) map[uint64][]SavedLoan {
+	out := map[uint64][]SavedLoan{}
 	for id, s := range k.shares {
-		if lent := s.Split(now); len(lent) > 0 {
+		if lent := s.HandOver(now); len(lent) > 0 {
 			out[id] = lent
 		}
 	}
@@ -233,44 +235,44 @@
 }
 
 // TakeOver continues after another process of this member, with its loans by key.
-func (k *Keys) Inherit(now Micros, lentByKey map[uint64][]Lend) {
+func (k *KeyedShares) TakeOver(now Micros, lentByKey map[uint64][]SavedLoan) {
 	k.suspended, k.usableFrom = false, now
 	for id, lent := range lentByKey {
 		if id&^math.MaxUint32 == k.ID {
 			if s := k.ensureShare(now, id); s != nil {
-				s.Inherit(now, lent)
+				s.TakeOver(now, lent)
 			}
 		}
 	}
 }
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded.
-func (k *Keys) Hold(Micros) { k.suspended = true }
+func (k *KeyedShares) Suspend(Micros) { k.suspended = true }
 
 // OtherProcessEnded notes that the other process of this member has ended; see Share.OtherProcessEnded.
-func (k *Keys) Alone(now Micros, unknown bool) {
+func (k *KeyedShares) OtherProcessEnded(now Micros, unknown bool) {
 	k.suspended = false
 	if unknown {
 		k.usableFrom = now + terms(k.period, 1+3*MaxDrift)
 	}
 	for _, s := range k.shares {
-		s.Alone(now, unknown)
+		s.OtherProcessEnded(now, unknown)
 	}
 }
 
 // SetDisabled sets whether this member may use nothing; see Share.SetDisabled.
-func (k *Keys) Void(now Micros, on bool) {
+func (k *KeyedShares) SetDisabled(now Micros, on bool) {
 	if k.disabled && !on {
 		k.usableFrom = max(k.usableFrom, now+terms(k.period, 1+3*MaxDrift))
 	}
 	k.disabled = on
 	for _, s := range k.shares {
-		s.Void(now, on)
+		s.SetDisabled(now, on)
 	}
 }
 
 // Configure sets the rate, the burst and the number of members.
-func (k *Keys) Configure(now Micros, rate, burst float64, members int) {
+func (k *KeyedShares) Configure(now Micros, rate, burst float64, members int) {
 	k.Rate, k.Burst, k.members = rate, burst, members
 	for _, s := range k.shares {
 		s.Configure(now, rate, burst, members)
@@ -278,4 +280,4 @@
 }
 
 // SetEntitlement does nothing: the whole share of a key always belongs to its member.
-func (k *Keys) Entitle(Micros, Entitlement) {}
+func (k *KeyedShares) SetEntitlement(Micros, Entitlement) {}
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -11,7 +11,7 @@
 // requests by key.
 type keyedFleet struct {
 	now      Micros
-	procs    []*Keys
+	procs    []*KeyedShares
 	admitted map[uint64][]Micros
 	limit    Limit
 }
@@ -20,7 +20,7 @@
 	x := &keyedFleet{now: 1, admitted: map[uint64][]Micros{},
 		limit: Limit{Name: "t", ID: LimitID("t"), Rate: 30, Burst: 9}}
 	for i := range n {
-		x.procs = append(x.procs, NewKeys(x.limit, n, period, uint64(i+1), 1))
+		x.procs = append(x.procs, NewKeyedShares(x.limit, n, period, uint64(i+1), 1))
 	}
 	return x
 }
@@ -38,7 +38,7 @@
 func (x *keyedFleet) tick() {
 	type envelope struct {
 		from int
-		Send
+		Message
 	}
 	var queue []envelope
 	for i, k := range x.procs {
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -9,7 +9,7 @@
 
 // MaxVoters is the size of the largest roster whose members vote, as each member asks every voter twice per
 // term.
-const MostVoters = 9
+const MaxVoters = 9
 
 // A lease says who has the part of a member's shares above the floor: the member itself, or a substitute once
 // the member is dead. A lease is held by the votes of a majority, each for one term (Gifford, SOSP 1979, §2;
@@ -59,7 +59,7 @@
 }
 
 // Leases is the state of one member as a voter and as a holder of leases.
-type Tenure struct {
+type Leases struct {
 	self             string
 	voters           []string // the voters, sorted
 	rosterHash       uint32   // hash of the roster: votes of other rosters do not count
@@ -74,11 +74,11 @@
 // NewLeases returns the state of a process that starts without state from a predecessor. Votes only count
 // among members with the same roster and stamp. It returns nil if the roster is too small or too large to
 // vote, or does not contain self.
-func NewTenure(self string, roster []string, stamp uint32, period, now Micros) *Tenure {
-	if len(roster) < 3 || len(roster) > MostVoters || !slices.Contains(roster, self) {
+func NewLeases(self string, roster []string, stamp uint32, period, now Micros) *Leases {
+	if len(roster) < 3 || len(roster) > MaxVoters || !slices.Contains(roster, self) {
 		return nil
 	}
-	t := &Tenure{self: self, voters: slices.Sorted(slices.Values(roster)), period: period,
+	t := &Leases{self: self, voters: slices.Sorted(slices.Values(roster)), period: period,
 		rosterHash: stamp, votes: map[string]vote{}, votesFrom: now + terms(period, 1+3*MaxDrift)}
 	for _, name := range t.voters {
 		t.rosterHash = t.rosterHash*31 + uint32(xxhash.Sum64String(name))
@@ -87,12 +87,12 @@
 	return t
 }
 
-func (t *Tenure) newLease(owner string) lease {
+func (t *Leases) newLease(owner string) lease {
 	return lease{owner: owner, votedUntil: make([]Micros, len(t.voters))}
 }
 
 // quorum is the number of votes that is a majority.
-func (t *Tenure) quorum() int { return len(t.voters)/2 + 1 }
+func (t *Leases) quorum() int { return len(t.voters)/2 + 1 }
 
 // Message kinds. Format: kind, stamp (4 bytes), sequence number (4), roster index of the member whose lease
 // it is (1).
@@ -103,14 +103,14 @@
 	leaseMessageSize = 1 + 4 + 4 + 1
 )
 
-func (t *Tenure) encode(kind byte, seq uint32, owner string) []byte {
+func (t *Leases) encode(kind byte, seq uint32, owner string) []byte {
 	b := binary.LittleEndian.AppendUint32([]byte{kind}, t.rosterHash)
 	b = binary.LittleEndian.AppendUint32(b, seq)
 	return append(b, byte(slices.Index(t.voters, owner)))
 }
 
 // IsLeaseMessage reports whether a message is about a lease.
-func IsTenure(data []byte) bool {
+func IsLeaseMessage(data []byte) bool {
 	return len(data) == leaseMessageSize && data[0] >= msgRequestVote && data[0] <= msgReleaseVote
 }
 
@@ -127,7 +127,7 @@
 }
 
 // Tick must be called once per period with the members that are alive, including this one.
-func (t *Tenure) Tick(now Micros, alive []string) (out []Send) {
+func (t *Leases) Tick(now Micros, alive []string) (out []Message) {
 	wanted := []string{t.self}
 	for _, name := range t.voters {
 		if !slices.Contains(alive, name) && substituteFor(name, alive) == t.self {
@@ -167,9 +167,9 @@
 }
 
 // deliver returns a message to another member for sending, and handles a message to this one itself.
-func (t *Tenure) deliver(now Micros, to string, data []byte) []Send {
+func (t *Leases) deliver(now Micros, to string, data []byte) []Message {
 	if to != t.self {
-		return []Send{{To: to, Data: data}}
+		return []Message{{To: to, Data: data}}
 	}
 	for _, s := range t.Receive(now, t.self, data) {
 		t.Receive(now, t.self, s.Data)
@@ -178,8 +178,8 @@
 }
 
 // Receive handles a message from another member.
-func (t *Tenure) Receive(now Micros, from string, data []byte) []Send {
-	if !IsTenure(data) || binary.LittleEndian.Uint32(data[1:]) != t.rosterHash || int(data[9]) >= len(t.voters) {
+func (t *Leases) Receive(now Micros, from string, data []byte) []Message {
+	if !IsLeaseMessage(data) || binary.LittleEndian.Uint32(data[1:]) != t.rosterHash || int(data[9]) >= len(t.voters) {
 		return nil
 	}
 	voter := slices.Index(t.voters, from)
@@ -193,7 +193,7 @@
 			return nil
 		}
 		t.votes[owner] = vote{from, now + terms(t.period, 1+MaxDrift)}
-		return []Send{{To: from, Data: t.encode(msgVote, seq, owner)}}
+		return []Message{{To: from, Data: t.encode(msgVote, seq, owner)}}
 	case msgVote:
 		for i := range t.leases {
 			if l := &t.leases[i]; l.owner == owner && l.seq == seq {
@@ -223,7 +223,7 @@
 }
 
 // Entitlement returns what this member may use, and until when if it receives no more votes.
-func (t *Tenure) Entitlement(now Micros) (e Entitlement) {
+func (t *Leases) Entitlement(now Micros) (e Entitlement) {
 	for i := range t.leases {
 		l := &t.leases[i]
 		if l.until <= now {
@@ -239,7 +239,7 @@
 }
 
 // Held returns the members whose leases this one holds, including itself. A lease may not be usable yet.
-func (t *Tenure) Holds(now Micros) (owners []string) {
+func (t *Leases) Held(now Micros) (owners []string) {
 	for i := range t.leases {
 		if l := &t.leases[i]; l.until > now {
 			owners = append(owners, l.owner)
@@ -249,7 +249,7 @@
 }
 
 // LeaseSnapshot is the state that one process hands over to the next. Times are relative to the handover.
-type Held struct {
+type LeaseSnapshot struct {
 	Roster     []string             `json:"roster"`
 	UsableFrom Micros               `json:"since"`
 	Until      Micros               `json:"until"`
@@ -264,8 +264,8 @@
 }
 
 // HandOver returns the lease and the votes of this process. It holds no leases and does not vote any more.
-func (t *Tenure) Save(now Micros) Held {
-	h := Held{Roster: t.voters, Votes: map[string]SavedVote{}, VotesFrom: max(0, t.votesFrom-now)}
+func (t *Leases) HandOver(now Micros) LeaseSnapshot {
+	h := LeaseSnapshot{Roster: t.voters, Votes: map[string]SavedVote{}, VotesFrom: max(0, t.votesFrom-now)}
 	for owner, v := range t.votes {
 		if v.until > now {
 			h.Votes[owner] = SavedVote{v.to, v.until - now}
@@ -281,7 +281,7 @@
 }
 
 // TakeOver continues with the state of another process of this member.
-func (t *Tenure) Resume(now Micros, h Held) {
+func (t *Leases) TakeOver(now Micros, h LeaseSnapshot) {
 	if !slices.Equal(h.Roster, t.voters) {
 		return
 	}
--- a/internal/quota/leases_test.go
+++ b/internal/quota/leases_test.go
@@ -14,7 +14,7 @@
 // leaseState is a state of the model: three members that vote on each other's leases.
 type leaseState struct {
 	now      Micros
-	procs    [3]*Tenure
+	procs    [3]*Leases
 	views    [3]int // bit set of the members that each believes to be alive
 	inFlight []message
 	starts   int
@@ -23,7 +23,7 @@
 
 var threeMembers = []string{"m0", "m1", "m2"}
 
-func (t *Tenure) clone() *Tenure {
+func (t *Leases) clone() *Leases {
 	c := *t
 	c.votes, c.leases = maps.Clone(t.votes), slices.Clone(t.leases)
 	for i := range c.leases {
@@ -41,7 +41,7 @@
 	return &c
 }
 
-func (x *leaseState) send(from int, list []Send) {
+func (x *leaseState) send(from int, list []Message) {
 	for _, m := range list {
 		x.inFlight = append(x.inFlight, message{from: from, to: slices.Index(threeMembers, m.To), data: m.Data})
 	}
@@ -62,7 +62,7 @@
 func (x *leaseState) heldTwice() bool {
 	holders := map[string]int{}
 	for _, t := range x.procs {
-		for _, of := range t.Holds(x.now) {
+		for _, of := range t.Held(x.now) {
 			holders[of]++
 		}
 	}
@@ -109,7 +109,7 @@
 func exploreLeases(steps, most int, hasty bool) (found []string, states int) {
 	first := &leaseState{now: 1_000_000_000}
 	begin := func(x *leaseState, i int) {
-		x.procs[i] = NewTenure(threeMembers[i], threeMembers, 7, period, x.now)
+		x.procs[i] = NewLeases(threeMembers[i], threeMembers, 7, period, x.now)
 		x.procs[i].FaultNoStartWait = hasty
 		x.views[i] = 7
 	}
@@ -225,7 +225,7 @@
 		for i, p := range f.procs {
 			now := map[string]bool{}
 			if !f.down[i] { // a stopped process checks its clock before it uses a lease
-				for _, of := range p.leases.Holds(f.clock(i)) {
+				for _, of := range p.leases.Held(f.clock(i)) {
 					now[of] = true
 				}
 			}
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -153,7 +153,7 @@
 
 // decode decodes a message. It returns false if the message is malformed or for another limit.
 func (b *loanBook) decode(from string, data []byte) (kind byte, l loan, amount float64, ok bool) {
-	if id, ok := IDOf(data); !ok || id != b.limitID {
+	if id, ok := MessageLimitID(data); !ok || id != b.limitID {
 		return 0, loan{}, 0, false
 	}
 	l = loan{peer: from, id: binary.LittleEndian.Uint64(data[9:]), seq: binary.LittleEndian.Uint32(data[17:])}
@@ -162,7 +162,7 @@
 }
 
 // MessageLimitID returns the limit that a message is for, or false if it is not a message about a loan.
-func IDOf(data []byte) (uint64, bool) {
+func MessageLimitID(data []byte) (uint64, bool) {
 	if len(data) != loanMessageSize || data[0] < msgRequest || data[0] > msgReturn {
 		return 0, false
 	}
@@ -170,14 +170,14 @@
 }
 
 // request returns a request for a loan or its renewal.
-func (b *loanBook) request(now Micros, l *loan, amount float64) Send {
+func (b *loanBook) request(now Micros, l *loan, amount float64) Message {
 	b.seq++
 	l.seq, l.askedAt = b.seq, now
-	return Send{To: l.peer, Data: b.encode(msgRequest, l, amount)}
+	return Message{To: l.peer, Data: b.encode(msgRequest, l, amount)}
 }
 
 // renew requests the renewal of loans early enough that a request can be repeated if the answer is lost.
-func (b *loanBook) renew(now Micros) (out []Send) {
+func (b *loanBook) renew(now Micros) (out []Message) {
 	for i := range b.borrowed {
 		if l := &b.borrowed[i]; now < l.until && l.until-now < terms(b.period, renewBelow) {
 			out = append(out, b.request(now, l, l.amount))
@@ -188,7 +188,7 @@
 
 // borrow asks several members, each for the whole missing amount: most grant little, and an excess is
 // returned later. The number of members asked depends on how many shares are missing.
-func (b *loanBook) borrow(now Micros, missing, share float64, peers []string) (out []Send) {
+func (b *loanBook) borrow(now Micros, missing, share float64, peers []string) (out []Message) {
 	if len(peers) == 0 {
 		return nil
 	}
@@ -216,7 +216,7 @@
 // grant grants or renews a loan and returns the messages to send. newLoan returns the amount of a new loan
 // and the pool to lend from; mayRenew reports whether an existing loan from a pool may be renewed.
 func (b *loanBook) grant(now Micros, l loan, newLoan func() (float64, pool),
-	mayRenew func(p pool) bool) (out []Send) {
+	mayRenew func(p pool) bool) (out []Message) {
 	i := slices.IndexFunc(b.lent, func(x loan) bool { return x.id == l.id && x.peer == l.peer })
 	if i < 0 {
 		if l.amount, l.pool = newLoan(); l.amount <= 0 || len(b.lent) >= maxLoans {
@@ -229,7 +229,7 @@
 	}
 	x := &b.lent[i] // recorded as lent before the borrower is told
 	x.until, x.seq = max(x.until, now+b.lentTime()), l.seq
-	return []Send{{To: l.peer, Data: b.encode(msgGrant, x, x.amount)}}
+	return []Message{{To: l.peer, Data: b.encode(msgGrant, x, x.amount)}}
 }
 
 // acceptGrant handles the grant or renewal of a loan. It reports whether the loan was added or extended.
@@ -262,7 +262,7 @@
 }
 
 // SavedLoan is a granted loan as one process hands it over to the next.
-type Lend struct {
+type SavedLoan struct {
 	ID        uint64  `json:"id"`
 	Peer      string  `json:"with"`
 	Amount    float64 `json:"rate"`
@@ -271,15 +271,15 @@
 }
 
 // saveLent returns the granted loans for the successor.
-func (b *loanBook) saveLent(now Micros) (lent []Lend) {
+func (b *loanBook) saveLent(now Micros) (lent []SavedLoan) {
 	for _, l := range b.lent {
-		lent = append(lent, Lend{l.id, l.peer, l.amount, l.until - now, uint8(l.pool)})
+		lent = append(lent, SavedLoan{l.id, l.peer, l.amount, l.until - now, uint8(l.pool)})
 	}
 	return lent
 }
 
 // restoreLent adds the loans that another process has granted.
-func (b *loanBook) restoreLent(now Micros, lent []Lend) {
+func (b *loanBook) restoreLent(now Micros, lent []SavedLoan) {
 	for _, l := range lent {
 		b.lent = append(b.lent, loan{id: l.ID, peer: l.Peer, amount: l.Amount, until: now + l.Remaining,
 			pool: min(pool(l.Pool), poolCount-1)})
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -44,7 +44,7 @@
 }
 
 // Message is a message to another member.
-type Send struct {
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -172,7 +172,7 @@
 }
 
 // Tick must be called once per period with the other members that are alive.
-func (s *Share) Tick(now Micros, peers []string) (out []Send) {
+func (s *Share) Tick(now Micros, peers []string) (out []Message) {
 	s.refill(now)
 	if elapsed := now - s.usedSince; elapsed >= 1_000_000 {
 		s.usedRate, s.used, s.usedSince = float64(s.used)*1e6/float64(elapsed), 0, now
@@ -203,7 +203,7 @@
 
 // SetEntitlement sets the times in which this member holds the leased part of its own share and those of
 // other members.
-func (s *Share) Entitle(now Micros, e Entitlement) {
+func (s *Share) SetEntitlement(now Micros, e Entitlement) {
 	s.refill(now)
 	s.setWindows(e.windows(s.hold))
 	s.recompute(now)
@@ -211,9 +211,9 @@
 
 // returnLoans returns the loans that are not needed to cover wanted. It stops using a loan before the lender
 // is told.
-func (s *Share) returnLoans(now Micros, wanted float64) (out []Send) {
+func (s *Share) returnLoans(now Micros, wanted float64) (out []Message) {
 	for len(s.borrowed) > 0 && s.rate-s.borrowed[0].amount >= wanted {
-		out = append(out, Send{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
+		out = append(out, Message{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
 		s.borrowed = s.borrowed[1:]
 		s.recompute(now)
 	}
@@ -221,7 +221,7 @@
 }
 
 // Receive handles a message from another member.
-func (s *Share) Receive(now Micros, from string, data []byte) (out []Send) {
+func (s *Share) Receive(now Micros, from string, data []byte) (out []Message) {
 	kind, l, rate, ok := s.decode(from, data)
 	if !ok {
 		return nil
@@ -265,7 +265,7 @@
 func (s *Share) needed() bool { return s.demand*headroom > s.ownRate }
 
 // Stats are the figures that operators see of a share. Rates are per second.
-type Figures struct {
+type Stats struct {
 	Share   float64 // amount this member may use
 	Used    float64 // admitted here in the last second
 	InDoubt float64 // part of the own share that is lent, or that a predecessor may have lent
@@ -273,16 +273,16 @@
 }
 
 // Stats returns the current figures.
-func (s *Share) Figures(now Micros) Figures {
+func (s *Share) Stats(now Micros) Stats {
 	s.refill(now)
-	f := Figures{Share: s.rate, Used: s.usedRate, InDoubt: max(0, s.share()-s.ownRate)}
+	f := Stats{Share: s.rate, Used: s.usedRate, InDoubt: max(0, s.share()-s.ownRate)}
 	f.Stale = s.stalest(now)
 	return f
 }
 
 // HandOver leaves this process only the fraction that is never lent, and returns the loans that the successor
 // has to know. Borrowed loans are dropped.
-func (s *Share) Split(now Micros) (lent []Lend) {
+func (s *Share) HandOver(now Micros) (lent []SavedLoan) {
 	s.refill(now)
 	lent = s.saveLent(now)
 	s.setWindows(window{}, nil)
@@ -292,7 +292,7 @@
 }
 
 // TakeOver continues with everything except the fraction that the predecessor keeps until OtherProcessEnded.
-func (s *Share) Inherit(now Micros, lent []Lend) {
+func (s *Share) TakeOver(now Micros, lent []SavedLoan) {
 	s.refill(now)
 	s.restoreLent(now, lent)
 	s.usableFrom, s.fraction = now, 1-KeptFraction
@@ -312,7 +312,7 @@
 
 // SetDisabled sets whether this member may use nothing, as is the case while other members reject it and do
 // not account for what it uses. When enabled again it waits as after a start.
-func (s *Share) Void(now Micros, on bool) {
+func (s *Share) SetDisabled(now Micros, on bool) {
 	if on == s.disabled {
 		return
 	}
@@ -325,14 +325,14 @@
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
 // has the whole share.
-func (s *Share) Hold(now Micros) {
+func (s *Share) Suspend(now Micros) {
 	s.refill(now)
 	s.fraction = 0
 	s.recompute(now)
 }
 
 // Refund returns the token of a request that Take admitted and that was not used.
-func (s *Share) Return() {
+func (s *Share) Refund() {
 	s.tokens = min(s.capacity(), s.tokens+1)
 	s.used--
 	s.Granted--
@@ -340,7 +340,7 @@
 
 // OtherProcessEnded notes that the other process of this member has ended. If the loans of that process are
 // unknown, this one waits as after a start.
-func (s *Share) Alone(now Micros, unknown bool) {
+func (s *Share) OtherProcessEnded(now Micros, unknown bool) {
 	s.refill(now)
 	s.fraction = 1
 	if unknown {
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -31,7 +31,7 @@
 }
 
 // Slot identifies the slot that an admitted request holds until it ends.
-type Place struct {
+type Slot struct {
 	pool   pool
 	loanID uint64 // 0: an own slot
 }
@@ -123,7 +123,7 @@
 
 // Take reports whether one more request that ends by the given time may be admitted now, and returns the slot
 // that it holds until Release.
-func (s *Slots) Take(now, ends Micros) (slot Place, ok bool, retryAfter Micros) {
+func (s *Slots) Take(now, ends Micros) (slot Slot, ok bool, retryAfter Micros) {
 	s.refresh(now)
 	s.peak = max(s.peak, s.inFlight()+1)
 	for p := range poolCount {
@@ -131,7 +131,7 @@
 		if float64(s.inFlightOwn[p]) < s.available[p] && (p == floor || ends-now <= s.hold) {
 			s.inFlightOwn[p]++
 			s.Granted++
-			return Place{pool: p}, true, 0
+			return Slot{pool: p}, true, 0
 		}
 	}
 	for i := range s.borrowed {
@@ -139,16 +139,16 @@
 			!s.disabled {
 			l.inFlight++
 			s.Granted++
-			return Place{loanID: l.id}, true, 0
+			return Slot{loanID: l.id}, true, 0
 		}
 	}
 	s.Refused++
 	s.refusedInPeriod++
-	return Place{}, false, s.period
+	return Slot{}, false, s.period
 }
 
 // Release frees the slot of a request that has ended.
-func (s *Slots) Done(now Micros, slot Place) {
+func (s *Slots) Release(now Micros, slot Slot) {
 	s.refresh(now)
 	if slot.loanID == 0 {
 		s.inFlightOwn[slot.pool] = max(0, s.inFlightOwn[slot.pool]-1)
@@ -172,7 +172,7 @@
 }
 
 // Tick must be called once per period with the other members that are alive.
-func (s *Slots) Tick(now Micros, peers []string) (out []Send) {
+func (s *Slots) Tick(now Micros, peers []string) (out []Message) {
 	s.recompute(now)
 	asked := float64(s.peak + s.refusedInPeriod)
 	s.demand = max(s.demand+(asked-s.demand)/demandDecay, min(asked, s.Rate))
@@ -188,7 +188,7 @@
 	for s.idlePeriods >= idleBeforeReturn && len(s.borrowed) > 0 && s.borrowed[0].inFlight == 0 &&
 		have-s.borrowed[0].amount >= want {
 		have -= s.borrowed[0].amount
-		out = append(out, Send{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
+		out = append(out, Message{To: s.borrowed[0].peer, Data: s.encode(msgReturn, &s.borrowed[0], 0)})
 		s.borrowed = s.borrowed[1:]
 	}
 	if s.idlePeriods == 0 {
@@ -202,7 +202,7 @@
 }
 
 // Receive handles a message from another member.
-func (s *Slots) Receive(now Micros, from string, data []byte) (out []Send) {
+func (s *Slots) Receive(now Micros, from string, data []byte) (out []Message) {
 	kind, l, amount, ok := s.decode(from, data)
 	if !ok {
 		return nil
@@ -247,19 +247,19 @@
 }
 
 // Stats returns the current figures: how many requests may be in flight here, and how many are.
-func (s *Slots) Figures(now Micros) Figures {
+func (s *Slots) Stats(now Micros) Stats {
 	s.recompute(now)
 	own := 0.0
 	for p := range poolCount {
 		own += s.available[p]
 	}
-	return Figures{Share: s.total(now), Used: float64(s.inFlight()), InDoubt: max(0, s.share()-own),
+	return Stats{Share: s.total(now), Used: float64(s.inFlight()), InDoubt: max(0, s.share()-own),
 		Stale: s.stalest(now)}
 }
 
 // SetEntitlement sets the times in which this member holds the leased part of its own share and those of
 // other members.
-func (s *Slots) Entitle(now Micros, e Entitlement) {
+func (s *Slots) SetEntitlement(now Micros, e Entitlement) {
 	s.refresh(now)
 	s.setWindows(e.windows(s.hold))
 	s.recompute(now)
@@ -267,7 +267,7 @@
 
 // HandOver leaves this process the own slots in use and one more, and returns what the successor has to know.
 // The first entry, which names no member, is the number of slots that stay here.
-func (s *Slots) Split(now Micros) (lent []Lend) {
+func (s *Slots) HandOver(now Micros) (lent []SavedLoan) {
 	s.recompute(now)
 	kept := 0.0
 	for p := range poolCount {
@@ -277,7 +277,7 @@
 	if kept++; kept > own { // requests on the leased part end within the hold time
 		kept = own
 	}
-	lent = append([]Lend{{Amount: kept}}, s.saveLent(now)...)
+	lent = append([]SavedLoan{{Amount: kept}}, s.saveLent(now)...)
 	s.keptBesideSuccessor, s.lent, s.pending = kept, nil, nil
 	s.setWindows(window{}, nil)
 	s.recompute(now)
@@ -285,7 +285,7 @@
 }
 
 // TakeOver continues with everything except what the predecessor keeps until OtherProcessEnded.
-func (s *Slots) Inherit(now Micros, lent []Lend) {
+func (s *Slots) TakeOver(now Micros, lent []SavedLoan) {
 	if len(lent) > 0 && lent[0].Peer == "" {
 		s.keptByPredecessor, lent = lent[0].Amount, lent[1:]
 	}
@@ -296,14 +296,14 @@
 
 // Suspend leaves this process nothing until TakeOver or OtherProcessEnded: another process of this member
 // has all slots.
-func (s *Slots) Hold(now Micros) {
+func (s *Slots) Suspend(now Micros) {
 	s.keptBesideSuccessor = 0
 	s.recompute(now)
 }
 
 // OtherProcessEnded notes that the other process of this member has ended. If the loans of that process are
 // unknown, this one waits as after a start.
-func (s *Slots) Alone(now Micros, unknown bool) {
+func (s *Slots) OtherProcessEnded(now Micros, unknown bool) {
 	s.keptByPredecessor, s.keptBesideSuccessor = 0, -1
 	if unknown {
 		s.usableFrom = now + s.startWait()
@@ -313,7 +313,7 @@
 
 // SetDisabled sets whether this member may use nothing, as is the case while other members reject it. When
 // enabled again it waits as after a start.
-func (s *Slots) Void(now Micros, on bool) {
+func (s *Slots) SetDisabled(now Micros, on bool) {
 	if on == s.disabled {
 		return
 	}
--- a/internal/verdict/ejections.go
+++ b/internal/verdict/ejections.go
@@ -3,7 +3,7 @@
 import "strings"
 
 // ListedNode is a data node from discovery, as far as LimitEjections needs it.
-type Holder struct {
+type ListedNode struct {
 	ID   uint64
 	Cell int
 	Up   bool // gets requests unless it is ejected as sick
@@ -13,7 +13,7 @@
 // first. It never ejects more than a share of all nodes (or one node, if that is more), and never the last
 // node that is up in a shard's cells. Shard s is held by the cells (s+j) mod cells, j < reach. The result
 // depends only on the arguments, so members with the same verdicts and the same list eject the same nodes.
-func Guard(nodes []Holder, sick []uint64, cells, reach int, share float64) map[uint64]bool {
+func LimitEjections(nodes []ListedNode, sick []uint64, cells, reach int, share float64) map[uint64]bool {
 	out := map[uint64]bool{}
 	cells, reach = max(1, cells), max(1, reach)
 	up := make([]int, cells)
@@ -56,10 +56,10 @@
 // SickVerdict returns the verdict for an outlier, and whether it may be issued. It may not while an earlier
 // one is in force, on evidence from before that ended, or for some time after an operator has withdrawn one.
 // The span of the verdict doubles each time the node becomes sick again soon. name is the node's name.
-func (t *Table) Sick(now, period Micros, name string, o Judgement) (v Verdict, ok bool) {
-	v = Verdict{Kind: Sick, What: name, On: true, By: "evidence", Reason: o.Reason, Span: sickSpan * period}
+func (t *Table) SickVerdict(now, period Micros, name string, o Outlier) (v Verdict, ok bool) {
+	v = Verdict{Kind: SickNode, What: name, On: true, By: "evidence", Reason: o.Reason, Span: sickSpan * period}
 	if o.Zone != "" {
-		v.Kind, v.What = Path, name+"@"+o.Zone
+		v.Kind, v.What = SickPath, name+"@"+o.Zone
 	}
 	i, known := t.find(&v)
 	if !known {
@@ -80,10 +80,10 @@
 
 // CountSick returns the number of nodes that are sick for members of a zone. Nodes that are sick only for
 // other zones do not count. An empty zone counts the nodes of all zones.
-func (t *Table) Ill(now Micros, zone string) (n int) {
+func (t *Table) CountSick(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
 		_, nodeZone := e.Node()
-		if (e.Kind == Sick || e.Kind == Path && (zone == "" || nodeZone == zone)) && e.inForce(now-e.issuedAt) {
+		if (e.Kind == SickNode || e.Kind == SickPath && (zone == "" || nodeZone == zone)) && e.inForce(now-e.issuedAt) {
 			n++
 		}
 	}
@@ -92,16 +92,16 @@
 
 // Node returns the data node that a verdict is on, and the zone to whose members it applies; empty: to all.
 func (v *Verdict) Node() (name, zone string) {
-	if i := strings.LastIndexByte(v.What, '@'); v.Kind == Path && i >= 0 {
+	if i := strings.LastIndexByte(v.What, '@'); v.Kind == SickPath && i >= 0 {
 		return v.What[:i], v.What[i+1:]
 	}
 	return v.What, ""
 }
 
 // SickVerdicts returns the verdicts by evidence that are in force for a node.
-func (t *Table) Evidence(now Micros, name string) (out []Verdict) {
+func (t *Table) SickVerdicts(now Micros, name string) (out []Verdict) {
 	for _, e := range t.entries {
-		if n, _ := e.Node(); (e.Kind == Sick || e.Kind == Path) && n == name && e.inForce(now-e.issuedAt) {
+		if n, _ := e.Node(); (e.Kind == SickNode || e.Kind == SickPath) && n == name && e.inForce(now-e.issuedAt) {
 			out = append(out, e.Verdict)
 		}
 	}
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -16,15 +16,15 @@
 // Each member avoids a node for some time after a bad outcome, as its module does.
 type detectorFleet struct {
 	rng           *rand.Rand
-	detectors     []*Jury
+	detectors     []*OutlierDetector
 	tables        []*Table
 	zones         []string
 	now           Micros
 	nodes         int
-	attempts      float64                         // attempts per member and period
-	loss          float64                         // fraction of messages lost
-	cut           func(a, b int) bool             // members that cannot reach each other
-	outcome       func(m, n int) (Ending, Micros) // outcome of an attempt of member m at node n
+	attempts      float64                          // attempts per member and period
+	loss          float64                          // fraction of messages lost
+	cut           func(a, b int) bool              // members that cannot reach each other
+	outcome       func(m, n int) (Outcome, Micros) // outcome of an attempt of member m at node n
 	avoidUntil    [][]Micros
 	attemptCounts [][]int // attempts by member and node
 	bytes         int
@@ -36,13 +36,13 @@
 	for i := range members {
 		z := zones[i%len(zones)]
 		c.zones = append(c.zones, z)
-		c.detectors = append(c.detectors, NewJury(Voter{memberName(i), z}, simPeriod, maxMessage))
+		c.detectors = append(c.detectors, NewOutlierDetector(Member{memberName(i), z}, simPeriod, maxMessage))
 		c.tables = append(c.tables, NewTable(memberName(i)))
 		c.avoidUntil = append(c.avoidUntil, make([]Micros, nodes))
 		c.attemptCounts = append(c.attemptCounts, make([]int, nodes))
 	}
 	c.cut = func(int, int) bool { return false }
-	c.outcome = func(int, int) (Ending, Micros) { return Served, 10_000 }
+	c.outcome = func(int, int) (Outcome, Micros) { return Served, 10_000 }
 	return c
 }
 
@@ -50,7 +50,7 @@
 
 // isSick reports whether a verdict that applies to a member says that a node is sick.
 func (c *detectorFleet) isSick(m, n int) bool {
-	for _, v := range c.tables[m].Evidence(c.now, nodeName(uint64(n))) {
+	for _, v := range c.tables[m].SickVerdicts(c.now, nodeName(uint64(n))) {
 		if _, z := v.Node(); z == "" || z == c.zones[m] {
 			return true
 		}
@@ -77,19 +77,19 @@
 			if took += Micros(c.rng.IntN(4_000)); e != Served || took > 400_000 {
 				c.avoidUntil[m][n] = c.now + Micros(20+c.rng.IntN(20))*simPeriod
 			}
-			j.See(c.now, uint64(n), 0, e, took)
+			j.Observe(c.now, uint64(n), 0, e, took)
 		}
 	}
 	type envelope struct {
 		from int
-		Send
+		Message
 	}
 	var queue []envelope
 	for m, j := range c.detectors {
-		var others []Voter
+		var others []Member
 		for o := range c.detectors {
 			if o != m && !c.cut(m, o) {
-				others = append(others, Voter{memberName(o), c.zones[o]})
+				others = append(others, Member{memberName(o), c.zones[o]})
 			}
 		}
 		for _, s := range j.Tick(c.now, others, len(c.detectors), true) {
@@ -105,7 +105,7 @@
 		if c.cut(msg.from, to) || c.rng.Float64() < c.loss {
 			continue
 		}
-		more, ok := c.detectors[to].Receive(c.now, Voter{memberName(msg.from), c.zones[msg.from]}, msg.Data)
+		more, ok := c.detectors[to].Receive(c.now, Member{memberName(msg.from), c.zones[msg.from]}, msg.Data)
 		if !ok {
 			panic("a detector rejects the message of another one")
 		}
@@ -116,10 +116,10 @@
 	for m, t := range c.tables {
 		t.Expire(c.now)
 		for _, x := range t.TakeChanges() {
-			if n := 0; !x.Holds {
+			if n := 0; !x.InForce {
 				name, _ := x.Verdict.Node()
 				_, _ = fmt.Sscanf(name, "n%d", &n)
-				c.detectors[m].Acquit(uint64(n))
+				c.detectors[m].ClearEvidence(uint64(n))
 			}
 		}
 	}
@@ -130,12 +130,12 @@
 				alive++
 			}
 		}
-		for _, x := range j.Judge(c.now) {
-			v, ok := c.tables[m].Sick(c.now, simPeriod, nodeName(x.Node), x)
-			if !ok || c.tables[m].Ill(c.now, x.Zone) >= MayBeOut(c.nodes, 0.25, alive, len(c.detectors)) {
+		for _, x := range j.Outliers(c.now) {
+			v, ok := c.tables[m].SickVerdict(c.now, simPeriod, nodeName(x.Node), x)
+			if !ok || c.tables[m].CountSick(c.now, x.Zone) >= MaxSick(c.nodes, 0.25, alive, len(c.detectors)) {
 				continue
 			}
-			v, _ = c.tables[m].Say(c.now, c.now/1000, v)
+			v, _ = c.tables[m].Issue(c.now, c.now/1000, v)
 			for o, t := range c.tables {
 				if !c.cut(m, o) {
 					t.Merge(c.now, v, 0)
@@ -149,7 +149,7 @@
 func (c *detectorFleet) sickNodes() (all []string) {
 	for _, t := range c.tables {
 		for _, e := range t.entries {
-			if (e.Kind == Sick || e.Kind == Path) && e.inForce(c.now-e.issuedAt) && !slices.Contains(all, e.What) {
+			if (e.Kind == SickNode || e.Kind == SickPath) && e.inForce(c.now-e.issuedAt) && !slices.Contains(all, e.What) {
 				all = append(all, e.What)
 			}
 		}
@@ -173,9 +173,9 @@
 // are never found sick.
 func TestEvidence(t *testing.T) {
 	failing := func(c *detectorFleet, of func(m, n int) bool) {
-		c.outcome = func(m, n int) (Ending, Micros) {
+		c.outcome = func(m, n int) (Outcome, Micros) {
 			if of(m, n) {
-				return Broken, 1_000
+				return Failed, 1_000
 			}
 			return Served, 10_000
 		}
@@ -193,7 +193,7 @@
 			failing(c, func(_, n int) bool { return n == 3 })
 		}, "n3"},
 		{"slow", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
 					return Served, 600_000
 				}
@@ -201,33 +201,33 @@
 			}
 		}, "n3"},
 		{"hedged before it answers", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return GivenUp, 300_000
+					return Cancelled, 300_000
 				}
 				return Served, 10_000
 			}
 		}, "n3"},
 		{"loses to hedged requests early", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return Beaten, 60_000
+					return HedgeWon, 60_000
 				}
 				return Served, 20_000
 			}
 		}, "n3"},
 		{"one in ten loses to a hedged request at every node", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(int, int) (Ending, Micros) {
+			c.outcome = func(int, int) (Outcome, Micros) {
 				if c.rng.IntN(10) == 0 {
-					return Beaten, 60_000
+					return HedgeWon, 60_000
 				}
 				return Served, 20_000
 			}
 		}, ""},
 		{"unresponsive", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(_, n int) (Ending, Micros) {
+			c.outcome = func(_, n int) (Outcome, Micros) {
 				if n == 3 {
-					return Unheard, 500_000
+					return TimedOut, 500_000
 				}
 				return Served, 10_000
 			}
@@ -245,7 +245,7 @@
 			failing(c, func(m, _ int) bool { return c.zones[m] == "a" })
 		}, ""},
 		{"everything is slow", 5, 8, 0, func(c *detectorFleet) {
-			c.outcome = func(_, n int) (Ending, Micros) { return Unheard, 700_000 }
+			c.outcome = func(_, n int) (Outcome, Micros) { return TimedOut, 700_000 }
 		}, ""},
 		{"one in a hundred fails at every node", 5, 8, 0, func(c *detectorFleet) {
 			failing(c, func(int, int) bool { return c.rng.IntN(100) == 0 })
@@ -279,9 +279,9 @@
 	for _, j := range c.detectors {
 		j.FaultSingleReporter = true
 	}
-	c.outcome = func(m, n int) (Ending, Micros) {
+	c.outcome = func(m, n int) (Outcome, Micros) {
 		if m == 1 && n == 3 {
-			return Broken, 1_000
+			return Failed, 1_000
 		}
 		return Served, 10_000
 	}
@@ -295,9 +295,9 @@
 func TestEvidenceDuringPartition(t *testing.T) {
 	c := newDetectorFleet(5, 16, []string{"a", "b"}, 12, 3)
 	c.cut = func(a, b int) bool { return (a < 3) != (b < 3) }
-	c.outcome = func(m, n int) (Ending, Micros) {
+	c.outcome = func(m, n int) (Outcome, Micros) {
 		if n < 10 && (n%2 == 0) == (m < 3) {
-			return Broken, 1_000
+			return Failed, 1_000
 		}
 		return Served, 10_000
 	}
@@ -319,17 +319,17 @@
 	now := Micros(1)
 	spans := []Micros{}
 	for range 7 {
-		v, ok := table.Sick(now, simPeriod, "n", Judgement{Reason: "failing"})
+		v, ok := table.SickVerdict(now, simPeriod, "n", Outlier{Reason: "failing"})
 		if !ok {
 			t.Fatal("no further verdict may be issued")
 		}
-		v, _ = table.Say(now, 1, v)
-		if _, again := table.Sick(now+1, simPeriod, "n", Judgement{}); again {
+		v, _ = table.Issue(now, 1, v)
+		if _, again := table.SickVerdict(now+1, simPeriod, "n", Outlier{}); again {
 			t.Fatal("a verdict may be issued while another is in force")
 		}
 		spans = append(spans, v.Span/simPeriod)
 		now += v.Span
-		if _, ok := table.Sick(now+5*simPeriod, simPeriod, "n", Judgement{FirstBadAge: 6}); ok {
+		if _, ok := table.SickVerdict(now+5*simPeriod, simPeriod, "n", Outlier{FirstBadAge: 6}); ok {
 			t.Fatal("a verdict may be issued on the evidence of the previous one")
 		}
 		now += 2 * simPeriod
@@ -338,17 +338,17 @@
 		t.Errorf("ejected for %v periods, want %v", spans, want)
 	}
 	now += (relapseSpans + 1) * 800 * simPeriod
-	v, _ := table.Sick(now, simPeriod, "n", Judgement{})
+	v, _ := table.SickVerdict(now, simPeriod, "n", Outlier{})
 	if v.Span != sickSpan*simPeriod {
 		t.Errorf("long after the last verdict the node is ejected for %d periods", v.Span/simPeriod)
 	}
-	v, _ = table.Say(now, 1, v)
+	v, _ = table.Issue(now, 1, v)
 	v.On, v.Span = false, 0
-	_, _ = table.Say(now, 1, v)
-	if _, ok := table.Sick(now+withdrawalWindows*Window*simPeriod-1, simPeriod, "n", Judgement{}); ok {
+	_, _ = table.Issue(now, 1, v)
+	if _, ok := table.SickVerdict(now+withdrawalWindows*Window*simPeriod-1, simPeriod, "n", Outlier{}); ok {
 		t.Error("an operator's withdrawal does not block a new verdict")
 	}
-	if _, ok := table.Sick(now+withdrawalWindows*Window*simPeriod, simPeriod, "n", Judgement{}); !ok {
+	if _, ok := table.SickVerdict(now+withdrawalWindows*Window*simPeriod, simPeriod, "n", Outlier{}); !ok {
 		t.Error("an operator's withdrawal blocks new verdicts for too long")
 	}
 }
@@ -360,18 +360,18 @@
 		cells := rapid.IntRange(1, 5).Draw(t, "cells")
 		reach := rapid.IntRange(1, 5).Draw(t, "reach")
 		share := rapid.Float64Range(0.01, 0.5).Draw(t, "share")
-		var nodes []Holder
+		var nodes []ListedNode
 		for i := range rapid.IntRange(0, 16).Draw(t, "nodes") {
-			nodes = append(nodes, Holder{uint64(i), rapid.IntRange(0, cells-1).Draw(t, "cell"),
+			nodes = append(nodes, ListedNode{uint64(i), rapid.IntRange(0, cells-1).Draw(t, "cell"),
 				rapid.IntRange(0, 3).Draw(t, "up") > 0})
 		}
 		sick := rapid.SliceOfN(rapid.Uint64Range(0, 18), 0, 12).Draw(t, "sick")
-		out := Guard(nodes, sick, cells, reach, share)
+		out := LimitEjections(nodes, sick, cells, reach, share)
 		if len(out) > max(1, int(share*float64(len(nodes)))) {
 			t.Fatalf("%d of %d nodes are ejected", len(out), len(nodes))
 		}
 		held := func(s int, without map[uint64]bool) bool {
-			return slices.ContainsFunc(nodes, func(n Holder) bool {
+			return slices.ContainsFunc(nodes, func(n ListedNode) bool {
 				return n.Up && !without[n.ID] && (n.Cell-s%cells+cells)%cells < reach
 			})
 		}
@@ -380,13 +380,13 @@
 				t.Fatalf("shard %d lost its last node: %v", s, out)
 			}
 		}
-		more := Guard(nodes, append(slices.Clone(sick), 0), cells, reach, share)
+		more := LimitEjections(nodes, append(slices.Clone(sick), 0), cells, reach, share)
 		for id := range out {
 			if !more[id] {
 				t.Fatalf("node %d is not ejected any more after another node became sick", id)
 			}
 		}
-		if len(Guard(nodes, sick, cells, reach, 0)) > 0 {
+		if len(LimitEjections(nodes, sick, cells, reach, 0)) > 0 {
 			t.Fatal("nodes are ejected although the share is 0")
 		}
 	})
@@ -395,24 +395,24 @@
 // Any input is handled or rejected, and state and messages stay within their bounds.
 func FuzzOutlierDetector(f *testing.F) {
 	c := newDetectorFleet(3, 4, []string{"a"}, 8, 1)
-	c.outcome = func(_, n int) (Ending, Micros) { return Broken, 1 }
+	c.outcome = func(_, n int) (Outcome, Micros) { return Failed, 1 }
 	c.period()
-	for _, s := range c.detectors[0].Tick(c.now+simPeriod, []Voter{{"m0001", "a"}}, 3, true) {
+	for _, s := range c.detectors[0].Tick(c.now+simPeriod, []Member{{"m0001", "a"}}, 3, true) {
 		f.Add(s.Data)
 	}
 	f.Add([]byte{msgTallyQuery, 1, 2, 3, 4, 5, 6, 7, 8, 255, 255})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		j := NewJury(Voter{"m", "a"}, simPeriod, maxMessage)
-		out, ok := j.Receive(5*simPeriod, Voter{"o", "b"}, data)
+		j := NewOutlierDetector(Member{"m", "a"}, simPeriod, maxMessage)
+		out, ok := j.Receive(5*simPeriod, Member{"o", "b"}, data)
 		if !ok && len(out) > 0 {
 			t.Fatal("a malformed message is answered")
 		}
-		for _, s := range append(out, j.Tick(6*simPeriod, []Voter{{"o", "b"}}, 2, true)...) {
+		for _, s := range append(out, j.Tick(6*simPeriod, []Member{{"o", "b"}}, 2, true)...) {
 			if len(s.Data) > maxMessage {
 				t.Fatalf("a message of %d bytes", len(s.Data))
 			}
 		}
-		j.Judge(20 * simPeriod)
+		j.Outliers(20 * simPeriod)
 		if len(j.cases) > maxCases {
 			t.Fatalf("%d cases", len(j.cases))
 		}
@@ -423,14 +423,14 @@
 func TestEvidenceIsBounded(t *testing.T) {
 	w := NewWitness(simPeriod)
 	for n := range uint64(2 * maxNodes) {
-		w.See(simPeriod, n, int(n), Broken, 1)
-		w.See(simPeriod, n, int(n), Served, 1)
+		w.Observe(simPeriod, n, int(n), Failed, 1)
+		w.Observe(simPeriod, n, int(n), Served, 1)
 	}
 	if len(w.nodes) > maxNodes || len(w.medians) > maxClasses {
 		t.Errorf("%d nodes, %d classes", len(w.nodes), len(w.medians))
 	}
 	c := newDetectorFleet(30, 200, []string{"a", "b", "c"}, 20, 1)
-	c.outcome = func(int, int) (Ending, Micros) { return Broken, 1 }
+	c.outcome = func(int, int) (Outcome, Micros) { return Failed, 1 }
 	for range 20 {
 		c.period()
 	}
@@ -448,20 +448,20 @@
 	w := NewWitness(simPeriod)
 	b.ReportAllocs()
 	for i := range b.N {
-		w.See(Micros(i), uint64(i%200), i%4, Served, 10_000)
+		w.Observe(Micros(i), uint64(i%200), i%4, Served, 10_000)
 	}
 }
 
 // BenchmarkLimitEjections measures one call with a list of 200 nodes, 20 of them sick.
 func BenchmarkLimitEjections(b *testing.B) {
-	var nodes []Holder
+	var nodes []ListedNode
 	var sick []uint64
 	for i := range uint64(200) {
-		if nodes = append(nodes, Holder{i, int(i % 10), true}); i%10 == 0 {
+		if nodes = append(nodes, ListedNode{i, int(i % 10), true}); i%10 == 0 {
 			sick = append(sick, i)
 		}
 	}
 	for b.Loop() {
-		Guard(nodes, sick, 10, 2, 0.25)
+		LimitEjections(nodes, sick, 10, 2, 0.25)
 	}
 }
--- a/internal/verdict/gossip.go
+++ b/internal/verdict/gossip.go
@@ -31,7 +31,7 @@
 )
 
 // Message is a message to another member.
-type Send struct {
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -49,12 +49,12 @@
 
 // Peer is another member that is alive. Digest is what it last announced; 0: nothing yet.
 type Peer struct {
-	Name string
-	Sum  uint32
+	Name   string
+	Digest uint32
 }
 
 // Gossiper replicates a table to the other members.
-type Spreader struct {
+type Gossiper struct {
 	*Table
 	rng           *rand.PCG
 	maxMessage    int // maximum size of a message, in bytes
@@ -62,7 +62,7 @@
 	pushesLeft    int // datagrams left in this period for pushing new entries
 	peers         []Peer
 	nextPeer      int
-	outbox        []Send
+	outbox        []Message
 	acks          map[string][]*entry // acknowledgements to send to the issuers and senders of entries
 	synced        bool
 	noneSynced    int   // consecutive periods in which no synced member was seen
@@ -70,13 +70,13 @@
 }
 
 // NewGossiper returns a gossiper for a table. Its messages have at most maxMessage bytes.
-func NewSpreader(t *Table, seed uint64, maxMessage int) *Spreader {
-	return &Spreader{Table: t, rng: rand.NewPCG(seed, 3), maxMessage: maxMessage,
+func NewGossiper(t *Table, seed uint64, maxMessage int) *Gossiper {
+	return &Gossiper{Table: t, rng: rand.NewPCG(seed, 3), maxMessage: maxMessage,
 		acks: map[string][]*entry{}}
 }
 
 // AnnouncedDigest returns what this member announces: its digest, or UnsyncedDigest until it is synced.
-func (s *Spreader) Announce() uint32 {
+func (s *Gossiper) AnnouncedDigest() uint32 {
 	if !s.synced {
 		return UnsyncedDigest
 	}
@@ -84,34 +84,34 @@
 }
 
 // Synced reports whether this member has merged the table of another one, or there is none to merge.
-func (s *Spreader) Told() bool { return s.synced }
+func (s *Gossiper) Synced() bool { return s.synced }
 
 // TakePending returns and clears the messages to send and the changes to carry out.
-func (s *Spreader) Take() ([]Send, []Change) {
+func (s *Gossiper) TakePending() ([]Message, []Change) {
 	s.flushAcks()
 	out := s.outbox
 	s.outbox = nil
 	return out, s.Table.TakeChanges()
 }
 
-func (s *Spreader) send(to string, b []byte) bool {
+func (s *Gossiper) send(to string, b []byte) bool {
 	if s.datagramsLeft <= 0 {
 		return false
 	}
 	s.datagramsLeft--
 	s.Sent++
-	s.outbox = append(s.outbox, Send{To: to, Data: b})
+	s.outbox = append(s.outbox, Message{To: to, Data: b})
 	return true
 }
 
 // Tick must be called once per period with the other members that are alive.
-func (s *Spreader) Tick(now Micros, peers []Peer) {
+func (s *Gossiper) Tick(now Micros, peers []Peer) {
 	s.peers = peers
 	s.datagramsLeft, s.pushesLeft = maxDatagrams, maxDatagrams
 	s.Expire(now)
 	alive := make(map[string]uint32, len(peers))
 	for _, p := range peers {
-		alive[p.Name] = p.Sum
+		alive[p.Name] = p.Digest
 	}
 	all := true
 	for _, e := range s.entries {
@@ -126,14 +126,14 @@
 	var differ []Peer
 	unsyncedPeers, syncedPeers := 0, 0
 	for _, p := range peers {
-		if p.Sum != 0 && p.Sum != UnsyncedDigest {
+		if p.Digest != 0 && p.Digest != UnsyncedDigest {
 			syncedPeers++
 		}
 		switch {
-		case p.Sum == 0:
-		case p.Sum == UnsyncedDigest: // it starts the comparison itself, and its own table is incomplete
+		case p.Digest == 0:
+		case p.Digest == UnsyncedDigest: // it starts the comparison itself, and its own table is incomplete
 			unsyncedPeers++
-		case p.Sum == s.Digest():
+		case p.Digest == s.Digest():
 			s.markHolder(p.Name)
 			s.synced = s.synced || all
 		default:
@@ -153,7 +153,7 @@
 }
 
 // markHolder notes that a member has all entries that are applied here.
-func (s *Spreader) markHolder(name string) {
+func (s *Gossiper) markHolder(name string) {
 	for _, e := range s.entries {
 		if e.applied {
 			e.heldBy[name] = true
@@ -162,7 +162,7 @@
 }
 
 // sendOwn sends the entries that this member issued to the members not known to have them, in turn.
-func (s *Spreader) sendOwn(now Micros, maxMessages int) {
+func (s *Gossiper) sendOwn(now Micros, maxMessages int) {
 	for range s.peers {
 		s.nextPeer++
 		p := s.peers[s.nextPeer%len(s.peers)].Name
@@ -190,7 +190,7 @@
 
 // Push sends an entry that is new here to some members immediately: to up to a period's budget of members if
 // this member issued it, otherwise to a few.
-func (s *Spreader) Push(now Micros, v Verdict) {
+func (s *Gossiper) Push(now Micros, v Verdict) {
 	i, ok := s.find(&v)
 	if !ok || len(s.peers) == 0 {
 		return
@@ -206,7 +206,7 @@
 				return // many entries at once: the next periods send the others
 			}
 			s.Sent++
-			s.outbox = append(s.outbox, Send{To: p.Name, Data: s.appendEntry([]byte{msgEntries}, now, s.entries[i])})
+			s.outbox = append(s.outbox, Message{To: p.Name, Data: s.appendEntry([]byte{msgEntries}, now, s.entries[i])})
 		}
 	}
 }
@@ -214,7 +214,7 @@
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // appendEntry adds an entry to a message. If there is no room it returns the message unchanged.
-func (s *Spreader) appendEntry(b []byte, now Micros, e *entry) []byte {
+func (s *Gossiper) appendEntry(b []byte, now Micros, e *entry) []byte {
 	start := len(b)
 	flags := byte(0)
 	if e.On {
@@ -248,23 +248,23 @@
 
 // readVerdict decodes one entry.
 func readVerdict(r *datagram.Reader) (v Verdict, age Micros) {
-	head := r.Take(2)
+	head := r.Bytes(2)
 	v.Kind, v.On, v.Word = Kind(head[0]), head[1]&1 == 1, PrefixAction(head[1]>>1)
 	v.Stamp = r.U64()
 	a, span := r.U64(), r.U64()
 	v.What, v.Member, v.By, v.Reason = r.Text(MaxWhat), r.Text(maxMemberName), r.Text(MaxBy), r.Text(MaxReason)
-	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > Path || v.What == "" || a > maxAge ||
+	r.Bad = r.Bad || v.Word > Pin || v.Kind < Node || v.Kind > SickPath || v.What == "" || a > maxAge ||
 		span > maxAge
 	v.Span = Micros(span)
 	return v, Micros(a)
 }
 
 // Receive handles a message from another member. It returns false if the message is malformed.
-func (s *Spreader) Receive(now Micros, from string, data []byte) bool {
+func (s *Gossiper) Receive(now Micros, from string, data []byte) bool {
 	if len(data) == 0 {
 		return false
 	}
-	r := &datagram.Reader{B: data[1:]}
+	r := &datagram.Reader{Rest: data[1:]}
 	switch data[0] {
 	case msgEntries:
 		type item struct {
@@ -272,7 +272,7 @@
 			age Micros
 		}
 		var list []item
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			v, age := readVerdict(r)
 			list = append(list, item{v, age})
 		}
@@ -291,7 +291,7 @@
 		}
 	case msgSums:
 		salt := r.U32()
-		theirs := r.Take(2 * buckets)
+		theirs := r.Bytes(2 * buckets)
 		if r.Bad {
 			return false
 		}
@@ -300,7 +300,7 @@
 		return s.compareStamps(now, from, r)
 	case msgRequest:
 		var wanted []uint32
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			wanted = append(wanted, r.U32())
 		}
 		if r.Bad {
@@ -308,7 +308,7 @@
 		}
 		s.sendEntries(now, from, func(e *entry) bool { return slices.Contains(wanted, e.hash) })
 	case msgAck:
-		for len(r.B) > 0 && !r.Bad {
+		for len(r.Rest) > 0 && !r.Bad {
 			hash, stamp := r.U32(), r.U64()
 			for _, e := range s.entries {
 				if !r.Bad && e.hash == hash && e.Stamp == stamp {
@@ -324,7 +324,7 @@
 }
 
 // Applied notes that a verdict has been carried out here, and queues an acknowledgement to its issuer.
-func (s *Spreader) Applied(v Verdict) {
+func (s *Gossiper) Applied(v Verdict) {
 	s.Table.Applied(v)
 	if i, ok := s.find(&v); ok && s.entries[i].applied && v.Member != s.self {
 		s.acks[v.Member] = append(s.acks[v.Member], s.entries[i])
@@ -332,7 +332,7 @@
 }
 
 // flushAcks acknowledges entries that are applied here to the members that issued or sent them.
-func (s *Spreader) flushAcks() {
+func (s *Gossiper) flushAcks() {
 	for _, to := range slices.Sorted(maps.Keys(s.acks)) {
 		for list := s.acks[to]; len(list) > 0; {
 			b := []byte{msgAck}
@@ -341,14 +341,14 @@
 				b = binary.LittleEndian.AppendUint64(b, list[0].Stamp)
 				list = list[1:]
 			}
-			s.outbox = append(s.outbox, Send{To: to, Data: b})
+			s.outbox = append(s.outbox, Message{To: to, Data: b})
 		}
 	}
 	clear(s.acks)
 }
 
 // bucketSums returns the sums of the entries by bucket, which is the high bits of the hash.
-func (s *Spreader) bucketSums(salt uint32) (sums [buckets]uint16) {
+func (s *Gossiper) bucketSums(salt uint32) (sums [buckets]uint16) {
 	for _, e := range s.entries {
 		sums[e.hash>>26] += uint16(e.saltedSum(salt))
 	}
@@ -357,7 +357,7 @@
 
 // sendSums sends the bucket sums to a member, which answers with the buckets that differ. The salt is new
 // each time, so that a collision of two different buckets does not repeat.
-func (s *Spreader) sendSums(to string) {
+func (s *Gossiper) sendSums(to string) {
 	salt := uint32(s.rng.Uint64())
 	b := binary.LittleEndian.AppendUint32([]byte{msgSums}, salt)
 	for _, x := range s.bucketSums(salt) {
@@ -367,7 +367,7 @@
 }
 
 // sendStamps sends the stamps in the buckets that differ. Each datagram states the range of hashes it covers.
-func (s *Spreader) sendStamps(to string, salt uint32, theirs []byte) {
+func (s *Gossiper) sendStamps(to string, salt uint32, theirs []byte) {
 	own := s.bucketSums(salt)
 	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
@@ -413,10 +413,10 @@
 
 // compareStamps compares another member's stamps in a range with the own ones. It sends the entries that are
 // newer here, and requests those that are newer there.
-func (s *Spreader) compareStamps(now Micros, from string, r *datagram.Reader) bool {
+func (s *Gossiper) compareStamps(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
-	for len(r.B) > 0 && !r.Bad {
+	for len(r.Rest) > 0 && !r.Bad {
 		h := r.U32()
 		theirs[h] = max(theirs[h], r.U64())
 	}
@@ -454,7 +454,7 @@
 }
 
 // sendEntries sends the chosen entries, as many per datagram as fit.
-func (s *Spreader) sendEntries(now Micros, to string, chosen func(e *entry) bool) {
+func (s *Gossiper) sendEntries(now Micros, to string, chosen func(e *entry) bool) {
 	b := []byte{msgEntries}
 	for _, e := range s.entries {
 		if !chosen(e) {
--- a/internal/verdict/observer.go
+++ b/internal/verdict/observer.go
@@ -22,22 +22,22 @@
 )
 
 // Outcome is the outcome of an attempt, as far as it is evidence about the node.
-type Ending uint8
+type Outcome uint8
 
 // The outcomes that count. A rejection by a full node is not among them: overload is not sickness.
 const (
-	Served  Ending = iota // answered; late if it took long
-	Broken                // an error, a lost connection, or no connection
-	Unheard               // no answer before the time-out; ignored if the time-out was very short
-	GivenUp               // cancelled; late if it had already taken long, otherwise ignored
-	Beaten                // cancelled, as a later attempt of the same part was answered first
+	Served    Outcome = iota // answered; late if it took long
+	Failed                   // an error, a lost connection, or no connection
+	TimedOut                 // no answer before the time-out; ignored if the time-out was very short
+	Cancelled                // cancelled; late if it had already taken long, otherwise ignored
+	HedgeWon                 // cancelled, as a later attempt of the same part was answered first
 )
 
 // Tally is one member's count of one node's outcomes: the bad ones of the current bout, and the good ones
 // since the bout began or since the time that an evaluator asked about, whichever are more.
 type Tally struct {
 	Good, Bad, Late uint16
-	First           uint16 // age of the first bad outcome, in periods
+	FirstBadAge     uint16 // age of the first bad outcome, in periods
 }
 
 // sick reports whether there are bad outcomes, and no fewer than good ones.
@@ -93,9 +93,9 @@
 }
 
 // Observe records the outcome and the duration of an attempt.
-func (w *Witness) See(now Micros, node uint64, class int, e Ending, elapsed Micros) {
+func (w *Witness) Observe(now Micros, node uint64, class int, e Outcome, elapsed Micros) {
 	late := w.isLate(class, elapsed, e == Served)
-	if e == GivenUp && !late || e == Unheard && !late && elapsed < minLate {
+	if e == Cancelled && !late || e == TimedOut && !late && elapsed < minLate {
 		return
 	}
 	n := w.nodes[node]
@@ -114,7 +114,7 @@
 		n.recordServed(w.slot(now))
 		return
 	}
-	if e == Beaten {
+	if e == HedgeWon {
 		if n.hedgeWins++; n.hedgeWins < minHedgeWins {
 			return
 		}
@@ -123,7 +123,7 @@
 		n.firstBad, n.boutGood = now, 0
 	}
 	n.lastBad, n.goodRun = now, 0
-	if e == Broken || e == Unheard {
+	if e == Failed || e == TimedOut {
 		n.bad++
 	} else {
 		n.late++
@@ -182,11 +182,11 @@
 		return Tally{Good: short(good)}
 	}
 	return Tally{Good: short(max(good, n.boutGood)), Bad: short(n.bad), Late: short(n.late),
-		First: short(int((now - n.firstBad) / w.period))}
+		FirstBadAge: short(int((now - n.firstBad) / w.period))}
 }
 
 // FailingNodes returns the nodes with recent bad outcomes, sorted by ID.
-func (w *Witness) Bouts() (ids []uint64) {
+func (w *Witness) FailingNodes() (ids []uint64) {
 	for id, n := range w.nodes {
 		if n.bad+n.late > 0 {
 			ids = append(ids, id)
--- a/internal/verdict/outliers.go
+++ b/internal/verdict/outliers.go
@@ -47,10 +47,10 @@
 )
 
 // Member is a member of the fleet that is alive.
-type Voter struct{ Name, Zone string }
+type Member struct{ Name, Zone string }
 
 // Outlier is a node that was found sick, for all members or for those of one zone.
-type Judgement struct {
+type Outlier struct {
 	Node        uint64
 	Zone        string // empty: for all members
 	Reason      string
@@ -85,24 +85,24 @@
 
 // OutlierDetector is one member's part in outlier detection: it reports its tallies to the evaluators of each
 // node, and is itself an evaluator of some nodes.
-type Jury struct {
+type OutlierDetector struct {
 	*Witness
-	self       Voter
+	self       Member
 	maxMessage int // maximum size of a message, in bytes
-	members    []Voter
+	members    []Member
 	fleetSize  int
 	reliable   bool
 	cases      map[uint64]*nodeCase
 	reported   map[uint64]lastReport
 	sent       int
-	outbox     []Send
+	outbox     []Message
 	// FaultSingleReporter is an injected fault for tests: one reporter suffices, and no opposing report counts.
 	FaultSingleReporter bool
 }
 
 // NewOutlierDetector returns a detector for the member self. Its messages have at most maxMessage bytes.
-func NewJury(self Voter, period Micros, maxMessage int) *Jury {
-	return &Jury{Witness: NewWitness(period), self: self, maxMessage: maxMessage, cases: map[uint64]*nodeCase{},
+func NewOutlierDetector(self Member, period Micros, maxMessage int) *OutlierDetector {
+	return &OutlierDetector{Witness: NewWitness(period), self: self, maxMessage: maxMessage, cases: map[uint64]*nodeCase{},
 		reported: map[uint64]lastReport{}}
 }
 
@@ -113,7 +113,7 @@
 // MaxSick returns how many nodes a group of members that see one another may declare sick at a time: the
 // given share of all nodes, in proportion to the group's part of the fleet. So the sides of a partition
 // together stay within the share. If that is less than one node, a majority may declare one.
-func MayBeOut(nodes int, share float64, alive, size int) int {
+func MaxSick(nodes int, share float64, alive, size int) int {
 	n := int(share * float64(nodes) * float64(alive) / float64(max(1, size)))
 	if n == 0 && share > 0 && nodes > 1 && 2*alive > size {
 		return 1
@@ -123,9 +123,9 @@
 
 // evaluatorsOf returns the evaluators of a node: the first members by rendezvous hashing (Thaler and
 // Ravishankar, 1998, §3), so that all members choose the same ones without communication.
-func (j *Jury) evaluatorsOf(node uint64) []Voter {
+func (j *OutlierDetector) evaluatorsOf(node uint64) []Member {
 	type ranked struct {
-		Voter
+		Member
 		rank uint64
 	}
 	var best []ranked
@@ -139,27 +139,27 @@
 		best = slices.Insert(best, i, x)
 		best = best[:min(len(best), evaluatorsPerNode)]
 	}
-	out := make([]Voter, len(best))
+	out := make([]Member, len(best))
 	for i, x := range best {
-		out[i] = x.Voter
+		out[i] = x.Member
 	}
 	return out
 }
 
-func (j *Jury) send(to string, b []byte) bool {
+func (j *OutlierDetector) send(to string, b []byte) bool {
 	if j.sent >= maxReportDatagrams {
 		return false
 	}
 	j.sent++
-	j.outbox = append(j.outbox, Send{To: to, Data: b})
+	j.outbox = append(j.outbox, Message{To: to, Data: b})
 	return true
 }
 
 // Tick must be called once per period with the other members that are alive, the size of the fleet including
 // dead members, and whether this member is healthy otherwise. It returns the messages to send.
-func (j *Jury) Tick(now Micros, others []Voter, size int, healthy bool) []Send {
+func (j *OutlierDetector) Tick(now Micros, others []Member, size int, healthy bool) []Message {
 	j.Expire(now)
-	j.members = append([]Voter{j.self}, others...)
+	j.members = append([]Member{j.self}, others...)
 	j.fleetSize, j.sent = max(size, len(j.members)), 0
 	j.reliable = healthy && j.Reliable(now)
 	j.reportTallies(now)
@@ -171,14 +171,14 @@
 
 func appendTally(b []byte, node uint64, t Tally) []byte {
 	b = binary.LittleEndian.AppendUint64(b, node)
-	for _, x := range [...]uint16{t.Good, t.Bad, t.Late, t.First} {
+	for _, x := range [...]uint16{t.Good, t.Bad, t.Late, t.FirstBadAge} {
 		b = binary.LittleEndian.AppendUint16(b, x)
 	}
 	return b
 }
 
 // tallyHeader returns the header of a message with tallies.
-func (j *Jury) tallyHeader(answer bool) []byte {
+func (j *OutlierDetector) tallyHeader(answer bool) []byte {
 	flags := byte(0)
 	if j.reliable {
 		flags |= flagReliable
@@ -191,8 +191,8 @@
 
 // reportTallies reports each failing node to its evaluators if the tally has changed or the last report is
 // old. A node that has recovered is reported once more.
-func (j *Jury) reportTallies(now Micros) {
-	failing := j.Bouts()
+func (j *OutlierDetector) reportTallies(now Micros) {
+	failing := j.FailingNodes()
 	for id := range j.reported {
 		if _, isFailing := slices.BinarySearch(failing, id); !isFailing {
 			failing = append(failing, id)
@@ -239,7 +239,7 @@
 // record stores a member's report on a node, and opens a case for the node if there are bad outcomes. Only an
 // answer to a query counts all good outcomes since the case began, so an unsolicited report does not lower
 // their number.
-func (j *Jury) record(now Micros, from Voter, node uint64, t Tally, reliable, answer bool) {
+func (j *OutlierDetector) record(now Micros, from Member, node uint64, t Tally, reliable, answer bool) {
 	c := j.cases[node]
 	if c == nil {
 		if t.failures() == 0 || len(j.cases) >= maxCases {
@@ -255,12 +255,12 @@
 }
 
 // isAlive reports whether a member is alive.
-func (j *Jury) isAlive(name string) bool {
-	return slices.ContainsFunc(j.members, func(v Voter) bool { return v.Name == name })
+func (j *OutlierDetector) isAlive(name string) bool {
+	return slices.ContainsFunc(j.members, func(v Member) bool { return v.Name == name })
 }
 
 // queryMembers asks other members for their tallies of the nodes under evaluation here.
-func (j *Jury) queryMembers(now Micros) {
+func (j *OutlierDetector) queryMembers(now Micros) {
 	queries := map[string][]byte{}
 	ids := make([]uint64, 0, len(j.cases))
 	for id := range j.cases {
@@ -276,7 +276,7 @@
 				continue
 			}
 			failures += r.failures()
-			periods = max(periods, r.age(now, j.period, r.First))
+			periods = max(periods, r.age(now, j.period, r.FirstBadAge))
 		}
 		if failures == 0 {
 			delete(j.cases, id)
@@ -316,37 +316,37 @@
 
 // Receive handles a message from another member. It returns the messages to send, and false if the message is
 // malformed.
-func (j *Jury) Receive(now Micros, from Voter, data []byte) (out []Send, ok bool) {
+func (j *OutlierDetector) Receive(now Micros, from Member, data []byte) (out []Message, ok bool) {
 	if len(data) < 2 {
 		return nil, false
 	}
-	switch r := (&datagram.Reader{B: data[1:]}); data[0] {
+	switch r := (&datagram.Reader{Rest: data[1:]}); data[0] {
 	case msgTally:
 		flags := r.U8()
-		if flags > flagReliable|flagAnswer || len(r.B)%tallySize != 0 {
+		if flags > flagReliable|flagAnswer || len(r.Rest)%tallySize != 0 {
 			return nil, false
 		}
-		for len(r.B) > 0 {
+		for len(r.Rest) > 0 {
 			id := r.U64()
 			var t Tally
-			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.First} {
+			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.FirstBadAge} {
 				*x = r.U16()
 			}
 			j.record(now, from, id, t, flags&flagReliable != 0, flags&flagAnswer != 0)
 		}
 	case msgTallyQuery:
-		if len(r.B)%querySize != 0 {
+		if len(r.Rest)%querySize != 0 {
 			return nil, false
 		}
 		b := j.tallyHeader(true)
-		for len(r.B) > 0 {
+		for len(r.Rest) > 0 {
 			id := r.U64()
 			periods := int(r.U16())
 			if len(b)+tallySize <= j.maxMessage {
 				b = appendTally(b, id, j.Tally(now, id, periods))
 			}
 		}
-		return []Send{{To: from.Name, Data: b}}, true
+		return []Message{{To: from.Name, Data: b}}, true
 	default:
 		return nil, false
 	}
@@ -354,7 +354,7 @@
 }
 
 // ClearEvidence removes all evidence about a node.
-func (j *Jury) Acquit(node uint64) {
+func (j *OutlierDetector) ClearEvidence(node uint64) {
 	delete(j.nodes, node)
 	delete(j.cases, node)
 	delete(j.reported, node)
@@ -369,7 +369,7 @@
 }
 
 // Outliers returns the nodes that are sick by the reports received.
-func (j *Jury) Judge(now Micros) (out []Judgement) {
+func (j *OutlierDetector) Outliers(now Micros) (out []Outlier) {
 	ids := make([]uint64, 0, len(j.cases))
 	for id := range j.cases {
 		ids = append(ids, id)
@@ -389,7 +389,7 @@
 }
 
 // evaluate decides whether one node is sick.
-func (j *Jury) evaluate(now Micros, c *nodeCase) (Judgement, bool) {
+func (j *OutlierDetector) evaluate(now Micros, c *nodeCase) (Outlier, bool) {
 	zones := map[string]*zoneCount{}
 	all := &zoneCount{}
 	for _, name := range sortedNames(c.reports) {
@@ -421,7 +421,7 @@
 		}
 	}
 	if all.sick(need) && badZones >= min(2, len(alive)) {
-		return Judgement{Reason: all.reason(len(zones)), FirstBadAge: all.firstBadAge}, true
+		return Outlier{Reason: all.reason(len(zones)), FirstBadAge: all.firstBadAge}, true
 	}
 	var worst *zoneCount
 	for _, name := range sortedNames(zones) {
@@ -431,9 +431,9 @@
 		}
 	}
 	if worst == nil || len(alive) < 2 || 2*len(j.members) <= j.fleetSize {
-		return Judgement{}, false
+		return Outlier{}, false
 	}
-	return Judgement{Zone: worst.zone, Reason: worst.reason(1), FirstBadAge: worst.firstBadAge}, true
+	return Outlier{Zone: worst.zone, Reason: worst.reason(1), FirstBadAge: worst.firstBadAge}, true
 }
 
 func sortedNames[T any](m map[string]T) []string {
@@ -454,7 +454,7 @@
 	z.failures += r.failures()
 	z.bad += int(r.Bad)
 	z.late += int(r.Late)
-	z.firstBadAge = max(z.firstBadAge, r.age(now, period, r.First))
+	z.firstBadAge = max(z.firstBadAge, r.age(now, period, r.FirstBadAge))
 }
 
 // sick reports whether enough members have seen enough bad outcomes, and the first one is old enough that
--- a/internal/verdict/table.go
+++ b/internal/verdict/table.go
@@ -36,8 +36,8 @@
 	Prefix                 // a prefix of client addresses
 	// Setting is one member's value of a setting that all members have: What is NAME@MEMBER, Reason the value.
 	Setting
-	Sick // a data node that is sick by pooled evidence, see OutlierDetector
-	Path // a data node that is sick for the members of one zone: What is NODE@ZONE
+	SickNode // a data node that is sick by pooled evidence, see OutlierDetector
+	SickPath // a data node that is sick for the members of one zone: What is NODE@ZONE
 )
 
 // PrefixAction is what a verdict on a prefix does.
@@ -57,9 +57,9 @@
 		return "prefix_banned"
 	case v.Kind == Setting:
 		return "setting"
-	case v.Kind == Sick:
+	case v.Kind == SickNode:
 		return "node_sick"
-	case v.Kind == Path:
+	case v.Kind == SickPath:
 		return "path_sick"
 	}
 	return "node_out"
@@ -67,8 +67,8 @@
 
 // Errors of Issue.
 var (
-	ErrFull = errors.New("no room for another verdict")
-	ErrForm = errors.New("a name is missing or too long")
+	ErrFull    = errors.New("no room for another verdict")
+	ErrInvalid = errors.New("a name is missing or too long")
 )
 
 // Verdict is a decision on one subject.
@@ -111,9 +111,9 @@
 // Change is a verdict that has come into force or ended, and has to be carried out. Applied must then be
 // called with the same verdict.
 type Change struct {
-	Verdict Verdict
-	Holds   bool
-	Left    Micros // remaining duration; 0: until it is withdrawn
+	Verdict   Verdict
+	InForce   bool
+	Remaining Micros // remaining duration; 0: until it is withdrawn
 }
 
 // Table holds all verdicts that a member knows.
@@ -137,9 +137,9 @@
 
 // Issue issues a verdict at this member. wall is its wall clock in milliseconds, which only orders verdicts
 // that were issued without knowledge of each other.
-func (t *Table) Say(now Micros, wall int64, v Verdict) (Verdict, error) {
+func (t *Table) Issue(now Micros, wall int64, v Verdict) (Verdict, error) {
 	if v.What == "" || len(v.What) > MaxWhat || len(v.By) > MaxBy || len(v.Reason) > MaxReason || v.Span < 0 {
-		return v, ErrForm
+		return v, ErrInvalid
 	}
 	t.clock = max(t.clock, uint64(max(0, wall))<<counterBits) + 1
 	v.Stamp, v.Member = t.clock, t.self
@@ -175,9 +175,9 @@
 	}
 	*e = entry{Verdict: v, hash: hashOf(&v), issuedAt: now - age, heldBy: map[string]bool{}}
 	e.endReported = !v.inForce(age)
-	c := Change{Verdict: v, Holds: !e.endReported}
+	c := Change{Verdict: v, InForce: !e.endReported}
 	if v.Span > 0 {
-		c.Left = max(0, v.Span-age)
+		c.Remaining = max(0, v.Span-age)
 	}
 	t.changes = append(t.changes, c)
 	return true
@@ -268,15 +268,15 @@
 }
 
 // Status is one verdict as operators see it.
-type Line struct {
+type Status struct {
 	Verdict
-	Age  Micros
-	Held []string // members known to have applied it, including this one if it has
+	Age    Micros
+	HeldBy []string // members known to have applied it, including this one if it has
 }
 
 // InForce returns all verdicts that are in force.
-func (t *Table) Lines(now Micros) []Line {
-	var out []Line
+func (t *Table) InForce(now Micros) []Status {
+	var out []Status
 	for _, e := range t.entries {
 		if e.inForce(now - e.issuedAt) {
 			out = append(out, t.status(now, e))
@@ -298,23 +298,23 @@
 }
 
 // Lookup returns the entry on a subject, whether in force or not.
-func (t *Table) Line(now Micros, kind Kind, what string) (Line, bool) {
+func (t *Table) Lookup(now Micros, kind Kind, what string) (Status, bool) {
 	i, ok := t.find(&Verdict{Kind: kind, What: what})
 	if !ok {
-		return Line{}, false
+		return Status{}, false
 	}
 	return t.status(now, t.entries[i]), true
 }
 
-func (t *Table) status(now Micros, e *entry) Line {
-	l := Line{Verdict: e.Verdict, Age: now - e.issuedAt}
+func (t *Table) status(now Micros, e *entry) Status {
+	l := Status{Verdict: e.Verdict, Age: now - e.issuedAt}
 	for member := range e.heldBy {
-		l.Held = append(l.Held, member)
+		l.HeldBy = append(l.HeldBy, member)
 	}
 	if e.applied {
-		l.Held = append(l.Held, t.self)
+		l.HeldBy = append(l.HeldBy, t.self)
 	}
-	slices.Sort(l.Held)
+	slices.Sort(l.HeldBy)
 	return l
 }
 
@@ -325,7 +325,7 @@
 }
 
 // Snapshot returns the whole table.
-func (t *Table) Save(now Micros) []Saved {
+func (t *Table) Snapshot(now Micros) []Saved {
 	out := make([]Saved, 0, len(t.entries))
 	for _, e := range t.entries {
 		out = append(out, Saved{Verdict: e.Verdict, Age: now - e.issuedAt})
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -64,8 +64,8 @@
 		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two issuers
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
-				one, _ := tables[0].Say(0, 1_000_000, nodeVerdict("n", true))
-				two, _ := tables[1].Say(0, 1_000_000+gap, nodeVerdict("n", false))
+				one, _ := tables[0].Issue(0, 1_000_000, nodeVerdict("n", true))
+				two, _ := tables[1].Issue(0, 1_000_000+gap, nodeVerdict("n", false))
 				for i, table := range tables {
 					list := []Verdict{one, two}
 					if order>>i&1 == 1 {
@@ -82,8 +82,8 @@
 					}
 				}
 				for _, table := range tables[1:] {
-					if l, _ := table.Line(0, Node, "n"); l.On != func() bool {
-						x, _ := tables[0].Line(0, Node,
+					if l, _ := table.Lookup(0, Node, "n"); l.On != func() bool {
+						x, _ := tables[0].Lookup(0, Node,
 							"n")
 						return x.On
 					}() {
@@ -106,13 +106,13 @@
 // has jumped back.
 func TestLaterVerdictWins(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v, _ := a.Say(0, 9_000_000, nodeVerdict("n", true))
+	v, _ := a.Issue(0, 9_000_000, nodeVerdict("n", true))
 	b.Merge(0, v, 0)
-	w, _ := b.Say(0, 1_000, nodeVerdict("n", false)) // b's clock is far behind
+	w, _ := b.Issue(0, 1_000, nodeVerdict("n", false)) // b's clock is far behind
 	if !a.Merge(0, w, 0) {
 		t.Fatal("the later verdict is not merged")
 	}
-	x, _ := a.Say(0, 500, nodeVerdict("n", true)) // a's clock has jumped back
+	x, _ := a.Issue(0, 500, nodeVerdict("n", true)) // a's clock has jumped back
 	if !b.Merge(0, x, 0) || !x.supersedes(&w) {
 		t.Fatal("a verdict issued after a clock jumped back does not supersede the earlier one")
 	}
@@ -124,20 +124,20 @@
 	a, b := NewTable("a"), NewTable("b")
 	v := nodeVerdict("n", true)
 	v.Span = 10 * second
-	v, _ = a.Say(0, 1, v)
+	v, _ = a.Issue(0, 1, v)
 	b.Merge(4*second, v, 4*second)
 	a.TakeChanges()
 	b.TakeChanges()
 	for _, table := range []*Table{a, b} {
 		table.Expire(9 * second)
-		if len(table.TakeChanges()) > 0 || len(table.Lines(9*second)) != 1 {
+		if len(table.TakeChanges()) > 0 || len(table.InForce(9*second)) != 1 {
 			t.Fatal("the verdict ends early")
 		}
 		table.Expire(10 * second)
-		if c := table.TakeChanges(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
+		if c := table.TakeChanges(); len(c) != 1 || c[0].InForce || len(table.InForce(10*second)) != 0 {
 			t.Fatalf("%+v", c)
 		}
-		if table.Merge(11*second, v, second) || len(table.Lines(11*second)) > 0 {
+		if table.Merge(11*second, v, second) || len(table.InForce(11*second)) > 0 {
 			t.Fatal("a late message brings the verdict back")
 		}
 		table.Expire(10*second + RetainEnded)
@@ -153,17 +153,17 @@
 func TestTableIsBounded(t *testing.T) {
 	table := NewTable("a")
 	for i := range MaxEntries {
-		if _, err := table.Say(0, 0, nodeVerdict(fmt.Sprint("n", i), i > 0)); err != nil {
+		if _, err := table.Issue(0, 0, nodeVerdict(fmt.Sprint("n", i), i > 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := table.Say(0, 0, nodeVerdict("one more", true)); err != nil {
+	if _, err := table.Issue(0, 0, nodeVerdict("one more", true)); err != nil {
 		t.Fatal("the withdrawn verdict was not evicted:", err)
 	}
-	if _, err := table.Say(0, 0, nodeVerdict("and one", true)); err == nil || table.Len() != MaxEntries {
+	if _, err := table.Issue(0, 0, nodeVerdict("and one", true)); err == nil || table.Len() != MaxEntries {
 		t.Fatalf("%d entries", table.Len())
 	}
-	if _, err := table.Say(0, 0, nodeVerdict("", true)); err == nil {
+	if _, err := table.Issue(0, 0, nodeVerdict("", true)); err == nil {
 		t.Fatal("a verdict without a subject was issued")
 	}
 }
@@ -171,7 +171,7 @@
 // gossipNet simulates members with lossy links.
 type gossipNet struct {
 	now       Micros
-	members   []*Spreader
+	members   []*Gossiper
 	rng       *rand.Rand
 	loss      float64
 	sent      int
@@ -182,7 +182,7 @@
 	w := &gossipNet{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss,
 		connected: func(int, int) bool { return true }}
 	for i := range n {
-		w.members = append(w.members, NewSpreader(NewTable(memberName(i)), seed+uint64(i), maxMessage))
+		w.members = append(w.members, NewGossiper(NewTable(memberName(i)), seed+uint64(i), maxMessage))
 	}
 	return w
 }
@@ -201,11 +201,11 @@
 			p := Peer{Name: memberName(j)}
 			for _, known := range s.peers {
 				if known.Name == p.Name {
-					p.Sum = known.Sum
+					p.Digest = known.Digest
 				}
 			}
 			if w.rng.IntN(len(w.members)) < 3 { // probed in this period
-				p.Sum = o.Announce()
+				p.Digest = o.AnnouncedDigest()
 			}
 			peers = append(peers, p)
 		}
@@ -214,7 +214,7 @@
 	for active := true; active; {
 		active = false
 		for i, s := range w.members {
-			messages, changes := s.Take()
+			messages, changes := s.TakePending()
 			for _, c := range changes {
 				s.Applied(c.Verdict)
 				s.Push(w.now, c.Verdict)
@@ -266,7 +266,7 @@
 		w := newGossipNet(n, 0.3, uint64(n))
 		if w.runUntil(200, func() bool {
 			for _, s := range w.members {
-				if !s.Told() {
+				if !s.Synced() {
 					return false
 				}
 			}
@@ -274,7 +274,7 @@
 		}) < 0 {
 			t.Fatal("a new fleet does not become synced")
 		}
-		v, err := w.members[0].Say(w.now, 1, nodeVerdict("n", true))
+		v, err := w.members[0].Issue(w.now, 1, nodeVerdict("n", true))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -284,7 +284,7 @@
 		}
 		took := w.runUntil(limit, func() bool {
 			for _, s := range w.members {
-				if len(s.Lines(w.now)) != 1 {
+				if len(s.InForce(w.now)) != 1 {
 					return false
 				}
 			}
@@ -295,14 +295,14 @@
 		}
 		t.Logf("%d members: %d periods", n, took)
 		if w.runUntil(20*limit, func() bool {
-			l, _ := w.members[0].Line(w.now, Node, "n")
-			return len(l.Held) == n
+			l, _ := w.members[0].Lookup(w.now, Node, "n")
+			return len(l.HeldBy) == n
 		}) < 0 {
 			t.Fatal("the issuer does not learn which members have the verdict")
 		}
-		w.members[0] = NewSpreader(NewTable(memberName(0)), 99, maxMessage) // the issuer restarts
+		w.members[0] = NewGossiper(NewTable(memberName(0)), 99, maxMessage) // the issuer restarts
 		if w.runUntil(limit+4, func() bool {
-			return len(w.members[0].Lines(w.now)) == 1 && w.members[0].Told()
+			return len(w.members[0].InForce(w.now)) == 1 && w.members[0].Synced()
 		}) < 0 {
 			t.Fatal("a member that restarts without state does not get the verdict")
 		}
@@ -316,28 +316,28 @@
 // the table. If no member has it, each becomes synced after a few periods.
 func TestUnsyncedMembersDoNotSyncEachOther(t *testing.T) {
 	w := newGossipNet(6, 0, 9)
-	if w.runUntil(30, func() bool { return w.members[5].Told() }) < unsyncedPeriods {
+	if w.runUntil(30, func() bool { return w.members[5].Synced() }) < unsyncedPeriods {
 		t.Fatal("synced immediately by members without a table")
 	}
 	for range 10 {
 		w.round()
 	}
-	if _, err := w.members[0].Say(w.now, 1, nodeVerdict("n", true)); err != nil {
+	if _, err := w.members[0].Issue(w.now, 1, nodeVerdict("n", true)); err != nil {
 		t.Fatal(err)
 	}
 	w.round()
 	for i := 1; i < 6; i++ {
-		w.members[i] = NewSpreader(NewTable(memberName(i)), uint64(50+i), maxMessage)
+		w.members[i] = NewGossiper(NewTable(memberName(i)), uint64(50+i), maxMessage)
 	}
 	for range 20 {
 		w.round()
 		for _, s := range w.members {
-			if s.Told() && len(s.Lines(w.now)) != 1 {
+			if s.Synced() && len(s.InForce(w.now)) != 1 {
 				t.Fatal("a member is synced without having the verdict")
 			}
 		}
 	}
-	if !w.members[5].Told() {
+	if !w.members[5].Synced() {
 		t.Fatal("a restarted member does not become synced")
 	}
 }
@@ -350,7 +350,7 @@
 		w.round()
 	}
 	for i := range 1000 {
-		if _, err := w.members[i%3].Say(w.now, 1, nodeVerdict(fmt.Sprintf("node-%04d", i), true)); err != nil {
+		if _, err := w.members[i%3].Issue(w.now, 1, nodeVerdict(fmt.Sprintf("node-%04d", i), true)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -361,8 +361,8 @@
 	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes per member and period", took, w.sent/8/max(1, took))
 	w.connected = func(i, j int) bool { return (i < 4) == (j < 4) }
 	for i := range 60 {
-		_, _ = w.members[0].Say(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i), false))
-		_, _ = w.members[7].Say(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i+30), false))
+		_, _ = w.members[0].Issue(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i), false))
+		_, _ = w.members[7].Issue(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i+30), false))
 		w.round()
 	}
 	w.connected = func(int, int) bool { return true }
@@ -374,21 +374,21 @@
 func FuzzReceive(f *testing.F) {
 	w := newGossipNet(2, 0, 3)
 	w.round()
-	_, _ = w.members[0].Say(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
+	_, _ = w.members[0].Issue(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
 		Span: 60 * second})
 	for _, s := range w.members {
-		s.Tick(w.now, []Peer{{Name: memberName(0), Sum: 5}, {Name: memberName(1), Sum: 7}})
-		sends, _ := s.Take()
+		s.Tick(w.now, []Peer{{Name: memberName(0), Digest: 5}, {Name: memberName(1), Digest: 7}})
+		sends, _ := s.TakePending()
 		for _, m := range sends {
 			f.Add(m.Data)
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewSpreader(NewTable("z"), 1, maxMessage)
-		s.Tick(0, []Peer{{Name: "y", Sum: 9}})
-		_, _ = s.Say(0, 1, nodeVerdict("n", true))
+		s := NewGossiper(NewTable("z"), 1, maxMessage)
+		s.Tick(0, []Peer{{Name: "y", Digest: 9}})
+		_, _ = s.Issue(0, 1, nodeVerdict("n", true))
 		s.Receive(second, "y", data)
-		sends, _ := s.Take()
+		sends, _ := s.TakePending()
 		for _, m := range sends {
 			if len(m.Data) > maxMessage {
 				t.Fatalf("a message of %d bytes", len(m.Data))
@@ -403,7 +403,7 @@
 func BenchmarkMerge(b *testing.B) {
 	table := NewTable("a")
 	for i := range 1000 {
-		_, _ = table.Say(0, 0, nodeVerdict(fmt.Sprintf("node-%04d", i), true))
+		_, _ = table.Issue(0, 0, nodeVerdict(fmt.Sprintf("node-%04d", i), true))
 	}
 	v := nodeVerdict("node-0500", true)
 	v.Member = "b"
