--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -142,7 +142,8 @@
 	if d := arrive("10.9.0.1", false); d.Outcome != AdmitReserved {
 		t.Errorf("known client: %+v", d)
 	}
-	if d := g.Authenticate(second/2, p.ID, "head-office", true); d.Outcome != Admit || g.inUse[kindReserve] != 2 {
+	if d := g.Authenticate(second/2, p.ID, "head-office", true); d.Outcome != Admit ||
+		g.inUse[kindReserve] != 2 {
 		t.Errorf("authentication: %+v, %v", d, g.inUse)
 	}
 	if d := arrive("10.9.0.2", false); d.Outcome != Refuse || d.Reason != Full {
@@ -309,9 +310,9 @@
 	}
 }
 
-// BenchmarkArrive measures admitting and removing a connection among 1e5 addresses, with the controller and
+// BenchmarkDecide measures admitting and removing a connection among 1e5 addresses, with the controller and
 // with an unbounded map and a linear scan.
-func BenchmarkArrive(b *testing.B) {
+func BenchmarkDecide(b *testing.B) {
 	const addresses = 100_000
 	measure := func(b *testing.B, one func(i int)) {
 		var before, after runtime.MemStats
@@ -330,7 +331,7 @@
 		b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/1024, "KiB-held")
 	}
 	for _, track := range []int{addresses, 4096} {
-		b.Run(fmt.Sprintf("gate/track=%d", track), func(b *testing.B) {
+		b.Run(fmt.Sprintf("controller/track=%d", track), func(b *testing.B) {
 			l := Limits{MaxTracked: track, Default: Rule{MaxOpen: 8, Rate: 10, Burst: 20}}
 			for i := range 1000 {
 				l.Rules = append(l.Rules, Rule{Prefix: netip.PrefixFrom(addr(i*1000), 28), MaxOpen: 4})
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -118,7 +118,8 @@
 
 // NewController returns the controller of a member that starts.
 func NewController(self string, period Micros) *Controller {
-	return &Controller{self: self, period: period, reports: map[string]*memberReports{}, retryTokens: maxRetryTokens}
+	return &Controller{self: self, period: period, reports: map[string]*memberReports{},
+		retryTokens: maxRetryTokens}
 }
 
 // Level returns the bucket below which requests are shed; 0: none are.
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -232,13 +232,13 @@
 	p.offered = 2 * p.capacity
 	p.run(100)
 	level := p.controllers[0].level
-	var keeper int
-	_, _ = fmt.Sscanf(p.controllers[0].owner, "m%d", &keeper)
-	p.cut = func(a, b int) bool { return a != b && (a == keeper || b == keeper) }
+	var owner int
+	_, _ = fmt.Sscanf(p.controllers[0].owner, "m%d", &owner)
+	p.cut = func(a, b int) bool { return a != b && (a == owner || b == owner) }
 	p.run(Window - 1)
-	other := (keeper + 1) % 5
+	other := (owner + 1) % 5
 	if got := p.controllers[other].level; got < level-8 ||
-		p.controllers[other].owner == p.controllers[keeper].owner {
+		p.controllers[other].owner == p.controllers[owner].owner {
 		t.Errorf("level %d after its owner has gone, %d before", got, level)
 	}
 	if good, _, _ := p.run(100); good < 0.85 {
--- a/internal/quota/leases.go
+++ b/internal/quota/leases.go
@@ -179,7 +179,8 @@
 
 // Receive handles a message from another member.
 func (t *Leases) Receive(now Micros, from string, data []byte) []Message {
-	if !IsLeaseMessage(data) || binary.LittleEndian.Uint32(data[1:]) != t.rosterHash || int(data[9]) >= len(t.voters) {
+	if !IsLeaseMessage(data) || binary.LittleEndian.Uint32(data[1:]) != t.rosterHash ||
+		int(data[9]) >= len(t.voters) {
 		return nil
 	}
 	voter := slices.Index(t.voters, from)
--- a/internal/verdict/ejections.go
+++ b/internal/verdict/ejections.go
@@ -83,7 +83,8 @@
 func (t *Table) CountSick(now Micros, zone string) (n int) {
 	for _, e := range t.entries {
 		_, nodeZone := e.Node()
-		if (e.Kind == SickNode || e.Kind == SickPath && (zone == "" || nodeZone == zone)) && e.inForce(now-e.issuedAt) {
+		if (e.Kind == SickNode || e.Kind == SickPath && (zone == "" || nodeZone == zone)) &&
+			e.inForce(now-e.issuedAt) {
 			n++
 		}
 	}
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -149,7 +149,8 @@
 func (c *detectorFleet) sickNodes() (all []string) {
 	for _, t := range c.tables {
 		for _, e := range t.entries {
-			if (e.Kind == SickNode || e.Kind == SickPath) && e.inForce(c.now-e.issuedAt) && !slices.Contains(all, e.What) {
+			if (e.Kind == SickNode || e.Kind == SickPath) && e.inForce(c.now-e.issuedAt) &&
+				!slices.Contains(all, e.What) {
 				all = append(all, e.What)
 			}
 		}
@@ -421,7 +422,7 @@
 
 // Memory and messages are bounded when all nodes are sick.
 func TestEvidenceIsBounded(t *testing.T) {
-	w := NewWitness(simPeriod)
+	w := NewObserver(simPeriod)
 	for n := range uint64(2 * maxNodes) {
 		w.Observe(simPeriod, n, int(n), Failed, 1)
 		w.Observe(simPeriod, n, int(n), Served, 1)
@@ -445,7 +446,7 @@
 
 // BenchmarkObserve measures the cost of one outcome for the core, without the lock.
 func BenchmarkObserve(b *testing.B) {
-	w := NewWitness(simPeriod)
+	w := NewObserver(simPeriod)
 	b.ReportAllocs()
 	for i := range b.N {
 		w.Observe(Micros(i), uint64(i%200), i%4, Served, 10_000)
--- a/internal/verdict/gossip.go
+++ b/internal/verdict/gossip.go
@@ -76,45 +76,45 @@
 }
 
 // AnnouncedDigest returns what this member announces: its digest, or UnsyncedDigest until it is synced.
-func (s *Gossiper) AnnouncedDigest() uint32 {
-	if !s.synced {
+func (g *Gossiper) AnnouncedDigest() uint32 {
+	if !g.synced {
 		return UnsyncedDigest
 	}
-	return s.Digest()
+	return g.Digest()
 }
 
 // Synced reports whether this member has merged the table of another one, or there is none to merge.
-func (s *Gossiper) Synced() bool { return s.synced }
+func (g *Gossiper) Synced() bool { return g.synced }
 
 // TakePending returns and clears the messages to send and the changes to carry out.
-func (s *Gossiper) TakePending() ([]Message, []Change) {
-	s.flushAcks()
-	out := s.outbox
-	s.outbox = nil
-	return out, s.Table.TakeChanges()
+func (g *Gossiper) TakePending() ([]Message, []Change) {
+	g.flushAcks()
+	out := g.outbox
+	g.outbox = nil
+	return out, g.Table.TakeChanges()
 }
 
-func (s *Gossiper) send(to string, b []byte) bool {
-	if s.datagramsLeft <= 0 {
+func (g *Gossiper) send(to string, b []byte) bool {
+	if g.datagramsLeft <= 0 {
 		return false
 	}
-	s.datagramsLeft--
-	s.Sent++
-	s.outbox = append(s.outbox, Message{To: to, Data: b})
+	g.datagramsLeft--
+	g.Sent++
+	g.outbox = append(g.outbox, Message{To: to, Data: b})
 	return true
 }
 
 // Tick must be called once per period with the other members that are alive.
-func (s *Gossiper) Tick(now Micros, peers []Peer) {
-	s.peers = peers
-	s.datagramsLeft, s.pushesLeft = maxDatagrams, maxDatagrams
-	s.Expire(now)
+func (g *Gossiper) Tick(now Micros, peers []Peer) {
+	g.peers = peers
+	g.datagramsLeft, g.pushesLeft = maxDatagrams, maxDatagrams
+	g.Expire(now)
 	alive := make(map[string]uint32, len(peers))
 	for _, p := range peers {
 		alive[p.Name] = p.Digest
 	}
 	all := true
-	for _, e := range s.entries {
+	for _, e := range g.entries {
 		for name := range e.heldBy {
 			if _, ok := alive[name]; !ok { // it may restart without the entry
 				delete(e.heldBy, name)
@@ -122,7 +122,7 @@
 		}
 		all = all && e.applied
 	}
-	s.synced = s.synced || len(peers) == 0
+	g.synced = g.synced || len(peers) == 0
 	var differ []Peer
 	unsyncedPeers, syncedPeers := 0, 0
 	for _, p := range peers {
@@ -133,28 +133,28 @@
 		case p.Digest == 0:
 		case p.Digest == UnsyncedDigest: // it starts the comparison itself, and its own table is incomplete
 			unsyncedPeers++
-		case p.Digest == s.Digest():
-			s.markHolder(p.Name)
-			s.synced = s.synced || all
+		case p.Digest == g.Digest():
+			g.markHolder(p.Name)
+			g.synced = g.synced || all
 		default:
 			differ = append(differ, p)
 		}
 	}
-	if s.noneSynced++; syncedPeers > 0 || unsyncedPeers < min(maxUnsyncedPeers, len(peers)) {
-		s.noneSynced = 0
+	if g.noneSynced++; syncedPeers > 0 || unsyncedPeers < min(maxUnsyncedPeers, len(peers)) {
+		g.noneSynced = 0
 	}
-	s.synced = s.synced || s.noneSynced >= unsyncedPeriods
-	s.sendOwn(now, maxDirect)
+	g.synced = g.synced || g.noneSynced >= unsyncedPeriods
+	g.sendOwn(now, maxDirect)
 	for i := range min(maxCompares, len(differ)) {
-		j := i + int(s.rng.Uint64()%uint64(len(differ)-i))
+		j := i + int(g.rng.Uint64()%uint64(len(differ)-i))
 		differ[i], differ[j] = differ[j], differ[i]
-		s.sendSums(differ[i].Name)
+		g.sendSums(differ[i].Name)
 	}
 }
 
 // markHolder notes that a member has all entries that are applied here.
-func (s *Gossiper) markHolder(name string) {
-	for _, e := range s.entries {
+func (g *Gossiper) markHolder(name string) {
+	for _, e := range g.entries {
 		if e.applied {
 			e.heldBy[name] = true
 		}
@@ -162,26 +162,26 @@
 }
 
 // sendOwn sends the entries that this member issued to the members not known to have them, in turn.
-func (s *Gossiper) sendOwn(now Micros, maxMessages int) {
-	for range s.peers {
-		s.nextPeer++
-		p := s.peers[s.nextPeer%len(s.peers)].Name
+func (g *Gossiper) sendOwn(now Micros, maxMessages int) {
+	for range g.peers {
+		g.nextPeer++
+		p := g.peers[g.nextPeer%len(g.peers)].Name
 		b := []byte{msgEntries}
-		for _, e := range s.entries {
-			if e.Member != s.self || e.heldBy[p] {
+		for _, e := range g.entries {
+			if e.Member != g.self || e.heldBy[p] {
 				continue
 			}
-			extended := s.appendEntry(b, now, e)
+			extended := g.appendEntry(b, now, e)
 			if len(extended) == len(b) {
-				if maxMessages--; maxMessages <= 0 || !s.send(p, b) {
+				if maxMessages--; maxMessages <= 0 || !g.send(p, b) {
 					return
 				}
-				extended = s.appendEntry([]byte{msgEntries}, now, e)
+				extended = g.appendEntry([]byte{msgEntries}, now, e)
 			}
 			b = extended
 		}
 		if len(b) > 1 {
-			if maxMessages--; !s.send(p, b) || maxMessages <= 0 {
+			if maxMessages--; !g.send(p, b) || maxMessages <= 0 {
 				return
 			}
 		}
@@ -190,23 +190,24 @@
 
 // Push sends an entry that is new here to some members immediately: to up to a period's budget of members if
 // this member issued it, otherwise to a few.
-func (s *Gossiper) Push(now Micros, v Verdict) {
-	i, ok := s.find(&v)
-	if !ok || len(s.peers) == 0 {
+func (g *Gossiper) Push(now Micros, v Verdict) {
+	i, ok := g.find(&v)
+	if !ok || len(g.peers) == 0 {
 		return
 	}
 	n := 3
-	if v.Member == s.self {
+	if v.Member == g.self {
 		n = maxDatagrams
 	}
-	for range min(n, len(s.peers)) {
-		s.nextPeer++
-		if p := s.peers[s.nextPeer%len(s.peers)]; !s.entries[i].heldBy[p.Name] {
-			if s.pushesLeft--; s.pushesLeft < 0 {
+	for range min(n, len(g.peers)) {
+		g.nextPeer++
+		if p := g.peers[g.nextPeer%len(g.peers)]; !g.entries[i].heldBy[p.Name] {
+			if g.pushesLeft--; g.pushesLeft < 0 {
 				return // many entries at once: the next periods send the others
 			}
-			s.Sent++
-			s.outbox = append(s.outbox, Message{To: p.Name, Data: s.appendEntry([]byte{msgEntries}, now, s.entries[i])})
+			g.Sent++
+			g.outbox = append(g.outbox,
+				Message{To: p.Name, Data: g.appendEntry([]byte{msgEntries}, now, g.entries[i])})
 		}
 	}
 }
@@ -214,7 +215,7 @@
 func appendText(b []byte, s string) []byte { return append(append(b, byte(len(s))), s...) }
 
 // appendEntry adds an entry to a message. If there is no room it returns the message unchanged.
-func (s *Gossiper) appendEntry(b []byte, now Micros, e *entry) []byte {
+func (g *Gossiper) appendEntry(b []byte, now Micros, e *entry) []byte {
 	start := len(b)
 	flags := byte(0)
 	if e.On {
@@ -228,14 +229,14 @@
 	for _, text := range []string{e.What, e.Member, e.By, e.Reason} {
 		b = appendText(b, text)
 	}
-	if len(b) > s.maxMessage && start > 1 {
+	if len(b) > g.maxMessage && start > 1 {
 		return b[:start]
 	}
-	if len(b) > s.maxMessage { // a single entry has to fit: omit the texts written by people
+	if len(b) > g.maxMessage { // a single entry has to fit: omit the texts written by people
 		b = b[:start]
 		short := *e
 		short.Reason, short.By = "", ""
-		return s.appendEntry(b, now, &short)
+		return g.appendEntry(b, now, &short)
 	}
 	return b
 }
@@ -260,7 +261,7 @@
 }
 
 // Receive handles a message from another member. It returns false if the message is malformed.
-func (s *Gossiper) Receive(now Micros, from string, data []byte) bool {
+func (g *Gossiper) Receive(now Micros, from string, data []byte) bool {
 	if len(data) == 0 {
 		return false
 	}
@@ -280,12 +281,12 @@
 			return false
 		}
 		for _, x := range list {
-			s.Merge(now, x.v, x.age)
-			if i, ok := s.find(&x.v); ok && !x.v.supersedes(&s.entries[i].Verdict) &&
-				!s.entries[i].supersedes(&x.v) { // the sender has the same entry
-				s.entries[i].heldBy[from] = s.entries[i].heldBy[from] || s.entries[i].Member == from
-				if s.entries[i].applied {
-					s.acks[from] = append(s.acks[from], s.entries[i])
+			g.Merge(now, x.v, x.age)
+			if i, ok := g.find(&x.v); ok && !x.v.supersedes(&g.entries[i].Verdict) &&
+				!g.entries[i].supersedes(&x.v) { // the sender has the same entry
+				g.entries[i].heldBy[from] = g.entries[i].heldBy[from] || g.entries[i].Member == from
+				if g.entries[i].applied {
+					g.acks[from] = append(g.acks[from], g.entries[i])
 				}
 			}
 		}
@@ -295,9 +296,9 @@
 		if r.Bad {
 			return false
 		}
-		s.sendStamps(from, salt, theirs)
+		g.sendStamps(from, salt, theirs)
 	case msgStamps:
-		return s.compareStamps(now, from, r)
+		return g.compareStamps(now, from, r)
 	case msgRequest:
 		var wanted []uint32
 		for len(r.Rest) > 0 && !r.Bad {
@@ -306,11 +307,11 @@
 		if r.Bad {
 			return false
 		}
-		s.sendEntries(now, from, func(e *entry) bool { return slices.Contains(wanted, e.hash) })
+		g.sendEntries(now, from, func(e *entry) bool { return slices.Contains(wanted, e.hash) })
 	case msgAck:
 		for len(r.Rest) > 0 && !r.Bad {
 			hash, stamp := r.U32(), r.U64()
-			for _, e := range s.entries {
+			for _, e := range g.entries {
 				if !r.Bad && e.hash == hash && e.Stamp == stamp {
 					e.heldBy[from] = true
 				}
@@ -324,32 +325,32 @@
 }
 
 // Applied notes that a verdict has been carried out here, and queues an acknowledgement to its issuer.
-func (s *Gossiper) Applied(v Verdict) {
-	s.Table.Applied(v)
-	if i, ok := s.find(&v); ok && s.entries[i].applied && v.Member != s.self {
-		s.acks[v.Member] = append(s.acks[v.Member], s.entries[i])
+func (g *Gossiper) Applied(v Verdict) {
+	g.Table.Applied(v)
+	if i, ok := g.find(&v); ok && g.entries[i].applied && v.Member != g.self {
+		g.acks[v.Member] = append(g.acks[v.Member], g.entries[i])
 	}
 }
 
 // flushAcks acknowledges entries that are applied here to the members that issued or sent them.
-func (s *Gossiper) flushAcks() {
-	for _, to := range slices.Sorted(maps.Keys(s.acks)) {
-		for list := s.acks[to]; len(list) > 0; {
+func (g *Gossiper) flushAcks() {
+	for _, to := range slices.Sorted(maps.Keys(g.acks)) {
+		for list := g.acks[to]; len(list) > 0; {
 			b := []byte{msgAck}
-			for len(list) > 0 && len(b)+12 <= s.maxMessage {
+			for len(list) > 0 && len(b)+12 <= g.maxMessage {
 				b = binary.LittleEndian.AppendUint32(b, list[0].hash)
 				b = binary.LittleEndian.AppendUint64(b, list[0].Stamp)
 				list = list[1:]
 			}
-			s.outbox = append(s.outbox, Message{To: to, Data: b})
+			g.outbox = append(g.outbox, Message{To: to, Data: b})
 		}
 	}
-	clear(s.acks)
+	clear(g.acks)
 }
 
 // bucketSums returns the sums of the entries by bucket, which is the high bits of the hash.
-func (s *Gossiper) bucketSums(salt uint32) (sums [buckets]uint16) {
-	for _, e := range s.entries {
+func (g *Gossiper) bucketSums(salt uint32) (sums [buckets]uint16) {
+	for _, e := range g.entries {
 		sums[e.hash>>26] += uint16(e.saltedSum(salt))
 	}
 	return sums
@@ -357,23 +358,23 @@
 
 // sendSums sends the bucket sums to a member, which answers with the buckets that differ. The salt is new
 // each time, so that a collision of two different buckets does not repeat.
-func (s *Gossiper) sendSums(to string) {
-	salt := uint32(s.rng.Uint64())
+func (g *Gossiper) sendSums(to string) {
+	salt := uint32(g.rng.Uint64())
 	b := binary.LittleEndian.AppendUint32([]byte{msgSums}, salt)
-	for _, x := range s.bucketSums(salt) {
+	for _, x := range g.bucketSums(salt) {
 		b = binary.LittleEndian.AppendUint16(b, x)
 	}
-	s.send(to, b)
+	g.send(to, b)
 }
 
 // sendStamps sends the stamps in the buckets that differ. Each datagram states the range of hashes it covers.
-func (s *Gossiper) sendStamps(to string, salt uint32, theirs []byte) {
-	own := s.bucketSums(salt)
-	byHash := slices.SortedFunc(slices.Values(s.entries), func(a, b *entry) int {
+func (g *Gossiper) sendStamps(to string, salt uint32, theirs []byte) {
+	own := g.bucketSums(salt)
+	byHash := slices.SortedFunc(slices.Values(g.entries), func(a, b *entry) int {
 		return cmp.Compare(a.hash,
 			b.hash)
 	})
-	first := int(s.rng.Uint64() % buckets) // random, so that the budget does not always omit the same buckets
+	first := int(g.rng.Uint64() % buckets) // random, so that the budget does not always omit the same buckets
 	for k := range buckets {
 		i := (first + k) % buckets
 		if own[i] == binary.LittleEndian.Uint16(theirs[2*i:]) {
@@ -386,8 +387,8 @@
 			if e.hash < lo || e.hash > hi {
 				continue
 			}
-			if len(b)+12 > s.maxMessage {
-				if !s.send(to, endStamps(b, e.hash-1)) {
+			if len(b)+12 > g.maxMessage {
+				if !g.send(to, endStamps(b, e.hash-1)) {
 					return
 				}
 				b = beginStamps(e.hash)
@@ -395,7 +396,7 @@
 			b = binary.LittleEndian.AppendUint32(b, e.hash)
 			b = binary.LittleEndian.AppendUint64(b, e.Stamp)
 		}
-		if !s.send(to, endStamps(b, hi)) {
+		if !g.send(to, endStamps(b, hi)) {
 			return
 		}
 	}
@@ -413,7 +414,7 @@
 
 // compareStamps compares another member's stamps in a range with the own ones. It sends the entries that are
 // newer here, and requests those that are newer there.
-func (s *Gossiper) compareStamps(now Micros, from string, r *datagram.Reader) bool {
+func (g *Gossiper) compareStamps(now Micros, from string, r *datagram.Reader) bool {
 	lo, hi := r.U32(), r.U32()
 	theirs := map[uint32]uint64{}
 	for len(r.Rest) > 0 && !r.Bad {
@@ -424,22 +425,22 @@
 		return false
 	}
 	own := map[uint32]uint64{}
-	for _, e := range s.entries {
+	for _, e := range g.entries {
 		if e.hash >= lo && e.hash <= hi {
 			own[e.hash] = max(own[e.hash], e.Stamp)
 		}
 	}
-	s.sendEntries(now, from, func(e *entry) bool {
+	g.sendEntries(now, from, func(e *entry) bool {
 		return e.hash >= lo && e.hash <= hi && e.Stamp > theirs[e.hash]
 	})
 	b := []byte{msgRequest}
 	for _, h := range sortedKeys(theirs) {
-		if theirs[h] > own[h] && len(b)+4 <= s.maxMessage {
+		if theirs[h] > own[h] && len(b)+4 <= g.maxMessage {
 			b = binary.LittleEndian.AppendUint32(b, h)
 		}
 	}
 	if len(b) > 1 {
-		s.send(from, b)
+		g.send(from, b)
 	}
 	return true
 }
@@ -454,22 +455,22 @@
 }
 
 // sendEntries sends the chosen entries, as many per datagram as fit.
-func (s *Gossiper) sendEntries(now Micros, to string, chosen func(e *entry) bool) {
+func (g *Gossiper) sendEntries(now Micros, to string, chosen func(e *entry) bool) {
 	b := []byte{msgEntries}
-	for _, e := range s.entries {
+	for _, e := range g.entries {
 		if !chosen(e) {
 			continue
 		}
-		extended := s.appendEntry(b, now, e)
+		extended := g.appendEntry(b, now, e)
 		if len(extended) == len(b) {
-			if !s.send(to, b) {
+			if !g.send(to, b) {
 				return
 			}
-			extended = s.appendEntry([]byte{msgEntries}, now, e)
+			extended = g.appendEntry([]byte{msgEntries}, now, e)
 		}
 		b = extended
 	}
 	if len(b) > 1 {
-		s.send(to, b)
+		g.send(to, b)
 	}
 }
--- a/internal/verdict/outliers.go
+++ b/internal/verdict/outliers.go
@@ -86,7 +86,7 @@
 // OutlierDetector is one member's part in outlier detection: it reports its tallies to the evaluators of each
 // node, and is itself an evaluator of some nodes.
 type OutlierDetector struct {
-	*Witness
+	*Observer
 	self       Member
 	maxMessage int // maximum size of a message, in bytes
 	members    []Member
@@ -102,8 +102,8 @@
 
 // NewOutlierDetector returns a detector for the member self. Its messages have at most maxMessage bytes.
 func NewOutlierDetector(self Member, period Micros, maxMessage int) *OutlierDetector {
-	return &OutlierDetector{Witness: NewWitness(period), self: self, maxMessage: maxMessage, cases: map[uint64]*nodeCase{},
-		reported: map[uint64]lastReport{}}
+	return &OutlierDetector{Observer: NewObserver(period), self: self, maxMessage: maxMessage,
+		cases: map[uint64]*nodeCase{}, reported: map[uint64]lastReport{}}
 }
 
 // Quorum returns how many members must report a node as bad in a fleet of the given size, including dead
@@ -123,13 +123,13 @@
 
 // evaluatorsOf returns the evaluators of a node: the first members by rendezvous hashing (Thaler and
 // Ravishankar, 1998, §3), so that all members choose the same ones without communication.
-func (j *OutlierDetector) evaluatorsOf(node uint64) []Member {
+func (d *OutlierDetector) evaluatorsOf(node uint64) []Member {
 	type ranked struct {
 		Member
 		rank uint64
 	}
 	var best []ranked
-	for _, v := range j.members {
+	for _, v := range d.members {
 		b := binary.LittleEndian.AppendUint64([]byte(v.Name), node)
 		x := ranked{v, xxhash.Sum64(b)}
 		if len(best) == evaluatorsPerNode && x.rank <= best[evaluatorsPerNode-1].rank {
@@ -146,26 +146,26 @@
 	return out
 }
 
-func (j *OutlierDetector) send(to string, b []byte) bool {
-	if j.sent >= maxReportDatagrams {
+func (d *OutlierDetector) send(to string, b []byte) bool {
+	if d.sent >= maxReportDatagrams {
 		return false
 	}
-	j.sent++
-	j.outbox = append(j.outbox, Message{To: to, Data: b})
+	d.sent++
+	d.outbox = append(d.outbox, Message{To: to, Data: b})
 	return true
 }
 
 // Tick must be called once per period with the other members that are alive, the size of the fleet including
 // dead members, and whether this member is healthy otherwise. It returns the messages to send.
-func (j *OutlierDetector) Tick(now Micros, others []Member, size int, healthy bool) []Message {
-	j.Expire(now)
-	j.members = append([]Member{j.self}, others...)
-	j.fleetSize, j.sent = max(size, len(j.members)), 0
-	j.reliable = healthy && j.Reliable(now)
-	j.reportTallies(now)
-	j.queryMembers(now)
-	out := j.outbox
-	j.outbox = nil
+func (d *OutlierDetector) Tick(now Micros, others []Member, size int, healthy bool) []Message {
+	d.Expire(now)
+	d.members = append([]Member{d.self}, others...)
+	d.fleetSize, d.sent = max(size, len(d.members)), 0
+	d.reliable = healthy && d.Reliable(now)
+	d.reportTallies(now)
+	d.queryMembers(now)
+	out := d.outbox
+	d.outbox = nil
 	return out
 }
 
@@ -178,9 +178,9 @@
 }
 
 // tallyHeader returns the header of a message with tallies.
-func (j *OutlierDetector) tallyHeader(answer bool) []byte {
+func (d *OutlierDetector) tallyHeader(answer bool) []byte {
 	flags := byte(0)
-	if j.reliable {
+	if d.reliable {
 		flags |= flagReliable
 	}
 	if answer {
@@ -191,9 +191,9 @@
 
 // reportTallies reports each failing node to its evaluators if the tally has changed or the last report is
 // old. A node that has recovered is reported once more.
-func (j *OutlierDetector) reportTallies(now Micros) {
-	failing := j.FailingNodes()
-	for id := range j.reported {
+func (d *OutlierDetector) reportTallies(now Micros) {
+	failing := d.FailingNodes()
+	for id := range d.reported {
 		if _, isFailing := slices.BinarySearch(failing, id); !isFailing {
 			failing = append(failing, id)
 		}
@@ -202,27 +202,27 @@
 	batch := map[string][]byte{}
 	var order []string
 	for _, id := range failing {
-		t := j.Tally(now, id, 0)
-		last, known := j.reported[id]
+		t := d.Tally(now, id, 0)
+		last, known := d.reported[id]
 		same := known && last.Good == t.Good && last.Bad == t.Bad && last.Late == t.Late
-		if same && now-last.at < reportRefresh*j.period {
+		if same && now-last.at < reportRefresh*d.period {
 			continue
 		}
-		if j.reported[id] = (lastReport{t, now}); t.failures() == 0 {
-			delete(j.reported, id)
+		if d.reported[id] = (lastReport{t, now}); t.failures() == 0 {
+			delete(d.reported, id)
 		}
-		for _, v := range j.evaluatorsOf(id) {
-			if v.Name == j.self.Name {
-				j.record(now, j.self, id, t, j.reliable, false)
+		for _, v := range d.evaluatorsOf(id) {
+			if v.Name == d.self.Name {
+				d.record(now, d.self, id, t, d.reliable, false)
 				continue
 			}
 			b := batch[v.Name]
 			if b == nil {
-				b = j.tallyHeader(false)
+				b = d.tallyHeader(false)
 				order = append(order, v.Name)
 			}
-			if b = appendTally(b, id, t); len(b)+tallySize > j.maxMessage {
-				j.send(v.Name, b)
+			if b = appendTally(b, id, t); len(b)+tallySize > d.maxMessage {
+				d.send(v.Name, b)
 				b = nil
 			}
 			batch[v.Name] = b
@@ -230,7 +230,7 @@
 	}
 	for _, name := range order {
 		if b := batch[name]; b != nil {
-			j.send(name, b)
+			d.send(name, b)
 			batch[name] = nil
 		}
 	}
@@ -239,14 +239,14 @@
 // record stores a member's report on a node, and opens a case for the node if there are bad outcomes. Only an
 // answer to a query counts all good outcomes since the case began, so an unsolicited report does not lower
 // their number.
-func (j *OutlierDetector) record(now Micros, from Member, node uint64, t Tally, reliable, answer bool) {
-	c := j.cases[node]
+func (d *OutlierDetector) record(now Micros, from Member, node uint64, t Tally, reliable, answer bool) {
+	c := d.cases[node]
 	if c == nil {
-		if t.failures() == 0 || len(j.cases) >= maxCases {
+		if t.failures() == 0 || len(d.cases) >= maxCases {
 			return
 		}
 		c = &nodeCase{reports: map[string]report{}}
-		j.cases[node] = c
+		d.cases[node] = c
 	}
 	if previous, ok := c.reports[from.Name]; ok && !answer {
 		t.Good = max(t.Good, previous.Good)
@@ -255,47 +255,47 @@
 }
 
 // isAlive reports whether a member is alive.
-func (j *OutlierDetector) isAlive(name string) bool {
-	return slices.ContainsFunc(j.members, func(v Member) bool { return v.Name == name })
+func (d *OutlierDetector) isAlive(name string) bool {
+	return slices.ContainsFunc(d.members, func(v Member) bool { return v.Name == name })
 }
 
 // queryMembers asks other members for their tallies of the nodes under evaluation here.
-func (j *OutlierDetector) queryMembers(now Micros) {
+func (d *OutlierDetector) queryMembers(now Micros) {
 	queries := map[string][]byte{}
-	ids := make([]uint64, 0, len(j.cases))
-	for id := range j.cases {
+	ids := make([]uint64, 0, len(d.cases))
+	for id := range d.cases {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		c := j.cases[id]
+		c := d.cases[id]
 		failures, periods := 0, 0
 		for member, r := range c.reports {
-			if now-r.receivedAt > reportLifetime*j.period || !j.isAlive(member) {
+			if now-r.receivedAt > reportLifetime*d.period || !d.isAlive(member) {
 				delete(c.reports, member)
 				continue
 			}
 			failures += r.failures()
-			periods = max(periods, r.age(now, j.period, r.FirstBadAge))
+			periods = max(periods, r.age(now, d.period, r.FirstBadAge))
 		}
 		if failures == 0 {
-			delete(j.cases, id)
+			delete(d.cases, id)
 			continue
 		}
-		j.record(now, j.self, id, j.Tally(now, id, periods), j.reliable, true)
-		if now-c.queriedAt < queryInterval*j.period && c.queriedAt > 0 || len(j.members) < 2 {
+		d.record(now, d.self, id, d.Tally(now, id, periods), d.reliable, true)
+		if now-c.queriedAt < queryInterval*d.period && c.queriedAt > 0 || len(d.members) < 2 {
 			continue
 		}
 		c.queriedAt = now
-		n := min(maxQueried, len(j.members)-1)
+		n := min(maxQueried, len(d.members)-1)
 		for range n {
 			c.nextMember++
-			to := j.members[1+c.nextMember%(len(j.members)-1)].Name
+			to := d.members[1+c.nextMember%(len(d.members)-1)].Name
 			b := queries[to]
 			if b == nil {
 				b = []byte{msgTallyQuery}
 			}
-			if len(b)+querySize <= j.maxMessage {
+			if len(b)+querySize <= d.maxMessage {
 				b = binary.LittleEndian.AppendUint64(b, id)
 				queries[to] = binary.LittleEndian.AppendUint16(b, uint16(min(periods, 1<<16-1)))
 			}
@@ -307,8 +307,8 @@
 	}
 	slices.Sort(names)
 	for i := range names {
-		to := names[(i+int(now/j.period))%len(names)]
-		if !j.send(to, queries[to]) {
+		to := names[(i+int(now/d.period))%len(names)]
+		if !d.send(to, queries[to]) {
 			return
 		}
 	}
@@ -316,7 +316,7 @@
 
 // Receive handles a message from another member. It returns the messages to send, and false if the message is
 // malformed.
-func (j *OutlierDetector) Receive(now Micros, from Member, data []byte) (out []Message, ok bool) {
+func (d *OutlierDetector) Receive(now Micros, from Member, data []byte) (out []Message, ok bool) {
 	if len(data) < 2 {
 		return nil, false
 	}
@@ -332,18 +332,18 @@
 			for _, x := range [...]*uint16{&t.Good, &t.Bad, &t.Late, &t.FirstBadAge} {
 				*x = r.U16()
 			}
-			j.record(now, from, id, t, flags&flagReliable != 0, flags&flagAnswer != 0)
+			d.record(now, from, id, t, flags&flagReliable != 0, flags&flagAnswer != 0)
 		}
 	case msgTallyQuery:
 		if len(r.Rest)%querySize != 0 {
 			return nil, false
 		}
-		b := j.tallyHeader(true)
+		b := d.tallyHeader(true)
 		for len(r.Rest) > 0 {
 			id := r.U64()
 			periods := int(r.U16())
-			if len(b)+tallySize <= j.maxMessage {
-				b = appendTally(b, id, j.Tally(now, id, periods))
+			if len(b)+tallySize <= d.maxMessage {
+				b = appendTally(b, id, d.Tally(now, id, periods))
 			}
 		}
 		return []Message{{To: from.Name, Data: b}}, true
@@ -354,10 +354,10 @@
 }
 
 // ClearEvidence removes all evidence about a node.
-func (j *OutlierDetector) ClearEvidence(node uint64) {
-	delete(j.nodes, node)
-	delete(j.cases, node)
-	delete(j.reported, node)
+func (d *OutlierDetector) ClearEvidence(node uint64) {
+	delete(d.nodes, node)
+	delete(d.cases, node)
+	delete(d.reported, node)
 }
 
 // zoneCount is the sum of the reports on a node from one zone.
@@ -369,18 +369,18 @@
 }
 
 // Outliers returns the nodes that are sick by the reports received.
-func (j *OutlierDetector) Outliers(now Micros) (out []Outlier) {
-	ids := make([]uint64, 0, len(j.cases))
-	for id := range j.cases {
+func (d *OutlierDetector) Outliers(now Micros) (out []Outlier) {
+	ids := make([]uint64, 0, len(d.cases))
+	for id := range d.cases {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	for _, id := range ids {
-		c := j.cases[id]
-		if len(j.members) > 1 && (c.queriedAt == 0 || now-c.queriedAt < answerWait*j.period) {
+		c := d.cases[id]
+		if len(d.members) > 1 && (c.queriedAt == 0 || now-c.queriedAt < answerWait*d.period) {
 			continue
 		}
-		if v, sick := j.evaluate(now, c); sick {
+		if v, sick := d.evaluate(now, c); sick {
 			v.Node = id
 			out = append(out, v)
 		}
@@ -389,12 +389,12 @@
 }
 
 // evaluate decides whether one node is sick.
-func (j *OutlierDetector) evaluate(now Micros, c *nodeCase) (Outlier, bool) {
+func (d *OutlierDetector) evaluate(now Micros, c *nodeCase) (Outlier, bool) {
 	zones := map[string]*zoneCount{}
 	all := &zoneCount{}
 	for _, name := range sortedNames(c.reports) {
 		r := c.reports[name]
-		if !r.reliable || j.FaultSingleReporter && !r.sick() {
+		if !r.reliable || d.FaultSingleReporter && !r.sick() {
 			continue
 		}
 		z := zones[r.zone]
@@ -403,15 +403,15 @@
 			zones[r.zone] = z
 		}
 		for _, x := range []*zoneCount{z, all} {
-			x.add(&r, now, j.period)
+			x.add(&r, now, d.period)
 		}
 	}
 	alive := map[string]int{}
-	for _, v := range j.members {
+	for _, v := range d.members {
 		alive[v.Zone]++
 	}
-	need := Quorum(j.fleetSize)
-	if j.FaultSingleReporter {
+	need := Quorum(d.fleetSize)
+	if d.FaultSingleReporter {
 		need = 1
 	}
 	badZones := 0 // zones that report the node as bad
@@ -430,7 +430,7 @@
 			worst = z
 		}
 	}
-	if worst == nil || len(alive) < 2 || 2*len(j.members) <= j.fleetSize {
+	if worst == nil || len(alive) < 2 || 2*len(d.members) <= d.fleetSize {
 		return Outlier{}, false
 	}
 	return Outlier{Zone: worst.zone, Reason: worst.reason(1), FirstBadAge: worst.firstBadAge}, true
