--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -292,7 +292,7 @@
 				}
 			}
 			if g.RetriesSent > g.RetryBudget() || g.RetriesDenied == 0 {
-				t.Fatalf("%d retries sent, budget %d, %d denied", g.RetriesSent, g.RetryBudget(), g.RetriesDenied)
+				t.Fatalf("%d retries sent, budget %d", g.RetriesSent, g.RetryBudget())
 			}
 		}
 		if most := float64(first)*RetryRatio + float64(maxRetryTokens*members); float64(again) > most {
@@ -344,7 +344,7 @@
 	}
 	once, again := Priority(3, "a"), Priority(3, "a")
 	if once != again || once/RankDivisions != 3 || Priority(99, "a") >= Buckets {
-		t.Errorf("priorities %d, %d and %d", once, again, Priority(99, "a"))
+		t.Error("retries have different priorities, or a priority is out of range")
 	}
 	seen := map[Micros]bool{}
 	g := NewController("a", period)
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -100,7 +100,7 @@
 	for i, s := range first.shares {
 		s.refill(first.now)
 		if i == 2 {
-			s.asked = 100
+			s.requests = 100
 		}
 	}
 	first.send(2, first.shares[2].Tick(first.now, []string{"m0", "m1"}))
@@ -150,7 +150,7 @@
 		}
 		step("a third of a term", func(c *shareState) { c.now += terms(period, 0.33) })
 		step("tick 2", func(c *shareState) {
-			c.shares[2].asked = 100
+			c.shares[2].requests = 100
 			c.send(2, c.shares[2].Tick(c.now, []string{"m0", "m1"}))
 			c.inFlight = c.inFlight[max(0, len(c.inFlight)-6):]
 		})
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -52,20 +52,20 @@
 // take admits one request if the least full of the key's cells has room.
 func (s *sketch) take(now Micros, key uint64, rate, maxLevel float64) bool {
 	seconds := float32(float64(now-s.createdAt) / 1e6)
-	var cells [sketchRows]*sketchCell
+	var keyCells [sketchRows]*sketchCell
 	least := float32(math.MaxFloat32)
-	for r := range cells {
+	for r := range keyCells {
 		key *= 0x9E3779B97F4A7C15
 		c := &s.cells[r][key>>32%sketchColumns]
 		c.level = max(0, c.level-(seconds-c.at)*float32(rate))
 		c.at = seconds
-		cells[r] = c
+		keyCells[r] = c
 		least = min(least, c.level)
 	}
 	if float64(least)+1 > maxLevel {
 		return false
 	}
-	for _, c := range cells {
+	for _, c := range keyCells {
 		c.level = max(c.level, least+1)
 	}
 	return true
@@ -133,7 +133,7 @@
 	}
 	k.Refused++
 	if s := k.ensureShare(now, id); s != nil {
-		s.asked++
+		s.requests++
 	}
 	return false, k.period
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -66,7 +66,7 @@
 	tokens     float64
 	refilledAt Micros
 
-	asked            float64 // requests in this period
+	requests         float64 // requests in this period
 	demand           float64 // requests per second, smoothed
 	idlePeriods      int     // consecutive periods in which no loan was needed
 	usedSince        Micros  // start of the interval that used counts
@@ -157,7 +157,7 @@
 func (s *Share) Take(now Micros) (ok bool, retryAfter Micros) {
 	s.refill(now)
 	s.lastAsked = now
-	s.asked++
+	s.requests++
 	if s.tokens >= 1 {
 		s.tokens--
 		s.used++
@@ -177,9 +177,9 @@
 	if elapsed := now - s.usedSince; elapsed >= 1_000_000 {
 		s.usedRate, s.used, s.usedSince = float64(s.used)*1e6/float64(elapsed), 0, now
 	}
-	asked := s.asked * 1e6 / float64(s.period)
+	asked := s.requests * 1e6 / float64(s.period)
 	s.demand = max(s.demand+(asked-s.demand)/demandDecay, min(asked, s.Rate)*0.9) // a rise counts immediately
-	s.asked = 0
+	s.requests = 0
 	s.dropUnanswered(now)
 	want := min(s.Rate, s.demand*headroom)
 	missing := want - s.rate
--- a/internal/verdict/evidence_test.go
+++ b/internal/verdict/evidence_test.go
@@ -415,7 +415,7 @@
 		}
 		j.Outliers(20 * simPeriod)
 		if len(j.cases) > maxCases {
-			t.Fatalf("%d cases", len(j.cases))
+			t.Fatal("too many cases")
 		}
 	})
 }
