--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -256,7 +256,7 @@
 		if c := g.evictable(known); c != nil {
 			g.addrs.release(addr)
 			g.blocks.release(block)
-			addr.tokens++ // the caller asks again, which takes the tokens anew
+			addr.tokens++ // the caller asks again, which takes new tokens
 			block.tokens++
 			return Decision{Outcome: EvictIdle, ID: c.id}
 		}
@@ -285,7 +285,7 @@
 const defaultRetryAfter = 1_000_000
 
 // findSlot finds the kind of slot for an arrival.
-func (g *Controller) findSlot(capacity int, known, proves bool) (kind int, ok bool) {
+func (g *Controller) findSlot(capacity int, known, authenticates bool) (kind int, ok bool) {
 	total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
 	if total >= capacity {
 		return 0, false
@@ -296,7 +296,7 @@
 		return kindGeneral, true
 	case known && g.inUse[kindReserve] < min(g.limits.Reserve, capacity):
 		return kindReserve, true
-	case proves && !known && g.inUse[kindProving] < g.limits.Proving &&
+	case authenticates && !known && g.inUse[kindProving] < g.limits.Proving &&
 		g.inUse[kindGeneral]+g.inUse[kindProving] < capacity-g.limits.Reserve:
 		return kindProving, true
 	}
@@ -315,8 +315,8 @@
 	return nil
 }
 
-// Authenticate notes that a connection has proved an identity. known means that it is signed by the
-// listener's client roots. It refuses the connection if the identity has too many open, or the time was over.
+// Authenticate notes that a connection has proved an identity. known means that the listener's client roots
+// vouch for it. It refuses the connection if the identity has too many open, or the time was over.
 func (g *Controller) Authenticate(now Micros, id uint64, identity string, known bool) Decision {
 	c := g.conns[id]
 	if c == nil {
--- a/internal/overload/overload_test.go
+++ b/internal/overload/overload_test.go
@@ -321,7 +321,7 @@
 		next := NextLevel(level, rapid.IntRange(0, 20).Draw(t, "streak"), float64(c.Admitted-c.Failed), &c)
 		bad := float64(c.Failed) / float64(max(1, c.Admitted))
 		letIn := 0.0
-		for b := max(next, 0); b < Buckets-1; b++ { // the last bucket is never turned away
+		for b := max(next, 0); b < Buckets-1; b++ { // the last bucket is never shed
 			letIn += float64(c.Offered[b])
 		}
 		switch {
--- a/internal/quota/exhaustive_test.go
+++ b/internal/quota/exhaustive_test.go
@@ -88,13 +88,13 @@
 	return sum > limit.Rate/(1+MaxDrift)*(1+1e-9)
 }
 
-// explore tries every sequence of up to steps events, depth first, in at most most states. It returns the
-// first sequence that exceeds the limit.
-func explore(limit Limit, steps, most int, forget bool) (found []string, states int) {
+// explore tries every sequence of up to steps events, depth first, in at most maxStates states. It returns
+// the first sequence that exceeds the limit.
+func explore(limit Limit, steps, maxStates int, noStartWait bool) (found []string, states int) {
 	first := &shareState{now: 1_000_000_000}
 	for i := range first.shares {
 		first.shares[i] = NewShare(limit, 3, period, uint64(i+1), first.now)
-		first.shares[i].FaultNoStartWait = forget
+		first.shares[i].FaultNoStartWait = noStartWait
 	}
 	first.now += terms(period, 2)
 	for i, s := range first.shares {
@@ -110,7 +110,7 @@
 	}
 	seen := map[uint64]int{}
 	stack := []todo{{first, steps}}
-	for len(stack) > 0 && states < most {
+	for len(stack) > 0 && states < maxStates {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		if x.exceeds(limit) {
@@ -144,7 +144,7 @@
 				step(fmt.Sprint("restart ", i), func(c *shareState) {
 					c.starts++
 					c.shares[i] = NewShare(limit, 3, period, uint64(10+c.starts), c.now)
-					c.shares[i].FaultNoStartWait = forget
+					c.shares[i].FaultNoStartWait = noStartWait
 				})
 			}
 		}
@@ -162,16 +162,16 @@
 // the limit. The same search finds the fault of a process that forgets its predecessor's loans.
 func TestEveryMessageOrder(t *testing.T) {
 	limit := Limit{Name: "l", ID: 7, Rate: 30, Burst: 9}
-	steps, most := 7, 60_000
+	steps, maxStates := 7, 60_000
 	if os.Getenv("LAPISLEVER_LONG") != "" {
-		steps, most = 11, 5_000_000
+		steps, maxStates = 11, 5_000_000
 	}
-	found, states := explore(limit, steps, most, false)
+	found, states := explore(limit, steps, maxStates, false)
 	t.Logf("%d states", states)
 	if found != nil {
 		t.Fatalf("limit exceeded after %v", found)
 	}
-	if found, states = explore(limit, steps, most, true); found == nil {
+	if found, states = explore(limit, steps, maxStates, true); found == nil {
 		t.Fatalf("the fault of a forgotten loan was not found in %d states", states)
 	}
 	t.Logf("injected fault found after %d states: %v", states, found)
--- a/internal/quota/leases_test.go
+++ b/internal/quota/leases_test.go
@@ -104,13 +104,13 @@
 	return xxhash.Sum64(b)
 }
 
-// exploreLeases tries every sequence of up to steps events, in at most most states. It returns the first
+// exploreLeases tries every sequence of up to steps events, in at most maxStates states. It returns the first
 // sequence after which a lease has two holders.
-func exploreLeases(steps, most int, hasty bool) (found []string, states int) {
+func exploreLeases(steps, maxStates int, noStartWait bool) (found []string, states int) {
 	first := &leaseState{now: 1_000_000_000}
 	begin := func(x *leaseState, i int) {
 		x.procs[i] = NewLeases(threeMembers[i], threeMembers, 7, period, x.now)
-		x.procs[i].FaultNoStartWait = hasty
+		x.procs[i].FaultNoStartWait = noStartWait
 		x.views[i] = 7
 	}
 	for i := range first.procs {
@@ -131,7 +131,7 @@
 	}
 	seen := map[uint64]int{}
 	stack := []todo{{first, steps}}
-	for len(stack) > 0 && states < most {
+	for len(stack) > 0 && states < maxStates {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		if x.heldTwice() {
@@ -211,9 +211,9 @@
 }
 
 // leaseHistory runs a fleet under faults and returns the history of the holders of each lease.
-func leaseHistory(t *testing.T, seed uint64, hasty bool) map[string][]porcupine.Operation {
+func leaseHistory(t *testing.T, seed uint64, noStartWait bool) map[string][]porcupine.Operation {
 	f := newFaultFleet(t, 3, seed, 0.5)
-	f.noStartWait = hasty
+	f.noStartWait = noStartWait
 	f.loss = 0.1
 	out := map[string][]porcupine.Operation{}
 	type held struct {
--- a/internal/verdict/ejections.go
+++ b/internal/verdict/ejections.go
@@ -55,7 +55,8 @@
 
 // SickVerdict returns the verdict for an outlier, and whether it may be issued. It may not while an earlier
 // one is in force, on evidence from before that ended, or for some time after an operator has withdrawn one.
-// The span of the verdict doubles each time the node becomes sick again soon. name is the node's name.
+// The span of the verdict doubles, up to a maximum, each time the node becomes sick again soon. name is the
+// node's name.
 func (t *Table) SickVerdict(now, period Micros, name string, o Outlier) (v Verdict, ok bool) {
 	v = Verdict{Kind: SickNode, What: name, On: true, By: "evidence", Reason: o.Reason, Span: sickSpan * period}
 	if o.Zone != "" {
