--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -8,14 +8,15 @@
 	"testing"
 )
 
-const sec = Micros(1_000_000)
+const second = Micros(1_000_000)
 
 func addr(i int) netip.Addr {
 	return netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)})
 }
 
-// The trie against a scan, over prefixes of both families that come, change and go.
-func TestTrieAgainstAScan(t *testing.T) {
+// Compares the trie with a linear scan while prefixes of both address families are added, changed and
+// removed.
+func TestTrieAgainstScan(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		any := func() netip.Addr {
@@ -56,7 +57,7 @@
 	}
 }
 
-func TestCapsRatesAndHolds(t *testing.T) {
+func TestCapsRatesAndOverrides(t *testing.T) {
 	g := New(Limits{Reserve: 2, MaxTracked: 100, Default: Rule{MaxOpen: 3, Rate: 1, Burst: 2}, Rules: []Rule{
 		{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Known: true, MaxOpen: 5},
 		{Prefix: netip.MustParsePrefix("10.2.0.0/16"), MaxOpen: 1, MaxTotal: 2},
@@ -64,55 +65,56 @@
 	at := func(now Micros, a string) Decision {
 		return g.Decide(now, Arrival{Addr: netip.MustParseAddr(a), Capacity: 100})
 	}
-	want := func(what string, d Decision, v Verdict, r Reason) {
+	want := func(what string, d Decision, v Outcome, r Reason) {
 		t.Helper()
 		if d.Outcome != v || d.Reason != r || v == Refuse && d.RetryAfter <= 0 {
 			t.Errorf("%s: %+v", what, d)
 		}
 	}
 	first := at(0, "10.0.0.1")
-	want("the first", first, Admit, None)
-	want("the second", at(0, "10.0.0.1"), Admit, None)
+	want("first connection", first, Admit, None)
+	want("second connection", at(0, "10.0.0.1"), Admit, None)
 	d := at(0, "10.0.0.1")
-	want("beyond the burst", d, Refuse, TooFast)
-	if d.RetryAfter > sec {
-		t.Errorf("told to come back after %d us where a second brings one", d.RetryAfter)
+	want("above the burst", d, Refuse, TooFast)
+	if d.RetryAfter > second {
+		t.Errorf("retry after %d us at a rate of one per second", d.RetryAfter)
 	}
-	want("when it was told to", at(d.RetryAfter, "10.0.0.1"), Admit, None)
-	want("a fourth open one", at(5*sec, "10.0.0.1"), Refuse, TooMany)
+	want("after the retry time", at(d.RetryAfter, "10.0.0.1"), Admit, None)
+	want("fourth open connection", at(5*second, "10.0.0.1"), Refuse, TooMany)
 	g.Remove(first.ID)
 	g.Remove(first.ID)
-	want("after one has left", at(8*sec, "10.0.0.1"), Admit, None)
+	want("after one has ended", at(8*second, "10.0.0.1"), Admit, None)
 	for i := range 5 {
-		want("known clients are not held to the rate", at(0, "10.1.2.3"), Admit, None)
+		want("known clients have no rate limit", at(0, "10.1.2.3"), Admit, None)
 		_ = i
 	}
-	want("but to their own cap", at(0, "10.1.2.3"), Refuse, TooMany)
-	want("an override", at(0, "10.2.0.1"), Admit, None)
-	want("its cap", at(0, "10.2.0.1"), Refuse, TooMany)
-	want("another of the prefix", at(0, "10.2.0.2"), Admit, None)
-	want("the prefix's cap", at(0, "10.2.0.3"), Refuse, BlockCap)
+	want("known clients' own cap", at(0, "10.1.2.3"), Refuse, TooMany)
+	want("address with a rule", at(0, "10.2.0.1"), Admit, None)
+	want("cap of the rule", at(0, "10.2.0.1"), Refuse, TooMany)
+	want("another address of the prefix", at(0, "10.2.0.2"), Admit, None)
+	want("cap of the prefix", at(0, "10.2.0.3"), Refuse, BlockCap)
 	for range 20 {
 		want("behind a gateway", at(0, "10.3.0.9"), Admit, None)
 	}
-	want("beside the gateway", at(0, "10.3.0.8"), Admit, None)
-	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*sec)
-	want("banned", at(10*sec, "10.0.0.7"), Refuse, Banned)
+	want("address next to the gateway", at(0, "10.3.0.8"), Admit, None)
+	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*second)
+	want("banned", at(10*second, "10.0.0.7"), Refuse, Banned)
 	g.SetLimits(Limits{MaxTracked: 100, Default: Rule{MaxOpen: 3}})
-	want("banned after new limits", at(11*sec, "::ffff:10.0.0.7"), Refuse, Banned)
-	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*sec)
-	want("pinned within", at(12*sec, "10.0.0.7"), Admit, None)
-	want("the ban's end", at(20*sec, "10.0.0.8"), Admit, None)
-	if n := len(g.Overrides(20 * sec)); n != 0 {
-		t.Errorf("%d words in force", n)
+	want("banned, after new limits", at(11*second, "::ffff:10.0.0.7"), Refuse, Banned)
+	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*second)
+	want("pinned within a banned prefix", at(12*second, "10.0.0.7"), Admit, None)
+	want("after the end of the ban", at(20*second, "10.0.0.8"), Admit, None)
+	if n := len(g.Overrides(20 * second)); n != 0 {
+		t.Errorf("%d bans and pins in force", n)
 	}
 }
 
-// At the limit: the reserve is for known clients, unproved ones have places of their own for a while, and who
-// is idle makes way: unknown for all, known for known only.
-func TestAtTheLimit(t *testing.T) {
+// At capacity: the reserve is for known clients, connections that have not authenticated have their own slots
+// for a limited time, and idle connections are closed for new ones: those of unknown clients for any, those
+// of known clients only for known ones.
+func TestAtCapacity(t *testing.T) {
 	known := netip.MustParsePrefix("10.9.0.0/16")
-	g := New(Limits{Reserve: 2, Proving: 1, ProveTimeout: sec, MaxTracked: 100, Rules: []Rule{{Prefix: known,
+	g := New(Limits{Reserve: 2, Proving: 1, ProveTimeout: second, MaxTracked: 100, Rules: []Rule{{Prefix: known,
 		Known: true}}})
 	n := 0
 	arrive := func(a string, proves bool) Decision {
@@ -128,30 +130,31 @@
 		ids = append(ids, d.ID)
 	}
 	if d := arrive("10.0.0.9", false); d.Outcome != Refuse || d.Reason != Full {
-		t.Errorf("an unknown one at the last places: %+v", d)
+		t.Errorf("unknown client at the reserve: %+v", d)
 	}
 	p := arrive("10.0.0.10", true)
-	if p.Outcome != ToProve {
-		t.Errorf("one that may prove itself: %+v", p)
+	if p.Outcome != AdmitUnauthenticated {
+		t.Errorf("client that may authenticate: %+v", p)
 	}
-	if d := arrive("10.0.0.11", true); d.Outcome != Refuse || d.Reason != Unproved {
-		t.Errorf("one too many of those: %+v", d)
+	if d := arrive("10.0.0.11", true); d.Outcome != Refuse || d.Reason != Unauthenticated {
+		t.Errorf("one client too many that may authenticate: %+v", d)
 	}
-	if d := arrive("10.9.0.1", false); d.Outcome != Reserved {
-		t.Errorf("a known one: %+v", d)
+	if d := arrive("10.9.0.1", false); d.Outcome != AdmitReserved {
+		t.Errorf("known client: %+v", d)
 	}
-	if d := g.Authenticate(sec/2, p.ID, "head-office", true); d.Outcome != Admit || g.used[reserve] != 2 {
-		t.Errorf("a proof: %+v, %v", d, g.used)
+	if d := g.Authenticate(second/2, p.ID, "head-office", true); d.Outcome != Admit ||
+		g.inUse[kindReserve] != 2 {
+		t.Errorf("authentication: %+v, %v", d, g.inUse)
 	}
 	if d := arrive("10.9.0.2", false); d.Outcome != Refuse || d.Reason != Full {
-		t.Errorf("known, with nothing left: %+v", d)
+		t.Errorf("known client with no slot left: %+v", d)
 	}
 	late := arrive("10.0.0.12", true)
-	if over := g.Overdue(2 * sec); len(over) != 1 || over[0] != late.ID {
+	if over := g.Overdue(2 * second); len(over) != 1 || over[0] != late.ID {
 		t.Errorf("overdue: %v", over)
 	}
-	if d := g.Authenticate(2*sec, late.ID, "x", true); d.Reason != Unproved {
-		t.Errorf("a proof that comes too late: %+v", d)
+	if d := g.Authenticate(2*second, late.ID, "x", true); d.Reason != Unauthenticated {
+		t.Errorf("late authentication: %+v", d)
 	}
 	g.Remove(late.ID)
 	g.MarkIdle(ids[1])
@@ -159,26 +162,26 @@
 	g.MarkBusy(ids[1])
 	g.MarkIdle(p.ID)
 	if d := arrive("10.0.0.13", false); d.Outcome != EvictIdle || d.ID != ids[0] {
-		t.Errorf("an unknown one makes an unknown idle one go: %+v", d)
+		t.Errorf("an unknown client must evict the idle unknown one: %+v", d)
 	}
 	g.Remove(ids[0])
 	if d := arrive("10.0.0.13", false); d.Outcome != Admit {
-		t.Errorf("and has its place: %+v", d)
+		t.Errorf("an unknown client must get the slot of the evicted one: %+v", d)
 	}
 	if d := arrive("10.0.0.14", false); d.Outcome != Refuse {
-		t.Errorf("but none of the known ones': %+v", d)
+		t.Errorf("an unknown client must not evict a known one: %+v", d)
 	}
 	if d := arrive("10.9.0.3", false); d.Outcome != EvictIdle || d.ID != p.ID {
-		t.Errorf("a known one makes a known idle one go: %+v", d)
+		t.Errorf("a known client must evict the idle known one: %+v", d)
 	}
 }
 
-// Whatever happens in whatever order: counts are true, the limit and the reserve hold, a connection in use is
-// never named, and at the end nothing is left.
-func TestGateOverLongHistories(t *testing.T) {
+// Over random histories the counts are correct, the capacity and the reserve are respected, a busy connection
+// is never evicted, and at the end no state is left.
+func TestControllerOverLongHistories(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveTimeout: sec, MaxTracked: 1 + rng.IntN(20),
+		l := Limits{Reserve: rng.IntN(4), Proving: rng.IntN(3), ProveTimeout: second, MaxTracked: 1 + rng.IntN(20),
 			Default: Rule{MaxOpen: rng.IntN(5), Rate: float64(rng.IntN(3)), Burst: 3},
 			Rules: []Rule{{Prefix: netip.MustParsePrefix("10.0.0.0/29"), Known: true},
 				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), MaxTotal: 3},
@@ -199,14 +202,14 @@
 					unknown++
 				}
 			}
-			total := g.used[general] + g.used[reserve] + g.used[proving]
-			if total != len(open) || g.used[general] < 0 || g.used[reserve] < 0 || g.used[proving] < 0 {
-				t.Fatalf("seed %d: counts %v, %d open", seed, g.used, len(open))
+			total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
+			if total != len(open) || g.inUse[kindGeneral] < 0 || g.inUse[kindReserve] < 0 || g.inUse[kindProving] < 0 {
+				t.Fatalf("seed %d: counts %v, %d open", seed, g.inUse, len(open))
 			}
 			_ = unknown
 		}
 		for range 4000 {
-			now += rng.Int64N(sec / 4)
+			now += rng.Int64N(second / 4)
 			var some uint64
 			for id := range open {
 				some = id
@@ -220,11 +223,11 @@
 				switch d.Outcome {
 				case EvictIdle:
 					if open[d.ID].busy || open[d.ID].known && !known {
-						t.Fatalf("seed %d: %+v is to make way for %v", seed, open[d.ID], a)
+						t.Fatalf("seed %d: %+v is to be evicted for %v", seed, open[d.ID], a)
 					}
 					g.Remove(d.ID)
 					delete(open, d.ID)
-				case Admit, Reserved, ToProve:
+				case Admit, AdmitReserved, AdmitUnauthenticated:
 					open[d.ID] = &in{known: known, busy: true, addr: a}
 					unknown := 0
 					for _, c := range open {
@@ -233,8 +236,8 @@
 						}
 					}
 					if len(open) > places || !known && unknown > max(0, places-l.Reserve) ||
-						d.Outcome == Reserved && !known {
-						t.Fatalf("seed %d: %d open, %d unknown of %d places: %+v", seed, len(open), unknown, places, d)
+						d.Outcome == AdmitReserved && !known {
+						t.Fatalf("seed %d: %d open, %d unknown of %d slots: %+v", seed, len(open), unknown, places, d)
 					}
 				}
 			case 4:
@@ -264,7 +267,7 @@
 				}
 			case 8:
 				if rng.IntN(20) == 0 {
-					places = 4 + rng.IntN(12) // shares move: who is in stays in
+					places = 4 + rng.IntN(12) // admitted connections stay
 				} else if rng.IntN(20) == 0 {
 					g.SetLimits(l)
 				}
@@ -276,21 +279,21 @@
 			delete(open, id)
 		}
 		check()
-		for _, s := range g.addrs.m {
+		for _, s := range g.addrs.byAddr {
 			if s.open != 0 {
-				t.Fatalf("seed %d: %+v is left", seed, s)
+				t.Fatalf("seed %d: %+v still has open connections", seed, s)
 			}
 		}
-		if len(g.names) != 0 || g.idle[0].first != nil || g.idle[1].first != nil || len(g.unready) != 0 ||
-			len(g.addrs.m) > l.MaxTracked {
-			t.Fatalf("seed %d: %d names, %d addresses, %d unready are left", seed, len(g.names), len(g.addrs.m),
-				len(g.unready))
+		if len(g.identities) != 0 || g.idle[0].first != nil || g.idle[1].first != nil ||
+			len(g.unauthenticated) != 0 || len(g.addrs.byAddr) > l.MaxTracked {
+			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(g.identities),
+				len(g.addrs.byAddr), len(g.unauthenticated))
 		}
 	}
 }
 
-// Under a flood of distinct addresses memory is bounded, nobody is refused wrongly, and a forgotten address
-// gains one burst at most.
+// Under a flood of distinct addresses memory is bounded and no client is refused wrongly. An evicted address
+// gains at most one burst.
 func TestFloodOfAddresses(t *testing.T) {
 	g := New(Limits{MaxTracked: 1000, Default: Rule{Rate: 1, Burst: 2}})
 	now := Micros(0)
@@ -298,18 +301,18 @@
 		now += 10
 		d := g.Decide(now, Arrival{Addr: addr(i), Capacity: 100})
 		if d.Outcome != Admit {
-			t.Fatalf("address %d, which came once: %+v", i, d)
+			t.Fatalf("first connection of address %d: %+v", i, d)
 		}
 		g.Remove(d.ID)
 	}
-	if len(g.addrs.m) > 1000 || g.addrs.forgotten != 199_000 {
-		t.Errorf("%d remembered, %d forgotten", len(g.addrs.m), g.addrs.forgotten)
+	if len(g.addrs.byAddr) > 1000 || g.addrs.evicted != 199_000 {
+		t.Errorf("%d tracked, %d evicted", len(g.addrs.byAddr), g.addrs.evicted)
 	}
 }
 
-// BenchmarkArrive is one connection's life among 1e5 addresses, by the gate and by a plain map without
-// bounds.
-func BenchmarkArrive(b *testing.B) {
+// BenchmarkDecide measures admitting and removing a connection among 1e5 addresses, with the controller and
+// with an unbounded map and a linear scan.
+func BenchmarkDecide(b *testing.B) {
 	const addresses = 100_000
 	measure := func(b *testing.B, one func(i int)) {
 		var before, after runtime.MemStats
@@ -328,7 +331,7 @@
 		b.ReportMetric(float64(int64(after.HeapAlloc)-int64(before.HeapAlloc))/1024, "KiB-held")
 	}
 	for _, track := range []int{addresses, 4096} {
-		b.Run(fmt.Sprintf("gate/track=%d", track), func(b *testing.B) {
+		b.Run(fmt.Sprintf("controller/track=%d", track), func(b *testing.B) {
 			l := Limits{MaxTracked: track, Default: Rule{MaxOpen: 8, Rate: 10, Burst: 20}}
 			for i := range 1000 {
 				l.Rules = append(l.Rules, Rule{Prefix: netip.PrefixFrom(addr(i*1000), 28), MaxOpen: 4})
@@ -343,7 +346,7 @@
 		})
 	}
 	b.Run("map and scan", func(b *testing.B) {
-		m := map[netip.Addr]*seen{}
+		m := map[netip.Addr]*tracked{}
 		var rules []netip.Prefix
 		for i := range 1000 {
 			rules = append(rules, netip.PrefixFrom(addr(i*1000), 28))
@@ -359,10 +362,10 @@
 			}
 			s := m[a]
 			if s == nil {
-				s = &seen{addr: a}
+				s = &tracked{addr: a}
 				m[a] = s
 			}
-			s.take(now, 10, 20)
+			s.takeToken(now, 10, 20)
 		})
 	})
 }
--- a/internal/quota/keys.go
+++ b/internal/quota/keys.go
@@ -6,182 +6,182 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of a limit that holds for each key on its own.
+// Bounds of a limit that applies to each key separately.
 const (
-	MostKeys   = 10_000 // keys with a share of their own at a member; the others are in the sketch
-	rows       = 4
-	columns    = 16384 // of a row
-	keyIdle    = 10    // periods after which a key that asks for nothing has no share of its own any more
-	keySends   = 64    // messages of all keys a period
-	keysLooked = 2048  // keys that have their turn a period
+	MaxKeys        = 10_000 // keys with their own share at a member; all others are counted in the sketch
+	sketchRows     = 4
+	sketchColumns  = 16384 // cells per row
+	keyIdlePeriods = 10    // periods without requests after which a key loses its own share
+	maxKeyMessages = 64    // maximum number of messages per period for all keys together
+	keysPerTick    = 2048  // maximum number of keys whose share is updated per period
 )
 
-// KeyID is a key of a limit, the same at all members. Two keys of one limit that have the same one (of 10,000
-// some two do with a chance of one in a hundred) have one share together: it is stricter then, not over.
+// KeyID returns the ID of a key of a limit, identical at all members. Two keys with the same ID (the
+// probability of any collision among 10,000 keys is about 1%) are limited together: too strictly, but the
+// limit is not exceeded.
 func KeyID(limit uint64, key string) uint64 {
 	return KeyIDFromNumber(limit, xxhash.Sum64String(key))
 }
 
-// KeyIDFromNumber is the same for a key that is a number already.
+// KeyIDFromNumber is KeyID for a key that is a number.
 func KeyIDFromNumber(limit, key uint64) uint64 {
 	return limit&^math.MaxUint32 | max(1, key&math.MaxUint32)
 }
 
-// LimitIDOf is the limit of a key's number.
+// LimitIDOf returns the limit that a key ID belongs to.
 func LimitIDOf(id uint64) uint64 { return id &^ math.MaxUint32 }
 
-// LimitID is the number of a limit without its keys.
+// LimitID returns the ID of a limit by its name; the low 32 bits are left for keys.
 func LimitID(name string) uint64 { return xxhash.Sum64String(name) &^ math.MaxUint32 }
 
-// cell is a bucket that several keys share: how full it was, and when.
-type cell struct {
+// sketchCell is a leaky bucket that several keys share: its level at a time.
+type sketchCell struct {
 	level float32
-	at    float32 // seconds since the sketch began
+	at    float32 // seconds since the sketch was created
 }
 
-// sketch bounds what each of very many keys gets, in fixed memory: a count-min sketch (Cormode and
+// sketch limits the rate of each of very many keys in constant memory. It is a count-min sketch (Cormode and
 // Muthukrishnan, J. Algorithms 55(1), 2005, §3) with conservative update (Estan and Varghese, SIGCOMM 2002,
-// §3.2) of leaky buckets, which run empty with time. No cell of a key is ever less full than a bucket of that
-// key's own would be, so that no key gets more than its rate; one may get less where all its cells are filled
-// by others.
+// §3.2) whose cells are leaky buckets. No cell of a key is ever less full than a separate bucket for that key
+// would be, so no key gets more than its rate; a key may get less if all of its cells are filled by others.
 type sketch struct {
-	cells [rows][columns]cell
-	begun Micros
+	cells     [sketchRows][sketchColumns]sketchCell
+	createdAt Micros
 }
 
-// take lets one in if the least full of the key's cells has room.
-func (s *sketch) take(now Micros, key uint64, rate, most float64) bool {
-	at := float32(float64(now-s.begun) / 1e6)
-	var mine [rows]*cell
+// take admits one request if the least full of the key's cells has room.
+func (s *sketch) take(now Micros, key uint64, rate, maxLevel float64) bool {
+	seconds := float32(float64(now-s.createdAt) / 1e6)
+	var keyCells [sketchRows]*sketchCell
 	least := float32(math.MaxFloat32)
-	for r := range mine {
+	for r := range keyCells {
 		key *= 0x9E3779B97F4A7C15
-		c := &s.cells[r][key>>32%columns]
-		c.level = max(0, c.level-(at-c.at)*float32(rate))
-		c.at = at
-		mine[r] = c
+		c := &s.cells[r][key>>32%sketchColumns]
+		c.level = max(0, c.level-(seconds-c.at)*float32(rate))
+		c.at = seconds
+		keyCells[r] = c
 		least = min(least, c.level)
 	}
-	if float64(least)+1 > most {
+	if float64(least)+1 > maxLevel {
 		return false
 	}
-	for _, c := range mine {
+	for _, c := range keyCells {
 		c.level = max(c.level, least+1)
 	}
 	return true
 }
 
-// fill is what a key that had a bucket of its own takes along into the sketch.
-func (s *sketch) fill(now Micros, key uint64, used float64) {
-	at := float32(float64(now-s.begun) / 1e6)
-	for r := range rows {
+// add carries the level of a key that had its own bucket over into the sketch.
+func (s *sketch) add(now Micros, key uint64, level float64) {
+	seconds := float32(float64(now-s.createdAt) / 1e6)
+	for r := range sketchRows {
 		key *= 0x9E3779B97F4A7C15
-		c := &s.cells[r][key>>32%columns]
-		c.level, c.at = max(c.level, float32(used)), at
+		c := &s.cells[r][key>>32%sketchColumns]
+		c.level, c.at = max(c.level, float32(level)), seconds
 	}
 }
 
-// KeyedShares is one member's part in a limit that holds for each key on its own: for each tenant, say. Keys that
-// ask for more than the member's share have a share of their own, which borrows and lends; all others are in
-// a sketch.
+// KeyedShares is one member's share of a limit that applies to each key separately, for example to each
+// tenant. Keys that demand more than the member's share get their own Share, which borrows and lends; all
+// others are counted in a sketch.
 type KeyedShares struct {
 	Limit
-	members int
-	period  Micros
-	seed    uint64
-	usable  Micros
-	held    bool
-	void    bool
-	tail    *sketch
-	known   map[uint64]*Share // by KeyID
-	order   []uint64
-	turn    int
-	left    int // of a period's messages
-	Granted int64
-	Refused int64
-	Crowded int64 // times that a key found no room for a share of its own
+	members      int
+	period       Micros
+	seed         uint64
+	usableFrom   Micros
+	suspended    bool
+	disabled     bool
+	sketch       *sketch
+	shares       map[uint64]*Share // by KeyID
+	order        []uint64
+	nextKey      int
+	messagesLeft int // messages that may still be sent in this period
+	Granted      int64
+	Refused      int64
+	Overflows    int64 // times that a key could not get its own share
 }
 
-// NewKeyedShares returns the part of a member that starts from nothing.
+// NewKeyedShares returns the shares of a member that starts without state from a predecessor.
 func NewKeyedShares(l Limit, members int, period Micros, seed uint64, now Micros) *KeyedShares {
 	l.Floor = 1
-	return &KeyedShares{Limit: l, members: members, period: period, seed: seed, tail: &sketch{begun: now},
-		known: map[uint64]*Share{}, usable: now + span(period, 1+3*Drift)}
+	return &KeyedShares{Limit: l, members: members, period: period, seed: seed, sketch: &sketch{createdAt: now},
+		shares: map[uint64]*Share{}, usableFrom: now + terms(period, 1+3*MaxDrift)}
 }
 
-// Len is how many keys have a share of their own.
-func (k *KeyedShares) Len() int { return len(k.known) }
+// Len returns the number of keys that have their own share.
+func (k *KeyedShares) Len() int { return len(k.shares) }
 
-// Take asks whether one more of a key may be let in now, and if not after how long.
-func (k *KeyedShares) Take(now Micros, id uint64) (ok bool, after Micros) {
-	if s := k.known[id]; s != nil {
-		if ok, after = s.Take(now); ok {
+// Take reports whether one more request of a key may be admitted now, and if not, when to retry.
+func (k *KeyedShares) Take(now Micros, id uint64) (ok bool, retryAfter Micros) {
+	if s := k.shares[id]; s != nil {
+		if ok, retryAfter = s.Take(now); ok {
 			k.Granted++
 		} else {
 			k.Refused++
 		}
-		return ok, after
+		return ok, retryAfter
 	}
-	part := 1.0
-	if now < k.usable {
-		part = Kept
+	fraction := 1.0
+	if now < k.usableFrom {
+		fraction = KeptFraction
 	}
-	rate := k.Rate / (1 + Drift) / float64(k.members) * part
-	if !k.void && !k.held && k.tail.take(now, id, rate, k.Burst/float64(k.members)*part) {
+	rate := k.Rate / (1 + MaxDrift) / float64(k.members) * fraction
+	if !k.disabled && !k.suspended && k.sketch.take(now, id, rate, k.Burst/float64(k.members)*fraction) {
 		k.Granted++
 		return true, 0
 	}
 	k.Refused++
-	if s := k.own(now, id); s != nil {
-		s.count++
+	if s := k.ensureShare(now, id); s != nil {
+		s.requests++
 	}
 	return false, k.period
 }
 
-// Refund gives back what Take has let in and nobody used.
+// Refund returns the token of a request that Take admitted and that was not used.
 func (k *KeyedShares) Refund(id uint64) {
-	if s := k.known[id]; s != nil {
+	if s := k.shares[id]; s != nil {
 		s.Refund()
 	}
 	k.Granted--
 }
 
-// own gives a key a share of its own, if there is room. Its bucket is empty: the sketch may have let in as
-// much as it holds.
-func (k *KeyedShares) own(now Micros, id uint64) *Share {
-	if s := k.known[id]; s != nil {
+// ensureShare returns the key's own share and creates it if there is room. A new bucket is empty, as the
+// sketch may already have admitted as much as it holds.
+func (k *KeyedShares) ensureShare(now Micros, id uint64) *Share {
+	if s := k.shares[id]; s != nil {
 		return s
 	}
-	if len(k.known) >= MostKeys || k.void || k.held {
-		k.Crowded++
+	if len(k.shares) >= MaxKeys || k.disabled || k.suspended {
+		k.Overflows++
 		return nil
 	}
 	l := k.Limit
 	l.ID = id
 	k.seed++
 	s := NewShare(l, k.members, k.period, k.seed, now)
-	s.usable = min(s.usable, max(now, k.usable))
-	s.settle(now)
-	k.known[id] = s
+	s.usableFrom = min(s.usableFrom, max(now, k.usableFrom))
+	s.recompute(now)
+	k.shares[id] = s
 	k.order = append(k.order, id)
 	return s
 }
 
-// Tick is to be called once a period, with the other members that are alive.
+// Tick must be called once per period with the other members that are alive.
 func (k *KeyedShares) Tick(now Micros, peers []string) (out []Message) {
-	k.left = keySends
-	for range min(keysLooked, len(k.order)) {
-		k.turn++
-		i := k.turn % len(k.order)
+	k.messagesLeft = maxKeyMessages
+	for range min(keysPerTick, len(k.order)) {
+		k.nextKey++
+		i := k.nextKey % len(k.order)
 		id := k.order[i]
-		s := k.known[id]
-		sends := s.Tick(now, peers)
-		out = append(out, sends[:min(len(sends), k.left)]...)
-		k.left -= min(len(sends), k.left)
-		if idle := s.demand < leastLoan*s.share(); idle && now-s.lastTake > keyIdle*k.period &&
-			len(s.lent)+len(s.in)+len(s.pending) == 0 {
-			k.tail.fill(now, id, max(0, s.cap()-s.tokens))
-			delete(k.known, id)
+		s := k.shares[id]
+		messages := s.Tick(now, peers)
+		out = append(out, messages[:min(len(messages), k.messagesLeft)]...)
+		k.messagesLeft -= min(len(messages), k.messagesLeft)
+		if idle := s.demand < minLoan*s.share(); idle && now-s.lastAsked > keyIdlePeriods*k.period &&
+			len(s.lent)+len(s.borrowed)+len(s.pending) == 0 {
+			k.sketch.add(now, id, max(0, s.capacity()-s.tokens))
+			delete(k.shares, id)
 			k.order[i] = k.order[len(k.order)-1]
 			if k.order = k.order[:len(k.order)-1]; len(k.order) == 0 {
 				break
@@ -191,28 +191,28 @@
 	return out
 }
 
-// Receive takes in a message of another member.
+// Receive handles a message from another member.
 func (k *KeyedShares) Receive(now Micros, from string, data []byte) []Message {
 	id, ok := MessageLimitID(data)
-	if !ok || id&^math.MaxUint32 != k.ID || k.left <= 0 {
+	if !ok || id&^math.MaxUint32 != k.ID || k.messagesLeft <= 0 {
 		return nil
 	}
-	s := k.known[id]
-	if s == nil && data[0] == msgAsk { // whoever asks for some of it gets what is not used here
-		s = k.own(now, id)
+	s := k.shares[id]
+	if s == nil && data[0] == msgRequest { // create the share, so that the unused amount can be lent
+		s = k.ensureShare(now, id)
 	}
 	if s == nil {
 		return nil
 	}
-	s.lastTake = now
+	s.lastAsked = now
 	out := s.Receive(now, from, data)
-	k.left -= len(out)
+	k.messagesLeft -= len(out)
 	return out
 }
 
-// Stats are those of now, over all keys that have a share of their own.
+// Stats returns the current figures, summed over all keys that have their own share.
 func (k *KeyedShares) Stats(now Micros) (f Stats) {
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		g := s.Stats(now)
 		f.Share += g.Share
 		f.Used += g.Used
@@ -222,62 +222,62 @@
 	return f
 }
 
-// HandOver leaves this process what is never lent, and returns what the next one has to know.
+// HandOver leaves this process only what is never lent, and returns the loans that the successor has to know.
 func (k *KeyedShares) HandOver(now Micros) map[uint64][]SavedLoan {
 	out := map[uint64][]SavedLoan{}
-	for id, s := range k.known {
+	for id, s := range k.shares {
 		if lent := s.HandOver(now); len(lent) > 0 {
 			out[id] = lent
 		}
 	}
-	k.held = true // what has no share of its own is the next process's
+	k.suspended = true // keys without their own share belong to the successor
 	return out
 }
 
-// TakeOver goes on after another process of this member, with its keys.
-func (k *KeyedShares) TakeOver(now Micros, from map[uint64][]SavedLoan) {
-	k.held, k.usable = false, now
-	for id, lent := range from {
+// TakeOver continues after another process of this member, with its loans by key.
+func (k *KeyedShares) TakeOver(now Micros, lentByKey map[uint64][]SavedLoan) {
+	k.suspended, k.usableFrom = false, now
+	for id, lent := range lentByKey {
 		if id&^math.MaxUint32 == k.ID {
-			if s := k.own(now, id); s != nil {
+			if s := k.ensureShare(now, id); s != nil {
 				s.TakeOver(now, lent)
 			}
 		}
 	}
 }
 
-// Suspend leaves this process nothing until Inherit or Alone.
-func (k *KeyedShares) Suspend(Micros) { k.held = true }
+// Suspend leaves this process nothing until TakeOver or OtherProcessEnded.
+func (k *KeyedShares) Suspend(Micros) { k.suspended = true }
 
-// OtherProcessEnded tells that the other process of this member is over.
+// OtherProcessEnded notes that the other process of this member has ended; see Share.OtherProcessEnded.
 func (k *KeyedShares) OtherProcessEnded(now Micros, unknown bool) {
-	k.held = false
+	k.suspended = false
 	if unknown {
-		k.usable = now + span(k.period, 1+3*Drift)
+		k.usableFrom = now + terms(k.period, 1+3*MaxDrift)
 	}
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		s.OtherProcessEnded(now, unknown)
 	}
 }
 
-// SetDisabled leaves this member nothing while others turn it down.
+// SetDisabled sets whether this member may use nothing; see Share.SetDisabled.
 func (k *KeyedShares) SetDisabled(now Micros, on bool) {
-	if k.void && !on {
-		k.usable = max(k.usable, now+span(k.period, 1+3*Drift))
+	if k.disabled && !on {
+		k.usableFrom = max(k.usableFrom, now+terms(k.period, 1+3*MaxDrift))
 	}
-	k.void = on
-	for _, s := range k.known {
+	k.disabled = on
+	for _, s := range k.shares {
 		s.SetDisabled(now, on)
 	}
 }
 
-// Configure takes in another rate and burst, and another number of members.
+// Configure sets the rate, the burst and the number of members.
 func (k *KeyedShares) Configure(now Micros, rate, burst float64, members int) {
 	k.Rate, k.Burst, k.members = rate, burst, members
-	for _, s := range k.known {
+	for _, s := range k.shares {
 		s.Configure(now, rate, burst, members)
 	}
 }
 
-// SetEntitlement does nothing: all of a key's share is its member's own.
+// SetEntitlement does nothing: the whole share of a key always belongs to its member.
 func (k *KeyedShares) SetEntitlement(Micros, Entitlement) {}
