--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,8 +1,10 @@
-// Package platform speaks the platform's protocol: the clients' front, the frames to data nodes, the watch
-// on discovery, the datagrams between coordinators, and the configuration that a coordinator is started
-// with. It must never hold the state of a query or decide anything: both are behind the core's queue.
+// Package platform implements the platform's protocol: the clients' front, the frames to data nodes, the
+// watch on discovery, the datagrams between coordinators, and the configuration that a coordinator is
+// started with. It must never hold the state of a query or decide anything: both belong to the core, which
+// is reached through its queue.
 //
-// This file owns the configuration and the names that the settings give: classes, zones and load reports.
+// This file reads the configuration and the names that the settings define: classes, zones and load
+// reports.
 package platform
 
 import (
@@ -28,11 +30,11 @@
 	"lapislever/internal/wire"
 )
 
-// bothBind is how long after a change of the settings clients may still ask by the old ones: the platform
-// gives them 1.2 s to hear of it.
+// settingsOverlap is how long after a change of the settings clients may still send requests by the old
+// ones: the platform gives them 1.2 s to learn of the change.
 const bothBind = 1500 * time.Millisecond
 
-// mostTime bounds a deadline: a year, in microseconds.
+// maxDeadline bounds a deadline: one year, in microseconds.
 const mostTime = 365 * 24 * 3600 * 1_000_000
 
 // Config is the configuration of one coordinator, as the platform writes it.
@@ -40,7 +42,7 @@
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
-	Operator  string `json:"operator"` // where operators call; empty: nowhere
+	Operator  string `json:"operator"` // address of the admin endpoint; empty: none
 	Seed      string `json:"seed"`
 	Limits    struct {
 		Cores    float64 `json:"cores"`
@@ -53,24 +55,24 @@
 	Known      *hostList      `json:"known"`
 	Settings   map[string]any `json:"settings"`
 
-	TempDir string        `json:"-"` // the platform's; an upgrade's two processes meet there
-	Fleet   *fleet.Config `json:"-"` // of the view of the fleet; nil: there is none
-	Before  *Config       `json:"-"` // what held until lately
-	Until   time.Time     `json:"-"` // up to here requests may still come by that
+	TempDir string        `json:"-"` // the platform's; the processes of an upgrade meet there
+	Fleet   *fleet.Config `json:"-"` // nil without a fleet
+	Before  *Config       `json:"-"` // in force until the last reload
+	Until   time.Time     `json:"-"` // requests may follow Previous until this moment
 
 	raw map[string]any // the file as it was read
 
 	Module      balance.Settings `json:"-"`
 	Classes     []string         `json:"-"`
 	Zones       []string         `json:"-"`
-	Columns     []string         `json:"-"` // of a load report
+	Columns     []string         `json:"-"` // columns of a load report
 	Shards      int              `json:"-"`
-	Streams     int              `json:"-"` // calls that one connection carries
+	Streams     int              `json:"-"` // calls in flight on one connection
 	ConnIdle    time.Duration    `json:"-"`
 	DialTimeout time.Duration    `json:"-"`
 }
 
-// Load reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
+// Load reads the file that RELAY_CONFIG names. Other environment variables provide fields that it omits.
 func Load(env func(string) string) (*Config, error) {
 	path := env("RELAY_CONFIG")
 	if path == "" {
@@ -88,7 +90,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration and checks it.
+// Parse reads a configuration and validates it.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	c := &Config{}
 	if err := decode(text, c); err != nil {
@@ -129,8 +131,8 @@
 	return c, c.derive()
 }
 
-// Alone is the configuration of a coordinator without the platform: no clients' front of its own, no
-// discovery.
+// Standalone returns the configuration of a coordinator that runs without the platform: it has no clients'
+// front of its own and no discovery.
 func Alone(settings map[string]any) (*Config, error) {
 	text, err := json.Marshal(map[string]any{"settings": settings})
 	if err != nil {
@@ -143,8 +145,8 @@
 	return c, c.derive()
 }
 
-// JoinFleet has the coordinator take part in a fleet. The module's messages go to its members; one that knows
-// no platform learns from the fleet's file how many of them there may be.
+// JoinFleet has the coordinator join a fleet, whose members then exchange the module's messages. A
+// coordinator without the platform learns from the fleet's file how many members there can be.
 func (c *Config) JoinFleet(f *fleet.Config) error {
 	for i, l := range f.Limits {
 		if l.Class != "" && !slices.Contains(c.Classes, l.Class) {
@@ -160,7 +162,7 @@
 	return nil
 }
 
-// decode reads one JSON value and no more; numbers stay as they are written.
+// decodeStrict reads exactly one JSON value. Numbers stay as they are written.
 func decode(text []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
@@ -173,7 +175,7 @@
 	return nil
 }
 
-// derive reads the settings and fills in what limits are not given.
+// derive reads the settings and fills in the limits that are not given.
 func (c *Config) derive() error {
 	if c.Seed != "" {
 		if _, err := strconv.ParseUint(c.Seed, 16, 64); err != nil {
@@ -191,7 +193,7 @@
 	if c.Module, err = wire.ParseSettings(strings.Join(lines, "\n")); err != nil {
 		return err
 	}
-	if _, err := balance.New(c.Module, 0); err != nil { // what the module itself refuses
+	if _, err := balance.New(c.Module, 0); err != nil { // rejects what the module itself rejects
 		return err
 	}
 	list := func(key string) []string {
@@ -241,8 +243,8 @@
 	return err
 }
 
-// flatten writes nested settings as the simulator does: paths joined by dots, lists of plain values joined
-// by commas, lists of objects with their length under .count.
+// flatten writes nested settings in the simulator's form: paths joined by dots, lists of plain values
+// joined by commas, and for lists of objects their length under .count.
 func flatten(path string, v any, out map[string]string) {
 	at := func(key string) string {
 		if path == "" {
@@ -286,14 +288,14 @@
 	}
 }
 
-// seed is the number that random choices start from.
+// seed returns the seed of random choices.
 func (c *Config) seed() uint64 {
 	s, _ := strconv.ParseUint(c.Seed, 16, 64)
 	return s
 }
 
-// class is the place of a class by its name, or -1. One that was dropped is known for as long as clients may
-// not have heard of that.
+// classIndex returns the index of the class with the given name, or -1. A dropped class stays known for as
+// long as clients may not have learnt that it was dropped.
 func (c *Config) class(name string, now time.Time) int {
 	i := slices.Index(c.Classes, name)
 	if i < 0 || !c.Module.Classes[i].Dropped || c.before(i, now) != nil {
@@ -302,8 +304,8 @@
 	return -1
 }
 
-// before is what a class was until lately, while requests may still come by it; nil: that time is over, or it
-// was nothing.
+// previousClass returns the previous rules of a class while requests may still follow them. It returns nil
+// once that time is over, or where the class is new.
 func (c *Config) before(class int, now time.Time) *balance.Class {
 	if c.Before == nil || !now.Before(c.Until) || class >= len(c.Before.Classes) ||
 		c.Before.Module.Classes[class].Dropped {
@@ -312,15 +314,15 @@
 	return &c.Before.Module.Classes[class]
 }
 
-// binding is what binds one request.
+// requestRules are the rules that apply to one request.
 type binding struct {
 	rules balance.Class
 	most  int  // attempts for a part
-	key   bool // its key goes with the parts
+	key   bool // the request's key is sent with its parts
 }
 
-// bind finds the rules of a request of a class. Just after a change it is not known by which rules it was
-// asked, unless its key tells; then both bind it, which is the stricter of each.
+// rulesFor returns the rules for a request of a class. Just after a change it is unknown which rules the
+// client followed, unless the key tells. Otherwise both apply, and the stricter rule of each kind wins.
 func (c *Config) bind(class int, key bool, now time.Time) binding {
 	b := binding{rules: c.Module.Classes[class], most: c.Module.MaxAttempts}
 	b.key = b.rules.Effect == balance.Keyed
@@ -331,9 +333,9 @@
 	b.most = min(b.most, c.Before.Module.MaxAttempts)
 	was := old.Effect == balance.Keyed
 	switch {
-	case b.key && !was && !key: // asked by the old rules
+	case b.key && !was && !key: // the client followed the old rules
 		b.rules, b.key = *old, false
-	case was && !b.key && !key: // by the new ones
+	case was && !b.key && !key: // the client followed the new rules
 	default:
 		switch {
 		case was && b.key:
@@ -348,15 +350,15 @@
 	return b
 }
 
-// after makes of a configuration that was read anew the one to go on with: what takes a restart stays as it
-// is and is named, and classes keep the places that they have, for queries are open by them. A class that is
-// gone is marked as dropped. Nothing of a file that lacks something is taken.
+// reloadOver merges a configuration that was read again with the running one. Fields that take a restart
+// stay as they are and are returned by name. Classes keep their indexes, as open queries refer to them,
+// and a class that was removed is marked as dropped. Nothing is taken from a file that lacks a key.
 func (c *Config) after(old *Config, now time.Time) (*Config, []string, error) {
 	if err := lacking("", old.raw, c.raw); err != nil {
 		return nil, nil, err
 	}
 	fresh, was := *c, *old
-	was.Before, fresh.raw = nil, old.raw // what the start's file had is needed ever after, and no more
+	was.Before, fresh.raw = nil, old.raw // only the keys of the file read at the start are needed later
 	var kept []string
 	m := &fresh.Module
 	for _, f := range []struct {
@@ -394,19 +396,20 @@
 	return &fresh, kept, nil
 }
 
-// optional are keys that a file read anew need not have: what counts at a start only, and settings that may
-// be absent. Whether a class needs its window the module checks.
+// optionalOnReload are keys that a file read again may lack: those that matter only at a start, and
+// settings that are optional. The module checks whether a class needs its window.
 var optional = map[string]bool{"known": true, "seed": true, "windowUs": true, "aimStretch": true,
 	"warmKeys": true}
 
-// lacking names the first key of the configuration at the start that a file read anew has not, or not in the
-// same form. A list's items are held to what all items of the running one have.
+// missingKey returns an error for the first key of the configuration read at the start that a file read
+// again lacks or has in another form. The items of a list need the keys that all items of the running list
+// have.
 func lacking(path string, old, fresh any) error {
 	switch o := old.(type) {
 	case map[string]any:
 		f, ok := fresh.(map[string]any)
 		if !ok {
-			return fmt.Errorf("%s is no object", path)
+			return fmt.Errorf("%s is not an object", path)
 		}
 		for _, k := range slices.Sorted(maps.Keys(o)) {
 			at := strings.TrimPrefix(path+"."+k, ".")
@@ -425,7 +428,7 @@
 	case []any:
 		f, ok := fresh.([]any)
 		if !ok {
-			return fmt.Errorf("%s is no list", path)
+			return fmt.Errorf("%s is not a list", path)
 		}
 		if len(o) == 0 {
 			return nil
@@ -449,13 +452,14 @@
 		return nil
 	}
 	if reflect.TypeOf(old) != reflect.TypeOf(fresh) {
-		return fmt.Errorf("%s: %v is of another kind than %v", path, fresh, old)
+		return fmt.Errorf("%s: %v has another type than %v", path, fresh, old)
 	}
 	return nil
 }
 
-// report reads a load report, `name=value` joined by commas, in the order of the settings' columns. One that
-// cannot be read, or lacks a column, tells nothing: half of it would pass for an idle node.
+// parseReport reads a load report, `name=value` joined by commas, and returns the values in the order of
+// the settings' columns. It returns nil for a report that is malformed or lacks a column: part of it could
+// pass for the report of an idle node.
 func (c *Config) report(text string) []float32 {
 	if text == "-" || text == "" || len(c.Columns) == 0 {
 		return nil
@@ -481,11 +485,11 @@
 	return out
 }
 
-// reportNames are the names that data nodes may use for the settings' columns.
+// reportAliases are names that data nodes may use for the settings' columns.
 var reportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
 	"latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps"}
 
-// hostList is discovery's form of a list.
+// hostList is a list in discovery's form.
 type hostList struct {
 	Seq   int64  `json:"seq"`
 	Whole bool   `json:"whole"`
@@ -503,17 +507,17 @@
 	Born   float64 `json:"born_ms"`
 }
 
-// Host is a line of discovery's list.
+// Host is an entry of discovery's list.
 type Host = host
 
-// replicas turns a list into the module's form.
+// replicas converts a list to the module's form.
 func (c *Config) replicas(hosts []host) []balance.Replica {
 	out := make([]balance.Replica, 0, len(hosts))
 	for i := range hosts {
 		h := &hosts[i]
 		zone := -1
 		for j, z := range c.Zones {
-			if z == scalar(h.Site) { // as the settings are read
+			if z == scalar(h.Site) { // as in the settings
 				zone = j
 			}
 		}
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -1,7 +1,7 @@
 package platform
 
-// A coordinator's part in the fleet: when it joins, hands its place over, and leaves. What a member is and
-// who is alive others decide: internal/membership.
+// A coordinator's part in the fleet: joining, handover and leaving. Membership and failure detection are
+// in internal/membership.
 
 import (
 	"fmt"
@@ -18,12 +18,12 @@
 )
 
 const (
-	// joinSlack is how many periods a start waits at most to be let into the fleet: for one that nobody
-	// answers, and for another process of its name that does not answer either, and some.
+	// joinPeriods is how many periods a start waits at most to be admitted to the fleet: enough for one try that
+	// nobody answers, for another process with this name that doesn't answer either, and some margin.
 	joinSlack = 16
-	// leavePeriods is how long the end waits at most for others to hear of it.
+	// leavePeriods is how many periods the shutdown waits at most for others to learn of it.
 	leavePeriods = 3
-	// toldPeriods is how long a start waits at most to be told the fleet's verdicts.
+	// verdictPeriods is how many periods a start waits at most for the fleet's verdicts.
 	toldPeriods = 12
 	toldLook    = 5 * time.Millisecond
 	bindEvery   = 200 * time.Millisecond
@@ -36,14 +36,14 @@
 	return fleet.Sockets
 }
 
-// fleetCarriesPeers tells that the fleet's socket is the one for other coordinators, and carries what the
-// module has to say to them.
+// fleetSharesPeerSocket reports whether the fleet's socket is also the one for other coordinators. It then
+// carries the module's messages to them.
 func (c *Config) fleetCarriesPeers() bool {
 	return c.Fleet != nil && c.Fleet.Fleet.Listen == c.PeerListen
 }
 
-// joinFleet opens the fleet's socket. One that takes over from another process gets that one's, and begins
-// once that one stops: see takeFleetOver.
+// openFleet opens the fleet's socket. A process that takes over from another one receives the socket from
+// it, and starts when that one stops: see takeOverFleet.
 func (k *Coordinator) joinFleet(h *inheritance, beside bool) (err error) {
 	if h != nil && h.fleet != nil {
 		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, h.fleet)
@@ -53,16 +53,17 @@
 		if !beside {
 			return err
 		}
-		// The process beside this one has the socket and could not hand it over: it ends sooner or later.
-		k.log.Warn("waiting for the fleet's socket", "err", err)
+		// The process beside this one holds the socket and could not hand it over. It ends sooner or later.
+		k.log.Warn("the fleet's socket is in use: waiting for it", "err", err)
 		time.Sleep(bindEvery)
 		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, nil)
 	}
 	return nil
 }
 
-// enterFleet begins to take part, unless this process takes over from another, and waits until this member is
-// let in and told what the fleet holds, or goes on alone. The core has to run.
+// startFleet joins the fleet, unless this process takes over from another one. It waits until this member
+// is admitted and has received the fleet's verdicts, or until that takes too long. The core must be
+// running.
 func (k *Coordinator) enterFleet() error {
 	if k.fleet == nil || k.upgrade.place != nil {
 		return nil
@@ -73,7 +74,7 @@
 	return k.awaitFleet()
 }
 
-// carryVerdict carries out here what the whole fleet holds.
+// applyVerdict applies a fleet-wide verdict here.
 func (k *Coordinator) carryVerdict(c verdict.Change) bool {
 	if c.Verdict.Kind == verdict.Prefix {
 		k.carryPrefix(c)
@@ -91,19 +92,19 @@
 	if !k.core.Bar(id, by, c.Holds, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleet { // what is judged the next process hears with the table
+	if by == core.ByFleet { // the successor receives verdicts by evidence with the table
 		k.upgrade.pass(id, by, c.Holds)
 	}
 	return true
 }
 
-// fleetHost is this process as the fleet's part needs it.
+// fleetHost returns the functions that the fleet calls in this process.
 func (k *Coordinator) fleetHost() fleet.Host {
 	return fleet.Host{Carry: k.carryVerdict, Name: k.nodeName,
 		Nodes: func() int { return int(k.core.Counts().Listed.Load()) }}
 }
 
-// nodeName is the name of a data node, on whichever way it is reached.
+// nodeName returns the name of a data node, whichever backend it belongs to.
 func (k *Coordinator) nodeName(node uint64) (string, bool) {
 	if name, ok := k.nodes.Name(balance.ReplicaID(node)); ok {
 		return name, true
@@ -120,7 +121,7 @@
 	return "", false
 }
 
-// witness has the fleet hear how attempts end, as far as that says something of the node.
+// reportAttempt reports how an attempt ended to the fleet, where that is evidence about the node.
 func (k *Coordinator) witness(s core.Seen) {
 	end := verdict.Broken
 	switch {
@@ -138,7 +139,7 @@
 	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Took)
 }
 
-// judge has evidence against data nodes count, where the fleet's file says so.
+// enableEvidence lets evidence against data nodes count, where the fleet's file says so.
 func (k *Coordinator) judge(conf *core.Config) {
 	if !k.cfg.Fleet.Judges() {
 		return
@@ -150,11 +151,12 @@
 	}
 }
 
-// carryPrefix tells the gates, where there are any, of a word on a prefix.
+// applyPrefixVerdict tells the fronts' admission controllers of a ban or pin of a prefix, or that it was
+// lifted.
 func (k *Coordinator) carryPrefix(c verdict.Change) {
 	p, err := netip.ParsePrefix(c.Verdict.What)
 	if err != nil {
-		return // from a member of another version: nothing to carry out
+		return // sent by a member of another version: nothing to apply
 	}
 	for _, x := range k.extras {
 		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
@@ -167,7 +169,7 @@
 	}
 }
 
-// awaitFleet waits until this member is one.
+// awaitFleetJoin waits until the fleet has admitted this member.
 func (k *Coordinator) awaitFleet() error {
 	late := time.NewTimer(joinSlack * k.cfg.Fleet.Period())
 	defer late.Stop()
@@ -177,20 +179,20 @@
 		k.fleet.Close()
 		return err
 	case <-late.C:
-		k.log.Warn("not let into the fleet in time: serving all the same")
+		k.log.Warn("not admitted to the fleet in time: serving without it")
 		return nil
 	}
 	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(toldLook) {
 		if time.Now().After(end) {
-			k.log.Warn("nobody has told the fleet's verdicts in time: serving without what they may be")
+			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
 		}
 	}
 	return nil
 }
 
-// hearFleet hands the module what other members' modules have to say, and watches for a process that bears
-// this one's name and is older.
+// receiveFleet passes messages of other members' modules to this module, and ends this process when an
+// older process with the same name exists.
 func (k *Coordinator) hearFleet() {
 	for {
 		select {
@@ -205,19 +207,19 @@
 	}
 }
 
-// limits asks the fleet's level and limits.
+// fleetGate checks queries and attempts against the fleet's overload level and limits.
 type limits struct {
 	k      *Coordinator
 	ranked *atomic.Pointer[ranked]
 }
 
-// ranked are the ranks of a configuration's classes.
+// classRanks are the ranks of a configuration's classes.
 type ranked struct {
 	conf  *Config
 	ranks []int
 }
 
-// rank is the place of a class by worth.
+// rank returns the rank of a class by worth.
 func (l limits) rank(conf *Config, class int) int {
 	r := l.ranked.Load()
 	if r == nil || r.conf != conf {
@@ -231,12 +233,12 @@
 	return r.ranks[class]
 }
 
-// Admit asks whether a query may be let in.
+// Admit reports whether a query may be admitted.
 func (l limits) Admit(q *core.Query) (bool, time.Duration, string) {
 	conf := l.k.front.conf.Load()
 	class, who := conf.Classes[q.Class], q.Name
 	if q.Key != "" {
-		who = q.Key // the same for all tries of it
+		who = q.Key // the same for all retries of the query
 	}
 	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
@@ -251,7 +253,7 @@
 	return true, 0, ""
 }
 
-// Ended gives back what a query held, and tells how it ended.
+// QueryEnded releases what a query held, and reports its outcome.
 func (l limits) Ended(q *core.Query, e core.Ending) {
 	l.k.fleet.HasEnded(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
@@ -260,7 +262,7 @@
 	}
 }
 
-// Send asks whether an attempt may be sent.
+// AllowSend reports whether an attempt may be sent.
 func (l limits) Send(a *core.Attempt) (bool, balance.Outcome) {
 	if !l.k.fleet.MaySend(a.First()) {
 		return false, balance.NotSent
@@ -272,10 +274,10 @@
 	if !t.Empty() {
 		a.Ticket = t
 	}
-	return ok, balance.Busy // to the module the node is full
+	return ok, balance.Busy // the module treats the node as full
 }
 
-// Over gives back what an attempt held.
+// AttemptEnded releases what an attempt held.
 func (l limits) Over(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
@@ -283,11 +285,11 @@
 	}
 }
 
-// Failed hears once why this process must not go on serving.
+// Failed receives, once, the reason why this process must stop serving.
 func (k *Coordinator) Failed() <-chan error { return k.failed }
 
-// takeFleetOver goes on as the member that the old process was, once that one has said where it stands. If it
-// does not, this process joins as a restarted one: at the same address nobody else can be.
+// takeOverFleet continues as the member that the old process was, once that one has sent its state. If it
+// does not, this process joins like a restarted member: nobody else can be at the same address.
 func (k *Coordinator) takeFleetOver() {
 	if k.fleet == nil || k.upgrade.place == nil {
 		return
@@ -296,22 +298,22 @@
 	select {
 	case from = <-k.upgrade.place:
 	case <-time.After(linkWait):
-		k.log.Warn("the old process has not said where it stands in the fleet: joining anew")
+		k.log.Warn("the old process did not send its fleet state in time: joining as a restarted member")
 	case <-k.stop:
 		return
 	}
 	if err := k.fleet.Begin(from, k.fleetHost()); err != nil {
-		k.log.Error("no part in the fleet", "err", err)
+		k.log.Error("joining the fleet failed: serving without it", "err", err)
 	}
 }
 
-// leaveFleet tells the others that this member goes, now that all is answered.
+// leaveFleet tells the other members that this one leaves, once everything is answered.
 func (k *Coordinator) leaveFleet(until time.Time) {
 	if k.fleet == nil {
 		return
 	}
 	wait := min(leavePeriods*k.cfg.Fleet.Period(), max(50*time.Millisecond, time.Until(until)))
 	if !k.fleet.Leave(wait) {
-		k.log.Warn("the fleet may not have heard that this member leaves")
+		k.log.Warn("the fleet may not have learnt that this member leaves")
 	}
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -1,7 +1,7 @@
 package platform
 
-// One coordinator put together: the watch on discovery, the datagrams, and the order in which all of it
-// starts and ends. This file owns that order; it must never decide about a query.
+// Assembles one coordinator from its parts, sends and receives the datagrams between coordinators, and
+// defines the order of startup and shutdown. Nothing in this file decides about a query.
 
 import (
 	"errors"
@@ -26,44 +26,45 @@
 
 const (
 	maxDatagram = 256
-	ownSockets  = 40 // descriptors for all but clients, nodes and operators
-	nodeShare   = 4  // one in so many descriptors is kept for nodes
-	// leastThreads is how many threads may run at a time, whatever part of a core there is.
+	ownSockets  = 40 // descriptors for everything except clients, nodes and operators
+	nodeShare   = 4  // one in nodeSocketShare descriptors is reserved for nodes
+	// minThreads is how many threads may run in parallel even where the limit on cores is lower.
 	leastThreads = 4
-	ringShare    = 8 // one in so many bytes of the memory is for large requests that are being read
+	ringShare    = 8 // one in ringMemoryShare bytes of memory is for large requests that are being read
 
-	// An ending coordinator goes on serving for as long as new connections may still come, and beyond that for
-	// as long as clients use it and there is time; it answers all that it took well before it may be killed.
+	// A coordinator that shuts down keeps serving while new connections may still arrive, and beyond that
+	// while clients use it and time remains. It answers everything it has accepted well before it may be
+	// killed.
 	acceptOn   = 600 * time.Millisecond
-	serveLeast = 800 * time.Millisecond // left for what came last
-	lastReply  = 300 * time.Millisecond // the same where a successor serves, and little comes
-	quietOn    = 500 * time.Millisecond // without a request, for clients to count as gone elsewhere
+	serveLeast = 800 * time.Millisecond // reserved for the last requests
+	lastReply  = 300 * time.Millisecond // the same where a successor serves, as few requests arrive then
+	quietOn    = 500 * time.Millisecond // clients without a request for this long have moved on
 
-	firstWord = time.Second // that a start waits for discovery before it serves by an older list
+	firstWord = time.Second // how long a start waits for discovery before it serves with an older list
 )
 
-// Extra is another front on the same core.
+// ExtraFront is a further front on the same core.
 type Extra interface {
-	// Backend takes its queries' parts to their servers.
+	// Backend sends the parts of its queries to their servers.
 	Backend() core.Backend
-	// Start begins to serve; the core runs.
+	// Start begins to serve. The core is running by then.
 	Start(c *core.Core, budget *lnet.Budget) error
-	// Settle tells of new settings, in which classes have kept their places.
+	// ApplySettings takes in new settings, in which classes have kept their indexes.
 	Settle(s balance.Settings)
 	ender
 }
 
-// ender is a listener with its connections, as far as ending goes.
+// drainer is a listener with its connections, as far as shutdown needs it.
 type ender interface {
-	Retire()                // tells who asks that it is not ready any more
-	StopListening()         // no new connections
-	Wind()                  // from now on replies end their connections
-	LastRequest() time.Time // when a request last came
-	Finish()                // and idle ones are closed
+	Retire()                // answers readiness checks with "not ready" from now on
+	StopListening()         // accepts no new connections
+	Wind()                  // every reply ends its connection from now on
+	LastRequest() time.Time // when the last request arrived
+	Finish()                // additionally closes idle connections
 	Wait(most time.Duration) bool
 }
 
-// Coordinator is one running coordinator.
+// Coordinator is a running coordinator.
 type Coordinator struct {
 	cfg       *Config
 	log       *slog.Logger
@@ -73,18 +74,18 @@
 	nodes     *Nodes
 	delays    *delay.Recorder
 	peers     *peers
-	fleet     *fleet.Fleet // nil: there is none
-	failed    chan error   // hears once why this process must not go on serving
+	fleet     *fleet.Fleet // nil without a fleet
+	failed    chan error   // receives, once, the reason why this process must stop serving
 	extras    []Extra
 	door      *admin.Door
 	ending    atomic.Bool
-	accepting atomic.Bool   // the fronts were started
+	accepting atomic.Bool   // the fronts have been started
 	listed    chan struct{} // closed once a list is known
 	upgrade   *upgrade
 
-	mu     sync.Mutex // guards conf, halved
-	conf   *Config    // in force
-	halved bool       // another process serves beside this one
+	mu     sync.Mutex // guards current, sharing
+	conf   *Config    // the configuration in force
+	halved bool       // another process serves in parallel
 	stop   chan struct{}
 	halted sync.Once
 
@@ -92,8 +93,8 @@
 }
 
 // ApplyLimits keeps this process within the platform's limits on cores and memory. The limit on cores
-// bounds processor time, not how many threads may run at a time: with a single one, a thread that the
-// system holds up would hold up the whole process.
+// bounds processor time and not the number of threads that may run in parallel: with a single thread, one
+// that the system suspends would block the whole process.
 func (c *Config) ApplyLimits() {
 	runtime.GOMAXPROCS(max(leastThreads, int(c.Limits.Cores)))
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
@@ -109,7 +110,7 @@
 	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringShare)
 	post := func(e core.Event) { k.core.Post(e) }
 	counts := &core.Counts{}
-	for _, name := range cfg.Classes { // so that each is there from the first look on
+	for _, name := range cfg.Classes { // creates every counter before the first reading
 		counts.Class(name)
 	}
 	k.nodes = NewNodes(cfg, budget, log, counts, post)
@@ -174,7 +175,7 @@
 			Memory: h.greeting.Memory, Now: h.greeting.Now})
 		k.upgrade.follow(h)
 	}
-	if cfg.Known != nil { // what was known before a restart: enough to begin with
+	if cfg.Known != nil { // the list known before a restart is enough to begin with
 		w.seq = cfg.Known.Seq
 		news := k.nodes.Learn(cfg.Known.Hosts, true)
 		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
@@ -191,9 +192,9 @@
 	if cfg.Discovery != "" {
 		go w.run(!cfg.Module.Subscribe)
 	}
-	if cfg.Operator != "" { // before the fleet, which a start may wait for
+	if cfg.Operator != "" { // before joining the fleet, which a start may wait for
 		if k.door, err = admin.Open(cfg.Operator, doorState{k}, log); err != nil {
-			log.Error("the operators' door stays shut: serving without it", "address", cfg.Operator, "err", err)
+			log.Error("admin endpoint could not be opened: serving without it", "address", cfg.Operator, "err", err)
 		}
 	}
 	if err := k.enterFleet(); err != nil {
@@ -210,7 +211,7 @@
 	return k, nil
 }
 
-// listening are the addresses that clients reach, on all fronts.
+// listenAddrs returns the addresses that clients connect to, on all fronts.
 func (k *Coordinator) listening() string {
 	var all []string
 	if k.server != nil {
@@ -224,7 +225,7 @@
 	return strings.Join(all, ",")
 }
 
-// accept begins to serve clients on all fronts.
+// startFronts begins to serve clients on all fronts.
 func (k *Coordinator) accept(budget *lnet.Budget) error {
 	defer k.accepting.Store(true)
 	for _, x := range k.extras {
@@ -238,17 +239,18 @@
 	return nil
 }
 
-// prepare waits for the list and then tells that this process can serve. One that starts beside another,
-// whether or not it could take over from it, waits for discovery's own word, as the old process serves
-// meanwhile and has long heard more than is known here, and takes no client before.
+// becomeReady waits for the list and then reports that this process can serve. A process that starts
+// beside another one waits for discovery's full list and accepts no client before, whether or not it could
+// take over: the old process keeps serving in the meantime and has received more than is known here.
 func (k *Coordinator) prepare(beside bool, budget *lnet.Budget) {
 	select {
 	case <-k.listed:
 	case <-k.stop:
 		return
 	}
-	// Where the list is pushed, what the agent has counts as told from the first moment, and what was known
-	// before the start may be old: a client is better served after discovery's own word, if that comes soon.
+	// Where the list is pushed, the agent's state counts as announced from the first moment, and what was
+	// known before the start may be outdated. Clients are served better after discovery's full list if that
+	// arrives soon.
 	wait := time.Duration(0)
 	switch {
 	case beside:
@@ -260,25 +262,25 @@
 		select {
 		case <-k.watcher.whole:
 		case <-time.After(wait):
-			k.log.Warn("starting without discovery's word", "beside", beside)
+			k.log.Warn("starting without discovery's full list", "beside", beside)
 		case <-k.stop:
 			return
 		}
 	}
 	if beside {
-		k.core.Cordoned(linkWait) // behind the list in the core's queue: once it is back, that is taken in
+		k.core.Cordoned(linkWait) // queued behind the list: once this returns, the core has taken the list in
 	}
 	k.upgrade.ready()
-	k.front.ready.Store(!k.ending.Load()) // before a client is heard, who would else be told no
+	k.front.ready.Store(!k.ending.Load()) // set before any client is accepted, which would be refused otherwise
 	if beside {
 		if err := k.accept(budget); err != nil {
-			k.log.Error("a front could not be taken over", "err", err)
+			k.log.Error("a front could not be started after the takeover", "err", err)
 		}
 		k.takeFleetOver()
 	}
 }
 
-// doorSockets is how many descriptors the operators' door needs.
+// adminSockets returns how many descriptors the admin endpoint needs.
 func (k *Coordinator) doorSockets() int { return doorNeeds(k.cfg.Operator != "") }
 
 func doorNeeds(open bool) int {
@@ -288,28 +290,29 @@
 	return 0
 }
 
-// budgetOf is how many descriptors clients and nodes share.
+// socketBudget returns how many descriptors clients and nodes share.
 func budgetOf(sockets int, door bool) int { return max(32, sockets-ownSockets-doorNeeds(door)) }
 
-// ClientPlaces is how many clients there can be at most, where the process may hold so many descriptors.
+// MaxClients returns how many clients can be connected where the process may hold the given number of
+// descriptors.
 func ClientPlaces(sockets int, door bool) int {
 	most := budgetOf(sockets, door)
 	return most - most/nodeShare
 }
 
-// Addr is the address that clients reach.
+// Addr returns the address that clients connect to.
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
-// Door is the address of the operators' door.
+// AdminAddr returns the address of the admin endpoint.
 func (k *Coordinator) Door() string { return k.door.Addr() }
 
-// doorState is what the operators' door shows of a coordinator.
+// adminState is the view of a coordinator that the admin endpoint shows.
 type doorState struct{ k *Coordinator }
 
-// Ready tells that this process can serve.
+// Ready reports whether this process can serve.
 func (d doorState) Ready() bool { return d.k.front.ready.Load() && !d.k.ending.Load() }
 
-// Figures are this process's counts.
+// Counters returns this process's counters.
 func (d doorState) Figures() admin.Figures {
 	c := d.k.core.Counts()
 	f := admin.Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
@@ -326,10 +329,10 @@
 	return f
 }
 
-// Delays are the actions that were carried out late.
+// Delays returns the statistics of actions that were carried out late.
 func (d doorState) Delays() any { return d.k.delays.Figures() }
 
-// Gate says who is let in; nil where only the budget does.
+// Gate returns the admission controller, or nil where only the budget limits connections.
 func (d doorState) Gate() admin.Gate {
 	for _, x := range d.k.extras {
 		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
@@ -339,7 +342,7 @@
 	return nil
 }
 
-// Fleet is the view of the fleet; nil where there is none.
+// Fleet returns the view of the fleet, or nil without a fleet.
 func (d doorState) Fleet() any {
 	if d.k.fleet == nil {
 		return nil
@@ -347,7 +350,7 @@
 	return d.k.fleet.Status()
 }
 
-// Verdicts are what the fleet holds; nil where there is no fleet.
+// Verdicts returns the verdicts in force in the fleet, or nil without a fleet.
 func (d doorState) Verdicts() any {
 	if d.k.fleet == nil {
 		return nil
@@ -355,7 +358,7 @@
 	return d.k.fleet.Verdicts()
 }
 
-// Say puts a data node out or back for the whole fleet.
+// ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
 func (d doorState) Say(c admin.FleetCall, within time.Duration) (any, bool, error) {
 	v := verdict.Verdict{Kind: verdict.Node, What: c.ID, On: c.Out, By: c.By, Reason: c.Reason,
 		Span: c.Span.Microseconds()}
@@ -379,7 +382,7 @@
 	return s, len(s.Missing) == 0, err
 }
 
-// Overload is what the fleet turns away as one; nil where there is no fleet.
+// Overload returns what the fleet sheds as a whole, or nil without a fleet.
 func (d doorState) Overload() any {
 	if d.k.fleet == nil {
 		return nil
@@ -387,7 +390,7 @@
 	return d.k.fleet.Overload()
 }
 
-// Limits are this member's shares of the fleet's limits; nil where there is no fleet.
+// Limits returns this member's shares of the fleet's limits, or nil without a fleet.
 func (d doorState) Limits() any {
 	if d.k.fleet == nil {
 		return nil
@@ -395,13 +398,13 @@
 	return d.k.fleet.Limits()
 }
 
-// gate is a keeper in the door's terms.
+// admissionGate adapts an admission controller to the admin endpoint.
 type gate struct{ *lnet.Keeper }
 
-// Figures are what the door shows.
+// Stats returns the statistics that the admin endpoint shows.
 func (g gate) Figures(n int) any { return g.Keeper.Figures(n) }
 
-// Cordon puts a data node out or back.
+// Cordon cordons or uncordons a data node.
 func (d doorState) Cordon(id string, out bool, within time.Duration) error {
 	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
 	if known {
@@ -416,13 +419,13 @@
 	return nil
 }
 
-// Reload takes in a configuration that was read anew: the settings, and discovery's address, to where the
-// watch moves at once and begins with the whole list. Queries and known nodes stay. What else differs is
-// named in the log and takes a restart. Of a file that lacks something nothing is taken. It must not be
-// called from two goroutines at once.
+// Reload takes in a configuration that was read again: the settings, and discovery's address, to which the
+// watch moves at once, starting with the full list. Queries and known nodes stay. Other differences are
+// named in the log and take a restart. A file that lacks a key is rejected as a whole. Reload must not be
+// called from two goroutines at the same time.
 func (k *Coordinator) Reload(cfg *Config) error {
 	k.mu.Lock()
-	watched := k.conf.Discovery != "" // else there is no watch: the range-query front runs alone
+	watched := k.conf.Discovery != "" // otherwise there is no watch: the range-query front runs alone
 	fresh, kept, err := cfg.after(k.conf, time.Now())
 	if err == nil {
 		k.conf = fresh
@@ -459,8 +462,9 @@
 	return nil
 }
 
-// settle tells the core of the settings in force; the caller holds mu. While two processes serve, each gives
-// a cold node half: what the module keeps to is this coordinator's share, and the two are one.
+// postSettings sends the settings in force to the core. The caller holds mu. While two processes serve,
+// each gives a cold node half of its share: the module's limit applies to the coordinator, and both
+// processes together are one coordinator.
 func (k *Coordinator) settle() {
 	s := k.conf.Module
 	if k.halved {
@@ -469,7 +473,7 @@
 	k.core.Post(core.Reconfigured{Settings: s})
 }
 
-// halve begins or ends the time in which two processes serve.
+// setSharing begins or ends the time in which two processes serve.
 func (k *Coordinator) halve(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -479,21 +483,22 @@
 	}
 }
 
-// Reject tells that a configuration was turned down: the old one stays, whole.
+// RejectConfig records that a configuration was rejected. The old one stays in force as a whole.
 func (k *Coordinator) Reject(err error) {
 	k.core.Counts().Rejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
 
-// Shutdown ends in order: not ready any more; then, once the clients have gone elsewhere or time is short, no
-// new connections or requests; everything that was taken is answered, and then the end. Until then clients
-// that have no coordinator to go to, as the others may be starting anew just now, are served as ever.
+// Shutdown ends the process in order: it reports "not ready"; once clients have moved to other
+// coordinators, or when time runs short, it accepts no new connections and requests; it answers everything
+// that was accepted, and ends. Until then, clients that have no other coordinator (the others may be
+// restarting at the same time) are served as before.
 func (k *Coordinator) Shutdown() {
 	begun := time.Now()
 	handed := k.upgrade.handedOver()
 	k.log.Info("ending", "successor", handed)
 	k.ending.Store(true)
-	if !handed { // else the coordinator is there as ever, whichever process is asked
+	if !handed { // otherwise the coordinator stays available, whichever of its processes is asked
 		k.front.ready.Store(false)
 	}
 	var ends []ender
@@ -524,9 +529,9 @@
 			}
 		}
 	}
-	if k.upgrade.handedOver() { // before the end was asked for, or since
+	if k.upgrade.handedOver() { // before the shutdown began, or since
 		if !handed {
-			k.log.Info("a successor serves now")
+			k.log.Info("a successor serves: redirecting clients to it")
 			k.front.ready.Store(true)
 		}
 		k.lead(ends, begun.Add(answerOn-lastReply))
@@ -538,23 +543,23 @@
 	select {
 	case <-idle:
 	case <-time.After(time.Until(begun.Add(endingLimit))):
-		k.log.Error("ended with queries open")
+		k.log.Error("shutdown time is over with queries still open")
 	}
 	for _, x := range ends {
 		x.Wait(max(50*time.Millisecond, time.Until(begun.Add(endingLimit))))
 	}
-	if !k.upgrade.handedOver() { // else the successor is the member, since whenever
+	if !k.upgrade.handedOver() { // otherwise the successor is the fleet's member
 		k.leaveFleet(begun.Add(endingLimit))
 	}
 	k.halt()
 	k.log.Info("ended", "took", time.Since(begun))
 }
 
-// lead has clients go over to the successor: the next reply on a connection ends it. An idle one stays open
-// up to the time given, as a request may be on its way, and closing would cross it.
+// redirectClients moves clients to the successor: the next reply on a connection ends it. An idle
+// connection stays open until the given time, as a request may be in transit and closing would cross it.
 func (k *Coordinator) lead(ends []ender, until time.Time) {
 	if k.peers != nil {
-		_ = k.peers.c.Close() // what comes now is for the successor
+		_ = k.peers.c.Close() // datagrams are for the successor from now on
 	}
 	for _, x := range ends {
 		x.StopListening()
@@ -565,8 +570,8 @@
 	}
 }
 
-// ending is when all must be answered after SIGTERM, and when the program ends. It is killed after the
-// longest deadline, or 3 s where that is longer, and 0.7 s.
+// shutdownTimes returns how long after SIGTERM everything must be answered and when the program ends. It is
+// killed 0.7 s after the longest deadline, which counts as 3 s at most.
 func (c *Config) ending() (answerOn, limit time.Duration) {
 	longest := time.Duration(0)
 	for _, x := range c.Module.Classes {
@@ -576,13 +581,13 @@
 	return killed - 500*time.Millisecond, killed - 200*time.Millisecond
 }
 
-// platformEnd is the platform's front as far as ending goes; /up says by itself that it is not ready.
+// platformFront is the platform's front as a drainer. /up reports "not ready" without its help.
 type platformEnd struct{ *lnet.Server }
 
-// Retire has nothing left to do.
+// MarkNotReady does nothing.
 func (platformEnd) Retire() {}
 
-// Close ends at once, as a test wants it.
+// Close ends the coordinator at once, for tests.
 func (k *Coordinator) Close() {
 	if k.server != nil {
 		k.server.Finish()
@@ -597,7 +602,7 @@
 	k.halt()
 }
 
-// halt ends the goroutines that are not connections.
+// stopAll ends the goroutines that don't belong to connections.
 func (k *Coordinator) halt() {
 	k.halted.Do(func() {
 		close(k.stop)
@@ -615,7 +620,7 @@
 	})
 }
 
-// peers carries datagrams between coordinators.
+// peerSocket exchanges datagrams with other coordinators.
 type peers struct {
 	cfg  *Config
 	log  *slog.Logger
@@ -660,10 +665,10 @@
 	return p, nil
 }
 
-// Tell queues a datagram; where the queue is full it is lost, as any may be.
+// Tell queues a datagram, or drops it where the queue is full: any datagram may be lost.
 func (p *peers) Tell(to uint32, text string) {
-	if len(text) == 0 || len(text) > maxDatagram { // a longer one is forbidden
-		p.log.Error("a message to a peer has an impossible length", "bytes", len(text))
+	if len(text) == 0 || len(text) > maxDatagram { // the platform forbids longer ones
+		p.log.Error("message to a peer is empty or too long", "bytes", len(text))
 		return
 	}
 	addr := p.all
@@ -702,10 +707,10 @@
 		}
 		who, known := p.from[from.String()]
 		if known && int(who) == p.cfg.Module.Number {
-			continue // our own word to all
+			continue // our own broadcast
 		}
 		if !known || n > maxDatagram {
-			p.log.Warn("bad datagram", "from", from, "bytes", n)
+			p.log.Warn("datagram from an unknown sender or too long", "from", from, "bytes", n)
 			continue
 		}
 		p.post(core.PeerMessage{From: who, Data: append([]byte(nil), buf[:n]...)})
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Signals takes the signals that a running coordinator obeys, before anything else is done: SIGHUP
-// would else end the program.
+// Signals registers for the signals that a running coordinator handles. It is called before anything else,
+// as SIGHUP would otherwise end the program.
 func Signals() <-chan os.Signal {
 	end, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
@@ -17,8 +17,8 @@
 	return out
 }
 
-// order passes signals on, an end before a reload. Each kind waits in a place of its own, so that however
-// many reloads come while one is being done, they are one more, and take no end's place.
+// orderSignals passes signals on, an end before a reload. Each kind has a queue of its own: any number of
+// reloads that arrive during a reload count as one, and never displace an end.
 func order(end, reload <-chan os.Signal, out chan<- os.Signal) {
 	for {
 		select {
@@ -33,7 +33,7 @@
 		case s := <-reload:
 			select {
 			case out <- s:
-			case s = <-end: // nobody has taken the reload yet
+			case s = <-end: // the reload has not been taken yet
 				out <- s
 			}
 		}
