--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -1,9 +1,9 @@
 package platform
 
 // The upgrade: a new process takes over from one that still serves, over a Unix socket in the platform's
-// temporary directory. This file owns the link between the two, what is said on it and how descriptors and
-// memory are shared out for that time. It must never hold a query's state or keep a process from serving:
-// whatever fails here is logged, and the coordinator starts or goes on without it.
+// temporary directory. This file defines the link between the two, the messages on it, and how they share
+// descriptors and memory in the meantime. It must never hold a query's state or keep a process from
+// serving: failures are logged, and the coordinator starts or continues without the takeover.
 
 import (
 	"bufio"
@@ -31,33 +31,33 @@
 )
 
 const (
-	linkWait     = time.Second            // for the other side's first words
-	linkTries    = 3                      // to be heard by it
-	linkQueue    = 64                     // words that wait for the other side
+	linkWait     = time.Second            // for the other side's first message
+	linkTries    = 3                      // dials before a start gives up
+	linkQueue    = 64                     // messages that wait for the other side
 	shareEvery   = 100 * time.Millisecond // between looks at what the old process still holds
-	listWait     = 2 * time.Second        // for discovery's list, before a successor serves by what it was told
-	endingSpare  = 8                      // descriptors that a process may always take
-	leastSpare   = 4                      // for clients that are refused, of each of two processes
-	leastSockets = 20 + leastSpare        // of each, beside clients, nodes and operators
-	memoryPart   = 6                      // tenths of the memory that the heap may take
+	listWait     = 2 * time.Second        // for discovery's list, before a successor serves without it
+	endingSpare  = 8                      // descriptors that each process may always hold
+	leastSpare   = 4                      // for clients that are refused, in each of the two processes
+	leastSockets = 20 + leastSpare        // of each process, beside clients, nodes and operators
+	memoryPart   = 6                      // tenths of the memory limit that the heap may use
 )
 
-// word is one line on the link. The first one of each side is its greeting; the old process's carries the
-// sockets beside it.
+// linkMessage is one line on the link; "old" and "new" name the process that sends the field. Each side's
+// first message is its hello; the old process's hello carries the sockets as ancillary data.
 type word struct {
-	Listen  string                               `json:"listen,omitempty"`  // new: the addresses that it wants
-	Peers   string                               `json:"peers,omitempty"`   //
-	Sockets []string                             `json:"sockets,omitempty"` // old: the sockets that come along
-	Out     map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: what is out, since when
-	Barred  map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: the same by the whole fleet
-	Since   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: and back
-	Memory  balance.Memory                       `json:"memory"`            // old: what its module hands over
-	Now     balance.Micros                       `json:"now,omitempty"`     // old: what its module's clock reads
-	Most    int                                  `json:"most,omitempty"`    // old: descriptors for the new one
+	Listen  string                               `json:"listen,omitempty"`  // new: address that it wants
+	Peers   string                               `json:"peers,omitempty"`   // new: and the one for peers
+	Sockets []string                             `json:"sockets,omitempty"` // old: the sockets beside it
+	Out     map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: cordons, and since when
+	Barred  map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: fleet-wide cordons
+	Since   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: when nodes were restored
+	Memory  balance.Memory                       `json:"memory"`            // old: its module's memory
+	Now     balance.Micros                       `json:"now,omitempty"`     // old: its module's clock
+	Most    int                                  `json:"most,omitempty"`    // old: descriptors for the new
 	Ready   bool                                 `json:"ready,omitempty"`   // new: it is about to serve
-	Heard   bool                                 `json:"heard,omitempty"`   // old: it knows that
+	Heard   bool                                 `json:"heard,omitempty"`   // old: acknowledges that
 	Cordon  *cordonWord                          `json:"cordon,omitempty"`  // both: an operator's call
-	Fleet   *fleet.Handover                      `json:"fleet,omitempty"`   // old: where it stands in the fleet
+	Fleet   *fleet.Handover                      `json:"fleet,omitempty"`   // old: its state in the fleet
 }
 
 type cordonWord struct {
@@ -67,8 +67,8 @@
 	At     balance.Micros    `json:"at"`
 }
 
-// link is one end of the connection between an old process and a new one. What is said on it is queued until
-// the greetings are over, and nobody waits for the other side.
+// link is one end of the connection between an old process and a new one. Messages are queued until the
+// hellos are exchanged, and nobody waits for the other side.
 type link struct {
 	c    *net.UnixConn
 	in   *bufio.Reader
@@ -86,22 +86,22 @@
 // close ends the link.
 func (l *link) close() { l.once.Do(func() { close(l.over); _ = l.c.Close() }) }
 
-// say queues a word.
+// send queues a message.
 func (l *link) say(w word) {
 	select {
 	case l.out <- w:
 	default:
-		l.log.Error("the other process of the upgrade does not listen")
+		l.log.Error("upgrade: the other process does not read: message dropped")
 	}
 }
 
-// talk writes what is said.
+// writeLoop writes the queued messages.
 func (l *link) talk() {
 	for {
 		select {
 		case w := <-l.out:
 			if err := l.write(w); err != nil {
-				l.log.Warn("the other process of the upgrade does not listen", "err", err)
+				l.log.Warn("upgrade: a message to the other process could not be written", "err", err)
 			}
 		case <-l.over:
 			return
@@ -109,7 +109,7 @@
 	}
 }
 
-// write writes a word, with descriptors beside it if any are given.
+// writeMessage writes a message, with the given descriptors as ancillary data.
 func (l *link) write(w word, fds ...int) error {
 	b, err := json.Marshal(w)
 	if err != nil {
@@ -128,13 +128,13 @@
 	return err
 }
 
-// hear reads words until the other side is gone.
+// readLoop reads messages until the other side closes the link.
 func (l *link) hear(f func(word)) {
 	for {
 		w, err := l.next()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				l.log.Warn("the link of the upgrade ended", "err", err)
+				l.log.Warn("upgrade: the link to the other process failed", "err", err)
 			}
 			return
 		}
@@ -150,7 +150,8 @@
 	return w, json.Unmarshal(line, &w)
 }
 
-// socketPath is where the process that serves an address can be asked for its sockets; empty: nowhere.
+// socketPath returns the path of the Unix socket on which the process that serves an address can be asked
+// for its sockets. It is empty where there is none.
 func socketPath(cfg *Config) string {
 	if cfg.TempDir == "" || cfg.Listen == "" || strings.HasSuffix(cfg.Listen, ":0") {
 		return ""
@@ -159,7 +160,7 @@
 		".sock")
 }
 
-// inheritance is what a new process gets from the one that it takes over from.
+// receivedSockets is what a new process receives from the one that it takes over from.
 type inheritance struct {
 	link     *link
 	greeting word
@@ -168,9 +169,10 @@
 	fleet    *net.UDPConn
 }
 
-// inherit asks the process that serves, if there is one, for its sockets, and tells whether one is there. A
-// socket file that nobody listens at is left over from one that died; it says nothing. One that is there but
-// does not answer is asked again: without its word a coordinator would forget what operators have put out.
+// requestSockets asks the process that serves, if there is one, for its sockets, and reports whether there
+// is one. A socket file that nobody listens on is a leftover of a process that died. A process that
+// listens but does not answer is asked again: without its hello the coordinator would forget the
+// operators' cordons.
 func inherit(cfg *Config, log *slog.Logger) (h *inheritance, there bool) {
 	path := socketPath(cfg)
 	if path == "" {
@@ -182,24 +184,24 @@
 	for range linkTries {
 		c, err := net.DialTimeout("unix", path, linkWait)
 		if err != nil {
-			log.Info("no process to take over from", "err", err)
+			log.Info("upgrade: there is no process to take over from", "err", err)
 			return nil, there
 		}
 		there = true
 		h = &inheritance{link: newLink(c.(*net.UnixConn), log)}
 		if err = h.receive(cfg); err == nil {
-			log.Info("taking over", "sockets", h.greeting.Sockets, "out", len(h.greeting.Out), "most",
+			log.Info("upgrade: taking over", "sockets", h.greeting.Sockets, "out", len(h.greeting.Out), "most",
 				h.greeting.Most)
 			return h, true
 		}
-		log.Warn("nothing taken over yet", "err", err)
+		log.Warn("upgrade: the sockets were not received", "err", err)
 		h.drop()
 	}
-	log.Error("nothing taken over: starting beside the old process")
+	log.Error("upgrade: takeover failed: starting beside the old process")
 	return nil, true
 }
 
-// receive says who asks and takes the old process's greeting with the sockets.
+// receive sends this process's hello and reads the old process's hello with the sockets.
 func (h *inheritance) receive(cfg *Config) error {
 	if err := h.link.write(word{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
 		return err
@@ -225,7 +227,7 @@
 	}
 	_ = h.link.c.SetReadDeadline(time.Time{})
 	if len(files) != len(h.greeting.Sockets) {
-		return fmt.Errorf("%d sockets came, not %d", len(files), len(h.greeting.Sockets))
+		return fmt.Errorf("received %d sockets, expected %d", len(files), len(h.greeting.Sockets))
 	}
 	for i, what := range h.greeting.Sockets {
 		switch what {
@@ -244,12 +246,12 @@
 		}
 	}
 	if h.listener == nil {
-		return errors.New("no listener came")
+		return errors.New("received no listener")
 	}
 	return nil
 }
 
-// datagrams is the socket that a file holds.
+// packetConn returns the UDP socket that a file holds.
 func datagrams(f *os.File) (*net.UDPConn, error) {
 	p, err := net.FilePacketConn(f)
 	if err != nil {
@@ -258,12 +260,12 @@
 	u, ok := p.(*net.UDPConn)
 	if !ok {
 		_ = p.Close()
-		return nil, errors.New("a socket came that is none for datagrams")
+		return nil, errors.New("received a socket that is not a UDP socket")
 	}
 	return u, nil
 }
 
-// received are the files that came beside a message.
+// receivedFiles returns the files that came with a message as ancillary data.
 func received(oob []byte) (files []*os.File, err error) {
 	msgs, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
@@ -282,7 +284,7 @@
 	return files, nil
 }
 
-// drop gives back what was inherited, where nothing comes of it.
+// discard closes the received sockets and the link after a takeover that failed.
 func (h *inheritance) drop() {
 	if h.listener != nil {
 		_ = h.listener.Close()
@@ -295,34 +297,34 @@
 	h.link.close()
 }
 
-// upgrade is a coordinator's part in taking over and in being taken over from.
+// upgrade handles the takeover from a predecessor and the handover to a successor.
 type upgrade struct {
 	k      *Coordinator
 	path   string
 	budget *lnet.Budget
-	all    int                  // descriptors for clients and nodes, while there is one process
-	place  chan *fleet.Handover // the old process's in the fleet; nil: none is to be taken over
-	heard  chan struct{}        // the old process's word that it knows of this one
+	all    int                  // descriptors for clients and nodes while there is one process
+	place  chan *fleet.Handover // receives the predecessor's state in the fleet; nil: none to take over
+	heard  chan struct{}        // receives when the predecessor knows of this process
 
-	limiting sync.Mutex // has one at a time bound this process, so that what was found last holds
+	limiting sync.Mutex // serializes applyLimits, so that the last computed limits hold
 
 	mu        sync.Mutex // guards all below
 	asked     *net.UnixListener
-	old       *link // while this process takes over
-	given     int   // descriptors that the old process leaves to this one, and to whoever follows it
-	successor *link // while another one takes over from this one
-	mine      int   // descriptors that are not for the successor
-	serves    bool  // the successor does
+	old       *link // set while this process takes over
+	given     int   // descriptors that the predecessor grants to this process and its successors
+	successor *link // set while another process takes over from this one
+	mine      int   // descriptors that the successor must not use
+	serves    bool  // the successor serves
 	closed    bool
 }
 
-// shared is what two processes may take together for clients and nodes.
+// sharedBudget returns how many descriptors two processes may hold together for clients and nodes.
 func (u *upgrade) shared() int {
 	return max(4*endingSpare, u.k.cfg.Limits.Sockets-2*(leastSockets+u.k.doorSockets()+u.k.cfg.fleetSockets()))
 }
 
-// whole is what this process and its successor may take together: what the one before it leaves them, where
-// that is still there. The caller holds mu.
+// available returns how many descriptors this process and its successor may hold together: what the
+// predecessor grants them while it exists. The caller holds mu.
 func (u *upgrade) whole() int {
 	if u.old != nil {
 		return u.given
@@ -330,8 +332,8 @@
 	return u.shared()
 }
 
-// limit bounds this process's descriptors and, while there are others, its memory and what it gives cold
-// nodes, by who is there now.
+// applyLimits bounds this process's descriptors, depending on which other processes exist. While others
+// exist it also bounds its memory and its share of the load on cold nodes.
 func (u *upgrade) limit() {
 	u.limiting.Lock()
 	defer u.limiting.Unlock()
@@ -353,10 +355,11 @@
 	u.k.halve(!alone)
 }
 
-// listen makes the socket to ask at, in place of whatever is there: the last process that serves is the one
-// to ask. Nil: this process is over, or the socket is refused.
+// listen creates the socket that successors connect to. It replaces an existing one, as the last process
+// that serves is the one to ask. It returns nil once this process has ended, or where the socket cannot be
+// created.
 func (u *upgrade) listen() *net.UnixListener {
-	u.mu.Lock() // once close is through nothing is made any more
+	u.mu.Lock() // nothing is created after close
 	defer u.mu.Unlock()
 	if u.path == "" || u.closed {
 		return nil
@@ -372,14 +375,14 @@
 	}
 	if err != nil {
 		_ = os.Remove(temp)
-		u.k.log.Info("no upgrade without a pause: the socket for it is refused", "err", err)
+		u.k.log.Info("upgrade: the socket could not be created: an upgrade will interrupt service", "err", err)
 		return nil
 	}
 	u.asked = l
 	return l
 }
 
-// open lets a successor ask for the sockets.
+// acceptSuccessors lets a successor ask for the sockets.
 func (u *upgrade) open() {
 	l := u.listen()
 	if l == nil {
@@ -390,8 +393,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors or the like: it passes
-			u.k.log.Warn("a successor could not be heard", "err", err)
+		if err != nil { // out of descriptors, for example: a temporary failure
+			u.k.log.Warn("upgrade: a successor's connection could not be accepted", "err", err)
 			time.Sleep(shareEvery)
 			continue
 		}
@@ -399,7 +402,7 @@
 	}
 }
 
-// close ends this process's part.
+// close ends this process's part in upgrades.
 func (u *upgrade) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -414,25 +417,26 @@
 	}
 }
 
-// handOver serves one successor, until it is gone or this process is.
+// handOver serves one successor until either process ends.
 func (u *upgrade) handOver(l *link) {
 	defer l.close()
 	_ = l.c.SetReadDeadline(time.Now().Add(linkWait))
 	w, err := l.next()
 	if err != nil || w.Listen != u.k.cfg.Listen || w.Peers != u.k.cfg.PeerListen {
-		u.k.log.Warn("a process that asks for the sockets is no successor", "listen", w.Listen, "err", err)
+		u.k.log.Warn("upgrade: the process that asks for the sockets is not a successor", "listen", w.Listen,
+			"err", err)
 		return
 	}
 	_ = l.c.SetReadDeadline(time.Time{})
 	if err := u.greet(l); err != nil {
-		u.k.log.Warn("the sockets could not be handed over", "err", err)
+		u.k.log.Warn("upgrade: the sockets could not be sent", "err", err)
 		u.mu.Lock()
 		u.successor = nil
 		u.mu.Unlock()
 		u.limit()
 		return
 	}
-	u.k.log.Info("a successor takes over")
+	u.k.log.Info("upgrade: a successor takes over")
 	go l.talk()
 	go u.shareOut(l)
 	l.hear(func(w word) {
@@ -440,9 +444,9 @@
 			u.mu.Lock()
 			u.serves = true
 			u.mu.Unlock()
-			u.k.log.Info("the successor serves")
+			u.k.log.Info("upgrade: the successor serves")
 			l.say(word{Heard: true})
-			if u.k.fleet != nil { // from now on that one is the member
+			if u.k.fleet != nil { // the successor is the fleet's member from now on
 				l.say(word{Fleet: u.k.fleet.Release()})
 			}
 		}
@@ -456,8 +460,8 @@
 		_ = u.asked.Close()
 	}
 	u.mu.Unlock()
-	if again { // it is this process again that is to be asked
-		u.k.log.Warn("the successor is gone")
+	if again { // this process is the one to ask again
+		u.k.log.Warn("upgrade: the successor is gone")
 		u.limit()
 		if u.k.fleet != nil {
 			u.k.fleet.Again()
@@ -466,8 +470,8 @@
 	}
 }
 
-// shareOut gives the successor what this process does not hold any more, as it ends, and its part of what the
-// one before this one gives up.
+// shareSockets gives the successor the descriptors that this process no longer holds while it shuts down,
+// and the successor's share of what the predecessor releases.
 func (u *upgrade) shareOut(l *link) {
 	tick := time.NewTicker(shareEvery)
 	defer tick.Stop()
@@ -496,12 +500,14 @@
 	}
 }
 
-// rest is what the successor may take: what this process neither holds nor may. The caller holds mu.
+// successorShare returns how many descriptors the successor may hold: those that this process neither
+// holds nor may hold. The caller holds mu.
 func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.Used())) }
 
-// greet makes room for a successor and sends it the greeting with the sockets beside it. Their modes stay as
-// they are: both processes poll them. The successor is there to be told before what operators have said is
-// read: a call between the two would else be in neither. It is passed on behind the greeting.
+// sendHello makes room for a successor and sends it the hello with the sockets. The sockets' modes don't
+// change, as both processes poll them. The successor is registered before the core is asked for the
+// cordons: otherwise a call between the two steps would reach neither. Such a call is forwarded behind the
+// hello.
 func (u *upgrade) greet(l *link) error {
 	u.mu.Lock()
 	u.successor, u.mine = l, u.whole()/2
@@ -530,7 +536,7 @@
 	return withFDs(socks, nil, func(fds []int) error { return l.write(w, fds...) })
 }
 
-// withFDs calls f with the descriptors of some sockets.
+// withFDs calls f with the descriptors of the given sockets.
 func withFDs(socks []any, fds []int, f func(fds []int) error) error {
 	if len(socks) == 0 {
 		return f(fds)
@@ -538,7 +544,7 @@
 	return withFD(socks[0], func(fd int) error { return withFDs(socks[1:], append(fds, fd), f) })
 }
 
-// withFD calls f with a socket's descriptor, which stays open for as long as f runs.
+// withFD calls f with a socket's descriptor, which stays open while f runs.
 func withFD(sock any, f func(fd int) error) error {
 	c, ok := sock.(syscall.Conn)
 	if !ok {
@@ -554,7 +560,7 @@
 	return err
 }
 
-// follow is a new process's side from the greeting on: it hears the old process until that is gone.
+// followPredecessor reads the predecessor's messages after its hello, until it is gone.
 func (u *upgrade) follow(h *inheritance) {
 	u.mu.Lock()
 	u.old, u.given = h.link, h.greeting.Most
@@ -588,16 +594,17 @@
 		u.old = nil
 		u.mu.Unlock()
 		u.limit()
-		u.k.log.Info("the old process is gone")
+		u.k.log.Info("upgrade: the old process is gone")
 		if u.k.fleet != nil {
 			u.k.fleet.Alone()
 		}
 	}()
 }
 
-// ready tells the old process that this one is about to serve, and takes its place as the one to ask. It
-// comes back once the old process knows: whoever hears this one's yes may tell the old one to end at once,
-// and how that ends depends on it. One of an older version says nothing, and is waited for up to linkWait.
+// announceReady tells the predecessor that this process is about to serve, and takes its place on the
+// upgrade socket. It returns once the predecessor has acknowledged: whoever sees this process ready may
+// stop the predecessor at once, and its shutdown depends on knowing the successor. A predecessor of an
+// older version does not acknowledge; it is waited for up to linkTimeout.
 func (u *upgrade) ready() {
 	u.mu.Lock()
 	old := u.old
@@ -608,22 +615,23 @@
 		case <-u.heard:
 		case <-old.over:
 		case <-time.After(linkWait):
-			u.k.log.Warn("the old process has not said that it knows of this one")
+			u.k.log.Warn("upgrade: the old process did not acknowledge this one in time")
 		case <-u.k.stop:
 		}
 	}
 	go u.open()
 }
 
-// obey carries out an operator's call that the other process has had.
+// applyCordon applies an operator's call that the other process received.
 func (u *upgrade) obey(w word) {
 	if c := w.Cordon; c != nil {
-		// Its moment is by the other process's clock, and the wall clock may have been stepped: now is as good.
+		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
+		// good.
 		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
 	}
 }
 
-// pass tells the other process, if there is one, of an operator's call, or of the fleet's word.
+// forwardCordon sends an operator's call, or a fleet-wide cordon, to the other process if there is one.
 func (u *upgrade) pass(id balance.ReplicaID, by core.Author, out bool) {
 	u.mu.Lock()
 	links := [2]*link{u.old, u.successor}
@@ -635,7 +643,7 @@
 	}
 }
 
-// handedOver tells that a successor serves.
+// handedOver reports whether a successor serves.
 func (u *upgrade) handedOver() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
