--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,8 +1,8 @@
 package platform
 
-// The clients' front: it turns a request into a query for the core and a final answer into a reply. It owns
-// the form of both and nothing else; it must never hold a query's state, answer one by itself once the core
-// has it, or wait.
+// The clients' front: it converts a request to a query for the core, and a final answer to a reply. It
+// defines the format of both and nothing else; it must never hold a query's state, answer a query itself
+// once the core has it, or block.
 
 import (
 	"encoding/json"
@@ -21,10 +21,10 @@
 )
 
 const (
-	maxName  = 128  // of a query's or a key's characters
+	maxName  = 128  // length of a query's name or key
 	maxParts = 1024 // of one query
 
-	massSlack = 0.001 // by which masses that were rounded may miss 1
+	massSlack = 0.001 // rounding error allowed in the sum of masses
 )
 
 // Front serves clients of the platform.
@@ -36,20 +36,20 @@
 	ready atomic.Bool
 }
 
-// NewFront returns the form of requests without a core behind it, for another front that speaks it.
+// NewFront returns a front without a core. It parses requests for another front with the same format.
 func NewFront(cfg *Config, log *slog.Logger, via core.Backend) *Front {
 	f := &Front{log: log, via: via}
 	f.conf.Store(cfg)
 	return f
 }
 
-// Adopt has requests read by a configuration that was taken in.
+// SetConfig sets the configuration that requests are parsed with.
 func (f *Front) Adopt(cfg *Config) { f.conf.Store(cfg) }
 
-// Parse turns a request into a query, or says what is wrong with it. The query has no client yet.
+// Parse converts a request to a query, or returns what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
 
-// Serve takes one request.
+// Serve handles one request.
 func (f *Front) Serve(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
 		switch {
@@ -65,7 +65,7 @@
 	q, err := f.parse(r)
 	if err != nil {
 		f.countUnasked(r, EndingOf(err.Status))
-		// The end of the connection: what else comes on it is worth as little, and must not cost more.
+		// The connection ends: what follows on it is unlikely to be valid and must not cost more.
 		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
 		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
 		return nil
@@ -79,25 +79,26 @@
 	return func() { f.core.Leave(q) }
 }
 
-// TurnAway counts a request that was refused before it came here: too many connections are open.
+// CountTurnedAway counts a request that was refused before it reached the front, as too many connections
+// are open.
 func (f *Front) TurnAway(r *lnet.Request) {
 	f.countUnasked(r, core.Refused)
 }
 
-// countUnasked counts a reply that the core was not asked for, if the request names a class.
+// countRejected counts a reply given without the core, if the request names a class.
 func (f *Front) countUnasked(r *lnet.Request, e core.Ending) {
 	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
 
-// ClassName is the class that a request names, known or not.
+// ClassName returns the class that a request names, known or not.
 func ClassName(r *lnet.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	return name
 }
 
-// EndingOf is what a reply's status means to a client.
+// OutcomeForStatus returns what a reply's status means for the query.
 func EndingOf(status int) core.Ending {
 	switch status {
 	case 200:
@@ -119,7 +120,7 @@
 	Filter string `json:"filter"`
 }
 
-// parse turns a request into a query.
+// parse converts a request to a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
 		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
@@ -163,7 +164,7 @@
 	}
 	q.Deadline = r.At.Add(wait)
 	var body queryBody
-	if !utf8.Valid(r.Body) { // what cannot be read would be replaced, and the parts carry it unchanged
+	if !utf8.Valid(r.Body) { // decoding would replace invalid bytes, and the parts would carry the changed text
 		return fail(400, "the body is not UTF-8")
 	}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -202,7 +203,7 @@
 	return q, nil
 }
 
-// isToken tells that a text can stand in a line of a frame.
+// isToken reports whether a text can be part of a frame's line.
 func isToken(s string) bool {
 	if s == "" || len(s) > maxName {
 		return false
@@ -222,7 +223,7 @@
 	count *core.ClassCount
 }
 
-// reply words the final answer, and counts what the client is told.
+// reply sends a reply and counts its outcome.
 func (c *client) reply(r lnet.Response) {
 	c.count.Add(EndingOf(r.Status))
 	c.x.Reply(r)
@@ -239,7 +240,7 @@
 	Body  string `json:"body"`
 }
 
-// Final replies.
+// Final sends the reply.
 func (c *client) Final(f core.Final) {
 	switch f.Ending {
 	case core.Answered:
@@ -265,7 +266,7 @@
 	}
 }
 
-// Answer is the reply to a query that was answered.
+// Answer returns the response to a query that was answered.
 func Answer(f core.Final, log *slog.Logger) lnet.Response {
 	body := answerBody{Entire: f.Whole, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
@@ -273,13 +274,13 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil || len(b) > lnet.MaxBody {
-		log.Warn("an answer is too large", "bytes", len(b), "err", err)
+		log.Warn("answer exceeds the largest reply body", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
 	return lnet.Response{Status: 200, Type: "application/json", Body: b}
 }
 
-// Refusal is a reply that tells when to come back.
+// Refusal returns a response that tells the client when to retry.
 func Refusal(after time.Duration) lnet.Response {
 	r := lnet.Response{Status: 503, Body: []byte("refused for now\n")}
 	if after > 0 {
--- a/internal/platform/latency.go
+++ b/internal/platform/latency.go
@@ -1,13 +1,13 @@
 package platform
 
-// How long a data node's answers take.
+// The latency of a data node's answers.
 
 import (
 	"sync"
 	"time"
 )
 
-// latency follows how long a node's answers take, as TCP does its round trips.
+// latency estimates how long a node's answers take, as TCP estimates round-trip times.
 type latency struct {
 	mu          sync.Mutex
 	mean, stray time.Duration
@@ -24,7 +24,7 @@
 	l.mean += (d - l.mean) / 8
 }
 
-// most is what all but the very latest answers take.
+// upperBound returns the time within which all but the slowest answers arrive.
 func (l *latency) most() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -1,8 +1,8 @@
 package platform
 
-// The log's way out. Whoever logs hands over a record and goes on: a record is worded and written by one
-// goroutine. This file must never make anybody wait: the core's goroutine logs too, and neither a stream that
-// nobody reads nor another thread that is held up while it logs may hold it up.
+// The output of the log. A goroutine that logs queues a record and continues; a single other goroutine
+// formats and writes the records. This file must never block a caller: the core's goroutine logs too, and
+// must not wait for a stream that nobody reads or for another thread that is suspended while it logs.
 
 import (
 	"context"
@@ -15,18 +15,18 @@
 )
 
 const (
-	logQueue = 1024 // records that wait; further ones are lost, and counted
-	logRate  = 200  // lines a second, so that bad input cannot fill what keeps the log
+	logQueue = 1024 // queued records; further ones are dropped and counted
+	logRate  = 200  // lines a second, so that bad input cannot fill the log's storage
 	logFlush = 2 * time.Second
 )
 
-// logRecord is a record that waits, and what is to word it; without a handler it is the log's end.
+// logRecord is a queued record and the handler that formats it. One without a handler ends the log.
 type logRecord struct {
 	handler slog.Handler
 	record  slog.Record
 }
 
-// recordQueue holds what waits to be written.
+// recordQueue holds records that are to be written.
 type recordQueue struct {
 	records chan logRecord
 	done    chan struct{}
@@ -40,14 +40,14 @@
 	to    slog.Handler
 }
 
-// NewLog returns a log that never blocks, and what writes the rest of it at the end.
+// NewLog returns a logger that never blocks, and a function that writes what is still queued at the end.
 func NewLog(w io.Writer, level slog.Level) (*slog.Logger, func()) {
 	q := &recordQueue{records: make(chan logRecord, logQueue), done: make(chan struct{})}
 	go q.drain(w)
 	return slog.New(queuedHandler{q, slog.NewTextHandler(w, &slog.HandlerOptions{Level: level})}), q.close
 }
 
-// Enabled tells that records of a level are written.
+// Enabled reports whether records of a level are written.
 func (h queuedHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return h.to.Enabled(ctx, level)
 }
@@ -67,15 +67,15 @@
 	return queuedHandler{h.queue, h.to.WithAttrs(attrs)}
 }
 
-// WithGroup returns a handler that names a group.
+// WithGroup returns a handler that opens a group.
 func (h queuedHandler) WithGroup(name string) slog.Handler {
 	return queuedHandler{h.queue, h.to.WithGroup(name)}
 }
 
-// drain writes what is queued, up to the log's end.
+// drain writes the queued records until the log ends.
 func (q *recordQueue) drain(w io.Writer) {
 	defer close(q.done)
-	var second time.Time // in which lines are counted
+	var second time.Time // the second in which count counts lines
 	count := 0
 	for r := range q.records {
 		if r.handler == nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// close writes what is queued, as far as the stream takes it in a short time.
+// close writes the queued records, as far as the stream accepts them within logFlush.
 func (q *recordQueue) close() {
 	q.once.Do(func() {
 		select {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -1,15 +1,15 @@
 package platform
 
-// The watch on discovery. This file owns the calls for the list and when they are made; it must never decide
+// The watch on discovery. This file makes the calls for the list and decides when; it must never decide
 // what a list means.
 //
-// A change counts as told 6 s (toldAfter) after discovery had it and could be reached, whatever became of a
-// call; where the list is pushed what the agent has counts at once, but for what a watch that has fallen
-// silent misses, which counts 6 s after that. So, with the times below:
+// A change counts as announced 6 s (propagationLimit) after discovery had it and was reachable, whatever
+// became of a call. Where the list is pushed, the agent's state counts at once, except for changes that a
+// watch misses because it has fallen silent: those count 6 s later. So, with the times below:
 //
-//	silence + limit <= toldAfter                                       pushed: 1.2 s; 0.1 s after an outage
-//	silence + limit <= toldAfter                                       asked for: 5.5 s
-//	balance.AskMost + limit <= toldAfter                               asked for, after many failures: 5.5 s
+//	undetectedSilence + limit <= propagationLimit               pushed: 1.2 s; 0.1 s after an outage
+//	undetectedSilence + limit <= propagationLimit               polled: 5.5 s
+//	balance.MaxListRetryDelay + limit <= propagationLimit       polled, after many failures: 5.5 s
 
 import (
 	"encoding/json"
@@ -27,14 +27,14 @@
 )
 
 const (
-	toldAfter  = 6 * time.Second // the operators' page on the whole fleet
+	toldAfter  = 6 * time.Second // stated on the operators' page on the whole fleet
 	watchRetry = 50 * time.Millisecond
 	dialMost   = time.Second
 	maxList    = 4 << 20 // bytes
-	// Where the list is pushed a call that is overdue is not given up: another one is made beside it, so that an
-	// agent that comes back is heard at once, and one that is slow is heard all the same.
-	patientLimit = time.Second // an overdue call's
-	mostCalls    = 12          // that are out at a time; the oldest goes
+	// Where the list is pushed, an overdue call is not abandoned but joined by another one, so that an agent
+	// that recovers is heard at once and a slow one is heard as well.
+	patientLimit = time.Second // for an overdue call
+	mostCalls    = 12          // in flight in parallel; beyond that the oldest is cancelled
 )
 
 // watcher follows discovery.
@@ -47,13 +47,14 @@
 	fetch chan struct{}
 	move  chan string
 	stop  chan struct{}
-	whole chan struct{} // closed once discovery has given the whole list
+	whole chan struct{} // closed once discovery has sent the full list
 	seq   int64
-	// beside is set where another process of this coordinator serves and has long heard more than is known here.
+	// besideOld is set where another process of this coordinator serves, which has received more than is
+	// known here.
 	beside bool
 }
 
-// Watch is the module's wish to hear of changes.
+// Watch is called by the module to start or stop listening to changes.
 func (w *watcher) Watch(on bool) {
 	select {
 	case w.on <- on:
@@ -61,7 +62,7 @@
 	}
 }
 
-// Fetch is the module's wish for the whole list.
+// Fetch is called by the module to request the full list.
 func (w *watcher) Fetch() {
 	select {
 	case w.fetch <- struct{}{}:
@@ -69,7 +70,7 @@
 	}
 }
 
-// moveTo makes discovery's address another one.
+// moveTo changes discovery's address.
 func (w *watcher) moveTo(addr string) {
 	select {
 	case w.move <- addr:
@@ -77,46 +78,47 @@
 	}
 }
 
-// terms are the times of one kind of watch.
+// callTimes are the times of one kind of watch.
 type terms struct {
-	wait  time.Duration // that a call asks discovery to wait for news
-	limit time.Duration // for an answer that is due, the dialling included; then it is overdue
-	give  time.Duration // and so long after it was due it is given up
+	wait  time.Duration // how long a call asks discovery to wait for changes
+	limit time.Duration // for an answer that is due, dialling included; then the call is overdue
+	give  time.Duration // after it was due, before the call is abandoned
 }
 
-// The terms where the agent on this machine is sent the list, and where each call is work for discovery,
-// which takes up to a second: what the answer to a call that was given up would have told counts as told all
-// the same.
+// The times where the agent on this machine receives the list by push, and where each call is work for
+// discovery, which takes up to a second. In the second case, what the answer to an abandoned call would
+// have reported counts as announced all the same.
 var (
 	pushed = terms{wait: time.Second, limit: 100 * time.Millisecond, give: patientLimit}
 	asking = terms{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond, give: 1500 * time.Millisecond}
 )
 
-// silence is how long a watch that has fallen silent passes for a sound one.
+// undetectedSilence returns how long a watch that has fallen silent can pass for a working one.
 func (t terms) silence() time.Duration { return t.wait + t.limit }
 
-// run keeps the list up to date. Each next call follows the last answer at once, so that the watch goes on.
-// A call runs beside this loop: one that waits, or still dials, must not hold up a move to another address.
+// run keeps the list up to date. Each call follows the last answer at once, so that the watch is
+// continuous. Calls run in their own goroutines: one that waits or still dials must not delay a move to
+// another address.
 func (w *watcher) run(watching bool) {
 	addr := w.cfg.Discovery
-	asked := !watching // by the module, which wants to hear of a failure
+	asked := !watching // by the module, which must be told of failures
 	t := pushed
 	if asked {
 		t = asking
 	}
-	// The whole list is asked for at the start where it costs nothing. Where a call is work for discovery, a
-	// watch goes on from the list that was known before the start: many coordinators that start together would
-	// else ask for more lines than discovery can give, and none of them would hear of anything. Version 0 is one
-	// like any other; a list without a node tells of none that it might be missing.
+	// The full list is requested at the start where that is cheap. Where a call is work for discovery, a
+	// watch continues from the list known before the start: otherwise many coordinators that start together
+	// would request more entries than discovery can deliver, and none would receive changes. Version 0 is a
+	// version like any other; an empty list has no node that could be missing.
 	known := w.cfg.Known != nil && len(w.cfg.Known.Hosts) > 0
 	whole, wanted := watching || !known || w.beside, false
-	failed := 0         // calls in a row
-	renewed := false    // after silence a call that is asked for is made anew at once, and only then given up
-	var begun time.Time // of the last call
-	var c *lnet.Client  // at rest between calls
+	failed := 0         // consecutive calls
+	renewed := false    // after silence a polling call is repeated once at once, before it counts as failed
+	var begun time.Time // start of the last call
+	var c *lnet.Client  // idle between calls
 	var out []*watchCall
 	results := make(chan watchResult, 2*mostCalls)
-	var again, overdue <-chan time.Time // after a failure; of the last call
+	var again, overdue <-chan time.Time // back-off after a failure; time-out of the last call
 	abandon := func() {
 		for _, k := range out {
 			k.cancel()
@@ -165,7 +167,7 @@
 				w.log.Warn("discovery did not answer in time", "address", addr)
 			}
 		case addr = <-w.move:
-			// What a call to the old address would still bring is in the new one's whole list.
+			// The full list from the new address contains whatever a call to the old one would still bring.
 			abandon()
 			failed, whole, again = 0, true, nil
 		case <-w.stop:
@@ -195,7 +197,7 @@
 						len(r.list.Hosts), "asked", time.Since(begun))
 				}
 				if !told && time.Since(begun) < watchRetry {
-					again = time.After(watchRetry) // it does not wait for news
+					again = time.After(watchRetry) // discovery does not wait for changes
 				}
 				continue
 			}
@@ -212,7 +214,7 @@
 				w.post(core.Listed{Mode: balance.Failed})
 				continue
 			}
-			whole = true // what the watch has missed costs nothing
+			whole = true // after a missed change the full list is cheap
 			if out == nil {
 				due, again = false, time.After(watchRetry)
 			}
@@ -220,7 +222,7 @@
 	}
 }
 
-// take hands a list on. An answer without changes says nothing.
+// applyList passes a list on, and reports whether it changes anything.
 func (w *watcher) take(list *hostList) (told bool) {
 	w.seq = list.Seq
 	if !list.Whole && len(list.Hosts) == 0 {
@@ -245,12 +247,12 @@
 
 // watchCall is one call to discovery.
 type watchCall struct {
-	mu   sync.Mutex // guards c, over
+	mu   sync.Mutex // guards c, cancelled
 	c    *lnet.Client
 	over bool
 }
 
-// watchResult is how a call ended; the connection, if it can carry the next one, comes along.
+// watchResult is the result of a call, with its connection if that can be reused.
 type watchResult struct {
 	of   *watchCall
 	list *hostList
@@ -258,7 +260,7 @@
 	err  error
 }
 
-// cancel ends a call that nobody waits for any more, also one that still dials.
+// cancel ends a call whose result is no longer needed, also while it dials.
 func (k *watchCall) cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
