--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -1,7 +1,7 @@
 package platform
 
-// The state of one connection to a data node: what is queued on it, who waits for an answer, and how attempts
-// end with it.
+// The state of one connection to a data node: its queue, the attempts that wait for an answer, and how
+// attempts end with the connection.
 
 import (
 	"errors"
@@ -15,51 +15,52 @@
 	lnet "lapislever/internal/net"
 )
 
-// nodeConn is one connection to a data node. Its writer goroutine dials and writes; its reader reads.
+// nodeConn is one connection to a data node. One goroutine dials and then writes, another one reads.
 type nodeConn struct {
 	n       *Nodes
 	node    *node
-	socket  net.Conn   // c, set before the writer writes
+	socket  net.Conn   // the same as conn, set before the writer starts
 	mu      sync.Mutex // guards all below
 	frames  []frame
-	booked  int             // bytes of the frames
-	torn    []*core.Attempt // out in a frame that was being written as the connection ended
-	why     error           // it ended for
+	booked  int             // size of the frames in the queue
+	torn    []*core.Attempt // in a frame that was being written as the connection ended
+	why     error           // reason for the end; nil: closed while idle
 	waiting map[string]*core.Attempt
-	given   map[string]time.Time // written and then given up: an answer may come all the same
-	written map[string]time.Time // when the parts that wait were written
-	owed    time.Time            // since when it owes an answer and nothing has come; zero: it owes none
-	doubt   time.Time            // when another connection first outlived it
-	probes  []*probe             // probes out, in their order
-	calls   int                  // calls with a part that waits
+	given   map[string]time.Time // written and then cancelled: an answer may still arrive
+	written map[string]time.Time // when the pending parts were written
+	owed    time.Time            // since when an answer is due and nothing has arrived; zero: none is due
+	doubt   time.Time            // when a later answer on another connection first raised doubt about this one
+	probes  []*probe             // in flight, oldest first
+	calls   int                  // calls with a pending part
 	up      bool
 	dead    bool
-	retired bool // takes nothing new
+	retired bool // accepts no new frames
 	used    time.Time
 	opened  time.Time
 	wake    chan struct{}
 	c       net.Conn
-	trying  bool   // the writer is in the system calls for the first frame: not all of it is out
-	tries   uint64 // frames that were tried so far
+	trying  bool   // the writer is in the system calls for the first frame, which is not written completely
+	tries   uint64 // writes started so far
 }
 
-// probe is one probe that is out. An overdue one stays in its place, for its answer bears no name.
+// probe is one probe in flight. An expired one stays in its place, as answers to probes carry no name.
 type probe struct {
 	at   time.Time
 	over bool
 }
 
-// frame is what the writer has to write. A call is worded when it begins, as the time that it tells is what
-// is left by then; what is not begun can still be taken back, part by part.
+// frame is an entry of the writer's queue. A call is encoded when its write starts, because it carries the
+// time that is left by then. What has not started can still be withdrawn, part by part.
 type frame struct {
-	call  []*core.Attempt // nil for a cancel or a probe
-	text  []byte          // of a cancel or a probe
+	call  []*core.Attempt // nil for a cancellation or a probe
+	text  []byte          // of a cancellation or a probe
 	probe *probe          // of a probe
-	size  int             // booked of outLimit
-	begun bool            // the writer has it: only that knows whether its last byte goes out
+	size  int             // bytes counted towards maxQueuedBytes
+	begun bool            // the writer has it: only the writer knows whether its last byte is sent
 }
 
-// retire lets a connection take nothing new: it ends now if nothing is out on it, else after that.
+// retire stops a connection from taking new frames. It ends at once if nothing is in flight, otherwise
+// after that.
 func (c *nodeConn) retire() {
 	c.mu.Lock()
 	c.retired = true
@@ -67,7 +68,7 @@
 	c.poke()
 }
 
-// poke has the writer look at the connection again.
+// wakeWriter makes the writer check the connection's state again.
 func (c *nodeConn) poke() {
 	select {
 	case c.wake <- struct{}{}:
@@ -75,8 +76,8 @@
 	}
 }
 
-// giveUp remembers that an answer to a part may still come. Of those that never came the oldest are
-// forgotten.
+// markAbandoned records that an answer to a cancelled part may still arrive. Beyond maxAbandoned the
+// oldest record is dropped.
 func (c *nodeConn) giveUp(id string) {
 	if len(c.given) >= givenMost {
 		oldest, since := "", time.Time{}
@@ -90,7 +91,7 @@
 	c.given[id] = time.Now()
 }
 
-// queue appends a frame to what the writer has to write. One that is closing takes no call and no probe.
+// enqueue appends a frame to the writer's queue. A connection that is closing takes no call and no probe.
 func (c *nodeConn) queue(f frame) (ok, closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,11 +118,12 @@
 	return true, false
 }
 
-// count is the number of calls out. With one part a call, as here, that is the parts that wait; parts that
-// share a call are counted one by one, which opens a further connection sooner than needed, never later.
+// countCalls returns the number of calls in flight. With one part a call, as here, it is the number of
+// pending parts. Parts that share a call are counted one by one, which opens another connection sooner
+// than needed but never later.
 func (c *nodeConn) count() int { return len(c.waiting) }
 
-// queued tells that an attempt's frame is not begun.
+// isQueued reports whether the write of an attempt's frame has not started.
 func (c *nodeConn) queued(a *core.Attempt) bool {
 	for _, f := range c.frames {
 		for _, x := range f.call {
@@ -133,12 +135,12 @@
 	return false
 }
 
-// isTrying tells that an attempt is in the system call that the writer is in. The caller holds mu.
+// isWriting reports whether an attempt is in the writer's current system call. The caller holds mu.
 func (c *nodeConn) isTrying(a *core.Attempt) bool {
 	return c.trying && len(c.frames) > 0 && slices.Contains(c.frames[0].call, a)
 }
 
-// unqueue takes an attempt back, and its call where nothing else in it is wanted, if it is not begun.
+// dequeue withdraws an attempt whose write has not started, and its call if no other part in it is wanted.
 func (c *nodeConn) unqueue(a *core.Attempt) bool {
 	c.calls = c.count()
 	if !c.queued(a) {
@@ -154,7 +156,7 @@
 	return true
 }
 
-// filterQueue drops the frames that are not begun and not wanted.
+// filterQueue drops frames that have not started and are no longer wanted.
 func (c *nodeConn) filterQueue(wanted func(*frame) bool) {
 	c.frames = slices.DeleteFunc(c.frames, func(f frame) bool {
 		drop := !f.begun && !wanted(&f)
@@ -166,8 +168,8 @@
 	})
 }
 
-// broken is how an attempt ended on a connection that has, by whether its frame was written whole. Closed
-// while idle, a connection says nothing of its node.
+// outcomeAfterClose returns how an attempt ended on a closed connection, depending on whether its frame
+// was written completely. A connection that was closed while idle is no evidence about its node.
 func (c *nodeConn) broken(written bool) balance.Outcome {
 	switch {
 	case !written && c.why == nil:
@@ -180,7 +182,7 @@
 	return balance.Reset
 }
 
-// end closes the connection and tells how its attempts ended: those whose frame's last byte was not written
+// close closes the connection and reports how its attempts ended: attempts whose last byte was not written
 // have never run, the others may have.
 func (c *nodeConn) end(err error) {
 	c.n.mu.Lock()
@@ -205,7 +207,7 @@
 	for _, f := range c.frames {
 		for _, a := range f.call {
 			if unsent[a] = true; f.begun && waiting[wireID(a)] == a {
-				delete(waiting, wireID(a)) // the writer tells how it ended
+				delete(waiting, wireID(a)) // the writer reports how it ended
 				c.torn = append(c.torn, a)
 			}
 		}
@@ -238,7 +240,7 @@
 	}
 }
 
-// probeDone tells how a probe ended, once.
+// finishProbe reports how a probe ended, once.
 func (c *nodeConn) probeDone(p *probe, o balance.Outcome, report []float32) {
 	c.mu.Lock()
 	over := p.over
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -1,6 +1,6 @@
 package platform
 
-// The reader of a connection to a data node: frames, answers, and silence.
+// The read loop of a connection to a data node: frames, answers, and silent connections.
 
 import (
 	"bytes"
@@ -17,20 +17,20 @@
 	lnet "lapislever/internal/net"
 )
 
-// errSpoilt marks the end of a connection on which something came that cannot be used, or nothing any more
-// while the node answers on others. What is out on it may have run; of the node it says nothing.
-var errSpoilt = errors.New("spoilt")
+// errMalformed marks the end of a connection that delivered unusable bytes, or that fell silent while its
+// node answers on others. Attempts in flight on it may have run; it is no evidence about the node.
+var errSpoilt = errors.New("malformed")
 
 func spoilt(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errSpoilt, fmt.Sprintf(format, args...))
 }
 
-// read takes answers off the connection. Spoilt ones may come from any node; the bytes after one mean
-// nothing, so the connection ends with it.
+// readLoop reads answers from the connection. Malformed ones may come from any node. The bytes after a
+// malformed answer are meaningless, so it ends the connection.
 func (c *nodeConn) read(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
 	from := &lnet.PassingReader{Conn: conn}
-	begun := false // a frame that is not all there
+	begun := false // the ring holds an incomplete frame
 	for {
 		n, err := from.Read(in.Free())
 		in.Grew(n)
@@ -55,11 +55,11 @@
 		taken -= in.Len()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			err = spoilt("a frame that does not come to its end")
+			err = spoilt("frame not completed in time")
 			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
 		case in.Len() > 0 && c.quiet():
-			// More than belongs to a good answer, which stands. The next answer would be read behind it.
-			err = spoilt("%d bytes of noise", in.Len())
+			// Surplus bytes behind a good answer, which counts. The next answer would be read behind them.
+			err = spoilt("%d unexpected bytes behind an answer", in.Len())
 			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
 		case in.Len() > 0 && (!begun || taken > 0):
 			_ = conn.SetReadDeadline(time.Now().Add(c.n.frameLimit()))
@@ -74,7 +74,7 @@
 	}
 }
 
-// frameLimit is how long a frame may take once it has begun.
+// frameTimeout returns how long a frame may take from its first byte to its last.
 func (n *Nodes) frameLimit() time.Duration {
 	aim := balance.Micros(0)
 	for _, c := range n.conf.Load().Module.Classes {
@@ -85,7 +85,7 @@
 	return max(frameLeast, time.Duration(aim)*time.Microsecond/frameShare)
 }
 
-// heard notes that something came on the connection.
+// noteReceived records that bytes arrived on the connection.
 func (c *nodeConn) heard() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,8 +95,8 @@
 	}
 }
 
-// expectResponse forgets what is not waited for any more: the connection owes an answer since the oldest part
-// that is.
+// updateOwed recomputes, after an attempt was cancelled, since when an answer is due: since the oldest
+// part that is still pending was written.
 func (c *nodeConn) expectResponse() {
 	var oldest time.Time
 	for _, at := range c.written {
@@ -109,9 +109,10 @@
 	}
 }
 
-// outlived is called when a node has answered, on this connection, what was written at the time given. One
-// that has been silent since before, and goes on to be, has fallen silent for good: what is out on it is
-// told now, and not by a time-out each. After a pause of the node it has the time to speak up too.
+// closeSilentSiblings is called when a node has answered, on this connection, what was written at the
+// given time. A connection that has been silent since before that, and stays so for the node's usual
+// latency, is closed: its attempts end now and not by a time-out each. The wait gives it time to respond
+// after a pause of the node.
 func (c *nodeConn) outlived(written time.Time) {
 	var mute []*nodeConn
 	limit := c.node.took.most()
@@ -133,20 +134,20 @@
 	c.n.mu.Unlock()
 	for _, x := range mute {
 		c.n.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
-		x.end(spoilt("nothing came any more"))
+		x.end(spoilt("connection fell silent"))
 	}
 }
 
-// quiet tells that nothing is out on the connection.
+// isIdle reports whether nothing is in flight on the connection.
 func (c *nodeConn) quiet() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.waiting) == 0 && len(c.given) == 0 && len(c.probes) == 0
 }
 
-// nextFrame takes one whole frame, without its length, out of the ring. It returns nil while bytes are
-// lacking, and an error as soon as what is there cannot become a frame. Nothing is allocated by a length that
-// has not come.
+// nextFrame takes one complete frame, without its length, out of the ring. It returns nil while bytes are
+// missing, and an error as soon as what is there cannot become a frame. It never allocates memory for
+// bytes that have not arrived.
 func nextFrame(in *lnet.Ring) ([]byte, error) {
 	var head [5]byte
 	n := in.Peek(head[:], 0)
@@ -155,14 +156,14 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 1 || size > maxFrame {
-		return nil, spoilt("a frame of %d bytes", size)
+		return nil, spoilt("impossible frame length %d", size)
 	}
 	if n == 5 && (head[4] < '3' || head[4] > '5') && head[4] != 'X' {
-		return nil, spoilt("a frame of the unknown kind %q", head[4])
+		return nil, spoilt("unknown frame type %q", head[4])
 	}
 	if in.Len() < 4+int(size) {
 		if in.Len() > maxLine && in.Index([]byte("\n")) < 0 {
-			return nil, spoilt("a line that does not come to its end")
+			return nil, spoilt("answer line too long")
 		}
 		return nil, nil
 	}
@@ -172,7 +173,7 @@
 	return b, nil
 }
 
-// frame takes in one frame of the node.
+// handleFrame handles one frame from the node.
 func (c *nodeConn) frame(b []byte) error {
 	rest := b[1:]
 	switch b[0] {
@@ -190,7 +191,7 @@
 		case at != nil && !(given && c.queued(at)):
 			if c.queued(at) {
 				c.mu.Unlock()
-				return spoilt("an answer to a part that was not sent")
+				return spoilt("answer to a part that was not sent")
 			}
 			sent = c.written[a.id]
 			delete(c.waiting, a.id)
@@ -199,12 +200,12 @@
 				c.owed = time.Time{}
 			}
 			c.calls = c.count()
-		case given: // late: the attempt was given up
+		case given: // late: the attempt was cancelled
 			at = nil
 			delete(c.given, a.id)
 		default:
-			c.mu.Unlock() // if it is a second copy, the first stands
-			return spoilt("an answer to no part that is out: %.100q", a.id)
+			c.mu.Unlock() // if it duplicates an answer, the first one counts
+			return spoilt("answer to an unknown part: %.100q", a.id)
 		}
 		done := c.retired && len(c.waiting) == 0
 		c.mu.Unlock()
@@ -212,7 +213,7 @@
 			c.poke()
 		}
 		if !sent.IsZero() {
-			if a.outcome != balance.Busy { // which comes at once, whatever waits
+			if a.outcome != balance.Busy { // which is answered at once, regardless of the queue
 				c.node.took.add(time.Since(sent))
 			}
 			c.outlived(sent)
@@ -226,7 +227,7 @@
 		c.mu.Lock()
 		if len(c.probes) == 0 {
 			c.mu.Unlock()
-			return spoilt("an answer to no probe")
+			return spoilt("answer without a probe")
 		}
 		p := c.probes[0]
 		c.probes = c.probes[1:]
@@ -238,12 +239,12 @@
 		}
 		return nil
 	case 'X':
-		return fmt.Errorf("the node could not use a frame: %.100q", rest)
+		return fmt.Errorf("the node rejected a frame: %.100q", rest)
 	}
-	return spoilt("a frame of the unknown kind %q", b[0])
+	return spoilt("unknown frame type %q", b[0])
 }
 
-// nodeAnswer is the line of an answer and its value.
+// nodeAnswer is the parsed line of an answer and its value.
 type nodeAnswer struct {
 	id      string
 	outcome balance.Outcome
@@ -251,15 +252,15 @@
 	value   []byte
 }
 
-// parseAnswer reads `ID END SCORE REPORT` LF value.
+// parseAnswer parses `ID END SCORE REPORT` LF value.
 func parseAnswer(b []byte) (nodeAnswer, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
-		return nodeAnswer{}, spoilt("an answer without a line")
+		return nodeAnswer{}, spoilt("answer without a line end")
 	}
-	f := strings.SplitN(string(b[:i]), " ", 4) // a report that cannot be read spoils no answer
+	f := strings.SplitN(string(b[:i]), " ", 4) // a malformed report does not invalidate the answer
 	if len(f) != 4 || f[0] == "" {
-		return nodeAnswer{}, spoilt("an answer's line %.100q", b[:i])
+		return nodeAnswer{}, spoilt("malformed answer line %.100q", b[:i])
 	}
 	a := nodeAnswer{id: f[0], report: f[3], value: b[i+1:]}
 	switch f[1] {
@@ -270,7 +271,7 @@
 	case "B":
 		a.outcome = balance.Busy
 	default:
-		return nodeAnswer{}, spoilt("an answer's end %.20q", f[1])
+		return nodeAnswer{}, spoilt("unknown answer status %.20q", f[1])
 	}
 	return a, nil
 }
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -1,8 +1,8 @@
 package platform
 
-// The set of data nodes, and which connection a call goes to (nodeconn.go, nodewrite.go, noderead.go). What
-// is here tells the core how each attempt ended, and whether it may have run. It must never retry, choose
-// another node or answer a client.
+// The set of data nodes, and the choice of a connection for a call (nodeconn.go, nodewrite.go,
+// noderead.go). This file reports to the core how each attempt ended and whether it may have run. It must
+// never retry, choose another node or answer a client.
 
 import (
 	"context"
@@ -24,20 +24,20 @@
 	maxLine    = 1024                   // of a data node's answer
 	maxFrame   = lnet.MaxBody + maxLine // a value and its line
 	outLimit   = 256 << 10              // bytes queued for one connection
-	partSlack  = 96                     // bytes of a part's line beside its names: numbers and signs
-	sendTries  = 3                      // connections that are just being closed and are passed over for a call
+	partSlack  = 96                     // bytes of a part's line beside its names: numbers and separators
+	sendTries  = 3                      // closing connections that a call may meet before it is refused
 	writeLimit = 300 * time.Millisecond
-	// A frame of a node that began comes to its end within this share of the shortest aim.
+	// A frame from a node is complete within 1/frameAimShare of the shortest aim after its first byte.
 	frameShare = 8
 	frameLeast = 50 * time.Millisecond
-	// A connection is silent when it has owed an answer for longer than the node's answers take, all but the
-	// very latest. It gets nothing new as long as another may be opened beside it.
+	// A connection is silent when it has owed an answer for longer than all but the slowest of the node's
+	// answers take. It gets nothing new as long as another one may be opened beside it.
 	silentLeast = 30 * time.Millisecond
 	silentMost  = time.Second
-	silentConns = 3   // at one node; with more the node is silent, and no connection is to blame
-	givenMost   = 256 // answers to what was given up that a connection still waits for
-	// idleShare of the nodes' idle limit is when we retire a connection: a request written to one that its
-	// node is about to close ends as a reset.
+	silentConns = 3   // at one node; with more, the node is silent and no connection is to blame
+	givenMost   = 256 // cancelled parts whose answers a connection remembers to expect
+	// Connections are retired after idleShare of the nodes' idle limit: a request that is written to a
+	// connection which its node is about to close ends as a reset.
 	idleShare = 0.7
 )
 
@@ -65,17 +65,18 @@
 	name string
 	addr string
 	born float64
-	gone bool // from the list: forgotten with its last connection
-	// unnamed is set while a whole list is read that has not named it so far.
+	gone bool // no longer listed: deleted with its last connection
+	// missing is set while a full list is processed that has not named the node so far.
 	unnamed bool
-	health  string // as the list last told
-	// draining tells that the list says the node is to get nothing new, also before the core has heard of it.
+	health  string // as in the last list
+	// draining is set when the list says that the node gets nothing new, even before the core has processed
+	// that.
 	draining atomic.Bool
 	conns    []*nodeConn
 	took     latency
 }
 
-// NewNodes returns the way to the nodes; post is the core's queue.
+// NewNodes returns an empty set of nodes. post queues an event for the core.
 func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
 	post func(core.Event)) *Nodes {
 	n := &Nodes{log: log, budget: budget, post: post, count: count, nodes: map[balance.ReplicaID]*node{}}
@@ -83,9 +84,10 @@
 	return n
 }
 
-// Learn takes in where nodes are; of a whole list, that the others are gone. It must come before the core
-// hears of them. What is gone is forgotten once nothing of it is out: ids never come again, and would else
-// pile up. What is new is returned, to be logged once the core has heard of it.
+// UpdateHosts takes in the nodes' addresses. A full list implies that other nodes are gone. It must be
+// called before the core learns of the nodes. Nodes that are gone are deleted once nothing is in flight to
+// them: ids are never reused and would accumulate. It returns the changes, to be logged once the core has
+// learnt of them.
 func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeNews) {
 	n.mu.Lock()
 	var anew, idle []*nodeConn
@@ -112,7 +114,7 @@
 		}
 		x.draining.Store(h.Health != inService)
 		if h.Born > x.born || h.Dial != x.addr {
-			// Another process is there now: what the old one had will not be answered.
+			// A new process runs there now: it will not answer what its predecessor received.
 			for _, c := range x.conns {
 				if h.Dial != x.addr || c.opened.UnixMilli() < int64(h.Born) {
 					anew = append(anew, c)
@@ -136,7 +138,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range anew {
-		c.end(fmt.Errorf("the node started anew"))
+		c.end(fmt.Errorf("the node was restarted"))
 	}
 	for _, c := range idle {
 		c.retire()
@@ -144,7 +146,7 @@
 	return news
 }
 
-// nodeNews is a node's new state.
+// nodeChange is a node's new state.
 type nodeNews struct {
 	level  slog.Level
 	name   string
@@ -153,7 +155,7 @@
 	born   float64
 }
 
-// logNews logs nodes' new states.
+// logChanges logs nodes' new states.
 func (n *Nodes) logNews(news []nodeNews) {
 	for _, x := range news {
 		n.log.Log(context.Background(), x.level, "data node", "node", x.name, "id", fmt.Sprintf("%x", uint64(x.id)),
@@ -161,7 +163,8 @@
 	}
 }
 
-// levelOfNews is how much a node's state matters to the log: those of a start's first list matter less.
+// changeLevel returns the log level for a node's new state. Those of the first list after a start matter
+// less.
 func levelOfNews(first bool) slog.Level {
 	if first {
 		return slog.LevelDebug
@@ -169,7 +172,7 @@
 	return slog.LevelInfo
 }
 
-// Name is a node's name by its number; false: there is none.
+// Name returns a node's name by its id, or false if there is no such node.
 func (n *Nodes) Name(id balance.ReplicaID) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,12 +184,12 @@
 
 func wireID(a *core.Attempt) string { return a.Query.Name + "." + strconv.Itoa(a.Shard) }
 
-// Send queues one call on a connection that has room for it, or on a new one.
+// Send queues one call on a connection with free capacity, or on a new one.
 func (n *Nodes) Send(to balance.ReplicaID, call []*core.Attempt) bool {
 	return n.queue(to, frame{call: call, size: callSize(call)})
 }
 
-// queue passes a frame to a connection that takes it.
+// enqueue queues a frame on a connection that accepts it.
 func (n *Nodes) queue(to balance.ReplicaID, f frame) bool {
 	for range sendTries {
 		c := n.conn(to, true)
@@ -200,7 +203,7 @@
 	return false
 }
 
-// conn finds a connection with room for a call, or opens one.
+// pickConn returns a connection with capacity for a call, or opens one.
 func (n *Nodes) conn(to balance.ReplicaID, open bool) *nodeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -235,7 +238,7 @@
 		best = mute
 	}
 	if !n.budget.TakeServer() {
-		return best // no descriptor is left: it waits behind others
+		return best // no descriptor is left: the call queues behind others
 	}
 	c := &nodeConn{n: n, node: x, waiting: map[string]*core.Attempt{},
 		given: map[string]time.Time{}, written: map[string]time.Time{}, wake: make(chan struct{}, 1),
@@ -245,7 +248,8 @@
 	return c
 }
 
-// Withdraw gives an attempt up: if its frame is not begun it is taken back, else the node is told.
+// Cancel cancels an attempt. One that has not started is withdrawn from the queue, otherwise the node is
+// told.
 func (n *Nodes) Withdraw(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
@@ -267,17 +271,17 @@
 	delete(c.waiting, id)
 	delete(c.written, id)
 	if !c.owed.IsZero() && time.Since(c.owed) <= c.node.took.most() {
-		c.expectResponse() // given up for a reason of its own; it may never be answered
+		c.expectResponse() // cancelled for another reason than silence; it may never be answered
 	}
 	unsent := c.unqueue(a)
 	if !unsent && !c.dead {
 		c.giveUp(id)
-		if c.isTrying(a) { // given up, it is not to come behind what is sent instead
+		if c.isTrying(a) { // once cancelled, it must not be sent behind what replaces it
 			c.abortWrite(core.WriteGrace)
 		}
 	}
 	c.mu.Unlock()
-	if !unsent && n.conf.Load().Module.CanCancel { // where it may not be told the node answers what nobody hears
+	if !unsent && n.conf.Load().Module.CanCancel { // without it the node answers in vain
 		b := append([]byte{0, 0, 0, 0, '2'}, id...)
 		binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
 		c.queue(frame{text: b, size: len(b)})
@@ -285,13 +289,13 @@
 	return unsent
 }
 
-// Probe sends a probe, over a connection that is there if possible.
+// Probe sends a probe, over an existing connection if possible.
 func (n *Nodes) Probe(to balance.ReplicaID) bool {
 	text := []byte{1, 0, 0, 0, '3'}
 	return n.queue(to, frame{text: text, size: len(text), probe: &probe{at: time.Now()}})
 }
 
-// CloseIdle closes the connections to a node that carry nothing.
+// CloseIdle closes the connections to a node that have nothing in flight.
 func (n *Nodes) CloseIdle(to balance.ReplicaID) {
 	for _, c := range n.connsOf(to) {
 		c.mu.Lock()
@@ -304,13 +308,13 @@
 	}
 }
 
-// Stop takes back what is queued for a node and not begun: nothing of it may go out any more.
+// CancelQueued withdraws what is queued for a node and has not started: none of it may be sent any more.
 func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
 	var back []*core.Attempt
 	for _, c := range n.connsOf(to) {
 		c.mu.Lock()
 		for _, f := range c.frames {
-			if f.begun && len(f.call) > 0 && c.trying { // the node drains: it may not come late
+			if f.begun && len(f.call) > 0 && c.trying { // the node drains: it must not arrive late
 				c.abortWrite(core.WriteGrace)
 			}
 			if !f.begun {
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -1,7 +1,7 @@
 package platform
 
-// The writer of a connection to a data node: it alone puts bytes out, and knows whether an attempt's last
-// byte went.
+// The write loop of a connection to a data node: only the writer sends bytes and knows whether an
+// attempt's last byte was sent.
 
 import (
 	"encoding/binary"
@@ -15,14 +15,14 @@
 	lnet "lapislever/internal/net"
 )
 
-// heldAttempt is an attempt that may not begin, and why.
+// heldAttempt is an attempt that may not begin, and the reason.
 type heldAttempt struct {
 	attempt *core.Attempt
 	why     core.Hold
 }
 
-// encodeCall encodes a call as it is at this moment, with those of its parts that are still waited for and
-// may begin. For each of these a write has begun (Attempt.BeginWrite). held are those that may not begin.
+// encodeCall encodes a call as of now, with those of its parts that are still pending and may begin. For
+// each of these a write has begun (Attempt.BeginWrite). It returns as held those that may not begin.
 func (c *nodeConn) encodeCall(b []byte, call []*core.Attempt, now time.Time) (frame []byte,
 	carried []*core.Attempt, held []heldAttempt) {
 	b = append(b[:0], 0, 0, 0, 0, '1')
@@ -51,7 +51,7 @@
 	return b, carried, held
 }
 
-// callSize is what a call takes at most.
+// callSize returns the largest size of an encoded call.
 func callSize(call []*core.Attempt) int {
 	n := 5
 	for _, a := range call {
@@ -60,7 +60,7 @@
 	return n
 }
 
-// write dials and then writes.
+// dialAndWrite dials and then runs the write loop.
 func (c *nodeConn) write(addr string) {
 	conn, err := net.DialTimeout("tcp", addr, c.n.conf.Load().DialTimeout)
 	if err != nil {
@@ -79,8 +79,8 @@
 	c.writeLoop(conn)
 }
 
-// writeLoop writes frame by frame, each within its limit, so that a node that does not read holds up nothing
-// but its own connection.
+// writeLoop writes the frames one by one, each within its time limit, so that a node that does not read
+// only blocks its own connection.
 func (c *nodeConn) writeLoop(conn net.Conn) {
 	limit := time.Duration(idleShare * float64(c.n.conf.Load().ConnIdle))
 	idle := time.NewTimer(limit)
@@ -118,23 +118,23 @@
 	}
 }
 
-// frameWriter writes the first frame of a connection's queue. Only its writer goroutine uses it.
+// frameWriter writes the first frame of a connection's queue. Only the writer goroutine uses it.
 type frameWriter struct {
 	c       *nodeConn
 	buf     []byte
-	carried []*core.Attempt // with a write under way
-	began   time.Time       // when these were last found to be allowed to begin
-	held    []heldAttempt   // that may not begin any more, and of which the core has not heard
-	written bool            // begin has found something to write
+	carried []*core.Attempt // with a write in progress
+	began   time.Time       // when they were last checked and allowed to begin
+	held    []heldAttempt   // may not begin any more, and not reported to the core yet
+	written bool            // begin returned something to write
 }
 
-// begin encodes the frame as it is to be at this moment, just before the system call, and begins the writes
-// of its parts. It returns nil where there is nothing to write.
+// begin encodes the frame just before the system call and begins the writes of its parts. It returns nil
+// if there is nothing to write.
 func (w *frameWriter) begin() []byte {
 	c := w.c
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := time.Now() // behind the lock, which may have to be waited for
+	now := time.Now() // read after the lock, which may be contended
 	w.carried, w.written, w.began = nil, false, now
 	if c.dead || len(c.frames) == 0 {
 		return nil
@@ -162,8 +162,8 @@
 	return w.buf
 }
 
-// abortWrite aborts the system call that the writer is in, if it has still not returned after the time given.
-// What is in it must not go out any more by then: its thread may be held up. The caller holds mu.
+// abortWriteAfter aborts the writer's current system call if it has not returned after the given time. Its
+// frame must not be sent any later, and its thread may be suspended. The caller holds mu.
 func (c *nodeConn) abortWrite(after time.Duration) {
 	call := c.tries
 	time.AfterFunc(after, func() {
@@ -175,8 +175,8 @@
 	})
 }
 
-// tried ends the writes of the frame's parts. Where no byte has gone out the frame is as one that was never
-// begun: its parts may be taken back while the system takes nothing.
+// endWrites ends the writes of the frame's parts. If no byte was sent, the frame counts as not started:
+// its parts may be withdrawn while the socket accepts nothing.
 func (w *frameWriter) tried(out bool) {
 	for _, a := range w.carried {
 		a.EndWrite(w.c)
@@ -189,7 +189,7 @@
 	w.tellHeld()
 }
 
-// tellHeld tells the core of parts that never ran.
+// reportHeld tells the core of parts that never ran.
 func (w *frameWriter) tellHeld() {
 	for _, h := range w.held {
 		w.c.n.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
@@ -200,7 +200,7 @@
 	w.held = nil
 }
 
-// finish books how the write has ended, and tells whether the connection has.
+// finish records how the write ended, and reports whether the connection has ended.
 func (w *frameWriter) finish(err error) bool {
 	w.tellHeld()
 	switch {
@@ -208,15 +208,15 @@
 	case w.written:
 		w.c.n.count.Tries.Add(int64(len(w.carried)))
 		w.noteDelay(time.Now())
-	case w.c.ended(): // while the system took nothing
+	case w.c.ended(): // while the socket accepted nothing
 		err = net.ErrClosed
 	default:
-		return false // what there was to write has been taken back
+		return false // the frame was withdrawn
 	}
 	return w.c.markWritten(err)
 }
 
-// noteDelay records a call that was written late.
+// recordDelay records a call that was written late.
 func (w *frameWriter) noteDelay(now time.Time) {
 	if took := now.Sub(w.began); took >= delay.Notable && len(w.carried) > 0 {
 		w.c.n.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.carried[0]),
@@ -230,15 +230,15 @@
 	return c.dead
 }
 
-// Abort makes it impossible that the connection's writer puts out another byte.
+// Abort makes sure that the connection's writer sends no further byte.
 func (c *nodeConn) Abort() {
 	lnet.Abort(c.socket)
 	c.n.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
 }
 
-// markWritten books that the frame which the writer has begun is out, or that it never will be, and tells
-// whether the connection has ended. Only the writer knows: while its last byte may just be going out nobody
-// else says whether the frame's parts may have run.
+// markWritten records that the frame which the writer started was sent, or never will be, and reports
+// whether the connection has ended. Only the writer knows: while the last byte may be in transit nobody
+// else can tell whether the frame's parts may have run.
 func (c *nodeConn) markWritten(err error) bool {
 	c.mu.Lock()
 	if c.dead {
