--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -1,7 +1,7 @@
 package platform
 
-// Incident 2157b7: to log takes looks at the clock and locks, and a thread may be held up there. What is
-// decided is carried out first.
+// Incident 2157b7: logging reads the clock and takes locks, and a thread may be suspended there. So
+// decisions are carried out before they are logged.
 
 import (
 	"net"
@@ -15,7 +15,7 @@
 
 const oneSlice = `{"slices":[{"slice":0,"mass":1}],"filter":"c41e77d0"}`
 
-// runWithLog starts a coordinator that logs by l, with one data node.
+// runWithLog starts a coordinator with one data node that logs to l.
 func runWithLog(t *testing.T, l *standin.HeldLog, node *standin.Node) (*Coordinator, *discovery) {
 	t.Helper()
 	d := newDiscovery(t, hostAt("a", node.Addr, 0))
@@ -28,7 +28,7 @@
 	return k, d
 }
 
-// awaitHeld waits until a logger is held.
+// awaitHeld waits until a logger is blocked.
 func awaitHeld(t *testing.T, l *standin.HeldLog) {
 	t.Helper()
 	select {
@@ -38,7 +38,7 @@
 	}
 }
 
-// The answer is with its client while the line about it is still being logged.
+// The client has its answer while the line about it is still being logged.
 func TestAnAnswerDoesNotWaitForTheLog(t *testing.T) {
 	l := standin.NewHeldLog(t, "request ended")
 	k, _ := runWithLog(t, l, standin.NewNode(t, func(standin.Part) (string, string) { return "B", "" }))
@@ -50,7 +50,7 @@
 	awaitHeld(t, l)
 }
 
-// A client leaves: its request is called off while the line about that is still being logged.
+// When a client leaves, its request is cancelled while the line about that is still being logged.
 func TestAClientsEndDoesNotWaitForTheLog(t *testing.T) {
 	l := standin.NewHeldLog(t, "client left with a request out")
 	node := standin.NewNode(t, silent)
@@ -69,11 +69,11 @@
 	awaitHeld(t, l)
 	standin.Until(t, "the request's end", func() bool { return k.core.Counts().Active.Load() == 0 })
 	if n := k.core.Counts().Class("rate-check"); n.Of(core.Refused)+n.Of(core.Failed) > 0 {
-		t.Error("it was answered, as if its client were there")
+		t.Error("it was answered although its client had left")
 	}
 }
 
-// Discovery tells of a node: the core knows it while the line about it is still being logged.
+// When discovery announces a node, the core knows it while the line about it is still being logged.
 func TestAListDoesNotWaitForTheLog(t *testing.T) {
 	for _, message := range []string{"data node", "list taken in"} {
 		l := standin.NewHeldLog(t)
@@ -103,7 +103,7 @@
 	}
 }
 
-// connPair is a connection and its other side.
+// connPair returns both ends of a connection.
 func connPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -1,7 +1,7 @@
 package platform
 
-// Crossings at the data nodes' connections: each is forced, by a connection that holds its writer at the very
-// point until the other side has come.
+// Races on connections to data nodes. Each one is forced by a connection that blocks its writer at the
+// critical point until the other side has acted.
 
 import (
 	"errors"
@@ -18,13 +18,13 @@
 	"lapislever/internal/standin"
 )
 
-// heldConn is a connection whose Write waits, with all bytes or only a part of them gone, until it may
-// return.
+// heldConn is a connection whose Write blocks until it may return, after all or only a part of the bytes
+// were sent.
 type heldConn struct {
 	net.Conn
-	writing chan []byte   // hears what is written
-	goOn    chan error    // what Write returns; with an error a part only is out
-	closed  chan struct{} // by Close
+	writing chan []byte   // receives what is written
+	goOn    chan error    // the result of Write; on an error only a part was sent
+	closed  chan struct{} // receives at each Close
 }
 
 func newHeldConn() *heldConn {
@@ -41,17 +41,17 @@
 func (h *heldConn) Close() error                     { h.closed <- struct{}{}; return nil }
 func (h *heldConn) SetWriteDeadline(time.Time) error { return nil }
 
-// soon is an attempt that the core waits for.
+// newAttempt returns an attempt with plenty of time left.
 func soon(name string, id balance.ReplicaID) *core.Attempt {
 	return &core.Attempt{Query: &core.Query{Name: name}, Replica: id, Timeout: 10 * time.Second,
 		Until: time.Now().Add(10 * time.Second)}
 }
 
-// wired is a way to one node, over connections that the test makes.
+// nodesWithOutcomes returns a Nodes for one node without a network, and a channel with its outcomes.
 func wired(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.Outcome) {
 	t.Helper()
 	told = make(chan core.Outcome, 16)
-	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that the test holds
+	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
 	n = NewNodes(config(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) {
 			if o, ok := e.(core.Outcome); ok {
@@ -71,8 +71,8 @@
 	return c
 }
 
-// Discovery tells that a node drains while a call for it is queued, and the core has not come to take the
-// list in: the call is not begun. One that the node may have is.
+// Discovery announces that a node drains while a call for it is queued, and the core has not processed the
+// list yet. The call must not start. Once the node is back in service, a call starts.
 func TestNoCallBeginsOnceTheListSaysThatItsNodeDrains(t *testing.T) {
 	n, id, told := wired(t)
 	c := n.attach(id)
@@ -96,12 +96,12 @@
 	select {
 	case b := <-held.writing:
 		if !strings.Contains(string(b), "again.0") {
-			t.Errorf("%q is written", b)
+			t.Errorf("%q was written", b)
 		}
 	case o := <-told:
 		t.Errorf("%+v", o)
 	case <-time.After(10 * time.Second):
-		t.Error("nothing is written")
+		t.Error("nothing was written")
 	}
 	held.goOn <- nil
 	c.end(nil)
@@ -118,9 +118,9 @@
 	}
 }
 
-// The node resets the connection after the frame's last byte has gone and before the writer has booked that:
-// the part may have run. Where the write itself fails its last byte is not out, and it never ran. Either way
-// what is queued behind it never ran.
+// The node resets the connection after the frame's last byte was sent and before the writer has recorded
+// that: the part may have run. If the write itself fails, its last byte was not sent and the part never
+// ran. In both cases the frames queued behind it never ran.
 func TestResetBetweenTheWriteAndItsBooking(t *testing.T) {
 	for _, x := range []struct {
 		write error
@@ -135,9 +135,9 @@
 		}
 		go c.writeLoop(h)
 		<-h.writing
-		c.end(errors.New("connection reset by peer")) // the reader's word
+		c.end(errors.New("connection reset by peer")) // as the reader does
 		if o := outcome(t, told); o.Attempt != second || o.Outcome != balance.NoConnection {
-			t.Fatalf("what was queued behind: %+v", o)
+			t.Fatalf("the attempt queued behind: %+v", o)
 		}
 		h.goOn <- x.write
 		if o := outcome(t, told); o.Attempt != first || o.Outcome != x.first {
@@ -146,8 +146,8 @@
 	}
 }
 
-// While an attempt waits for its connection its client leaves, its query gets an answer, the window for
-// repeats closes, or its time ends: it does not begin. The module hears that it never ran.
+// While an attempt waits for its connection, its client leaves, its query is answered, the window for
+// repeats closes, or its time ends. It must not start, and the module learns that it never ran.
 func TestWhatMayNotBeginAnyMoreIsNotWritten(t *testing.T) {
 	n, id, told := wired(t)
 	c, h := n.attach(id), newHeldConn()
@@ -164,7 +164,7 @@
 	n.Send(id, []*core.Attempt{running})
 	go c.writeLoop(h)
 	<-h.writing
-	for _, a := range []*core.Attempt{left, past, over, good} { // behind a frame that is being written
+	for _, a := range []*core.Attempt{left, past, over, good} { // queued behind a frame that is being written
 		if !n.Send(id, []*core.Attempt{a}) {
 			t.Fatal("not queued")
 		}
@@ -183,20 +183,19 @@
 	c.end(nil)
 }
 
-// The time that a call tells is what is left when it begins, and parts that were given up meanwhile are not
-// in it.
+// A call carries the time that is left when it starts, and leaves out parts that were cancelled meanwhile.
 func TestCallIsWordedWhenItBegins(t *testing.T) {
 	n, id, _ := wired(t)
 	c, h := n.attach(id), newHeldConn()
 	c.c, c.socket, c.up = h, h, true
 	all := []*core.Attempt{soon("q1", id), soon("q2", id), soon("q3", id)}
 	for _, a := range all {
-		a.Until = time.Now().Add(2 * time.Second) // a connection was waited for since
+		a.Until = time.Now().Add(2 * time.Second) // it has waited for a connection since
 	}
 	all[2].Query.Key, all[2].Query.Text = "key", []byte("text")
 	n.Send(id, all)
 	if !n.Withdraw(all[1]) {
-		t.Fatal("a part of a call that is not begun has never run")
+		t.Fatal("a part of a call that has not started has never run")
 	}
 	go c.writeLoop(h)
 	var wait [2]int
@@ -206,13 +205,13 @@
 		t.Fatalf("%q: %v", words, err)
 	}
 	if wait[0] > 2000 || wait[1] > 2000 || wait[0] < 1 {
-		t.Fatalf("%v ms are told, 2000 were left", wait)
+		t.Fatalf("the call carries %v ms, 2000 were left", wait)
 	}
 	h.goOn <- nil
 	c.end(nil)
 }
 
-// Where the settings forbid to call an attempt off the node is not told, neither of one whose time is over.
+// Where the settings forbid cancellation the node is not told, not even of an attempt whose time is over.
 func TestNothingIsCalledOffWhereThatIsForbidden(t *testing.T) {
 	n, id, _ := wired(t, `"cancel":true`, `"cancel":false`)
 	c, h := n.attach(id), newHeldConn()
@@ -222,7 +221,7 @@
 	go c.writeLoop(h)
 	<-h.writing
 	h.goOn <- nil
-	standin.Until(t, "the frame to be booked", func() bool {
+	standin.Until(t, "the frame to be marked written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.written) == 1
@@ -238,15 +237,15 @@
 	c.end(nil)
 }
 
-// A connection that is closed while idle takes no call any more: what comes in that moment goes to another
-// one, and if that has come too far it has never run, of which the node is not to blame.
+// A connection that is closed while idle accepts no call. A call at that moment goes to another
+// connection; one that was already queued has never run, and the node is not to blame.
 func TestCallAtTheCloseOfAnIdleConnection(t *testing.T) {
 	n, id, told := wired(t)
 	c := n.attach(id)
 	c.c, c.up = newHeldConn(), true
 	a := soon("q1", id)
 	n.Send(id, []*core.Attempt{a})
-	c.retire() // between a look at whether it is idle and the close
+	c.retire() // between the check whether it is idle and the close
 	if ok, closing := c.queue(frame{call: []*core.Attempt{soon("q2", id)}, size: 1}); ok || !closing {
 		t.Fatal("a call was queued on a connection that is closing")
 	}
@@ -256,9 +255,9 @@
 	}
 }
 
-// Idle clients and half requests fill every descriptor that clients may have, while discovery is down. An
-// answer that is owed is given, discovery is asked again, and nodes that it then tells of get connections,
-// more than were kept for them: what is idle makes way.
+// Idle clients and incomplete requests use every descriptor that clients may have, while discovery is
+// down. An answer that is due is still given, discovery is still called, and nodes that it then announces
+// get connections, more than were reserved for them: idle clients make room.
 func TestCrowdLeavesDescriptorsForOthers(t *testing.T) {
 	free := make(chan struct{})
 	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
@@ -271,7 +270,7 @@
 		}
 	})
 	conf := config(t, &discovery{addr: d.addr})
-	conf.Limits.Sockets = 1 // the least budget there is: 32, of which 8 are kept for nodes
+	conf.Limits.Sockets = 1 // the smallest possible budget: 32, of which 8 are reserved for nodes
 	k := run(t, conf)
 	owed := make(chan int, 1)
 	go func() { owed <- post(t, k, "rate-check", 0).Status }()
@@ -291,10 +290,10 @@
 	}
 	close(free) // within its aim
 	if got := <-owed; got != 200 {
-		t.Fatalf("the answer that was owed came as %d", got)
+		t.Fatalf("the request that was open got %d", got)
 	}
 	asked := d.count()
-	standin.Until(t, "calls for the list", func() bool { return d.count() > asked+2 })
+	standin.Until(t, "further calls for the list", func() bool { return d.count() > asked+2 })
 	var nodes []*standin.Node
 	hosts = nil
 	for i := range 20 {
@@ -304,7 +303,7 @@
 	}
 	down.Store(false)
 	standin.Until(t, "the list", func() bool { return k.core.Counts().Listed.Load() == 20 })
-	standin.Until(t, "connections to more nodes than were kept for", func() bool {
+	standin.Until(t, "connections to more nodes than descriptors were reserved for", func() bool {
 		post(t, k, "rate-check", 0)
 		opened := 0
 		for _, n := range nodes {
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -1,12 +1,13 @@
 package platform
 
-// Incident 9e0aaf. Seen: data nodes got the first byte of a part 0.2 to 0.6 s after the coordinator itself
-// had given the request its final answer, on busy machines and under faults that hold single threads up. How:
-// a connection's writer asked whether the attempt may begin, then read clocks, set a deadline and made the
-// system call. Held up in between, it wrote what the core had ended meanwhile. Cause: the check and the write
-// were two steps, and nothing ordered the answer behind a write under way. Proof: here the writer is held at
-// the very write, and the answer comes all the same; with real processes the same is done by a tracer that
-// holds one thread in its system call (internal/rig, hold_test.go).
+// Incident 9e0aaf: data nodes received the first byte of a part 0.2 to 0.6 s after the coordinator had
+// given the request its final answer, on busy machines and under faults that suspend single threads. A
+// connection's writer checked whether the attempt may begin, and then read clocks, set a deadline and made
+// the system call. When it was suspended in between, it wrote an attempt that the core had ended
+// meanwhile: check and write were two steps, and nothing ordered the answer behind a write in progress.
+// These tests block the writer at the write itself, and the answer must still come. internal/rig
+// (hold_test.go) does the same with real processes, with a tracer that holds one thread in its system
+// call.
 
 import (
 	"net"
@@ -21,10 +22,10 @@
 	"lapislever/internal/standin"
 )
 
-// pausedConn holds each Write before its first byte until it is released or the connection is closed.
+// pausedConn blocks each Write before its first byte until it is released or the connection is closed.
 type pausedConn struct {
 	net.Conn
-	writing chan struct{} // hears of each Write
+	writing chan struct{} // receives at each Write
 	release chan struct{}
 	closed  chan struct{}
 	once    sync.Once
@@ -53,7 +54,7 @@
 func (p *pausedConn) Close() error                     { p.once.Do(func() { close(p.closed) }); return nil }
 func (p *pausedConn) SetWriteDeadline(time.Time) error { return nil }
 
-// mayStillWrite tells that a Write which is held could put its bytes out.
+// mayStillWrite reports whether a blocked Write could still send its bytes.
 func (p *pausedConn) mayStillWrite() bool {
 	select {
 	case <-p.closed:
@@ -70,7 +71,7 @@
 
 func (f finalFunc) Final(x core.Final) { f(x) }
 
-// coreWithNode is a running core with one data node, whose connection's writer the test holds.
+// coreWithNode returns a running core with one data node, whose connection's writer the test blocks.
 func coreWithNode(t *testing.T) (*core.Core, *Nodes, *pausedConn) {
 	t.Helper()
 	conf := config(t, newDiscovery(t))
@@ -96,8 +97,8 @@
 		Parts: []core.PartSpec{{Shard: 0, Weight: 1}}}
 }
 
-// A query's time ends while the writer is held at its attempt's first byte. Its answer is given only once
-// that byte can't go out any more, and soon: the writer may be held for long.
+// A query's time ends while the writer is blocked before its attempt's first byte. Its answer is given
+// only once that byte can no longer be sent, and soon, as the writer may be blocked for long.
 func TestNoAttemptBeginsAfterTheFinalAnswer(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	late := make(chan bool, 1)
@@ -108,16 +109,16 @@
 	select {
 	case could := <-late:
 		if could {
-			t.Fatal("the final answer is given while a write for the query may still put out its first byte")
+			t.Fatal("the final answer is given while a write for the query may still send its first byte")
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("no final answer while a writer is held")
+		t.Fatal("no final answer while a writer is blocked")
 	}
 	t.Logf("answered after %v", time.Since(begun))
 }
 
-// A client leaves while the writer is held: within the 0.1 s in which an attempt may still begin, the write
-// is made impossible.
+// A client leaves while the writer is blocked. The write is aborted within the 0.1 s in which an attempt
+// may still begin.
 func TestNoAttemptBeginsLongAfterTheClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
@@ -127,12 +128,12 @@
 	select {
 	case <-held.closed:
 	case <-time.After(2 * time.Second):
-		t.Fatal("a write that is held goes out whenever it is let go, long after its client has left")
+		t.Fatal("a blocked write can be sent long after its client has left")
 	}
 }
 
-// A client leaves while the writer is held, and nobody has read its end yet: the write is made impossible all
-// the same.
+// A client leaves while the writer is blocked, and nobody has read the end of its connection yet. The
+// write is aborted all the same.
 func TestAHeldWriteIsAbortedOnceItsClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	var left atomic.Bool
@@ -144,8 +145,8 @@
 	awaitAbort(t, held, q)
 }
 
-// A write is held for so long that the time it tells its node is far more than is left: it is made impossible
-// although its request is still open.
+// A write is blocked for so long that the time it carries for its node far exceeds what is left. It is
+// aborted although its request is still open.
 func TestAHeldWriteDoesNotTellATimeThatIsOver(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
@@ -154,16 +155,17 @@
 	awaitAbort(t, held, q)
 }
 
-// awaitAbort waits until a held write can put nothing out, which has to be so before its request's end.
+// awaitAbort waits until a blocked write can no longer send anything, which must happen before its request
+// ends.
 func awaitAbort(t *testing.T, held *pausedConn, q *core.Query) {
 	t.Helper()
 	select {
 	case <-held.closed:
 	case <-time.After(10 * time.Second):
-		t.Fatal("a held write can still go out")
+		t.Fatal("a blocked write can still be sent")
 	}
 	if q.Over() {
-		t.Error("the held write was aborted by its request's end only")
+		t.Error("the blocked write was aborted only by its request's end")
 	}
 }
 
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -20,7 +20,7 @@
 	"lapislever/internal/standin"
 )
 
-// settings is the settings object of a small deployment: two cells of one shard each.
+// testSettings is the settings object of a small deployment: two cells of one shard each.
 const settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":2,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
  "bounds":{"cancel":true,"secondCopies":true,"sendCap":4,"retryAfter":true,"maxRetryAfterUs":2000000,
@@ -42,7 +42,7 @@
 	hosts   []host
 	waiting *lnet.Exchange
 	asked   []string
-	mute    bool // calls that wait are not answered, also when their time is over
+	mute    bool // calls that wait are not answered, not even when their time is over
 }
 
 func newDiscovery(t *testing.T, hosts ...host) *discovery {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// change tells of hosts, once a watch waits for it.
+// change announces hosts as soon as a watch waits for a change.
 func (d *discovery) change(t *testing.T, hosts ...host) {
 	t.Helper()
 	standin.Until(t, "a watch", func() bool {
@@ -110,7 +110,7 @@
 	return append([]string(nil), d.asked...)
 }
 
-// last is the last call.
+// lastQuery returns the query string of the last call.
 func (d *discovery) last() string {
 	all := d.queries()
 	return all[len(all)-1]
@@ -120,13 +120,14 @@
 	return host{Host: name, Dial: addr, Site: "praha", Block: cell, Health: "in_service", Share: 1}
 }
 
-// ok is a data node that serves every part.
+// answerAll makes a data node answer every part.
 func ok(p standin.Part) (string, string) { return "S", "v:" + p.ID }
 
-// silent takes parts and answers none.
+// answerNone makes a data node accept parts and answer none.
 func silent(standin.Part) (string, string) { return "", "" }
 
-// config is a configuration with the stand-ins' addresses; edit changes the text before it is read.
+// testConfig returns a configuration with the stand-in's address. edit holds pairs of old and new texts
+// that are replaced in the settings first.
 func config(t *testing.T, d *discovery, edit ...string) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
@@ -139,7 +140,7 @@
 	return c
 }
 
-// run starts a coordinator and waits until it is ready.
+// startReady starts a coordinator and waits until it is ready.
 func run(t *testing.T, c *Config) *Coordinator {
 	t.Helper()
 	k, err := Start(c, standin.Quiet())
@@ -158,7 +159,7 @@
 	n int
 }
 
-// post sends a query for the shards and returns the reply.
+// post sends a query for the given shards and returns the reply.
 func post(t *testing.T, k *Coordinator, class string, shards ...int) *lnet.Reply {
 	t.Helper()
 	calls.Lock()
@@ -199,8 +200,8 @@
 	}
 }
 
-// A node that is not there never ran anything, so the next candidate is tried; and where there is none the
-// client is told when to come back, even of a class that must not be repeated.
+// A query for an unreachable node has never run, so the next candidate is tried. Without one the client is
+// told when to retry, even for a class that must not be repeated.
 func TestWhatNeverRanIsRefused(t *testing.T) {
 	gone := standin.NewNode(t, ok)
 	gone.Close()
@@ -210,8 +211,8 @@
 	}
 }
 
-// A connection that breaks after a frame's last byte leaves it open whether the part ran: a refusal would
-// tell the client that it did not.
+// When a connection breaks after a frame's last byte, the part may have run. A refusal would tell the
+// client that it did not.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	var n *standin.Node
 	n = standin.NewNode(t, func(standin.Part) (string, string) { n.Drop(); return "", "" })
@@ -221,22 +222,23 @@
 	}
 }
 
-// A part that is silent is copied, the copy answers, and the loser is given up by name.
+// A part without an answer is hedged, the hedge answers, and the node of the first attempt receives its
+// cancellation.
 func TestLosingTwinIsGivenUp(t *testing.T) {
 	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
 	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
-	for len(a.Parts()) == 0 { // until the silent one is drawn
+	for len(a.Parts()) == 0 { // until the silent node is chosen
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	standin.Until(t, "the word that it is given up", func() bool { return len(a.Given()) > 0 })
+	standin.Until(t, "the cancellation", func() bool { return len(a.Given()) > 0 })
 	if got, want := a.Given()[0], a.Parts()[0].ID; got != want {
-		t.Fatalf("%q is given up, want %q", got, want)
+		t.Fatalf("%q is cancelled, want %q", got, want)
 	}
 }
 
-// One connection carries so many parts and no more; a silent node blocks only itself.
+// A connection carries a limited number of parts. A silent node blocks only itself.
 func TestPartsBeyondAConnectionOpenAnother(t *testing.T) {
 	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
 	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
@@ -247,7 +249,7 @@
 	}
 	standin.Until(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
 	if n := a.Opened(); n < 2 {
-		t.Errorf("%d connections for three parts out", n)
+		t.Errorf("%d connections for three parts in flight", n)
 	}
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
 		t.Errorf("%d: a silent node blocks others", r.Status)
@@ -255,7 +257,7 @@
 	wg.Wait()
 }
 
-// The watch goes on from the last version, and what it tells counts: nothing new goes to a node that
+// The watch continues from the last version, and its changes take effect: nothing new goes to a node that
 // drains.
 func TestWatchAndDrain(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
@@ -268,14 +270,14 @@
 	if got := d.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Fatalf("%q", got)
 	}
-	// The list is queued before the next watch is sent, and queries come after it.
+	// The list is queued before the next watch is sent, and queries follow it.
 	getsNothing(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
 }
 
-// What waits for a connection that is still coming up is queued: a drain takes it back, and it never ran.
+// Calls that wait for a connection to come up are queued. A drain withdraws them, and they have never run.
 func TestStopTakesBackWhatIsQueued(t *testing.T) {
 	n := NewNodes(config(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(core.Event) {})
@@ -293,25 +295,25 @@
 	}
 	c.frames[0].begun = true // the writer has it
 	if !n.Withdraw(all[2]) || n.Withdraw(all[0]) {
-		t.Fatal("only what is not begun has never run")
+		t.Fatal("only an attempt that has not started has never run")
 	}
 	if back := n.Stop(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
 		t.Fatalf("%v", back)
 	}
 	if c.calls != len(c.waiting) {
-		t.Fatalf("%d calls are counted, %d parts wait", c.calls, len(c.waiting))
+		t.Fatalf("%d calls are counted, %d parts are pending", c.calls, len(c.waiting))
 	}
-	// What is left is the call that the writer has, and the word that its part is given up.
+	// The queue still holds the call that the writer has, and the cancellation of its part.
 	if len(c.frames) != 2 || len(c.frames[0].call) != 1 || c.frames[0].call[0] != all[0] ||
 		string(c.frames[1].text[4:]) != "2q0.0" {
 		t.Fatalf("%+v", c.frames)
 	}
 	if booked := c.frames[0].size + c.frames[1].size; c.booked != booked {
-		t.Fatalf("%d bytes are booked, %d wait", c.booked, booked)
+		t.Fatalf("%d bytes are counted, %d are queued", c.booked, booked)
 	}
 }
 
-// After a restart the list known before it is enough to serve, while discovery is silent.
+// After a restart the list known before it is enough to serve while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
 	a := standin.NewNode(t, ok)
 	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
@@ -322,8 +324,8 @@
 	}
 }
 
-// Where a call is work for discovery, a start goes on from the list that was known before it. Asking for the
-// whole list first, many coordinators that start together ask for more lines than discovery gives.
+// Where a call is work for discovery, a start continues from the list known before it. If many
+// coordinators that start together requested the full list, discovery could not deliver so many entries.
 func TestAskedListGoesOnFromTheKnownOne(t *testing.T) {
 	a := standin.NewNode(t, ok)
 	for mode, first := range map[string]string{"automatic": "", "subscribe": "index=41&wait=2500"} {
@@ -341,8 +343,8 @@
 	}
 }
 
-// A reload moves the watch at once, also with a call out on the old address, and begins with the whole list.
-// What is held meanwhile is answered, and the known nodes serve while the new address is silent.
+// A reload moves the watch at once, even while a call to the old address is in flight, and starts with the
+// full list. Open queries are answered, and known nodes serve while the new address is silent.
 func TestReloadMovesTheWatch(t *testing.T) {
 	free := make(chan struct{})
 	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
@@ -359,12 +361,12 @@
 	k.Reload(config(t, &discovery{addr: mute.Addr}))
 	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
 	calls := len(first.queries())
-	if took := time.Since(begun); took > pushed.silence()/2 { // the call that is out would last longer
+	if took := time.Since(begun); took > pushed.silence()/2 { // the call in flight would last longer
 		t.Errorf("the move took %v", took)
 	}
 	close(free)
 	if got := <-held; got != 200 {
-		t.Errorf("what was held got %d", got)
+		t.Errorf("the open request got %d", got)
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
 	k.Reload(config(t, second))
@@ -393,8 +395,8 @@
 	}
 }
 
-// Ending in order: not ready at once, still serving whoever comes, on connections that stay open; all that
-// was taken answered, and an end.
+// Shutdown in order: not ready at once, but still serving on connections that stay open; everything that
+// was accepted is answered before the end.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
 	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
@@ -420,12 +422,12 @@
 		t.Errorf("a new connection got %d", r.Status)
 	}
 	if got := <-held; got != 503 {
-		t.Errorf("what was held got %d", got)
+		t.Errorf("the open request got %d", got)
 	}
 	<-ended
 }
 
-// Datagrams reach the peer they are for; what is too long, or from a stranger, reaches nobody.
+// Datagrams reach the peer that they are for. One that is too long, or from an unknown sender, is dropped.
 func TestDatagrams(t *testing.T) {
 	c := config(t, newDiscovery(t))
 	var socks []*net.UDPConn
@@ -513,7 +515,7 @@
 		if r := standin.Call(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
 			t.Errorf("%s: %d, want %d", name, r.Status, c.want)
 		} else if c.path != "/up" && c.want/100 == 4 && r.Header.Get("Connection") != "close" {
-			t.Errorf("%s: the connection goes on", name)
+			t.Errorf("%s: the connection stays open", name)
 		}
 	}
 	if n := len(a.Parts()); n != 1 {
@@ -521,7 +523,7 @@
 	}
 }
 
-// The id of another client's open request is an error for whoever comes second; the first is unharmed.
+// A request with the id of another client's open request is rejected, and the first request is unharmed.
 func TestOpenRequestKeepsItsName(t *testing.T) {
 	free := make(chan struct{})
 	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
@@ -542,8 +544,8 @@
 	}
 }
 
-// A part whose answer is spoilt has failed and may have run; the connection ends at once, and the part goes
-// on another, also to the same node: spoilt answers come from any.
+// A part with a malformed answer has failed and may have run. The connection ends at once, and the part is
+// retried on another one, possibly to the same node: any node may send malformed answers.
 func TestSpoiltAnswersEndTheConnection(t *testing.T) {
 	frame := func(size int, rest string) string {
 		return string(binary.LittleEndian.AppendUint32(nil, uint32(size))) + rest
@@ -574,14 +576,14 @@
 			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.Opened())
 		}
 		if len(n.Given()) != 0 {
-			t.Errorf("%s: it was waited for, and given up", name)
+			t.Errorf("%s: the part was waited for and cancelled", name)
 		}
 		k.Close()
 	}
 }
 
-// A connection that falls silent, as one whose path has lost it, gets nothing new, and what is out on it is
-// told as soon as the node has shown on another that it answers: not by a time-out for each part.
+// A connection that falls silent, for example because a path lost its state, gets no new parts. Its parts
+// in flight end as soon as the node answers on another connection, and not by a time-out each.
 func TestSilentConnectionIsLeft(t *testing.T) {
 	var answered atomic.Int32
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
@@ -596,15 +598,15 @@
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part that is swallowed", func() bool { return len(n.Parts()) == 9 })
+	standin.Until(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
 	for waits, begun := true, time.Now(); waits; time.Sleep(silentLeast) {
 		select {
 		case got := <-held:
 			if waits = false; got != 200 {
-				t.Errorf("what was out on the silent connection got %d", got)
+				t.Errorf("the request on the silent connection got %d", got)
 			}
 		default:
-			if time.Since(begun) < silentMost { // it may take the connection for a slow one until then
+			if time.Since(begun) < silentMost { // until then it may pass for a slow one
 				continue
 			}
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
@@ -617,8 +619,8 @@
 	}
 }
 
-// Whatever comes behind a good answer takes nothing from it, and nothing new goes on that connection; a load
-// report that cannot be read spoils neither.
+// Bytes behind a good answer don't affect it, and the connection gets no new parts. A malformed load
+// report affects neither.
 func TestMoreThanAGoodAnswer(t *testing.T) {
 	good := func(p standin.Part, report string) string {
 		line := "5" + p.ID + " S 1 " + report + "\nv:" + p.ID
@@ -653,7 +655,7 @@
 	}
 }
 
-// A node that was replaced is forgotten, but not before the last that is out on it has ended.
+// A node that was replaced is deleted, but not before the last attempt in flight to it has ended.
 func TestReplacedNodesAreForgotten(t *testing.T) {
 	free := make(chan struct{})
 	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
@@ -671,23 +673,23 @@
 	gone, idle := hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1)
 	gone.Health, idle.Health = "terminated", "terminated"
 	d.change(t, gone, idle, hostAt("b", b.Addr, 0))
-	standin.Until(t, "the idle one's end", func() bool { return known() == 2 })
+	standin.Until(t, "the end of the idle node", func() bool { return known() == 2 })
 	close(free)
 	if got := <-held; got != 200 {
-		t.Errorf("what was out got %d", got)
+		t.Errorf("the open request got %d", got)
 	}
-	standin.Until(t, "the other one's end", func() bool { return known() == 1 })
+	standin.Until(t, "the end of the other node", func() bool { return known() == 1 })
 	if r := post(t, k, "rate-check", 0); r.Status != 200 || len(b.Parts()) != 1 {
 		t.Errorf("%d, %d parts at the new node", r.Status, len(b.Parts()))
 	}
 }
 
-// stuck is a stream that nobody reads.
+// blockedWriter is a stream that nobody reads.
 type stuck struct{ free chan struct{} }
 
 func (s stuck) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
 
-// A log that nobody reads must not hold up who logs, the core's goroutine among them.
+// A log that nobody reads must not block its callers, the core's goroutine among them.
 func TestLogNeverBlocks(t *testing.T) {
 	s := stuck{make(chan struct{})}
 	log, flush := NewLog(s, 0)
@@ -717,12 +719,12 @@
 	}
 	for _, in := range []string{"", "x S 1 -", "x S 1\n", " S 1 -\n", "x Z 1 -\n"} {
 		if _, err := parseAnswer([]byte(in)); err == nil {
-			t.Errorf("%q is taken", in)
+			t.Errorf("%q is accepted", in)
 		}
 	}
 }
 
-// Any bytes are an answer or an error.
+// Any input is either an answer or an error.
 func FuzzParseAnswer(f *testing.F) {
 	f.Add([]byte("x.3 S 18 inflight=7,util=0.61\nvalue"))
 	c := &Config{Columns: []string{"rps", "waiting"}}
@@ -784,7 +786,7 @@
 	}
 }
 
-// figures asks the operators' door.
+// counters reads the counters at the admin endpoint.
 func figures(t *testing.T, k *Coordinator) admin.Figures {
 	t.Helper()
 	r := standin.Call(t, k.Door(), "GET", "/admin/stats", nil, "")
@@ -795,15 +797,15 @@
 	return f
 }
 
-// door is a configuration with the operators' door.
+// adminConfig is a test configuration with an admin endpoint.
 func door(t *testing.T, d *discovery, edit ...string) *Config {
 	c := config(t, d, edit...)
 	c.Operator = "127.0.0.1:0"
 	return c
 }
 
-// Operators compare the figures with what clients and data nodes saw: each reply counts once and in its
-// class, each attempt when it was written, an open request until it ends, also where its client leaves.
+// The counters match what clients and data nodes see: each reply counts once and in its class, each
+// attempt when it is written, and a request is open until it ends, also when its client leaves.
 func TestFiguresAreTrue(t *testing.T) {
 	var mute atomic.Bool
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
@@ -815,8 +817,8 @@
 	k := run(t, door(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	post(t, k, "rate-check", 0)
 	post(t, k, "exchange-post", 0)
-	post(t, k, "exchange-post", 1) // no node holds it
-	post(t, k, "exchange-post", 7) // there is no such shard
+	post(t, k, "exchange-post", 1) // no node holds the shard
+	post(t, k, "exchange-post", 7) // the shard does not exist
 	f := figures(t, k)
 	if f.OK["rate-check"] != 1 || f.OK["exchange-post"] != 1 || f.Shed["exchange-post"] != 1 ||
 		f.Errors["exchange-post"] != 1 || f.Errors["rate-check"] != 0 {
@@ -840,8 +842,8 @@
 	standin.Until(t, "its end", func() bool { return figures(t, k).Active == 0 })
 }
 
-// A node that operators put out gets nothing new, whatever the list says, until they put it back; then it is
-// in use again. Two calls out are undone by one call back.
+// A cordoned node gets nothing new, whatever the list says, until it is uncordoned. Then it is used again.
+// One uncordon undoes two cordons.
 func TestCordonHoldsWhateverTheListSays(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
@@ -855,7 +857,7 @@
 	call("cordon", "c", 404)
 	call("cordon", "a", 200)
 	call("cordon", "a", 200)
-	standin.Until(t, "the figure", func() bool {
+	standin.Until(t, "the counters", func() bool {
 		f := figures(t, k)
 		return f.PoolSize == 2 && f.PoolEjected == 1
 	})
@@ -870,10 +872,10 @@
 		}
 	}
 	if n := len(a.Parts()) - before; n != 0 {
-		t.Fatalf("%d parts went to a node that is out", n)
+		t.Fatalf("%d parts went to a cordoned node", n)
 	}
 	call("uncordon", "a", 200)
-	standin.Until(t, "use of the node that is back", func() bool {
+	standin.Until(t, "use of the uncordoned node", func() bool {
 		post(t, k, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -10,18 +10,18 @@
 	"lapislever/internal/standin"
 )
 
-// added is a further class for the settings, as an edit of theirs.
+// addedClass is an edit of the settings that adds a class.
 var added = []string{`"lanes":[`, `"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
 	`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
 
-// A file that lacks a key of the running one, or has it in another form, or whose numbers cannot be, is
-// turned down whole. Parse alone would fill the gaps from the environment and from defaults.
+// A file that lacks a key of the running one, has it in another form, or contains impossible numbers, is
+// rejected as a whole. Parse alone would fill gaps from the environment and from defaults.
 func TestBrokenFilesAreTurnedDown(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
 	old := config(t, d)
 	old.raw["known"], old.raw["seed"] = map[string]any{"seq": json.Number("1")}, "ab"
 	if _, kept, err := config(t, d, added...).after(old, time.Now()); err != nil || len(kept) != 0 {
-		t.Fatalf("a sound file: %v, takes a restart: %v", err, kept)
+		t.Fatalf("a valid file: %v, takes a restart: %v", err, kept)
 	}
 	whole, err := json.Marshal(old.raw)
 	if err != nil {
@@ -53,20 +53,20 @@
 		"an unknown effect": strings.Replace(string(whole), `"read_like"`, `"odd"`, 1),
 	} {
 		if text == string(whole) {
-			t.Errorf("%s: the edit met nothing", name)
+			t.Errorf("%s: the edit changed nothing", name)
 		}
 		c, err := Parse([]byte(text), env)
 		if err == nil {
 			_, _, err = c.after(old, time.Now())
 		}
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Just after a change a request may come by the old rules or by the new ones. What its key does not tell is
-// held to the stricter of both; later the new ones alone bind.
+// Just after a change a request may follow the old rules or the new ones. Where its key does not tell, the
+// stricter of both apply; later only the new ones do.
 func TestBothRulesBindAfterAChange(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
 	const safe, keyed, unsafe = `"read_like"`, `"idempotency_key","windowUs":2000000`, `"non_idempotent"`
@@ -75,7 +75,7 @@
 		old, new string
 		key      bool
 		want     balance.Effect
-		sent     bool // the key goes along
+		sent     bool // the key is sent with the parts
 	}{
 		{safe, keyed, false, balance.Safe, false},
 		{safe, keyed, true, balance.Keyed, true},
@@ -96,7 +96,7 @@
 			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, b)
 		}
 		if b.rules.Effect == balance.Keyed && b.rules.Window != 2000000 {
-			t.Errorf("%s to %s: repeats are dropped for %d us", c.old, c.new, b.rules.Window)
+			t.Errorf("%s to %s: the window is %d us", c.old, c.new, b.rules.Window)
 		}
 		later := fresh.bind(0, c.key, now.Add(bothBind))
 		want := fresh.Module.Classes[0].Effect
@@ -106,8 +106,8 @@
 	}
 }
 
-// New settings bind new requests: a class comes and goes, attempts change. What is open keeps its class, and
-// a broken file changes nothing; both are counted.
+// New settings apply to new requests: a class is added and removed, the number of attempts changes. Open
+// requests keep their class, and an invalid file changes nothing. Both kinds of reload are counted.
 func TestReloadChangesTheSettings(t *testing.T) {
 	free := make(chan struct{})
 	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
@@ -115,7 +115,7 @@
 	d := newDiscovery(t, hostAt("a", slow.Addr, 0), hostAt("b", n.Addr, 1))
 	k := run(t, door(t, d))
 	if r := post(t, k, "fresh", 1); r.Status != 404 {
-		t.Fatalf("a class that is not there yet: %d", r.Status)
+		t.Fatalf("a class that does not exist yet: %d", r.Status)
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
@@ -126,15 +126,15 @@
 	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].List, ",k=") {
 		t.Fatalf("the new class got %d, its part %+v", r.Status, n.Parts()[0])
 	}
-	// rate-check and fresh go
+	// removes rate-check and fresh
 	if err := k.Reload(door(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
 	}
 	close(free)
 	if got := <-held; got != 200 {
-		t.Errorf("what was open when its class went got %d", got)
+		t.Errorf("the request whose class was removed got %d", got)
 	}
-	standin.Until(t, "the end of the class that went", func() bool {
+	standin.Until(t, "the end of the removed class", func() bool {
 		return post(t, k, "rate-check", 1).Status == 404
 	})
 	for _, class := range []string{"other", "exchange-post"} {
@@ -146,11 +146,11 @@
 	delete(broken.raw, "limits")
 	err := k.Reload(broken)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
 	k.Reject(err)
 	if r := post(t, k, "other", 1); r.Status != 200 {
-		t.Errorf("after a broken file: %d", r.Status)
+		t.Errorf("after an invalid file: %d", r.Status)
 	}
 	f := figures(t, k)
 	if f.ConfigApplied != 2 || f.ConfigRejected != 1 || f.OK["fresh"] != 1 || f.OK["rate-check"] < 1 {
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -13,8 +13,8 @@
 	"lapislever/internal/standin"
 )
 
-// together makes a configuration of a coordinator that may be upgraded: an address of its own and a place for
-// both processes to meet.
+// upgradeConfig prepares a configuration for an upgrade: a fixed address, and a directory where both
+// processes meet.
 func together(t *testing.T, c *Config) *Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,16 +27,17 @@
 	return c
 }
 
-// askable waits until a successor can ask the process that serves.
+// awaitUpgradeSocket waits until a successor can ask the process that serves.
 func askable(t *testing.T, cfg *Config) {
 	t.Helper()
-	standin.Until(t, "the socket to ask at", func() bool {
+	standin.Until(t, "the upgrade socket", func() bool {
 		_, err := os.Lstat(socketPath(cfg))
 		return err == nil
 	})
 }
 
-// kept asks on a connection that stays, and tells whether it may be used again.
+// staysOpen sends a request on an existing connection, and reports whether the connection can be used
+// again.
 func kept(t *testing.T, c *lnet.Client, name string) bool {
 	t.Helper()
 	r, err := c.Do("POST", "/rate-check", "x", [][2]string{{"X-Call-Id", name}},
@@ -47,8 +48,8 @@
 	return c.Sound()
 }
 
-// A new process takes the address over while clients come: nobody is turned away, a connection to the old
-// process is served once more and then ended, and what operators said holds in both.
+// A new process takes over an address while clients connect: no client is refused, a connection to the old
+// process is served once more and then ended, and the operators' cordons hold in both processes.
 func TestSuccessorTakesOver(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
@@ -77,49 +78,49 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
-	standin.Until(t, "the yes", func() bool {
+	standin.Until(t, "the successor's readiness", func() bool {
 		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
-		t.Error("the successor says yes before the old process knows of it")
+		t.Error("the successor is ready before the old process knows of it")
 	}
 	if fresh.peers.c.LocalAddr().String() != old.peers.c.LocalAddr().String() {
-		t.Error("datagrams come to another address")
+		t.Error("the successor has another address for datagrams")
 	}
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end of the old process's yes", func() bool { return old.ending.Load() })
+	standin.Until(t, "the shutdown of the old process", func() bool { return old.ending.Load() })
 	if r := standin.Call(t, old.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
-		t.Errorf("the old process says %d", r.Status)
+		t.Errorf("the old process answers %d", r.Status)
 	}
 	for range 20 {
 		if r := post(t, fresh, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 		if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
-			t.Fatalf("/up says %d", r.Status)
+			t.Fatalf("/up answers %d", r.Status)
 		}
 	}
 	if n := len(a.Parts()) - before; n != 0 {
-		t.Fatalf("%d parts went to a node that is out", n)
+		t.Fatalf("%d parts went to a cordoned node", n)
 	}
 	if kept(t, c, "second") {
-		t.Error("a connection to the old process goes on")
+		t.Error("a connection to the old process stays open")
 	}
 	say(old, "uncordon")
-	standin.Until(t, "the call at the old process to hold in the new one", func() bool {
+	standin.Until(t, "the uncordon at the old process to take effect in the new one", func() bool {
 		post(t, fresh, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
 	<-ended
 
-	last := *cfg // and the next one asks the one that serves now
+	last := *cfg // the next one asks the process that serves now
 	if h, _ := inherit(&last, standin.Quiet()); h == nil {
-		t.Fatal("nobody to take over from")
+		t.Fatal("no process to take over from")
 	} else {
 		h.drop()
 	}
-	standin.Until(t, "the socket again, as that successor is gone", func() bool {
+	standin.Until(t, "the socket again after that successor is gone", func() bool {
 		h, _ := inherit(&last, standin.Quiet())
 		if h != nil {
 			h.drop()
@@ -128,8 +129,8 @@
 	})
 }
 
-// Who hears a successor's yes may end the old process at once: until that one has said that it knows of the
-// successor, there is no yes, neither at the door nor for clients.
+// Whoever sees a successor ready may stop the old process at once. So the successor is not ready, neither
+// at the admin endpoint nor for clients, before the old process has acknowledged it.
 func TestYesWaitsUntilTheOldProcessKnows(t *testing.T) {
 	cfg := together(t, door(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	clients, err := net.Listen("tcp", cfg.Listen)
@@ -143,7 +144,7 @@
 	}
 	defer asked.Close()
 	told := make(chan *link)
-	go func() { // an old process by the script
+	go func() { // a scripted old process
 		defer close(told)
 		c, err := asked.AcceptUnix()
 		if err != nil {
@@ -167,27 +168,27 @@
 	t.Cleanup(fresh.Close)
 	l := <-told
 	if l == nil {
-		t.Fatal("the old process heard nothing")
+		t.Fatal("the old process received nothing")
 	}
 	defer l.close()
 	if r := standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
-		t.Errorf("the door says %d", r.Status)
+		t.Errorf("the admin endpoint answers %d", r.Status)
 	}
 	if fresh.accepting.Load() {
-		t.Error("clients are taken, and would be told no")
+		t.Error("clients are accepted, and would be refused")
 	}
 	if err := l.write(word{Heard: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the yes", func() bool {
+	standin.Until(t, "the successor's readiness", func() bool {
 		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
-		t.Errorf("/up says %d", r.Status)
+		t.Errorf("/up answers %d", r.Status)
 	}
 }
 
-// SIGTERM may come before the successor serves. Once it does, the old process leads its clients over.
+// SIGTERM may come before the successor serves. Once it does, the old process redirects its clients.
 func TestSuccessorServesWhileTheOldProcessEnds(t *testing.T) {
 	n := standin.NewNode(t, ok)
 	cfg := together(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
@@ -208,20 +209,20 @@
 	kept(t, c, "before")
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end to begin", func() bool { return !old.front.ready.Load() })
+	standin.Until(t, "the shutdown to begin", func() bool { return !old.front.ready.Load() })
 	if !kept(t, c, "sigterm") {
-		t.Error("a connection is ended while there is nobody else to serve")
+		t.Error("a connection is ended while no other process serves")
 	}
 	h.link.say(word{Ready: true})
-	standin.Until(t, "the yes for both", func() bool { return old.front.ready.Load() })
-	standin.Until(t, "the clients to be led over", func() bool {
+	standin.Until(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
+	standin.Until(t, "the clients to be redirected", func() bool {
 		return old.server.Open() == 0 || !kept(t, c, "then")
 	})
 	<-ended
 }
 
-// Descriptors are shared out: two processes never hold more than one may, and what the old one gives up is
-// the new one's, in full once it is alone.
+// Descriptors are shared: two processes together never hold more than one may. The new process gets what
+// the old one releases, and everything once it is alone.
 func TestDescriptorsAreSharedOut(t *testing.T) {
 	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	old := run(t, cfg)
@@ -234,16 +235,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
-	standin.Until(t, "its word to the old one", u.handedOver)
+	standin.Until(t, "the old process to know of it", u.handedOver)
 	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*leastSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "all for one", func() bool { return fresh.upgrade.budget.Most() == whole })
+	standin.Until(t, "the full budget", func() bool { return fresh.upgrade.budget.Most() == whole })
 }
 
-// A process may be taken over from while the one before it still ends: the three share what one may hold, and
-// the end of the first does not have the second take all.
+// A process may be taken over from while its own predecessor still shuts down. The three share what one
+// may hold, and the end of the first does not let the second use everything.
 func TestThreeProcessesShareDescriptors(t *testing.T) {
 	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	first := run(t, cfg)
@@ -256,7 +257,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		standin.Until(t, "its word to the one before", before.upgrade.handedOver)
+		standin.Until(t, "the predecessor to know of it", before.upgrade.handedOver)
 		return k
 	}
 	all := func(of ...*Coordinator) (sum int) {
@@ -266,7 +267,7 @@
 		return sum
 	}
 	second := follow(first)
-	standin.Until(t, "the second to be the one to ask", func() bool {
+	standin.Until(t, "the second one's upgrade socket", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
 		return second.upgrade.asked != nil
@@ -276,20 +277,21 @@
 		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.shared())
 	}
 	first.Shutdown()
-	standin.Until(t, "what the first one held", func() bool {
+	standin.Until(t, "the descriptors of the first", func() bool {
 		return all(second, third) == first.upgrade.shared()
 	})
-	for range 3 { // it stays so
+	for range 3 { // and it stays so
 		time.Sleep(shareEvery)
 		if sum := all(second, third); sum > first.upgrade.shared() {
 			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.shared())
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "all for one", func() bool { return third.upgrade.budget.Most() == third.upgrade.all })
+	standin.Until(t, "the full budget", func() bool { return third.upgrade.budget.Most() == third.upgrade.all })
 }
 
-// Where there is nobody to take over from, or no place to meet, a coordinator starts and serves all the same.
+// If there is no process to take over from, or no directory to meet in, a coordinator starts and serves
+// all the same.
 func TestNoSuccessionIsHarmless(t *testing.T) {
 	n := standin.NewNode(t, ok)
 	for name, spoil := range map[string]func(cfg *Config) error{
@@ -336,7 +338,8 @@
 	}
 }
 
-// A call while the greeting is written is not in it, and must not be lost: the successor hears it behind.
+// A cordon that arrives while the hello is written is not part of it and must not be lost: it is forwarded
+// behind it.
 func TestCallDuringTheGreetingIsPassedOn(t *testing.T) {
 	k := run(t, together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0)))))
 	path := filepath.Join(t.TempDir(), "pair")
@@ -370,9 +373,9 @@
 	}
 }
 
-// A process that is there may be too busy for the first question. It is asked again: without its word what
-// operators have put out would be forgotten. And who starts beside it waits for discovery's list, for what is
-// known from before may be long out of date.
+// An existing process may be too busy to answer the first request. It is asked again, as the operators'
+// cordons would be lost without its hello. A process that starts beside it waits for discovery's list, as
+// the list known from before may be outdated.
 func TestBusyProcessIsAskedAgain(t *testing.T) {
 	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	cfg.Known = &hostList{Hosts: []host{hostAt("a", "127.0.0.1:1", 0), hostAt("old", "127.0.0.1:1", 0)}}
@@ -393,10 +396,10 @@
 		}
 	}()
 	k := run(t, cfg)
-	standin.Until(t, "each question", func() bool { return len(asked) == linkTries })
+	standin.Until(t, "all tries", func() bool { return len(asked) == linkTries })
 	select {
 	case <-k.watcher.whole:
 	default:
-		t.Error("ready without discovery's word")
+		t.Error("ready without discovery's list")
 	}
 }
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -1,7 +1,7 @@
 package platform
 
-// The watch in its narrow moments. Discovery is a script: it has each call in its hands, and says when and
-// how much of an answer goes out.
+// Races and failures of the watch. The stand-in for discovery is scripted: a test receives each call and
+// decides when, and how much of, an answer is sent.
 
 import (
 	"bufio"
@@ -20,8 +20,8 @@
 	"lapislever/internal/standin"
 )
 
-// scripted is a stand-in for discovery that hands each call to a function, with the connection that it came
-// on.
+// scriptedDiscovery is a stand-in for discovery that passes each call to a function, with the connection
+// that it came on.
 type scripted struct {
 	addr string
 	mu   sync.Mutex
@@ -63,31 +63,31 @@
 
 func (d *scripted) count() int { return len(d.queries()) }
 
-// queries are those of the calls so far.
+// queries returns the query strings of all calls so far.
 func (d *scripted) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.seen...)
 }
 
-// list is an answer's body.
+// listBody returns the body of an answer.
 func list(seq int, whole bool, hosts ...host) string {
 	b, _ := json.Marshal(hostList{Seq: int64(seq), Whole: whole, Hosts: hosts})
 	return string(b)
 }
 
-// tell writes a sound answer.
+// writeList writes a complete answer.
 func tell(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// reset ends a connection without an end.
+// resetConn ends a connection by a reset.
 func reset(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// getsNothing tells that queries are answered, and no part of them goes to a node that drains.
+// expectNoParts checks that queries are answered and that no part of them goes to a node that drains.
 func getsNothing(t *testing.T, k *Coordinator, drains *standin.Node) {
 	t.Helper()
 	before := len(drains.Parts())
@@ -101,7 +101,7 @@
 	}
 }
 
-// With each time limit the change that a call has missed is heard before it counts as told.
+// With the chosen time limits, a change that one call misses is received before it counts as announced.
 func TestWatchHearsBeforeItCountsAsTold(t *testing.T) {
 	us := func(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	for name, worst := range map[string]time.Duration{
@@ -110,13 +110,14 @@
 		"asked for, after many":    us(balance.AskMost) + asking.limit,
 	} {
 		if worst > toldAfter {
-			t.Errorf("%s: heard after %v, told after %v", name, worst, toldAfter)
+			t.Errorf("%s: received after %v, announced after %v", name, worst, toldAfter)
 		}
 	}
 }
 
-// However a call ends that tells nothing, the whole list is asked for anew, and what it does not name is
-// gone, also where it still answers. What came before a reset, or of an answer that never ends, is no answer.
+// However a call ends without an answer, the full list is requested again, and nodes that it does not name
+// are gone even if they still answer. Data before a reset, or of an answer without an end, is not an
+// answer.
 func TestWatchThatEndsWithoutTelling(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn, wrong string){
 		"silent": func(*net.TCPConn, string) {},
@@ -129,7 +130,7 @@
 		"half head": func(c *net.TCPConn, _ string) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConte"); _ = c.Close() },
 		"without a length, and reset": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", wrong)
-			time.AfterFunc(50*time.Millisecond, func() { reset(c) }) // its bytes have been read, or the call is over
+			time.AfterFunc(50*time.Millisecond, func() { reset(c) }) // once its bytes are read, or the call is over
 		},
 		"without an end": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(wrong), wrong)
@@ -159,7 +160,7 @@
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
-					t.Error("a list without an end was taken")
+					t.Error("a list without an end was accepted")
 				}
 			}
 			d.mu.Unlock()
@@ -176,8 +177,8 @@
 	}
 }
 
-// Discovery is silent and then answers again: calls were made all the while, so that the first one it can
-// answer tells of what has changed.
+// Discovery is silent and then answers again. Calls continue in the meantime, so that the first one that
+// it can answer reports the changes.
 func TestWatchGoesOnAskingWhileDiscoveryIsDown(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
@@ -200,7 +201,7 @@
 	both[0].Health = "terminating"
 	asked, down = d.count(), false
 	mu.Unlock()
-	standin.Until(t, "the watch that follows the answer", func() bool { // until then the whole list is asked for
+	standin.Until(t, "the watch that follows the answer", func() bool { // until then the full list is requested
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return slices.ContainsFunc(d.seen[asked:], func(q string) bool { return q != "" })
@@ -208,8 +209,8 @@
 	getsNothing(t, k, a)
 }
 
-// A new process knows a list that has become old. What discovery has counts from its first moment: nobody is
-// sent here before that has been heard, and then by that alone.
+// A new process knows an outdated list. Discovery's state counts from the first moment, so no client is
+// sent here before the full list has arrived, and afterwards only that list counts.
 func TestStartWaitsForDiscoverysWord(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
@@ -231,9 +232,9 @@
 	}
 	t.Cleanup(k.Close)
 	<-asked
-	<-k.listed // the old list is taken in
+	<-k.listed // the old list has been taken in
 	if k.front.ready.Load() {
-		t.Fatal("ready by an old list alone")
+		t.Fatal("ready with an old list only")
 	}
 	close(free)
 	standin.Until(t, "readiness", k.front.ready.Load)
@@ -244,8 +245,8 @@
 	}
 }
 
-// Where the list is asked for, a call that has fallen silent is made anew at once, by the version that is
-// known; a refusal is the module's to wait with. Either way the change is heard.
+// Where the list is polled, a call that fell silent is repeated at once, from the known version. After a
+// refusal the module decides how long to wait. Either way the change is received.
 func TestAskedWatchIsRenewedAfterSilence(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
@@ -272,13 +273,13 @@
 	}
 	silent, anew := <-at, <-at
 	if gap := anew.Sub(silent); gap < asking.silence()-50*time.Millisecond {
-		t.Fatalf("the call was given up after %v", gap)
+		t.Fatalf("the call was abandoned after %v", gap)
 	}
 	getsNothing(t, k, a)
 }
 
-// A list that is known is gone on from, whatever its version: 0 is one like any other. Thirty coordinators
-// that asked for the whole list at their start kept discovery from telling any of them what changed then.
+// The watch continues from a known list of any version, 0 included. Thirty coordinators that requested the
+// full list at their start kept discovery from sending any of them the changes of that time.
 func TestAskedWatchGoesOnFromAKnownList(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
@@ -300,8 +301,8 @@
 	getsNothing(t, k, a)
 }
 
-// A call that is overdue is not given up for the next one: whichever is answered first counts. An agent that
-// comes back answers new calls only, and one that is slow the old ones.
+// An overdue call is not cancelled for the next one: whichever is answered first counts. An agent that
+// recovers only answers new calls, and a slow one answers the old ones.
 func TestOverdueCallStaysOutBesideTheNext(t *testing.T) {
 	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
