--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -1,5 +1,5 @@
-// Command lapislever is the coordinator. This file owns the command line and puts the parts together; it
-// must never hold logic of its own.
+// Command lapislever is the coordinator. This file parses the command line and assembles the parts. It
+// contains no logic of its own.
 package main
 
 import (
@@ -158,8 +158,8 @@
 			switch {
 			case s != syscall.SIGHUP:
 				end()
-			case s == syscall.SIGHUP: // while ending too: what is still open wants to hear of its nodes
-				// A file that cannot be used must not take down what works.
+			case s == syscall.SIGHUP: // also during a shutdown: open requests still need changes of their nodes
+				// A file that is invalid must not affect the running configuration.
 				fresh, anew, err := load(from, env, log)
 				if err == nil {
 					err = k.Reload(fresh)
@@ -183,10 +183,10 @@
 	}
 }
 
-// sources are the files that a start names.
+// sources are the configuration files named on the command line.
 type sources struct{ ranges, translate, fleet string }
 
-// load reads the configuration, and the files of the fronts and of the fleet where any are given.
+// load reads the configuration, and the files of the fronts and the fleet if any are given.
 func load(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
 	error) {
 	cfg, fronts, err := loadFronts(from, env, log)
@@ -203,7 +203,7 @@
 	return cfg, fronts, nil
 }
 
-// loadFronts reads the configuration, and the fronts' files where any are given.
+// loadFronts reads the configuration, and the fronts' files if any are given.
 func loadFronts(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
 	error) {
 	alone := env("RELAY_CONFIG") == ""
@@ -259,7 +259,7 @@
 	return cfg, []platform.Extra{front}, nil
 }
 
-// importFile prints the front's file, and to the other stream what there is to say of each line.
+// importFile prints the front's file to stdout, and remarks on the imported lines to stderr.
 func importFile(path string, into importer.Options, stdout, stderr io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -283,13 +283,13 @@
 	return "(devel)"
 }
 
-// doorCall is a call to a coordinator's door.
+// admissionCall is a call to the admission controller at a coordinator's admin endpoint.
 type doorCall struct {
 	addr string
 	span time.Duration
 }
 
-// ask makes the call and prints its answer.
+// run makes the call and prints its answer.
 func (d doorCall) ask(words []string, stdout io.Writer) error {
 	method, path, body := "GET", "/admin/admission", ""
 	switch {
--- a/cmd/lapislever/main_test.go
+++ b/cmd/lapislever/main_test.go
@@ -63,7 +63,7 @@
 		{args: []string{"fleet", "--door", "127.0.0.1:1", "dance"}, usage: true},
 		{args: []string{"fleet", "--door", "127.0.0.1:1", "members"}, fail: true},
 		{args: []string{"import", unsound, "--class", "ranges"}, fail: true},
-		{args: []string{"import", jk}, fail: true}, // of no class
+		{args: []string{"import", jk}, fail: true}, // without a class
 		{args: []string{"import", jk, "--class", "ranges", "--listen", "127.0.0.1:7"},
 			out: `listen = "127.0.0.1:7"`},
 	} {
@@ -77,7 +77,7 @@
 	}
 }
 
-// What import prints is a file that serve starts with, and it reports what it could not take.
+// The output of import is a file that serve starts with, and import reports what it could not convert.
 func TestServeTakesWhatImportPrints(t *testing.T) {
 	var file, remarks bytes.Buffer
 	args := []string{"import", write(t, "workers.properties", workers), "--class", "ranges",
@@ -100,8 +100,8 @@
 	}
 }
 
-// SIGHUP reads the file again and ends nothing: a bad file is logged and the old one kept. SIGTERM behind it
-// still ends in order. Without a handler the first signal would end this very test.
+// SIGHUP reads the file again and ends nothing: a bad file is logged and the old one kept. SIGTERM after
+// that still shuts down in order. Without a handler the first signal would end this test.
 func TestHangUpReloads(t *testing.T) {
 	path := write(t, "promql.toml", sound)
 	signals := platform.Signals()
@@ -129,7 +129,7 @@
 	}
 }
 
-// lines is a stream that may be read while it is written.
+// lockedBuffer is a buffer that may be read while it is written.
 type lines struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -147,8 +147,8 @@
 	return l.b.String()
 }
 
-// The file that is kept for the front of old terminals is sound, alone; with the platform's it is turned
-// down.
+// The file for old terminals in the repository is valid on its own, and rejected together with the
+// platform's configuration.
 func TestCheckTranslation(t *testing.T) {
 	none := func(string) string { return "" }
 	var out strings.Builder
@@ -171,7 +171,7 @@
 	}
 }
 
-// Words to a door that cannot be said are errors of usage; a door that says no is an error.
+// Malformed calls are errors of usage; an error status from the admin endpoint is an error.
 func TestAdmissionCommand(t *testing.T) {
 	none := func(string) string { return "" }
 	for _, args := range [][]string{{"admission"}, {"admission", "--door", "127.0.0.1:1", "throw"},
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the operators' door: an address of its own where on-call staff ask how this coordinator
-// does and put data nodes out and back. It owns the calls and the words of their replies. It must never hold
-// the state that it shows or changes: that is behind State, and so is every wait.
+// Package admin is the admin endpoint: an address of its own where operators check this coordinator's
+// state and cordon data nodes. It defines the calls and the form of their replies. It must never hold the
+// state that it shows or changes: that is behind State, as is everything that blocks.
 package admin
 
 import (
@@ -16,24 +16,24 @@
 )
 
 const (
-	// Sockets is how many descriptors the door may take; they are kept for it, so that no crowd of clients
-	// can shut operators out.
+	// Sockets is how many descriptors the endpoint may use. They are reserved, so that no number of clients
+	// can lock operators out.
 	Sockets = callers + callers/4
-	callers = 12 // connections at a time; one that asks nothing makes way for the next
+	callers = 12 // connections in parallel; one that sends no request makes room for the next
 	maxID   = 256
-	// An answer is owed within 1 s. Should the coordinator not get to a call by this, the operator is told
-	// so, and may ask again: no call does more the second time.
+	// Operators get an answer within 1 s. If the coordinator has not processed a call by this time, they are
+	// told so and may call again: calls are idempotent.
 	answerIn = 800 * time.Millisecond
 )
 
-// What State may say to a call.
+// The errors that State returns for a call.
 var (
 	ErrUnknown = errors.New("no data node of that id is listed")
 	ErrLate    = errors.New("not done in time, and may still be: call again")
 	ErrForm    = errors.New("the id, who says so or why is too long")
 )
 
-// Figures are a process's counts since its start, by their names on the wire.
+// Counters are a process's counters since its start, by their names on the wire.
 type Figures struct {
 	OK             map[string]int64 `json:"ok"`
 	Shed           map[string]int64 `json:"shed"`
@@ -47,59 +47,62 @@
 	Unusable       map[string]int64 `json:"unusable,omitempty"` // attempts at new-form nodes, by reason
 }
 
-// State is the coordinator as the door sees it. Ready and Figures must not wait.
+// State is what the endpoint needs of the coordinator. Ready and Counters must not block.
 type State interface {
 	Ready() bool
 	Figures() Figures
-	// Cordon puts a data node out or back, waits until that holds, and gives up after the time given.
+	// Cordon cordons or uncordons a data node, waits until that holds, and gives up after the given time.
 	Cordon(id string, out bool, within time.Duration) error
 }
 
-// Gate is who is let in, as far as the door asks.
+// Gate is what the endpoint needs of an admission controller.
 type Gate interface {
 	Figures(n int) any
 	Hold(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
 }
 
-// Fleeted is a State with a view of the fleet, to be shown as JSON; nil where there is none.
+// FleetState is a State with a view of the fleet, to be shown as JSON; nil without a fleet.
 type Fleeted interface {
 	Fleet() any
 	Verdicts() any
 	Limits() any
 	Overload() any
-	// Say gives a verdict for the whole fleet, and returns what is to be shown of it, and whether all that are
-	// alive hold it. It gives up after the time given, or the call's own wait if that is longer.
+	// ApplyFleetCall issues a verdict for the whole fleet. It returns what is to be shown of the verdict, and
+	// whether all members that are alive hold it. It gives up after the given time, or after the call's own
+	// wait if that is longer.
 	Say(c FleetCall, within time.Duration) (shown any, all bool, err error)
 }
 
-// FleetCall is a call that puts a data node out or back for the whole fleet, or bans, pins or lifts a prefix.
+// FleetCall is a call that cordons or uncordons a data node for the whole fleet, or bans, pins or lifts a
+// prefix.
 type FleetCall struct {
 	ID         string // of the node
 	Prefix     netip.Prefix
-	Pin        bool // of a prefix: known, not banned
-	Out        bool // of a node: out; of a prefix: the word holds
+	Pin        bool // of a prefix: pinned as known, not banned
+	Out        bool // of a node: cordoned; of a prefix: the ban or pin is set
 	By, Reason string
-	Span       time.Duration // 0: until it is taken back
-	Wait       time.Duration // for all who are alive
+	Span       time.Duration // 0: until it is lifted
+	Wait       time.Duration // for all members that are alive
 }
 
-// Delayed is a State that counts what was carried out late, to be shown as JSON.
+// DelayState is a State with statistics of late actions, to be shown as JSON.
 type Delayed interface{ Delays() any }
 
-// Gated is a State with a gate, or nil where there is none.
+// GateState is a State with an admission controller, or nil without one.
 type Gated interface{ Gate() Gate }
 
-// topMost is how many addresses are shown.
+// maxTopAddresses is how many addresses are shown.
 const topMost = 20
 
-// only tells that a call is made by another method.
+// methodNotAllowed replies that a call takes another method.
 func only(x *lnet.Exchange, method string) {
 	x.Reply(lnet.Response{Status: 405, Header: [][2]string{{"Allow", method}}, Close: true,
 		Body: []byte("use " + method + "\n")})
 }
 
-// admission takes a call to the gate. It returns false where there is none, or no such call.
+// serveAdmission handles a call to the admission controller. It returns false if there is none, or no such
+// call.
 func (d *Door) admission(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
 	s, gated := d.state.(Gated)
@@ -135,7 +138,7 @@
 			}
 			g.Hold(p, call == "/pin", t)
 		}
-		d.log.Info("operator's word on a prefix", "call", call[1:], "prefix", p, "for", span)
+		d.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
 		say(200, "done")
 	default:
 		return false
@@ -143,7 +146,7 @@
 	return true
 }
 
-// show replies with a value as JSON.
+// replyJSON replies with a value as JSON.
 func show(x *lnet.Exchange, say func(int, string), value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
@@ -153,7 +156,7 @@
 	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b, Close: true})
 }
 
-// fleet takes a call about the fleet. It returns false where there is none, or no such call.
+// serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
 func (d *Door) fleet(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
 	s, ok := d.state.(Fleeted)
 	if !ok || s.Fleet() == nil {
@@ -192,10 +195,10 @@
 	return true
 }
 
-// mostWait bounds how long a call may wait for other members.
+// maxWait bounds how long a call may wait for other members.
 const mostWait = 30 * time.Second
 
-// fleetCall reads a call: ID [TIME], and ?wait=TIME.
+// parseFleetCall parses a call: ID [TIME], and ?wait=TIME.
 func fleetCall(r *lnet.Request) (c FleetCall, err error) {
 	call := strings.TrimPrefix(r.Path, "/admin/fleet/")
 	prefix := call == "ban" || call == "pin" || call == "lift"
@@ -232,7 +235,7 @@
 	return c, nil
 }
 
-// fleetCordon carries out one call for the whole fleet; it waits, so it has a goroutine of its own.
+// applyFleetCall executes a call for the whole fleet. It blocks, so it runs in a goroutine of its own.
 func (d *Door) fleetCordon(s Fleeted, c FleetCall, x *lnet.Exchange, say func(status int, text string)) {
 	shown, all, err := s.Say(c, answerIn)
 	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Span,
@@ -258,7 +261,7 @@
 	}
 }
 
-// parsePrefix reads a prefix, or an address as one of its own.
+// parsePrefix parses a prefix, or an address as a prefix of its full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	p, err := netip.ParsePrefix(text)
 	if a, aerr := netip.ParseAddr(text); err != nil && aerr == nil {
@@ -267,14 +270,14 @@
 	return p, err
 }
 
-// Door is an open door.
+// Server is a running admin endpoint.
 type Door struct {
 	server *lnet.Server
 	state  State
 	log    *slog.Logger
 }
 
-// Open listens on an address.
+// Listen opens the endpoint on an address.
 func Open(addr string, state State, log *slog.Logger) (*Door, error) {
 	d := &Door{state: state, log: log}
 	var err error
@@ -285,16 +288,16 @@
 	return d, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the address that the endpoint listens on.
 func (d *Door) Addr() string { return d.server.Addr() }
 
-// Close shuts the door; calls that are being answered get their answer.
+// Close stops the endpoint. Calls in progress are answered.
 func (d *Door) Close() {
 	d.server.StopListening()
 	d.server.Finish()
 }
 
-// serve takes one call. Every reply ends its connection: one call each is the rule here.
+// serve handles one call. Every reply ends its connection: a connection carries one call.
 func (d *Door) serve(r *lnet.Request, x *lnet.Exchange) func() {
 	say := func(status int, text string) {
 		x.Reply(lnet.Response{Status: status, Body: []byte(text + "\n"), Close: true})
@@ -332,7 +335,8 @@
 	return nil
 }
 
-// cordon carries out one call to put a data node out or back; it waits, so it has a goroutine of its own.
+// applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
+// of its own.
 func (d *Door) cordon(id string, out bool, say func(status int, text string)) {
 	err := d.state.Cordon(id, out, answerIn)
 	d.log.Info("operator's call", "node", id, "out", out, "err", err)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,7 +11,7 @@
 	"lapislever/internal/standin"
 )
 
-// state is a coordinator with fixed figures.
+// state is a coordinator with fixed counters.
 type state struct {
 	ready bool
 	mu    sync.Mutex // guards calls
@@ -25,7 +25,7 @@
 
 func (s *state) Delays() any { return map[string]int{"late": 2} }
 
-// Cordon knows one data node, and one that it gets to too late.
+// Cordon knows one data node, and another one that it cannot handle in time.
 func (s *state) Cordon(id string, out bool, _ time.Duration) error {
 	s.mu.Lock()
 	s.calls = append(s.calls, fmt.Sprint(id, out))
@@ -77,13 +77,13 @@
 			t.Errorf("%s %s: %d %s", c.method, c.path, r.Status, r.Body)
 		}
 		if r.Header.Get("Connection") != "close" {
-			t.Errorf("%s %s: the connection goes on", c.method, c.path)
+			t.Errorf("%s %s: the connection stays open", c.method, c.path)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if got := strings.Join(s.calls, " "); got != "s-1true s-1false s-2true latetrue" {
-		t.Fatalf("the coordinator was told %q", got)
+		t.Fatalf("the coordinator received %q", got)
 	}
 	s.ready = true
 	if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
@@ -91,7 +91,8 @@
 	}
 }
 
-// Callers that say nothing or half a call stay for seconds. However many they are, the next one is answered.
+// Connections without a complete request stay open for seconds. However many there are, the next call is
+// answered.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr := open(t, &state{ready: true})
 	for i := range 3 * callers {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,6 @@
-// Package console is the operators' command line towards a coordinator's door: calls and the tables that show
-// their answers. It must never hold what it shows, nor know more of the coordinator than the door tells.
+// Package console implements the operators' command line for a coordinator's admin endpoint: calls, and
+// the tables that show the answers. It must never hold state, nor know more of the coordinator than the
+// endpoint reports.
 package console
 
 import (
@@ -15,7 +16,7 @@
 	maxReply  = 4 << 20
 )
 
-// No is a call's answer that is not a yes.
+// StatusError is an answer with another status than success.
 type No struct {
 	Status int
 	Text   string
@@ -23,7 +24,8 @@
 
 func (n *No) Error() string { return fmt.Sprintf("%d: %s", n.Status, n.Text) }
 
-// Call makes one call at a door and returns the body of its answer. An answer that is no yes is a *No.
+// Call makes one call to an admin endpoint and returns the body of the answer. An answer that is not a
+// success is returned as a *StatusError.
 func Call(door, method, path, body string, header [][2]string, extra time.Duration) ([]byte, error) {
 	c, err := lnet.Dial(door, callLimit, maxReply)
 	if err != nil {
--- a/internal/console/fleet.go
+++ b/internal/console/fleet.go
@@ -13,29 +13,29 @@
 	"time"
 )
 
-// ErrUsage marks words that make no call.
+// ErrUsage marks arguments that don't form a call.
 var ErrUsage = errors.New("usage")
 
-// calls are all that there are.
+// callNames lists all calls.
 const calls = "members, verdicts, limits, overload, cordon ID, uncordon ID, ban PREFIX, pin PREFIX, " +
 	"lift PREFIX"
 
-// watchEvery is the time between two looks of --watch.
+// watchInterval is the time between two calls of --watch.
 const watchEvery = time.Second
 
-// Fleet is a call of `lapislever fleet`.
+// FleetCommand is one run of `lapislever fleet`.
 type Fleet struct {
 	Door  string
-	JSON  bool             // the door's own words
-	Span  time.Duration    // for how long a node is to be out; 0: until it is taken back
+	JSON  bool             // print the endpoint's reply unchanged
+	Span  time.Duration    // how long a node is cordoned; 0: until it is uncordoned
 	Wait  time.Duration    // for all members that are alive
-	By    string           // who says so,
-	Why   string           // and why
-	Watch bool             // again and again, until Stop
-	Stop  <-chan os.Signal // ends a watch; nil: nothing does
+	By    string           // who makes the call
+	Why   string           // why the call is made
+	Watch bool             // repeat the call until Stop
+	Stop  <-chan os.Signal // ends a watch; nil: runs until killed
 }
 
-// fleetView is what GET /admin/fleet says, as far as it is shown.
+// fleetView is the part of the reply to GET /admin/fleet that is shown.
 type fleetView struct {
 	Self        string
 	Incarnation uint32
@@ -88,7 +88,7 @@
 			return err
 		}
 		if err != nil {
-			fmt.Fprintln(out, err) // the coordinator may come back
+			fmt.Fprintln(out, err) // the coordinator may recover
 		}
 		select {
 		case <-f.Stop:
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// verdictView is what the door says of one verdict.
+// verdictView is the endpoint's description of one verdict.
 type verdictView struct {
 	Kind, What, By, Reason string
 	At                     int64 `json:"at_ms"`
@@ -230,7 +230,8 @@
 	return s
 }
 
-// cordon puts a data node out or back at every member. That some are missing is no error: the door says who.
+// change cordons or uncordons a data node at every member, or bans, pins or lifts a prefix. Missing
+// members are not an error: the endpoint names them.
 func (f Fleet) cordon(call, id string, out io.Writer) error {
 	path, body := "/admin/fleet/"+call, id
 	if f.Wait > 0 {
@@ -258,7 +259,8 @@
 	return nil
 }
 
-// get asks the door and takes its answer apart; done: the door's own words were wanted, and are printed.
+// get calls the endpoint and decodes its answer. done is set if the raw reply was requested and has been
+// printed.
 func (f Fleet) get(path string, into any, out io.Writer) (done bool, err error) {
 	body, err := Call(f.Door, "GET", path, "", nil, 0)
 	if err != nil {
@@ -274,7 +276,7 @@
 	return false, nil
 }
 
-// span words milliseconds for people.
+// formatMillis formats a number of milliseconds for people.
 func span(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d >= time.Minute {
--- a/internal/console/handover.go
+++ b/internal/console/handover.go
@@ -7,7 +7,8 @@
 	"syscall"
 )
 
-// HandOver goes on as another program that lies beside this one. It returns only if that fails.
+// ExecSibling replaces this process by another program in the same directory. It returns only if that
+// fails.
 func HandOver(program string, args []string) error {
 	own, err := os.Executable()
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads files of TOML and says of each fault in which line it stands and at which key. It
-// owns the form of those messages; what a value may be its users say. A file is taken whole or not at all:
-// all faults are told at once, and none is passed over.
+// Package settings reads TOML files and reports each error with its line and key. It defines the form of
+// those messages; the users of the package decide which values are valid. A file is accepted or rejected
+// as a whole, and all errors are reported together.
 package settings
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a file that is being checked.
+// File is a file that is being validated.
 type File struct {
 	name   string
-	lines  map[string]int // of keys, with the index of their table where there are several
+	lines  map[string]int // of keys, with the index of their table in an array of tables
 	plain  map[string][]int
 	faults []fault
 }
@@ -27,7 +27,7 @@
 	text string
 }
 
-// Load reads a file into a value. What is returned collects the faults that the caller finds.
+// Load reads a file into a value. The returned File collects the errors that the caller finds.
 func Load(path string, into any) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,8 +36,8 @@
 	return Parse(path, string(text), into)
 }
 
-// Parse reads a text into a value. Keys that the value has no place for are faults, as a misspelt one would
-// else be lost unseen.
+// Parse reads a text into a value. Keys without a field in the value are errors, as a misspelt key would
+// otherwise go unnoticed.
 func Parse(name, text string, into any) (*File, error) {
 	f := &File{name: name, lines: map[string]int{}, plain: map[string][]int{}}
 	f.scan(text)
@@ -71,7 +71,8 @@
 	return f, nil
 }
 
-// free tells that a key lies in a table that takes any: the library counts what is deeper there as not taken.
+// acceptsAnyKey reports whether a key is inside a table of free form. The library counts deeper keys there
+// as undecoded.
 func free(t reflect.Type, key []string) bool {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
@@ -90,7 +91,7 @@
 	return false
 }
 
-// scan finds the line of each key. It only has to follow what toml.Decode takes.
+// scan finds the line of each key. It only has to handle what toml.Decode accepts.
 func (f *File) scan(text string) {
 	table, plain, quote, depth := "", "", "", 0
 	counts := map[string]int{}
@@ -104,7 +105,7 @@
 			if strings.HasPrefix(rest, "[[") {
 				counts[name]++
 				table = fmt.Sprintf("%s[%d]", name, counts[name])
-			} else if parent, child, ok := cutLast(name); ok && counts[parent] > 0 { // of the last of several
+			} else if parent, child, ok := cutLast(name); ok && counts[parent] > 0 { // in the last
 				table = fmt.Sprintf("%s[%d].%s", parent, counts[parent], child)
 			}
 			f.note(table, plain, i+1)
@@ -130,7 +131,7 @@
 	return name[:i], name[i+1:], true
 }
 
-// follow tells whether a line leaves a text or a list open.
+// trackOpen updates the state of strings and lists that a line leaves open.
 func follow(line, quote string, depth int) (string, int) {
 	for i := 0; i < len(line); i++ {
 		rest := line[i:]
@@ -158,7 +159,7 @@
 			depth--
 		}
 	}
-	if len(quote) == 1 { // it does not reach over lines
+	if len(quote) == 1 { // such a string cannot span lines
 		quote = ""
 	}
 	return quote, depth
@@ -169,7 +170,7 @@
 	f.plain[plain] = append(f.plain[plain], line)
 }
 
-// Line is where a key stands, or the table that it would stand in; 0 where there is neither.
+// Line returns the line of a key, or of the table that it belongs to, or 0 if there is neither.
 func (f *File) Line(key string) int {
 	for {
 		if line, ok := f.lines[key]; ok {
@@ -183,20 +184,20 @@
 	}
 }
 
-// Fault notes what is wrong at a key. Of the tables of a list the key bears the number, from 1:
-// server[2].name.
+// AddError records an error at a key. A key in an array of tables contains the table's number, counted
+// from 1: server[2].name.
 func (f *File) Fault(key, format string, args ...any) {
 	f.faults = append(f.faults, fault{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
 }
 
-// Check notes a fault unless something holds.
+// Require records an error unless a condition holds.
 func (f *File) Check(holds bool, key, format string, args ...any) {
 	if !holds {
 		f.Fault(key, format, args...)
 	}
 }
 
-// Err is all that is wrong, in the order of the lines.
+// Err returns all errors in the order of their lines.
 func (f *File) Err() error {
 	if len(f.faults) == 0 {
 		return nil
@@ -213,7 +214,7 @@
 	return errors.Join(list...)
 }
 
-// Overlay lays the settings of one object over another's.
+// Overlay merges the settings of one object over those of another.
 func Overlay(under, over map[string]any) {
 	for k, v := range over {
 		a, ok1 := under[k].(map[string]any)
