--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -62,15 +62,15 @@
 		return fmt.Errorf("%w: a command is needed", errUsage)
 	}
 	if args[0] == "rehearse" {
-		return console.HandOver("rehearse", args[1:])
+		return console.ExecSibling("rehearse", args[1:])
 	}
 	flags := pflag.NewFlagSet(args[0], pflag.ContinueOnError)
 	flags.SetOutput(stderr)
 	verbose, files := false, 0
 	var from sources
 	var into importer.Options
-	var door doorCall
-	members := console.Fleet{Stop: signals}
+	var door admissionCall
+	members := console.FleetCommand{Stop: signals}
 	switch args[0] {
 	case "serve", "check":
 		flags.BoolVarP(&verbose, "verbose", "v", false, "log more")
@@ -87,13 +87,13 @@
 		flags.DurationVar(&door.span, "for", 10*time.Minute, "how long a ban or a pin holds")
 		files = -1
 	case "fleet":
-		flags.StringVar(&members.Door, "door", "", "address of the operators' door")
+		flags.StringVar(&members.Addr, "door", "", "address of the operators' door")
 		flags.BoolVar(&members.JSON, "json", false, "print the door's own words")
 		flags.BoolVar(&members.Watch, "watch", false, "again every second")
-		flags.DurationVar(&members.Span, "for", 0, "how long a node is to be out; without: until it is taken back")
+		flags.DurationVar(&members.Duration, "for", 0, "how long a node is to be out; without: until it is taken back")
 		flags.DurationVar(&members.Wait, "wait", 0, "wait so long for all members that are alive")
 		flags.StringVar(&members.By, "by", env("USER"), "who says so")
-		flags.StringVar(&members.Why, "reason", "", "why")
+		flags.StringVar(&members.Reason, "reason", "", "why")
 		files = -1
 	case "version":
 	case "help", "-h", "--help":
@@ -110,7 +110,7 @@
 	}
 	switch args[0] {
 	case "admission":
-		return door.ask(flags.Args(), stdout)
+		return door.run(flags.Args(), stdout)
 	case "fleet":
 		return members.Run(flags.Args(), stdout)
 	}
@@ -165,7 +165,7 @@
 					err = k.Reload(fresh)
 				}
 				if err != nil {
-					k.Reject(err)
+					k.RejectConfig(err)
 					continue
 				}
 				for i, x := range fronts {
@@ -284,13 +284,13 @@
 }
 
 // admissionCall is a call to the admission controller at a coordinator's admin endpoint.
-type doorCall struct {
+type admissionCall struct {
 	addr string
 	span time.Duration
 }
 
 // run makes the call and prints its answer.
-func (d doorCall) ask(words []string, stdout io.Writer) error {
+func (d admissionCall) run(words []string, stdout io.Writer) error {
 	method, path, body := "GET", "/admin/admission", ""
 	switch {
 	case d.addr == "":
--- a/cmd/lapislever/main_test.go
+++ b/cmd/lapislever/main_test.go
@@ -29,7 +29,7 @@
 const workers = "worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.l.retries=2\n" +
 	"worker.a.port=9101\n"
 
-const sound = `listen = "127.0.0.1:0"
+const soundFile = `listen = "127.0.0.1:0"
 class = "day-report"
 [[server]]
 name = "a"
@@ -37,7 +37,7 @@
 `
 
 func TestCommandLine(t *testing.T) {
-	sound := write(t, "promql.toml", sound)
+	sound := write(t, "promql.toml", soundFile)
 	unsound := write(t, "bad.toml", "listen = 3\n")
 	jk := write(t, "workers.properties", workers)
 	for _, c := range []struct {
@@ -103,9 +103,9 @@
 // SIGHUP reads the file again and ends nothing: a bad file is logged and the old one kept. SIGTERM after
 // that still shuts down in order. Without a handler the first signal would end this test.
 func TestHangUpReloads(t *testing.T) {
-	path := write(t, "promql.toml", sound)
+	path := write(t, "promql.toml", soundFile)
 	signals := platform.Signals()
-	var log lines
+	var log lockedBuffer
 	ended := make(chan error, 1)
 	go func() {
 		ended <- run([]string{"serve", "--promql", path}, &log, &log, func(string) string { return "" }, signals)
@@ -130,18 +130,18 @@
 }
 
 // lockedBuffer is a buffer that may be read while it is written.
-type lines struct {
+type lockedBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lockedBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *lockedBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -18,23 +18,23 @@
 const (
 	// Sockets is how many descriptors the endpoint may use. They are reserved, so that no number of clients
 	// can lock operators out.
-	Sockets = callers + callers/4
-	callers = 12 // connections in parallel; one that sends no request makes room for the next
-	maxID   = 256
+	Sockets  = maxConns + maxConns/4
+	maxConns = 12 // connections in parallel; one that sends no request makes room for the next
+	maxID    = 256
 	// Operators get an answer within 1 s. If the coordinator has not processed a call by this time, they are
 	// told so and may call again: calls are idempotent.
-	answerIn = 800 * time.Millisecond
+	answerTimeout = 800 * time.Millisecond
 )
 
 // The errors that State returns for a call.
 var (
 	ErrUnknown = errors.New("no data node of that id is listed")
-	ErrLate    = errors.New("not done in time, and may still be: call again")
-	ErrForm    = errors.New("the id, who says so or why is too long")
+	ErrTimeout = errors.New("not done in time, and may still be: call again")
+	ErrTooLong = errors.New("the id, who says so or why is too long")
 )
 
 // Counters are a process's counters since its start, by their names on the wire.
-type Figures struct {
+type Counters struct {
 	OK             map[string]int64 `json:"ok"`
 	Shed           map[string]int64 `json:"shed"`
 	Errors         map[string]int64 `json:"errors"`
@@ -50,20 +50,20 @@
 // State is what the endpoint needs of the coordinator. Ready and Counters must not block.
 type State interface {
 	Ready() bool
-	Figures() Figures
+	Counters() Counters
 	// Cordon cordons or uncordons a data node, waits until that holds, and gives up after the given time.
 	Cordon(id string, out bool, within time.Duration) error
 }
 
 // Gate is what the endpoint needs of an admission controller.
 type Gate interface {
-	Figures(n int) any
+	Stats(n int) any
 	Hold(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
 }
 
 // FleetState is a State with a view of the fleet, to be shown as JSON; nil without a fleet.
-type Fleeted interface {
+type FleetState interface {
 	Fleet() any
 	Verdicts() any
 	Limits() any
@@ -71,7 +71,7 @@
 	// ApplyFleetCall issues a verdict for the whole fleet. It returns what is to be shown of the verdict, and
 	// whether all members that are alive hold it. It gives up after the given time, or after the call's own
 	// wait if that is longer.
-	Say(c FleetCall, within time.Duration) (shown any, all bool, err error)
+	ApplyFleetCall(c FleetCall, within time.Duration) (shown any, all bool, err error)
 }
 
 // FleetCall is a call that cordons or uncordons a data node for the whole fleet, or bans, pins or lifts a
@@ -82,30 +82,30 @@
 	Pin        bool // of a prefix: pinned as known, not banned
 	Out        bool // of a node: cordoned; of a prefix: the ban or pin is set
 	By, Reason string
-	Span       time.Duration // 0: until it is lifted
+	Duration   time.Duration // 0: until it is lifted
 	Wait       time.Duration // for all members that are alive
 }
 
 // DelayState is a State with statistics of late actions, to be shown as JSON.
-type Delayed interface{ Delays() any }
+type DelayState interface{ Delays() any }
 
 // GateState is a State with an admission controller, or nil without one.
-type Gated interface{ Gate() Gate }
+type GateState interface{ Gate() Gate }
 
 // maxTopAddresses is how many addresses are shown.
-const topMost = 20
+const maxTopAddresses = 20
 
 // methodNotAllowed replies that a call takes another method.
-func only(x *lnet.Exchange, method string) {
+func methodNotAllowed(x *lnet.Exchange, method string) {
 	x.Reply(lnet.Response{Status: 405, Header: [][2]string{{"Allow", method}}, Close: true,
 		Body: []byte("use " + method + "\n")})
 }
 
 // serveAdmission handles a call to the admission controller. It returns false if there is none, or no such
 // call.
-func (d *Door) admission(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
+func (d *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
-	s, gated := d.state.(Gated)
+	s, gated := d.state.(GateState)
 	if !ok || !gated || s.Gate() == nil {
 		return false
 	}
@@ -113,13 +113,13 @@
 	switch call {
 	case "":
 		if r.Method != "GET" {
-			only(x, "GET")
+			methodNotAllowed(x, "GET")
 			return true
 		}
-		show(x, say, g.Figures(topMost))
+		replyJSON(x, say, g.Stats(maxTopAddresses))
 	case "/ban", "/pin", "/lift":
 		if r.Method != "POST" {
-			only(x, "POST")
+			methodNotAllowed(x, "POST")
 			return true
 		}
 		text, span, _ := strings.Cut(strings.TrimSpace(string(r.Body)), " ")
@@ -147,7 +147,7 @@
 }
 
 // replyJSON replies with a value as JSON.
-func show(x *lnet.Exchange, say func(int, string), value any) {
+func replyJSON(x *lnet.Exchange, say func(int, string), value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
 		say(500, err.Error())
@@ -157,8 +157,8 @@
 }
 
 // serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
-func (d *Door) fleet(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
-	s, ok := d.state.(Fleeted)
+func (d *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
+	s, ok := d.state.(FleetState)
 	if !ok || s.Fleet() == nil {
 		return false
 	}
@@ -166,29 +166,29 @@
 	var act func()
 	switch r.Path {
 	case "/admin/fleet":
-		act = func() { show(x, say, s.Fleet()) }
+		act = func() { replyJSON(x, say, s.Fleet()) }
 	case "/admin/verdicts":
-		act = func() { show(x, say, s.Verdicts()) }
+		act = func() { replyJSON(x, say, s.Verdicts()) }
 	case "/admin/limits":
-		act = func() { show(x, say, s.Limits()) }
+		act = func() { replyJSON(x, say, s.Limits()) }
 	case "/admin/overload":
-		act = func() { show(x, say, s.Overload()) }
+		act = func() { replyJSON(x, say, s.Overload()) }
 	case "/admin/fleet/cordon", "/admin/fleet/uncordon", "/admin/fleet/ban", "/admin/fleet/pin",
 		"/admin/fleet/lift":
 		method = "POST"
 		act = func() {
-			c, err := fleetCall(r)
+			c, err := parseFleetCall(r)
 			if err != nil {
 				say(400, err.Error())
 				return
 			}
-			go d.fleetCordon(s, c, x, say)
+			go d.applyFleetCall(s, c, x, say)
 		}
 	default:
 		return false
 	}
 	if r.Method != method {
-		only(x, method)
+		methodNotAllowed(x, method)
 	} else {
 		act()
 	}
@@ -196,10 +196,10 @@
 }
 
 // maxWait bounds how long a call may wait for other members.
-const mostWait = 30 * time.Second
+const maxWait = 30 * time.Second
 
 // parseFleetCall parses a call: ID [TIME], and ?wait=TIME.
-func fleetCall(r *lnet.Request) (c FleetCall, err error) {
+func parseFleetCall(r *lnet.Request) (c FleetCall, err error) {
 	call := strings.TrimPrefix(r.Path, "/admin/fleet/")
 	prefix := call == "ban" || call == "pin" || call == "lift"
 	c.Out, c.Pin = call == "cordon" || call == "ban" || call == "pin", call == "pin"
@@ -219,7 +219,7 @@
 		c.ID = ""
 	}
 	if len(fields) == 2 {
-		if c.Span, err = time.ParseDuration(fields[1]); err != nil || c.Span <= 0 || c.Span > 365*24*time.Hour {
+		if c.Duration, err = time.ParseDuration(fields[1]); err != nil || c.Duration <= 0 || c.Duration > 365*24*time.Hour {
 			return c, errors.New("the time has to be one such as 10m, of a year at most")
 		}
 	}
@@ -228,7 +228,7 @@
 		return c, errors.New("the query can't be read")
 	}
 	if text := query.Get("wait"); text != "" {
-		if c.Wait, err = time.ParseDuration(text); err != nil || c.Wait < 0 || c.Wait > mostWait {
+		if c.Wait, err = time.ParseDuration(text); err != nil || c.Wait < 0 || c.Wait > maxWait {
 			return c, errors.New("wait has to be a time such as 2s, of 30s at most")
 		}
 	}
@@ -236,14 +236,14 @@
 }
 
 // applyFleetCall executes a call for the whole fleet. It blocks, so it runs in a goroutine of its own.
-func (d *Door) fleetCordon(s Fleeted, c FleetCall, x *lnet.Exchange, say func(status int, text string)) {
-	shown, all, err := s.Say(c, answerIn)
-	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Span,
+func (d *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange, say func(status int, text string)) {
+	shown, all, err := s.ApplyFleetCall(c, answerTimeout)
+	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Duration,
 		"err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		say(404, err.Error())
-	case errors.Is(err, ErrForm):
+	case errors.Is(err, ErrTooLong):
 		say(400, err.Error())
 	case err != nil:
 		say(503, err.Error())
@@ -271,17 +271,17 @@
 }
 
 // Server is a running admin endpoint.
-type Door struct {
+type Server struct {
 	server *lnet.Server
 	state  State
 	log    *slog.Logger
 }
 
 // Listen opens the endpoint on an address.
-func Open(addr string, state State, log *slog.Logger) (*Door, error) {
-	d := &Door{state: state, log: log}
+func Listen(addr string, state State, log *slog.Logger) (*Server, error) {
+	d := &Server{state: state, log: log}
 	var err error
-	if d.server, err = lnet.Listen(addr, lnet.NewBudget(callers, 0), log, d.serve); err != nil {
+	if d.server, err = lnet.Listen(addr, lnet.NewBudget(maxConns, 0), log, d.serve); err != nil {
 		return nil, err
 	}
 	go d.server.Serve()
@@ -289,24 +289,24 @@
 }
 
 // Addr returns the address that the endpoint listens on.
-func (d *Door) Addr() string { return d.server.Addr() }
+func (d *Server) Addr() string { return d.server.Addr() }
 
 // Close stops the endpoint. Calls in progress are answered.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.server.StopListening()
 	d.server.Finish()
 }
 
 // serve handles one call. Every reply ends its connection: a connection carries one call.
-func (d *Door) serve(r *lnet.Request, x *lnet.Exchange) func() {
+func (d *Server) serve(r *lnet.Request, x *lnet.Exchange) func() {
 	say := func(status int, text string) {
 		x.Reply(lnet.Response{Status: status, Body: []byte(text + "\n"), Close: true})
 	}
-	if d.admission(r, x, say) || d.fleet(r, x, say) {
+	if d.serveAdmission(r, x, say) || d.serveFleet(r, x, say) {
 		return nil
 	}
-	if s, ok := d.state.(Delayed); ok && r.Path == "/admin/delays" && r.Method == "GET" {
-		show(x, say, s.Delays())
+	if s, ok := d.state.(DelayState); ok && r.Path == "/admin/delays" && r.Method == "GET" {
+		replyJSON(x, say, s.Delays())
 		return nil
 	}
 	method := "GET"
@@ -317,28 +317,28 @@
 	case r.Path != "/admin/health" && r.Path != "/admin/stats" && method == "GET":
 		say(404, "no such call")
 	case r.Method != method:
-		only(x, method)
+		methodNotAllowed(x, method)
 	case r.Path == "/admin/health" && d.state.Ready():
 		say(200, "serving")
 	case r.Path == "/admin/health":
 		say(503, "not serving")
 	case r.Path == "/admin/stats":
-		show(x, say, d.state.Figures())
+		replyJSON(x, say, d.state.Counters())
 	default:
 		id := strings.TrimSpace(string(r.Body))
 		if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t\r\n") {
 			say(400, "the body has to be one data node's id")
 			return nil
 		}
-		go d.cordon(id, r.Path == "/admin/cordon", say)
+		go d.applyCordon(id, r.Path == "/admin/cordon", say)
 	}
 	return nil
 }
 
 // applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
 // of its own.
-func (d *Door) cordon(id string, out bool, say func(status int, text string)) {
-	err := d.state.Cordon(id, out, answerIn)
+func (d *Server) applyCordon(id string, out bool, say func(status int, text string)) {
+	err := d.state.Cordon(id, out, answerTimeout)
 	d.log.Info("operator's call", "node", id, "out", out, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,8 +19,8 @@
 }
 
 func (s *state) Ready() bool { return s.ready }
-func (s *state) Figures() Figures {
-	return Figures{OK: map[string]int64{"C": 812}, Active: 14}
+func (s *state) Counters() Counters {
+	return Counters{OK: map[string]int64{"C": 812}, Active: 14}
 }
 
 func (s *state) Delays() any { return map[string]int{"late": 2} }
@@ -34,14 +34,14 @@
 	case "s-1":
 		return nil
 	case "late":
-		return ErrLate
+		return ErrTimeout
 	}
 	return ErrUnknown
 }
 
 func open(t *testing.T, s *state) string {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", s, standin.Quiet())
+	d, err := Listen("127.0.0.1:0", s, standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,9 +93,9 @@
 
 // Connections without a complete request stay open for seconds. However many there are, the next call is
 // answered.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
+func TestSilentClientsDoNotBlockOperators(t *testing.T) {
 	addr := open(t, &state{ready: true})
-	for i := range 3 * callers {
+	for i := range 3 * maxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	callLimit = 5 * time.Second
-	maxReply  = 4 << 20
+	callTimeout = 5 * time.Second
+	maxReply    = 4 << 20
 )
 
 // StatusError is an answer with another status than success.
-type No struct {
+type StatusError struct {
 	Status int
 	Text   string
 }
 
-func (n *No) Error() string { return fmt.Sprintf("%d: %s", n.Status, n.Text) }
+func (n *StatusError) Error() string { return fmt.Sprintf("%d: %s", n.Status, n.Text) }
 
 // Call makes one call to an admin endpoint and returns the body of the answer. An answer that is not a
 // success is returned as a *StatusError.
 func Call(door, method, path, body string, header [][2]string, extra time.Duration) ([]byte, error) {
-	c, err := lnet.Dial(door, callLimit, maxReply)
+	c, err := lnet.Dial(door, callTimeout, maxReply)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	reply, err := c.Do(method, path, door, header, []byte(body), time.Now().Add(callLimit+extra))
+	reply, err := c.Do(method, path, door, header, []byte(body), time.Now().Add(callTimeout+extra))
 	if err != nil {
 		return nil, err
 	}
 	if reply.Status != 200 && reply.Status != 202 {
-		return nil, &No{Status: reply.Status, Text: strings.TrimSpace(string(reply.Body))}
+		return nil, &StatusError{Status: reply.Status, Text: strings.TrimSpace(string(reply.Body))}
 	}
 	return reply.Body, nil
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -26,7 +26,7 @@
 		return 200, view
 	})
 	var out bytes.Buffer
-	if err := (Fleet{Door: door.Addr}).Run([]string{"members"}, &out); err != nil {
+	if err := (FleetCommand{Addr: door.Addr}).Run([]string{"members"}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"a1, incarnation 3: 2 of 2 alive, digest 00ff, health 1",
@@ -38,28 +38,28 @@
 		}
 	}
 	out.Reset()
-	if err := (Fleet{Door: door.Addr, JSON: true}).Run([]string{"members"}, &out); err != nil ||
+	if err := (FleetCommand{Addr: door.Addr, JSON: true}).Run([]string{"members"}, &out); err != nil ||
 		strings.TrimSpace(out.String()) != view {
 		t.Fatalf("%v %s", err, out.String())
 	}
 	out.Reset()
 	stop := make(chan os.Signal, 1)
-	time.AfterFunc(watchEvery*3/2, func() { stop <- os.Interrupt })
-	if err := (Fleet{Door: door.Addr, Watch: true, Stop: stop}).Run([]string{"members"}, &out); err != nil ||
+	time.AfterFunc(watchInterval*3/2, func() { stop <- os.Interrupt })
+	if err := (FleetCommand{Addr: door.Addr, Watch: true, Stop: stop}).Run([]string{"members"}, &out); err != nil ||
 		strings.Count(out.String(), "NAME ") != 2 {
 		t.Fatalf("%v %s", err, out.String())
 	}
 }
 
-func TestNoIsAnError(t *testing.T) {
+func TestErrorStatusIsAnError(t *testing.T) {
 	door := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
-	var no *No
-	err := Fleet{Door: door.Addr}.Run([]string{"members"}, &bytes.Buffer{})
+	var no *StatusError
+	err := FleetCommand{Addr: door.Addr}.Run([]string{"members"}, &bytes.Buffer{})
 	if !errors.As(err, &no) || no.Status != 404 || no.Text != "no such call" {
 		t.Fatalf("%v", err)
 	}
 	for _, words := range [][]string{nil, {"dance"}, {"members", "again"}} {
-		if err := (Fleet{Door: door.Addr}).Run(words, &bytes.Buffer{}); !errors.Is(err, ErrUsage) {
+		if err := (FleetCommand{Addr: door.Addr}).Run(words, &bytes.Buffer{}); !errors.Is(err, ErrUsage) {
 			t.Errorf("%q: %v", words, err)
 		}
 	}
@@ -74,7 +74,7 @@
 		 "retries":{"spent":12,"allowed":40,"denied":5},"duties":[{"what":"level","owner":"b1","since_ms":61000}]}`
 	})
 	var out bytes.Buffer
-	if err := (Fleet{Door: door.Addr}).Run([]string{"overload"}, &out); err != nil {
+	if err := (FleetCommand{Addr: door.Addr}).Run([]string{"overload"}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"level 52 of 64, heard 100ms ago: all below is turned away",
--- a/internal/console/fleet.go
+++ b/internal/console/fleet.go
@@ -17,22 +17,22 @@
 var ErrUsage = errors.New("usage")
 
 // callNames lists all calls.
-const calls = "members, verdicts, limits, overload, cordon ID, uncordon ID, ban PREFIX, pin PREFIX, " +
+const callNames = "members, verdicts, limits, overload, cordon ID, uncordon ID, ban PREFIX, pin PREFIX, " +
 	"lift PREFIX"
 
 // watchInterval is the time between two calls of --watch.
-const watchEvery = time.Second
+const watchInterval = time.Second
 
 // FleetCommand is one run of `lapislever fleet`.
-type Fleet struct {
-	Door  string
-	JSON  bool             // print the endpoint's reply unchanged
-	Span  time.Duration    // how long a node is cordoned; 0: until it is uncordoned
-	Wait  time.Duration    // for all members that are alive
-	By    string           // who makes the call
-	Why   string           // why the call is made
-	Watch bool             // repeat the call until Stop
-	Stop  <-chan os.Signal // ends a watch; nil: runs until killed
+type FleetCommand struct {
+	Addr     string
+	JSON     bool             // print the endpoint's reply unchanged
+	Duration time.Duration    // how long a node is cordoned; 0: until it is uncordoned
+	Wait     time.Duration    // for all members that are alive
+	By       string           // who makes the call
+	Reason   string           // why the call is made
+	Watch    bool             // repeat the call until Stop
+	Stop     <-chan os.Signal // ends a watch; nil: runs until killed
 }
 
 // fleetView is the part of the reply to GET /admin/fleet that is shown.
@@ -56,12 +56,12 @@
 }
 
 // Run makes the call and prints its answer.
-func (f Fleet) Run(words []string, out io.Writer) error {
+func (f FleetCommand) Run(words []string, out io.Writer) error {
 	switch {
-	case f.Door == "":
+	case f.Addr == "":
 		return fmt.Errorf("%w: --door is missing", ErrUsage)
 	case len(words) == 0:
-		return fmt.Errorf("%w: one of: %s", ErrUsage, calls)
+		return fmt.Errorf("%w: one of: %s", ErrUsage, callNames)
 	}
 	var show func(io.Writer) error
 	switch words[0] {
@@ -77,10 +77,10 @@
 		if len(words) != 2 {
 			return fmt.Errorf("%w: %s takes one data node's id, or a prefix", ErrUsage, words[0])
 		}
-		return f.cordon(words[0], words[1], out)
+		return f.change(words[0], words[1], out)
 	}
 	if show == nil || len(words) != 1 {
-		return fmt.Errorf("%w: %q is no call: %s", ErrUsage, strings.Join(words, " "), calls)
+		return fmt.Errorf("%w: %q is no call: %s", ErrUsage, strings.Join(words, " "), callNames)
 	}
 	for {
 		err := show(out)
@@ -93,13 +93,13 @@
 		select {
 		case <-f.Stop:
 			return nil
-		case <-time.After(watchEvery):
+		case <-time.After(watchInterval):
 		}
 		fmt.Fprintln(out)
 	}
 }
 
-func (f Fleet) members(out io.Writer) error {
+func (f FleetCommand) members(out io.Writer) error {
 	var v fleetView
 	if done, err := f.get("/admin/fleet", &v, out); done || err != nil {
 		return err
@@ -109,13 +109,13 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tSTATE\tFOR\tINCARNATION\tADDRESS")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.State, span(m.Since), m.Incarnation, m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.State, formatMillis(m.Since), m.Incarnation, m.Addr)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "a crash is known within %s, one view after a cut within %s\n", span(v.Figures.Crash),
-		span(v.Figures.Settled))
+	fmt.Fprintf(out, "a crash is known within %s, one view after a cut within %s\n", formatMillis(v.Figures.Crash),
+		formatMillis(v.Figures.Settled))
 	if len(v.Figures.Differ) > 0 {
 		fmt.Fprintf(out, "other roster or limits at: %v\n", v.Figures.Differ)
 	}
@@ -133,7 +133,7 @@
 	Held, Missing          []string
 }
 
-func (f Fleet) verdicts(out io.Writer) error {
+func (f FleetCommand) verdicts(out io.Writer) error {
 	var v struct {
 		Verdicts []verdictView
 		Told     bool
@@ -150,15 +150,15 @@
 	for _, x := range v.Verdicts {
 		ends := "-"
 		if x.Ends > 0 {
-			ends = span(x.Ends - now)
+			ends = formatMillis(x.Ends - now)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Kind, x.What, span(now-x.At), ends, dash(x.By),
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Kind, x.What, formatMillis(now-x.At), ends, dash(x.By),
 			dash(x.Reason), dash(strings.Join(x.Missing, " ")))
 	}
 	return w.Flush()
 }
 
-func (f Fleet) limits(out io.Writer) error {
+func (f FleetCommand) limits(out io.Writer) error {
 	var v struct {
 		Limits []struct {
 			Name               string
@@ -180,7 +180,7 @@
 		"LIMIT\tKIND\tAMOUNT\tSHARE HERE\tUSED HERE\tLENT OR IN DOUBT\tOVER AT MOST\tOLDEST LOAN\tREFUSED\tKEYS")
 	for _, x := range v.Limits {
 		fmt.Fprintf(w, "%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.4g\t%s\t%d\t%d\n", x.Name, x.Kind, x.Limit, x.Share,
-			x.Used, x.InDoubt, x.Over, span(x.Stale), x.Refused, x.Keys)
+			x.Used, x.InDoubt, x.Over, formatMillis(x.Stale), x.Refused, x.Keys)
 	}
 	if err := w.Flush(); err != nil {
 		return err
@@ -191,7 +191,7 @@
 	return nil
 }
 
-func (f Fleet) overload(out io.Writer) error {
+func (f FleetCommand) overload(out io.Writer) error {
 	var v struct {
 		Level   int
 		Heard   int64 `json:"heard_ms"`
@@ -209,7 +209,7 @@
 	if v.Level > 0 {
 		word = "all below is turned away"
 	}
-	fmt.Fprintf(out, "level %d of 64, heard %s ago: %s\n", v.Level, span(v.Heard), word)
+	fmt.Fprintf(out, "level %d of 64, heard %s ago: %s\n", v.Level, formatMillis(v.Heard), word)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "TURNED AWAY OF\tREQUESTS")
 	for _, name := range slices.Sorted(maps.Keys(v.Shed)) {
@@ -218,7 +218,7 @@
 	fmt.Fprintf(w, "\nSENT AGAIN\t%d\t(a tenth of what was sent first: %d; turned down: %d)\n", v.Retries.Spent,
 		v.Retries.Allowed, v.Retries.Denied)
 	for _, d := range v.Duties {
-		fmt.Fprintf(w, "%s\t%s\tfor %s\n", d.What, d.Owner, span(d.Since))
+		fmt.Fprintf(w, "%s\t%s\tfor %s\n", d.What, d.Owner, formatMillis(d.Since))
 	}
 	return w.Flush()
 }
@@ -232,15 +232,15 @@
 
 // change cordons or uncordons a data node at every member, or bans, pins or lifts a prefix. Missing
 // members are not an error: the endpoint names them.
-func (f Fleet) cordon(call, id string, out io.Writer) error {
+func (f FleetCommand) change(call, id string, out io.Writer) error {
 	path, body := "/admin/fleet/"+call, id
 	if f.Wait > 0 {
 		path += "?wait=" + f.Wait.String()
 	}
-	if f.Span > 0 {
-		body += " " + f.Span.String()
+	if f.Duration > 0 {
+		body += " " + f.Duration.String()
 	}
-	reply, err := Call(f.Door, "POST", path, body, [][2]string{{"X-By", f.By}, {"X-Reason", f.Why}}, f.Wait)
+	reply, err := Call(f.Addr, "POST", path, body, [][2]string{{"X-By", f.By}, {"X-Reason", f.Reason}}, f.Wait)
 	if err != nil {
 		return err
 	}
@@ -261,8 +261,8 @@
 
 // get calls the endpoint and decodes its answer. done is set if the raw reply was requested and has been
 // printed.
-func (f Fleet) get(path string, into any, out io.Writer) (done bool, err error) {
-	body, err := Call(f.Door, "GET", path, "", nil, 0)
+func (f FleetCommand) get(path string, into any, out io.Writer) (done bool, err error) {
+	body, err := Call(f.Addr, "GET", path, "", nil, 0)
 	if err != nil {
 		return false, err
 	}
@@ -277,7 +277,7 @@
 }
 
 // formatMillis formats a number of milliseconds for people.
-func span(ms int64) string {
+func formatMillis(ms int64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d >= time.Minute {
 		return d.Round(time.Second).String()
--- a/internal/console/handover.go
+++ b/internal/console/handover.go
@@ -9,7 +9,7 @@
 
 // ExecSibling replaces this process by another program in the same directory. It returns only if that
 // fails.
-func HandOver(program string, args []string) error {
+func ExecSibling(program string, args []string) error {
 	own, err := os.Executable()
 	if err != nil {
 		return err
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -32,10 +32,10 @@
 
 // settingsOverlap is how long after a change of the settings clients may still send requests by the old
 // ones: the platform gives them 1.2 s to learn of the change.
-const bothBind = 1500 * time.Millisecond
+const settingsOverlap = 1500 * time.Millisecond
 
 // maxDeadline bounds a deadline: one year, in microseconds.
-const mostTime = 365 * 24 * 3600 * 1_000_000
+const maxDeadline = 365 * 24 * 3600 * 1_000_000
 
 // Config is the configuration of one coordinator, as the platform writes it.
 type Config struct {
@@ -55,21 +55,21 @@
 	Known      *hostList      `json:"known"`
 	Settings   map[string]any `json:"settings"`
 
-	TempDir string        `json:"-"` // the platform's; the processes of an upgrade meet there
-	Fleet   *fleet.Config `json:"-"` // nil without a fleet
-	Before  *Config       `json:"-"` // in force until the last reload
-	Until   time.Time     `json:"-"` // requests may follow Previous until this moment
+	TempDir       string        `json:"-"` // the platform's; the processes of an upgrade meet there
+	Fleet         *fleet.Config `json:"-"` // nil without a fleet
+	Previous      *Config       `json:"-"` // in force until the last reload
+	PreviousUntil time.Time     `json:"-"` // requests may follow Previous until this moment
 
 	raw map[string]any // the file as it was read
 
-	Module      balance.Settings `json:"-"`
-	Classes     []string         `json:"-"`
-	Zones       []string         `json:"-"`
-	Columns     []string         `json:"-"` // columns of a load report
-	Shards      int              `json:"-"`
-	Streams     int              `json:"-"` // calls in flight on one connection
-	ConnIdle    time.Duration    `json:"-"`
-	DialTimeout time.Duration    `json:"-"`
+	Module         balance.Settings `json:"-"`
+	Classes        []string         `json:"-"`
+	Zones          []string         `json:"-"`
+	ReportColumns  []string         `json:"-"` // columns of a load report
+	Shards         int              `json:"-"`
+	StreamsPerConn int              `json:"-"` // calls in flight on one connection
+	ConnIdle       time.Duration    `json:"-"`
+	DialTimeout    time.Duration    `json:"-"`
 }
 
 // Load reads the file that RELAY_CONFIG names. Other environment variables provide fields that it omits.
@@ -93,10 +93,10 @@
 // Parse reads a configuration and validates it.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	c := &Config{}
-	if err := decode(text, c); err != nil {
+	if err := decodeStrict(text, c); err != nil {
 		return nil, err
 	}
-	if err := decode(text, &c.raw); err != nil {
+	if err := decodeStrict(text, &c.raw); err != nil {
 		return nil, err
 	}
 	for _, v := range []struct {
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	c := &Config{Name: "alone"}
-	if err := decode(text, c); err != nil {
+	if err := decodeStrict(text, c); err != nil {
 		return nil, err
 	}
 	return c, c.derive()
@@ -163,7 +163,7 @@
 }
 
 // decodeStrict reads exactly one JSON value. Numbers stay as they are written.
-func decode(text []byte, v any) error {
+func decodeStrict(text []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.UseNumber()
 	if err := d.Decode(v); err != nil {
@@ -202,7 +202,7 @@
 		}
 		return strings.Split(flat[key], ",")
 	}
-	c.Zones, c.Columns = list("azs"), list("reporting.columns")
+	c.Zones, c.ReportColumns = list("azs"), list("reporting.columns")
 	for i := range c.Module.Classes {
 		name := flat[fmt.Sprintf("lanes.%d.name", i)]
 		if name == "" {
@@ -211,7 +211,7 @@
 		if slices.Contains(c.Classes, name) {
 			return fmt.Errorf("setting lanes.%d.name: %q is there twice", i, name)
 		}
-		if d := c.Module.Classes[i].Deadline; d <= 0 || d > mostTime {
+		if d := c.Module.Classes[i].Deadline; d <= 0 || d > maxDeadline {
 			return fmt.Errorf("setting lanes.%d.hardLimitUs: %s is no possible time", i,
 				flat[fmt.Sprintf("lanes.%d.hardLimitUs", i)])
 		}
@@ -228,7 +228,7 @@
 		return v
 	}
 	c.Shards = int(number("extra.slices", math.MaxInt32))
-	c.Streams = max(1, int(number("bounds.streamsPerConn", 32)))
+	c.StreamsPerConn = max(1, int(number("bounds.streamsPerConn", 32)))
 	c.ConnIdle = time.Duration(number("bounds.connIdleUs", 15e6)) * time.Microsecond
 	c.DialTimeout = time.Duration(number("bounds.dialTimeoutUs", 250e3)) * time.Microsecond
 	if c.DialTimeout <= 0 {
@@ -264,7 +264,7 @@
 			case map[string]any, []any:
 				flatten(at(strconv.Itoa(i)), x, out)
 			default:
-				plain = append(plain, scalar(x))
+				plain = append(plain, formatScalar(x))
 			}
 		}
 		if len(plain) < len(v) {
@@ -273,11 +273,11 @@
 			out[path] = strings.Join(plain, ",")
 		}
 	default:
-		out[path] = scalar(v)
+		out[path] = formatScalar(v)
 	}
 }
 
-func scalar(v any) string {
+func formatScalar(v any) string {
 	switch v := v.(type) {
 	case nil:
 		return ""
@@ -296,9 +296,9 @@
 
 // classIndex returns the index of the class with the given name, or -1. A dropped class stays known for as
 // long as clients may not have learnt that it was dropped.
-func (c *Config) class(name string, now time.Time) int {
+func (c *Config) classIndex(name string, now time.Time) int {
 	i := slices.Index(c.Classes, name)
-	if i < 0 || !c.Module.Classes[i].Dropped || c.before(i, now) != nil {
+	if i < 0 || !c.Module.Classes[i].Dropped || c.previousClass(i, now) != nil {
 		return i
 	}
 	return -1
@@ -306,44 +306,44 @@
 
 // previousClass returns the previous rules of a class while requests may still follow them. It returns nil
 // once that time is over, or where the class is new.
-func (c *Config) before(class int, now time.Time) *balance.Class {
-	if c.Before == nil || !now.Before(c.Until) || class >= len(c.Before.Classes) ||
-		c.Before.Module.Classes[class].Dropped {
+func (c *Config) previousClass(class int, now time.Time) *balance.Class {
+	if c.Previous == nil || !now.Before(c.PreviousUntil) || class >= len(c.Previous.Classes) ||
+		c.Previous.Module.Classes[class].Dropped {
 		return nil
 	}
-	return &c.Before.Module.Classes[class]
+	return &c.Previous.Module.Classes[class]
 }
 
 // requestRules are the rules that apply to one request.
-type binding struct {
-	rules balance.Class
-	most  int  // attempts for a part
-	key   bool // the request's key is sent with its parts
+type requestRules struct {
+	rules       balance.Class
+	maxAttempts int  // attempts for a part
+	sendKey     bool // the request's key is sent with its parts
 }
 
 // rulesFor returns the rules for a request of a class. Just after a change it is unknown which rules the
 // client followed, unless the key tells. Otherwise both apply, and the stricter rule of each kind wins.
-func (c *Config) bind(class int, key bool, now time.Time) binding {
-	b := binding{rules: c.Module.Classes[class], most: c.Module.MaxAttempts}
-	b.key = b.rules.Effect == balance.Keyed
-	old := c.before(class, now)
+func (c *Config) rulesFor(class int, key bool, now time.Time) requestRules {
+	b := requestRules{rules: c.Module.Classes[class], maxAttempts: c.Module.MaxAttempts}
+	b.sendKey = b.rules.Effect == balance.Keyed
+	old := c.previousClass(class, now)
 	if old == nil {
 		return b
 	}
-	b.most = min(b.most, c.Before.Module.MaxAttempts)
+	b.maxAttempts = min(b.maxAttempts, c.Previous.Module.MaxAttempts)
 	was := old.Effect == balance.Keyed
 	switch {
-	case b.key && !was && !key: // the client followed the old rules
-		b.rules, b.key = *old, false
-	case was && !b.key && !key: // the client followed the new rules
+	case b.sendKey && !was && !key: // the client followed the old rules
+		b.rules, b.sendKey = *old, false
+	case was && !b.sendKey && !key: // the client followed the new rules
 	default:
 		switch {
-		case was && b.key:
+		case was && b.sendKey:
 			b.rules.Window = min(b.rules.Window, old.Window)
 		case was:
 			b.rules.Window = old.Window
 		}
-		b.key = b.key || was
+		b.sendKey = b.sendKey || was
 		b.rules.Effect = max(b.rules.Effect, old.Effect)
 		b.rules.Deadline = max(b.rules.Deadline, old.Deadline)
 	}
@@ -353,12 +353,12 @@
 // reloadOver merges a configuration that was read again with the running one. Fields that take a restart
 // stay as they are and are returned by name. Classes keep their indexes, as open queries refer to them,
 // and a class that was removed is marked as dropped. Nothing is taken from a file that lacks a key.
-func (c *Config) after(old *Config, now time.Time) (*Config, []string, error) {
-	if err := lacking("", old.raw, c.raw); err != nil {
+func (c *Config) reloadOver(old *Config, now time.Time) (*Config, []string, error) {
+	if err := missingKey("", old.raw, c.raw); err != nil {
 		return nil, nil, err
 	}
 	fresh, was := *c, *old
-	was.Before, fresh.raw = nil, old.raw // only the keys of the file read at the start are needed later
+	was.Previous, fresh.raw = nil, old.raw // only the keys of the file read at the start are needed later
 	var kept []string
 	m := &fresh.Module
 	for _, f := range []struct {
@@ -392,19 +392,19 @@
 			m.Classes = append(m.Classes, c.Module.Classes[i])
 		}
 	}
-	fresh.Before, fresh.Until = &was, now.Add(bothBind)
+	fresh.Previous, fresh.PreviousUntil = &was, now.Add(settingsOverlap)
 	return &fresh, kept, nil
 }
 
 // optionalOnReload are keys that a file read again may lack: those that matter only at a start, and
 // settings that are optional. The module checks whether a class needs its window.
-var optional = map[string]bool{"known": true, "seed": true, "windowUs": true, "aimStretch": true,
+var optionalOnReload = map[string]bool{"known": true, "seed": true, "windowUs": true, "aimStretch": true,
 	"warmKeys": true}
 
 // missingKey returns an error for the first key of the configuration read at the start that a file read
 // again lacks or has in another form. The items of a list need the keys that all items of the running list
 // have.
-func lacking(path string, old, fresh any) error {
+func missingKey(path string, old, fresh any) error {
 	switch o := old.(type) {
 	case map[string]any:
 		f, ok := fresh.(map[string]any)
@@ -413,14 +413,14 @@
 		}
 		for _, k := range slices.Sorted(maps.Keys(o)) {
 			at := strings.TrimPrefix(path+"."+k, ".")
-			if optional[k] {
+			if optionalOnReload[k] {
 				continue
 			}
 			v, ok := f[k]
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := lacking(at, o[k], v); err != nil {
+			if err := missingKey(at, o[k], v); err != nil {
 				return err
 			}
 		}
@@ -443,7 +443,7 @@
 			form = common
 		}
 		for i, x := range f {
-			if err := lacking(fmt.Sprintf("%s.%d", path, i), form, x); err != nil {
+			if err := missingKey(fmt.Sprintf("%s.%d", path, i), form, x); err != nil {
 				return err
 			}
 		}
@@ -460,20 +460,20 @@
 // parseReport reads a load report, `name=value` joined by commas, and returns the values in the order of
 // the settings' columns. It returns nil for a report that is malformed or lacks a column: part of it could
 // pass for the report of an idle node.
-func (c *Config) report(text string) []float32 {
-	if text == "-" || text == "" || len(c.Columns) == 0 {
+func (c *Config) parseReport(text string) []float32 {
+	if text == "-" || text == "" || len(c.ReportColumns) == 0 {
 		return nil
 	}
-	out := make([]float32, len(c.Columns))
-	lacking := len(c.Columns)
+	out := make([]float32, len(c.ReportColumns))
+	lacking := len(c.ReportColumns)
 	for _, item := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(item, "=")
 		v, err := strconv.ParseFloat(value, 32)
 		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
 			return nil
 		}
-		for i, col := range c.Columns {
-			if col == name || reportNames[name] == col {
+		for i, col := range c.ReportColumns {
+			if col == name || reportAliases[name] == col {
 				out[i] = float32(v)
 				lacking--
 			}
@@ -486,14 +486,14 @@
 }
 
 // reportAliases are names that data nodes may use for the settings' columns.
-var reportNames = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
+var reportAliases = map[string]string{"inflight": "active", "queue": "waiting", "util": "cpu",
 	"latency_ms": "avg_ms", "qps": "rps", "eps": "err_rps"}
 
 // hostList is a list in discovery's form.
 type hostList struct {
-	Seq   int64  `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+	Seq      int64  `json:"seq"`
+	Complete bool   `json:"whole"`
+	Hosts    []host `json:"hosts"`
 }
 
 type host struct {
@@ -517,7 +517,7 @@
 		h := &hosts[i]
 		zone := -1
 		for j, z := range c.Zones {
-			if z == scalar(h.Site) { // as in the settings
+			if z == formatScalar(h.Site) { // as in the settings
 				zone = j
 			}
 		}
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -20,13 +20,13 @@
 const (
 	// joinPeriods is how many periods a start waits at most to be admitted to the fleet: enough for one try that
 	// nobody answers, for another process with this name that doesn't answer either, and some margin.
-	joinSlack = 16
+	joinPeriods = 16
 	// leavePeriods is how many periods the shutdown waits at most for others to learn of it.
 	leavePeriods = 3
 	// verdictPeriods is how many periods a start waits at most for the fleet's verdicts.
-	toldPeriods = 12
-	toldLook    = 5 * time.Millisecond
-	bindEvery   = 200 * time.Millisecond
+	verdictPeriods = 12
+	verdictPoll    = 5 * time.Millisecond
+	bindRetry      = 200 * time.Millisecond
 )
 
 func (c *Config) fleetSockets() int {
@@ -38,13 +38,13 @@
 
 // fleetSharesPeerSocket reports whether the fleet's socket is also the one for other coordinators. It then
 // carries the module's messages to them.
-func (c *Config) fleetCarriesPeers() bool {
+func (c *Config) fleetSharesPeerSocket() bool {
 	return c.Fleet != nil && c.Fleet.Fleet.Listen == c.PeerListen
 }
 
 // openFleet opens the fleet's socket. A process that takes over from another one receives the socket from
 // it, and starts when that one stops: see takeOverFleet.
-func (k *Coordinator) joinFleet(h *inheritance, beside bool) (err error) {
+func (k *Coordinator) openFleet(h *receivedSockets, beside bool) (err error) {
 	if h != nil && h.fleet != nil {
 		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, h.fleet)
 		return err
@@ -55,7 +55,7 @@
 		}
 		// The process beside this one holds the socket and could not hand it over. It ends sooner or later.
 		k.log.Warn("the fleet's socket is in use: waiting for it", "err", err)
-		time.Sleep(bindEvery)
+		time.Sleep(bindRetry)
 		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, nil)
 	}
 	return nil
@@ -64,20 +64,20 @@
 // startFleet joins the fleet, unless this process takes over from another one. It waits until this member
 // is admitted and has received the fleet's verdicts, or until that takes too long. The core must be
 // running.
-func (k *Coordinator) enterFleet() error {
-	if k.fleet == nil || k.upgrade.place != nil {
+func (k *Coordinator) startFleet() error {
+	if k.fleet == nil || k.upgrade.fleetState != nil {
 		return nil
 	}
 	if err := k.fleet.Begin(nil, k.fleetHost()); err != nil {
 		return err
 	}
-	return k.awaitFleet()
+	return k.awaitFleetJoin()
 }
 
 // applyVerdict applies a fleet-wide verdict here.
-func (k *Coordinator) carryVerdict(c verdict.Change) bool {
+func (k *Coordinator) applyVerdict(c verdict.Change) bool {
 	if c.Verdict.Kind == verdict.Prefix {
-		k.carryPrefix(c)
+		k.applyPrefixVerdict(c)
 		return true
 	}
 	name, _ := c.Verdict.Node()
@@ -93,14 +93,14 @@
 		return false
 	}
 	if by == core.ByFleet { // the successor receives verdicts by evidence with the table
-		k.upgrade.pass(id, by, c.Holds)
+		k.upgrade.forwardCordon(id, by, c.Holds)
 	}
 	return true
 }
 
 // fleetHost returns the functions that the fleet calls in this process.
 func (k *Coordinator) fleetHost() fleet.Host {
-	return fleet.Host{Carry: k.carryVerdict, Name: k.nodeName,
+	return fleet.Host{Carry: k.applyVerdict, Name: k.nodeName,
 		Nodes: func() int { return int(k.core.Counts().Listed.Load()) }}
 }
 
@@ -122,7 +122,7 @@
 }
 
 // reportAttempt reports how an attempt ended to the fleet, where that is evidence about the node.
-func (k *Coordinator) witness(s core.Seen) {
+func (k *Coordinator) reportAttempt(s core.Seen) {
 	end := verdict.Broken
 	switch {
 	case s.Outcome == balance.OK:
@@ -140,12 +140,12 @@
 }
 
 // enableEvidence lets evidence against data nodes count, where the fleet's file says so.
-func (k *Coordinator) judge(conf *core.Config) {
+func (k *Coordinator) enableEvidence(conf *core.Config) {
 	if !k.cfg.Fleet.Judges() {
 		return
 	}
 	m := &k.cfg.Module
-	conf.Saw = k.witness
+	conf.Saw = k.reportAttempt
 	conf.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
 		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
 	}
@@ -153,7 +153,7 @@
 
 // applyPrefixVerdict tells the fronts' admission controllers of a ban or pin of a prefix, or that it was
 // lifted.
-func (k *Coordinator) carryPrefix(c verdict.Change) {
+func (k *Coordinator) applyPrefixVerdict(c verdict.Change) {
 	p, err := netip.ParsePrefix(c.Verdict.What)
 	if err != nil {
 		return // sent by a member of another version: nothing to apply
@@ -170,8 +170,8 @@
 }
 
 // awaitFleetJoin waits until the fleet has admitted this member.
-func (k *Coordinator) awaitFleet() error {
-	late := time.NewTimer(joinSlack * k.cfg.Fleet.Period())
+func (k *Coordinator) awaitFleetJoin() error {
+	late := time.NewTimer(joinPeriods * k.cfg.Fleet.Period())
 	defer late.Stop()
 	select {
 	case <-k.fleet.Joined():
@@ -182,7 +182,7 @@
 		k.log.Warn("not admitted to the fleet in time: serving without it")
 		return nil
 	}
-	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(toldLook) {
+	for end := time.Now().Add(verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(verdictPoll) {
 		if time.Now().After(end) {
 			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
@@ -193,7 +193,7 @@
 
 // receiveFleet passes messages of other members' modules to this module, and ends this process when an
 // older process with the same name exists.
-func (k *Coordinator) hearFleet() {
+func (k *Coordinator) receiveFleet() {
 	for {
 		select {
 		case h := <-k.fleet.Heard():
@@ -210,11 +210,11 @@
 // fleetGate checks queries and attempts against the fleet's overload level and limits.
 type limits struct {
 	k      *Coordinator
-	ranked *atomic.Pointer[ranked]
+	ranked *atomic.Pointer[classRanks]
 }
 
 // classRanks are the ranks of a configuration's classes.
-type ranked struct {
+type classRanks struct {
 	conf  *Config
 	ranks []int
 }
@@ -227,7 +227,7 @@
 		for i := range worth {
 			worth[i] = conf.Module.Classes[i].Worth
 		}
-		r = &ranked{conf, overload.Rank(worth)}
+		r = &classRanks{conf, overload.Rank(worth)}
 		l.ranked.Store(r)
 	}
 	return r.ranks[class]
@@ -290,14 +290,14 @@
 
 // takeOverFleet continues as the member that the old process was, once that one has sent its state. If it
 // does not, this process joins like a restarted member: nobody else can be at the same address.
-func (k *Coordinator) takeFleetOver() {
-	if k.fleet == nil || k.upgrade.place == nil {
+func (k *Coordinator) takeOverFleet() {
+	if k.fleet == nil || k.upgrade.fleetState == nil {
 		return
 	}
 	var from *fleet.Handover
 	select {
-	case from = <-k.upgrade.place:
-	case <-time.After(linkWait):
+	case from = <-k.upgrade.fleetState:
+	case <-time.After(linkTimeout):
 		k.log.Warn("the old process did not send its fleet state in time: joining as a restarted member")
 	case <-k.stop:
 		return
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -24,21 +24,21 @@
 	maxName  = 128  // length of a query's name or key
 	maxParts = 1024 // of one query
 
-	massSlack = 0.001 // rounding error allowed in the sum of masses
+	massTolerance = 0.001 // rounding error allowed in the sum of masses
 )
 
 // Front serves clients of the platform.
 type Front struct {
-	conf  atomic.Pointer[Config]
-	log   *slog.Logger
-	core  *core.Core
-	via   core.Backend
-	ready atomic.Bool
+	conf    atomic.Pointer[Config]
+	log     *slog.Logger
+	core    *core.Core
+	backend core.Backend
+	ready   atomic.Bool
 }
 
 // NewFront returns a front without a core. It parses requests for another front with the same format.
 func NewFront(cfg *Config, log *slog.Logger, via core.Backend) *Front {
-	f := &Front{log: log, via: via}
+	f := &Front{log: log, backend: via}
 	f.conf.Store(cfg)
 	return f
 }
@@ -64,7 +64,7 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countUnasked(r, EndingOf(err.Status))
+		f.countRejected(r, EndingOf(err.Status))
 		// The connection ends: what follows on it is unlikely to be valid and must not cost more.
 		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
 		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
@@ -81,13 +81,13 @@
 
 // CountTurnedAway counts a request that was refused before it reached the front, as too many connections
 // are open.
-func (f *Front) TurnAway(r *lnet.Request) {
-	f.countUnasked(r, core.Refused)
+func (f *Front) CountTurnedAway(r *lnet.Request) {
+	f.countRejected(r, core.Refused)
 }
 
 // countRejected counts a reply given without the core, if the request names a class.
-func (f *Front) countUnasked(r *lnet.Request, e core.Ending) {
-	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
+func (f *Front) countRejected(r *lnet.Request, e core.Ending) {
+	if class := ClassName(r); f.conf.Load().classIndex(class, r.At) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
@@ -126,7 +126,7 @@
 		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
 	}
 	cfg := f.conf.Load()
-	class := cfg.class(ClassName(r), r.At)
+	class := cfg.classIndex(ClassName(r), r.At)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -138,20 +138,20 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.via,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.backend,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.bind(class, q.Key != "", r.At)
+	b := cfg.rulesFor(class, q.Key != "", r.At)
 	switch {
-	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.key && q.Key != "" && !isToken(q.Key):
+	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.sendKey && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
-	case !b.key:
+	case !b.sendKey:
 		q.Key = ""
 	}
-	q.Rules, q.Most = &b.rules, b.most
+	q.Rules, q.Most = &b.rules, b.maxAttempts
 	wait := time.Duration(b.rules.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
@@ -180,7 +180,7 @@
 			return fail(400, "slices: a slice is missing, unknown or named twice")
 		}
 		seen[*s.Slice] = true
-		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massSlack) {
+		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massTolerance) {
 			return fail(400, "slices: a mass is missing or not possible")
 		}
 		p := core.PartSpec{Shard: *s.Slice, Weight: *s.Mass}
@@ -197,7 +197,7 @@
 		}
 		q.Parts = append(q.Parts, p)
 	}
-	if math.Abs(total-1) > massSlack {
+	if math.Abs(total-1) > massTolerance {
 		return fail(400, "slices: the masses add up to %g, not to 1", total)
 	}
 	return q, nil
--- a/internal/platform/log.go
+++ b/internal/platform/log.go
@@ -37,7 +37,7 @@
 // queuedHandler is a slog.Handler that queues records for another handler.
 type queuedHandler struct {
 	queue *recordQueue
-	to    slog.Handler
+	next  slog.Handler
 }
 
 // NewLog returns a logger that never blocks, and a function that writes what is still queued at the end.
@@ -49,13 +49,13 @@
 
 // Enabled reports whether records of a level are written.
 func (h queuedHandler) Enabled(ctx context.Context, level slog.Level) bool {
-	return h.to.Enabled(ctx, level)
+	return h.next.Enabled(ctx, level)
 }
 
 // Handle queues a record.
 func (h queuedHandler) Handle(_ context.Context, r slog.Record) error {
 	select {
-	case h.queue.records <- logRecord{h.to, r.Clone()}:
+	case h.queue.records <- logRecord{h.next, r.Clone()}:
 	default:
 		h.queue.lost.Add(1)
 	}
@@ -64,12 +64,12 @@
 
 // WithAttrs returns a handler that adds attributes.
 func (h queuedHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return queuedHandler{h.queue, h.to.WithAttrs(attrs)}
+	return queuedHandler{h.queue, h.next.WithAttrs(attrs)}
 }
 
 // WithGroup returns a handler that opens a group.
 func (h queuedHandler) WithGroup(name string) slog.Handler {
-	return queuedHandler{h.queue, h.to.WithGroup(name)}
+	return queuedHandler{h.queue, h.next.WithGroup(name)}
 }
 
 // drain writes the queued records until the log ends.
--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -19,7 +19,7 @@
 func runWithLog(t *testing.T, l *standin.HeldLog, node *standin.Node) (*Coordinator, *discovery) {
 	t.Helper()
 	d := newDiscovery(t, hostAt("a", node.Addr, 0))
-	k, err := Start(config(t, d), l.Logger())
+	k, err := Start(testConfig(t, d), l.Logger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 // When a client leaves, its request is cancelled while the line about that is still being logged.
 func TestAClientsEndDoesNotWaitForTheLog(t *testing.T) {
 	l := standin.NewHeldLog(t, "client left with a request out")
-	node := standin.NewNode(t, silent)
+	node := standin.NewNode(t, answerNone)
 	k, _ := runWithLog(t, l, node)
 	c, err := lnet.Dial(k.Addr(), time.Second, 1<<20)
 	if err != nil {
@@ -77,7 +77,7 @@
 func TestAListDoesNotWaitForTheLog(t *testing.T) {
 	for _, message := range []string{"data node", "list taken in"} {
 		l := standin.NewHeldLog(t)
-		node := standin.NewNode(t, ok)
+		node := standin.NewNode(t, answerAll)
 		k, d := runWithLog(t, l, node)
 		l.Hold(message)
 		d.change(t, hostAt("b", node.Addr, 0))
@@ -92,7 +92,7 @@
 func TestAnAbortDoesNotWaitForTheLog(t *testing.T) {
 	l := standin.NewHeldLog(t, "write aborted: its request is over and the writer was held")
 	ours, theirs := connPair(t)
-	c := &nodeConn{n: &Nodes{log: l.Logger()}, node: &node{name: "a"}, socket: ours}
+	c := &nodeConn{nodes: &Nodes{log: l.Logger()}, node: &node{name: "a"}, writeConn: ours}
 	go c.Abort()
 	awaitHeld(t, l)
 	_ = theirs.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -23,17 +23,17 @@
 type heldConn struct {
 	net.Conn
 	writing chan []byte   // receives what is written
-	goOn    chan error    // the result of Write; on an error only a part was sent
+	result  chan error    // the result of Write; on an error only a part was sent
 	closed  chan struct{} // receives at each Close
 }
 
 func newHeldConn() *heldConn {
-	return &heldConn{writing: make(chan []byte, 1), goOn: make(chan error), closed: make(chan struct{}, 4)}
+	return &heldConn{writing: make(chan []byte, 1), result: make(chan error), closed: make(chan struct{}, 4)}
 }
 
 func (h *heldConn) Write(b []byte) (int, error) {
 	h.writing <- append([]byte(nil), b...)
-	if err := <-h.goOn; err != nil {
+	if err := <-h.result; err != nil {
 		return len(b) / 2, err
 	}
 	return len(b), nil
@@ -42,17 +42,17 @@
 func (h *heldConn) SetWriteDeadline(time.Time) error { return nil }
 
 // newAttempt returns an attempt with plenty of time left.
-func soon(name string, id balance.ReplicaID) *core.Attempt {
+func newAttempt(name string, id balance.ReplicaID) *core.Attempt {
 	return &core.Attempt{Query: &core.Query{Name: name}, Replica: id, Timeout: 10 * time.Second,
 		Until: time.Now().Add(10 * time.Second)}
 }
 
 // nodesWithOutcomes returns a Nodes for one node without a network, and a channel with its outcomes.
-func wired(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.Outcome) {
+func nodesWithOutcomes(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.Outcome) {
 	t.Helper()
 	told = make(chan core.Outcome, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
-	n = NewNodes(config(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) {
 			if o, ok := e.(core.Outcome); ok {
 				told <- o
@@ -62,10 +62,10 @@
 }
 
 func (n *Nodes) attach(id balance.ReplicaID) *nodeConn {
-	c := &nodeConn{n: n, node: &node{id: id, addr: "127.0.0.1:9"},
-		waiting: map[string]*core.Attempt{}, given: map[string]time.Time{},
-		written: map[string]time.Time{}, wake: make(chan struct{}, 1),
-		used: time.Now(), opened: time.Now()}
+	c := &nodeConn{nodes: n, node: &node{id: id, addr: "127.0.0.1:9"},
+		pending: map[string]*core.Attempt{}, abandoned: map[string]time.Time{},
+		writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
+		lastUsed: time.Now(), openedAt: time.Now()}
 	n.nodes[id] = c.node
 	c.node.conns = []*nodeConn{c}
 	return c
@@ -74,23 +74,23 @@
 // Discovery announces that a node drains while a call for it is queued, and the core has not processed the
 // list yet. The call must not start. Once the node is back in service, a call starts.
 func TestNoCallBeginsOnceTheListSaysThatItsNodeDrains(t *testing.T) {
-	n, id, told := wired(t)
+	n, id, told := nodesWithOutcomes(t)
 	c := n.attach(id)
-	late := soon("late", id)
+	late := newAttempt("late", id)
 	if !n.Send(id, []*core.Attempt{late}) {
 		t.Fatal("not queued")
 	}
 	hosts := []Host{{Host: "a", Dial: c.node.addr, Health: terminating, Share: 1}}
 	n.Learn(hosts, true)
 	held := newHeldConn()
-	c.c, c.socket, c.up = held, held, true
+	c.conn, c.writeConn, c.connected = held, held, true
 	go c.writeLoop(held)
-	if o := outcome(t, told); o.Attempt != late || o.Outcome != balance.NotSent {
+	if o := nextOutcome(t, told); o.Attempt != late || o.Outcome != balance.NotSent {
 		t.Fatalf("%+v", o)
 	}
 	hosts[0].Health = inService
 	n.Learn(hosts, true)
-	if !n.Send(id, []*core.Attempt{soon("again", id)}) {
+	if !n.Send(id, []*core.Attempt{newAttempt("again", id)}) {
 		t.Fatal("not queued")
 	}
 	select {
@@ -103,11 +103,11 @@
 	case <-time.After(10 * time.Second):
 		t.Error("nothing was written")
 	}
-	held.goOn <- nil
-	c.end(nil)
+	held.result <- nil
+	c.close(nil)
 }
 
-func outcome(t *testing.T, told chan core.Outcome) core.Outcome {
+func nextOutcome(t *testing.T, told chan core.Outcome) core.Outcome {
 	t.Helper()
 	select {
 	case o := <-told:
@@ -121,26 +121,26 @@
 // The node resets the connection after the frame's last byte was sent and before the writer has recorded
 // that: the part may have run. If the write itself fails, its last byte was not sent and the part never
 // ran. In both cases the frames queued behind it never ran.
-func TestResetBetweenTheWriteAndItsBooking(t *testing.T) {
+func TestResetBetweenWriteAndMarkWritten(t *testing.T) {
 	for _, x := range []struct {
 		write error
 		first balance.Outcome
 	}{{nil, balance.Reset}, {errors.New("broken pipe"), balance.NoConnection}} {
-		n, id, told := wired(t)
+		n, id, told := nodesWithOutcomes(t)
 		c, h := n.attach(id), newHeldConn()
-		c.c, c.socket, c.up = h, h, true
-		first, second := soon("q1", id), soon("q2", id)
+		c.conn, c.writeConn, c.connected = h, h, true
+		first, second := newAttempt("q1", id), newAttempt("q2", id)
 		if !n.Send(id, []*core.Attempt{first}) || !n.Send(id, []*core.Attempt{second}) {
 			t.Fatal("not queued")
 		}
 		go c.writeLoop(h)
 		<-h.writing
-		c.end(errors.New("connection reset by peer")) // as the reader does
-		if o := outcome(t, told); o.Attempt != second || o.Outcome != balance.NoConnection {
+		c.close(errors.New("connection reset by peer")) // as the reader does
+		if o := nextOutcome(t, told); o.Attempt != second || o.Outcome != balance.NoConnection {
 			t.Fatalf("the attempt queued behind: %+v", o)
 		}
-		h.goOn <- x.write
-		if o := outcome(t, told); o.Attempt != first || o.Outcome != x.first {
+		h.result <- x.write
+		if o := nextOutcome(t, told); o.Attempt != first || o.Outcome != x.first {
 			t.Fatalf("write %v: outcome %v, not %v", x.write, o.Outcome, x.first)
 		}
 	}
@@ -148,16 +148,16 @@
 
 // While an attempt waits for its connection, its client leaves, its query is answered, the window for
 // repeats closes, or its time ends. It must not start, and the module learns that it never ran.
-func TestWhatMayNotBeginAnyMoreIsNotWritten(t *testing.T) {
-	n, id, told := wired(t)
+func TestExpiredAttemptsAreNotWritten(t *testing.T) {
+	n, id, told := nodesWithOutcomes(t)
 	c, h := n.attach(id), newHeldConn()
-	c.c, c.socket, c.up = h, h, true
+	c.conn, c.writeConn, c.connected = h, h, true
 	k, err := core.New(core.Config{Settings: n.conf.Load().Module, Log: standin.Quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	running := soon("q0", id)
-	left, past, over, good := soon("q1", id), soon("q2", id), soon("q3", id), soon("q4", id)
+	running := newAttempt("q0", id)
+	left, past, over, good := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id), newAttempt("q4", id)
 	past.Before = time.Now()
 	over.Until = time.Now()
 	good.Before = time.Now().Add(time.Minute)
@@ -170,25 +170,25 @@
 		}
 	}
 	k.Leave(left.Query)
-	h.goOn <- nil
+	h.result <- nil
 	for _, a := range []*core.Attempt{left, past, over} {
-		if o := outcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
+		if o := nextOutcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
 			t.Fatalf("%s: %+v", a.Query.Name, o)
 		}
 	}
 	if words := string(<-h.writing); !strings.Contains(words, "q4.0 ") {
 		t.Fatalf("%q", words)
 	}
-	h.goOn <- nil
-	c.end(nil)
+	h.result <- nil
+	c.close(nil)
 }
 
 // A call carries the time that is left when it starts, and leaves out parts that were cancelled meanwhile.
-func TestCallIsWordedWhenItBegins(t *testing.T) {
-	n, id, _ := wired(t)
+func TestCallIsEncodedWhenItBegins(t *testing.T) {
+	n, id, _ := nodesWithOutcomes(t)
 	c, h := n.attach(id), newHeldConn()
-	c.c, c.socket, c.up = h, h, true
-	all := []*core.Attempt{soon("q1", id), soon("q2", id), soon("q3", id)}
+	c.conn, c.writeConn, c.connected = h, h, true
+	all := []*core.Attempt{newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id)}
 	for _, a := range all {
 		a.Until = time.Now().Add(2 * time.Second) // it has waited for a connection since
 	}
@@ -207,24 +207,24 @@
 	if wait[0] > 2000 || wait[1] > 2000 || wait[0] < 1 {
 		t.Fatalf("the call carries %v ms, 2000 were left", wait)
 	}
-	h.goOn <- nil
-	c.end(nil)
+	h.result <- nil
+	c.close(nil)
 }
 
 // Where the settings forbid cancellation the node is not told, not even of an attempt whose time is over.
-func TestNothingIsCalledOffWhereThatIsForbidden(t *testing.T) {
-	n, id, _ := wired(t, `"cancel":true`, `"cancel":false`)
+func TestNoCancelIsSentWhereItIsForbidden(t *testing.T) {
+	n, id, _ := nodesWithOutcomes(t, `"cancel":true`, `"cancel":false`)
 	c, h := n.attach(id), newHeldConn()
-	c.c, c.socket, c.up = h, h, true
-	a, b := soon("q1", id), soon("q2", id)
+	c.conn, c.writeConn, c.connected = h, h, true
+	a, b := newAttempt("q1", id), newAttempt("q2", id)
 	n.Send(id, []*core.Attempt{a})
 	go c.writeLoop(h)
 	<-h.writing
-	h.goOn <- nil
+	h.result <- nil
 	standin.Until(t, "the frame to be marked written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return len(c.written) == 1
+		return len(c.writtenAt) == 1
 	})
 	if n.Withdraw(a) {
 		t.Fatal("it may have run")
@@ -233,24 +233,24 @@
 	if words := <-h.writing; words[4] != '1' {
 		t.Fatalf("%q was written", words)
 	}
-	h.goOn <- nil
-	c.end(nil)
+	h.result <- nil
+	c.close(nil)
 }
 
 // A connection that is closed while idle accepts no call. A call at that moment goes to another
 // connection; one that was already queued has never run, and the node is not to blame.
 func TestCallAtTheCloseOfAnIdleConnection(t *testing.T) {
-	n, id, told := wired(t)
+	n, id, told := nodesWithOutcomes(t)
 	c := n.attach(id)
-	c.c, c.up = newHeldConn(), true
-	a := soon("q1", id)
+	c.conn, c.connected = newHeldConn(), true
+	a := newAttempt("q1", id)
 	n.Send(id, []*core.Attempt{a})
 	c.retire() // between the check whether it is idle and the close
-	if ok, closing := c.queue(frame{call: []*core.Attempt{soon("q2", id)}, size: 1}); ok || !closing {
+	if ok, closing := c.enqueue(frame{call: []*core.Attempt{newAttempt("q2", id)}, size: 1}); ok || !closing {
 		t.Fatal("a call was queued on a connection that is closing")
 	}
-	c.end(nil)
-	if o := outcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
+	c.close(nil)
+	if o := nextOutcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
 		t.Fatalf("%+v", o)
 	}
 }
@@ -260,18 +260,18 @@
 // get connections, more than were reserved for them: idle clients make room.
 func TestCrowdLeavesDescriptorsForOthers(t *testing.T) {
 	free := make(chan struct{})
-	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
+	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
 	slow.Wide.Store(true)
 	var down atomic.Bool
 	hosts := []host{hostAt("slow", slow.Addr, 0)}
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
 		if !down.Load() && query == "" {
-			tell(c, list(n, true, hosts...))
+			writeList(c, listBody(n, true, hosts...))
 		}
 	})
-	conf := config(t, &discovery{addr: d.addr})
+	conf := testConfig(t, &discovery{addr: d.addr})
 	conf.Limits.Sockets = 1 // the smallest possible budget: 32, of which 8 are reserved for nodes
-	k := run(t, conf)
+	k := startReady(t, conf)
 	owed := make(chan int, 1)
 	go func() { owed <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
@@ -297,7 +297,7 @@
 	var nodes []*standin.Node
 	hosts = nil
 	for i := range 20 {
-		n := standin.NewNode(t, ok)
+		n := standin.NewNode(t, answerAll)
 		nodes = append(nodes, n)
 		hosts = append(hosts, hostAt(fmt.Sprint("n", i), n.Addr, 0))
 	}
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -19,15 +19,15 @@
 
 // errMalformed marks the end of a connection that delivered unusable bytes, or that fell silent while its
 // node answers on others. Attempts in flight on it may have run; it is no evidence about the node.
-var errSpoilt = errors.New("malformed")
+var errMalformed = errors.New("malformed")
 
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", errSpoilt, fmt.Sprintf(format, args...))
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
 
 // readLoop reads answers from the connection. Malformed ones may come from any node. The bytes after a
 // malformed answer are meaningless, so it ends the connection.
-func (c *nodeConn) read(conn net.Conn) {
+func (c *nodeConn) readLoop(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
 	from := &lnet.PassingReader{Conn: conn}
 	begun := false // the ring holds an incomplete frame
@@ -35,17 +35,17 @@
 		n, err := from.Read(in.Free())
 		in.Grew(n)
 		if n > 0 {
-			c.heard()
+			c.noteReceived()
 		}
 		taken := in.Len()
 		for {
 			b, bad := nextFrame(in)
 			if b != nil {
-				bad = c.frame(b)
+				bad = c.handleFrame(b)
 			}
 			if bad != nil {
-				c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", bad)
-				c.end(bad)
+				c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", bad)
+				c.close(bad)
 				return
 			}
 			if b == nil {
@@ -55,57 +55,57 @@
 		taken -= in.Len()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			err = spoilt("frame not completed in time")
-			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
-		case in.Len() > 0 && c.quiet():
+			err = malformed("frame not completed in time")
+			c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+		case in.Len() > 0 && c.isIdle():
 			// Surplus bytes behind a good answer, which counts. The next answer would be read behind them.
-			err = spoilt("%d unexpected bytes behind an answer", in.Len())
-			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+			err = malformed("%d unexpected bytes behind an answer", in.Len())
+			c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
 		case in.Len() > 0 && (!begun || taken > 0):
-			_ = conn.SetReadDeadline(time.Now().Add(c.n.frameLimit()))
+			_ = conn.SetReadDeadline(time.Now().Add(c.nodes.frameTimeout()))
 		case in.Len() == 0 && begun:
 			_ = conn.SetReadDeadline(time.Time{})
 		}
 		begun = in.Len() > 0
 		if err != nil {
-			c.end(err)
+			c.close(err)
 			return
 		}
 	}
 }
 
 // frameTimeout returns how long a frame may take from its first byte to its last.
-func (n *Nodes) frameLimit() time.Duration {
+func (n *Nodes) frameTimeout() time.Duration {
 	aim := balance.Micros(0)
 	for _, c := range n.conf.Load().Module.Classes {
 		if aim == 0 || c.Aim < aim {
 			aim = c.Aim
 		}
 	}
-	return max(frameLeast, time.Duration(aim)*time.Microsecond/frameShare)
+	return max(minFrameTimeout, time.Duration(aim)*time.Microsecond/frameAimShare)
 }
 
 // noteReceived records that bytes arrived on the connection.
-func (c *nodeConn) heard() {
+func (c *nodeConn) noteReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.owed, c.doubt = time.Time{}, time.Time{}
-	if len(c.written) > 0 {
-		c.owed = time.Now()
+	c.owedSince, c.suspectSince = time.Time{}, time.Time{}
+	if len(c.writtenAt) > 0 {
+		c.owedSince = time.Now()
 	}
 }
 
 // updateOwed recomputes, after an attempt was cancelled, since when an answer is due: since the oldest
 // part that is still pending was written.
-func (c *nodeConn) expectResponse() {
+func (c *nodeConn) updateOwed() {
 	var oldest time.Time
-	for _, at := range c.written {
+	for _, at := range c.writtenAt {
 		if oldest.IsZero() || at.Before(oldest) {
 			oldest = at
 		}
 	}
-	if oldest.IsZero() || oldest.After(c.owed) {
-		c.owed = oldest
+	if oldest.IsZero() || oldest.After(c.owedSince) {
+		c.owedSince = oldest
 	}
 }
 
@@ -113,36 +113,36 @@
 // given time. A connection that has been silent since before that, and stays so for the node's usual
 // latency, is closed: its attempts end now and not by a time-out each. The wait gives it time to respond
 // after a pause of the node.
-func (c *nodeConn) outlived(written time.Time) {
+func (c *nodeConn) closeSilentSiblings(written time.Time) {
 	var mute []*nodeConn
-	limit := c.node.took.most()
-	c.n.mu.Lock()
+	limit := c.node.latency.upperBound()
+	c.nodes.mu.Lock()
 	for _, x := range c.node.conns {
 		if x == c {
 			continue
 		}
 		x.mu.Lock()
-		if !x.owed.IsZero() && x.owed.Before(written) && time.Since(x.owed) > limit {
-			if x.doubt.IsZero() {
-				x.doubt = time.Now()
-			} else if time.Since(x.doubt) > limit {
+		if !x.owedSince.IsZero() && x.owedSince.Before(written) && time.Since(x.owedSince) > limit {
+			if x.suspectSince.IsZero() {
+				x.suspectSince = time.Now()
+			} else if time.Since(x.suspectSince) > limit {
 				mute = append(mute, x)
 			}
 		}
 		x.mu.Unlock()
 	}
-	c.n.mu.Unlock()
+	c.nodes.mu.Unlock()
 	for _, x := range mute {
-		c.n.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
-		x.end(spoilt("connection fell silent"))
+		c.nodes.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
+		x.close(malformed("connection fell silent"))
 	}
 }
 
 // isIdle reports whether nothing is in flight on the connection.
-func (c *nodeConn) quiet() bool {
+func (c *nodeConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.waiting) == 0 && len(c.given) == 0 && len(c.probes) == 0
+	return len(c.pending) == 0 && len(c.abandoned) == 0 && len(c.probes) == 0
 }
 
 // nextFrame takes one complete frame, without its length, out of the ring. It returns nil while bytes are
@@ -156,14 +156,14 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 1 || size > maxFrame {
-		return nil, spoilt("impossible frame length %d", size)
+		return nil, malformed("impossible frame length %d", size)
 	}
 	if n == 5 && (head[4] < '3' || head[4] > '5') && head[4] != 'X' {
-		return nil, spoilt("unknown frame type %q", head[4])
+		return nil, malformed("unknown frame type %q", head[4])
 	}
 	if in.Len() < 4+int(size) {
 		if in.Len() > maxLine && in.Index([]byte("\n")) < 0 {
-			return nil, spoilt("answer line too long")
+			return nil, malformed("answer line too long")
 		}
 		return nil, nil
 	}
@@ -174,7 +174,7 @@
 }
 
 // handleFrame handles one frame from the node.
-func (c *nodeConn) frame(b []byte) error {
+func (c *nodeConn) handleFrame(b []byte) error {
 	rest := b[1:]
 	switch b[0] {
 	case '5':
@@ -184,42 +184,42 @@
 		}
 		var sent time.Time
 		c.mu.Lock()
-		c.used = time.Now()
-		at := c.waiting[a.id]
-		_, given := c.given[a.id]
+		c.lastUsed = time.Now()
+		at := c.pending[a.id]
+		_, given := c.abandoned[a.id]
 		switch {
-		case at != nil && !(given && c.queued(at)):
-			if c.queued(at) {
+		case at != nil && !(given && c.isQueued(at)):
+			if c.isQueued(at) {
 				c.mu.Unlock()
-				return spoilt("answer to a part that was not sent")
+				return malformed("answer to a part that was not sent")
 			}
-			sent = c.written[a.id]
-			delete(c.waiting, a.id)
-			delete(c.written, a.id)
-			if len(c.written) == 0 {
-				c.owed = time.Time{}
+			sent = c.writtenAt[a.id]
+			delete(c.pending, a.id)
+			delete(c.writtenAt, a.id)
+			if len(c.writtenAt) == 0 {
+				c.owedSince = time.Time{}
 			}
-			c.calls = c.count()
+			c.inFlight = c.countCalls()
 		case given: // late: the attempt was cancelled
 			at = nil
-			delete(c.given, a.id)
+			delete(c.abandoned, a.id)
 		default:
 			c.mu.Unlock() // if it duplicates an answer, the first one counts
-			return spoilt("answer to an unknown part: %.100q", a.id)
+			return malformed("answer to an unknown part: %.100q", a.id)
 		}
-		done := c.retired && len(c.waiting) == 0
+		done := c.retired && len(c.pending) == 0
 		c.mu.Unlock()
 		if done {
-			c.poke()
+			c.wakeWriter()
 		}
 		if !sent.IsZero() {
 			if a.outcome != balance.Busy { // which is answered at once, regardless of the queue
-				c.node.took.add(time.Since(sent))
+				c.node.latency.add(time.Since(sent))
 			}
-			c.outlived(sent)
+			c.closeSilentSiblings(sent)
 		}
 		if at != nil {
-			c.n.post(core.Outcome{Attempt: at, Outcome: a.outcome, Report: c.n.conf.Load().report(a.report),
+			c.nodes.post(core.Outcome{Attempt: at, Outcome: a.outcome, Report: c.nodes.conf.Load().parseReport(a.report),
 				Value: core.Value{Body: a.value}})
 		}
 		return nil
@@ -227,21 +227,21 @@
 		c.mu.Lock()
 		if len(c.probes) == 0 {
 			c.mu.Unlock()
-			return spoilt("answer without a probe")
+			return malformed("answer without a probe")
 		}
 		p := c.probes[0]
 		c.probes = c.probes[1:]
 		c.mu.Unlock()
 		if string(rest) == "E" {
-			c.probeDone(p, balance.Error, nil)
+			c.finishProbe(p, balance.Error, nil)
 		} else {
-			c.probeDone(p, balance.OK, c.n.conf.Load().report(string(rest)))
+			c.finishProbe(p, balance.OK, c.nodes.conf.Load().parseReport(string(rest)))
 		}
 		return nil
 	case 'X':
 		return fmt.Errorf("the node rejected a frame: %.100q", rest)
 	}
-	return spoilt("unknown frame type %q", b[0])
+	return malformed("unknown frame type %q", b[0])
 }
 
 // nodeAnswer is the parsed line of an answer and its value.
@@ -256,11 +256,11 @@
 func parseAnswer(b []byte) (nodeAnswer, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
-		return nodeAnswer{}, spoilt("answer without a line end")
+		return nodeAnswer{}, malformed("answer without a line end")
 	}
 	f := strings.SplitN(string(b[:i]), " ", 4) // a malformed report does not invalidate the answer
 	if len(f) != 4 || f[0] == "" {
-		return nodeAnswer{}, spoilt("malformed answer line %.100q", b[:i])
+		return nodeAnswer{}, malformed("malformed answer line %.100q", b[:i])
 	}
 	a := nodeAnswer{id: f[0], report: f[3], value: b[i+1:]}
 	switch f[1] {
@@ -271,7 +271,7 @@
 	case "B":
 		a.outcome = balance.Busy
 	default:
-		return nodeAnswer{}, spoilt("unknown answer status %.20q", f[1])
+		return nodeAnswer{}, malformed("unknown answer status %.20q", f[1])
 	}
 	return a, nil
 }
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	maxLine    = 1024                   // of a data node's answer
-	maxFrame   = lnet.MaxBody + maxLine // a value and its line
-	outLimit   = 256 << 10              // bytes queued for one connection
-	partSlack  = 96                     // bytes of a part's line beside its names: numbers and separators
-	sendTries  = 3                      // closing connections that a call may meet before it is refused
-	writeLimit = 300 * time.Millisecond
+	maxLine        = 1024                   // of a data node's answer
+	maxFrame       = lnet.MaxBody + maxLine // a value and its line
+	maxQueuedBytes = 256 << 10              // bytes queued for one connection
+	partOverhead   = 96                     // bytes of a part's line beside its names: numbers and separators
+	maxSendTries   = 3                      // closing connections that a call may meet before it is refused
+	writeTimeout   = 300 * time.Millisecond
 	// A frame from a node is complete within 1/frameAimShare of the shortest aim after its first byte.
-	frameShare = 8
-	frameLeast = 50 * time.Millisecond
+	frameAimShare   = 8
+	minFrameTimeout = 50 * time.Millisecond
 	// A connection is silent when it has owed an answer for longer than all but the slowest of the node's
 	// answers take. It gets nothing new as long as another one may be opened beside it.
-	silentLeast = 30 * time.Millisecond
-	silentMost  = time.Second
-	silentConns = 3   // at one node; with more, the node is silent and no connection is to blame
-	givenMost   = 256 // cancelled parts whose answers a connection remembers to expect
+	minSilence     = 30 * time.Millisecond
+	maxSilence     = time.Second
+	maxSilentConns = 3   // at one node; with more, the node is silent and no connection is to blame
+	maxAbandoned   = 256 // cancelled parts whose answers a connection remembers to expect
 	// Connections are retired after idleShare of the nodes' idle limit: a request that is written to a
 	// connection which its node is about to close ends as a reset.
 	idleShare = 0.7
@@ -54,32 +54,32 @@
 	log    *slog.Logger
 	budget *lnet.Budget
 	post   func(core.Event)
-	count  *core.Counts
+	counts *core.Counts
 	delays *delay.Recorder
 	mu     sync.Mutex // guards nodes and each node's address and connections
 	nodes  map[balance.ReplicaID]*node
 }
 
 type node struct {
-	id   balance.ReplicaID
-	name string
-	addr string
-	born float64
-	gone bool // no longer listed: deleted with its last connection
+	id      balance.ReplicaID
+	name    string
+	addr    string
+	born    float64
+	removed bool // no longer listed: deleted with its last connection
 	// missing is set while a full list is processed that has not named the node so far.
-	unnamed bool
+	missing bool
 	health  string // as in the last list
 	// draining is set when the list says that the node gets nothing new, even before the core has processed
 	// that.
 	draining atomic.Bool
 	conns    []*nodeConn
-	took     latency
+	latency  latency
 }
 
 // NewNodes returns an empty set of nodes. post queues an event for the core.
 func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
 	post func(core.Event)) *Nodes {
-	n := &Nodes{log: log, budget: budget, post: post, count: count, nodes: map[balance.ReplicaID]*node{}}
+	n := &Nodes{log: log, budget: budget, post: post, counts: count, nodes: map[balance.ReplicaID]*node{}}
 	n.conf.Store(cfg)
 	return n
 }
@@ -88,13 +88,13 @@
 // called before the core learns of the nodes. Nodes that are gone are deleted once nothing is in flight to
 // them: ids are never reused and would accumulate. It returns the changes, to be logged once the core has
 // learnt of them.
-func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeNews) {
+func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeChange) {
 	n.mu.Lock()
 	var anew, idle []*nodeConn
 	first := len(n.nodes) == 0
 	for _, x := range n.nodes {
-		if whole && !x.gone {
-			x.gone, x.unnamed = true, true
+		if whole && !x.removed {
+			x.removed, x.missing = true, true
 		}
 	}
 	for i := range hosts {
@@ -105,18 +105,18 @@
 			x = &node{id: id, name: h.Host}
 			n.nodes[id] = x
 		}
-		if x.unnamed {
-			x.gone, x.unnamed = false, false
+		if x.missing {
+			x.removed, x.missing = false, false
 		}
-		if gone := h.Health == terminated; gone != x.gone || h.Health != x.health || h.Born > x.born {
-			news = append(news, nodeNews{levelOfNews(first), h.Host, id, h.Health, h.Born})
-			x.gone, x.health = gone, h.Health
+		if gone := h.Health == terminated; gone != x.removed || h.Health != x.health || h.Born > x.born {
+			news = append(news, nodeChange{changeLevel(first), h.Host, id, h.Health, h.Born})
+			x.removed, x.health = gone, h.Health
 		}
 		x.draining.Store(h.Health != inService)
 		if h.Born > x.born || h.Dial != x.addr {
 			// A new process runs there now: it will not answer what its predecessor received.
 			for _, c := range x.conns {
-				if h.Dial != x.addr || c.opened.UnixMilli() < int64(h.Born) {
+				if h.Dial != x.addr || c.openedAt.UnixMilli() < int64(h.Born) {
 					anew = append(anew, c)
 				}
 			}
@@ -124,12 +124,12 @@
 		x.addr, x.born = h.Dial, max(x.born, h.Born)
 	}
 	for id, x := range n.nodes {
-		if x.unnamed {
-			x.unnamed = false
+		if x.missing {
+			x.missing = false
 			x.draining.Store(true)
-			news = append(news, nodeNews{slog.LevelInfo, x.name, id, "not listed any more", x.born})
+			news = append(news, nodeChange{slog.LevelInfo, x.name, id, "not listed any more", x.born})
 		}
-		if x.gone {
+		if x.removed {
 			idle = append(idle, x.conns...)
 			if len(x.conns) == 0 {
 				delete(n.nodes, id)
@@ -138,7 +138,7 @@
 	}
 	n.mu.Unlock()
 	for _, c := range anew {
-		c.end(fmt.Errorf("the node was restarted"))
+		c.close(fmt.Errorf("the node was restarted"))
 	}
 	for _, c := range idle {
 		c.retire()
@@ -147,7 +147,7 @@
 }
 
 // nodeChange is a node's new state.
-type nodeNews struct {
+type nodeChange struct {
 	level  slog.Level
 	name   string
 	id     balance.ReplicaID
@@ -156,7 +156,7 @@
 }
 
 // logChanges logs nodes' new states.
-func (n *Nodes) logNews(news []nodeNews) {
+func (n *Nodes) logChanges(news []nodeChange) {
 	for _, x := range news {
 		n.log.Log(context.Background(), x.level, "data node", "node", x.name, "id", fmt.Sprintf("%x", uint64(x.id)),
 			"health", x.health, "born_ms", x.born)
@@ -165,7 +165,7 @@
 
 // changeLevel returns the log level for a node's new state. Those of the first list after a start matter
 // less.
-func levelOfNews(first bool) slog.Level {
+func changeLevel(first bool) slog.Level {
 	if first {
 		return slog.LevelDebug
 	}
@@ -186,17 +186,17 @@
 
 // Send queues one call on a connection with free capacity, or on a new one.
 func (n *Nodes) Send(to balance.ReplicaID, call []*core.Attempt) bool {
-	return n.queue(to, frame{call: call, size: callSize(call)})
+	return n.enqueue(to, frame{call: call, size: callSize(call)})
 }
 
 // enqueue queues a frame on a connection that accepts it.
-func (n *Nodes) queue(to balance.ReplicaID, f frame) bool {
-	for range sendTries {
-		c := n.conn(to, true)
+func (n *Nodes) enqueue(to balance.ReplicaID, f frame) bool {
+	for range maxSendTries {
+		c := n.pickConn(to, true)
 		if c == nil {
 			return false
 		}
-		if ok, closing := c.queue(f); ok || !closing {
+		if ok, closing := c.enqueue(f); ok || !closing {
 			return ok
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 // pickConn returns a connection with capacity for a call, or opens one.
-func (n *Nodes) conn(to balance.ReplicaID, open bool) *nodeConn {
+func (n *Nodes) pickConn(to balance.ReplicaID, open bool) *nodeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	x := n.nodes[to]
@@ -213,13 +213,13 @@
 	}
 	var best, mute *nodeConn
 	room, muteRoom, silent := 0, 0, 0
-	limit := x.took.most()
+	limit := x.latency.upperBound()
 	for _, c := range x.conns {
 		c.mu.Lock()
-		free := n.conf.Load().Streams - c.calls
+		free := n.conf.Load().StreamsPerConn - c.inFlight
 		switch {
-		case c.dead || c.retired:
-		case !c.owed.IsZero() && time.Since(c.owed) > limit:
+		case c.closed || c.retired:
+		case !c.owedSince.IsZero() && time.Since(c.owedSince) > limit:
 			if silent++; mute == nil || free > muteRoom {
 				mute, muteRoom = c, free
 			}
@@ -228,7 +228,7 @@
 		}
 		c.mu.Unlock()
 	}
-	if mute != nil && best == nil && (silent > silentConns || !open) {
+	if mute != nil && best == nil && (silent > maxSilentConns || !open) {
 		best, room = mute, muteRoom
 	}
 	if best != nil && room > 0 || !open {
@@ -240,11 +240,11 @@
 	if !n.budget.TakeServer() {
 		return best // no descriptor is left: the call queues behind others
 	}
-	c := &nodeConn{n: n, node: x, waiting: map[string]*core.Attempt{},
-		given: map[string]time.Time{}, written: map[string]time.Time{}, wake: make(chan struct{}, 1),
-		used: time.Now(), opened: time.Now()}
+	c := &nodeConn{nodes: n, node: x, pending: map[string]*core.Attempt{},
+		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
+		lastUsed: time.Now(), openedAt: time.Now()}
 	x.conns = append(x.conns, c)
-	go c.write(x.addr)
+	go c.dialAndWrite(x.addr)
 	return c
 }
 
@@ -257,7 +257,7 @@
 	if x := n.nodes[a.Replica]; x != nil {
 		for _, k := range x.conns {
 			k.mu.Lock()
-			if k.waiting[id] == a {
+			if k.pending[id] == a {
 				c = k
 			}
 			k.mu.Unlock()
@@ -268,23 +268,23 @@
 		return false
 	}
 	c.mu.Lock()
-	delete(c.waiting, id)
-	delete(c.written, id)
-	if !c.owed.IsZero() && time.Since(c.owed) <= c.node.took.most() {
-		c.expectResponse() // cancelled for another reason than silence; it may never be answered
+	delete(c.pending, id)
+	delete(c.writtenAt, id)
+	if !c.owedSince.IsZero() && time.Since(c.owedSince) <= c.node.latency.upperBound() {
+		c.updateOwed() // cancelled for another reason than silence; it may never be answered
 	}
-	unsent := c.unqueue(a)
-	if !unsent && !c.dead {
-		c.giveUp(id)
-		if c.isTrying(a) { // once cancelled, it must not be sent behind what replaces it
-			c.abortWrite(core.WriteGrace)
+	unsent := c.dequeue(a)
+	if !unsent && !c.closed {
+		c.markAbandoned(id)
+		if c.isWriting(a) { // once cancelled, it must not be sent behind what replaces it
+			c.abortWriteAfter(core.WriteGrace)
 		}
 	}
 	c.mu.Unlock()
 	if !unsent && n.conf.Load().Module.CanCancel { // without it the node answers in vain
 		b := append([]byte{0, 0, 0, 0, '2'}, id...)
 		binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-		c.queue(frame{text: b, size: len(b)})
+		c.enqueue(frame{payload: b, size: len(b)})
 	}
 	return unsent
 }
@@ -292,18 +292,18 @@
 // Probe sends a probe, over an existing connection if possible.
 func (n *Nodes) Probe(to balance.ReplicaID) bool {
 	text := []byte{1, 0, 0, 0, '3'}
-	return n.queue(to, frame{text: text, size: len(text), probe: &probe{at: time.Now()}})
+	return n.enqueue(to, frame{payload: text, size: len(text), probe: &probe{sentAt: time.Now()}})
 }
 
 // CloseIdle closes the connections to a node that have nothing in flight.
 func (n *Nodes) CloseIdle(to balance.ReplicaID) {
-	for _, c := range n.connsOf(to) {
+	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
-		idle := c.up && len(c.waiting) == 0 && len(c.frames) == 0 && len(c.probes) == 0
+		idle := c.connected && len(c.pending) == 0 && len(c.frames) == 0 && len(c.probes) == 0
 		c.retired = c.retired || idle
 		c.mu.Unlock()
 		if idle {
-			c.end(nil)
+			c.close(nil)
 		}
 	}
 }
@@ -311,29 +311,29 @@
 // CancelQueued withdraws what is queued for a node and has not started: none of it may be sent any more.
 func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
 	var back []*core.Attempt
-	for _, c := range n.connsOf(to) {
+	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
 		for _, f := range c.frames {
-			if f.begun && len(f.call) > 0 && c.trying { // the node drains: it must not arrive late
-				c.abortWrite(core.WriteGrace)
+			if f.started && len(f.call) > 0 && c.writing { // the node drains: it must not arrive late
+				c.abortWriteAfter(core.WriteGrace)
 			}
-			if !f.begun {
+			if !f.started {
 				for _, a := range f.call {
-					if c.waiting[wireID(a)] == a {
-						delete(c.waiting, wireID(a))
+					if c.pending[wireID(a)] == a {
+						delete(c.pending, wireID(a))
 						back = append(back, a)
 					}
 				}
 			}
 		}
 		c.filterQueue(func(f *frame) bool { return f.call == nil && f.probe == nil })
-		c.calls = c.count()
+		c.inFlight = c.countCalls()
 		c.mu.Unlock()
 	}
 	return back
 }
 
-func (n *Nodes) connsOf(to balance.ReplicaID) []*nodeConn {
+func (n *Nodes) connsTo(to balance.ReplicaID) []*nodeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if x := n.nodes[to]; x != nil {
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -18,7 +18,7 @@
 // heldAttempt is an attempt that may not begin, and the reason.
 type heldAttempt struct {
 	attempt *core.Attempt
-	why     core.Hold
+	reason  core.Hold
 }
 
 // encodeCall encodes a call as of now, with those of its parts that are still pending and may begin. For
@@ -28,7 +28,7 @@
 	b = append(b[:0], 0, 0, 0, 0, '1')
 	for _, a := range call {
 		id := wireID(a)
-		if c.waiting[id] != a {
+		if c.pending[id] != a {
 			continue
 		}
 		wait, hold := time.Duration(0), core.HoldDraining
@@ -55,51 +55,51 @@
 func callSize(call []*core.Attempt) int {
 	n := 5
 	for _, a := range call {
-		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Text) + partSlack
+		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Text) + partOverhead
 	}
 	return n
 }
 
 // dialAndWrite dials and then runs the write loop.
-func (c *nodeConn) write(addr string) {
-	conn, err := net.DialTimeout("tcp", addr, c.n.conf.Load().DialTimeout)
+func (c *nodeConn) dialAndWrite(addr string) {
+	conn, err := net.DialTimeout("tcp", addr, c.nodes.conf.Load().DialTimeout)
 	if err != nil {
-		c.end(err)
+		c.close(err)
 		return
 	}
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		_ = conn.Close()
 		return
 	}
-	c.c, c.socket, c.up = conn, conn, true
+	c.conn, c.writeConn, c.connected = conn, conn, true
 	c.mu.Unlock()
-	go c.read(conn)
+	go c.readLoop(conn)
 	c.writeLoop(conn)
 }
 
 // writeLoop writes the frames one by one, each within its time limit, so that a node that does not read
 // only blocks its own connection.
 func (c *nodeConn) writeLoop(conn net.Conn) {
-	limit := time.Duration(idleShare * float64(c.n.conf.Load().ConnIdle))
+	limit := time.Duration(idleShare * float64(c.nodes.conf.Load().ConnIdle))
 	idle := time.NewTimer(limit)
 	defer idle.Stop()
 	w := &frameWriter{c: c}
-	socket := lnet.NewSocket(conn, writeLimit)
+	socket := lnet.NewSocket(conn, writeTimeout)
 	for {
 		c.mu.Lock()
-		if c.dead {
+		if c.closed {
 			c.mu.Unlock()
 			return
 		}
 		if len(c.frames) == 0 {
-			quiet := time.Since(c.used)
-			empty := len(c.waiting) == 0 && len(c.probes) == 0
+			quiet := time.Since(c.lastUsed)
+			empty := len(c.pending) == 0 && len(c.probes) == 0
 			if empty && (quiet >= limit || c.retired) {
 				c.retired = true
 				c.mu.Unlock()
-				c.end(nil)
+				c.close(nil)
 				return
 			}
 			c.mu.Unlock()
@@ -111,7 +111,7 @@
 			continue
 		}
 		c.mu.Unlock()
-		err := socket.WriteMessage(w.begin, w.tried)
+		err := socket.WriteMessage(w.begin, w.endWrites)
 		if w.finish(err) {
 			return
 		}
@@ -120,12 +120,12 @@
 
 // frameWriter writes the first frame of a connection's queue. Only the writer goroutine uses it.
 type frameWriter struct {
-	c       *nodeConn
-	buf     []byte
-	carried []*core.Attempt // with a write in progress
-	began   time.Time       // when they were last checked and allowed to begin
-	held    []heldAttempt   // may not begin any more, and not reported to the core yet
-	written bool            // begin returned something to write
+	c         *nodeConn
+	buf       []byte
+	writing   []*core.Attempt // with a write in progress
+	checkedAt time.Time       // when they were last checked and allowed to begin
+	held      []heldAttempt   // may not begin any more, and not reported to the core yet
+	hasFrame  bool            // begin returned something to write
 }
 
 // begin encodes the frame just before the system call and begins the writes of its parts. It returns nil
@@ -135,41 +135,41 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now() // read after the lock, which may be contended
-	w.carried, w.written, w.began = nil, false, now
-	if c.dead || len(c.frames) == 0 {
+	w.writing, w.hasFrame, w.checkedAt = nil, false, now
+	if c.closed || len(c.frames) == 0 {
 		return nil
 	}
 	f := &c.frames[0]
 	if f.call != nil {
 		var held []heldAttempt
 		w.buf, f.call, held = c.encodeCall(w.buf, f.call, now)
-		w.carried = f.call
+		w.writing = f.call
 		for _, h := range held {
-			delete(c.waiting, wireID(h.attempt))
+			delete(c.pending, wireID(h.attempt))
 		}
 		w.held = append(w.held, held...)
-		c.calls = c.count()
+		c.inFlight = c.countCalls()
 	} else {
-		w.buf = append(w.buf[:0], f.text...)
+		w.buf = append(w.buf[:0], f.payload...)
 	}
-	if f.begun = len(f.call) > 0 || f.text != nil; !f.begun {
-		c.booked -= f.size
+	if f.started = len(f.call) > 0 || f.payload != nil; !f.started {
+		c.queuedBytes -= f.size
 		c.frames = c.frames[1:]
 		return nil
 	}
-	w.written, c.trying = true, true
-	c.tries++
+	w.hasFrame, c.writing = true, true
+	c.writes++
 	return w.buf
 }
 
 // abortWriteAfter aborts the writer's current system call if it has not returned after the given time. Its
 // frame must not be sent any later, and its thread may be suspended. The caller holds mu.
-func (c *nodeConn) abortWrite(after time.Duration) {
-	call := c.tries
+func (c *nodeConn) abortWriteAfter(after time.Duration) {
+	call := c.writes
 	time.AfterFunc(after, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.trying && c.tries == call && !c.dead {
+		if c.writing && c.writes == call && !c.closed {
 			c.Abort()
 		}
 	})
@@ -177,38 +177,38 @@
 
 // endWrites ends the writes of the frame's parts. If no byte was sent, the frame counts as not started:
 // its parts may be withdrawn while the socket accepts nothing.
-func (w *frameWriter) tried(out bool) {
-	for _, a := range w.carried {
+func (w *frameWriter) endWrites(out bool) {
+	for _, a := range w.writing {
 		a.EndWrite(w.c)
 	}
 	w.c.mu.Lock()
-	if w.c.trying = false; !out && len(w.c.frames) > 0 {
-		w.c.frames[0].begun = false
+	if w.c.writing = false; !out && len(w.c.frames) > 0 {
+		w.c.frames[0].started = false
 	}
 	w.c.mu.Unlock()
-	w.tellHeld()
+	w.reportHeld()
 }
 
 // reportHeld tells the core of parts that never ran.
-func (w *frameWriter) tellHeld() {
+func (w *frameWriter) reportHeld() {
 	for _, h := range w.held {
-		w.c.n.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
+		w.c.nodes.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
-		w.c.n.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt), "why", string(h.why))
+		w.c.nodes.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt), "why", string(h.reason))
 	}
 	w.held = nil
 }
 
 // finish records how the write ended, and reports whether the connection has ended.
 func (w *frameWriter) finish(err error) bool {
-	w.tellHeld()
+	w.reportHeld()
 	switch {
 	case err != nil:
-	case w.written:
-		w.c.n.count.Tries.Add(int64(len(w.carried)))
-		w.noteDelay(time.Now())
-	case w.c.ended(): // while the socket accepted nothing
+	case w.hasFrame:
+		w.c.nodes.counts.Tries.Add(int64(len(w.writing)))
+		w.recordDelay(time.Now())
+	case w.c.isClosed(): // while the socket accepted nothing
 		err = net.ErrClosed
 	default:
 		return false // the frame was withdrawn
@@ -217,23 +217,23 @@
 }
 
 // recordDelay records a call that was written late.
-func (w *frameWriter) noteDelay(now time.Time) {
-	if took := now.Sub(w.began); took >= delay.Notable && len(w.carried) > 0 {
-		w.c.n.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.carried[0]),
-			"parts", len(w.carried))
+func (w *frameWriter) recordDelay(now time.Time) {
+	if took := now.Sub(w.checkedAt); took >= delay.Notable && len(w.writing) > 0 {
+		w.c.nodes.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.writing[0]),
+			"parts", len(w.writing))
 	}
 }
 
-func (c *nodeConn) ended() bool {
+func (c *nodeConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead
+	return c.closed
 }
 
 // Abort makes sure that the connection's writer sends no further byte.
 func (c *nodeConn) Abort() {
-	lnet.Abort(c.socket)
-	c.n.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
+	lnet.Abort(c.writeConn)
+	c.nodes.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
 }
 
 // markWritten records that the frame which the writer started was sent, or never will be, and reports
@@ -241,34 +241,34 @@
 // else can tell whether the frame's parts may have run.
 func (c *nodeConn) markWritten(err error) bool {
 	c.mu.Lock()
-	if c.dead {
-		o := c.broken(err == nil)
-		torn := c.torn
-		c.torn = nil
+	if c.closed {
+		o := c.outcomeAfterClose(err == nil)
+		torn := c.interrupted
+		c.interrupted = nil
 		c.mu.Unlock()
 		for _, a := range torn {
-			c.n.post(core.Outcome{Attempt: a, Outcome: o})
+			c.nodes.post(core.Outcome{Attempt: a, Outcome: o})
 		}
 		return true
 	}
 	if err != nil {
 		if len(c.frames) > 0 {
-			c.frames[0].begun = false
+			c.frames[0].started = false
 		}
 		c.mu.Unlock()
-		c.end(err)
+		c.close(err)
 		return true
 	}
-	c.used = time.Now() // from here on the frame's parts may have run
+	c.lastUsed = time.Now() // from here on the frame's parts may have run
 	for _, a := range c.frames[0].call {
-		if id := wireID(a); c.waiting[id] == a {
-			c.written[id] = c.used
+		if id := wireID(a); c.pending[id] == a {
+			c.writtenAt[id] = c.lastUsed
 		}
-		if c.owed.IsZero() {
-			c.owed = c.used
+		if c.owedSince.IsZero() {
+			c.owedSince = c.lastUsed
 		}
 	}
-	c.booked -= c.frames[0].size
+	c.queuedBytes -= c.frames[0].size
 	c.frames = c.frames[1:]
 	c.mu.Unlock()
 	return false
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -74,7 +74,7 @@
 // coreWithNode returns a running core with one data node, whose connection's writer the test blocks.
 func coreWithNode(t *testing.T) (*core.Core, *Nodes, *pausedConn) {
 	t.Helper()
-	conf := config(t, newDiscovery(t))
+	conf := testConfig(t, newDiscovery(t))
 	var k *core.Core
 	n := NewNodes(conf, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) { k.Post(e) })
@@ -84,10 +84,10 @@
 	}
 	id := core.ServerID("a")
 	c, held := n.attach(id), newPausedConn()
-	c.c, c.socket, c.up = held, held, true
+	c.conn, c.writeConn, c.connected = held, held, true
 	go c.writeLoop(held)
 	go k.Run()
-	t.Cleanup(func() { k.Close(); _ = held.Close(); c.end(nil) })
+	t.Cleanup(func() { k.Close(); _ = held.Close(); c.close(nil) })
 	k.Post(core.Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
 	return k, n, held
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -21,7 +21,7 @@
 )
 
 // testSettings is the settings object of a small deployment: two cells of one shard each.
-const settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":2,"quantumUs":5000,
+const testSettings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":2,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
  "bounds":{"cancel":true,"secondCopies":true,"sendCap":4,"retryAfter":true,"maxRetryAfterUs":2000000,
   "peers":true,
@@ -41,8 +41,8 @@
 	seq     int
 	hosts   []host
 	waiting *lnet.Exchange
-	asked   []string
-	mute    bool // calls that wait are not answered, not even when their time is over
+	seen    []string
+	silent  bool // calls that wait are not answered, not even when their time is over
 }
 
 func newDiscovery(t *testing.T, hosts ...host) *discovery {
@@ -59,20 +59,20 @@
 }
 
 func (d *discovery) reply(x *lnet.Exchange, whole bool, hosts []host) {
-	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Whole: whole, Hosts: hosts})
+	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Complete: whole, Hosts: hosts})
 	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b})
 }
 
 func (d *discovery) serve(r *lnet.Request, x *lnet.Exchange) func() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked = append(d.asked, r.Query)
+	d.seen = append(d.seen, r.Query)
 	if r.Query == "" {
 		d.reply(x, true, d.hosts)
 		return nil
 	}
 	d.waiting = x
-	if d.mute {
+	if d.silent {
 		return nil
 	}
 	q, _ := url.ParseQuery(r.Query)
@@ -107,11 +107,11 @@
 func (d *discovery) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.asked...)
+	return append([]string(nil), d.seen...)
 }
 
 // lastQuery returns the query string of the last call.
-func (d *discovery) last() string {
+func (d *discovery) lastQuery() string {
 	all := d.queries()
 	return all[len(all)-1]
 }
@@ -121,18 +121,18 @@
 }
 
 // answerAll makes a data node answer every part.
-func ok(p standin.Part) (string, string) { return "S", "v:" + p.ID }
+func answerAll(p standin.Part) (string, string) { return "S", "v:" + p.ID }
 
 // answerNone makes a data node accept parts and answer none.
-func silent(standin.Part) (string, string) { return "", "" }
+func answerNone(standin.Part) (string, string) { return "", "" }
 
 // testConfig returns a configuration with the stand-in's address. edit holds pairs of old and new texts
 // that are replaced in the settings first.
-func config(t *testing.T, d *discovery, edit ...string) *Config {
+func testConfig(t *testing.T, d *discovery, edit ...string) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":200},"settings":%s}`, d.addr,
-		strings.NewReplacer(edit...).Replace(settings))
+		strings.NewReplacer(edit...).Replace(testSettings))
 	c, err := Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -141,7 +141,7 @@
 }
 
 // startReady starts a coordinator and waits until it is ready.
-func run(t *testing.T, c *Config) *Coordinator {
+func startReady(t *testing.T, c *Config) *Coordinator {
 	t.Helper()
 	k, err := Start(c, standin.Quiet())
 	if err != nil {
@@ -154,7 +154,7 @@
 	return k
 }
 
-var calls struct {
+var callCount struct {
 	sync.Mutex
 	n int
 }
@@ -162,10 +162,10 @@
 // post sends a query for the given shards and returns the reply.
 func post(t *testing.T, k *Coordinator, class string, shards ...int) *lnet.Reply {
 	t.Helper()
-	calls.Lock()
-	calls.n++
-	id := fmt.Sprintf("c%d", calls.n)
-	calls.Unlock()
+	callCount.Lock()
+	callCount.n++
+	id := fmt.Sprintf("c%d", callCount.n)
+	callCount.Unlock()
 	items := make([]string, len(shards))
 	for i, s := range shards {
 		items[i] = fmt.Sprintf(`{"slice":%d,"mass":%g}`, s, 1/float64(len(shards)))
@@ -176,8 +176,8 @@
 }
 
 func TestQueryIsServedFromItsParts(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	r := post(t, k, "rate-check", 1, 0)
 	id := strings.TrimSuffix(a.Parts()[0].ID, ".0")
 	want := fmt.Sprintf(`{"entire":true,"items":[{"slice":1,"body":"v:%s.1"},{"slice":0,"body":"v:%s.0"}]}`,
@@ -203,9 +203,9 @@
 // A query for an unreachable node has never run, so the next candidate is tried. Without one the client is
 // told when to retry, even for a class that must not be repeated.
 func TestWhatNeverRanIsRefused(t *testing.T) {
-	gone := standin.NewNode(t, ok)
+	gone := standin.NewNode(t, answerAll)
 	gone.Close()
-	k := run(t, config(t, newDiscovery(t, hostAt("a", gone.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", gone.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 503 || r.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d %q", r.Status, r.Header.Get("Retry-After"))
 	}
@@ -216,7 +216,7 @@
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	var n *standin.Node
 	n = standin.NewNode(t, func(standin.Part) (string, string) { n.Drop(); return "", "" })
-	k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 502 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
@@ -224,9 +224,9 @@
 
 // A part without an answer is hedged, the hedge answers, and the node of the first attempt receives its
 // cancellation.
-func TestLosingTwinIsGivenUp(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
+func TestLosingHedgeIsCancelled(t *testing.T) {
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
 	for len(a.Parts()) == 0 { // until the silent node is chosen
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
@@ -240,8 +240,8 @@
 
 // A connection carries a limited number of parts. A silent node blocks only itself.
 func TestPartsBeyondAConnectionOpenAnother(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Add(1)
@@ -260,18 +260,18 @@
 // The watch continues from the last version, and its changes take effect: nothing new goes to a node that
 // drains.
 func TestWatchAndDrain(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	k := run(t, config(t, d))
+	k := startReady(t, testConfig(t, d))
 	draining := hostAt("a", a.Addr, 0)
 	draining.Health = "terminating"
 	d.change(t, draining)
-	standin.Until(t, "the next watch", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.Until(t, "the next watch", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	if got := d.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Fatalf("%q", got)
 	}
 	// The list is queued before the next watch is sent, and queries follow it.
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
@@ -279,60 +279,60 @@
 
 // Calls that wait for a connection to come up are queued. A drain withdraws them, and they have never run.
 func TestStopTakesBackWhatIsQueued(t *testing.T) {
-	n := NewNodes(config(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
-	c := &nodeConn{n: n, node: &node{id: id}, waiting: map[string]*core.Attempt{},
-		given: map[string]time.Time{}, written: map[string]time.Time{}, wake: make(chan struct{}, 1)}
+	c := &nodeConn{nodes: n, node: &node{id: id}, pending: map[string]*core.Attempt{},
+		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1)}
 	n.nodes[id] = c.node
 	c.node.conns = []*nodeConn{c}
 	var all []*core.Attempt
 	for i := range 4 {
 		a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", i)}, Replica: id}
 		call := []*core.Attempt{a}
-		c.queue(frame{call: call, size: callSize(call)})
+		c.enqueue(frame{call: call, size: callSize(call)})
 		all = append(all, a)
 	}
-	c.frames[0].begun = true // the writer has it
+	c.frames[0].started = true // the writer has it
 	if !n.Withdraw(all[2]) || n.Withdraw(all[0]) {
 		t.Fatal("only an attempt that has not started has never run")
 	}
 	if back := n.Stop(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
 		t.Fatalf("%v", back)
 	}
-	if c.calls != len(c.waiting) {
-		t.Fatalf("%d calls are counted, %d parts are pending", c.calls, len(c.waiting))
+	if c.inFlight != len(c.pending) {
+		t.Fatalf("%d calls are counted, %d parts are pending", c.inFlight, len(c.pending))
 	}
 	// The queue still holds the call that the writer has, and the cancellation of its part.
 	if len(c.frames) != 2 || len(c.frames[0].call) != 1 || c.frames[0].call[0] != all[0] ||
-		string(c.frames[1].text[4:]) != "2q0.0" {
+		string(c.frames[1].payload[4:]) != "2q0.0" {
 		t.Fatalf("%+v", c.frames)
 	}
-	if booked := c.frames[0].size + c.frames[1].size; c.booked != booked {
-		t.Fatalf("%d bytes are counted, %d are queued", c.booked, booked)
+	if booked := c.frames[0].size + c.frames[1].size; c.queuedBytes != booked {
+		t.Fatalf("%d bytes are counted, %d are queued", c.queuedBytes, booked)
 	}
 }
 
 // After a restart the list known before it is enough to serve while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
-	a := standin.NewNode(t, ok)
+	a := standin.NewNode(t, answerAll)
 	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	c := config(t, &discovery{addr: mute.Addr})
-	c.Known = &hostList{Seq: 7, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
-	if r := post(t, run(t, c), "rate-check", 0); r.Status != 200 {
+	c := testConfig(t, &discovery{addr: mute.Addr})
+	c.Known = &hostList{Seq: 7, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
+	if r := post(t, startReady(t, c), "rate-check", 0); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 }
 
 // Where a call is work for discovery, a start continues from the list known before it. If many
 // coordinators that start together requested the full list, discovery could not deliver so many entries.
-func TestAskedListGoesOnFromTheKnownOne(t *testing.T) {
-	a := standin.NewNode(t, ok)
+func TestPolledListContinuesFromTheKnownOne(t *testing.T) {
+	a := standin.NewNode(t, answerAll)
 	for mode, first := range map[string]string{"automatic": "", "subscribe": "index=41&wait=2500"} {
 		d := newDiscovery(t, hostAt("a", a.Addr, 0))
-		c := config(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
-		c.Known = &hostList{Seq: 41, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
-		k := run(t, c)
+		c := testConfig(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
+		c.Known = &hostList{Seq: 41, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
+		k := startReady(t, c)
 		standin.Until(t, "a call", func() bool { return len(d.queries()) > 0 })
 		if got := d.queries()[0]; got != first {
 			t.Errorf("%s: the first call was %q, want %q", mode, got, first)
@@ -347,21 +347,21 @@
 // full list. Open queries are answered, and known nodes serve while the new address is silent.
 func TestReloadMovesTheWatch(t *testing.T) {
 	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	b := standin.NewNode(t, ok)
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	b := standin.NewNode(t, answerAll)
 	first := newDiscovery(t, hostAt("a", a.Addr, 0))
-	first.mute = true
-	k := run(t, config(t, first))
+	first.silent = true
+	k := startReady(t, testConfig(t, first))
 	standin.Until(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
 	begun := time.Now()
-	k.Reload(config(t, &discovery{addr: mute.Addr}))
+	k.Reload(testConfig(t, &discovery{addr: mute.Addr}))
 	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
 	calls := len(first.queries())
-	if took := time.Since(begun); took > pushed.silence()/2 { // the call in flight would last longer
+	if took := time.Since(begun); took > pushTimes.undetectedSilence()/2 { // the call in flight would last longer
 		t.Errorf("the move took %v", took)
 	}
 	close(free)
@@ -369,7 +369,7 @@
 		t.Errorf("the open request got %d", got)
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
-	k.Reload(config(t, second))
+	k.Reload(testConfig(t, second))
 	standin.Until(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
 	if got := second.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Errorf("%q", got)
@@ -384,7 +384,7 @@
 
 func TestNotReadyBeforeAnyList(t *testing.T) {
 	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	k, err := Start(config(t, &discovery{addr: mute.Addr}), standin.Quiet())
+	k, err := Start(testConfig(t, &discovery{addr: mute.Addr}), standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -398,8 +398,8 @@
 // Shutdown in order: not ready at once, but still serving on connections that stay open; everything that
 // was accepted is answered before the end.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	c, err := lnet.Dial(k.Addr(), 5*time.Second, 1<<20)
 	if err != nil {
 		t.Fatal(err)
@@ -429,7 +429,7 @@
 
 // Datagrams reach the peer that they are for. One that is too long, or from an unknown sender, is dropped.
 func TestDatagrams(t *testing.T) {
-	c := config(t, newDiscovery(t))
+	c := testConfig(t, newDiscovery(t))
 	var socks []*net.UDPConn
 	for range 3 {
 		s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
@@ -447,7 +447,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.c.Close() })
+	t.Cleanup(func() { _ = p.conn.Close() })
 	go p.read()
 	go p.write()
 	p.Tell(1, strings.Repeat("x", maxDatagram+1))
@@ -468,8 +468,8 @@
 }
 
 func TestBadRequestsAreAnswered(t *testing.T) {
-	a := standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
+	a := standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
 	id := [2]string{"X-Call-Id", "x1"}
 	key := [2]string{"Idempotency-Key", "k1"}
 	good := `{"slices":[{"slice":0,"mass":1}],"filter":"f"}`
@@ -524,10 +524,10 @@
 }
 
 // A request with the id of another client's open request is rejected, and the first request is unharmed.
-func TestOpenRequestKeepsItsName(t *testing.T) {
+func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
 	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
 	ask := func() *lnet.Reply {
 		return standin.Call(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
 			`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`)
@@ -546,7 +546,7 @@
 
 // A part with a malformed answer has failed and may have run. The connection ends at once, and the part is
 // retried on another one, possibly to the same node: any node may send malformed answers.
-func TestSpoiltAnswersEndTheConnection(t *testing.T) {
+func TestMalformedAnswersEndTheConnection(t *testing.T) {
 	frame := func(size int, rest string) string {
 		return string(binary.LittleEndian.AppendUint32(nil, uint32(size))) + rest
 	}
@@ -568,9 +568,9 @@
 			if first.CompareAndSwap(false, true) {
 				return standin.Raw, answer(p.ID)
 			}
-			return ok(p)
+			return answerAll(p)
 		})
-		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		r := post(t, k, "rate-check", 0)
 		if !strings.Contains(string(r.Body), `"body":"v:`) || n.Opened() != 2 || len(n.Parts()) != 2 {
 			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.Opened())
@@ -584,29 +584,29 @@
 
 // A connection that falls silent, for example because a path lost its state, gets no new parts. Its parts
 // in flight end as soon as the node answers on another connection, and not by a time-out each.
-func TestSilentConnectionIsLeft(t *testing.T) {
+func TestSilentConnectionIsAbandoned(t *testing.T) {
 	var answered atomic.Int32
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
 		if p.Conn == 1 && answered.Add(1) > 8 {
 			return "", ""
 		}
-		return ok(p)
+		return answerAll(p)
 	})
-	k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	for range 8 {
 		post(t, k, "rate-check", 0)
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
-	for waits, begun := true, time.Now(); waits; time.Sleep(silentLeast) {
+	for waits, begun := true, time.Now(); waits; time.Sleep(minSilence) {
 		select {
 		case got := <-held:
 			if waits = false; got != 200 {
 				t.Errorf("the request on the silent connection got %d", got)
 			}
 		default:
-			if time.Since(begun) < silentMost { // until then it may pass for a slow one
+			if time.Since(begun) < maxSilence { // until then it may pass for a slow one
 				continue
 			}
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
@@ -621,7 +621,7 @@
 
 // Bytes behind a good answer don't affect it, and the connection gets no new parts. A malformed load
 // report affects neither.
-func TestMoreThanAGoodAnswer(t *testing.T) {
+func TestBytesBehindAGoodAnswer(t *testing.T) {
 	good := func(p standin.Part, report string) string {
 		line := "5" + p.ID + " S 1 " + report + "\nv:" + p.ID
 		return string(binary.LittleEndian.AppendUint32(nil, uint32(len(line)))) + line
@@ -637,14 +637,14 @@
 		"report of words":   {func(p standin.Part) string { return good(p, "all is well") }, 1},
 	} {
 		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.Raw, c.answer(p) })
-		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		for range 2 {
 			if r := post(t, k, "exchange-post", 0); !strings.Contains(string(r.Body), `"body":"v:`) {
 				t.Errorf("%s: %d %s", name, r.Status, r.Body)
 			}
 			if c.conns > 1 {
 				standin.Until(t, "the end of the connection", func() bool {
-					return len(k.nodes.connsOf(core.ServerID("a"))) == 0
+					return len(k.nodes.connsTo(core.ServerID("a"))) == 0
 				})
 			}
 		}
@@ -658,10 +658,10 @@
 // A node that was replaced is deleted, but not before the last attempt in flight to it has ended.
 func TestReplacedNodesAreForgotten(t *testing.T) {
 	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	b := standin.NewNode(t, ok)
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	b := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1))
-	k := run(t, config(t, d))
+	k := startReady(t, testConfig(t, d))
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
@@ -685,13 +685,13 @@
 }
 
 // blockedWriter is a stream that nobody reads.
-type stuck struct{ free chan struct{} }
+type blockedWriter struct{ free chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
+func (s blockedWriter) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
 
 // A log that nobody reads must not block its callers, the core's goroutine among them.
 func TestLogNeverBlocks(t *testing.T) {
-	s := stuck{make(chan struct{})}
+	s := blockedWriter{make(chan struct{})}
 	log, flush := NewLog(s, 0)
 	for range 3 * logQueue {
 		log.Info("a line")
@@ -727,28 +727,28 @@
 // Any input is either an answer or an error.
 func FuzzParseAnswer(f *testing.F) {
 	f.Add([]byte("x.3 S 18 inflight=7,util=0.61\nvalue"))
-	c := &Config{Columns: []string{"rps", "waiting"}}
+	c := &Config{ReportColumns: []string{"rps", "waiting"}}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if a, err := parseAnswer(in); err == nil && (a.id == "" || len(c.report(a.report))%2 != 0) {
+		if a, err := parseAnswer(in); err == nil && (a.id == "" || len(c.parseReport(a.report))%2 != 0) {
 			t.Fatalf("%+v", a)
 		}
 	})
 }
 
 func TestReportIsReadByName(t *testing.T) {
-	c := &Config{Columns: []string{"rps", "waiting"}}
+	c := &Config{ReportColumns: []string{"rps", "waiting"}}
 	for in, want := range map[string]string{"queue=3,qps=7.5": "[7.5 3]", "waiting=3,x=1,rps=2": "[2 3]",
 		"-": "[]", "queue=3": "[]", "queue=3,qps=bad": "[]", "queue=-3,qps=1": "[]", "queue=NaN,qps=1": "[]"} {
-		if got := fmt.Sprint(c.report(in)); got != want {
+		if got := fmt.Sprint(c.parseReport(in)); got != want {
 			t.Errorf("%q: %s, want %s", in, got, want)
 		}
 	}
 }
 
 func TestParseConfig(t *testing.T) {
-	c := config(t, &discovery{addr: "127.0.0.1:1"})
+	c := testConfig(t, &discovery{addr: "127.0.0.1:1"})
 	if c.Module.MaxAttempts != 4 || len(c.Classes) != 2 || c.Classes[1] != "exchange-post" || c.Shards != 2 ||
-		c.Module.Classes[1].Effect != balance.Keyed || c.Zones[1] != "brno" || c.Streams != 2 ||
+		c.Module.Classes[1].Effect != balance.Keyed || c.Zones[1] != "brno" || c.StreamsPerConn != 2 ||
 		c.Module.Tick != 5000 || c.seed() != 0x8c1f30d27a5be964 || c.Module.ReportQueue != 1 {
 		t.Fatalf("%+v", c)
 	}
@@ -762,8 +762,8 @@
 		`{"listen":"a:1","discovery":"b:1","peers":["c"]}`:            "peers",
 		`{"listen":"a:1","discovery":"b:1","seed":"x","settings":{}}`: "seed",
 		`{"listen":"a:1","discovery":"b:1","settings":` +
-			strings.Replace(settings, `"sendCap":4`, `"sendCap":0`, 1) + `}`: "MaxAttempts",
-		`{"listen":"a:1","discovery":"b:1","settings":` + strings.Replace(settings, `"name":"rate-check",`, ``, 1) +
+			strings.Replace(testSettings, `"sendCap":4`, `"sendCap":0`, 1) + `}`: "MaxAttempts",
+		`{"listen":"a:1","discovery":"b:1","settings":` + strings.Replace(testSettings, `"name":"rate-check",`, ``, 1) +
 			`}`: "lanes.0.name",
 	} {
 		_, err := Parse([]byte(edited), func(string) string { return "" })
@@ -787,10 +787,10 @@
 }
 
 // counters reads the counters at the admin endpoint.
-func figures(t *testing.T, k *Coordinator) admin.Figures {
+func counters(t *testing.T, k *Coordinator) admin.Counters {
 	t.Helper()
 	r := standin.Call(t, k.Door(), "GET", "/admin/stats", nil, "")
-	var f admin.Figures
+	var f admin.Counters
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
 	}
@@ -798,15 +798,15 @@
 }
 
 // adminConfig is a test configuration with an admin endpoint.
-func door(t *testing.T, d *discovery, edit ...string) *Config {
-	c := config(t, d, edit...)
+func adminConfig(t *testing.T, d *discovery, edit ...string) *Config {
+	c := testConfig(t, d, edit...)
 	c.Operator = "127.0.0.1:0"
 	return c
 }
 
 // The counters match what clients and data nodes see: each reply counts once and in its class, each
 // attempt when it is written, and a request is open until it ends, also when its client leaves.
-func TestFiguresAreTrue(t *testing.T) {
+func TestCountersAreCorrect(t *testing.T) {
 	var mute atomic.Bool
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
 		if mute.Load() {
@@ -814,12 +814,12 @@
 		}
 		return "S", "v"
 	})
-	k := run(t, door(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, adminConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	post(t, k, "rate-check", 0)
 	post(t, k, "exchange-post", 0)
 	post(t, k, "exchange-post", 1) // no node holds the shard
 	post(t, k, "exchange-post", 7) // the shard does not exist
-	f := figures(t, k)
+	f := counters(t, k)
 	if f.OK["rate-check"] != 1 || f.OK["exchange-post"] != 1 || f.Shed["exchange-post"] != 1 ||
 		f.Errors["exchange-post"] != 1 || f.Errors["rate-check"] != 0 {
 		t.Fatalf("%+v", f)
@@ -837,17 +837,17 @@
 		time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "an open request", func() bool { return figures(t, k).Active == 1 })
+	standin.Until(t, "an open request", func() bool { return counters(t, k).Active == 1 })
 	c.Close()
-	standin.Until(t, "its end", func() bool { return figures(t, k).Active == 0 })
+	standin.Until(t, "its end", func() bool { return counters(t, k).Active == 0 })
 }
 
 // A cordoned node gets nothing new, whatever the list says, until it is uncordoned. Then it is used again.
 // One uncordon undoes two cordons.
 func TestCordonHoldsWhateverTheListSays(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	k := run(t, door(t, d))
+	k := startReady(t, adminConfig(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
 		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, id); r.Status != want {
@@ -858,14 +858,14 @@
 	call("cordon", "a", 200)
 	call("cordon", "a", 200)
 	standin.Until(t, "the counters", func() bool {
-		f := figures(t, k)
+		f := counters(t, k)
 		return f.PoolSize == 2 && f.PoolEjected == 1
 	})
 	before := len(a.Parts())
 	again := hostAt("a", a.Addr, 0)
 	again.Born = float64(time.Now().UnixMilli())
 	d.change(t, again)
-	standin.Until(t, "the change", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.Until(t, "the change", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d", r.Status)
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -11,16 +11,16 @@
 )
 
 // addedClass is an edit of the settings that adds a class.
-var added = []string{`"lanes":[`, `"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
+var addedClass = []string{`"lanes":[`, `"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
 	`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
 
 // A file that lacks a key of the running one, has it in another form, or contains impossible numbers, is
 // rejected as a whole. Parse alone would fill gaps from the environment and from defaults.
 func TestBrokenFilesAreTurnedDown(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
-	old := config(t, d)
+	old := testConfig(t, d)
 	old.raw["known"], old.raw["seed"] = map[string]any{"seq": json.Number("1")}, "ab"
-	if _, kept, err := config(t, d, added...).after(old, time.Now()); err != nil || len(kept) != 0 {
+	if _, kept, err := testConfig(t, d, addedClass...).reloadOver(old, time.Now()); err != nil || len(kept) != 0 {
 		t.Fatalf("a valid file: %v, takes a restart: %v", err, kept)
 	}
 	whole, err := json.Marshal(old.raw)
@@ -57,7 +57,7 @@
 		}
 		c, err := Parse([]byte(text), env)
 		if err == nil {
-			_, _, err = c.after(old, time.Now())
+			_, _, err = c.reloadOver(old, time.Now())
 		}
 		if err == nil {
 			t.Errorf("%s: accepted", name)
@@ -86,21 +86,21 @@
 		{keyed, unsafe, true, balance.Unsafe, true},
 		{safe, safe, false, balance.Safe, false},
 	} {
-		old := config(t, d, `"read_like"`, c.old)
-		fresh, _, err := config(t, d, `"read_like"`, c.new, `"sendCap":4`, `"sendCap":2`).after(old, now)
+		old := testConfig(t, d, `"read_like"`, c.old)
+		fresh, _, err := testConfig(t, d, `"read_like"`, c.new, `"sendCap":4`, `"sendCap":2`).reloadOver(old, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := fresh.bind(0, c.key, now)
-		if b.rules.Effect != c.want || b.key != c.sent || b.most != 2 {
+		b := fresh.rulesFor(0, c.key, now)
+		if b.rules.Effect != c.want || b.sendKey != c.sent || b.maxAttempts != 2 {
 			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, b)
 		}
 		if b.rules.Effect == balance.Keyed && b.rules.Window != 2000000 {
 			t.Errorf("%s to %s: the window is %d us", c.old, c.new, b.rules.Window)
 		}
-		later := fresh.bind(0, c.key, now.Add(bothBind))
+		later := fresh.rulesFor(0, c.key, now.Add(settingsOverlap))
 		want := fresh.Module.Classes[0].Effect
-		if later.rules.Effect != want || later.key != (want == balance.Keyed) {
+		if later.rules.Effect != want || later.sendKey != (want == balance.Keyed) {
 			t.Errorf("%s to %s, later: %+v", c.old, c.new, later)
 		}
 	}
@@ -110,24 +110,24 @@
 // requests keep their class, and an invalid file changes nothing. Both kinds of reload are counted.
 func TestReloadChangesTheSettings(t *testing.T) {
 	free := make(chan struct{})
-	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	n := standin.NewNode(t, ok)
+	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	n := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", slow.Addr, 0), hostAt("b", n.Addr, 1))
-	k := run(t, door(t, d))
+	k := startReady(t, adminConfig(t, d))
 	if r := post(t, k, "fresh", 1); r.Status != 404 {
 		t.Fatalf("a class that does not exist yet: %d", r.Status)
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
-	if err := k.Reload(door(t, d, added...)); err != nil {
+	if err := k.Reload(adminConfig(t, d, addedClass...)); err != nil {
 		t.Fatal(err)
 	}
 	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].List, ",k=") {
 		t.Fatalf("the new class got %d, its part %+v", r.Status, n.Parts()[0])
 	}
 	// removes rate-check and fresh
-	if err := k.Reload(door(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
+	if err := k.Reload(adminConfig(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
 	}
 	close(free)
@@ -142,17 +142,17 @@
 			t.Errorf("%s: %d", class, r.Status)
 		}
 	}
-	broken := door(t, d)
+	broken := adminConfig(t, d)
 	delete(broken.raw, "limits")
 	err := k.Reload(broken)
 	if err == nil {
 		t.Fatal("accepted")
 	}
-	k.Reject(err)
+	k.RejectConfig(err)
 	if r := post(t, k, "other", 1); r.Status != 200 {
 		t.Errorf("after an invalid file: %d", r.Status)
 	}
-	f := figures(t, k)
+	f := counters(t, k)
 	if f.ConfigApplied != 2 || f.ConfigRejected != 1 || f.OK["fresh"] != 1 || f.OK["rate-check"] < 1 {
 		t.Fatalf("%+v", f)
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -25,22 +25,22 @@
 )
 
 const (
-	maxDatagram = 256
-	ownSockets  = 40 // descriptors for everything except clients, nodes and operators
-	nodeShare   = 4  // one in nodeSocketShare descriptors is reserved for nodes
+	maxDatagram     = 256
+	reservedSockets = 40 // descriptors for everything except clients, nodes and operators
+	nodeSocketShare = 4  // one in nodeSocketShare descriptors is reserved for nodes
 	// minThreads is how many threads may run in parallel even where the limit on cores is lower.
-	leastThreads = 4
-	ringShare    = 8 // one in ringMemoryShare bytes of memory is for large requests that are being read
+	minThreads      = 4
+	ringMemoryShare = 8 // one in ringMemoryShare bytes of memory is for large requests that are being read
 
 	// A coordinator that shuts down keeps serving while new connections may still arrive, and beyond that
 	// while clients use it and time remains. It answers everything it has accepted well before it may be
 	// killed.
-	acceptOn   = 600 * time.Millisecond
-	serveLeast = 800 * time.Millisecond // reserved for the last requests
-	lastReply  = 300 * time.Millisecond // the same where a successor serves, as few requests arrive then
-	quietOn    = 500 * time.Millisecond // clients without a request for this long have moved on
+	acceptGrace       = 600 * time.Millisecond
+	finalReplyTime    = 800 * time.Millisecond // reserved for the last requests
+	handoverReplyTime = 300 * time.Millisecond // the same where a successor serves, as few requests arrive then
+	quietPeriod       = 500 * time.Millisecond // clients without a request for this long have moved on
 
-	firstWord = time.Second // how long a start waits for discovery before it serves with an older list
+	firstListWait = time.Second // how long a start waits for discovery before it serves with an older list
 )
 
 // ExtraFront is a further front on the same core.
@@ -66,28 +66,28 @@
 
 // Coordinator is a running coordinator.
 type Coordinator struct {
-	cfg       *Config
-	log       *slog.Logger
-	core      *core.Core
-	front     *Front
-	server    *lnet.Server
-	nodes     *Nodes
-	delays    *delay.Recorder
-	peers     *peers
-	fleet     *fleet.Fleet // nil without a fleet
-	failed    chan error   // receives, once, the reason why this process must stop serving
-	extras    []Extra
-	door      *admin.Door
-	ending    atomic.Bool
-	accepting atomic.Bool   // the fronts have been started
-	listed    chan struct{} // closed once a list is known
-	upgrade   *upgrade
-
-	mu     sync.Mutex // guards current, sharing
-	conf   *Config    // the configuration in force
-	halved bool       // another process serves in parallel
-	stop   chan struct{}
-	halted sync.Once
+	cfg          *Config
+	log          *slog.Logger
+	core         *core.Core
+	front        *Front
+	server       *lnet.Server
+	nodes        *Nodes
+	delays       *delay.Recorder
+	peers        *peers
+	fleet        *fleet.Fleet // nil without a fleet
+	failed       chan error   // receives, once, the reason why this process must stop serving
+	extras       []Extra
+	adminServer  *admin.Server
+	shuttingDown atomic.Bool
+	accepting    atomic.Bool   // the fronts have been started
+	listKnown    chan struct{} // closed once a list is known
+	upgrade      *upgrade
+
+	mu       sync.Mutex // guards current, sharing
+	current  *Config    // the configuration in force
+	sharing  bool       // another process serves in parallel
+	stop     chan struct{}
+	stopOnce sync.Once
 
 	watcher *watcher
 }
@@ -96,18 +96,18 @@
 // bounds processor time and not the number of threads that may run in parallel: with a single thread, one
 // that the system suspends would block the whole process.
 func (c *Config) ApplyLimits() {
-	runtime.GOMAXPROCS(max(leastThreads, int(c.Limits.Cores)))
+	runtime.GOMAXPROCS(max(minThreads, int(c.Limits.Cores)))
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
 }
 
 // Start starts a coordinator.
 func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
-		listed: make(chan struct{}), conf: cfg, failed: make(chan error, 1)}
-	h, beside := inherit(cfg, log)
-	most := budgetOf(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
-	budget := lnet.NewBudget(most, most/nodeShare)
-	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringShare)
+		listKnown: make(chan struct{}), current: cfg, failed: make(chan error, 1)}
+	h, beside := requestSockets(cfg, log)
+	most := socketBudget(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
+	budget := lnet.NewBudget(most, most/nodeSocketShare)
+	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringMemoryShare)
 	post := func(e core.Event) { k.core.Post(e) }
 	counts := &core.Counts{}
 	for _, name := range cfg.Classes { // creates every counter before the first reading
@@ -123,28 +123,28 @@
 	k.front = NewFront(cfg, log, k.nodes)
 	conf := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
 		Delays: k.delays,
-		Listed: func() { close(k.listed) },
+		Listed: func() { close(k.listKnown) },
 		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
-	if cfg.PeerListen != "" && !cfg.fleetCarriesPeers() {
+	if cfg.PeerListen != "" && !cfg.fleetSharesPeerSocket() {
 		if k.peers, err = listenPeers(cfg, log, post, h); err != nil {
 			return nil, err
 		}
 		conf.Peers = k.peers
 	}
 	if cfg.Fleet != nil {
-		if err = k.joinFleet(h, beside); err != nil {
+		if err = k.openFleet(h, beside); err != nil {
 			return nil, err
 		}
 		conf.Peers = k.fleet
 		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Gate = limits{k, &atomic.Pointer[ranked]{}}
+			conf.Gate = limits{k, &atomic.Pointer[classRanks]{}}
 		}
-		k.judge(&conf)
+		k.enableEvidence(&conf)
 	}
-	w := &watcher{cfg: cfg, log: log, nodes: k.nodes, post: post, on: make(chan bool, 16),
-		fetch: make(chan struct{}, 16), move: make(chan string), stop: k.stop, whole: make(chan struct{}),
-		beside: beside}
+	w := &watcher{cfg: cfg, log: log, nodes: k.nodes, post: post, watching: make(chan bool, 16),
+		fetches: make(chan struct{}, 16), moves: make(chan string), stop: k.stop, gotFullList: make(chan struct{}),
+		besideOld: beside}
 	k.watcher = w
 	if cfg.Module.Subscribe {
 		conf.Lister = w
@@ -162,57 +162,57 @@
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.Advise
+		k.server.TurnedAway, k.server.Advise = k.front.CountTurnedAway, k.core.Advise
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
-	k.upgrade = &upgrade{k: k, path: socketPath(cfg), budget: budget, all: most, heard: make(chan struct{}, 1)}
+	k.upgrade = &upgrade{k: k, socketPath: socketPath(cfg), budget: budget, fullBudget: most, acknowledged: make(chan struct{}, 1)}
 	if h != nil && h.fleet != nil {
-		k.upgrade.place = make(chan *fleet.Handover, 1)
+		k.upgrade.fleetState = make(chan *fleet.Handover, 1)
 	}
 	if h != nil {
-		k.core.Post(core.Inherited{Out: h.greeting.Out, Barred: h.greeting.Barred, Since: h.greeting.Since,
-			Memory: h.greeting.Memory, Now: h.greeting.Now})
-		k.upgrade.follow(h)
+		k.core.Post(core.Inherited{Out: h.hello.Cordons, Barred: h.hello.FleetCordons, Since: h.hello.RestoredAt,
+			Memory: h.hello.Memory, Now: h.hello.Clock})
+		k.upgrade.followPredecessor(h)
 	}
 	if cfg.Known != nil { // the list known before a restart is enough to begin with
 		w.seq = cfg.Known.Seq
 		news := k.nodes.Learn(cfg.Known.Hosts, true)
 		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
 			Heard: time.Now()})
-		k.nodes.logNews(news)
+		k.nodes.logChanges(news)
 	}
 	if k.peers != nil {
 		go k.peers.read()
 		go k.peers.write()
 	}
 	if k.fleet != nil {
-		go k.hearFleet()
+		go k.receiveFleet()
 	}
 	if cfg.Discovery != "" {
 		go w.run(!cfg.Module.Subscribe)
 	}
 	if cfg.Operator != "" { // before joining the fleet, which a start may wait for
-		if k.door, err = admin.Open(cfg.Operator, doorState{k}, log); err != nil {
+		if k.adminServer, err = admin.Listen(cfg.Operator, adminState{k}, log); err != nil {
 			log.Error("admin endpoint could not be opened: serving without it", "address", cfg.Operator, "err", err)
 		}
 	}
-	if err := k.enterFleet(); err != nil {
-		k.halt()
+	if err := k.startFleet(); err != nil {
+		k.stopAll()
 		return nil, err
 	}
 	if !beside {
-		if err := k.accept(budget); err != nil {
+		if err := k.startFronts(budget); err != nil {
 			return nil, err
 		}
 	}
-	go k.prepare(beside, budget)
-	log.Info("started", "name", cfg.Name, "listen", k.listening())
+	go k.becomeReady(beside, budget)
+	log.Info("started", "name", cfg.Name, "listen", k.listenAddrs())
 	return k, nil
 }
 
 // listenAddrs returns the addresses that clients connect to, on all fronts.
-func (k *Coordinator) listening() string {
+func (k *Coordinator) listenAddrs() string {
 	var all []string
 	if k.server != nil {
 		all = append(all, k.server.Addr())
@@ -226,7 +226,7 @@
 }
 
 // startFronts begins to serve clients on all fronts.
-func (k *Coordinator) accept(budget *lnet.Budget) error {
+func (k *Coordinator) startFronts(budget *lnet.Budget) error {
 	defer k.accepting.Store(true)
 	for _, x := range k.extras {
 		if err := x.Start(k.core, budget); err != nil {
@@ -242,9 +242,9 @@
 // becomeReady waits for the list and then reports that this process can serve. A process that starts
 // beside another one waits for discovery's full list and accepts no client before, whether or not it could
 // take over: the old process keeps serving in the meantime and has received more than is known here.
-func (k *Coordinator) prepare(beside bool, budget *lnet.Budget) {
+func (k *Coordinator) becomeReady(beside bool, budget *lnet.Budget) {
 	select {
-	case <-k.listed:
+	case <-k.listKnown:
 	case <-k.stop:
 		return
 	}
@@ -254,13 +254,13 @@
 	wait := time.Duration(0)
 	switch {
 	case beside:
-		wait = listWait
+		wait = listTimeout
 	case k.cfg.Discovery != "" && !k.cfg.Module.Subscribe:
-		wait = firstWord
+		wait = firstListWait
 	}
 	if wait > 0 {
 		select {
-		case <-k.watcher.whole:
+		case <-k.watcher.gotFullList:
 		case <-time.After(wait):
 			k.log.Warn("starting without discovery's full list", "beside", beside)
 		case <-k.stop:
@@ -268,22 +268,22 @@
 		}
 	}
 	if beside {
-		k.core.Cordoned(linkWait) // queued behind the list: once this returns, the core has taken the list in
+		k.core.Cordoned(linkTimeout) // queued behind the list: once this returns, the core has taken the list in
 	}
-	k.upgrade.ready()
-	k.front.ready.Store(!k.ending.Load()) // set before any client is accepted, which would be refused otherwise
+	k.upgrade.announceReady()
+	k.front.ready.Store(!k.shuttingDown.Load()) // set before any client is accepted, which would be refused otherwise
 	if beside {
-		if err := k.accept(budget); err != nil {
+		if err := k.startFronts(budget); err != nil {
 			k.log.Error("a front could not be started after the takeover", "err", err)
 		}
-		k.takeFleetOver()
+		k.takeOverFleet()
 	}
 }
 
 // adminSockets returns how many descriptors the admin endpoint needs.
-func (k *Coordinator) doorSockets() int { return doorNeeds(k.cfg.Operator != "") }
+func (k *Coordinator) adminSockets() int { return adminSocketCount(k.cfg.Operator != "") }
 
-func doorNeeds(open bool) int {
+func adminSocketCount(open bool) int {
 	if open {
 		return admin.Sockets
 	}
@@ -291,31 +291,33 @@
 }
 
 // socketBudget returns how many descriptors clients and nodes share.
-func budgetOf(sockets int, door bool) int { return max(32, sockets-ownSockets-doorNeeds(door)) }
+func socketBudget(sockets int, door bool) int {
+	return max(32, sockets-reservedSockets-adminSocketCount(door))
+}
 
 // MaxClients returns how many clients can be connected where the process may hold the given number of
 // descriptors.
 func ClientPlaces(sockets int, door bool) int {
-	most := budgetOf(sockets, door)
-	return most - most/nodeShare
+	most := socketBudget(sockets, door)
+	return most - most/nodeSocketShare
 }
 
 // Addr returns the address that clients connect to.
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
 // AdminAddr returns the address of the admin endpoint.
-func (k *Coordinator) Door() string { return k.door.Addr() }
+func (k *Coordinator) Door() string { return k.adminServer.Addr() }
 
 // adminState is the view of a coordinator that the admin endpoint shows.
-type doorState struct{ k *Coordinator }
+type adminState struct{ k *Coordinator }
 
 // Ready reports whether this process can serve.
-func (d doorState) Ready() bool { return d.k.front.ready.Load() && !d.k.ending.Load() }
+func (d adminState) Ready() bool { return d.k.front.ready.Load() && !d.k.shuttingDown.Load() }
 
 // Counters returns this process's counters.
-func (d doorState) Figures() admin.Figures {
+func (d adminState) Counters() admin.Counters {
 	c := d.k.core.Counts()
-	f := admin.Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
+	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
 		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
 		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
 	for name, x := range c.Classes() {
@@ -330,20 +332,20 @@
 }
 
 // Delays returns the statistics of actions that were carried out late.
-func (d doorState) Delays() any { return d.k.delays.Figures() }
+func (d adminState) Delays() any { return d.k.delays.Figures() }
 
 // Gate returns the admission controller, or nil where only the budget limits connections.
-func (d doorState) Gate() admin.Gate {
+func (d adminState) Gate() admin.Gate {
 	for _, x := range d.k.extras {
 		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
-			return gate{g.Gate()}
+			return admissionGate{g.Gate()}
 		}
 	}
 	return nil
 }
 
 // Fleet returns the view of the fleet, or nil without a fleet.
-func (d doorState) Fleet() any {
+func (d adminState) Fleet() any {
 	if d.k.fleet == nil {
 		return nil
 	}
@@ -351,7 +353,7 @@
 }
 
 // Verdicts returns the verdicts in force in the fleet, or nil without a fleet.
-func (d doorState) Verdicts() any {
+func (d adminState) Verdicts() any {
 	if d.k.fleet == nil {
 		return nil
 	}
@@ -359,9 +361,9 @@
 }
 
 // ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
-func (d doorState) Say(c admin.FleetCall, within time.Duration) (any, bool, error) {
+func (d adminState) ApplyFleetCall(c admin.FleetCall, within time.Duration) (any, bool, error) {
 	v := verdict.Verdict{Kind: verdict.Node, What: c.ID, On: c.Out, By: c.By, Reason: c.Reason,
-		Span: c.Span.Microseconds()}
+		Span: c.Duration.Microseconds()}
 	if c.Prefix.IsValid() {
 		v.Kind, v.What = verdict.Prefix, c.Prefix.Masked().String()
 		if c.Pin {
@@ -373,17 +375,17 @@
 	s, err := d.k.fleet.Say(v, within, c.Wait)
 	switch {
 	case errors.Is(err, fleet.ErrLate):
-		err = admin.ErrLate
+		err = admin.ErrTimeout
 	case errors.Is(err, fleet.ErrNothing):
 		err = admin.ErrUnknown
 	case errors.Is(err, verdict.ErrForm):
-		err = admin.ErrForm
+		err = admin.ErrTooLong
 	}
 	return s, len(s.Missing) == 0, err
 }
 
 // Overload returns what the fleet sheds as a whole, or nil without a fleet.
-func (d doorState) Overload() any {
+func (d adminState) Overload() any {
 	if d.k.fleet == nil {
 		return nil
 	}
@@ -391,7 +393,7 @@
 }
 
 // Limits returns this member's shares of the fleet's limits, or nil without a fleet.
-func (d doorState) Limits() any {
+func (d adminState) Limits() any {
 	if d.k.fleet == nil {
 		return nil
 	}
@@ -399,20 +401,20 @@
 }
 
 // admissionGate adapts an admission controller to the admin endpoint.
-type gate struct{ *lnet.Keeper }
+type admissionGate struct{ *lnet.Keeper }
 
 // Stats returns the statistics that the admin endpoint shows.
-func (g gate) Figures(n int) any { return g.Keeper.Figures(n) }
+func (g admissionGate) Stats(n int) any { return g.Keeper.Figures(n) }
 
 // Cordon cordons or uncordons a data node.
-func (d doorState) Cordon(id string, out bool, within time.Duration) error {
+func (d adminState) Cordon(id string, out bool, within time.Duration) error {
 	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
 	if known {
-		d.k.upgrade.pass(core.ServerID(id), core.Here, out)
+		d.k.upgrade.forwardCordon(core.ServerID(id), core.Here, out)
 	}
 	switch {
 	case !inTime:
-		return admin.ErrLate
+		return admin.ErrTimeout
 	case !known:
 		return admin.ErrUnknown
 	}
@@ -425,11 +427,11 @@
 // called from two goroutines at the same time.
 func (k *Coordinator) Reload(cfg *Config) error {
 	k.mu.Lock()
-	watched := k.conf.Discovery != "" // otherwise there is no watch: the range-query front runs alone
-	fresh, kept, err := cfg.after(k.conf, time.Now())
+	watched := k.current.Discovery != "" // otherwise there is no watch: the range-query front runs alone
+	fresh, kept, err := cfg.reloadOver(k.current, time.Now())
 	if err == nil {
-		k.conf = fresh
-		k.settle()
+		k.current = fresh
+		k.postSettings()
 		for _, name := range fresh.Classes {
 			k.core.Counts().Class(name)
 		}
@@ -465,26 +467,26 @@
 // postSettings sends the settings in force to the core. The caller holds mu. While two processes serve,
 // each gives a cold node half of its share: the module's limit applies to the coordinator, and both
 // processes together are one coordinator.
-func (k *Coordinator) settle() {
-	s := k.conf.Module
-	if k.halved {
+func (k *Coordinator) postSettings() {
+	s := k.current.Module
+	if k.sharing {
 		s.ColdShare /= 2
 	}
 	k.core.Post(core.Reconfigured{Settings: s})
 }
 
 // setSharing begins or ends the time in which two processes serve.
-func (k *Coordinator) halve(on bool) {
+func (k *Coordinator) setSharing(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if on != k.halved {
-		k.halved = on
-		k.settle()
+	if on != k.sharing {
+		k.sharing = on
+		k.postSettings()
 	}
 }
 
 // RejectConfig records that a configuration was rejected. The old one stays in force as a whole.
-func (k *Coordinator) Reject(err error) {
+func (k *Coordinator) RejectConfig(err error) {
 	k.core.Counts().Rejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
@@ -497,13 +499,13 @@
 	begun := time.Now()
 	handed := k.upgrade.handedOver()
 	k.log.Info("ending", "successor", handed)
-	k.ending.Store(true)
+	k.shuttingDown.Store(true)
 	if !handed { // otherwise the coordinator stays available, whichever of its processes is asked
 		k.front.ready.Store(false)
 	}
 	var ends []ender
 	if k.server != nil {
-		ends = append(ends, platformEnd{k.server})
+		ends = append(ends, platformFront{k.server})
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
@@ -514,18 +516,18 @@
 		x.Retire()
 	}
 	k.mu.Lock()
-	answerOn, endingLimit := k.conf.ending()
+	answerOn, endingLimit := k.current.shutdownTimes()
 	k.mu.Unlock()
 	idle := k.core.Finish(begun.Add(answerOn))
 	if !handed {
-		time.Sleep(acceptOn)
-		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-serveLeast; {
+		time.Sleep(acceptGrace)
+		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-finalReplyTime; {
 			used = false
 			for _, x := range ends {
-				used = used || time.Since(x.LastRequest()) < quietOn
+				used = used || time.Since(x.LastRequest()) < quietPeriod
 			}
 			if used {
-				time.Sleep(quietOn / 10)
+				time.Sleep(quietPeriod / 10)
 			}
 		}
 	}
@@ -534,7 +536,7 @@
 			k.log.Info("a successor serves: redirecting clients to it")
 			k.front.ready.Store(true)
 		}
-		k.lead(ends, begun.Add(answerOn-lastReply))
+		k.redirectClients(ends, begun.Add(answerOn-handoverReplyTime))
 	}
 	for _, x := range ends {
 		x.StopListening()
@@ -551,15 +553,15 @@
 	if !k.upgrade.handedOver() { // otherwise the successor is the fleet's member
 		k.leaveFleet(begun.Add(endingLimit))
 	}
-	k.halt()
+	k.stopAll()
 	k.log.Info("ended", "took", time.Since(begun))
 }
 
 // redirectClients moves clients to the successor: the next reply on a connection ends it. An idle
 // connection stays open until the given time, as a request may be in transit and closing would cross it.
-func (k *Coordinator) lead(ends []ender, until time.Time) {
+func (k *Coordinator) redirectClients(ends []ender, until time.Time) {
 	if k.peers != nil {
-		_ = k.peers.c.Close() // datagrams are for the successor from now on
+		_ = k.peers.conn.Close() // datagrams are for the successor from now on
 	}
 	for _, x := range ends {
 		x.StopListening()
@@ -572,7 +574,7 @@
 
 // shutdownTimes returns how long after SIGTERM everything must be answered and when the program ends. It is
 // killed 0.7 s after the longest deadline, which counts as 3 s at most.
-func (c *Config) ending() (answerOn, limit time.Duration) {
+func (c *Config) shutdownTimes() (answerOn, limit time.Duration) {
 	longest := time.Duration(0)
 	for _, x := range c.Module.Classes {
 		longest = max(longest, time.Duration(x.Deadline)*time.Microsecond)
@@ -582,10 +584,10 @@
 }
 
 // platformFront is the platform's front as a drainer. /up reports "not ready" without its help.
-type platformEnd struct{ *lnet.Server }
+type platformFront struct{ *lnet.Server }
 
 // MarkNotReady does nothing.
-func (platformEnd) Retire() {}
+func (platformFront) Retire() {}
 
 // Close ends the coordinator at once, for tests.
 func (k *Coordinator) Close() {
@@ -599,37 +601,37 @@
 			x.StopListening()
 		}
 	}
-	k.halt()
+	k.stopAll()
 }
 
 // stopAll ends the goroutines that don't belong to connections.
-func (k *Coordinator) halt() {
-	k.halted.Do(func() {
+func (k *Coordinator) stopAll() {
+	k.stopOnce.Do(func() {
 		close(k.stop)
 		k.upgrade.close()
-		if k.door != nil {
-			k.door.Close()
+		if k.adminServer != nil {
+			k.adminServer.Close()
 		}
 		k.core.Close()
 		if k.fleet != nil {
 			k.fleet.Close()
 		}
 		if k.peers != nil {
-			_ = k.peers.c.Close()
+			_ = k.peers.conn.Close()
 		}
 	})
 }
 
 // peerSocket exchanges datagrams with other coordinators.
 type peers struct {
-	cfg  *Config
-	log  *slog.Logger
-	post func(core.Event)
-	c    *net.UDPConn
-	to   []*net.UDPAddr
-	all  *net.UDPAddr
-	out  chan datagram
-	from map[string]uint32
+	cfg         *Config
+	log         *slog.Logger
+	post        func(core.Event)
+	conn        *net.UDPConn
+	addrs       []*net.UDPAddr
+	allAddr     *net.UDPAddr
+	out         chan datagram
+	peerNumbers map[string]uint32
 }
 
 type datagram struct {
@@ -637,31 +639,31 @@
 	text string
 }
 
-func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peers, error) {
-	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
+func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *receivedSockets) (*peers, error) {
+	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), peerNumbers: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		p.to = append(p.to, a)
-		p.from[a.String()] = uint32(i)
+		p.addrs = append(p.addrs, a)
+		p.peerNumbers[a.String()] = uint32(i)
 	}
 	if cfg.PeersAll != "" {
-		if p.all, err = net.ResolveUDPAddr("udp", cfg.PeersAll); err != nil {
+		if p.allAddr, err = net.ResolveUDPAddr("udp", cfg.PeersAll); err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
 	}
 	if h != nil && h.peers != nil {
-		p.c = h.peers
+		p.conn = h.peers
 		return p, nil
 	}
 	c, err := lnet.ListenPacket(cfg.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p.c = c
+	p.conn = c
 	return p, nil
 }
 
@@ -671,12 +673,12 @@
 		p.log.Error("message to a peer is empty or too long", "bytes", len(text))
 		return
 	}
-	addr := p.all
+	addr := p.allAddr
 	if to != balance.AllPeers {
-		if int64(to) >= int64(len(p.to)) || int(to) == p.cfg.Module.Number {
+		if int64(to) >= int64(len(p.addrs)) || int(to) == p.cfg.Module.Number {
 			return
 		}
-		addr = p.to[to]
+		addr = p.addrs[to]
 	}
 	if addr == nil {
 		return
@@ -689,7 +691,7 @@
 
 func (p *peers) write() {
 	for d := range p.out {
-		if _, err := p.c.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
+		if _, err := p.conn.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
 			return
 		}
 	}
@@ -698,14 +700,14 @@
 func (p *peers) read() {
 	buf := make([]byte, maxDatagram+1)
 	for {
-		n, from, err := p.c.ReadFromUDP(buf)
+		n, from, err := p.conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		who, known := p.from[from.String()]
+		who, known := p.peerNumbers[from.String()]
 		if known && int(who) == p.cfg.Module.Number {
 			continue // our own broadcast
 		}
--- a/internal/platform/signals.go
+++ b/internal/platform/signals.go
@@ -13,13 +13,13 @@
 	signal.Notify(end, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(reload, syscall.SIGHUP)
 	out := make(chan os.Signal)
-	go order(end, reload, out)
+	go orderSignals(end, reload, out)
 	return out
 }
 
 // orderSignals passes signals on, an end before a reload. Each kind has a queue of its own: any number of
 // reloads that arrive during a reload count as one, and never displace an end.
-func order(end, reload <-chan os.Signal, out chan<- os.Signal) {
+func orderSignals(end, reload <-chan os.Signal, out chan<- os.Signal) {
 	for {
 		select {
 		case s := <-end:
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -31,36 +31,36 @@
 )
 
 const (
-	linkWait     = time.Second            // for the other side's first message
-	linkTries    = 3                      // dials before a start gives up
-	linkQueue    = 64                     // messages that wait for the other side
-	shareEvery   = 100 * time.Millisecond // between looks at what the old process still holds
-	listWait     = 2 * time.Second        // for discovery's list, before a successor serves without it
-	endingSpare  = 8                      // descriptors that each process may always hold
-	leastSpare   = 4                      // for clients that are refused, in each of the two processes
-	leastSockets = 20 + leastSpare        // of each process, beside clients, nodes and operators
-	memoryPart   = 6                      // tenths of the memory limit that the heap may use
+	linkTimeout       = time.Second            // for the other side's first message
+	linkAttempts      = 3                      // dials before a start gives up
+	linkQueue         = 64                     // messages that wait for the other side
+	shareInterval     = 100 * time.Millisecond // between looks at what the old process still holds
+	listTimeout       = 2 * time.Second        // for discovery's list, before a successor serves without it
+	minOwnShare       = 8                      // descriptors that each process may always hold
+	minRefusalSockets = 4                      // for clients that are refused, in each of the two processes
+	minSockets        = 20 + minRefusalSockets // of each process, beside clients, nodes and operators
+	heapTenths        = 6                      // tenths of the memory limit that the heap may use
 )
 
 // linkMessage is one line on the link; "old" and "new" name the process that sends the field. Each side's
 // first message is its hello; the old process's hello carries the sockets as ancillary data.
-type word struct {
-	Listen  string                               `json:"listen,omitempty"`  // new: address that it wants
-	Peers   string                               `json:"peers,omitempty"`   // new: and the one for peers
-	Sockets []string                             `json:"sockets,omitempty"` // old: the sockets beside it
-	Out     map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: cordons, and since when
-	Barred  map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: fleet-wide cordons
-	Since   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: when nodes were restored
-	Memory  balance.Memory                       `json:"memory"`            // old: its module's memory
-	Now     balance.Micros                       `json:"now,omitempty"`     // old: its module's clock
-	Most    int                                  `json:"most,omitempty"`    // old: descriptors for the new
-	Ready   bool                                 `json:"ready,omitempty"`   // new: it is about to serve
-	Heard   bool                                 `json:"heard,omitempty"`   // old: acknowledges that
-	Cordon  *cordonWord                          `json:"cordon,omitempty"`  // both: an operator's call
-	Fleet   *fleet.Handover                      `json:"fleet,omitempty"`   // old: its state in the fleet
-}
-
-type cordonWord struct {
+type linkMessage struct {
+	Listen       string                               `json:"listen,omitempty"`  // new: address that it wants
+	Peers        string                               `json:"peers,omitempty"`   // new: and the one for peers
+	Sockets      []string                             `json:"sockets,omitempty"` // old: the sockets beside it
+	Cordons      map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: cordons, and since when
+	FleetCordons map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: fleet-wide cordons
+	RestoredAt   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: when nodes were restored
+	Memory       balance.Memory                       `json:"memory"`            // old: its module's memory
+	Clock        balance.Micros                       `json:"now,omitempty"`     // old: its module's clock
+	MaxSockets   int                                  `json:"most,omitempty"`    // old: descriptors for the new
+	Ready        bool                                 `json:"ready,omitempty"`   // new: it is about to serve
+	Acknowledged bool                                 `json:"heard,omitempty"`   // old: acknowledges that
+	Cordon       *cordonMessage                       `json:"cordon,omitempty"`  // both: an operator's call
+	Fleet        *fleet.Handover                      `json:"fleet,omitempty"`   // old: its state in the fleet
+}
+
+type cordonMessage struct {
 	Server balance.ReplicaID `json:"server"`
 	Out    bool              `json:"out"`
 	By     core.Author       `json:"by,omitempty"`
@@ -70,68 +70,68 @@
 // link is one end of the connection between an old process and a new one. Messages are queued until the
 // hellos are exchanged, and nobody waits for the other side.
 type link struct {
-	c    *net.UnixConn
-	in   *bufio.Reader
-	out  chan word
-	over chan struct{} // closed with the connection
-	once sync.Once
-	log  *slog.Logger
+	conn      *net.UnixConn
+	reader    *bufio.Reader
+	queue     chan linkMessage
+	closed    chan struct{} // closed with the connection
+	closeOnce sync.Once
+	log       *slog.Logger
 }
 
 func newLink(c *net.UnixConn, log *slog.Logger) *link {
-	return &link{c: c, in: bufio.NewReader(c), out: make(chan word, linkQueue), over: make(chan struct{}),
+	return &link{conn: c, reader: bufio.NewReader(c), queue: make(chan linkMessage, linkQueue), closed: make(chan struct{}),
 		log: log}
 }
 
 // close ends the link.
-func (l *link) close() { l.once.Do(func() { close(l.over); _ = l.c.Close() }) }
+func (l *link) close() { l.closeOnce.Do(func() { close(l.closed); _ = l.conn.Close() }) }
 
 // send queues a message.
-func (l *link) say(w word) {
+func (l *link) send(w linkMessage) {
 	select {
-	case l.out <- w:
+	case l.queue <- w:
 	default:
 		l.log.Error("upgrade: the other process does not read: message dropped")
 	}
 }
 
 // writeLoop writes the queued messages.
-func (l *link) talk() {
+func (l *link) writeLoop() {
 	for {
 		select {
-		case w := <-l.out:
-			if err := l.write(w); err != nil {
+		case w := <-l.queue:
+			if err := l.writeMessage(w); err != nil {
 				l.log.Warn("upgrade: a message to the other process could not be written", "err", err)
 			}
-		case <-l.over:
+		case <-l.closed:
 			return
 		}
 	}
 }
 
 // writeMessage writes a message, with the given descriptors as ancillary data.
-func (l *link) write(w word, fds ...int) error {
+func (l *link) writeMessage(w linkMessage, fds ...int) error {
 	b, err := json.Marshal(w)
 	if err != nil {
 		return err
 	}
 	b = append(b, '\n')
-	_ = l.c.SetWriteDeadline(time.Now().Add(linkWait))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 	var oob []byte
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
 	}
-	n, _, err := l.c.WriteMsgUnix(b, oob, nil)
+	n, _, err := l.conn.WriteMsgUnix(b, oob, nil)
 	if err == nil && n < len(b) {
-		_, err = l.c.Write(b[n:])
+		_, err = l.conn.Write(b[n:])
 	}
 	return err
 }
 
 // readLoop reads messages until the other side closes the link.
-func (l *link) hear(f func(word)) {
+func (l *link) readLoop(f func(linkMessage)) {
 	for {
-		w, err := l.next()
+		w, err := l.readMessage()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 				l.log.Warn("upgrade: the link to the other process failed", "err", err)
@@ -142,8 +142,8 @@
 	}
 }
 
-func (l *link) next() (w word, err error) {
-	line, err := l.in.ReadBytes('\n')
+func (l *link) readMessage() (w linkMessage, err error) {
+	line, err := l.reader.ReadBytes('\n')
 	if err != nil {
 		return w, err
 	}
@@ -161,9 +161,9 @@
 }
 
 // receivedSockets is what a new process receives from the one that it takes over from.
-type inheritance struct {
+type receivedSockets struct {
 	link     *link
-	greeting word
+	hello    linkMessage
 	listener net.Listener
 	peers    *net.UDPConn
 	fleet    *net.UDPConn
@@ -173,7 +173,7 @@
 // is one. A socket file that nobody listens on is a leftover of a process that died. A process that
 // listens but does not answer is asked again: without its hello the coordinator would forget the
 // operators' cordons.
-func inherit(cfg *Config, log *slog.Logger) (h *inheritance, there bool) {
+func requestSockets(cfg *Config, log *slog.Logger) (h *receivedSockets, there bool) {
 	path := socketPath(cfg)
 	if path == "" {
 		return nil, false
@@ -181,39 +181,39 @@
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, false
 	}
-	for range linkTries {
-		c, err := net.DialTimeout("unix", path, linkWait)
+	for range linkAttempts {
+		c, err := net.DialTimeout("unix", path, linkTimeout)
 		if err != nil {
 			log.Info("upgrade: there is no process to take over from", "err", err)
 			return nil, there
 		}
 		there = true
-		h = &inheritance{link: newLink(c.(*net.UnixConn), log)}
+		h = &receivedSockets{link: newLink(c.(*net.UnixConn), log)}
 		if err = h.receive(cfg); err == nil {
-			log.Info("upgrade: taking over", "sockets", h.greeting.Sockets, "out", len(h.greeting.Out), "most",
-				h.greeting.Most)
+			log.Info("upgrade: taking over", "sockets", h.hello.Sockets, "out", len(h.hello.Cordons), "most",
+				h.hello.MaxSockets)
 			return h, true
 		}
 		log.Warn("upgrade: the sockets were not received", "err", err)
-		h.drop()
+		h.discard()
 	}
 	log.Error("upgrade: takeover failed: starting beside the old process")
 	return nil, true
 }
 
 // receive sends this process's hello and reads the old process's hello with the sockets.
-func (h *inheritance) receive(cfg *Config) error {
-	if err := h.link.write(word{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
+func (h *receivedSockets) receive(cfg *Config) error {
+	if err := h.link.writeMessage(linkMessage{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
 		return err
 	}
-	_ = h.link.c.SetReadDeadline(time.Now().Add(linkWait))
+	_ = h.link.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	text, oob := make([]byte, 4096), make([]byte, unix.CmsgSpace(3*4))
-	n, oobn, _, _, err := h.link.c.ReadMsgUnix(text, oob)
+	n, oobn, _, _, err := h.link.conn.ReadMsgUnix(text, oob)
 	if err != nil {
 		return err
 	}
-	h.link.in = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), h.link.c))
-	files, err := received(oob[:oobn])
+	h.link.reader = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), h.link.conn))
+	files, err := receivedFiles(oob[:oobn])
 	defer func() {
 		for _, f := range files {
 			_ = f.Close()
@@ -222,25 +222,25 @@
 	if err != nil {
 		return err
 	}
-	if h.greeting, err = h.link.next(); err != nil {
+	if h.hello, err = h.link.readMessage(); err != nil {
 		return err
 	}
-	_ = h.link.c.SetReadDeadline(time.Time{})
-	if len(files) != len(h.greeting.Sockets) {
-		return fmt.Errorf("received %d sockets, expected %d", len(files), len(h.greeting.Sockets))
+	_ = h.link.conn.SetReadDeadline(time.Time{})
+	if len(files) != len(h.hello.Sockets) {
+		return fmt.Errorf("received %d sockets, expected %d", len(files), len(h.hello.Sockets))
 	}
-	for i, what := range h.greeting.Sockets {
+	for i, what := range h.hello.Sockets {
 		switch what {
 		case "listen":
 			if h.listener, err = net.FileListener(files[i]); err != nil {
 				return err
 			}
 		case "peers":
-			if h.peers, err = datagrams(files[i]); err != nil {
+			if h.peers, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		case "fleet":
-			if h.fleet, err = datagrams(files[i]); err != nil {
+			if h.fleet, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		}
@@ -252,7 +252,7 @@
 }
 
 // packetConn returns the UDP socket that a file holds.
-func datagrams(f *os.File) (*net.UDPConn, error) {
+func packetConn(f *os.File) (*net.UDPConn, error) {
 	p, err := net.FilePacketConn(f)
 	if err != nil {
 		return nil, err
@@ -266,7 +266,7 @@
 }
 
 // receivedFiles returns the files that came with a message as ancillary data.
-func received(oob []byte) (files []*os.File, err error) {
+func receivedFiles(oob []byte) (files []*os.File, err error) {
 	msgs, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, err
@@ -285,7 +285,7 @@
 }
 
 // discard closes the received sockets and the link after a takeover that failed.
-func (h *inheritance) drop() {
+func (h *receivedSockets) discard() {
 	if h.listener != nil {
 		_ = h.listener.Close()
 	}
@@ -299,60 +299,60 @@
 
 // upgrade handles the takeover from a predecessor and the handover to a successor.
 type upgrade struct {
-	k      *Coordinator
-	path   string
-	budget *lnet.Budget
-	all    int                  // descriptors for clients and nodes while there is one process
-	place  chan *fleet.Handover // receives the predecessor's state in the fleet; nil: none to take over
-	heard  chan struct{}        // receives when the predecessor knows of this process
+	k            *Coordinator
+	socketPath   string
+	budget       *lnet.Budget
+	fullBudget   int                  // descriptors for clients and nodes while there is one process
+	fleetState   chan *fleet.Handover // receives the predecessor's state in the fleet; nil: none to take over
+	acknowledged chan struct{}        // receives when the predecessor knows of this process
 
-	limiting sync.Mutex // serializes applyLimits, so that the last computed limits hold
+	limitMu sync.Mutex // serializes applyLimits, so that the last computed limits hold
 
-	mu        sync.Mutex // guards all below
-	asked     *net.UnixListener
-	old       *link // set while this process takes over
-	given     int   // descriptors that the predecessor grants to this process and its successors
-	successor *link // set while another process takes over from this one
-	mine      int   // descriptors that the successor must not use
-	serves    bool  // the successor serves
-	closed    bool
+	mu              sync.Mutex // guards all below
+	listener        *net.UnixListener
+	predecessor     *link // set while this process takes over
+	granted         int   // descriptors that the predecessor grants to this process and its successors
+	successor       *link // set while another process takes over from this one
+	ownShare        int   // descriptors that the successor must not use
+	successorServes bool  // the successor serves
+	closed          bool
 }
 
 // sharedBudget returns how many descriptors two processes may hold together for clients and nodes.
-func (u *upgrade) shared() int {
-	return max(4*endingSpare, u.k.cfg.Limits.Sockets-2*(leastSockets+u.k.doorSockets()+u.k.cfg.fleetSockets()))
+func (u *upgrade) sharedBudget() int {
+	return max(4*minOwnShare, u.k.cfg.Limits.Sockets-2*(minSockets+u.k.adminSockets()+u.k.cfg.fleetSockets()))
 }
 
 // available returns how many descriptors this process and its successor may hold together: what the
 // predecessor grants them while it exists. The caller holds mu.
-func (u *upgrade) whole() int {
-	if u.old != nil {
-		return u.given
+func (u *upgrade) available() int {
+	if u.predecessor != nil {
+		return u.granted
 	}
-	return u.shared()
+	return u.sharedBudget()
 }
 
 // applyLimits bounds this process's descriptors, depending on which other processes exist. While others
 // exist it also bounds its memory and its share of the load on cold nodes.
-func (u *upgrade) limit() {
-	u.limiting.Lock()
-	defer u.limiting.Unlock()
+func (u *upgrade) applyLimits() {
+	u.limitMu.Lock()
+	defer u.limitMu.Unlock()
 	u.mu.Lock()
-	most, alone := u.all, u.old == nil && u.successor == nil
+	most, alone := u.fullBudget, u.predecessor == nil && u.successor == nil
 	if !alone {
-		most = u.whole()
+		most = u.available()
 	}
 	if u.successor != nil {
-		most = min(most, u.mine)
+		most = min(most, u.ownShare)
 	}
 	u.mu.Unlock()
-	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.SpareMost
+	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.SpareMost
 	if !alone {
-		part, spare = part/2, leastSpare
+		part, spare = part/2, minRefusalSockets
 	}
-	u.budget.Limit(most, most/nodeShare, spare)
+	u.budget.Limit(most, most/nodeSocketShare, spare)
 	debug.SetMemoryLimit(part)
-	u.k.halve(!alone)
+	u.k.setSharing(!alone)
 }
 
 // listen creates the socket that successors connect to. It replaces an existing one, as the last process
@@ -361,15 +361,15 @@
 func (u *upgrade) listen() *net.UnixListener {
 	u.mu.Lock() // nothing is created after close
 	defer u.mu.Unlock()
-	if u.path == "" || u.closed {
+	if u.socketPath == "" || u.closed {
 		return nil
 	}
-	temp := fmt.Sprintf("%s.%d", u.path, os.Getpid())
+	temp := fmt.Sprintf("%s.%d", u.socketPath, os.Getpid())
 	_ = os.Remove(temp)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temp, Net: "unix"})
 	if err == nil {
 		l.SetUnlinkOnClose(false)
-		if err = os.Rename(temp, u.path); err != nil {
+		if err = os.Rename(temp, u.socketPath); err != nil {
 			_ = l.Close()
 		}
 	}
@@ -378,12 +378,12 @@
 		u.k.log.Info("upgrade: the socket could not be created: an upgrade will interrupt service", "err", err)
 		return nil
 	}
-	u.asked = l
+	u.listener = l
 	return l
 }
 
 // acceptSuccessors lets a successor ask for the sockets.
-func (u *upgrade) open() {
+func (u *upgrade) acceptSuccessors() {
 	l := u.listen()
 	if l == nil {
 		return
@@ -395,7 +395,7 @@
 		}
 		if err != nil { // out of descriptors, for example: a temporary failure
 			u.k.log.Warn("upgrade: a successor's connection could not be accepted", "err", err)
-			time.Sleep(shareEvery)
+			time.Sleep(shareInterval)
 			continue
 		}
 		u.handOver(newLink(c, u.k.log))
@@ -407,10 +407,10 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closed = true
-	if u.asked != nil {
-		_ = u.asked.Close()
+	if u.listener != nil {
+		_ = u.listener.Close()
 	}
-	for _, l := range []*link{u.old, u.successor} {
+	for _, l := range []*link{u.predecessor, u.successor} {
 		if l != nil {
 			l.close()
 		}
@@ -420,120 +420,122 @@
 // handOver serves one successor until either process ends.
 func (u *upgrade) handOver(l *link) {
 	defer l.close()
-	_ = l.c.SetReadDeadline(time.Now().Add(linkWait))
-	w, err := l.next()
+	_ = l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
+	w, err := l.readMessage()
 	if err != nil || w.Listen != u.k.cfg.Listen || w.Peers != u.k.cfg.PeerListen {
 		u.k.log.Warn("upgrade: the process that asks for the sockets is not a successor", "listen", w.Listen,
 			"err", err)
 		return
 	}
-	_ = l.c.SetReadDeadline(time.Time{})
-	if err := u.greet(l); err != nil {
+	_ = l.conn.SetReadDeadline(time.Time{})
+	if err := u.sendHello(l); err != nil {
 		u.k.log.Warn("upgrade: the sockets could not be sent", "err", err)
 		u.mu.Lock()
 		u.successor = nil
 		u.mu.Unlock()
-		u.limit()
+		u.applyLimits()
 		return
 	}
 	u.k.log.Info("upgrade: a successor takes over")
-	go l.talk()
-	go u.shareOut(l)
-	l.hear(func(w word) {
+	go l.writeLoop()
+	go u.shareSockets(l)
+	l.readLoop(func(w linkMessage) {
 		if w.Ready {
 			u.mu.Lock()
-			u.serves = true
+			u.successorServes = true
 			u.mu.Unlock()
 			u.k.log.Info("upgrade: the successor serves")
-			l.say(word{Heard: true})
+			l.send(linkMessage{Acknowledged: true})
 			if u.k.fleet != nil { // the successor is the fleet's member from now on
-				l.say(word{Fleet: u.k.fleet.Release()})
+				l.send(linkMessage{Fleet: u.k.fleet.Release()})
 			}
 		}
-		u.obey(w)
+		u.applyCordon(w)
 	})
 	l.close()
 	u.mu.Lock()
-	u.successor, u.serves = nil, false
+	u.successor, u.successorServes = nil, false
 	again := !u.closed
 	if again {
-		_ = u.asked.Close()
+		_ = u.listener.Close()
 	}
 	u.mu.Unlock()
 	if again { // this process is the one to ask again
 		u.k.log.Warn("upgrade: the successor is gone")
-		u.limit()
+		u.applyLimits()
 		if u.k.fleet != nil {
 			u.k.fleet.Again()
 		}
-		go u.open()
+		go u.acceptSuccessors()
 	}
 }
 
 // shareSockets gives the successor the descriptors that this process no longer holds while it shuts down,
 // and the successor's share of what the predecessor releases.
-func (u *upgrade) shareOut(l *link) {
-	tick := time.NewTicker(shareEvery)
+func (u *upgrade) shareSockets(l *link) {
+	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
 	for told := 0; ; {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return
 		case <-tick.C:
 		}
 		u.mu.Lock()
-		mine := u.whole() / 2
-		if u.k.ending.Load() {
-			mine = min(u.mine, u.budget.Used()+endingSpare)
+		mine := u.available() / 2
+		if u.k.shuttingDown.Load() {
+			mine = min(u.ownShare, u.budget.Used()+minOwnShare)
 		}
-		changed := mine != u.mine
-		u.mine = mine
-		most := u.rest()
+		changed := mine != u.ownShare
+		u.ownShare = mine
+		most := u.successorShare()
 		u.mu.Unlock()
 		if changed {
-			u.limit()
+			u.applyLimits()
 		}
 		if most != told {
 			told = most
-			l.say(word{Most: most})
+			l.send(linkMessage{MaxSockets: most})
 		}
 	}
 }
 
 // successorShare returns how many descriptors the successor may hold: those that this process neither
 // holds nor may hold. The caller holds mu.
-func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.Used())) }
+func (u *upgrade) successorShare() int {
+	return max(minOwnShare, u.available()-max(u.ownShare, u.budget.Used()))
+}
 
 // sendHello makes room for a successor and sends it the hello with the sockets. The sockets' modes don't
 // change, as both processes poll them. The successor is registered before the core is asked for the
 // cordons: otherwise a call between the two steps would reach neither. Such a call is forwarded behind the
 // hello.
-func (u *upgrade) greet(l *link) error {
+func (u *upgrade) sendHello(l *link) error {
 	u.mu.Lock()
-	u.successor, u.mine = l, u.whole()/2
-	mine := u.mine
+	u.successor, u.ownShare = l, u.available()/2
+	mine := u.ownShare
 	u.mu.Unlock()
-	u.limit()
+	u.applyLimits()
 	for u.budget.Used() > mine && u.k.server.MakeWay() {
 	}
-	said, ok := u.k.core.Cordoned(linkWait / 2)
+	said, ok := u.k.core.Cordoned(linkTimeout / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
-	most := u.rest()
+	most := u.successorShare()
 	u.mu.Unlock()
-	w := word{Out: said.Out, Barred: said.Barred, Since: said.Since, Memory: said.Memory, Now: said.Now,
-		Most: most}
+	w := linkMessage{Cordons: said.Out, FleetCordons: said.Barred, RestoredAt: said.Since, Memory: said.Memory, Clock: said.Now,
+		MaxSockets: most}
 	socks := []any{u.k.server.Listener()}
 	w.Sockets = []string{"listen"}
 	if u.k.peers != nil {
-		socks, w.Sockets = append(socks, u.k.peers.c), append(w.Sockets, "peers")
+		socks, w.Sockets = append(socks, u.k.peers.conn), append(w.Sockets, "peers")
 	}
 	if u.k.fleet != nil {
 		socks, w.Sockets = append(socks, u.k.fleet.Conn()), append(w.Sockets, "fleet")
 	}
-	return withFDs(socks, nil, func(fds []int) error { return l.write(w, fds...) })
+	return withFDs(socks, nil, func(fds []int) error { return l.writeMessage(w, fds...) })
 }
 
 // withFDs calls f with the descriptors of the given sockets.
@@ -561,39 +563,39 @@
 }
 
 // followPredecessor reads the predecessor's messages after its hello, until it is gone.
-func (u *upgrade) follow(h *inheritance) {
+func (u *upgrade) followPredecessor(h *receivedSockets) {
 	u.mu.Lock()
-	u.old, u.given = h.link, h.greeting.Most
+	u.predecessor, u.granted = h.link, h.hello.MaxSockets
 	u.mu.Unlock()
-	u.limit()
-	go h.link.talk()
+	u.applyLimits()
+	go h.link.writeLoop()
 	go func() {
-		h.link.hear(func(w word) {
-			if w.Most > 0 {
+		h.link.readLoop(func(w linkMessage) {
+			if w.MaxSockets > 0 {
 				u.mu.Lock()
-				u.given = w.Most
+				u.granted = w.MaxSockets
 				u.mu.Unlock()
-				u.limit()
+				u.applyLimits()
 			}
-			if w.Heard {
+			if w.Acknowledged {
 				select {
-				case u.heard <- struct{}{}:
+				case u.acknowledged <- struct{}{}:
 				default:
 				}
 			}
-			if w.Fleet != nil && u.place != nil {
+			if w.Fleet != nil && u.fleetState != nil {
 				select {
-				case u.place <- w.Fleet:
+				case u.fleetState <- w.Fleet:
 				default:
 				}
 			}
-			u.obey(w)
+			u.applyCordon(w)
 		})
 		h.link.close()
 		u.mu.Lock()
-		u.old = nil
+		u.predecessor = nil
 		u.mu.Unlock()
-		u.limit()
+		u.applyLimits()
 		u.k.log.Info("upgrade: the old process is gone")
 		if u.k.fleet != nil {
 			u.k.fleet.Alone()
@@ -605,25 +607,25 @@
 // upgrade socket. It returns once the predecessor has acknowledged: whoever sees this process ready may
 // stop the predecessor at once, and its shutdown depends on knowing the successor. A predecessor of an
 // older version does not acknowledge; it is waited for up to linkTimeout.
-func (u *upgrade) ready() {
+func (u *upgrade) announceReady() {
 	u.mu.Lock()
-	old := u.old
+	old := u.predecessor
 	u.mu.Unlock()
 	if old != nil {
-		old.say(word{Ready: true})
+		old.send(linkMessage{Ready: true})
 		select {
-		case <-u.heard:
-		case <-old.over:
-		case <-time.After(linkWait):
+		case <-u.acknowledged:
+		case <-old.closed:
+		case <-time.After(linkTimeout):
 			u.k.log.Warn("upgrade: the old process did not acknowledge this one in time")
 		case <-u.k.stop:
 		}
 	}
-	go u.open()
+	go u.acceptSuccessors()
 }
 
 // applyCordon applies an operator's call that the other process received.
-func (u *upgrade) obey(w word) {
+func (u *upgrade) applyCordon(w linkMessage) {
 	if c := w.Cordon; c != nil {
 		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
 		// good.
@@ -632,13 +634,13 @@
 }
 
 // forwardCordon sends an operator's call, or a fleet-wide cordon, to the other process if there is one.
-func (u *upgrade) pass(id balance.ReplicaID, by core.Author, out bool) {
+func (u *upgrade) forwardCordon(id balance.ReplicaID, by core.Author, out bool) {
 	u.mu.Lock()
-	links := [2]*link{u.old, u.successor}
+	links := [2]*link{u.predecessor, u.successor}
 	u.mu.Unlock()
 	for _, l := range links {
 		if l != nil {
-			l.say(word{Cordon: &cordonWord{Server: id, Out: out, By: by, At: time.Now().UnixMicro()}})
+			l.send(linkMessage{Cordon: &cordonMessage{Server: id, Out: out, By: by, At: time.Now().UnixMicro()}})
 		}
 	}
 }
@@ -647,5 +649,5 @@
 func (u *upgrade) handedOver() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.serves
+	return u.successorServes
 }
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -15,7 +15,7 @@
 
 // upgradeConfig prepares a configuration for an upgrade: a fixed address, and a directory where both
 // processes meet.
-func together(t *testing.T, c *Config) *Config {
+func upgradeConfig(t *testing.T, c *Config) *Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,7 +28,7 @@
 }
 
 // awaitUpgradeSocket waits until a successor can ask the process that serves.
-func askable(t *testing.T, cfg *Config) {
+func awaitUpgradeSocket(t *testing.T, cfg *Config) {
 	t.Helper()
 	standin.Until(t, "the upgrade socket", func() bool {
 		_, err := os.Lstat(socketPath(cfg))
@@ -38,7 +38,7 @@
 
 // staysOpen sends a request on an existing connection, and reports whether the connection can be used
 // again.
-func kept(t *testing.T, c *lnet.Client, name string) bool {
+func staysOpen(t *testing.T, c *lnet.Client, name string) bool {
 	t.Helper()
 	r, err := c.Do("POST", "/rate-check", "x", [][2]string{{"X-Call-Id", name}},
 		[]byte(`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
@@ -51,12 +51,12 @@
 // A new process takes over an address while clients connect: no client is refused, a connection to the old
 // process is served once more and then ended, and the operators' cordons hold in both processes.
 func TestSuccessorTakesOver(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	cfg := together(t, door(t, d))
+	cfg := upgradeConfig(t, adminConfig(t, d))
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
-	old := run(t, cfg)
-	askable(t, cfg)
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
 	say := func(k *Coordinator, name string) {
 		t.Helper()
 		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
@@ -70,7 +70,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	kept(t, c, "first")
+	staysOpen(t, c, "first")
 
 	now := *cfg
 	fresh, err := Start(&now, standin.Quiet())
@@ -84,12 +84,12 @@
 	if !old.upgrade.handedOver() {
 		t.Error("the successor is ready before the old process knows of it")
 	}
-	if fresh.peers.c.LocalAddr().String() != old.peers.c.LocalAddr().String() {
+	if fresh.peers.conn.LocalAddr().String() != old.peers.conn.LocalAddr().String() {
 		t.Error("the successor has another address for datagrams")
 	}
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the shutdown of the old process", func() bool { return old.ending.Load() })
+	standin.Until(t, "the shutdown of the old process", func() bool { return old.shuttingDown.Load() })
 	if r := standin.Call(t, old.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the old process answers %d", r.Status)
 	}
@@ -104,7 +104,7 @@
 	if n := len(a.Parts()) - before; n != 0 {
 		t.Fatalf("%d parts went to a cordoned node", n)
 	}
-	if kept(t, c, "second") {
+	if staysOpen(t, c, "second") {
 		t.Error("a connection to the old process stays open")
 	}
 	say(old, "uncordon")
@@ -115,15 +115,15 @@
 	<-ended
 
 	last := *cfg // the next one asks the process that serves now
-	if h, _ := inherit(&last, standin.Quiet()); h == nil {
+	if h, _ := requestSockets(&last, standin.Quiet()); h == nil {
 		t.Fatal("no process to take over from")
 	} else {
-		h.drop()
+		h.discard()
 	}
 	standin.Until(t, "the socket again after that successor is gone", func() bool {
-		h, _ := inherit(&last, standin.Quiet())
+		h, _ := requestSockets(&last, standin.Quiet())
 		if h != nil {
-			h.drop()
+			h.discard()
 		}
 		return h != nil
 	})
@@ -131,8 +131,8 @@
 
 // Whoever sees a successor ready may stop the old process at once. So the successor is not ready, neither
 // at the admin endpoint nor for clients, before the old process has acknowledged it.
-func TestYesWaitsUntilTheOldProcessKnows(t *testing.T) {
-	cfg := together(t, door(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+func TestReadinessWaitsForThePredecessor(t *testing.T) {
+	cfg := upgradeConfig(t, adminConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	clients, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
@@ -151,13 +151,13 @@
 			return
 		}
 		l := newLink(c, standin.Quiet())
-		if _, err := l.next(); err != nil {
+		if _, err := l.readMessage(); err != nil {
 			return
 		}
 		_ = withFD(clients, func(fd int) error {
-			return l.write(word{Sockets: []string{"listen"}, Most: 40}, fd)
+			return l.writeMessage(linkMessage{Sockets: []string{"listen"}, MaxSockets: 40}, fd)
 		})
-		if w, err := l.next(); err == nil && w.Ready {
+		if w, err := l.readMessage(); err == nil && w.Ready {
 			told <- l
 		}
 	}()
@@ -177,7 +177,7 @@
 	if fresh.accepting.Load() {
 		t.Error("clients are accepted, and would be refused")
 	}
-	if err := l.write(word{Heard: true}); err != nil {
+	if err := l.writeMessage(linkMessage{Acknowledged: true}); err != nil {
 		t.Fatal(err)
 	}
 	standin.Until(t, "the successor's readiness", func() bool {
@@ -190,33 +190,33 @@
 
 // SIGTERM may come before the successor serves. Once it does, the old process redirects its clients.
 func TestSuccessorServesWhileTheOldProcessEnds(t *testing.T) {
-	n := standin.NewNode(t, ok)
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
-	old := run(t, cfg)
-	askable(t, cfg)
+	n := standin.NewNode(t, answerAll)
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
 	now := *cfg
-	h, _ := inherit(&now, standin.Quiet())
+	h, _ := requestSockets(&now, standin.Quiet())
 	if h == nil {
 		t.Fatal("nothing to take over")
 	}
-	defer h.drop()
-	go h.link.talk()
+	defer h.discard()
+	go h.link.writeLoop()
 	c, err := lnet.Dial(cfg.Listen, time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	kept(t, c, "before")
+	staysOpen(t, c, "before")
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
 	standin.Until(t, "the shutdown to begin", func() bool { return !old.front.ready.Load() })
-	if !kept(t, c, "sigterm") {
+	if !staysOpen(t, c, "sigterm") {
 		t.Error("a connection is ended while no other process serves")
 	}
-	h.link.say(word{Ready: true})
+	h.link.send(linkMessage{Ready: true})
 	standin.Until(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
 	standin.Until(t, "the clients to be redirected", func() bool {
-		return old.server.Open() == 0 || !kept(t, c, "then")
+		return old.server.Open() == 0 || !staysOpen(t, c, "then")
 	})
 	<-ended
 }
@@ -224,11 +224,11 @@
 // Descriptors are shared: two processes together never hold more than one may. The new process gets what
 // the old one releases, and everything once it is alone.
 func TestDescriptorsAreSharedOut(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
-	old := run(t, cfg)
-	askable(t, cfg)
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
 	u := old.upgrade
-	whole := u.all
+	whole := u.fullBudget
 	now := *cfg
 	fresh, err := Start(&now, standin.Quiet())
 	if err != nil {
@@ -236,7 +236,7 @@
 	}
 	t.Cleanup(fresh.Close)
 	standin.Until(t, "the old process to know of it", u.handedOver)
-	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*leastSockets; sum > cfg.Limits.Sockets {
+	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
@@ -246,9 +246,9 @@
 // A process may be taken over from while its own predecessor still shuts down. The three share what one
 // may hold, and the end of the first does not let the second use everything.
 func TestThreeProcessesShareDescriptors(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
-	first := run(t, cfg)
-	askable(t, cfg)
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+	first := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
 	follow := func(before *Coordinator) *Coordinator {
 		t.Helper()
 		now := *cfg
@@ -270,30 +270,30 @@
 	standin.Until(t, "the second one's upgrade socket", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
-		return second.upgrade.asked != nil
+		return second.upgrade.listener != nil
 	})
 	third := follow(second)
-	if sum := all(first, second, third); sum > first.upgrade.shared() {
-		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.shared())
+	if sum := all(first, second, third); sum > first.upgrade.sharedBudget() {
+		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 	}
 	first.Shutdown()
 	standin.Until(t, "the descriptors of the first", func() bool {
-		return all(second, third) == first.upgrade.shared()
+		return all(second, third) == first.upgrade.sharedBudget()
 	})
 	for range 3 { // and it stays so
-		time.Sleep(shareEvery)
-		if sum := all(second, third); sum > first.upgrade.shared() {
-			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.shared())
+		time.Sleep(shareInterval)
+		if sum := all(second, third); sum > first.upgrade.sharedBudget() {
+			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "the full budget", func() bool { return third.upgrade.budget.Most() == third.upgrade.all })
+	standin.Until(t, "the full budget", func() bool { return third.upgrade.budget.Most() == third.upgrade.fullBudget })
 }
 
 // If there is no process to take over from, or no directory to meet in, a coordinator starts and serves
 // all the same.
-func TestNoSuccessionIsHarmless(t *testing.T) {
-	n := standin.NewNode(t, ok)
+func TestFailedTakeoverIsHarmless(t *testing.T) {
+	n := standin.NewNode(t, answerAll)
 	for name, spoil := range map[string]func(cfg *Config) error{
 		"no place": func(cfg *Config) error { cfg.TempDir = filepath.Join(cfg.TempDir, "none"); return nil },
 		"left over": func(cfg *Config) error {
@@ -326,11 +326,11 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := together(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+			cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 			if err := spoil(cfg); err != nil {
 				t.Fatal(err)
 			}
-			k := run(t, cfg)
+			k := startReady(t, cfg)
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
 				t.Fatalf("%d", r.Status)
 			}
@@ -340,8 +340,8 @@
 
 // A cordon that arrives while the hello is written is not part of it and must not be lost: it is forwarded
 // behind it.
-func TestCallDuringTheGreetingIsPassedOn(t *testing.T) {
-	k := run(t, together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0)))))
+func TestCordonDuringTheHelloIsForwarded(t *testing.T) {
+	k := startReady(t, upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0)))))
 	path := filepath.Join(t.TempDir(), "pair")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -359,16 +359,16 @@
 	old, fresh := newLink(ours, standin.Quiet()), newLink(theirs, standin.Quiet())
 	defer old.close()
 	defer fresh.close()
-	if err := k.upgrade.greet(old); err != nil {
+	if err := k.upgrade.sendHello(old); err != nil {
 		t.Fatal(err)
 	}
-	k.upgrade.pass(7, core.Here, true)
-	go old.talk()
+	k.upgrade.forwardCordon(7, core.Here, true)
+	go old.writeLoop()
 	_ = theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if w, err := fresh.next(); err != nil || w.Sockets[0] != "listen" {
+	if w, err := fresh.readMessage(); err != nil || w.Sockets[0] != "listen" {
 		t.Fatalf("%+v %v", w, err)
 	}
-	if w, err := fresh.next(); err != nil || w.Cordon == nil || w.Cordon.Server != 7 || !w.Cordon.Out {
+	if w, err := fresh.readMessage(); err != nil || w.Cordon == nil || w.Cordon.Server != 7 || !w.Cordon.Out {
 		t.Fatalf("%+v %v", w, err)
 	}
 }
@@ -376,8 +376,8 @@
 // An existing process may be too busy to answer the first request. It is asked again, as the operators'
 // cordons would be lost without its hello. A process that starts beside it waits for discovery's list, as
 // the list known from before may be outdated.
-func TestBusyProcessIsAskedAgain(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+func TestHelloToABusyProcessIsRetried(t *testing.T) {
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	cfg.Known = &hostList{Hosts: []host{hostAt("a", "127.0.0.1:1", 0), hostAt("old", "127.0.0.1:1", 0)}}
 	l, err := net.Listen("unix", socketPath(cfg))
 	if err != nil {
@@ -395,10 +395,10 @@
 			asked <- struct{}{}
 		}
 	}()
-	k := run(t, cfg)
-	standin.Until(t, "all tries", func() bool { return len(asked) == linkTries })
+	k := startReady(t, cfg)
+	standin.Until(t, "all tries", func() bool { return len(asked) == linkAttempts })
 	select {
-	case <-k.watcher.whole:
+	case <-k.watcher.gotFullList:
 	default:
 		t.Error("ready without discovery's list")
 	}
