--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -27,37 +27,37 @@
 )
 
 const (
-	toldAfter  = 6 * time.Second // stated on the operators' page on the whole fleet
-	watchRetry = 50 * time.Millisecond
-	dialMost   = time.Second
-	maxList    = 4 << 20 // bytes
+	propagationLimit = 6 * time.Second // stated on the operators' page on the whole fleet
+	watchRetry       = 50 * time.Millisecond
+	dialTimeout      = time.Second
+	maxListBytes     = 4 << 20 // bytes
 	// Where the list is pushed, an overdue call is not abandoned but joined by another one, so that an agent
 	// that recovers is heard at once and a slow one is heard as well.
-	patientLimit = time.Second // for an overdue call
-	mostCalls    = 12          // in flight in parallel; beyond that the oldest is cancelled
+	overdueLimit = time.Second // for an overdue call
+	maxCalls     = 12          // in flight in parallel; beyond that the oldest is cancelled
 )
 
 // watcher follows discovery.
 type watcher struct {
-	cfg   *Config
-	log   *slog.Logger
-	nodes *Nodes
-	post  func(core.Event)
-	on    chan bool
-	fetch chan struct{}
-	move  chan string
-	stop  chan struct{}
-	whole chan struct{} // closed once discovery has sent the full list
-	seq   int64
+	cfg         *Config
+	log         *slog.Logger
+	nodes       *Nodes
+	post        func(core.Event)
+	watching    chan bool
+	fetches     chan struct{}
+	moves       chan string
+	stop        chan struct{}
+	gotFullList chan struct{} // closed once discovery has sent the full list
+	seq         int64
 	// besideOld is set where another process of this coordinator serves, which has received more than is
 	// known here.
-	beside bool
+	besideOld bool
 }
 
 // Watch is called by the module to start or stop listening to changes.
 func (w *watcher) Watch(on bool) {
 	select {
-	case w.on <- on:
+	case w.watching <- on:
 	default:
 	}
 }
@@ -65,7 +65,7 @@
 // Fetch is called by the module to request the full list.
 func (w *watcher) Fetch() {
 	select {
-	case w.fetch <- struct{}{}:
+	case w.fetches <- struct{}{}:
 	default:
 	}
 }
@@ -73,28 +73,28 @@
 // moveTo changes discovery's address.
 func (w *watcher) moveTo(addr string) {
 	select {
-	case w.move <- addr:
+	case w.moves <- addr:
 	case <-w.stop:
 	}
 }
 
 // callTimes are the times of one kind of watch.
-type terms struct {
+type callTimes struct {
 	wait  time.Duration // how long a call asks discovery to wait for changes
 	limit time.Duration // for an answer that is due, dialling included; then the call is overdue
-	give  time.Duration // after it was due, before the call is abandoned
+	grace time.Duration // after it was due, before the call is abandoned
 }
 
 // The times where the agent on this machine receives the list by push, and where each call is work for
 // discovery, which takes up to a second. In the second case, what the answer to an abandoned call would
 // have reported counts as announced all the same.
 var (
-	pushed = terms{wait: time.Second, limit: 100 * time.Millisecond, give: patientLimit}
-	asking = terms{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond, give: 1500 * time.Millisecond}
+	pushTimes = callTimes{wait: time.Second, limit: 100 * time.Millisecond, grace: overdueLimit}
+	pollTimes = callTimes{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond, grace: 1500 * time.Millisecond}
 )
 
 // undetectedSilence returns how long a watch that has fallen silent can pass for a working one.
-func (t terms) silence() time.Duration { return t.wait + t.limit }
+func (t callTimes) undetectedSilence() time.Duration { return t.wait + t.limit }
 
 // run keeps the list up to date. Each call follows the last answer at once, so that the watch is
 // continuous. Calls run in their own goroutines: one that waits or still dials must not delay a move to
@@ -102,22 +102,22 @@
 func (w *watcher) run(watching bool) {
 	addr := w.cfg.Discovery
 	asked := !watching // by the module, which must be told of failures
-	t := pushed
+	t := pushTimes
 	if asked {
-		t = asking
+		t = pollTimes
 	}
 	// The full list is requested at the start where that is cheap. Where a call is work for discovery, a
 	// watch continues from the list known before the start: otherwise many coordinators that start together
 	// would request more entries than discovery can deliver, and none would receive changes. Version 0 is a
 	// version like any other; an empty list has no node that could be missing.
 	known := w.cfg.Known != nil && len(w.cfg.Known.Hosts) > 0
-	whole, wanted := watching || !known || w.beside, false
+	whole, wanted := watching || !known || w.besideOld, false
 	failed := 0         // consecutive calls
 	renewed := false    // after silence a polling call is repeated once at once, before it counts as failed
 	var begun time.Time // start of the last call
 	var c *lnet.Client  // idle between calls
 	var out []*watchCall
-	results := make(chan watchResult, 2*mostCalls)
+	results := make(chan watchResult, 2*maxCalls)
 	var again, overdue <-chan time.Time // back-off after a failure; time-out of the last call
 	abandon := func() {
 		for _, k := range out {
@@ -137,7 +137,7 @@
 				wait = t.wait
 				target = fmt.Sprintf("/discovery/hosts?index=%d&wait=%d", w.seq, wait.Milliseconds())
 			}
-			if len(out) == mostCalls {
+			if len(out) == maxCalls {
 				out[0].cancel()
 				out = out[1:]
 			}
@@ -145,17 +145,17 @@
 			k := &watchCall{c: c}
 			c = nil
 			out = append(out, k)
-			go k.run(addr, target, wait+t.give, results)
-			if t.limit < t.give {
+			go k.run(addr, target, wait+t.grace, results)
+			if t.limit < t.grace {
 				overdue = time.After(wait + t.limit)
 			}
 		}
 		select {
-		case watching = <-w.on:
+		case watching = <-w.watching:
 			if !watching {
 				abandon()
 			}
-		case <-w.fetch:
+		case <-w.fetches:
 			abandon()
 			whole, wanted, again = true, true, nil
 		case <-again:
@@ -166,7 +166,7 @@
 			if failed++; failed == 1 {
 				w.log.Warn("discovery did not answer in time", "address", addr)
 			}
-		case addr = <-w.move:
+		case addr = <-w.moves:
 			// The full list from the new address contains whatever a call to the old one would still bring.
 			abandon()
 			failed, whole, again = 0, true, nil
@@ -174,7 +174,7 @@
 			abandon()
 			return
 		case r := <-results:
-			i := slices.Index(out, r.of)
+			i := slices.Index(out, r.call)
 			if i < 0 { // it was abandoned
 				if r.c != nil {
 					r.c.Close()
@@ -185,7 +185,7 @@
 				out, overdue = nil, nil
 			}
 			if r.err == nil {
-				told := w.take(r.list)
+				told := w.applyList(r.list)
 				abandon()
 				c = r.c
 				if failed > 0 {
@@ -193,7 +193,7 @@
 				}
 				failed, whole, renewed, due = 0, false, false, false
 				if told {
-					w.log.Info("list taken in", "version", r.list.Seq, "whole", r.list.Whole, "entries",
+					w.log.Info("list taken in", "version", r.list.Seq, "whole", r.list.Complete, "entries",
 						len(r.list.Hosts), "asked", time.Since(begun))
 				}
 				if !told && time.Since(begun) < watchRetry {
@@ -223,23 +223,23 @@
 }
 
 // applyList passes a list on, and reports whether it changes anything.
-func (w *watcher) take(list *hostList) (told bool) {
+func (w *watcher) applyList(list *hostList) (told bool) {
 	w.seq = list.Seq
-	if !list.Whole && len(list.Hosts) == 0 {
+	if !list.Complete && len(list.Hosts) == 0 {
 		return false
 	}
 	mode := balance.Delta
-	if list.Whole {
+	if list.Complete {
 		mode = balance.Full
 	}
-	news := w.nodes.Learn(list.Hosts, list.Whole)
+	news := w.nodes.Learn(list.Hosts, list.Complete)
 	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
-	w.nodes.logNews(news)
-	if list.Whole {
+	w.nodes.logChanges(news)
+	if list.Complete {
 		select {
-		case <-w.whole:
+		case <-w.gotFullList:
 		default:
-			close(w.whole)
+			close(w.gotFullList)
 		}
 	}
 	return true
@@ -247,14 +247,14 @@
 
 // watchCall is one call to discovery.
 type watchCall struct {
-	mu   sync.Mutex // guards c, cancelled
-	c    *lnet.Client
-	over bool
+	mu        sync.Mutex // guards c, cancelled
+	c         *lnet.Client
+	cancelled bool
 }
 
 // watchResult is the result of a call, with its connection if that can be reused.
 type watchResult struct {
-	of   *watchCall
+	call *watchCall
 	list *hostList
 	c    *lnet.Client
 	err  error
@@ -264,7 +264,7 @@
 func (k *watchCall) cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.over = true
+	k.cancelled = true
 	if k.c != nil {
 		k.c.Close()
 	}
@@ -274,26 +274,26 @@
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
 	c := k.c
-	if k.over || c != nil && (err != nil || !c.Sound()) {
+	if k.cancelled || c != nil && (err != nil || !c.Sound()) {
 		if c != nil {
 			c.Close()
 		}
 		c = nil
 	}
 	k.mu.Unlock()
-	results <- watchResult{of: k, list: list, c: c, err: err}
+	results <- watchResult{call: k, list: list, c: c, err: err}
 }
 
 func (k *watchCall) call(addr, target string, limit time.Duration) (*hostList, error) {
 	until := time.Now().Add(limit)
 	if k.c == nil {
-		c, err := lnet.Dial(addr, min(limit, dialMost), maxList)
+		c, err := lnet.Dial(addr, min(limit, dialTimeout), maxListBytes)
 		if err != nil {
 			return nil, err
 		}
 		k.mu.Lock()
 		k.c = c
-		over := k.over
+		over := k.cancelled
 		k.mu.Unlock()
 		if over {
 			return nil, net.ErrClosed
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -22,20 +22,20 @@
 
 // scriptedDiscovery is a stand-in for discovery that passes each call to a function, with the connection
 // that it came on.
-type scripted struct {
+type scriptedDiscovery struct {
 	addr string
 	mu   sync.Mutex
 	seen []string
 }
 
-func newScripted(t *testing.T, f func(n int, query string, c *net.TCPConn)) *scripted {
+func newScripted(t *testing.T, f func(n int, query string, c *net.TCPConn)) *scriptedDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	d := &scripted{addr: l.Addr().String()}
+	d := &scriptedDiscovery{addr: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -61,34 +61,34 @@
 	return d
 }
 
-func (d *scripted) count() int { return len(d.queries()) }
+func (d *scriptedDiscovery) count() int { return len(d.queries()) }
 
 // queries returns the query strings of all calls so far.
-func (d *scripted) queries() []string {
+func (d *scriptedDiscovery) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.seen...)
 }
 
 // listBody returns the body of an answer.
-func list(seq int, whole bool, hosts ...host) string {
-	b, _ := json.Marshal(hostList{Seq: int64(seq), Whole: whole, Hosts: hosts})
+func listBody(seq int, whole bool, hosts ...host) string {
+	b, _ := json.Marshal(hostList{Seq: int64(seq), Complete: whole, Hosts: hosts})
 	return string(b)
 }
 
 // writeList writes a complete answer.
-func tell(c net.Conn, body string) {
+func writeList(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
 // resetConn ends a connection by a reset.
-func reset(c *net.TCPConn) {
+func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
 // expectNoParts checks that queries are answered and that no part of them goes to a node that drains.
-func getsNothing(t *testing.T, k *Coordinator, drains *standin.Node) {
+func expectNoParts(t *testing.T, k *Coordinator, drains *standin.Node) {
 	t.Helper()
 	before := len(drains.Parts())
 	for range 20 {
@@ -102,15 +102,15 @@
 }
 
 // With the chosen time limits, a change that one call misses is received before it counts as announced.
-func TestWatchHearsBeforeItCountsAsTold(t *testing.T) {
+func TestWatchTimesKeepThePropagationLimit(t *testing.T) {
 	us := func(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	for name, worst := range map[string]time.Duration{
-		"pushed, fallen silent":    pushed.silence() + pushed.limit,
-		"asked for, fallen silent": asking.silence() + asking.limit,
-		"asked for, after many":    us(balance.AskMost) + asking.limit,
+		"pushed, fallen silent":    pushTimes.undetectedSilence() + pushTimes.limit,
+		"asked for, fallen silent": pollTimes.undetectedSilence() + pollTimes.limit,
+		"asked for, after many":    us(balance.AskMost) + pollTimes.limit,
 	} {
-		if worst > toldAfter {
-			t.Errorf("%s: received after %v, announced after %v", name, worst, toldAfter)
+		if worst > propagationLimit {
+			t.Errorf("%s: received after %v, announced after %v", name, worst, propagationLimit)
 		}
 	}
 }
@@ -122,15 +122,15 @@
 	for name, end := range map[string]func(c *net.TCPConn, wrong string){
 		"silent": func(*net.TCPConn, string) {},
 		"closed": func(c *net.TCPConn, _ string) { _ = c.Close() },
-		"reset":  func(c *net.TCPConn, _ string) { reset(c) },
+		"reset":  func(c *net.TCPConn, _ string) { resetConn(c) },
 		"500": func(c *net.TCPConn, _ string) {
 			fmt.Fprint(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 		},
-		"no JSON":   func(c *net.TCPConn, _ string) { tell(c, "{") },
+		"no JSON":   func(c *net.TCPConn, _ string) { writeList(c, "{") },
 		"half head": func(c *net.TCPConn, _ string) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConte"); _ = c.Close() },
 		"without a length, and reset": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", wrong)
-			time.AfterFunc(50*time.Millisecond, func() { reset(c) }) // once its bytes are read, or the call is over
+			time.AfterFunc(50*time.Millisecond, func() { resetConn(c) }) // once its bytes are read, or the call is over
 		},
 		"without an end": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(wrong), wrong)
@@ -138,24 +138,24 @@
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+			a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 			both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 			var over atomic.Bool
 			d := newScripted(t, func(n int, query string, c *net.TCPConn) {
 				switch {
 				case n == 1:
-					tell(c, list(1, true, both...))
+					writeList(c, listBody(1, true, both...))
 				case query != "" && over.CompareAndSwap(false, true):
-					end(c, list(2, true, hostAt("wrong", a.Addr, 0)))
+					end(c, listBody(2, true, hostAt("wrong", a.Addr, 0)))
 				case query == "":
 					var indented strings.Builder
 					e := json.NewEncoder(&indented)
 					e.SetIndent("", "    ")
-					_ = e.Encode(hostList{Seq: 3, Whole: true, Hosts: both[1:]})
-					tell(c, indented.String())
+					_ = e.Encode(hostList{Seq: 3, Complete: true, Hosts: both[1:]})
+					writeList(c, indented.String())
 				}
 			})
-			k := run(t, config(t, &discovery{addr: d.addr}))
+			k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
 			standin.Until(t, "the whole list", func() bool { return k.core.Counts().Listed.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
@@ -180,7 +180,7 @@
 // Discovery is silent and then answers again. Calls continue in the meantime, so that the first one that
 // it can answer reports the changes.
 func TestWatchGoesOnAskingWhileDiscoveryIsDown(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	var mu sync.Mutex
 	down := false
@@ -188,10 +188,10 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !down && query == "" {
-			tell(c, list(n, true, both...))
+			writeList(c, listBody(n, true, both...))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}))
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
 	mu.Lock()
 	down = true
 	mu.Unlock()
@@ -206,13 +206,13 @@
 		defer d.mu.Unlock()
 		return slices.ContainsFunc(d.seen[asked:], func(q string) bool { return q != "" })
 	})
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
 // A new process knows an outdated list. Discovery's state counts from the first moment, so no client is
 // sent here before the full list has arrived, and afterwards only that list counts.
-func TestStartWaitsForDiscoverysWord(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+func TestStartWaitsForDiscovery(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	drains := []host{both[0], both[1]}
 	drains[0].Health = "terminating"
@@ -221,25 +221,25 @@
 		asked <- struct{}{}
 		if query == "" {
 			<-free
-			tell(c, list(9, true, drains...))
+			writeList(c, listBody(9, true, drains...))
 		}
 	})
-	c := config(t, &discovery{addr: d.addr})
-	c.Known = &hostList{Seq: 7, Whole: true, Hosts: both}
+	c := testConfig(t, &discovery{addr: d.addr})
+	c.Known = &hostList{Seq: 7, Complete: true, Hosts: both}
 	k, err := Start(c, standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
 	<-asked
-	<-k.listed // the old list has been taken in
+	<-k.listKnown // the old list has been taken in
 	if k.front.ready.Load() {
 		t.Fatal("ready with an old list only")
 	}
 	close(free)
 	standin.Until(t, "readiness", k.front.ready.Load)
-	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.whole; return !open })
-	getsNothing(t, k, a)
+	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.gotFullList; return !open })
+	expectNoParts(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
@@ -247,8 +247,8 @@
 
 // Where the list is polled, a call that fell silent is repeated at once, from the known version. After a
 // refusal the module decides how long to wait. Either way the change is received.
-func TestAskedWatchIsRenewedAfterSilence(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+func TestPolledWatchIsRenewedAfterSilence(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	drains := both[0]
 	drains.Health = "terminating"
@@ -256,15 +256,15 @@
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		switch n {
 		case 1:
-			tell(c, list(1, true, both...))
+			writeList(c, listBody(1, true, both...))
 		case 2: // silent
 			at <- time.Now()
 		case 3:
 			at <- time.Now()
-			tell(c, list(2, false, drains))
+			writeList(c, listBody(2, false, drains))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
 		`"membershipMode":"subscribe"`))
 	standin.Until(t, "the next call", func() bool { return d.count() >= 4 })
 	seen := d.queries()
@@ -272,51 +272,51 @@
 		t.Fatalf("%q", seen)
 	}
 	silent, anew := <-at, <-at
-	if gap := anew.Sub(silent); gap < asking.silence()-50*time.Millisecond {
+	if gap := anew.Sub(silent); gap < pollTimes.undetectedSilence()-50*time.Millisecond {
 		t.Fatalf("the call was abandoned after %v", gap)
 	}
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
 // The watch continues from a known list of any version, 0 included. Thirty coordinators that requested the
 // full list at their start kept discovery from sending any of them the changes of that time.
-func TestAskedWatchGoesOnFromAKnownList(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+func TestPolledWatchContinuesFromAKnownList(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	drains := both[0]
 	drains.Health = "terminating"
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		if n == 1 {
-			tell(c, list(1, false, drains))
+			writeList(c, listBody(1, false, drains))
 		}
 	})
-	c := config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
-	c.Known = &hostList{Seq: 0, Whole: true, Hosts: both}
-	k := run(t, c)
+	c := testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
+	c.Known = &hostList{Seq: 0, Complete: true, Hosts: both}
+	k := startReady(t, c)
 	standin.Until(t, "the next call", func() bool { return d.count() >= 2 })
 	seen := d.queries()
 	if seen[0] != "index=0&wait=2500" || seen[1] != "index=1&wait=2500" {
 		t.Fatalf("%q", seen)
 	}
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
 // An overdue call is not cancelled for the next one: whichever is answered first counts. An agent that
 // recovers only answers new calls, and a slow one answers the old ones.
 func TestOverdueCallStaysOutBesideTheNext(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	overdue := make(chan *net.TCPConn, 1)
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		switch n {
 		case 1:
-			tell(c, list(1, true, both...))
+			writeList(c, listBody(1, true, both...))
 		case 3: // the first after a silent watch
 			overdue <- c
 		case 4: // made while that one waits, and never answered
-			tell(<-overdue, list(2, true, both[1:]...))
+			writeList(<-overdue, listBody(2, true, both[1:]...))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}))
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
 	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().Listed.Load() == 1 })
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,13 +16,13 @@
 
 // File is a file that is being validated.
 type File struct {
-	name   string
-	lines  map[string]int // of keys, with the index of their table in an array of tables
-	plain  map[string][]int
-	faults []fault
+	name       string
+	lines      map[string]int // of keys, with the index of their table in an array of tables
+	plainLines map[string][]int
+	errs       []lineError
 }
 
-type fault struct {
+type lineError struct {
 	line int
 	text string
 }
@@ -39,7 +39,7 @@
 // Parse reads a text into a value. Keys without a field in the value are errors, as a misspelt key would
 // otherwise go unnoticed.
 func Parse(name, text string, into any) (*File, error) {
-	f := &File{name: name, lines: map[string]int{}, plain: map[string][]int{}}
+	f := &File{name: name, lines: map[string]int{}, plainLines: map[string][]int{}}
 	f.scan(text)
 	meta, err := toml.Decode(text, into)
 	var bad toml.ParseError
@@ -57,15 +57,15 @@
 	told := map[string]bool{}
 	for _, k := range meta.Undecoded() {
 		key := strings.Join(k, ".")
-		if told[key] || free(reflect.TypeOf(into), k) {
+		if told[key] || acceptsAnyKey(reflect.TypeOf(into), k) {
 			continue
 		}
 		told[key] = true
-		for _, line := range f.plain[key] {
-			f.faults = append(f.faults, fault{line, "unknown key " + key})
+		for _, line := range f.plainLines[key] {
+			f.errs = append(f.errs, lineError{line, "unknown key " + key})
 		}
-		if len(f.plain[key]) == 0 {
-			f.faults = append(f.faults, fault{0, "unknown key " + key})
+		if len(f.plainLines[key]) == 0 {
+			f.errs = append(f.errs, lineError{0, "unknown key " + key})
 		}
 	}
 	return f, nil
@@ -73,7 +73,7 @@
 
 // acceptsAnyKey reports whether a key is inside a table of free form. The library counts deeper keys there
 // as undecoded.
-func free(t reflect.Type, key []string) bool {
+func acceptsAnyKey(t reflect.Type, key []string) bool {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
@@ -84,7 +84,7 @@
 		for i := range t.NumField() {
 			name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
 			if len(key) > 1 && name == key[0] {
-				return free(t.Field(i).Type, key[1:])
+				return acceptsAnyKey(t.Field(i).Type, key[1:])
 			}
 		}
 	}
@@ -108,7 +108,7 @@
 			} else if parent, child, ok := cutLast(name); ok && counts[parent] > 0 { // in the last
 				table = fmt.Sprintf("%s[%d].%s", parent, counts[parent], child)
 			}
-			f.note(table, plain, i+1)
+			f.addLine(table, plain, i+1)
 			continue
 		}
 		if key, _, ok := strings.Cut(rest, "="); ok && !inside && !strings.HasPrefix(rest, "#") {
@@ -117,9 +117,9 @@
 			if table != "" {
 				at, short = table+"."+key, plain+"."+key
 			}
-			f.note(at, short, i+1)
+			f.addLine(at, short, i+1)
 		}
-		quote, depth = follow(rest, quote, depth)
+		quote, depth = trackOpen(rest, quote, depth)
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // trackOpen updates the state of strings and lists that a line leaves open.
-func follow(line, quote string, depth int) (string, int) {
+func trackOpen(line, quote string, depth int) (string, int) {
 	for i := 0; i < len(line); i++ {
 		rest := line[i:]
 		if quote != "" {
@@ -165,9 +165,9 @@
 	return quote, depth
 }
 
-func (f *File) note(at, plain string, line int) {
+func (f *File) addLine(at, plain string, line int) {
 	f.lines[at] = line
-	f.plain[plain] = append(f.plain[plain], line)
+	f.plainLines[plain] = append(f.plainLines[plain], line)
 }
 
 // Line returns the line of a key, or of the table that it belongs to, or 0 if there is neither.
@@ -187,7 +187,7 @@
 // AddError records an error at a key. A key in an array of tables contains the table's number, counted
 // from 1: server[2].name.
 func (f *File) Fault(key, format string, args ...any) {
-	f.faults = append(f.faults, fault{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
+	f.errs = append(f.errs, lineError{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
 }
 
 // Require records an error unless a condition holds.
@@ -199,12 +199,12 @@
 
 // Err returns all errors in the order of their lines.
 func (f *File) Err() error {
-	if len(f.faults) == 0 {
+	if len(f.errs) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b fault) int { return a.line - b.line })
-	list := make([]error, len(f.faults))
-	for i, x := range f.faults {
+	slices.SortStableFunc(f.errs, func(a, b lineError) int { return a.line - b.line })
+	list := make([]error, len(f.errs))
+	for i, x := range f.errs {
 		if x.line > 0 {
 			list[i] = fmt.Errorf("%s:%d: %s", f.name, x.line, x.text)
 		} else {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestFaultsBearLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	type table struct {
 		Name string `toml:"name"`
 		Size int    `toml:"size"`
