--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -66,35 +66,36 @@
 	}
 	flags := pflag.NewFlagSet(args[0], pflag.ContinueOnError)
 	flags.SetOutput(stderr)
-	verbose, files := false, 0
-	var from sources
-	var into importer.Options
-	var door admissionCall
-	members := console.FleetCommand{Stop: signals}
+	verbose, wantArgs := false, 0
+	var files sources
+	var importOpts importer.Options
+	var admission admissionCall
+	fleetCmd := console.FleetCommand{Stop: signals}
 	switch args[0] {
 	case "serve", "check":
 		flags.BoolVarP(&verbose, "verbose", "v", false, "log more")
-		flags.StringVar(&from.ranges, "promql", "", "serve range queries as this file says")
-		flags.StringVar(&from.translate, "translate", "", "serve old terminals as this file says")
-		flags.StringVar(&from.fleet, "fleet", "", "take part in the fleet that this file names")
+		flags.StringVar(&files.ranges, "promql", "", "serve range queries as this file says")
+		flags.StringVar(&files.translate, "translate", "", "serve old terminals as this file says")
+		flags.StringVar(&files.fleet, "fleet", "", "take part in the fleet that this file names")
 	case "import":
-		flags.StringVar(&into.Listen, "listen", "127.0.0.1:9090", "address that the front listens on")
-		flags.StringVar(&into.Class, "class", "", "class that requests count as")
-		flags.StringVar(&into.For, "for", importer.Ranges, "what the file is for: promql or translate")
-		files = 1
+		flags.StringVar(&importOpts.Listen, "listen", "127.0.0.1:9090", "address that the front listens on")
+		flags.StringVar(&importOpts.Class, "class", "", "class that requests count as")
+		flags.StringVar(&importOpts.For, "for", importer.Ranges, "what the file is for: promql or translate")
+		wantArgs = 1
 	case "admission":
-		flags.StringVar(&door.addr, "door", "", "address of the operators' door")
-		flags.DurationVar(&door.span, "for", 10*time.Minute, "how long a ban or a pin holds")
-		files = -1
+		flags.StringVar(&admission.addr, "door", "", "address of the operators' door")
+		flags.DurationVar(&admission.span, "for", 10*time.Minute, "how long a ban or a pin holds")
+		wantArgs = -1
 	case "fleet":
-		flags.StringVar(&members.Addr, "door", "", "address of the operators' door")
-		flags.BoolVar(&members.JSON, "json", false, "print the door's own words")
-		flags.BoolVar(&members.Watch, "watch", false, "again every second")
-		flags.DurationVar(&members.Duration, "for", 0, "how long a node is to be out; without: until it is taken back")
-		flags.DurationVar(&members.Wait, "wait", 0, "wait so long for all members that are alive")
-		flags.StringVar(&members.By, "by", env("USER"), "who says so")
-		flags.StringVar(&members.Reason, "reason", "", "why")
-		files = -1
+		flags.StringVar(&fleetCmd.Addr, "door", "", "address of the operators' door")
+		flags.BoolVar(&fleetCmd.JSON, "json", false, "print the door's own words")
+		flags.BoolVar(&fleetCmd.Watch, "watch", false, "again every second")
+		flags.DurationVar(&fleetCmd.Duration, "for", 0,
+			"how long a node is to be out; without: until it is taken back")
+		flags.DurationVar(&fleetCmd.Wait, "wait", 0, "wait so long for all members that are alive")
+		flags.StringVar(&fleetCmd.By, "by", env("USER"), "who says so")
+		flags.StringVar(&fleetCmd.Reason, "reason", "", "why")
+		wantArgs = -1
 	case "version":
 	case "help", "-h", "--help":
 		fmt.Fprint(stdout, usage)
@@ -110,19 +111,19 @@
 	}
 	switch args[0] {
 	case "admission":
-		return door.run(flags.Args(), stdout)
+		return admission.run(flags.Args(), stdout)
 	case "fleet":
-		return members.Run(flags.Args(), stdout)
+		return fleetCmd.Run(flags.Args(), stdout)
 	}
-	if flags.NArg() != files {
-		return fmt.Errorf("%w: %s takes %d arguments, not %d", errUsage, args[0], files, flags.NArg())
+	if flags.NArg() != wantArgs {
+		return fmt.Errorf("%w: %s takes %d arguments, not %d", errUsage, args[0], wantArgs, flags.NArg())
 	}
 	switch args[0] {
 	case "version":
 		fmt.Fprintln(stdout, "lapislever", version())
 		return nil
 	case "import":
-		return importFile(flags.Arg(0), into, stdout, stderr)
+		return importFile(flags.Arg(0), importOpts, stdout, stderr)
 	}
 	level := slog.LevelInfo
 	if verbose {
@@ -130,7 +131,7 @@
 	}
 	log, flush := platform.NewLog(stderr, level)
 	defer flush()
-	cfg, fronts, err := load(from, env, log)
+	cfg, fronts, err := load(files, env, log)
 	if err != nil {
 		return err
 	}
@@ -143,13 +144,13 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	ending := false
 	var failure error
 	end := func() {
 		if !ending {
 			ending = true
-			go func() { k.Shutdown(); close(ended) }()
+			go func() { k.Shutdown(); close(done) }()
 		}
 	}
 	for {
@@ -160,7 +161,7 @@
 				end()
 			case s == syscall.SIGHUP: // also during a shutdown: open requests still need changes of their nodes
 				// A file that is invalid must not affect the running configuration.
-				fresh, anew, err := load(from, env, log)
+				fresh, freshFronts, err := load(files, env, log)
 				if err == nil {
 					err = k.Reload(fresh)
 				}
@@ -170,14 +171,14 @@
 				}
 				for i, x := range fronts {
 					if old, ok := x.(*kiosk.Front); ok {
-						old.Adopt(anew[i].(*kiosk.Front))
+						old.Adopt(freshFronts[i].(*kiosk.Front))
 					}
 				}
 			}
 		case failure = <-k.Failed():
 			log.Error("ending", "err", failure)
 			end()
-		case <-ended:
+		case <-done:
 			return failure
 		}
 	}
@@ -187,38 +188,38 @@
 type sources struct{ ranges, translate, fleet string }
 
 // load reads the configuration, and the files of the fronts and the fleet if any are given.
-func load(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func load(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
 	error) {
-	cfg, fronts, err := loadFronts(from, env, log)
-	if err != nil || from.fleet == "" {
+	cfg, fronts, err := loadFronts(files, env, log)
+	if err != nil || files.fleet == "" {
 		return cfg, fronts, err
 	}
-	file, err := fleet.Load(from.fleet)
+	file, err := fleet.Load(files.fleet)
 	if err != nil {
 		return nil, nil, err
 	}
 	if err := cfg.JoinFleet(file); err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", from.fleet, err)
+		return nil, nil, fmt.Errorf("%s: %w", files.fleet, err)
 	}
 	return cfg, fronts, nil
 }
 
 // loadFronts reads the configuration, and the fronts' files if any are given.
-func loadFronts(from sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func loadFronts(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
 	error) {
 	alone := env("RELAY_CONFIG") == ""
 	switch {
-	case from.translate != "" && from.ranges != "":
+	case files.translate != "" && files.ranges != "":
 		return nil, nil, fmt.Errorf("%w: --promql and --translate do not go together", errUsage)
-	case from.translate != "" && !alone:
+	case files.translate != "" && !alone:
 		return nil, nil, fmt.Errorf("%w: --translate does not go with RELAY_CONFIG", errUsage)
-	case from.translate != "":
-		return loadTranslation(from.translate, env("RELAY_OPERATOR"), log)
-	case from.ranges == "":
+	case files.translate != "":
+		return loadTranslation(files.translate, env("RELAY_OPERATOR"), log)
+	case files.ranges == "":
 		cfg, err := platform.Load(env)
 		return cfg, nil, err
 	}
-	file, err := promql.LoadConfig(from.ranges)
+	file, err := promql.LoadConfig(files.ranges)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -236,7 +237,7 @@
 	front, err := promql.New(file, promql.Place{Classes: cfg.Classes, Settings: cfg.Module, Zones: cfg.Zones,
 		Shards: cfg.Shards, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, Alone: alone, Log: log})
 	if err != nil {
-		return nil, nil, fmt.Errorf("%s: %w", from.ranges, err)
+		return nil, nil, fmt.Errorf("%s: %w", files.ranges, err)
 	}
 	return cfg, []platform.Extra{front}, nil
 }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -103,7 +103,7 @@
 
 // serveAdmission handles a call to the admission controller. It returns false if there is none, or no such
 // call.
-func (d *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
+func (d *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
 	s, gated := d.state.(GateState)
 	if !ok || !gated || s.Gate() == nil {
@@ -116,7 +116,7 @@
 			methodNotAllowed(x, "GET")
 			return true
 		}
-		replyJSON(x, say, g.Stats(maxTopAddresses))
+		replyJSON(x, reply, g.Stats(maxTopAddresses))
 	case "/ban", "/pin", "/lift":
 		if r.Method != "POST" {
 			methodNotAllowed(x, "POST")
@@ -125,7 +125,7 @@
 		text, span, _ := strings.Cut(strings.TrimSpace(string(r.Body)), " ")
 		p, err := parsePrefix(text)
 		if err != nil {
-			say(400, "the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
+			reply(400, "the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
 			return true
 		}
 		if call == "/lift" {
@@ -133,13 +133,13 @@
 		} else {
 			t, err := time.ParseDuration(span)
 			if err != nil || t <= 0 || t > 365*24*time.Hour {
-				say(400, "the time has to be one such as 10m, of a year at most")
+				reply(400, "the time has to be one such as 10m, of a year at most")
 				return true
 			}
 			g.Hold(p, call == "/pin", t)
 		}
 		d.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
-		say(200, "done")
+		reply(200, "done")
 	default:
 		return false
 	}
@@ -147,42 +147,42 @@
 }
 
 // replyJSON replies with a value as JSON.
-func replyJSON(x *lnet.Exchange, say func(int, string), value any) {
+func replyJSON(x *lnet.Exchange, reply func(int, string), value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
-		say(500, err.Error())
+		reply(500, err.Error())
 		return
 	}
 	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b, Close: true})
 }
 
 // serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
-func (d *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
+func (d *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
 	s, ok := d.state.(FleetState)
 	if !ok || s.Fleet() == nil {
 		return false
 	}
 	method := "GET"
-	var act func()
+	var handle func()
 	switch r.Path {
 	case "/admin/fleet":
-		act = func() { replyJSON(x, say, s.Fleet()) }
+		handle = func() { replyJSON(x, reply, s.Fleet()) }
 	case "/admin/verdicts":
-		act = func() { replyJSON(x, say, s.Verdicts()) }
+		handle = func() { replyJSON(x, reply, s.Verdicts()) }
 	case "/admin/limits":
-		act = func() { replyJSON(x, say, s.Limits()) }
+		handle = func() { replyJSON(x, reply, s.Limits()) }
 	case "/admin/overload":
-		act = func() { replyJSON(x, say, s.Overload()) }
+		handle = func() { replyJSON(x, reply, s.Overload()) }
 	case "/admin/fleet/cordon", "/admin/fleet/uncordon", "/admin/fleet/ban", "/admin/fleet/pin",
 		"/admin/fleet/lift":
 		method = "POST"
-		act = func() {
+		handle = func() {
 			c, err := parseFleetCall(r)
 			if err != nil {
-				say(400, err.Error())
+				reply(400, err.Error())
 				return
 			}
-			go d.applyFleetCall(s, c, x, say)
+			go d.applyFleetCall(s, c, x, reply)
 		}
 	default:
 		return false
@@ -190,7 +190,7 @@
 	if r.Method != method {
 		methodNotAllowed(x, method)
 	} else {
-		act()
+		handle()
 	}
 	return true
 }
@@ -219,7 +219,8 @@
 		c.ID = ""
 	}
 	if len(fields) == 2 {
-		if c.Duration, err = time.ParseDuration(fields[1]); err != nil || c.Duration <= 0 || c.Duration > 365*24*time.Hour {
+		if c.Duration, err = time.ParseDuration(fields[1]); err != nil || c.Duration <= 0 ||
+			c.Duration > 365*24*time.Hour {
 			return c, errors.New("the time has to be one such as 10m, of a year at most")
 		}
 	}
@@ -236,25 +237,26 @@
 }
 
 // applyFleetCall executes a call for the whole fleet. It blocks, so it runs in a goroutine of its own.
-func (d *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange, say func(status int, text string)) {
-	shown, all, err := s.ApplyFleetCall(c, answerTimeout)
+func (d *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange,
+	reply func(status int, text string)) {
+	shown, everywhere, err := s.ApplyFleetCall(c, answerTimeout)
 	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Duration,
 		"err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		say(404, err.Error())
+		reply(404, err.Error())
 	case errors.Is(err, ErrTooLong):
-		say(400, err.Error())
+		reply(400, err.Error())
 	case err != nil:
-		say(503, err.Error())
+		reply(503, err.Error())
 	default:
 		b, err := json.Marshal(shown)
 		if err != nil {
-			say(500, err.Error())
+			reply(500, err.Error())
 			return
 		}
 		status := 200
-		if c.Wait > 0 && !all {
+		if c.Wait > 0 && !everywhere {
 			status = 202
 		}
 		x.Reply(lnet.Response{Status: status, Type: "application/json", Body: b, Close: true})
@@ -299,14 +301,14 @@
 
 // serve handles one call. Every reply ends its connection: a connection carries one call.
 func (d *Server) serve(r *lnet.Request, x *lnet.Exchange) func() {
-	say := func(status int, text string) {
+	reply := func(status int, text string) {
 		x.Reply(lnet.Response{Status: status, Body: []byte(text + "\n"), Close: true})
 	}
-	if d.serveAdmission(r, x, say) || d.serveFleet(r, x, say) {
+	if d.serveAdmission(r, x, reply) || d.serveFleet(r, x, reply) {
 		return nil
 	}
 	if s, ok := d.state.(DelayState); ok && r.Path == "/admin/delays" && r.Method == "GET" {
-		replyJSON(x, say, s.Delays())
+		replyJSON(x, reply, s.Delays())
 		return nil
 	}
 	method := "GET"
@@ -315,39 +317,39 @@
 	}
 	switch {
 	case r.Path != "/admin/health" && r.Path != "/admin/stats" && method == "GET":
-		say(404, "no such call")
+		reply(404, "no such call")
 	case r.Method != method:
 		methodNotAllowed(x, method)
 	case r.Path == "/admin/health" && d.state.Ready():
-		say(200, "serving")
+		reply(200, "serving")
 	case r.Path == "/admin/health":
-		say(503, "not serving")
+		reply(503, "not serving")
 	case r.Path == "/admin/stats":
-		replyJSON(x, say, d.state.Counters())
+		replyJSON(x, reply, d.state.Counters())
 	default:
 		id := strings.TrimSpace(string(r.Body))
 		if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t\r\n") {
-			say(400, "the body has to be one data node's id")
+			reply(400, "the body has to be one data node's id")
 			return nil
 		}
-		go d.applyCordon(id, r.Path == "/admin/cordon", say)
+		go d.applyCordon(id, r.Path == "/admin/cordon", reply)
 	}
 	return nil
 }
 
 // applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
 // of its own.
-func (d *Server) applyCordon(id string, out bool, say func(status int, text string)) {
+func (d *Server) applyCordon(id string, out bool, reply func(status int, text string)) {
 	err := d.state.Cordon(id, out, answerTimeout)
 	d.log.Info("operator's call", "node", id, "out", out, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		say(404, err.Error())
+		reply(404, err.Error())
 	case err != nil:
-		say(503, err.Error())
+		reply(503, err.Error())
 	case out:
-		say(200, "out")
+		reply(200, "out")
 	default:
-		say(200, "back")
+		reply(200, "back")
 	}
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -26,13 +26,13 @@
 
 // Call makes one call to an admin endpoint and returns the body of the answer. An answer that is not a
 // success is returned as a *StatusError.
-func Call(door, method, path, body string, header [][2]string, extra time.Duration) ([]byte, error) {
-	c, err := lnet.Dial(door, callTimeout, maxReply)
+func Call(addr, method, path, body string, header [][2]string, extra time.Duration) ([]byte, error) {
+	c, err := lnet.Dial(addr, callTimeout, maxReply)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	reply, err := c.Do(method, path, door, header, []byte(body), time.Now().Add(callTimeout+extra))
+	reply, err := c.Do(method, path, addr, header, []byte(body), time.Now().Add(callTimeout+extra))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -45,7 +45,8 @@
 	out.Reset()
 	stop := make(chan os.Signal, 1)
 	time.AfterFunc(watchInterval*3/2, func() { stop <- os.Interrupt })
-	if err := (FleetCommand{Addr: door.Addr, Watch: true, Stop: stop}).Run([]string{"members"}, &out); err != nil ||
+	if err := (FleetCommand{Addr: door.Addr, Watch: true, Stop: stop}).Run([]string{"members"},
+		&out); err != nil ||
 		strings.Count(out.String(), "NAME ") != 2 {
 		t.Fatalf("%v %s", err, out.String())
 	}
--- a/internal/console/fleet.go
+++ b/internal/console/fleet.go
@@ -56,15 +56,15 @@
 }
 
 // Run makes the call and prints its answer.
-func (f FleetCommand) Run(words []string, out io.Writer) error {
+func (f FleetCommand) Run(args []string, out io.Writer) error {
 	switch {
 	case f.Addr == "":
 		return fmt.Errorf("%w: --door is missing", ErrUsage)
-	case len(words) == 0:
+	case len(args) == 0:
 		return fmt.Errorf("%w: one of: %s", ErrUsage, callNames)
 	}
 	var show func(io.Writer) error
-	switch words[0] {
+	switch args[0] {
 	case "members":
 		show = f.members
 	case "verdicts":
@@ -74,13 +74,13 @@
 	case "overload":
 		show = f.overload
 	case "cordon", "uncordon", "ban", "pin", "lift":
-		if len(words) != 2 {
-			return fmt.Errorf("%w: %s takes one data node's id, or a prefix", ErrUsage, words[0])
+		if len(args) != 2 {
+			return fmt.Errorf("%w: %s takes one data node's id, or a prefix", ErrUsage, args[0])
 		}
-		return f.change(words[0], words[1], out)
+		return f.change(args[0], args[1], out)
 	}
-	if show == nil || len(words) != 1 {
-		return fmt.Errorf("%w: %q is no call: %s", ErrUsage, strings.Join(words, " "), callNames)
+	if show == nil || len(args) != 1 {
+		return fmt.Errorf("%w: %q is no call: %s", ErrUsage, strings.Join(args, " "), callNames)
 	}
 	for {
 		err := show(out)
@@ -109,13 +109,14 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tZONE\tSTATE\tFOR\tINCARNATION\tADDRESS")
 	for _, m := range v.Members {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.State, formatMillis(m.Since), m.Incarnation, m.Addr)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%s\n", m.Name, m.Zone, m.State, formatMillis(m.Since),
+			m.Incarnation, m.Addr)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "a crash is known within %s, one view after a cut within %s\n", formatMillis(v.Figures.Crash),
-		formatMillis(v.Figures.Settled))
+	fmt.Fprintf(out, "a crash is known within %s, one view after a cut within %s\n",
+		formatMillis(v.Figures.Crash), formatMillis(v.Figures.Settled))
 	if len(v.Figures.Differ) > 0 {
 		fmt.Fprintf(out, "other roster or limits at: %v\n", v.Figures.Differ)
 	}
@@ -205,11 +206,11 @@
 	if done, err := f.get("/admin/overload", &v, out); done || err != nil {
 		return err
 	}
-	word := "nothing is turned away for all"
+	summary := "nothing is turned away for all"
 	if v.Level > 0 {
-		word = "all below is turned away"
+		summary = "all below is turned away"
 	}
-	fmt.Fprintf(out, "level %d of 64, heard %s ago: %s\n", v.Level, formatMillis(v.Heard), word)
+	fmt.Fprintf(out, "level %d of 64, heard %s ago: %s\n", v.Level, formatMillis(v.Heard), summary)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "TURNED AWAY OF\tREQUESTS")
 	for _, name := range slices.Sorted(maps.Keys(v.Shed)) {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -196,13 +196,13 @@
 	if _, err := balance.New(c.Module, 0); err != nil { // rejects what the module itself rejects
 		return err
 	}
-	list := func(key string) []string {
+	split := func(key string) []string {
 		if flat[key] == "" {
 			return nil
 		}
 		return strings.Split(flat[key], ",")
 	}
-	c.Zones, c.ReportColumns = list("azs"), list("reporting.columns")
+	c.Zones, c.ReportColumns = split("azs"), split("reporting.columns")
 	for i := range c.Module.Classes {
 		name := flat[fmt.Sprintf("lanes.%d.name", i)]
 		if name == "" {
@@ -324,30 +324,30 @@
 // rulesFor returns the rules for a request of a class. Just after a change it is unknown which rules the
 // client followed, unless the key tells. Otherwise both apply, and the stricter rule of each kind wins.
 func (c *Config) rulesFor(class int, key bool, now time.Time) requestRules {
-	b := requestRules{rules: c.Module.Classes[class], maxAttempts: c.Module.MaxAttempts}
-	b.sendKey = b.rules.Effect == balance.Keyed
-	old := c.previousClass(class, now)
-	if old == nil {
-		return b
-	}
-	b.maxAttempts = min(b.maxAttempts, c.Previous.Module.MaxAttempts)
-	was := old.Effect == balance.Keyed
+	r := requestRules{rules: c.Module.Classes[class], maxAttempts: c.Module.MaxAttempts}
+	r.sendKey = r.rules.Effect == balance.Keyed
+	prev := c.previousClass(class, now)
+	if prev == nil {
+		return r
+	}
+	r.maxAttempts = min(r.maxAttempts, c.Previous.Module.MaxAttempts)
+	wasKeyed := prev.Effect == balance.Keyed
 	switch {
-	case b.sendKey && !was && !key: // the client followed the old rules
-		b.rules, b.sendKey = *old, false
-	case was && !b.sendKey && !key: // the client followed the new rules
+	case r.sendKey && !wasKeyed && !key: // the client followed the old rules
+		r.rules, r.sendKey = *prev, false
+	case wasKeyed && !r.sendKey && !key: // the client followed the new rules
 	default:
 		switch {
-		case was && b.sendKey:
-			b.rules.Window = min(b.rules.Window, old.Window)
-		case was:
-			b.rules.Window = old.Window
+		case wasKeyed && r.sendKey:
+			r.rules.Window = min(r.rules.Window, prev.Window)
+		case wasKeyed:
+			r.rules.Window = prev.Window
 		}
-		b.sendKey = b.sendKey || was
-		b.rules.Effect = max(b.rules.Effect, old.Effect)
-		b.rules.Deadline = max(b.rules.Deadline, old.Deadline)
+		r.sendKey = r.sendKey || wasKeyed
+		r.rules.Effect = max(r.rules.Effect, prev.Effect)
+		r.rules.Deadline = max(r.rules.Deadline, prev.Deadline)
 	}
-	return b
+	return r
 }
 
 // reloadOver merges a configuration that was read again with the running one. Fields that take a restart
@@ -357,43 +357,43 @@
 	if err := missingKey("", old.raw, c.raw); err != nil {
 		return nil, nil, err
 	}
-	fresh, was := *c, *old
-	was.Previous, fresh.raw = nil, old.raw // only the keys of the file read at the start are needed later
-	var kept []string
-	m := &fresh.Module
+	merged, previous := *c, *old
+	previous.Previous, merged.raw = nil, old.raw // only the keys of the file read at the start are needed later
+	var needRestart []string
+	m := &merged.Module
 	for _, f := range []struct {
 		name     string
 		old, new any // pointers to both
 	}{
-		{"name", &old.Name, &fresh.Name}, {"listen", &old.Listen, &fresh.Listen},
-		{"limits", &old.Limits, &fresh.Limits}, {"peer_listen", &old.PeerListen, &fresh.PeerListen},
-		{"peers", &old.Peers, &fresh.Peers}, {"peers_all", &old.PeersAll, &fresh.PeersAll},
-		{"operator", &old.Operator, &fresh.Operator}, {"azs", &old.Zones, &fresh.Zones},
+		{"name", &old.Name, &merged.Name}, {"listen", &old.Listen, &merged.Listen},
+		{"limits", &old.Limits, &merged.Limits}, {"peer_listen", &old.PeerListen, &merged.PeerListen},
+		{"peers", &old.Peers, &merged.Peers}, {"peers_all", &old.PeersAll, &merged.PeersAll},
+		{"operator", &old.Operator, &merged.Operator}, {"azs", &old.Zones, &merged.Zones},
 		{"zone", &old.Module.Zone, &m.Zone}, {"me", &old.Module.Number, &m.Number},
 		{"peersTotal", &old.Module.Peers, &m.Peers}, {"quantumUs", &old.Module.Tick, &m.Tick},
 		{"membershipMode", &old.Module.Subscribe, &m.Subscribe},
 	} {
-		is, would := reflect.ValueOf(f.old).Elem(), reflect.ValueOf(f.new).Elem()
-		if !reflect.DeepEqual(is.Interface(), would.Interface()) {
-			kept = append(kept, f.name)
-			would.Set(is)
+		running, read := reflect.ValueOf(f.old).Elem(), reflect.ValueOf(f.new).Elem()
+		if !reflect.DeepEqual(running.Interface(), read.Interface()) {
+			needRestart = append(needRestart, f.name)
+			read.Set(running)
 		}
 	}
-	fresh.Classes = slices.Clone(old.Classes)
+	merged.Classes = slices.Clone(old.Classes)
 	m.Classes = slices.Clone(old.Module.Classes)
-	for i, name := range fresh.Classes {
+	for i, name := range merged.Classes {
 		m.Classes[i].Dropped = !slices.Contains(c.Classes, name)
 	}
 	for i, name := range c.Classes {
-		if at := slices.Index(fresh.Classes, name); at >= 0 {
+		if at := slices.Index(merged.Classes, name); at >= 0 {
 			m.Classes[at] = c.Module.Classes[i]
 		} else {
-			fresh.Classes = append(fresh.Classes, name)
+			merged.Classes = append(merged.Classes, name)
 			m.Classes = append(m.Classes, c.Module.Classes[i])
 		}
 	}
-	fresh.Previous, fresh.PreviousUntil = &was, now.Add(settingsOverlap)
-	return &fresh, kept, nil
+	merged.Previous, merged.PreviousUntil = &previous, now.Add(settingsOverlap)
+	return &merged, needRestart, nil
 }
 
 // optionalOnReload are keys that a file read again may lack: those that matter only at a start, and
@@ -405,44 +405,44 @@
 // again lacks or has in another form. The items of a list need the keys that all items of the running list
 // have.
 func missingKey(path string, old, fresh any) error {
-	switch o := old.(type) {
+	switch oldObject := old.(type) {
 	case map[string]any:
-		f, ok := fresh.(map[string]any)
+		freshObject, ok := fresh.(map[string]any)
 		if !ok {
 			return fmt.Errorf("%s is not an object", path)
 		}
-		for _, k := range slices.Sorted(maps.Keys(o)) {
+		for _, k := range slices.Sorted(maps.Keys(oldObject)) {
 			at := strings.TrimPrefix(path+"."+k, ".")
 			if optionalOnReload[k] {
 				continue
 			}
-			v, ok := f[k]
+			v, ok := freshObject[k]
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := missingKey(at, o[k], v); err != nil {
+			if err := missingKey(at, oldObject[k], v); err != nil {
 				return err
 			}
 		}
 		return nil
 	case []any:
-		f, ok := fresh.([]any)
+		freshObject, ok := fresh.([]any)
 		if !ok {
 			return fmt.Errorf("%s is not a list", path)
 		}
-		if len(o) == 0 {
+		if len(oldObject) == 0 {
 			return nil
 		}
-		form := o[0]
+		form := oldObject[0]
 		if first, ok := form.(map[string]any); ok {
 			common := maps.Clone(first)
-			for _, x := range o[1:] {
+			for _, x := range oldObject[1:] {
 				m, _ := x.(map[string]any)
 				maps.DeleteFunc(common, func(k string, _ any) bool { _, ok := m[k]; return !ok })
 			}
 			form = common
 		}
-		for i, x := range f {
+		for i, x := range freshObject {
 			if err := missingKey(fmt.Sprintf("%s.%d", path, i), form, x); err != nil {
 				return err
 			}
@@ -465,21 +465,21 @@
 		return nil
 	}
 	out := make([]float32, len(c.ReportColumns))
-	lacking := len(c.ReportColumns)
+	missing := len(c.ReportColumns)
 	for _, item := range strings.Split(text, ",") {
 		name, value, _ := strings.Cut(item, "=")
 		v, err := strconv.ParseFloat(value, 32)
 		if err != nil || !(v >= 0) || math.IsInf(v, 0) {
 			return nil
 		}
-		for i, col := range c.ReportColumns {
-			if col == name || reportAliases[name] == col {
+		for i, column := range c.ReportColumns {
+			if column == name || reportAliases[name] == column {
 				out[i] = float32(v)
-				lacking--
+				missing--
 			}
 		}
 	}
-	if lacking != 0 {
+	if missing != 0 {
 		return nil
 	}
 	return out
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -44,13 +44,13 @@
 
 // openFleet opens the fleet's socket. A process that takes over from another one receives the socket from
 // it, and starts when that one stops: see takeOverFleet.
-func (k *Coordinator) openFleet(h *receivedSockets, beside bool) (err error) {
-	if h != nil && h.fleet != nil {
-		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, h.fleet)
+func (k *Coordinator) openFleet(received *receivedSockets, besideOld bool) (err error) {
+	if received != nil && received.fleet != nil {
+		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, received.fleet)
 		return err
 	}
 	for k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, nil); err != nil; {
-		if !beside {
+		if !besideOld {
 			return err
 		}
 		// The process beside this one holds the socket and could not hand it over. It ends sooner or later.
@@ -123,20 +123,20 @@
 
 // reportAttempt reports how an attempt ended to the fleet, where that is evidence about the node.
 func (k *Coordinator) reportAttempt(s core.Seen) {
-	end := verdict.Broken
+	outcome := verdict.Broken
 	switch {
 	case s.Outcome == balance.OK:
-		end = verdict.Served
+		outcome = verdict.Served
 	case s.Outcome == balance.TimedOut:
-		end = verdict.Unheard
+		outcome = verdict.Unheard
 	case s.Beaten:
-		end = verdict.Beaten
+		outcome = verdict.Beaten
 	case s.Outcome == balance.Cancelled:
-		end = verdict.GivenUp
+		outcome = verdict.GivenUp
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.Saw(uint64(s.Replica), s.Class, end, s.Took)
+	k.fleet.Saw(uint64(s.Replica), s.Class, outcome, s.Took)
 }
 
 // enableEvidence lets evidence against data nodes count, where the fleet's file says so.
@@ -171,19 +171,20 @@
 
 // awaitFleetJoin waits until the fleet has admitted this member.
 func (k *Coordinator) awaitFleetJoin() error {
-	late := time.NewTimer(joinPeriods * k.cfg.Fleet.Period())
-	defer late.Stop()
+	timeout := time.NewTimer(joinPeriods * k.cfg.Fleet.Period())
+	defer timeout.Stop()
 	select {
 	case <-k.fleet.Joined():
 	case err := <-k.fleet.Refused():
 		k.fleet.Close()
 		return err
-	case <-late.C:
+	case <-timeout.C:
 		k.log.Warn("not admitted to the fleet in time: serving without it")
 		return nil
 	}
-	for end := time.Now().Add(verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(verdictPoll) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(verdictPeriods * k.cfg.Fleet.Period());
+		!k.fleet.Told(); time.Sleep(verdictPoll) {
+		if time.Now().After(deadline) {
 			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
 		}
@@ -236,11 +237,11 @@
 // Admit reports whether a query may be admitted.
 func (l limits) Admit(q *core.Query) (bool, time.Duration, string) {
 	conf := l.k.front.conf.Load()
-	class, who := conf.Classes[q.Class], q.Name
+	class, queryID := conf.Classes[q.Class], q.Name
 	if q.Key != "" {
-		who = q.Key // the same for all retries of the query
+		queryID = q.Key // the same for all retries of the query
 	}
-	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
+	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
 	t, ok, after, limit := l.k.fleet.Allow(class, q.Caller, q.Deadline)
@@ -294,15 +295,15 @@
 	if k.fleet == nil || k.upgrade.fleetState == nil {
 		return
 	}
-	var from *fleet.Handover
+	var state *fleet.Handover
 	select {
-	case from = <-k.upgrade.fleetState:
+	case state = <-k.upgrade.fleetState:
 	case <-time.After(linkTimeout):
 		k.log.Warn("the old process did not send its fleet state in time: joining as a restarted member")
 	case <-k.stop:
 		return
 	}
-	if err := k.fleet.Begin(from, k.fleetHost()); err != nil {
+	if err := k.fleet.Begin(state, k.fleetHost()); err != nil {
 		k.log.Error("joining the fleet failed: serving without it", "err", err)
 	}
 }
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -48,7 +48,8 @@
 }
 
 // nodesWithOutcomes returns a Nodes for one node without a network, and a channel with its outcomes.
-func nodesWithOutcomes(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID, told chan core.Outcome) {
+func nodesWithOutcomes(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID,
+	told chan core.Outcome) {
 	t.Helper()
 	told = make(chan core.Outcome, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
@@ -157,7 +158,8 @@
 		t.Fatal(err)
 	}
 	running := newAttempt("q0", id)
-	left, past, over, good := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id), newAttempt("q4", id)
+	left, past, over, good := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id),
+		newAttempt("q4", id)
 	past.Before = time.Now()
 	over.Until = time.Now()
 	good.Before = time.Now().Add(time.Minute)
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -29,7 +29,7 @@
 	abandoned    map[string]time.Time // written and then cancelled: an answer may still arrive
 	writtenAt    map[string]time.Time // when the pending parts were written
 	owedSince    time.Time            // since when an answer is due and nothing has arrived; zero: none is due
-	suspectSince time.Time            // when a later answer on another connection first raised doubt about this one
+	suspectSince time.Time            // when an answer on another connection raised doubt
 	probes       []*probe             // in flight, oldest first
 	inFlight     int                  // calls with a pending part
 	connected    bool
@@ -80,10 +80,10 @@
 // oldest record is dropped.
 func (c *nodeConn) markAbandoned(id string) {
 	if len(c.abandoned) >= maxAbandoned {
-		oldest, since := "", time.Time{}
+		oldest, oldestAt := "", time.Time{}
 		for k, at := range c.abandoned {
-			if oldest == "" || at.Before(since) {
-				oldest, since = k, at
+			if oldest == "" || at.Before(oldestAt) {
+				oldest, oldestAt = k, at
 			}
 		}
 		delete(c.abandoned, oldest)
@@ -212,7 +212,7 @@
 			}
 		}
 	}
-	whole, not := c.outcomeAfterClose(true), c.outcomeAfterClose(false)
+	ifWritten, ifUnsent := c.outcomeAfterClose(true), c.outcomeAfterClose(false)
 	c.pending, c.abandoned, c.writtenAt, c.frames, c.probes = nil, nil, nil, nil, nil
 	c.mu.Unlock()
 	c.wakeWriter()
@@ -225,28 +225,29 @@
 			"age", time.Since(c.openedAt), "err", err)
 	}
 	for _, a := range waiting {
-		o := whole
+		outcome := ifWritten
 		if unsent[a] {
-			o = not
+			outcome = ifUnsent
 		}
-		c.nodes.post(core.Outcome{Attempt: a, Outcome: o})
+		c.nodes.post(core.Outcome{Attempt: a, Outcome: outcome})
 	}
 	for _, p := range probes {
-		o := whole
+		outcome := ifWritten
 		if !up {
-			o = balance.NoConnection
+			outcome = balance.NoConnection
 		}
-		c.finishProbe(p, o, nil)
+		c.finishProbe(p, outcome, nil)
 	}
 }
 
 // finishProbe reports how a probe ended, once.
-func (c *nodeConn) finishProbe(p *probe, o balance.Outcome, report []float32) {
+func (c *nodeConn) finishProbe(p *probe, outcome balance.Outcome, report []float32) {
 	c.mu.Lock()
-	over := p.done
+	done := p.done
 	p.done = true
 	c.mu.Unlock()
-	if !over {
-		c.nodes.post(core.ProbeDone{Replica: c.node.id, Outcome: o, Elapsed: time.Since(p.sentAt), Report: report})
+	if !done {
+		c.nodes.post(core.ProbeDone{Replica: c.node.id, Outcome: outcome, Elapsed: time.Since(p.sentAt),
+			Report: report})
 	}
 }
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -29,30 +29,30 @@
 // malformed answer are meaningless, so it ends the connection.
 func (c *nodeConn) readLoop(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
-	from := &lnet.PassingReader{Conn: conn}
-	begun := false // the ring holds an incomplete frame
+	reader := &lnet.PassingReader{Conn: conn}
+	partial := false // the ring holds an incomplete frame
 	for {
-		n, err := from.Read(in.Free())
-		in.Grew(n)
-		if n > 0 {
+		count, err := reader.Read(in.Free())
+		in.Grew(count)
+		if count > 0 {
 			c.noteReceived()
 		}
-		taken := in.Len()
+		consumed := in.Len()
 		for {
-			b, bad := nextFrame(in)
+			b, frameErr := nextFrame(in)
 			if b != nil {
-				bad = c.handleFrame(b)
+				frameErr = c.handleFrame(b)
 			}
-			if bad != nil {
-				c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", bad)
-				c.close(bad)
+			if frameErr != nil {
+				c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", frameErr)
+				c.close(frameErr)
 				return
 			}
 			if b == nil {
 				break
 			}
 		}
-		taken -= in.Len()
+		consumed -= in.Len()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			err = malformed("frame not completed in time")
@@ -61,12 +61,12 @@
 			// Surplus bytes behind a good answer, which counts. The next answer would be read behind them.
 			err = malformed("%d unexpected bytes behind an answer", in.Len())
 			c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
-		case in.Len() > 0 && (!begun || taken > 0):
+		case in.Len() > 0 && (!partial || consumed > 0):
 			_ = conn.SetReadDeadline(time.Now().Add(c.nodes.frameTimeout()))
-		case in.Len() == 0 && begun:
+		case in.Len() == 0 && partial:
 			_ = conn.SetReadDeadline(time.Time{})
 		}
-		begun = in.Len() > 0
+		partial = in.Len() > 0
 		if err != nil {
 			c.close(err)
 			return
@@ -113,8 +113,8 @@
 // given time. A connection that has been silent since before that, and stays so for the node's usual
 // latency, is closed: its attempts end now and not by a time-out each. The wait gives it time to respond
 // after a pause of the node.
-func (c *nodeConn) closeSilentSiblings(written time.Time) {
-	var mute []*nodeConn
+func (c *nodeConn) closeSilentSiblings(sentAt time.Time) {
+	var silent []*nodeConn
 	limit := c.node.latency.upperBound()
 	c.nodes.mu.Lock()
 	for _, x := range c.node.conns {
@@ -122,17 +122,17 @@
 			continue
 		}
 		x.mu.Lock()
-		if !x.owedSince.IsZero() && x.owedSince.Before(written) && time.Since(x.owedSince) > limit {
+		if !x.owedSince.IsZero() && x.owedSince.Before(sentAt) && time.Since(x.owedSince) > limit {
 			if x.suspectSince.IsZero() {
 				x.suspectSince = time.Now()
 			} else if time.Since(x.suspectSince) > limit {
-				mute = append(mute, x)
+				silent = append(silent, x)
 			}
 		}
 		x.mu.Unlock()
 	}
 	c.nodes.mu.Unlock()
-	for _, x := range mute {
+	for _, x := range silent {
 		c.nodes.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
 		x.close(malformed("connection fell silent"))
 	}
@@ -178,49 +178,49 @@
 	rest := b[1:]
 	switch b[0] {
 	case '5':
-		a, err := parseAnswer(rest)
+		answer, err := parseAnswer(rest)
 		if err != nil {
 			return err
 		}
-		var sent time.Time
+		var sentAt time.Time
 		c.mu.Lock()
 		c.lastUsed = time.Now()
-		at := c.pending[a.id]
-		_, given := c.abandoned[a.id]
+		attempt := c.pending[answer.id]
+		_, wasCancelled := c.abandoned[answer.id]
 		switch {
-		case at != nil && !(given && c.isQueued(at)):
-			if c.isQueued(at) {
+		case attempt != nil && !(wasCancelled && c.isQueued(attempt)):
+			if c.isQueued(attempt) {
 				c.mu.Unlock()
 				return malformed("answer to a part that was not sent")
 			}
-			sent = c.writtenAt[a.id]
-			delete(c.pending, a.id)
-			delete(c.writtenAt, a.id)
+			sentAt = c.writtenAt[answer.id]
+			delete(c.pending, answer.id)
+			delete(c.writtenAt, answer.id)
 			if len(c.writtenAt) == 0 {
 				c.owedSince = time.Time{}
 			}
 			c.inFlight = c.countCalls()
-		case given: // late: the attempt was cancelled
-			at = nil
-			delete(c.abandoned, a.id)
+		case wasCancelled: // late: the attempt was cancelled
+			attempt = nil
+			delete(c.abandoned, answer.id)
 		default:
 			c.mu.Unlock() // if it duplicates an answer, the first one counts
-			return malformed("answer to an unknown part: %.100q", a.id)
+			return malformed("answer to an unknown part: %.100q", answer.id)
 		}
-		done := c.retired && len(c.pending) == 0
+		drained := c.retired && len(c.pending) == 0
 		c.mu.Unlock()
-		if done {
+		if drained {
 			c.wakeWriter()
 		}
-		if !sent.IsZero() {
-			if a.outcome != balance.Busy { // which is answered at once, regardless of the queue
-				c.node.latency.add(time.Since(sent))
+		if !sentAt.IsZero() {
+			if answer.outcome != balance.Busy { // which is answered at once, regardless of the queue
+				c.node.latency.add(time.Since(sentAt))
 			}
-			c.closeSilentSiblings(sent)
+			c.closeSilentSiblings(sentAt)
 		}
-		if at != nil {
-			c.nodes.post(core.Outcome{Attempt: at, Outcome: a.outcome, Report: c.nodes.conf.Load().parseReport(a.report),
-				Value: core.Value{Body: a.value}})
+		if attempt != nil {
+			c.nodes.post(core.Outcome{Attempt: attempt, Outcome: answer.outcome,
+				Report: c.nodes.conf.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
 		}
 		return nil
 	case '3', '4':
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -88,12 +88,12 @@
 // called before the core learns of the nodes. Nodes that are gone are deleted once nothing is in flight to
 // them: ids are never reused and would accumulate. It returns the changes, to be logged once the core has
 // learnt of them.
-func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeChange) {
+func (n *Nodes) Learn(hosts []Host, full bool) (changes []nodeChange) {
 	n.mu.Lock()
-	var anew, idle []*nodeConn
+	var stale, removed []*nodeConn
 	first := len(n.nodes) == 0
 	for _, x := range n.nodes {
-		if whole && !x.removed {
+		if full && !x.removed {
 			x.removed, x.missing = true, true
 		}
 	}
@@ -109,7 +109,7 @@
 			x.removed, x.missing = false, false
 		}
 		if gone := h.Health == terminated; gone != x.removed || h.Health != x.health || h.Born > x.born {
-			news = append(news, nodeChange{changeLevel(first), h.Host, id, h.Health, h.Born})
+			changes = append(changes, nodeChange{changeLevel(first), h.Host, id, h.Health, h.Born})
 			x.removed, x.health = gone, h.Health
 		}
 		x.draining.Store(h.Health != inService)
@@ -117,7 +117,7 @@
 			// A new process runs there now: it will not answer what its predecessor received.
 			for _, c := range x.conns {
 				if h.Dial != x.addr || c.openedAt.UnixMilli() < int64(h.Born) {
-					anew = append(anew, c)
+					stale = append(stale, c)
 				}
 			}
 		}
@@ -127,23 +127,23 @@
 		if x.missing {
 			x.missing = false
 			x.draining.Store(true)
-			news = append(news, nodeChange{slog.LevelInfo, x.name, id, "not listed any more", x.born})
+			changes = append(changes, nodeChange{slog.LevelInfo, x.name, id, "not listed any more", x.born})
 		}
 		if x.removed {
-			idle = append(idle, x.conns...)
+			removed = append(removed, x.conns...)
 			if len(x.conns) == 0 {
 				delete(n.nodes, id)
 			}
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range anew {
+	for _, c := range stale {
 		c.close(fmt.Errorf("the node was restarted"))
 	}
-	for _, c := range idle {
+	for _, c := range removed {
 		c.retire()
 	}
-	return news
+	return changes
 }
 
 // nodeChange is a node's new state.
@@ -156,8 +156,8 @@
 }
 
 // logChanges logs nodes' new states.
-func (n *Nodes) logChanges(news []nodeChange) {
-	for _, x := range news {
+func (n *Nodes) logChanges(changes []nodeChange) {
+	for _, x := range changes {
 		n.log.Log(context.Background(), x.level, "data node", "node", x.name, "id", fmt.Sprintf("%x", uint64(x.id)),
 			"health", x.health, "born_ms", x.born)
 	}
@@ -211,31 +211,31 @@
 	if x == nil || x.addr == "" {
 		return nil
 	}
-	var best, mute *nodeConn
-	room, muteRoom, silent := 0, 0, 0
-	limit := x.latency.upperBound()
+	var best, silentest *nodeConn
+	bestFree, silentFree, silentCount := 0, 0, 0
+	silenceLimit := x.latency.upperBound()
 	for _, c := range x.conns {
 		c.mu.Lock()
 		free := n.conf.Load().StreamsPerConn - c.inFlight
 		switch {
 		case c.closed || c.retired:
-		case !c.owedSince.IsZero() && time.Since(c.owedSince) > limit:
-			if silent++; mute == nil || free > muteRoom {
-				mute, muteRoom = c, free
+		case !c.owedSince.IsZero() && time.Since(c.owedSince) > silenceLimit:
+			if silentCount++; silentest == nil || free > silentFree {
+				silentest, silentFree = c, free
 			}
-		case best == nil || free > room:
-			best, room = c, free
+		case best == nil || free > bestFree:
+			best, bestFree = c, free
 		}
 		c.mu.Unlock()
 	}
-	if mute != nil && best == nil && (silent > maxSilentConns || !open) {
-		best, room = mute, muteRoom
+	if silentest != nil && best == nil && (silentCount > maxSilentConns || !open) {
+		best, bestFree = silentest, silentFree
 	}
-	if best != nil && room > 0 || !open {
+	if best != nil && bestFree > 0 || !open {
 		return best
 	}
 	if best == nil {
-		best = mute
+		best = silentest
 	}
 	if !n.budget.TakeServer() {
 		return best // no descriptor is left: the call queues behind others
@@ -310,7 +310,7 @@
 
 // CancelQueued withdraws what is queued for a node and has not started: none of it may be sent any more.
 func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
-	var back []*core.Attempt
+	var withdrawn []*core.Attempt
 	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
 		for _, f := range c.frames {
@@ -321,7 +321,7 @@
 				for _, a := range f.call {
 					if c.pending[wireID(a)] == a {
 						delete(c.pending, wireID(a))
-						back = append(back, a)
+						withdrawn = append(withdrawn, a)
 					}
 				}
 			}
@@ -330,7 +330,7 @@
 		c.inFlight = c.countCalls()
 		c.mu.Unlock()
 	}
-	return back
+	return withdrawn
 }
 
 func (n *Nodes) connsTo(to balance.ReplicaID) []*nodeConn {
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -24,7 +24,7 @@
 // encodeCall encodes a call as of now, with those of its parts that are still pending and may begin. For
 // each of these a write has begun (Attempt.BeginWrite). It returns as held those that may not begin.
 func (c *nodeConn) encodeCall(b []byte, call []*core.Attempt, now time.Time) (frame []byte,
-	carried []*core.Attempt, held []heldAttempt) {
+	encoded []*core.Attempt, held []heldAttempt) {
 	b = append(b[:0], 0, 0, 0, 0, '1')
 	for _, a := range call {
 		id := wireID(a)
@@ -45,10 +45,10 @@
 		}
 		b = fmt.Appendf(b, " %d\n", len(a.Query.Text))
 		b = append(b, a.Query.Text...)
-		carried = append(carried, a)
+		encoded = append(encoded, a)
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-	return b, carried, held
+	return b, encoded, held
 }
 
 // callSize returns the largest size of an encoded call.
@@ -177,12 +177,12 @@
 
 // endWrites ends the writes of the frame's parts. If no byte was sent, the frame counts as not started:
 // its parts may be withdrawn while the socket accepts nothing.
-func (w *frameWriter) endWrites(out bool) {
+func (w *frameWriter) endWrites(sent bool) {
 	for _, a := range w.writing {
 		a.EndWrite(w.c)
 	}
 	w.c.mu.Lock()
-	if w.c.writing = false; !out && len(w.c.frames) > 0 {
+	if w.c.writing = false; !sent && len(w.c.frames) > 0 {
 		w.c.frames[0].started = false
 	}
 	w.c.mu.Unlock()
@@ -195,7 +195,8 @@
 		w.c.nodes.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
-		w.c.nodes.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt), "why", string(h.reason))
+		w.c.nodes.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt),
+			"why", string(h.reason))
 	}
 	w.held = nil
 }
@@ -242,12 +243,12 @@
 func (c *nodeConn) markWritten(err error) bool {
 	c.mu.Lock()
 	if c.closed {
-		o := c.outcomeAfterClose(err == nil)
-		torn := c.interrupted
+		outcome := c.outcomeAfterClose(err == nil)
+		interrupted := c.interrupted
 		c.interrupted = nil
 		c.mu.Unlock()
-		for _, a := range torn {
-			c.nodes.post(core.Outcome{Attempt: a, Outcome: o})
+		for _, a := range interrupted {
+			c.nodes.post(core.Outcome{Attempt: a, Outcome: outcome})
 		}
 		return true
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -361,7 +361,7 @@
 	k.Reload(testConfig(t, &discovery{addr: mute.Addr}))
 	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
 	calls := len(first.queries())
-	if took := time.Since(begun); took > pushTimes.undetectedSilence()/2 { // the call in flight would last longer
+	if took := time.Since(begun); took > pushTimes.undetectedSilence()/2 { // shorter than the call in flight
 		t.Errorf("the move took %v", took)
 	}
 	close(free)
@@ -763,8 +763,8 @@
 		`{"listen":"a:1","discovery":"b:1","seed":"x","settings":{}}`: "seed",
 		`{"listen":"a:1","discovery":"b:1","settings":` +
 			strings.Replace(testSettings, `"sendCap":4`, `"sendCap":0`, 1) + `}`: "MaxAttempts",
-		`{"listen":"a:1","discovery":"b:1","settings":` + strings.Replace(testSettings, `"name":"rate-check",`, ``, 1) +
-			`}`: "lanes.0.name",
+		`{"listen":"a:1","discovery":"b:1","settings":` +
+			strings.Replace(testSettings, `"name":"rate-check",`, ``, 1) + `}`: "lanes.0.name",
 	} {
 		_, err := Parse([]byte(edited), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -11,8 +11,9 @@
 )
 
 // addedClass is an edit of the settings that adds a class.
-var addedClass = []string{`"lanes":[`, `"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
-	`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
+var addedClass = []string{`"lanes":[`,
+	`"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
+		`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
 
 // A file that lacks a key of the running one, has it in another form, or contains impossible numbers, is
 // rejected as a whole. Parse alone would fill gaps from the environment and from defaults.
@@ -20,7 +21,8 @@
 	d := &discovery{addr: "127.0.0.1:1"}
 	old := testConfig(t, d)
 	old.raw["known"], old.raw["seed"] = map[string]any{"seq": json.Number("1")}, "ab"
-	if _, kept, err := testConfig(t, d, addedClass...).reloadOver(old, time.Now()); err != nil || len(kept) != 0 {
+	if _, kept, err := testConfig(t, d, addedClass...).reloadOver(old, time.Now()); err != nil ||
+		len(kept) != 0 {
 		t.Fatalf("a valid file: %v, takes a restart: %v", err, kept)
 	}
 	whole, err := json.Marshal(old.raw)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -104,9 +104,9 @@
 func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
 		listKnown: make(chan struct{}), current: cfg, failed: make(chan error, 1)}
-	h, beside := requestSockets(cfg, log)
-	most := socketBudget(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
-	budget := lnet.NewBudget(most, most/nodeSocketShare)
+	received, besideOld := requestSockets(cfg, log)
+	capacity := socketBudget(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
+	budget := lnet.NewBudget(capacity, capacity/nodeSocketShare)
 	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringMemoryShare)
 	post := func(e core.Event) { k.core.Post(e) }
 	counts := &core.Counts{}
@@ -121,41 +121,41 @@
 		backends = append(backends, x.Backend())
 	}
 	k.front = NewFront(cfg, log, k.nodes)
-	conf := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
+	coreCfg := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
 		Delays: k.delays,
 		Listed: func() { close(k.listKnown) },
 		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
 	if cfg.PeerListen != "" && !cfg.fleetSharesPeerSocket() {
-		if k.peers, err = listenPeers(cfg, log, post, h); err != nil {
+		if k.peers, err = listenPeers(cfg, log, post, received); err != nil {
 			return nil, err
 		}
-		conf.Peers = k.peers
+		coreCfg.Peers = k.peers
 	}
 	if cfg.Fleet != nil {
-		if err = k.openFleet(h, beside); err != nil {
+		if err = k.openFleet(received, besideOld); err != nil {
 			return nil, err
 		}
-		conf.Peers = k.fleet
+		coreCfg.Peers = k.fleet
 		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Gate = limits{k, &atomic.Pointer[classRanks]{}}
+			coreCfg.Gate = limits{k, &atomic.Pointer[classRanks]{}}
 		}
-		k.enableEvidence(&conf)
+		k.enableEvidence(&coreCfg)
 	}
 	w := &watcher{cfg: cfg, log: log, nodes: k.nodes, post: post, watching: make(chan bool, 16),
 		fetches: make(chan struct{}, 16), moves: make(chan string), stop: k.stop, gotFullList: make(chan struct{}),
-		besideOld: beside}
+		besideOld: besideOld}
 	k.watcher = w
 	if cfg.Module.Subscribe {
-		conf.Lister = w
+		coreCfg.Lister = w
 	}
-	if k.core, err = core.New(conf); err != nil {
+	if k.core, err = core.New(coreCfg); err != nil {
 		return nil, err
 	}
 	k.front.core = k.core
 	switch {
-	case h != nil:
-		k.server = lnet.NewServer(h.listener, budget, log, k.front.Serve)
+	case received != nil:
+		k.server = lnet.NewServer(received.listener, budget, log, k.front.Serve)
 	case cfg.Listen != "":
 		if k.server, err = lnet.Listen(cfg.Listen, budget, log, k.front.Serve); err != nil {
 			return nil, err
@@ -166,21 +166,22 @@
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
-	k.upgrade = &upgrade{k: k, socketPath: socketPath(cfg), budget: budget, fullBudget: most, acknowledged: make(chan struct{}, 1)}
-	if h != nil && h.fleet != nil {
+	k.upgrade = &upgrade{k: k, socketPath: socketPath(cfg), budget: budget, fullBudget: capacity,
+		acknowledged: make(chan struct{}, 1)}
+	if received != nil && received.fleet != nil {
 		k.upgrade.fleetState = make(chan *fleet.Handover, 1)
 	}
-	if h != nil {
-		k.core.Post(core.Inherited{Out: h.hello.Cordons, Barred: h.hello.FleetCordons, Since: h.hello.RestoredAt,
-			Memory: h.hello.Memory, Now: h.hello.Clock})
-		k.upgrade.followPredecessor(h)
+	if received != nil {
+		k.core.Post(core.Inherited{Out: received.hello.Cordons, Barred: received.hello.FleetCordons,
+			Since: received.hello.RestoredAt, Memory: received.hello.Memory, Now: received.hello.Clock})
+		k.upgrade.followPredecessor(received)
 	}
 	if cfg.Known != nil { // the list known before a restart is enough to begin with
 		w.seq = cfg.Known.Seq
-		news := k.nodes.Learn(cfg.Known.Hosts, true)
+		changes := k.nodes.Learn(cfg.Known.Hosts, true)
 		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
 			Heard: time.Now()})
-		k.nodes.logChanges(news)
+		k.nodes.logChanges(changes)
 	}
 	if k.peers != nil {
 		go k.peers.read()
@@ -201,12 +202,12 @@
 		k.stopAll()
 		return nil, err
 	}
-	if !beside {
+	if !besideOld {
 		if err := k.startFronts(budget); err != nil {
 			return nil, err
 		}
 	}
-	go k.becomeReady(beside, budget)
+	go k.becomeReady(besideOld, budget)
 	log.Info("started", "name", cfg.Name, "listen", k.listenAddrs())
 	return k, nil
 }
@@ -242,7 +243,7 @@
 // becomeReady waits for the list and then reports that this process can serve. A process that starts
 // beside another one waits for discovery's full list and accepts no client before, whether or not it could
 // take over: the old process keeps serving in the meantime and has received more than is known here.
-func (k *Coordinator) becomeReady(beside bool, budget *lnet.Budget) {
+func (k *Coordinator) becomeReady(besideOld bool, budget *lnet.Budget) {
 	select {
 	case <-k.listKnown:
 	case <-k.stop:
@@ -253,7 +254,7 @@
 	// arrives soon.
 	wait := time.Duration(0)
 	switch {
-	case beside:
+	case besideOld:
 		wait = listTimeout
 	case k.cfg.Discovery != "" && !k.cfg.Module.Subscribe:
 		wait = firstListWait
@@ -262,17 +263,17 @@
 		select {
 		case <-k.watcher.gotFullList:
 		case <-time.After(wait):
-			k.log.Warn("starting without discovery's full list", "beside", beside)
+			k.log.Warn("starting without discovery's full list", "beside", besideOld)
 		case <-k.stop:
 			return
 		}
 	}
-	if beside {
+	if besideOld {
 		k.core.Cordoned(linkTimeout) // queued behind the list: once this returns, the core has taken the list in
 	}
 	k.upgrade.announceReady()
-	k.front.ready.Store(!k.shuttingDown.Load()) // set before any client is accepted, which would be refused otherwise
-	if beside {
+	k.front.ready.Store(!k.shuttingDown.Load()) // before any client is accepted
+	if besideOld {
 		if err := k.startFronts(budget); err != nil {
 			k.log.Error("a front could not be started after the takeover", "err", err)
 		}
@@ -283,23 +284,23 @@
 // adminSockets returns how many descriptors the admin endpoint needs.
 func (k *Coordinator) adminSockets() int { return adminSocketCount(k.cfg.Operator != "") }
 
-func adminSocketCount(open bool) int {
-	if open {
+func adminSocketCount(enabled bool) int {
+	if enabled {
 		return admin.Sockets
 	}
 	return 0
 }
 
 // socketBudget returns how many descriptors clients and nodes share.
-func socketBudget(sockets int, door bool) int {
-	return max(32, sockets-reservedSockets-adminSocketCount(door))
+func socketBudget(sockets int, admin bool) int {
+	return max(32, sockets-reservedSockets-adminSocketCount(admin))
 }
 
 // MaxClients returns how many clients can be connected where the process may hold the given number of
 // descriptors.
-func ClientPlaces(sockets int, door bool) int {
-	most := socketBudget(sockets, door)
-	return most - most/nodeSocketShare
+func ClientPlaces(sockets int, admin bool) int {
+	capacity := socketBudget(sockets, admin)
+	return capacity - capacity/nodeSocketShare
 }
 
 // Addr returns the address that clients connect to.
@@ -361,18 +362,18 @@
 }
 
 // ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
-func (d adminState) ApplyFleetCall(c admin.FleetCall, within time.Duration) (any, bool, error) {
-	v := verdict.Verdict{Kind: verdict.Node, What: c.ID, On: c.Out, By: c.By, Reason: c.Reason,
-		Span: c.Duration.Microseconds()}
-	if c.Prefix.IsValid() {
-		v.Kind, v.What = verdict.Prefix, c.Prefix.Masked().String()
-		if c.Pin {
+func (d adminState) ApplyFleetCall(call admin.FleetCall, within time.Duration) (any, bool, error) {
+	v := verdict.Verdict{Kind: verdict.Node, What: call.ID, On: call.Out, By: call.By, Reason: call.Reason,
+		Span: call.Duration.Microseconds()}
+	if call.Prefix.IsValid() {
+		v.Kind, v.What = verdict.Prefix, call.Prefix.Masked().String()
+		if call.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if c.Out && !d.k.core.Knows(core.ServerID(c.ID), within) {
+	} else if call.Out && !d.k.core.Knows(core.ServerID(call.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	s, err := d.k.fleet.Say(v, within, c.Wait)
+	status, err := d.k.fleet.Say(v, within, call.Wait)
 	switch {
 	case errors.Is(err, fleet.ErrLate):
 		err = admin.ErrTimeout
@@ -381,7 +382,7 @@
 	case errors.Is(err, verdict.ErrForm):
 		err = admin.ErrTooLong
 	}
-	return s, len(s.Missing) == 0, err
+	return status, len(status.Missing) == 0, err
 }
 
 // Overload returns what the fleet sheds as a whole, or nil without a fleet.
@@ -407,10 +408,10 @@
 func (g admissionGate) Stats(n int) any { return g.Keeper.Figures(n) }
 
 // Cordon cordons or uncordons a data node.
-func (d adminState) Cordon(id string, out bool, within time.Duration) error {
-	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
+func (d adminState) Cordon(id string, cordoned bool, within time.Duration) error {
+	known, inTime := d.k.core.Cordon(core.ServerID(id), cordoned, within)
 	if known {
-		d.k.upgrade.forwardCordon(core.ServerID(id), core.Here, out)
+		d.k.upgrade.forwardCordon(core.ServerID(id), core.Here, cordoned)
 	}
 	switch {
 	case !inTime:
@@ -428,39 +429,39 @@
 func (k *Coordinator) Reload(cfg *Config) error {
 	k.mu.Lock()
 	watched := k.current.Discovery != "" // otherwise there is no watch: the range-query front runs alone
-	fresh, kept, err := cfg.reloadOver(k.current, time.Now())
+	merged, needRestart, err := cfg.reloadOver(k.current, time.Now())
 	if err == nil {
-		k.current = fresh
+		k.current = merged
 		k.postSettings()
-		for _, name := range fresh.Classes {
+		for _, name := range merged.Classes {
 			k.core.Counts().Class(name)
 		}
-		k.nodes.conf.Store(fresh)
-		k.front.conf.Store(fresh)
+		k.nodes.conf.Store(merged)
+		k.front.conf.Store(merged)
 	}
 	k.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	for _, x := range k.extras {
-		x.Settle(fresh.Module)
-		if c, ok := x.(interface{ Conform(*Config) }); ok {
-			c.Conform(fresh)
+		x.Settle(merged.Module)
+		if f, ok := x.(interface{ Conform(*Config) }); ok {
+			f.Conform(merged)
 		}
 	}
-	for _, name := range kept {
+	for _, name := range needRestart {
 		k.log.Warn("a change of the configuration takes a restart", "field", name)
 	}
-	if k.fleet != nil && fresh.Fleet != nil {
-		for _, name := range k.fleet.Configure(fresh.Fleet) {
+	if k.fleet != nil && merged.Fleet != nil {
+		for _, name := range k.fleet.Configure(merged.Fleet) {
 			k.log.Warn("a change of the configuration takes a restart", "field", name)
 		}
 	}
 	if watched {
-		k.watcher.moveTo(fresh.Discovery)
+		k.watcher.moveTo(merged.Discovery)
 	}
 	k.core.Counts().Applied.Add(1)
-	k.log.Info("configuration reloaded", "discovery", fresh.Discovery, "classes", cfg.Classes)
+	k.log.Info("configuration reloaded", "discovery", merged.Discovery, "classes", cfg.Classes)
 	return nil
 }
 
@@ -496,91 +497,91 @@
 // that was accepted, and ends. Until then, clients that have no other coordinator (the others may be
 // restarting at the same time) are served as before.
 func (k *Coordinator) Shutdown() {
-	begun := time.Now()
-	handed := k.upgrade.handedOver()
-	k.log.Info("ending", "successor", handed)
+	start := time.Now()
+	handedOver := k.upgrade.handedOver()
+	k.log.Info("ending", "successor", handedOver)
 	k.shuttingDown.Store(true)
-	if !handed { // otherwise the coordinator stays available, whichever of its processes is asked
+	if !handedOver { // otherwise the coordinator stays available, whichever of its processes is asked
 		k.front.ready.Store(false)
 	}
-	var ends []ender
+	var drainers []ender
 	if k.server != nil {
-		ends = append(ends, platformFront{k.server})
+		drainers = append(drainers, platformFront{k.server})
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			ends = append(ends, x)
+			drainers = append(drainers, x)
 		}
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.Retire()
 	}
 	k.mu.Lock()
-	answerOn, endingLimit := k.current.shutdownTimes()
+	answerLimit, exitLimit := k.current.shutdownTimes()
 	k.mu.Unlock()
-	idle := k.core.Finish(begun.Add(answerOn))
-	if !handed {
+	queriesDone := k.core.Finish(start.Add(answerLimit))
+	if !handedOver {
 		time.Sleep(acceptGrace)
-		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-finalReplyTime; {
-			used = false
-			for _, x := range ends {
-				used = used || time.Since(x.LastRequest()) < quietPeriod
+		for inUse := true; inUse && !k.upgrade.handedOver() && time.Since(start) < answerLimit-finalReplyTime; {
+			inUse = false
+			for _, x := range drainers {
+				inUse = inUse || time.Since(x.LastRequest()) < quietPeriod
 			}
-			if used {
+			if inUse {
 				time.Sleep(quietPeriod / 10)
 			}
 		}
 	}
 	if k.upgrade.handedOver() { // before the shutdown began, or since
-		if !handed {
+		if !handedOver {
 			k.log.Info("a successor serves: redirecting clients to it")
 			k.front.ready.Store(true)
 		}
-		k.redirectClients(ends, begun.Add(answerOn-handoverReplyTime))
+		k.redirectClients(drainers, start.Add(answerLimit-handoverReplyTime))
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.StopListening()
 		x.Finish()
 	}
 	select {
-	case <-idle:
-	case <-time.After(time.Until(begun.Add(endingLimit))):
+	case <-queriesDone:
+	case <-time.After(time.Until(start.Add(exitLimit))):
 		k.log.Error("shutdown time is over with queries still open")
 	}
-	for _, x := range ends {
-		x.Wait(max(50*time.Millisecond, time.Until(begun.Add(endingLimit))))
+	for _, x := range drainers {
+		x.Wait(max(50*time.Millisecond, time.Until(start.Add(exitLimit))))
 	}
 	if !k.upgrade.handedOver() { // otherwise the successor is the fleet's member
-		k.leaveFleet(begun.Add(endingLimit))
+		k.leaveFleet(start.Add(exitLimit))
 	}
 	k.stopAll()
-	k.log.Info("ended", "took", time.Since(begun))
+	k.log.Info("ended", "took", time.Since(start))
 }
 
 // redirectClients moves clients to the successor: the next reply on a connection ends it. An idle
 // connection stays open until the given time, as a request may be in transit and closing would cross it.
-func (k *Coordinator) redirectClients(ends []ender, until time.Time) {
+func (k *Coordinator) redirectClients(drainers []ender, until time.Time) {
 	if k.peers != nil {
 		_ = k.peers.conn.Close() // datagrams are for the successor from now on
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.StopListening()
 		x.Wind()
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.Wait(max(0, time.Until(until)))
 	}
 }
 
 // shutdownTimes returns how long after SIGTERM everything must be answered and when the program ends. It is
 // killed 0.7 s after the longest deadline, which counts as 3 s at most.
-func (c *Config) shutdownTimes() (answerOn, limit time.Duration) {
+func (c *Config) shutdownTimes() (answerLimit, exitLimit time.Duration) {
 	longest := time.Duration(0)
 	for _, x := range c.Module.Classes {
 		longest = max(longest, time.Duration(x.Deadline)*time.Microsecond)
 	}
-	killed := min(longest, 3*time.Second) + 700*time.Millisecond
-	return killed - 500*time.Millisecond, killed - 200*time.Millisecond
+	killLimit := min(longest, 3*time.Second) + 700*time.Millisecond
+	return killLimit - 500*time.Millisecond, killLimit - 200*time.Millisecond
 }
 
 // platformFront is the platform's front as a drainer. /up reports "not ready" without its help.
@@ -639,7 +640,8 @@
 	text string
 }
 
-func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *receivedSockets) (*peers, error) {
+func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event),
+	received *receivedSockets) (*peers, error) {
 	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), peerNumbers: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
@@ -655,8 +657,8 @@
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
 	}
-	if h != nil && h.peers != nil {
-		p.conn = h.peers
+	if received != nil && received.peers != nil {
+		p.conn = received.peers
 		return p, nil
 	}
 	c, err := lnet.ListenPacket(cfg.PeerListen)
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -79,17 +79,17 @@
 }
 
 func newLink(c *net.UnixConn, log *slog.Logger) *link {
-	return &link{conn: c, reader: bufio.NewReader(c), queue: make(chan linkMessage, linkQueue), closed: make(chan struct{}),
-		log: log}
+	return &link{conn: c, reader: bufio.NewReader(c), queue: make(chan linkMessage, linkQueue),
+		closed: make(chan struct{}), log: log}
 }
 
 // close ends the link.
 func (l *link) close() { l.closeOnce.Do(func() { close(l.closed); _ = l.conn.Close() }) }
 
 // send queues a message.
-func (l *link) send(w linkMessage) {
+func (l *link) send(msg linkMessage) {
 	select {
-	case l.queue <- w:
+	case l.queue <- msg:
 	default:
 		l.log.Error("upgrade: the other process does not read: message dropped")
 	}
@@ -99,8 +99,8 @@
 func (l *link) writeLoop() {
 	for {
 		select {
-		case w := <-l.queue:
-			if err := l.writeMessage(w); err != nil {
+		case msg := <-l.queue:
+			if err := l.writeMessage(msg); err != nil {
 				l.log.Warn("upgrade: a message to the other process could not be written", "err", err)
 			}
 		case <-l.closed:
@@ -110,8 +110,8 @@
 }
 
 // writeMessage writes a message, with the given descriptors as ancillary data.
-func (l *link) writeMessage(w linkMessage, fds ...int) error {
-	b, err := json.Marshal(w)
+func (l *link) writeMessage(msg linkMessage, fds ...int) error {
+	b, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
@@ -129,25 +129,25 @@
 }
 
 // readLoop reads messages until the other side closes the link.
-func (l *link) readLoop(f func(linkMessage)) {
+func (l *link) readLoop(handle func(linkMessage)) {
 	for {
-		w, err := l.readMessage()
+		msg, err := l.readMessage()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 				l.log.Warn("upgrade: the link to the other process failed", "err", err)
 			}
 			return
 		}
-		f(w)
+		handle(msg)
 	}
 }
 
-func (l *link) readMessage() (w linkMessage, err error) {
+func (l *link) readMessage() (msg linkMessage, err error) {
 	line, err := l.reader.ReadBytes('\n')
 	if err != nil {
-		return w, err
+		return msg, err
 	}
-	return w, json.Unmarshal(line, &w)
+	return msg, json.Unmarshal(line, &msg)
 }
 
 // socketPath returns the path of the Unix socket on which the process that serves an address can be asked
@@ -173,7 +173,7 @@
 // is one. A socket file that nobody listens on is a leftover of a process that died. A process that
 // listens but does not answer is asked again: without its hello the coordinator would forget the
 // operators' cordons.
-func requestSockets(cfg *Config, log *slog.Logger) (h *receivedSockets, there bool) {
+func requestSockets(cfg *Config, log *slog.Logger) (received *receivedSockets, exists bool) {
 	path := socketPath(cfg)
 	if path == "" {
 		return nil, false
@@ -185,17 +185,17 @@
 		c, err := net.DialTimeout("unix", path, linkTimeout)
 		if err != nil {
 			log.Info("upgrade: there is no process to take over from", "err", err)
-			return nil, there
+			return nil, exists
 		}
-		there = true
-		h = &receivedSockets{link: newLink(c.(*net.UnixConn), log)}
-		if err = h.receive(cfg); err == nil {
-			log.Info("upgrade: taking over", "sockets", h.hello.Sockets, "out", len(h.hello.Cordons), "most",
-				h.hello.MaxSockets)
-			return h, true
+		exists = true
+		received = &receivedSockets{link: newLink(c.(*net.UnixConn), log)}
+		if err = received.receive(cfg); err == nil {
+			log.Info("upgrade: taking over", "sockets", received.hello.Sockets, "out", len(received.hello.Cordons),
+				"most", received.hello.MaxSockets)
+			return received, true
 		}
 		log.Warn("upgrade: the sockets were not received", "err", err)
-		h.discard()
+		received.discard()
 	}
 	log.Error("upgrade: takeover failed: starting beside the old process")
 	return nil, true
@@ -338,20 +338,20 @@
 	u.limitMu.Lock()
 	defer u.limitMu.Unlock()
 	u.mu.Lock()
-	most, alone := u.fullBudget, u.predecessor == nil && u.successor == nil
+	sockets, alone := u.fullBudget, u.predecessor == nil && u.successor == nil
 	if !alone {
-		most = u.available()
+		sockets = u.available()
 	}
 	if u.successor != nil {
-		most = min(most, u.ownShare)
+		sockets = min(sockets, u.ownShare)
 	}
 	u.mu.Unlock()
-	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.SpareMost
+	memory, refusalSockets := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.SpareMost
 	if !alone {
-		part, spare = part/2, minRefusalSockets
+		memory, refusalSockets = memory/2, minRefusalSockets
 	}
-	u.budget.Limit(most, most/nodeSocketShare, spare)
-	debug.SetMemoryLimit(part)
+	u.budget.Limit(sockets, sockets/nodeSocketShare, refusalSockets)
+	debug.SetMemoryLimit(memory)
 	u.k.setSharing(!alone)
 }
 
@@ -421,9 +421,9 @@
 func (u *upgrade) handOver(l *link) {
 	defer l.close()
 	_ = l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
-	w, err := l.readMessage()
-	if err != nil || w.Listen != u.k.cfg.Listen || w.Peers != u.k.cfg.PeerListen {
-		u.k.log.Warn("upgrade: the process that asks for the sockets is not a successor", "listen", w.Listen,
+	msg, err := l.readMessage()
+	if err != nil || msg.Listen != u.k.cfg.Listen || msg.Peers != u.k.cfg.PeerListen {
+		u.k.log.Warn("upgrade: the process that asks for the sockets is not a successor", "listen", msg.Listen,
 			"err", err)
 		return
 	}
@@ -439,8 +439,8 @@
 	u.k.log.Info("upgrade: a successor takes over")
 	go l.writeLoop()
 	go u.shareSockets(l)
-	l.readLoop(func(w linkMessage) {
-		if w.Ready {
+	l.readLoop(func(msg linkMessage) {
+		if msg.Ready {
 			u.mu.Lock()
 			u.successorServes = true
 			u.mu.Unlock()
@@ -450,17 +450,17 @@
 				l.send(linkMessage{Fleet: u.k.fleet.Release()})
 			}
 		}
-		u.applyCordon(w)
+		u.applyCordon(msg)
 	})
 	l.close()
 	u.mu.Lock()
 	u.successor, u.successorServes = nil, false
-	again := !u.closed
-	if again {
+	reopen := !u.closed
+	if reopen {
 		_ = u.listener.Close()
 	}
 	u.mu.Unlock()
-	if again { // this process is the one to ask again
+	if reopen { // this process is the one to ask again
 		u.k.log.Warn("upgrade: the successor is gone")
 		u.applyLimits()
 		if u.k.fleet != nil {
@@ -475,27 +475,27 @@
 func (u *upgrade) shareSockets(l *link) {
 	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
-	for told := 0; ; {
+	for sent := 0; ; {
 		select {
 		case <-l.closed:
 			return
 		case <-tick.C:
 		}
 		u.mu.Lock()
-		mine := u.available() / 2
+		ownShare := u.available() / 2
 		if u.k.shuttingDown.Load() {
-			mine = min(u.ownShare, u.budget.Used()+minOwnShare)
+			ownShare = min(u.ownShare, u.budget.Used()+minOwnShare)
 		}
-		changed := mine != u.ownShare
-		u.ownShare = mine
-		most := u.successorShare()
+		changed := ownShare != u.ownShare
+		u.ownShare = ownShare
+		grant := u.successorShare()
 		u.mu.Unlock()
 		if changed {
 			u.applyLimits()
 		}
-		if most != told {
-			told = most
-			l.send(linkMessage{MaxSockets: most})
+		if grant != sent {
+			sent = grant
+			l.send(linkMessage{MaxSockets: grant})
 		}
 	}
 }
@@ -513,42 +513,42 @@
 func (u *upgrade) sendHello(l *link) error {
 	u.mu.Lock()
 	u.successor, u.ownShare = l, u.available()/2
-	mine := u.ownShare
+	ownShare := u.ownShare
 	u.mu.Unlock()
 	u.applyLimits()
-	for u.budget.Used() > mine && u.k.server.MakeWay() {
+	for u.budget.Used() > ownShare && u.k.server.MakeWay() {
 	}
-	said, ok := u.k.core.Cordoned(linkTimeout / 2)
+	state, ok := u.k.core.Cordoned(linkTimeout / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
-	most := u.successorShare()
+	grant := u.successorShare()
 	u.mu.Unlock()
-	w := linkMessage{Cordons: said.Out, FleetCordons: said.Barred, RestoredAt: said.Since, Memory: said.Memory, Clock: said.Now,
-		MaxSockets: most}
-	socks := []any{u.k.server.Listener()}
-	w.Sockets = []string{"listen"}
+	hello := linkMessage{Cordons: state.Out, FleetCordons: state.Barred, RestoredAt: state.Since,
+		Memory: state.Memory, Clock: state.Now, MaxSockets: grant}
+	sockets := []any{u.k.server.Listener()}
+	hello.Sockets = []string{"listen"}
 	if u.k.peers != nil {
-		socks, w.Sockets = append(socks, u.k.peers.conn), append(w.Sockets, "peers")
+		sockets, hello.Sockets = append(sockets, u.k.peers.conn), append(hello.Sockets, "peers")
 	}
 	if u.k.fleet != nil {
-		socks, w.Sockets = append(socks, u.k.fleet.Conn()), append(w.Sockets, "fleet")
+		sockets, hello.Sockets = append(sockets, u.k.fleet.Conn()), append(hello.Sockets, "fleet")
 	}
-	return withFDs(socks, nil, func(fds []int) error { return l.writeMessage(w, fds...) })
+	return withFDs(sockets, nil, func(fds []int) error { return l.writeMessage(hello, fds...) })
 }
 
 // withFDs calls f with the descriptors of the given sockets.
-func withFDs(socks []any, fds []int, f func(fds []int) error) error {
-	if len(socks) == 0 {
+func withFDs(sockets []any, fds []int, f func(fds []int) error) error {
+	if len(sockets) == 0 {
 		return f(fds)
 	}
-	return withFD(socks[0], func(fd int) error { return withFDs(socks[1:], append(fds, fd), f) })
+	return withFD(sockets[0], func(fd int) error { return withFDs(sockets[1:], append(fds, fd), f) })
 }
 
 // withFD calls f with a socket's descriptor, which stays open while f runs.
-func withFD(sock any, f func(fd int) error) error {
-	c, ok := sock.(syscall.Conn)
+func withFD(socket any, f func(fd int) error) error {
+	c, ok := socket.(syscall.Conn)
 	if !ok {
 		return errors.New("no socket to hand over")
 	}
@@ -563,35 +563,35 @@
 }
 
 // followPredecessor reads the predecessor's messages after its hello, until it is gone.
-func (u *upgrade) followPredecessor(h *receivedSockets) {
+func (u *upgrade) followPredecessor(received *receivedSockets) {
 	u.mu.Lock()
-	u.predecessor, u.granted = h.link, h.hello.MaxSockets
+	u.predecessor, u.granted = received.link, received.hello.MaxSockets
 	u.mu.Unlock()
 	u.applyLimits()
-	go h.link.writeLoop()
+	go received.link.writeLoop()
 	go func() {
-		h.link.readLoop(func(w linkMessage) {
-			if w.MaxSockets > 0 {
+		received.link.readLoop(func(msg linkMessage) {
+			if msg.MaxSockets > 0 {
 				u.mu.Lock()
-				u.granted = w.MaxSockets
+				u.granted = msg.MaxSockets
 				u.mu.Unlock()
 				u.applyLimits()
 			}
-			if w.Acknowledged {
+			if msg.Acknowledged {
 				select {
 				case u.acknowledged <- struct{}{}:
 				default:
 				}
 			}
-			if w.Fleet != nil && u.fleetState != nil {
+			if msg.Fleet != nil && u.fleetState != nil {
 				select {
-				case u.fleetState <- w.Fleet:
+				case u.fleetState <- msg.Fleet:
 				default:
 				}
 			}
-			u.applyCordon(w)
+			u.applyCordon(msg)
 		})
-		h.link.close()
+		received.link.close()
 		u.mu.Lock()
 		u.predecessor = nil
 		u.mu.Unlock()
@@ -609,13 +609,13 @@
 // older version does not acknowledge; it is waited for up to linkTimeout.
 func (u *upgrade) announceReady() {
 	u.mu.Lock()
-	old := u.predecessor
+	predecessor := u.predecessor
 	u.mu.Unlock()
-	if old != nil {
-		old.send(linkMessage{Ready: true})
+	if predecessor != nil {
+		predecessor.send(linkMessage{Ready: true})
 		select {
 		case <-u.acknowledged:
-		case <-old.closed:
+		case <-predecessor.closed:
 		case <-time.After(linkTimeout):
 			u.k.log.Warn("upgrade: the old process did not acknowledge this one in time")
 		case <-u.k.stop:
@@ -625,8 +625,8 @@
 }
 
 // applyCordon applies an operator's call that the other process received.
-func (u *upgrade) applyCordon(w linkMessage) {
-	if c := w.Cordon; c != nil {
+func (u *upgrade) applyCordon(msg linkMessage) {
+	if c := msg.Cordon; c != nil {
 		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
 		// good.
 		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -287,7 +287,9 @@
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "the full budget", func() bool { return third.upgrade.budget.Most() == third.upgrade.fullBudget })
+	standin.Until(t, "the full budget", func() bool {
+		return third.upgrade.budget.Most() == third.upgrade.fullBudget
+	})
 }
 
 // If there is no process to take over from, or no directory to meet in, a coordinator starts and serves
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -90,7 +90,8 @@
 // have reported counts as announced all the same.
 var (
 	pushTimes = callTimes{wait: time.Second, limit: 100 * time.Millisecond, grace: overdueLimit}
-	pollTimes = callTimes{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond, grace: 1500 * time.Millisecond}
+	pollTimes = callTimes{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond,
+		grace: 1500 * time.Millisecond}
 )
 
 // undetectedSilence returns how long a watch that has fallen silent can pass for a working one.
@@ -101,129 +102,129 @@
 // another address.
 func (w *watcher) run(watching bool) {
 	addr := w.cfg.Discovery
-	asked := !watching // by the module, which must be told of failures
-	t := pushTimes
-	if asked {
-		t = pollTimes
+	polling := !watching // by the module, which must be told of failures
+	times := pushTimes
+	if polling {
+		times = pollTimes
 	}
 	// The full list is requested at the start where that is cheap. Where a call is work for discovery, a
 	// watch continues from the list known before the start: otherwise many coordinators that start together
 	// would request more entries than discovery can deliver, and none would receive changes. Version 0 is a
 	// version like any other; an empty list has no node that could be missing.
 	known := w.cfg.Known != nil && len(w.cfg.Known.Hosts) > 0
-	whole, wanted := watching || !known || w.besideOld, false
-	failed := 0         // consecutive calls
-	renewed := false    // after silence a polling call is repeated once at once, before it counts as failed
-	var begun time.Time // start of the last call
-	var c *lnet.Client  // idle between calls
-	var out []*watchCall
+	full, requested := watching || !known || w.besideOld, false
+	failed := 0               // consecutive calls
+	retried := false          // a polling call that fell silent is repeated once before it counts as failed
+	var lastStart time.Time   // start of the last call
+	var idleConn *lnet.Client // idle between calls
+	var inFlight []*watchCall
 	results := make(chan watchResult, 2*maxCalls)
-	var again, overdue <-chan time.Time // back-off after a failure; time-out of the last call
-	abandon := func() {
-		for _, k := range out {
-			k.cancel()
+	var retry, overdue <-chan time.Time // back-off after a failure; time-out of the last call
+	cancelAll := func() {
+		for _, call := range inFlight {
+			call.cancel()
 		}
-		out, overdue = nil, nil
-		if c != nil {
-			c.Close()
-			c = nil
+		inFlight, overdue = nil, nil
+		if idleConn != nil {
+			idleConn.Close()
+			idleConn = nil
 		}
 	}
-	for due := false; ; {
-		if (out == nil || due) && again == nil && (watching || wanted) {
-			wanted, due = false, false
+	for addCall := false; ; {
+		if (inFlight == nil || addCall) && retry == nil && (watching || requested) {
+			requested, addCall = false, false
 			target, wait := "/discovery/hosts", time.Duration(0)
-			if !whole {
-				wait = t.wait
+			if !full {
+				wait = times.wait
 				target = fmt.Sprintf("/discovery/hosts?index=%d&wait=%d", w.seq, wait.Milliseconds())
 			}
-			if len(out) == maxCalls {
-				out[0].cancel()
-				out = out[1:]
+			if len(inFlight) == maxCalls {
+				inFlight[0].cancel()
+				inFlight = inFlight[1:]
 			}
-			begun = time.Now()
-			k := &watchCall{c: c}
-			c = nil
-			out = append(out, k)
-			go k.run(addr, target, wait+t.grace, results)
-			if t.limit < t.grace {
-				overdue = time.After(wait + t.limit)
+			lastStart = time.Now()
+			call := &watchCall{c: idleConn}
+			idleConn = nil
+			inFlight = append(inFlight, call)
+			go call.run(addr, target, wait+times.grace, results)
+			if times.limit < times.grace {
+				overdue = time.After(wait + times.limit)
 			}
 		}
 		select {
 		case watching = <-w.watching:
 			if !watching {
-				abandon()
+				cancelAll()
 			}
 		case <-w.fetches:
-			abandon()
-			whole, wanted, again = true, true, nil
-		case <-again:
-			again = nil
+			cancelAll()
+			full, requested, retry = true, true, nil
+		case <-retry:
+			retry = nil
 		case <-overdue:
 			overdue = nil
-			whole, due = true, true
+			full, addCall = true, true
 			if failed++; failed == 1 {
 				w.log.Warn("discovery did not answer in time", "address", addr)
 			}
 		case addr = <-w.moves:
 			// The full list from the new address contains whatever a call to the old one would still bring.
-			abandon()
-			failed, whole, again = 0, true, nil
+			cancelAll()
+			failed, full, retry = 0, true, nil
 		case <-w.stop:
-			abandon()
+			cancelAll()
 			return
 		case r := <-results:
-			i := slices.Index(out, r.call)
+			i := slices.Index(inFlight, r.call)
 			if i < 0 { // it was abandoned
 				if r.c != nil {
 					r.c.Close()
 				}
 				continue
 			}
-			if out = slices.Delete(out, i, i+1); len(out) == 0 {
-				out, overdue = nil, nil
+			if inFlight = slices.Delete(inFlight, i, i+1); len(inFlight) == 0 {
+				inFlight, overdue = nil, nil
 			}
 			if r.err == nil {
-				told := w.applyList(r.list)
-				abandon()
-				c = r.c
+				changed := w.applyList(r.list)
+				cancelAll()
+				idleConn = r.c
 				if failed > 0 {
 					w.log.Info("discovery answers again", "address", addr, "failed", failed)
 				}
-				failed, whole, renewed, due = 0, false, false, false
-				if told {
+				failed, full, retried, addCall = 0, false, false, false
+				if changed {
 					w.log.Info("list taken in", "version", r.list.Seq, "whole", r.list.Complete, "entries",
-						len(r.list.Hosts), "asked", time.Since(begun))
+						len(r.list.Hosts), "asked", time.Since(lastStart))
 				}
-				if !told && time.Since(begun) < watchRetry {
-					again = time.After(watchRetry) // discovery does not wait for changes
+				if !changed && time.Since(lastStart) < watchRetry {
+					retry = time.After(watchRetry) // discovery does not wait for changes
 				}
 				continue
 			}
 			if failed++; failed == 1 {
 				w.log.Warn("discovery did not answer", "address", addr, "err", r.err)
 			}
-			if late := (net.Error)(nil); asked && !renewed && errors.As(r.err, &late) && late.Timeout() {
-				renewed = true
+			if netErr := (net.Error)(nil); polling && !retried && errors.As(r.err, &netErr) && netErr.Timeout() {
+				retried = true
 				continue
 			}
-			renewed = false
-			if asked {
+			retried = false
+			if polling {
 				watching = false
 				w.post(core.Listed{Mode: balance.Failed})
 				continue
 			}
-			whole = true // after a missed change the full list is cheap
-			if out == nil {
-				due, again = false, time.After(watchRetry)
+			full = true // after a missed change the full list is cheap
+			if inFlight == nil {
+				addCall, retry = false, time.After(watchRetry)
 			}
 		}
 	}
 }
 
 // applyList passes a list on, and reports whether it changes anything.
-func (w *watcher) applyList(list *hostList) (told bool) {
+func (w *watcher) applyList(list *hostList) (changed bool) {
 	w.seq = list.Seq
 	if !list.Complete && len(list.Hosts) == 0 {
 		return false
@@ -232,9 +233,9 @@
 	if list.Complete {
 		mode = balance.Full
 	}
-	news := w.nodes.Learn(list.Hosts, list.Complete)
+	changes := w.nodes.Learn(list.Hosts, list.Complete)
 	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
-	w.nodes.logChanges(news)
+	w.nodes.logChanges(changes)
 	if list.Complete {
 		select {
 		case <-w.gotFullList:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,25 +42,25 @@
 	f := &File{name: name, lines: map[string]int{}, plainLines: map[string][]int{}}
 	f.scan(text)
 	meta, err := toml.Decode(text, into)
-	var bad toml.ParseError
-	if errors.As(err, &bad) {
-		at := bad.Position.Line
+	var parseErr toml.ParseError
+	if errors.As(err, &parseErr) {
+		line := parseErr.Position.Line
 		key := ""
-		if bad.LastKey != "" {
-			key = bad.LastKey + ": "
+		if parseErr.LastKey != "" {
+			key = parseErr.LastKey + ": "
 		}
-		return nil, fmt.Errorf("%s:%d: %s%s", name, at, key, bad.Message)
+		return nil, fmt.Errorf("%s:%d: %s%s", name, line, key, parseErr.Message)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, k := range meta.Undecoded() {
 		key := strings.Join(k, ".")
-		if told[key] || acceptsAnyKey(reflect.TypeOf(into), k) {
+		if reported[key] || acceptsAnyKey(reflect.TypeOf(into), k) {
 			continue
 		}
-		told[key] = true
+		reported[key] = true
 		for _, line := range f.plainLines[key] {
 			f.errs = append(f.errs, lineError{line, "unknown key " + key})
 		}
@@ -97,8 +97,8 @@
 	counts := map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		rest := strings.TrimSpace(line)
-		inside := quote != "" || depth > 0
-		if !inside && strings.HasPrefix(rest, "[") {
+		open := quote != "" || depth > 0
+		if !open && strings.HasPrefix(rest, "[") {
 			name, _, _ := strings.Cut(strings.Trim(rest, "["), "]")
 			name = strings.TrimSpace(name)
 			table, plain = name, name
@@ -111,7 +111,7 @@
 			f.addLine(table, plain, i+1)
 			continue
 		}
-		if key, _, ok := strings.Cut(rest, "="); ok && !inside && !strings.HasPrefix(rest, "#") {
+		if key, _, ok := strings.Cut(rest, "="); ok && !open && !strings.HasPrefix(rest, "#") {
 			key = strings.Trim(strings.TrimSpace(key), `"'`)
 			at, short := key, key
 			if table != "" {
@@ -215,14 +215,14 @@
 }
 
 // Overlay merges the settings of one object over those of another.
-func Overlay(under, over map[string]any) {
-	for k, v := range over {
-		a, ok1 := under[k].(map[string]any)
+func Overlay(base, override map[string]any) {
+	for k, v := range override {
+		a, ok1 := base[k].(map[string]any)
 		b, ok2 := v.(map[string]any)
 		if ok1 && ok2 {
 			Overlay(a, b)
 		} else {
-			under[k] = v
+			base[k] = v
 		}
 	}
 }
