--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -261,12 +261,12 @@
 }
 
 // importFile prints the front's file to stdout, and remarks on the imported lines to stderr.
-func importFile(path string, into importer.Options, stdout, stderr io.Writer) error {
+func importFile(path string, opts importer.Options, stdout, stderr io.Writer) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
 	}
-	res, err := importer.Import(string(text), into)
+	res, err := importer.Import(string(text), opts)
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -103,9 +103,9 @@
 
 // serveAdmission handles a call to the admission controller. It returns false if there is none, or no such
 // call.
-func (d *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
+func (srv *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
-	s, gated := d.state.(GateState)
+	s, gated := srv.state.(GateState)
 	if !ok || !gated || s.Gate() == nil {
 		return false
 	}
@@ -138,7 +138,7 @@
 			}
 			g.Hold(p, call == "/pin", t)
 		}
-		d.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
+		srv.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
 		reply(200, "done")
 	default:
 		return false
@@ -157,8 +157,8 @@
 }
 
 // serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
-func (d *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
-	s, ok := d.state.(FleetState)
+func (srv *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
+	s, ok := srv.state.(FleetState)
 	if !ok || s.Fleet() == nil {
 		return false
 	}
@@ -182,7 +182,7 @@
 				reply(400, err.Error())
 				return
 			}
-			go d.applyFleetCall(s, c, x, reply)
+			go srv.applyFleetCall(s, c, x, reply)
 		}
 	default:
 		return false
@@ -237,11 +237,11 @@
 }
 
 // applyFleetCall executes a call for the whole fleet. It blocks, so it runs in a goroutine of its own.
-func (d *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange,
+func (srv *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange,
 	reply func(status int, text string)) {
 	shown, everywhere, err := s.ApplyFleetCall(c, answerTimeout)
-	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Duration,
-		"err", err)
+	srv.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out,
+		"for", c.Duration, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		reply(404, err.Error())
@@ -281,33 +281,33 @@
 
 // Listen opens the endpoint on an address.
 func Listen(addr string, state State, log *slog.Logger) (*Server, error) {
-	d := &Server{state: state, log: log}
+	srv := &Server{state: state, log: log}
 	var err error
-	if d.server, err = lnet.Listen(addr, lnet.NewBudget(maxConns, 0), log, d.serve); err != nil {
+	if srv.server, err = lnet.Listen(addr, lnet.NewBudget(maxConns, 0), log, srv.serve); err != nil {
 		return nil, err
 	}
-	go d.server.Serve()
-	return d, nil
+	go srv.server.Serve()
+	return srv, nil
 }
 
 // Addr returns the address that the endpoint listens on.
-func (d *Server) Addr() string { return d.server.Addr() }
+func (srv *Server) Addr() string { return srv.server.Addr() }
 
 // Close stops the endpoint. Calls in progress are answered.
-func (d *Server) Close() {
-	d.server.StopListening()
-	d.server.Finish()
+func (srv *Server) Close() {
+	srv.server.StopListening()
+	srv.server.Finish()
 }
 
 // serve handles one call. Every reply ends its connection: a connection carries one call.
-func (d *Server) serve(r *lnet.Request, x *lnet.Exchange) func() {
+func (srv *Server) serve(r *lnet.Request, x *lnet.Exchange) func() {
 	reply := func(status int, text string) {
 		x.Reply(lnet.Response{Status: status, Body: []byte(text + "\n"), Close: true})
 	}
-	if d.serveAdmission(r, x, reply) || d.serveFleet(r, x, reply) {
+	if srv.serveAdmission(r, x, reply) || srv.serveFleet(r, x, reply) {
 		return nil
 	}
-	if s, ok := d.state.(DelayState); ok && r.Path == "/admin/delays" && r.Method == "GET" {
+	if s, ok := srv.state.(DelayState); ok && r.Path == "/admin/delays" && r.Method == "GET" {
 		replyJSON(x, reply, s.Delays())
 		return nil
 	}
@@ -320,28 +320,28 @@
 		reply(404, "no such call")
 	case r.Method != method:
 		methodNotAllowed(x, method)
-	case r.Path == "/admin/health" && d.state.Ready():
+	case r.Path == "/admin/health" && srv.state.Ready():
 		reply(200, "serving")
 	case r.Path == "/admin/health":
 		reply(503, "not serving")
 	case r.Path == "/admin/stats":
-		replyJSON(x, reply, d.state.Counters())
+		replyJSON(x, reply, srv.state.Counters())
 	default:
 		id := strings.TrimSpace(string(r.Body))
 		if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t\r\n") {
 			reply(400, "the body has to be one data node's id")
 			return nil
 		}
-		go d.applyCordon(id, r.Path == "/admin/cordon", reply)
+		go srv.applyCordon(id, r.Path == "/admin/cordon", reply)
 	}
 	return nil
 }
 
 // applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
 // of its own.
-func (d *Server) applyCordon(id string, out bool, reply func(status int, text string)) {
-	err := d.state.Cordon(id, out, answerTimeout)
-	d.log.Info("operator's call", "node", id, "out", out, "err", err)
+func (srv *Server) applyCordon(id string, out bool, reply func(status int, text string)) {
+	err := srv.state.Cordon(id, out, answerTimeout)
+	srv.log.Info("operator's call", "node", id, "out", out, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		reply(404, err.Error())
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -405,44 +405,44 @@
 // again lacks or has in another form. The items of a list need the keys that all items of the running list
 // have.
 func missingKey(path string, old, fresh any) error {
-	switch oldObject := old.(type) {
+	switch oldValue := old.(type) {
 	case map[string]any:
-		freshObject, ok := fresh.(map[string]any)
+		freshValue, ok := fresh.(map[string]any)
 		if !ok {
 			return fmt.Errorf("%s is not an object", path)
 		}
-		for _, k := range slices.Sorted(maps.Keys(oldObject)) {
+		for _, k := range slices.Sorted(maps.Keys(oldValue)) {
 			at := strings.TrimPrefix(path+"."+k, ".")
 			if optionalOnReload[k] {
 				continue
 			}
-			v, ok := freshObject[k]
+			v, ok := freshValue[k]
 			if !ok {
 				return fmt.Errorf("%s is missing", at)
 			}
-			if err := missingKey(at, oldObject[k], v); err != nil {
+			if err := missingKey(at, oldValue[k], v); err != nil {
 				return err
 			}
 		}
 		return nil
 	case []any:
-		freshObject, ok := fresh.([]any)
+		freshValue, ok := fresh.([]any)
 		if !ok {
 			return fmt.Errorf("%s is not a list", path)
 		}
-		if len(oldObject) == 0 {
+		if len(oldValue) == 0 {
 			return nil
 		}
-		form := oldObject[0]
+		form := oldValue[0]
 		if first, ok := form.(map[string]any); ok {
 			common := maps.Clone(first)
-			for _, x := range oldObject[1:] {
+			for _, x := range oldValue[1:] {
 				m, _ := x.(map[string]any)
 				maps.DeleteFunc(common, func(k string, _ any) bool { _, ok := m[k]; return !ok })
 			}
 			form = common
 		}
-		for i, x := range freshObject {
+		for i, x := range freshValue {
 			if err := missingKey(fmt.Sprintf("%s.%d", path, i), form, x); err != nil {
 				return err
 			}
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -140,13 +140,13 @@
 }
 
 // enableEvidence lets evidence against data nodes count, where the fleet's file says so.
-func (k *Coordinator) enableEvidence(conf *core.Config) {
+func (k *Coordinator) enableEvidence(coreCfg *core.Config) {
 	if !k.cfg.Fleet.Judges() {
 		return
 	}
 	m := &k.cfg.Module
-	conf.Saw = k.reportAttempt
-	conf.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
+	coreCfg.Saw = k.reportAttempt
+	coreCfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
 		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
 	}
 }
@@ -179,11 +179,11 @@
 		k.fleet.Close()
 		return err
 	case <-timeout.C:
-		k.log.Warn("not admitted to the fleet in time: serving without it")
+		k.log.Warn("not admitted to the fleet in time: serving anyway")
 		return nil
 	}
-	for deadline := time.Now().Add(verdictPeriods * k.cfg.Fleet.Period());
-		!k.fleet.Told(); time.Sleep(verdictPoll) {
+	for deadline := time.Now().Add(
+		verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(verdictPoll) {
 		if time.Now().After(deadline) {
 			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
@@ -211,7 +211,7 @@
 // fleetGate checks queries and attempts against the fleet's overload level and limits.
 type limits struct {
 	k      *Coordinator
-	ranked *atomic.Pointer[classRanks]
+	cached *atomic.Pointer[classRanks]
 }
 
 // classRanks are the ranks of a configuration's classes.
@@ -222,14 +222,14 @@
 
 // rank returns the rank of a class by worth.
 func (l limits) rank(conf *Config, class int) int {
-	r := l.ranked.Load()
+	r := l.cached.Load()
 	if r == nil || r.conf != conf {
 		worth := make([]float64, len(conf.Module.Classes))
 		for i := range worth {
 			worth[i] = conf.Module.Classes[i].Worth
 		}
 		r = &classRanks{conf, overload.Rank(worth)}
-		l.ranked.Store(r)
+		l.cached.Store(r)
 	}
 	return r.ranks[class]
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -37,8 +37,8 @@
 }
 
 // NewFront returns a front without a core. It parses requests for another front with the same format.
-func NewFront(cfg *Config, log *slog.Logger, via core.Backend) *Front {
-	f := &Front{log: log, backend: via}
+func NewFront(cfg *Config, log *slog.Logger, backend core.Backend) *Front {
+	f := &Front{log: log, backend: backend}
 	f.conf.Store(cfg)
 	return f
 }
--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -92,7 +92,7 @@
 func TestAnAbortDoesNotWaitForTheLog(t *testing.T) {
 	l := standin.NewHeldLog(t, "write aborted: its request is over and the writer was held")
 	ours, theirs := connPair(t)
-	c := &nodeConn{nodes: &Nodes{log: l.Logger()}, node: &node{name: "a"}, writeConn: ours}
+	c := &nodeConn{backend: &Nodes{log: l.Logger()}, node: &node{name: "a"}, writeConn: ours}
 	go c.Abort()
 	awaitHeld(t, l)
 	_ = theirs.SetReadDeadline(time.Now().Add(10 * time.Second))
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -63,7 +63,7 @@
 }
 
 func (n *Nodes) attach(id balance.ReplicaID) *nodeConn {
-	c := &nodeConn{nodes: n, node: &node{id: id, addr: "127.0.0.1:9"},
+	c := &nodeConn{backend: n, node: &node{id: id, addr: "127.0.0.1:9"},
 		pending: map[string]*core.Attempt{}, abandoned: map[string]time.Time{},
 		writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
 		lastUsed: time.Now(), openedAt: time.Now()}
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -17,7 +17,7 @@
 
 // nodeConn is one connection to a data node. One goroutine dials and then writes, another one reads.
 type nodeConn struct {
-	nodes        *Nodes
+	backend      *Nodes
 	node         *node
 	writeConn    net.Conn   // the same as conn, set before the writer starts
 	mu           sync.Mutex // guards all below
@@ -111,7 +111,7 @@
 	}
 	if p := f.probe; p != nil {
 		c.probes = append(c.probes, p)
-		time.AfterFunc(c.nodes.conf.Load().DialTimeout, func() { c.finishProbe(p, balance.TimedOut, nil) })
+		time.AfterFunc(c.backend.conf.Load().DialTimeout, func() { c.finishProbe(p, balance.TimedOut, nil) })
 	}
 	c.lastUsed = time.Now()
 	c.wakeWriter()
@@ -185,17 +185,17 @@
 // close closes the connection and reports how its attempts ended: attempts whose last byte was not written
 // have never run, the others may have.
 func (c *nodeConn) close(err error) {
-	c.nodes.mu.Lock()
+	c.backend.mu.Lock()
 	for i, x := range c.node.conns {
 		if x == c {
 			c.node.conns = append(c.node.conns[:i], c.node.conns[i+1:]...)
 			break
 		}
 	}
-	if x := c.node; x.removed && len(x.conns) == 0 && c.nodes.nodes[x.id] == x {
-		delete(c.nodes.nodes, x.id)
+	if x := c.node; x.removed && len(x.conns) == 0 && c.backend.nodes[x.id] == x {
+		delete(c.backend.nodes, x.id)
 	}
-	c.nodes.mu.Unlock()
+	c.backend.mu.Unlock()
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -219,9 +219,9 @@
 	if conn != nil {
 		lnet.Cut(conn)
 	}
-	c.nodes.budget.Release()
+	c.backend.budget.Release()
 	if err != nil {
-		c.nodes.log.Info("connection to a node ended", "node", c.node.name, "up", up, "parts", len(waiting),
+		c.backend.log.Info("connection to a node ended", "node", c.node.name, "up", up, "parts", len(waiting),
 			"age", time.Since(c.openedAt), "err", err)
 	}
 	for _, a := range waiting {
@@ -229,7 +229,7 @@
 		if unsent[a] {
 			outcome = ifUnsent
 		}
-		c.nodes.post(core.Outcome{Attempt: a, Outcome: outcome})
+		c.backend.post(core.Outcome{Attempt: a, Outcome: outcome})
 	}
 	for _, p := range probes {
 		outcome := ifWritten
@@ -247,7 +247,7 @@
 	p.done = true
 	c.mu.Unlock()
 	if !done {
-		c.nodes.post(core.ProbeDone{Replica: c.node.id, Outcome: outcome, Elapsed: time.Since(p.sentAt),
+		c.backend.post(core.ProbeDone{Replica: c.node.id, Outcome: outcome, Elapsed: time.Since(p.sentAt),
 			Report: report})
 	}
 }
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -44,7 +44,7 @@
 				frameErr = c.handleFrame(b)
 			}
 			if frameErr != nil {
-				c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", frameErr)
+				c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", frameErr)
 				c.close(frameErr)
 				return
 			}
@@ -56,13 +56,13 @@
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			err = malformed("frame not completed in time")
-			c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+			c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
 		case in.Len() > 0 && c.isIdle():
 			// Surplus bytes behind a good answer, which counts. The next answer would be read behind them.
 			err = malformed("%d unexpected bytes behind an answer", in.Len())
-			c.nodes.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+			c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
 		case in.Len() > 0 && (!partial || consumed > 0):
-			_ = conn.SetReadDeadline(time.Now().Add(c.nodes.frameTimeout()))
+			_ = conn.SetReadDeadline(time.Now().Add(c.backend.frameTimeout()))
 		case in.Len() == 0 && partial:
 			_ = conn.SetReadDeadline(time.Time{})
 		}
@@ -116,7 +116,7 @@
 func (c *nodeConn) closeSilentSiblings(sentAt time.Time) {
 	var silent []*nodeConn
 	limit := c.node.latency.upperBound()
-	c.nodes.mu.Lock()
+	c.backend.mu.Lock()
 	for _, x := range c.node.conns {
 		if x == c {
 			continue
@@ -131,9 +131,9 @@
 		}
 		x.mu.Unlock()
 	}
-	c.nodes.mu.Unlock()
+	c.backend.mu.Unlock()
 	for _, x := range silent {
-		c.nodes.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
+		c.backend.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
 		x.close(malformed("connection fell silent"))
 	}
 }
@@ -219,8 +219,8 @@
 			c.closeSilentSiblings(sentAt)
 		}
 		if attempt != nil {
-			c.nodes.post(core.Outcome{Attempt: attempt, Outcome: answer.outcome,
-				Report: c.nodes.conf.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
+			c.backend.post(core.Outcome{Attempt: attempt, Outcome: answer.outcome,
+				Report: c.backend.conf.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
 		}
 		return nil
 	case '3', '4':
@@ -235,7 +235,7 @@
 		if string(rest) == "E" {
 			c.finishProbe(p, balance.Error, nil)
 		} else {
-			c.finishProbe(p, balance.OK, c.nodes.conf.Load().parseReport(string(rest)))
+			c.finishProbe(p, balance.OK, c.backend.conf.Load().parseReport(string(rest)))
 		}
 		return nil
 	case 'X':
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -77,9 +77,9 @@
 }
 
 // NewNodes returns an empty set of nodes. post queues an event for the core.
-func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
+func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	post func(core.Event)) *Nodes {
-	n := &Nodes{log: log, budget: budget, post: post, counts: count, nodes: map[balance.ReplicaID]*node{}}
+	n := &Nodes{log: log, budget: budget, post: post, counts: counts, nodes: map[balance.ReplicaID]*node{}}
 	n.conf.Store(cfg)
 	return n
 }
@@ -90,7 +90,7 @@
 // learnt of them.
 func (n *Nodes) Learn(hosts []Host, full bool) (changes []nodeChange) {
 	n.mu.Lock()
-	var stale, removed []*nodeConn
+	var stale, retiring []*nodeConn
 	first := len(n.nodes) == 0
 	for _, x := range n.nodes {
 		if full && !x.removed {
@@ -130,7 +130,7 @@
 			changes = append(changes, nodeChange{slog.LevelInfo, x.name, id, "not listed any more", x.born})
 		}
 		if x.removed {
-			removed = append(removed, x.conns...)
+			retiring = append(retiring, x.conns...)
 			if len(x.conns) == 0 {
 				delete(n.nodes, id)
 			}
@@ -140,7 +140,7 @@
 	for _, c := range stale {
 		c.close(fmt.Errorf("the node was restarted"))
 	}
-	for _, c := range removed {
+	for _, c := range retiring {
 		c.retire()
 	}
 	return changes
@@ -211,7 +211,7 @@
 	if x == nil || x.addr == "" {
 		return nil
 	}
-	var best, silentest *nodeConn
+	var best, silentConn *nodeConn
 	bestFree, silentFree, silentCount := 0, 0, 0
 	silenceLimit := x.latency.upperBound()
 	for _, c := range x.conns {
@@ -220,27 +220,27 @@
 		switch {
 		case c.closed || c.retired:
 		case !c.owedSince.IsZero() && time.Since(c.owedSince) > silenceLimit:
-			if silentCount++; silentest == nil || free > silentFree {
-				silentest, silentFree = c, free
+			if silentCount++; silentConn == nil || free > silentFree {
+				silentConn, silentFree = c, free
 			}
 		case best == nil || free > bestFree:
 			best, bestFree = c, free
 		}
 		c.mu.Unlock()
 	}
-	if silentest != nil && best == nil && (silentCount > maxSilentConns || !open) {
-		best, bestFree = silentest, silentFree
+	if silentConn != nil && best == nil && (silentCount > maxSilentConns || !open) {
+		best, bestFree = silentConn, silentFree
 	}
 	if best != nil && bestFree > 0 || !open {
 		return best
 	}
 	if best == nil {
-		best = silentest
+		best = silentConn
 	}
 	if !n.budget.TakeServer() {
 		return best // no descriptor is left: the call queues behind others
 	}
-	c := &nodeConn{nodes: n, node: x, pending: map[string]*core.Attempt{},
+	c := &nodeConn{backend: n, node: x, pending: map[string]*core.Attempt{},
 		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
 		lastUsed: time.Now(), openedAt: time.Now()}
 	x.conns = append(x.conns, c)
@@ -281,7 +281,7 @@
 		}
 	}
 	c.mu.Unlock()
-	if !unsent && n.conf.Load().Module.CanCancel { // without it the node answers in vain
+	if !unsent && n.conf.Load().Module.CanCancel { // otherwise the node's answer is discarded
 		b := append([]byte{0, 0, 0, 0, '2'}, id...)
 		binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
 		c.enqueue(frame{payload: b, size: len(b)})
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -62,7 +62,7 @@
 
 // dialAndWrite dials and then runs the write loop.
 func (c *nodeConn) dialAndWrite(addr string) {
-	conn, err := net.DialTimeout("tcp", addr, c.nodes.conf.Load().DialTimeout)
+	conn, err := net.DialTimeout("tcp", addr, c.backend.conf.Load().DialTimeout)
 	if err != nil {
 		c.close(err)
 		return
@@ -82,10 +82,10 @@
 // writeLoop writes the frames one by one, each within its time limit, so that a node that does not read
 // only blocks its own connection.
 func (c *nodeConn) writeLoop(conn net.Conn) {
-	limit := time.Duration(idleShare * float64(c.nodes.conf.Load().ConnIdle))
+	limit := time.Duration(idleShare * float64(c.backend.conf.Load().ConnIdle))
 	idle := time.NewTimer(limit)
 	defer idle.Stop()
-	w := &frameWriter{c: c}
+	w := &frameWriter{conn: c}
 	socket := lnet.NewSocket(conn, writeTimeout)
 	for {
 		c.mu.Lock()
@@ -120,7 +120,7 @@
 
 // frameWriter writes the first frame of a connection's queue. Only the writer goroutine uses it.
 type frameWriter struct {
-	c         *nodeConn
+	conn      *nodeConn
 	buf       []byte
 	writing   []*core.Attempt // with a write in progress
 	checkedAt time.Time       // when they were last checked and allowed to begin
@@ -131,7 +131,7 @@
 // begin encodes the frame just before the system call and begins the writes of its parts. It returns nil
 // if there is nothing to write.
 func (w *frameWriter) begin() []byte {
-	c := w.c
+	c := w.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now() // read after the lock, which may be contended
@@ -179,23 +179,23 @@
 // its parts may be withdrawn while the socket accepts nothing.
 func (w *frameWriter) endWrites(sent bool) {
 	for _, a := range w.writing {
-		a.EndWrite(w.c)
+		a.EndWrite(w.conn)
 	}
-	w.c.mu.Lock()
-	if w.c.writing = false; !sent && len(w.c.frames) > 0 {
-		w.c.frames[0].started = false
+	w.conn.mu.Lock()
+	if w.conn.writing = false; !sent && len(w.conn.frames) > 0 {
+		w.conn.frames[0].started = false
 	}
-	w.c.mu.Unlock()
+	w.conn.mu.Unlock()
 	w.reportHeld()
 }
 
 // reportHeld tells the core of parts that never ran.
 func (w *frameWriter) reportHeld() {
 	for _, h := range w.held {
-		w.c.nodes.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
+		w.conn.backend.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
-		w.c.nodes.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt),
+		w.conn.backend.log.Info("attempt not begun", "node", w.conn.node.name, "part", wireID(h.attempt),
 			"why", string(h.reason))
 	}
 	w.held = nil
@@ -207,20 +207,20 @@
 	switch {
 	case err != nil:
 	case w.hasFrame:
-		w.c.nodes.counts.Tries.Add(int64(len(w.writing)))
+		w.conn.backend.counts.Tries.Add(int64(len(w.writing)))
 		w.recordDelay(time.Now())
-	case w.c.isClosed(): // while the socket accepted nothing
+	case w.conn.isClosed(): // while the socket accepted nothing
 		err = net.ErrClosed
 	default:
 		return false // the frame was withdrawn
 	}
-	return w.c.markWritten(err)
+	return w.conn.markWritten(err)
 }
 
 // recordDelay records a call that was written late.
 func (w *frameWriter) recordDelay(now time.Time) {
 	if took := now.Sub(w.checkedAt); took >= delay.Notable && len(w.writing) > 0 {
-		w.c.nodes.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.writing[0]),
+		w.conn.backend.delays.Note(delay.Attempt, took, "node", w.conn.node.name, "part", wireID(w.writing[0]),
 			"parts", len(w.writing))
 	}
 }
@@ -234,7 +234,7 @@
 // Abort makes sure that the connection's writer sends no further byte.
 func (c *nodeConn) Abort() {
 	lnet.Abort(c.writeConn)
-	c.nodes.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
+	c.backend.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
 }
 
 // markWritten records that the frame which the writer started was sent, or never will be, and reports
@@ -248,7 +248,7 @@
 		c.interrupted = nil
 		c.mu.Unlock()
 		for _, a := range interrupted {
-			c.nodes.post(core.Outcome{Attempt: a, Outcome: outcome})
+			c.backend.post(core.Outcome{Attempt: a, Outcome: outcome})
 		}
 		return true
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -282,7 +282,7 @@
 	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
-	c := &nodeConn{nodes: n, node: &node{id: id}, pending: map[string]*core.Attempt{},
+	c := &nodeConn{backend: n, node: &node{id: id}, pending: map[string]*core.Attempt{},
 		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1)}
 	n.nodes[id] = c.node
 	c.node.conns = []*nodeConn{c}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -313,31 +313,31 @@
 type adminState struct{ k *Coordinator }
 
 // Ready reports whether this process can serve.
-func (d adminState) Ready() bool { return d.k.front.ready.Load() && !d.k.shuttingDown.Load() }
+func (a adminState) Ready() bool { return a.k.front.ready.Load() && !a.k.shuttingDown.Load() }
 
 // Counters returns this process's counters.
-func (d adminState) Counters() admin.Counters {
-	c := d.k.core.Counts()
+func (a adminState) Counters() admin.Counters {
+	c := a.k.core.Counts()
 	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
 		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
 		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
 	for name, x := range c.Classes() {
 		f.OK[name], f.Shed[name], f.Errors[name] = x.Of(core.Answered), x.Of(core.Refused), x.Of(core.Failed)
 	}
-	for _, x := range d.k.extras {
-		if t, ok := x.(interface{ Figures() map[string]int64 }); ok {
-			f.Unusable = t.Figures()
+	for _, x := range a.k.extras {
+		if counter, ok := x.(interface{ Figures() map[string]int64 }); ok {
+			f.Unusable = counter.Figures()
 		}
 	}
 	return f
 }
 
 // Delays returns the statistics of actions that were carried out late.
-func (d adminState) Delays() any { return d.k.delays.Figures() }
+func (a adminState) Delays() any { return a.k.delays.Figures() }
 
 // Gate returns the admission controller, or nil where only the budget limits connections.
-func (d adminState) Gate() admin.Gate {
-	for _, x := range d.k.extras {
+func (a adminState) Gate() admin.Gate {
+	for _, x := range a.k.extras {
 		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
 			return admissionGate{g.Gate()}
 		}
@@ -346,23 +346,23 @@
 }
 
 // Fleet returns the view of the fleet, or nil without a fleet.
-func (d adminState) Fleet() any {
-	if d.k.fleet == nil {
+func (a adminState) Fleet() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Status()
+	return a.k.fleet.Status()
 }
 
 // Verdicts returns the verdicts in force in the fleet, or nil without a fleet.
-func (d adminState) Verdicts() any {
-	if d.k.fleet == nil {
+func (a adminState) Verdicts() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Verdicts()
+	return a.k.fleet.Verdicts()
 }
 
 // ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
-func (d adminState) ApplyFleetCall(call admin.FleetCall, within time.Duration) (any, bool, error) {
+func (a adminState) ApplyFleetCall(call admin.FleetCall, within time.Duration) (any, bool, error) {
 	v := verdict.Verdict{Kind: verdict.Node, What: call.ID, On: call.Out, By: call.By, Reason: call.Reason,
 		Span: call.Duration.Microseconds()}
 	if call.Prefix.IsValid() {
@@ -370,10 +370,10 @@
 		if call.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if call.Out && !d.k.core.Knows(core.ServerID(call.ID), within) {
+	} else if call.Out && !a.k.core.Knows(core.ServerID(call.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	status, err := d.k.fleet.Say(v, within, call.Wait)
+	status, err := a.k.fleet.Say(v, within, call.Wait)
 	switch {
 	case errors.Is(err, fleet.ErrLate):
 		err = admin.ErrTimeout
@@ -386,19 +386,19 @@
 }
 
 // Overload returns what the fleet sheds as a whole, or nil without a fleet.
-func (d adminState) Overload() any {
-	if d.k.fleet == nil {
+func (a adminState) Overload() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Overload()
+	return a.k.fleet.Overload()
 }
 
 // Limits returns this member's shares of the fleet's limits, or nil without a fleet.
-func (d adminState) Limits() any {
-	if d.k.fleet == nil {
+func (a adminState) Limits() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Limits()
+	return a.k.fleet.Limits()
 }
 
 // admissionGate adapts an admission controller to the admin endpoint.
@@ -408,10 +408,10 @@
 func (g admissionGate) Stats(n int) any { return g.Keeper.Figures(n) }
 
 // Cordon cordons or uncordons a data node.
-func (d adminState) Cordon(id string, cordoned bool, within time.Duration) error {
-	known, inTime := d.k.core.Cordon(core.ServerID(id), cordoned, within)
+func (a adminState) Cordon(id string, cordoned bool, within time.Duration) error {
+	known, inTime := a.k.core.Cordon(core.ServerID(id), cordoned, within)
 	if known {
-		d.k.upgrade.forwardCordon(core.ServerID(id), core.Here, cordoned)
+		a.k.upgrade.forwardCordon(core.ServerID(id), core.Here, cordoned)
 	}
 	switch {
 	case !inTime:
@@ -670,17 +670,17 @@
 }
 
 // Tell queues a datagram, or drops it where the queue is full: any datagram may be lost.
-func (p *peers) Tell(to uint32, text string) {
+func (p *peers) Tell(peer uint32, text string) {
 	if len(text) == 0 || len(text) > maxDatagram { // the platform forbids longer ones
 		p.log.Error("message to a peer is empty or too long", "bytes", len(text))
 		return
 	}
 	addr := p.allAddr
-	if to != balance.AllPeers {
-		if int64(to) >= int64(len(p.addrs)) || int(to) == p.cfg.Module.Number {
+	if peer != balance.AllPeers {
+		if int64(peer) >= int64(len(p.addrs)) || int(peer) == p.cfg.Module.Number {
 			return
 		}
-		addr = p.addrs[to]
+		addr = p.addrs[peer]
 	}
 	if addr == nil {
 		return
@@ -709,14 +709,14 @@
 		if err != nil {
 			continue
 		}
-		who, known := p.peerNumbers[from.String()]
-		if known && int(who) == p.cfg.Module.Number {
+		peer, known := p.peerNumbers[from.String()]
+		if known && int(peer) == p.cfg.Module.Number {
 			continue // our own broadcast
 		}
 		if !known || n > maxDatagram {
 			p.log.Warn("datagram from an unknown sender or too long", "from", from, "bytes", n)
 			continue
 		}
-		p.post(core.PeerMessage{From: who, Data: append([]byte(nil), buf[:n]...)})
+		p.post(core.PeerMessage{From: peer, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -202,17 +202,17 @@
 }
 
 // receive sends this process's hello and reads the old process's hello with the sockets.
-func (h *receivedSockets) receive(cfg *Config) error {
-	if err := h.link.writeMessage(linkMessage{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
+func (r *receivedSockets) receive(cfg *Config) error {
+	if err := r.link.writeMessage(linkMessage{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
 		return err
 	}
-	_ = h.link.conn.SetReadDeadline(time.Now().Add(linkTimeout))
+	_ = r.link.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	text, oob := make([]byte, 4096), make([]byte, unix.CmsgSpace(3*4))
-	n, oobn, _, _, err := h.link.conn.ReadMsgUnix(text, oob)
+	n, oobn, _, _, err := r.link.conn.ReadMsgUnix(text, oob)
 	if err != nil {
 		return err
 	}
-	h.link.reader = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), h.link.conn))
+	r.link.reader = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), r.link.conn))
 	files, err := receivedFiles(oob[:oobn])
 	defer func() {
 		for _, f := range files {
@@ -222,30 +222,30 @@
 	if err != nil {
 		return err
 	}
-	if h.hello, err = h.link.readMessage(); err != nil {
+	if r.hello, err = r.link.readMessage(); err != nil {
 		return err
 	}
-	_ = h.link.conn.SetReadDeadline(time.Time{})
-	if len(files) != len(h.hello.Sockets) {
-		return fmt.Errorf("received %d sockets, expected %d", len(files), len(h.hello.Sockets))
+	_ = r.link.conn.SetReadDeadline(time.Time{})
+	if len(files) != len(r.hello.Sockets) {
+		return fmt.Errorf("received %d sockets, expected %d", len(files), len(r.hello.Sockets))
 	}
-	for i, what := range h.hello.Sockets {
+	for i, what := range r.hello.Sockets {
 		switch what {
 		case "listen":
-			if h.listener, err = net.FileListener(files[i]); err != nil {
+			if r.listener, err = net.FileListener(files[i]); err != nil {
 				return err
 			}
 		case "peers":
-			if h.peers, err = packetConn(files[i]); err != nil {
+			if r.peers, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		case "fleet":
-			if h.fleet, err = packetConn(files[i]); err != nil {
+			if r.fleet, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		}
 	}
-	if h.listener == nil {
+	if r.listener == nil {
 		return errors.New("received no listener")
 	}
 	return nil
@@ -285,16 +285,16 @@
 }
 
 // discard closes the received sockets and the link after a takeover that failed.
-func (h *receivedSockets) discard() {
-	if h.listener != nil {
-		_ = h.listener.Close()
+func (r *receivedSockets) discard() {
+	if r.listener != nil {
+		_ = r.listener.Close()
 	}
-	for _, c := range []*net.UDPConn{h.peers, h.fleet} {
+	for _, c := range []*net.UDPConn{r.peers, r.fleet} {
 		if c != nil {
 			_ = c.Close()
 		}
 	}
-	h.link.close()
+	r.link.close()
 }
 
 // upgrade handles the takeover from a predecessor and the handover to a successor.
@@ -314,7 +314,7 @@
 	granted         int   // descriptors that the predecessor grants to this process and its successors
 	successor       *link // set while another process takes over from this one
 	ownShare        int   // descriptors that the successor must not use
-	successorServes bool  // the successor serves
+	successorServes bool
 	closed          bool
 }
 
@@ -333,7 +333,7 @@
 }
 
 // applyLimits bounds this process's descriptors, depending on which other processes exist. While others
-// exist it also bounds its memory and its share of the load on cold nodes.
+// exist it also halves the process's memory limit and its share of the load on cold nodes.
 func (u *upgrade) applyLimits() {
 	u.limitMu.Lock()
 	defer u.limitMu.Unlock()
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	propagationLimit = 6 * time.Second // stated on the operators' page on the whole fleet
-	watchRetry       = 50 * time.Millisecond
-	dialTimeout      = time.Second
-	maxListBytes     = 4 << 20 // bytes
+	propagationLimit     = 6 * time.Second // stated on the operators' page on the whole fleet
+	watchRetry           = 50 * time.Millisecond
+	discoveryDialTimeout = time.Second
+	maxListBytes         = 4 << 20 // bytes
 	// Where the list is pushed, an overdue call is not abandoned but joined by another one, so that an agent
 	// that recovers is heard at once and a slow one is heard as well.
 	overdueLimit = time.Second // for an overdue call
@@ -143,7 +143,7 @@
 				inFlight = inFlight[1:]
 			}
 			lastStart = time.Now()
-			call := &watchCall{c: idleConn}
+			call := &watchCall{client: idleConn}
 			idleConn = nil
 			inFlight = append(inFlight, call)
 			go call.run(addr, target, wait+times.grace, results)
@@ -177,8 +177,8 @@
 		case r := <-results:
 			i := slices.Index(inFlight, r.call)
 			if i < 0 { // it was abandoned
-				if r.c != nil {
-					r.c.Close()
+				if r.client != nil {
+					r.client.Close()
 				}
 				continue
 			}
@@ -188,7 +188,7 @@
 			if r.err == nil {
 				changed := w.applyList(r.list)
 				cancelAll()
-				idleConn = r.c
+				idleConn = r.client
 				if failed > 0 {
 					w.log.Info("discovery answers again", "address", addr, "failed", failed)
 				}
@@ -249,16 +249,16 @@
 // watchCall is one call to discovery.
 type watchCall struct {
 	mu        sync.Mutex // guards c, cancelled
-	c         *lnet.Client
+	client    *lnet.Client
 	cancelled bool
 }
 
 // watchResult is the result of a call, with its connection if that can be reused.
 type watchResult struct {
-	call *watchCall
-	list *hostList
-	c    *lnet.Client
-	err  error
+	call   *watchCall
+	list   *hostList
+	client *lnet.Client
+	err    error
 }
 
 // cancel ends a call whose result is no longer needed, also while it dials.
@@ -266,15 +266,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.cancelled = true
-	if k.c != nil {
-		k.c.Close()
+	if k.client != nil {
+		k.client.Close()
 	}
 }
 
 func (k *watchCall) run(addr, target string, limit time.Duration, results chan<- watchResult) {
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
-	c := k.c
+	c := k.client
 	if k.cancelled || c != nil && (err != nil || !c.Sound()) {
 		if c != nil {
 			c.Close()
@@ -282,25 +282,25 @@
 		c = nil
 	}
 	k.mu.Unlock()
-	results <- watchResult{call: k, list: list, c: c, err: err}
+	results <- watchResult{call: k, list: list, client: c, err: err}
 }
 
 func (k *watchCall) call(addr, target string, limit time.Duration) (*hostList, error) {
-	until := time.Now().Add(limit)
-	if k.c == nil {
-		c, err := lnet.Dial(addr, min(limit, dialTimeout), maxListBytes)
+	deadline := time.Now().Add(limit)
+	if k.client == nil {
+		c, err := lnet.Dial(addr, min(limit, discoveryDialTimeout), maxListBytes)
 		if err != nil {
 			return nil, err
 		}
 		k.mu.Lock()
-		k.c = c
-		over := k.cancelled
+		k.client = c
+		cancelled := k.cancelled
 		k.mu.Unlock()
-		if over {
+		if cancelled {
 			return nil, net.ErrClosed
 		}
 	}
-	reply, err := k.c.Do("GET", target, addr, nil, nil, until)
+	reply, err := k.client.Do("GET", target, addr, nil, nil, deadline)
 	if err != nil {
 		return nil, err
 	}
