--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -49,17 +49,17 @@
 
 // nodesWithOutcomes returns a Nodes for one node without a network, and a channel with its outcomes.
 func nodesWithOutcomes(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID,
-	told chan core.Outcome) {
+	outcomes chan core.Outcome) {
 	t.Helper()
-	told = make(chan core.Outcome, 16)
+	outcomes = make(chan core.Outcome, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
 	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) {
 			if o, ok := e.(core.Outcome); ok {
-				told <- o
+				outcomes <- o
 			}
 		})
-	return n, core.ServerID("a"), told
+	return n, core.ServerID("a"), outcomes
 }
 
 func (n *Nodes) attach(id balance.ReplicaID) *nodeConn {
@@ -75,7 +75,7 @@
 // Discovery announces that a node drains while a call for it is queued, and the core has not processed the
 // list yet. The call must not start. Once the node is back in service, a call starts.
 func TestNoCallBeginsOnceTheListSaysThatItsNodeDrains(t *testing.T) {
-	n, id, told := nodesWithOutcomes(t)
+	n, id, outcomes := nodesWithOutcomes(t)
 	c := n.attach(id)
 	late := newAttempt("late", id)
 	if !n.Send(id, []*core.Attempt{late}) {
@@ -86,7 +86,7 @@
 	held := newHeldConn()
 	c.conn, c.writeConn, c.connected = held, held, true
 	go c.writeLoop(held)
-	if o := nextOutcome(t, told); o.Attempt != late || o.Outcome != balance.NotSent {
+	if o := nextOutcome(t, outcomes); o.Attempt != late || o.Outcome != balance.NotSent {
 		t.Fatalf("%+v", o)
 	}
 	hosts[0].Health = inService
@@ -99,7 +99,7 @@
 		if !strings.Contains(string(b), "again.0") {
 			t.Errorf("%q was written", b)
 		}
-	case o := <-told:
+	case o := <-outcomes:
 		t.Errorf("%+v", o)
 	case <-time.After(10 * time.Second):
 		t.Error("nothing was written")
@@ -108,10 +108,10 @@
 	c.close(nil)
 }
 
-func nextOutcome(t *testing.T, told chan core.Outcome) core.Outcome {
+func nextOutcome(t *testing.T, outcomes chan core.Outcome) core.Outcome {
 	t.Helper()
 	select {
-	case o := <-told:
+	case o := <-outcomes:
 		return o
 	case <-time.After(10 * time.Second):
 		t.Fatal("no outcome")
@@ -127,21 +127,21 @@
 		write error
 		first balance.Outcome
 	}{{nil, balance.Reset}, {errors.New("broken pipe"), balance.NoConnection}} {
-		n, id, told := nodesWithOutcomes(t)
-		c, h := n.attach(id), newHeldConn()
-		c.conn, c.writeConn, c.connected = h, h, true
+		n, id, outcomes := nodesWithOutcomes(t)
+		c, held := n.attach(id), newHeldConn()
+		c.conn, c.writeConn, c.connected = held, held, true
 		first, second := newAttempt("q1", id), newAttempt("q2", id)
 		if !n.Send(id, []*core.Attempt{first}) || !n.Send(id, []*core.Attempt{second}) {
 			t.Fatal("not queued")
 		}
-		go c.writeLoop(h)
-		<-h.writing
+		go c.writeLoop(held)
+		<-held.writing
 		c.close(errors.New("connection reset by peer")) // as the reader does
-		if o := nextOutcome(t, told); o.Attempt != second || o.Outcome != balance.NoConnection {
+		if o := nextOutcome(t, outcomes); o.Attempt != second || o.Outcome != balance.NoConnection {
 			t.Fatalf("the attempt queued behind: %+v", o)
 		}
-		h.result <- x.write
-		if o := nextOutcome(t, told); o.Attempt != first || o.Outcome != x.first {
+		held.result <- x.write
+		if o := nextOutcome(t, outcomes); o.Attempt != first || o.Outcome != x.first {
 			t.Fatalf("write %v: outcome %v, not %v", x.write, o.Outcome, x.first)
 		}
 	}
@@ -150,46 +150,46 @@
 // While an attempt waits for its connection, its client leaves, its query is answered, the window for
 // repeats closes, or its time ends. It must not start, and the module learns that it never ran.
 func TestExpiredAttemptsAreNotWritten(t *testing.T) {
-	n, id, told := nodesWithOutcomes(t)
-	c, h := n.attach(id), newHeldConn()
-	c.conn, c.writeConn, c.connected = h, h, true
+	n, id, outcomes := nodesWithOutcomes(t)
+	c, held := n.attach(id), newHeldConn()
+	c.conn, c.writeConn, c.connected = held, held, true
 	k, err := core.New(core.Config{Settings: n.conf.Load().Module, Log: standin.Quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	running := newAttempt("q0", id)
-	left, past, over, good := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id),
+	left, windowOver, expired, valid := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id),
 		newAttempt("q4", id)
-	past.Before = time.Now()
-	over.Until = time.Now()
-	good.Before = time.Now().Add(time.Minute)
+	windowOver.Before = time.Now()
+	expired.Until = time.Now()
+	valid.Before = time.Now().Add(time.Minute)
 	n.Send(id, []*core.Attempt{running})
-	go c.writeLoop(h)
-	<-h.writing
-	for _, a := range []*core.Attempt{left, past, over, good} { // queued behind a frame that is being written
+	go c.writeLoop(held)
+	<-held.writing
+	for _, a := range []*core.Attempt{left, windowOver, expired, valid} { // behind a frame that is being written
 		if !n.Send(id, []*core.Attempt{a}) {
 			t.Fatal("not queued")
 		}
 	}
 	k.Leave(left.Query)
-	h.result <- nil
-	for _, a := range []*core.Attempt{left, past, over} {
-		if o := nextOutcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
+	held.result <- nil
+	for _, a := range []*core.Attempt{left, windowOver, expired} {
+		if o := nextOutcome(t, outcomes); o.Attempt != a || o.Outcome != balance.NotSent {
 			t.Fatalf("%s: %+v", a.Query.Name, o)
 		}
 	}
-	if words := string(<-h.writing); !strings.Contains(words, "q4.0 ") {
-		t.Fatalf("%q", words)
+	if text := string(<-held.writing); !strings.Contains(text, "q4.0 ") {
+		t.Fatalf("%q", text)
 	}
-	h.result <- nil
+	held.result <- nil
 	c.close(nil)
 }
 
 // A call carries the time that is left when it starts, and leaves out parts that were cancelled meanwhile.
 func TestCallIsEncodedWhenItBegins(t *testing.T) {
 	n, id, _ := nodesWithOutcomes(t)
-	c, h := n.attach(id), newHeldConn()
-	c.conn, c.writeConn, c.connected = h, h, true
+	c, held := n.attach(id), newHeldConn()
+	c.conn, c.writeConn, c.connected = held, held, true
 	all := []*core.Attempt{newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id)}
 	for _, a := range all {
 		a.Until = time.Now().Add(2 * time.Second) // it has waited for a connection since
@@ -199,30 +199,30 @@
 	if !n.Withdraw(all[1]) {
 		t.Fatal("a part of a call that has not started has never run")
 	}
-	go c.writeLoop(h)
+	go c.writeLoop(held)
 	var wait [2]int
-	words := string(<-h.writing)
-	form := "q1.0 0 d=%d 0\nq3.0 0 d=%d,k=key 4\ntext"
-	if _, err := fmt.Sscanf(words[5:], form, &wait[0], &wait[1]); err != nil {
-		t.Fatalf("%q: %v", words, err)
+	text := string(<-held.writing)
+	format := "q1.0 0 d=%d 0\nq3.0 0 d=%d,k=key 4\ntext"
+	if _, err := fmt.Sscanf(text[5:], format, &wait[0], &wait[1]); err != nil {
+		t.Fatalf("%q: %v", text, err)
 	}
 	if wait[0] > 2000 || wait[1] > 2000 || wait[0] < 1 {
 		t.Fatalf("the call carries %v ms, 2000 were left", wait)
 	}
-	h.result <- nil
+	held.result <- nil
 	c.close(nil)
 }
 
 // Where the settings forbid cancellation the node is not told, not even of an attempt whose time is over.
 func TestNoCancelIsSentWhereItIsForbidden(t *testing.T) {
 	n, id, _ := nodesWithOutcomes(t, `"cancel":true`, `"cancel":false`)
-	c, h := n.attach(id), newHeldConn()
-	c.conn, c.writeConn, c.connected = h, h, true
+	c, held := n.attach(id), newHeldConn()
+	c.conn, c.writeConn, c.connected = held, held, true
 	a, b := newAttempt("q1", id), newAttempt("q2", id)
 	n.Send(id, []*core.Attempt{a})
-	go c.writeLoop(h)
-	<-h.writing
-	h.result <- nil
+	go c.writeLoop(held)
+	<-held.writing
+	held.result <- nil
 	standin.Until(t, "the frame to be marked written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -232,17 +232,17 @@
 		t.Fatal("it may have run")
 	}
 	n.Send(id, []*core.Attempt{b})
-	if words := <-h.writing; words[4] != '1' {
-		t.Fatalf("%q was written", words)
+	if text := <-held.writing; text[4] != '1' {
+		t.Fatalf("%q was written", text)
 	}
-	h.result <- nil
+	held.result <- nil
 	c.close(nil)
 }
 
 // A connection that is closed while idle accepts no call. A call at that moment goes to another
 // connection; one that was already queued has never run, and the node is not to blame.
 func TestCallAtTheCloseOfAnIdleConnection(t *testing.T) {
-	n, id, told := nodesWithOutcomes(t)
+	n, id, outcomes := nodesWithOutcomes(t)
 	c := n.attach(id)
 	c.conn, c.connected = newHeldConn(), true
 	a := newAttempt("q1", id)
@@ -252,7 +252,7 @@
 		t.Fatal("a call was queued on a connection that is closing")
 	}
 	c.close(nil)
-	if o := nextOutcome(t, told); o.Attempt != a || o.Outcome != balance.NotSent {
+	if o := nextOutcome(t, outcomes); o.Attempt != a || o.Outcome != balance.NotSent {
 		t.Fatalf("%+v", o)
 	}
 }
@@ -261,8 +261,8 @@
 // down. An answer that is due is still given, discovery is still called, and nodes that it then announces
 // get connections, more than were reserved for them: idle clients make room.
 func TestCrowdLeavesDescriptorsForOthers(t *testing.T) {
-	free := make(chan struct{})
-	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	release := make(chan struct{})
+	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	slow.Wide.Store(true)
 	var down atomic.Bool
 	hosts := []host{hostAt("slow", slow.Addr, 0)}
@@ -274,8 +274,8 @@
 	conf := testConfig(t, &discovery{addr: d.addr})
 	conf.Limits.Sockets = 1 // the smallest possible budget: 32, of which 8 are reserved for nodes
 	k := startReady(t, conf)
-	owed := make(chan int, 1)
-	go func() { owed <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	down.Store(true)
 	for i := range 60 {
@@ -290,12 +290,12 @@
 			fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
 		}
 	}
-	close(free) // within its aim
-	if got := <-owed; got != 200 {
+	close(release) // within its aim
+	if got := <-status; got != 200 {
 		t.Fatalf("the request that was open got %d", got)
 	}
-	asked := d.count()
-	standin.Until(t, "further calls for the list", func() bool { return d.count() > asked+2 })
+	calls := d.count()
+	standin.Until(t, "further calls for the list", func() bool { return d.count() > calls+2 })
 	var nodes []*standin.Node
 	hosts = nil
 	for i := range 20 {
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -101,20 +101,20 @@
 // only once that byte can no longer be sent, and soon, as the writer may be blocked for long.
 func TestNoAttemptBeginsAfterTheFinalAnswer(t *testing.T) {
 	k, n, held := coreWithNode(t)
-	late := make(chan bool, 1)
-	begun := time.Now()
-	answered := finalFunc(func(core.Final) { late <- held.mayStillWrite() })
+	writable := make(chan bool, 1)
+	start := time.Now()
+	answered := finalFunc(func(core.Final) { writable <- held.mayStillWrite() })
 	k.Submit(heldQuery(n, "q1", 1200*time.Millisecond, answered))
 	awaitWrite(t, held)
 	select {
-	case could := <-late:
-		if could {
+	case stillWritable := <-writable:
+		if stillWritable {
 			t.Fatal("the final answer is given while a write for the query may still send its first byte")
 		}
 	case <-time.After(10 * time.Second):
 		t.Fatal("no final answer while a writer is blocked")
 	}
-	t.Logf("answered after %v", time.Since(begun))
+	t.Logf("answered after %v", time.Since(start))
 }
 
 // A client leaves while the writer is blocked. The write is aborted within the 0.1 s in which an attempt
@@ -147,7 +147,7 @@
 
 // A write is blocked for so long that the time it carries for its node far exceeds what is left. It is
 // aborted although its request is still open.
-func TestAHeldWriteDoesNotTellATimeThatIsOver(t *testing.T) {
+func TestAHeldWriteDoesNotCarryAnExpiredTime(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
 	k.Submit(q)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -224,7 +224,7 @@
 
 // A part without an answer is hedged, the hedge answers, and the node of the first attempt receives its
 // cancellation.
-func TestLosingHedgeIsCancelled(t *testing.T) {
+func TestLosingAttemptIsCancelled(t *testing.T) {
 	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
 	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
 	for len(a.Parts()) == 0 { // until the silent node is chosen
@@ -278,7 +278,7 @@
 }
 
 // Calls that wait for a connection to come up are queued. A drain withdraws them, and they have never run.
-func TestStopTakesBackWhatIsQueued(t *testing.T) {
+func TestDrainWithdrawsQueuedCalls(t *testing.T) {
 	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
@@ -297,8 +297,8 @@
 	if !n.Withdraw(all[2]) || n.Withdraw(all[0]) {
 		t.Fatal("only an attempt that has not started has never run")
 	}
-	if back := n.Stop(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
-		t.Fatalf("%v", back)
+	if withdrawn := n.Stop(id); len(withdrawn) != 2 || withdrawn[0] != all[1] || withdrawn[1] != all[3] {
+		t.Fatalf("%v", withdrawn)
 	}
 	if c.inFlight != len(c.pending) {
 		t.Fatalf("%d calls are counted, %d parts are pending", c.inFlight, len(c.pending))
@@ -308,16 +308,16 @@
 		string(c.frames[1].payload[4:]) != "2q0.0" {
 		t.Fatalf("%+v", c.frames)
 	}
-	if booked := c.frames[0].size + c.frames[1].size; c.queuedBytes != booked {
-		t.Fatalf("%d bytes are counted, %d are queued", c.queuedBytes, booked)
+	if want := c.frames[0].size + c.frames[1].size; c.queuedBytes != want {
+		t.Fatalf("%d bytes are counted, %d are queued", c.queuedBytes, want)
 	}
 }
 
 // After a restart the list known before it is enough to serve while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
 	a := standin.NewNode(t, answerAll)
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	c := testConfig(t, &discovery{addr: mute.Addr})
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	c := testConfig(t, &discovery{addr: silent.Addr})
 	c.Known = &hostList{Seq: 7, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
 	if r := post(t, startReady(t, c), "rate-check", 0); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
@@ -346,26 +346,26 @@
 // A reload moves the watch at once, even while a call to the old address is in flight, and starts with the
 // full list. Open queries are answered, and known nodes serve while the new address is silent.
 func TestReloadMovesTheWatch(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	b := standin.NewNode(t, answerAll)
 	first := newDiscovery(t, hostAt("a", a.Addr, 0))
 	first.silent = true
 	k := startReady(t, testConfig(t, first))
 	standin.Until(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	begun := time.Now()
-	k.Reload(testConfig(t, &discovery{addr: mute.Addr}))
-	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	start := time.Now()
+	k.Reload(testConfig(t, &discovery{addr: silent.Addr}))
+	standin.Until(t, "the call to a silent address", func() bool { return len(silent.Seen()) >= 1 })
 	calls := len(first.queries())
-	if took := time.Since(begun); took > pushTimes.undetectedSilence()/2 { // shorter than the call in flight
+	if took := time.Since(start); took > pushTimes.undetectedSilence()/2 { // shorter than the call in flight
 		t.Errorf("the move took %v", took)
 	}
-	close(free)
-	if got := <-held; got != 200 {
+	close(release)
+	if got := <-status; got != 200 {
 		t.Errorf("the open request got %d", got)
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
@@ -383,13 +383,13 @@
 }
 
 func TestNotReadyBeforeAnyList(t *testing.T) {
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	k, err := Start(testConfig(t, &discovery{addr: mute.Addr}), standin.Quiet())
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	k, err := Start(testConfig(t, &discovery{addr: silent.Addr}), standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	standin.Until(t, "the call for the list", func() bool { return len(mute.Seen()) > 0 })
+	standin.Until(t, "the call for the list", func() bool { return len(silent.Seen()) > 0 })
 	if r := standin.Call(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
 		t.Fatal(r.Status)
 	}
@@ -405,8 +405,8 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	ended := make(chan struct{})
 	go func() { k.Shutdown(); close(ended) }()
@@ -421,7 +421,7 @@
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
 		t.Errorf("a new connection got %d", r.Status)
 	}
-	if got := <-held; got != 503 {
+	if got := <-status; got != 503 {
 		t.Errorf("the open request got %d", got)
 	}
 	<-ended
@@ -430,17 +430,17 @@
 // Datagrams reach the peer that they are for. One that is too long, or from an unknown sender, is dropped.
 func TestDatagrams(t *testing.T) {
 	c := testConfig(t, newDiscovery(t))
-	var socks []*net.UDPConn
+	var sockets []*net.UDPConn
 	for range 3 {
 		s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = s.Close() })
-		socks = append(socks, s)
+		sockets = append(sockets, s)
 	}
-	own, peer, stranger := socks[0].LocalAddr().String(), socks[1], socks[2]
-	_ = socks[0].Close()
+	own, peer, stranger := sockets[0].LocalAddr().String(), sockets[1], sockets[2]
+	_ = sockets[0].Close()
 	c.PeerListen, c.Peers = own, []string{own, peer.LocalAddr().String()}
 	got := make(chan core.Event, 10)
 	p, err := listenPeers(c, standin.Quiet(), func(e core.Event) { got <- e }, nil)
@@ -525,20 +525,20 @@
 
 // A request with the id of another client's open request is rejected, and the first request is unharmed.
 func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
-	ask := func() *lnet.Reply {
+	send := func() *lnet.Reply {
 		return standin.Call(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
 			`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`)
 	}
 	first := make(chan *lnet.Reply, 1)
-	go func() { first <- ask() }()
+	go func() { first <- send() }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	if r := ask(); r.Status != 409 || r.Header.Get("Connection") != "close" {
+	if r := send(); r.Status != 409 || r.Header.Get("Connection") != "close" {
 		t.Errorf("the second got %d", r.Status)
 	}
-	close(free)
+	close(release)
 	if r := <-first; r.Status != 200 || !strings.Contains(string(r.Body), `"v:same.0"`) {
 		t.Errorf("the first got %d %s", r.Status, r.Body)
 	}
@@ -596,17 +596,17 @@
 	for range 8 {
 		post(t, k, "rate-check", 0)
 	}
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
-	for waits, begun := true, time.Now(); waits; time.Sleep(minSilence) {
+	for waits, start := true, time.Now(); waits; time.Sleep(minSilence) {
 		select {
-		case got := <-held:
+		case got := <-status:
 			if waits = false; got != 200 {
 				t.Errorf("the request on the silent connection got %d", got)
 			}
 		default:
-			if time.Since(begun) < maxSilence { // until then it may pass for a slow one
+			if time.Since(start) < maxSilence { // until then it may pass for a slow one
 				continue
 			}
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
@@ -614,8 +614,8 @@
 			}
 		}
 	}
-	if swallowed := answered.Load() - 8; swallowed > 1 {
-		t.Errorf("%d parts went on the silent connection", swallowed)
+	if unanswered := answered.Load() - 8; unanswered > 1 {
+		t.Errorf("%d parts went on the silent connection", unanswered)
 	}
 }
 
@@ -656,14 +656,14 @@
 }
 
 // A node that was replaced is deleted, but not before the last attempt in flight to it has ended.
-func TestReplacedNodesAreForgotten(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+func TestReplacedNodesAreDeleted(t *testing.T) {
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	b := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1))
 	k := startReady(t, testConfig(t, d))
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	known := func() int {
 		k.nodes.mu.Lock()
@@ -674,8 +674,8 @@
 	gone.Health, idle.Health = "terminated", "terminated"
 	d.change(t, gone, idle, hostAt("b", b.Addr, 0))
 	standin.Until(t, "the end of the idle node", func() bool { return known() == 2 })
-	close(free)
-	if got := <-held; got != 200 {
+	close(release)
+	if got := <-status; got != 200 {
 		t.Errorf("the open request got %d", got)
 	}
 	standin.Until(t, "the end of the other node", func() bool { return known() == 1 })
@@ -807,9 +807,9 @@
 // The counters match what clients and data nodes see: each reply counts once and in its class, each
 // attempt when it is written, and a request is open until it ends, also when its client leaves.
 func TestCountersAreCorrect(t *testing.T) {
-	var mute atomic.Bool
+	var silent atomic.Bool
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
-		if mute.Load() {
+		if silent.Load() {
 			return "", ""
 		}
 		return "S", "v"
@@ -827,7 +827,7 @@
 	if f.Tries != int64(len(n.Parts())) || f.PoolSize != 1 || f.PoolEjected != 0 || f.Active != 0 {
 		t.Fatalf("%+v, and %d attempts came", f, len(n.Parts()))
 	}
-	mute.Store(true)
+	silent.Store(true)
 	c, err := lnet.Dial(k.Addr(), time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -17,7 +17,7 @@
 
 // A file that lacks a key of the running one, has it in another form, or contains impossible numbers, is
 // rejected as a whole. Parse alone would fill gaps from the environment and from defaults.
-func TestBrokenFilesAreTurnedDown(t *testing.T) {
+func TestInvalidFilesAreRejected(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
 	old := testConfig(t, d)
 	old.raw["known"], old.raw["seed"] = map[string]any{"seq": json.Number("1")}, "ab"
@@ -111,16 +111,16 @@
 // New settings apply to new requests: a class is added and removed, the number of attempts changes. Open
 // requests keep their class, and an invalid file changes nothing. Both kinds of reload are counted.
 func TestReloadChangesTheSettings(t *testing.T) {
-	free := make(chan struct{})
-	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return answerAll(p) })
+	release := make(chan struct{})
+	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	n := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", slow.Addr, 0), hostAt("b", n.Addr, 1))
 	k := startReady(t, adminConfig(t, d))
 	if r := post(t, k, "fresh", 1); r.Status != 404 {
 		t.Fatalf("a class that does not exist yet: %d", r.Status)
 	}
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	if err := k.Reload(adminConfig(t, d, addedClass...)); err != nil {
 		t.Fatal(err)
@@ -132,8 +132,8 @@
 	if err := k.Reload(adminConfig(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
 	}
-	close(free)
-	if got := <-held; got != 200 {
+	close(release)
+	if got := <-status; got != 200 {
 		t.Errorf("the request whose class was removed got %d", got)
 	}
 	standin.Until(t, "the end of the removed class", func() bool {
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -57,13 +57,13 @@
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
 	old := startReady(t, cfg)
 	awaitUpgradeSocket(t, cfg)
-	say := func(k *Coordinator, name string) {
+	call := func(k *Coordinator, name string) {
 		t.Helper()
 		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
-	say(old, "cordon")
+	call(old, "cordon")
 	before := len(a.Parts())
 	c, err := lnet.Dial(cfg.Listen, time.Second, 1<<10)
 	if err != nil {
@@ -72,19 +72,19 @@
 	defer c.Close()
 	staysOpen(t, c, "first")
 
-	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	newCfg := *cfg
+	successor, err := Start(&newCfg, standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
+	t.Cleanup(successor.Close)
 	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, successor.Door(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
 		t.Error("the successor is ready before the old process knows of it")
 	}
-	if fresh.peers.conn.LocalAddr().String() != old.peers.conn.LocalAddr().String() {
+	if successor.peers.conn.LocalAddr().String() != old.peers.conn.LocalAddr().String() {
 		t.Error("the successor has another address for datagrams")
 	}
 	ended := make(chan struct{})
@@ -94,7 +94,7 @@
 		t.Errorf("the old process answers %d", r.Status)
 	}
 	for range 20 {
-		if r := post(t, fresh, "rate-check", 0); r.Status != 200 {
+		if r := post(t, successor, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 		if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
@@ -107,25 +107,25 @@
 	if staysOpen(t, c, "second") {
 		t.Error("a connection to the old process stays open")
 	}
-	say(old, "uncordon")
+	call(old, "uncordon")
 	standin.Until(t, "the uncordon at the old process to take effect in the new one", func() bool {
-		post(t, fresh, "rate-check", 0)
+		post(t, successor, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
 	<-ended
 
-	last := *cfg // the next one asks the process that serves now
-	if h, _ := requestSockets(&last, standin.Quiet()); h == nil {
+	nextCfg := *cfg // the next one asks the process that serves now
+	if received, _ := requestSockets(&nextCfg, standin.Quiet()); received == nil {
 		t.Fatal("no process to take over from")
 	} else {
-		h.discard()
+		received.discard()
 	}
 	standin.Until(t, "the socket again after that successor is gone", func() bool {
-		h, _ := requestSockets(&last, standin.Quiet())
-		if h != nil {
-			h.discard()
+		received, _ := requestSockets(&nextCfg, standin.Quiet())
+		if received != nil {
+			received.discard()
 		}
-		return h != nil
+		return received != nil
 	})
 }
 
@@ -138,15 +138,15 @@
 		t.Fatal(err)
 	}
 	defer clients.Close()
-	asked, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
+	upgradeSocket, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer asked.Close()
-	told := make(chan *link)
+	defer upgradeSocket.Close()
+	ready := make(chan *link)
 	go func() { // a scripted old process
-		defer close(told)
-		c, err := asked.AcceptUnix()
+		defer close(ready)
+		c, err := upgradeSocket.AcceptUnix()
 		if err != nil {
 			return
 		}
@@ -157,31 +157,31 @@
 		_ = withFD(clients, func(fd int) error {
 			return l.writeMessage(linkMessage{Sockets: []string{"listen"}, MaxSockets: 40}, fd)
 		})
-		if w, err := l.readMessage(); err == nil && w.Ready {
-			told <- l
+		if msg, err := l.readMessage(); err == nil && msg.Ready {
+			ready <- l
 		}
 	}()
-	fresh, err := Start(cfg, standin.Quiet())
+	successor, err := Start(cfg, standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
-	l := <-told
+	t.Cleanup(successor.Close)
+	l := <-ready
 	if l == nil {
 		t.Fatal("the old process received nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.Call(t, successor.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the admin endpoint answers %d", r.Status)
 	}
-	if fresh.accepting.Load() {
+	if successor.accepting.Load() {
 		t.Error("clients are accepted, and would be refused")
 	}
 	if err := l.writeMessage(linkMessage{Acknowledged: true}); err != nil {
 		t.Fatal(err)
 	}
 	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, successor.Door(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 		t.Errorf("/up answers %d", r.Status)
@@ -194,13 +194,13 @@
 	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	old := startReady(t, cfg)
 	awaitUpgradeSocket(t, cfg)
-	now := *cfg
-	h, _ := requestSockets(&now, standin.Quiet())
-	if h == nil {
+	newCfg := *cfg
+	received, _ := requestSockets(&newCfg, standin.Quiet())
+	if received == nil {
 		t.Fatal("nothing to take over")
 	}
-	defer h.discard()
-	go h.link.writeLoop()
+	defer received.discard()
+	go received.link.writeLoop()
 	c, err := lnet.Dial(cfg.Listen, time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 	if !staysOpen(t, c, "sigterm") {
 		t.Error("a connection is ended while no other process serves")
 	}
-	h.link.send(linkMessage{Ready: true})
+	received.link.send(linkMessage{Ready: true})
 	standin.Until(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
 	standin.Until(t, "the clients to be redirected", func() bool {
 		return old.server.Open() == 0 || !staysOpen(t, c, "then")
@@ -223,24 +223,24 @@
 
 // Descriptors are shared: two processes together never hold more than one may. The new process gets what
 // the old one releases, and everything once it is alone.
-func TestDescriptorsAreSharedOut(t *testing.T) {
+func TestDescriptorsAreShared(t *testing.T) {
 	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	old := startReady(t, cfg)
 	awaitUpgradeSocket(t, cfg)
 	u := old.upgrade
-	whole := u.fullBudget
-	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	fullBudget := u.fullBudget
+	newCfg := *cfg
+	successor, err := Start(&newCfg, standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
+	t.Cleanup(successor.Close)
 	standin.Until(t, "the old process to know of it", u.handedOver)
-	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*minSockets; sum > cfg.Limits.Sockets {
+	if sum := u.budget.Most() + successor.upgrade.budget.Most() + 2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "the full budget", func() bool { return fresh.upgrade.budget.Most() == whole })
+	standin.Until(t, "the full budget", func() bool { return successor.upgrade.budget.Most() == fullBudget })
 }
 
 // A process may be taken over from while its own predecessor still shuts down. The three share what one
@@ -249,40 +249,40 @@
 	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	first := startReady(t, cfg)
 	awaitUpgradeSocket(t, cfg)
-	follow := func(before *Coordinator) *Coordinator {
+	startSuccessor := func(predecessor *Coordinator) *Coordinator {
 		t.Helper()
-		now := *cfg
-		k, err := Start(&now, standin.Quiet())
+		newCfg := *cfg
+		k, err := Start(&newCfg, standin.Quiet())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		standin.Until(t, "the predecessor to know of it", before.upgrade.handedOver)
+		standin.Until(t, "the predecessor to know of it", predecessor.upgrade.handedOver)
 		return k
 	}
-	all := func(of ...*Coordinator) (sum int) {
+	capacity := func(of ...*Coordinator) (sum int) {
 		for _, k := range of {
 			sum += k.upgrade.budget.Most()
 		}
 		return sum
 	}
-	second := follow(first)
+	second := startSuccessor(first)
 	standin.Until(t, "the second one's upgrade socket", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
 		return second.upgrade.listener != nil
 	})
-	third := follow(second)
-	if sum := all(first, second, third); sum > first.upgrade.sharedBudget() {
+	third := startSuccessor(second)
+	if sum := capacity(first, second, third); sum > first.upgrade.sharedBudget() {
 		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 	}
 	first.Shutdown()
 	standin.Until(t, "the descriptors of the first", func() bool {
-		return all(second, third) == first.upgrade.sharedBudget()
+		return capacity(second, third) == first.upgrade.sharedBudget()
 	})
 	for range 3 { // and it stays so
 		time.Sleep(shareInterval)
-		if sum := all(second, third); sum > first.upgrade.sharedBudget() {
+		if sum := capacity(second, third); sum > first.upgrade.sharedBudget() {
 			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 		}
 	}
@@ -296,9 +296,9 @@
 // all the same.
 func TestFailedTakeoverIsHarmless(t *testing.T) {
 	n := standin.NewNode(t, answerAll)
-	for name, spoil := range map[string]func(cfg *Config) error{
-		"no place": func(cfg *Config) error { cfg.TempDir = filepath.Join(cfg.TempDir, "none"); return nil },
-		"left over": func(cfg *Config) error {
+	for name, prepare := range map[string]func(cfg *Config) error{
+		"no directory": func(cfg *Config) error { cfg.TempDir = filepath.Join(cfg.TempDir, "none"); return nil },
+		"leftover socket": func(cfg *Config) error {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
 			if err != nil {
 				return err
@@ -306,14 +306,14 @@
 			l.SetUnlinkOnClose(false)
 			return l.Close()
 		},
-		"mute": func(cfg *Config) error {
+		"silent": func(cfg *Config) error {
 			l, err := net.Listen("unix", socketPath(cfg))
 			if err == nil {
 				t.Cleanup(func() { _ = l.Close() })
 			}
 			return err
 		},
-		"no word": func(cfg *Config) error {
+		"malformed hello": func(cfg *Config) error {
 			l, err := net.Listen("unix", socketPath(cfg))
 			if err != nil {
 				return err
@@ -321,7 +321,7 @@
 			t.Cleanup(func() { _ = l.Close() })
 			go func() {
 				if c, err := l.Accept(); err == nil {
-					fmt.Fprintln(c, "not a word")
+					fmt.Fprintln(c, "not a message")
 				}
 			}()
 			return nil
@@ -329,7 +329,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
-			if err := spoil(cfg); err != nil {
+			if err := prepare(cfg); err != nil {
 				t.Fatal(err)
 			}
 			k := startReady(t, cfg)
@@ -367,11 +367,12 @@
 	k.upgrade.forwardCordon(7, core.Here, true)
 	go old.writeLoop()
 	_ = theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if w, err := fresh.readMessage(); err != nil || w.Sockets[0] != "listen" {
-		t.Fatalf("%+v %v", w, err)
+	if msg, err := fresh.readMessage(); err != nil || msg.Sockets[0] != "listen" {
+		t.Fatalf("%+v %v", msg, err)
 	}
-	if w, err := fresh.readMessage(); err != nil || w.Cordon == nil || w.Cordon.Server != 7 || !w.Cordon.Out {
-		t.Fatalf("%+v %v", w, err)
+	if msg, err := fresh.readMessage(); err != nil || msg.Cordon == nil || msg.Cordon.Server != 7 ||
+		!msg.Cordon.Out {
+		t.Fatalf("%+v %v", msg, err)
 	}
 }
 
@@ -386,7 +387,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan struct{}, 10)
+	connected := make(chan struct{}, 10)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -394,11 +395,11 @@
 				return
 			}
 			_ = c.Close()
-			asked <- struct{}{}
+			connected <- struct{}{}
 		}
 	}()
 	k := startReady(t, cfg)
-	standin.Until(t, "all tries", func() bool { return len(asked) == linkAttempts })
+	standin.Until(t, "all tries", func() bool { return len(connected) == linkAttempts })
 	select {
 	case <-k.watcher.gotFullList:
 	default:
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -118,7 +118,7 @@
 // However a call ends without an answer, the full list is requested again, and nodes that it does not name
 // are gone even if they still answer. Data before a reset, or of an answer without an end, is not an
 // answer.
-func TestWatchThatEndsWithoutTelling(t *testing.T) {
+func TestWatchThatEndsWithoutAnAnswer(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn, wrong string){
 		"silent": func(*net.TCPConn, string) {},
 		"closed": func(c *net.TCPConn, _ string) { _ = c.Close() },
@@ -179,7 +179,7 @@
 
 // Discovery is silent and then answers again. Calls continue in the meantime, so that the first one that
 // it can answer reports the changes.
-func TestWatchGoesOnAskingWhileDiscoveryIsDown(t *testing.T) {
+func TestWatchKeepsCallingWhileDiscoveryIsDown(t *testing.T) {
 	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	var mu sync.Mutex
@@ -195,16 +195,16 @@
 	mu.Lock()
 	down = true
 	mu.Unlock()
-	asked := d.count()
-	standin.Until(t, "calls to a silent discovery", func() bool { return d.count() > asked+8 })
+	calls := d.count()
+	standin.Until(t, "calls to a silent discovery", func() bool { return d.count() > calls+8 })
 	mu.Lock()
 	both[0].Health = "terminating"
-	asked, down = d.count(), false
+	calls, down = d.count(), false
 	mu.Unlock()
 	standin.Until(t, "the watch that follows the answer", func() bool { // until then the full list is requested
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return slices.ContainsFunc(d.seen[asked:], func(q string) bool { return q != "" })
+		return slices.ContainsFunc(d.seen[calls:], func(q string) bool { return q != "" })
 	})
 	expectNoParts(t, k, a)
 }
@@ -216,11 +216,11 @@
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	drains := []host{both[0], both[1]}
 	drains[0].Health = "terminating"
-	asked, free := make(chan struct{}, 100), make(chan struct{})
+	called, release := make(chan struct{}, 100), make(chan struct{})
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
-		asked <- struct{}{}
+		called <- struct{}{}
 		if query == "" {
-			<-free
+			<-release
 			writeList(c, listBody(9, true, drains...))
 		}
 	})
@@ -231,12 +231,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	<-asked
+	<-called
 	<-k.listKnown // the old list has been taken in
 	if k.front.ready.Load() {
 		t.Fatal("ready with an old list only")
 	}
-	close(free)
+	close(release)
 	standin.Until(t, "readiness", k.front.ready.Load)
 	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.gotFullList; return !open })
 	expectNoParts(t, k, a)
@@ -303,7 +303,7 @@
 
 // An overdue call is not cancelled for the next one: whichever is answered first counts. An agent that
 // recovers only answers new calls, and a slow one answers the old ones.
-func TestOverdueCallStaysOutBesideTheNext(t *testing.T) {
+func TestOverdueCallStaysInFlightBesideTheNext(t *testing.T) {
 	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	overdue := make(chan *net.TCPConn, 1)
