--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -19,7 +19,7 @@
 
 // errMalformed marks the end of a connection that delivered unusable bytes, or that fell silent while its
 // node answers on others. Attempts in flight on it may have run; it is no evidence about the node.
-var errMalformed = errors.New("malformed")
+var errMalformed = errors.New("spoilt")
 
 func malformed(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
