--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -188,7 +188,7 @@
 type sources struct{ ranges, translate, fleet string }
 
 // load reads the configuration, and the files of the fronts and the fleet if any are given.
-func load(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func load(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
 	error) {
 	cfg, fronts, err := loadFronts(files, env, log)
 	if err != nil || files.fleet == "" {
@@ -205,7 +205,7 @@
 }
 
 // loadFronts reads the configuration, and the fronts' files if any are given.
-func loadFronts(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.Extra,
+func loadFronts(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
 	error) {
 	alone := env("RELAY_CONFIG") == ""
 	switch {
@@ -225,7 +225,7 @@
 	}
 	var cfg *platform.Config
 	if alone {
-		if cfg, err = platform.Alone(file.Standalone()); err == nil {
+		if cfg, err = platform.Standalone(file.Standalone()); err == nil {
 			cfg.Operator = env("RELAY_OPERATOR")
 		}
 	} else {
@@ -239,16 +239,16 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", files.ranges, err)
 	}
-	return cfg, []platform.Extra{front}, nil
+	return cfg, []platform.ExtraFront{front}, nil
 }
 
 // loadTranslation reads the file of the front for old terminals.
-func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.Extra, error) {
+func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.ExtraFront, error) {
 	file, err := kiosk.LoadConfig(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg, err := platform.Alone(file.Standalone())
+	cfg, err := platform.Standalone(file.Standalone())
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
@@ -257,7 +257,7 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return cfg, []platform.Extra{front}, nil
+	return cfg, []platform.ExtraFront{front}, nil
 }
 
 // importFile prints the front's file to stdout, and remarks on the imported lines to stderr.
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -58,7 +58,7 @@
 // Gate is what the endpoint needs of an admission controller.
 type Gate interface {
 	Stats(n int) any
-	Hold(p netip.Prefix, pinned bool, span time.Duration)
+	BanOrPin(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
 }
 
@@ -136,7 +136,7 @@
 				reply(400, "the time has to be one such as 10m, of a year at most")
 				return true
 			}
-			g.Hold(p, call == "/pin", t)
+			g.BanOrPin(p, call == "/pin", t)
 		}
 		srv.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
 		reply(200, "done")
@@ -153,7 +153,7 @@
 		reply(500, err.Error())
 		return
 	}
-	x.Reply(lnet.Response{Status: 200, Type: "application/json", Body: b, Close: true})
+	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b, Close: true})
 }
 
 // serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
@@ -259,7 +259,7 @@
 		if c.Wait > 0 && !everywhere {
 			status = 202
 		}
-		x.Reply(lnet.Response{Status: status, Type: "application/json", Body: b, Close: true})
+		x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: b, Close: true})
 	}
 }
 
@@ -296,7 +296,7 @@
 // Close stops the endpoint. Calls in progress are answered.
 func (srv *Server) Close() {
 	srv.server.StopListening()
-	srv.server.Finish()
+	srv.server.Drain()
 }
 
 // serve handles one call. Every reply ends its connection: a connection carries one call.
--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -22,18 +22,18 @@
 
 // Host is what the fleet's part needs of the process around it. Functions that are nil are not called.
 type Host struct {
-	// Carry carries verdicts out here.
-	Carry Apply
-	// Name is the name of a data node by its number; false: it is not known here.
-	Name func(node uint64) (string, bool)
-	// Nodes is how many data nodes are listed.
-	Nodes func() int
+	// Apply carries verdicts out here.
+	Apply Apply
+	// NodeName is the name of a data node by its number; false: it is not known here.
+	NodeName func(node uint64) (string, bool)
+	// NodeCount is how many data nodes are listed.
+	NodeCount func() int
 }
 
 // jurors is the part of the fleet that judges.
 type jurors struct {
 	mu    sync.Mutex // guards jury: the core tells what it sees from its own goroutine
-	jury  *verdict.Jury
+	jury  *verdict.OutlierDetector
 	zones map[string]string // the view's owner's: of members that are alive
 	given int64             // judgements given here
 	held  int64             // and held back, as too many were out
@@ -42,27 +42,29 @@
 // ServerNumber is the number of a data node by its name: the module's, as peers name nodes by it.
 func ServerNumber(name string) uint64 { return uint64(core.ServerID(name)) }
 
-// Judges tells that evidence counts at this member.
-func (c *Config) Judges() bool { return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0 }
+// EvidenceEnabled tells that evidence counts at this member.
+func (c *Config) EvidenceEnabled() bool {
+	return c.Fleet.Evidence.Share != nil && *c.Fleet.Evidence.Share > 0
+}
 
-// SickShare is how many of all nodes may be out by evidence at a time, as a share.
-func (c *Config) SickShare() float64 { return *c.Fleet.Evidence.Share }
+// EvidenceShare is how many of all nodes may be out by evidence at a time, as a share.
+func (c *Config) EvidenceShare() float64 { return *c.Fleet.Evidence.Share }
 
-// Saw takes in how an attempt at a node ended that took so long. It does not wait.
-func (f *Fleet) Saw(node uint64, class int, e verdict.Ending, took time.Duration) {
+// ObserveAttempt takes in how an attempt at a node ended that took so long. It does not wait.
+func (f *Fleet) ObserveAttempt(node uint64, class int, e verdict.Outcome, took time.Duration) {
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	f.jurors.jury.See(f.now(), node, class, e, took.Microseconds())
+	f.jurors.jury.Observe(f.now(), node, class, e, took.Microseconds())
 }
 
 // tendJury has the jury its turn, once a period.
 func (f *Fleet) tendJury(v *membership.View, now membership.Micros) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	j := &f.jurors
 	self := f.cfg.Fleet.Name
-	var others []verdict.Voter
+	var others []verdict.Member
 	size := 0
 	clear(j.zones)
 	for _, m := range v.Members() {
@@ -70,13 +72,13 @@
 			size++
 		}
 		if m.State <= membership.Suspect && m.Name != self {
-			others = append(others, verdict.Voter{Name: m.Name, Zone: m.Zone})
+			others = append(others, verdict.Member{Name: m.Name, Zone: m.Zone})
 			j.zones[m.Name] = m.Zone
 		}
 	}
 	j.mu.Lock()
-	sends := j.jury.Tick(now, others, size, v.Figures().Health <= soundHealth)
-	judged := j.jury.Judge(now)
+	sends := j.jury.Tick(now, others, size, v.Stats().Health <= soundHealth)
+	judged := j.jury.Outliers(now)
 	j.mu.Unlock()
 	for _, s := range sends {
 		v.Say(s.To, toEvidence, s.Data)
@@ -87,24 +89,24 @@
 }
 
 // judge gives the verdict that a judgement is, if it may be given and there is room for it.
-func (f *Fleet) judge(now membership.Micros, x verdict.Judgement, alive, size int) {
+func (f *Fleet) judge(now membership.Micros, x verdict.Outlier, alive, size int) {
 	host := f.host.Load()
-	if host.Name == nil || host.Nodes == nil {
+	if host.NodeName == nil || host.NodeCount == nil {
 		return
 	}
-	name, ok := host.Name(x.Node)
+	name, ok := host.NodeName(x.Node)
 	if !ok {
 		return
 	}
-	said, may := f.keep.Sick(now, f.cfg.Period().Microseconds(), name, x)
+	said, may := f.keep.SickVerdict(now, f.cfg.Period().Microseconds(), name, x)
 	if !may {
 		return
 	}
-	if f.keep.Ill(now, x.Zone) >= verdict.MayBeOut(host.Nodes(), f.cfg.SickShare(), alive, size) {
+	if f.keep.CountSick(now, x.Zone) >= verdict.MaxSick(host.NodeCount(), f.cfg.EvidenceShare(), alive, size) {
 		f.jurors.held++
 		return
 	}
-	if _, err := f.keep.Say(now, time.Now().UnixMilli(), said); err != nil {
+	if _, err := f.keep.Issue(now, time.Now().UnixMilli(), said); err != nil {
 		f.log.Warn("a sick node stays in", "node", name, "err", err)
 		return
 	}
@@ -113,7 +115,7 @@
 
 // hearEvidence takes in another member's message on what it has seen.
 func (f *Fleet) hearEvidence(v *membership.View, h membership.Heard) {
-	if !f.cfg.Judges() {
+	if !f.cfg.EvidenceEnabled() {
 		return
 	}
 	zone, ok := f.jurors.zones[h.From]
@@ -121,7 +123,7 @@
 		return // it has come up since the last period
 	}
 	f.jurors.mu.Lock()
-	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Voter{Name: h.From, Zone: zone}, h.Data)
+	sends, ok := f.jurors.jury.Receive(f.now(), verdict.Member{Name: h.From, Zone: zone}, h.Data)
 	f.jurors.mu.Unlock()
 	if !ok {
 		f.drop(errMessage)
@@ -133,13 +135,13 @@
 
 // acquit drops the evidence against a node that is back: it has to be found sick anew.
 func (f *Fleet) acquit(c verdict.Change) {
-	if c.Holds || c.Verdict.Kind != verdict.Sick && c.Verdict.Kind != verdict.Path {
+	if c.InForce || c.Verdict.Kind != verdict.SickNode && c.Verdict.Kind != verdict.SickPath {
 		return
 	}
 	name, _ := c.Verdict.Node()
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	f.jurors.jury.Acquit(ServerNumber(name))
+	f.jurors.jury.ClearEvidence(ServerNumber(name))
 }
 
 // seen is what this member has seen of nodes that may be sick, for the door.
@@ -148,12 +150,12 @@
 	now := f.now()
 	f.jurors.mu.Lock()
 	defer f.jurors.mu.Unlock()
-	for _, id := range f.jurors.jury.Bouts() {
+	for _, id := range f.jurors.jury.FailingNodes() {
 		t := f.jurors.jury.Tally(now, id, 0)
 		s := SeenStatus{Node: fmt.Sprintf("%016x", id), Good: int(t.Good), Bad: int(t.Bad), Late: int(t.Late),
-			SinceMS: int64(t.First) * f.cfg.Period().Milliseconds()}
-		if host := f.host.Load(); host.Name != nil {
-			if name, ok := host.Name(id); ok {
+			SinceMS: int64(t.FirstBadAge) * f.cfg.Period().Milliseconds()}
+		if host := f.host.Load(); host.NodeName != nil {
+			if name, ok := host.NodeName(id); ok {
 				s.Node = name
 			}
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -133,7 +133,7 @@
 
 // Standalone returns the configuration of a coordinator that runs without the platform: it has no clients'
 // front of its own and no discovery.
-func Alone(settings map[string]any) (*Config, error) {
+func Standalone(settings map[string]any) (*Config, error) {
 	text, err := json.Marshal(map[string]any{"settings": settings})
 	if err != nil {
 		return nil, err
@@ -155,9 +155,9 @@
 		}
 	}
 	c.Fleet = f
-	c.Module.TellMost = fleet.MostMessage
+	c.Module.TellMost = fleet.MaxMessage
 	if c.raw == nil {
-		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.Size(), f.Place(), true
+		c.Module.Peers, c.Module.Number, c.Module.CanTell = f.MaxMembers(), f.RosterIndex(), true
 	}
 	return nil
 }
@@ -521,7 +521,7 @@
 				zone = j
 			}
 		}
-		state := balance.Gone
+		state := balance.Removed
 		switch h.Health {
 		case inService:
 			state = balance.Ready
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -33,7 +33,7 @@
 	if c.Fleet == nil {
 		return 0
 	}
-	return fleet.Sockets
+	return fleet.MaxSockets
 }
 
 // fleetSharesPeerSocket reports whether the fleet's socket is also the one for other coordinators. It then
@@ -68,7 +68,7 @@
 	if k.fleet == nil || k.upgrade.fleetState != nil {
 		return nil
 	}
-	if err := k.fleet.Begin(nil, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(nil, k.fleetHost()); err != nil {
 		return err
 	}
 	return k.awaitFleetJoin()
@@ -82,26 +82,26 @@
 	}
 	name, _ := c.Verdict.Node()
 	id := core.ServerID(name)
-	by := core.ByFleet
+	by := core.ByFleetOperator
 	switch c.Verdict.Kind {
-	case verdict.Sick:
-		by = core.Judged
-	case verdict.Path:
-		by = core.JudgedHere
+	case verdict.SickNode:
+		by = core.ByFleetEvidence
+	case verdict.SickPath:
+		by = core.ByZoneEvidence
 	}
-	if !k.core.Bar(id, by, c.Holds, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, by, c.InForce, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleet { // the successor receives verdicts by evidence with the table
-		k.upgrade.forwardCordon(id, by, c.Holds)
+	if by == core.ByFleetOperator { // the successor receives verdicts by evidence with the table
+		k.upgrade.forwardCordon(id, by, c.InForce)
 	}
 	return true
 }
 
 // fleetHost returns the functions that the fleet calls in this process.
 func (k *Coordinator) fleetHost() fleet.Host {
-	return fleet.Host{Carry: k.applyVerdict, Name: k.nodeName,
-		Nodes: func() int { return int(k.core.Counts().Listed.Load()) }}
+	return fleet.Host{Apply: k.applyVerdict, NodeName: k.nodeName,
+		NodeCount: func() int { return int(k.core.Counts().ListedServers.Load()) }}
 }
 
 // nodeName returns the name of a data node, whichever backend it belongs to.
@@ -122,32 +122,32 @@
 }
 
 // reportAttempt reports how an attempt ended to the fleet, where that is evidence about the node.
-func (k *Coordinator) reportAttempt(s core.Seen) {
-	outcome := verdict.Broken
+func (k *Coordinator) reportAttempt(s core.AttemptResult) {
+	outcome := verdict.Failed
 	switch {
 	case s.Outcome == balance.OK:
 		outcome = verdict.Served
 	case s.Outcome == balance.TimedOut:
-		outcome = verdict.Unheard
-	case s.Beaten:
-		outcome = verdict.Beaten
+		outcome = verdict.TimedOut
+	case s.Superseded:
+		outcome = verdict.HedgeWon
 	case s.Outcome == balance.Cancelled:
-		outcome = verdict.GivenUp
+		outcome = verdict.Cancelled
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.Saw(uint64(s.Replica), s.Class, outcome, s.Took)
+	k.fleet.ObserveAttempt(uint64(s.Replica), s.Class, outcome, s.Elapsed)
 }
 
 // enableEvidence lets evidence against data nodes count, where the fleet's file says so.
 func (k *Coordinator) enableEvidence(coreCfg *core.Config) {
-	if !k.cfg.Fleet.Judges() {
+	if !k.cfg.Fleet.EvidenceEnabled() {
 		return
 	}
 	m := &k.cfg.Module
-	coreCfg.Saw = k.reportAttempt
-	coreCfg.Guard = func(listed []verdict.Holder, sick []uint64) map[uint64]bool {
-		return verdict.Guard(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.SickShare())
+	coreCfg.OnAttemptEnd = k.reportAttempt
+	coreCfg.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.EvidenceShare())
 	}
 }
 
@@ -159,9 +159,11 @@
 		return // sent by a member of another version: nothing to apply
 	}
 	for _, x := range k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
-			if c.Holds {
-				g.Gate().Hold(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Left)*time.Microsecond)
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
+			if c.InForce {
+				g.Gate().BanOrPin(p, c.Verdict.Word == verdict.Pin, time.Duration(c.Remaining)*time.Microsecond)
 			} else {
 				g.Gate().Lift(p)
 			}
@@ -175,7 +177,7 @@
 	defer timeout.Stop()
 	select {
 	case <-k.fleet.Joined():
-	case err := <-k.fleet.Refused():
+	case err := <-k.fleet.NameTaken():
 		k.fleet.Close()
 		return err
 	case <-timeout.C:
@@ -183,7 +185,7 @@
 		return nil
 	}
 	for deadline := time.Now().Add(
-		verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.Told(); time.Sleep(verdictPoll) {
+		verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.VerdictsSynced(); time.Sleep(verdictPoll) {
 		if time.Now().After(deadline) {
 			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
@@ -197,9 +199,9 @@
 func (k *Coordinator) receiveFleet() {
 	for {
 		select {
-		case h := <-k.fleet.Heard():
+		case h := <-k.fleet.Messages():
 			k.core.Post(core.PeerMessage{Data: h.Data})
-		case err := <-k.fleet.Refused():
+		case err := <-k.fleet.NameTaken():
 			k.failed <- fmt.Errorf("refusing to serve: %w", err)
 			return
 		case <-k.stop:
@@ -209,7 +211,7 @@
 }
 
 // fleetGate checks queries and attempts against the fleet's overload level and limits.
-type limits struct {
+type fleetGate struct {
 	k      *Coordinator
 	cached *atomic.Pointer[classRanks]
 }
@@ -221,30 +223,30 @@
 }
 
 // rank returns the rank of a class by worth.
-func (l limits) rank(conf *Config, class int) int {
+func (l fleetGate) rank(conf *Config, class int) int {
 	r := l.cached.Load()
 	if r == nil || r.conf != conf {
 		worth := make([]float64, len(conf.Module.Classes))
 		for i := range worth {
 			worth[i] = conf.Module.Classes[i].Worth
 		}
-		r = &classRanks{conf, overload.Rank(worth)}
+		r = &classRanks{conf, overload.RankByWorth(worth)}
 		l.cached.Store(r)
 	}
 	return r.ranks[class]
 }
 
 // Admit reports whether a query may be admitted.
-func (l limits) Admit(q *core.Query) (bool, time.Duration, string) {
+func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
 	conf := l.k.front.conf.Load()
 	class, queryID := conf.Classes[q.Class], q.Name
 	if q.Key != "" {
 		queryID = q.Key // the same for all retries of the query
 	}
-	if ok, after := l.k.fleet.LetIn(l.rank(conf, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
+	if ok, after := l.k.fleet.Admit(l.rank(conf, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
-	t, ok, after, limit := l.k.fleet.Allow(class, q.Caller, q.Deadline)
+	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
 	if !ok {
 		return false, after, "limit " + limit + " of the fleet"
 	}
@@ -255,23 +257,23 @@
 }
 
 // QueryEnded releases what a query held, and reports its outcome.
-func (l limits) Ended(q *core.Query, e core.Ending) {
-	l.k.fleet.HasEnded(e == core.Answered)
+func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
+	l.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
 // AllowSend reports whether an attempt may be sent.
-func (l limits) Send(a *core.Attempt) (bool, balance.Outcome) {
-	if !l.k.fleet.MaySend(a.First()) {
+func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
 	}
-	if !l.k.fleet.LimitsServers() {
+	if !l.k.fleet.HasServerLimits() {
 		return true, 0
 	}
-	t, ok := l.k.fleet.AllowSend(uint64(a.Replica), time.Now().Add(a.Timeout))
+	t, ok := l.k.fleet.AllowAttempt(uint64(a.Replica), time.Now().Add(a.Timeout))
 	if !t.Empty() {
 		a.Ticket = t
 	}
@@ -279,10 +281,10 @@
 }
 
 // AttemptEnded releases what an attempt held.
-func (l limits) Over(a *core.Attempt) {
+func (l fleetGate) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
-		l.k.fleet.Done(t)
+		l.k.fleet.ReleaseTicket(t)
 	}
 }
 
@@ -303,7 +305,7 @@
 	case <-k.stop:
 		return
 	}
-	if err := k.fleet.Begin(state, k.fleetHost()); err != nil {
+	if err := k.fleet.Start(state, k.fleetHost()); err != nil {
 		k.log.Error("joining the fleet failed: serving without it", "err", err)
 	}
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -44,7 +44,7 @@
 }
 
 // SetConfig sets the configuration that requests are parsed with.
-func (f *Front) Adopt(cfg *Config) { f.conf.Store(cfg) }
+func (f *Front) SetConfig(cfg *Config) { f.conf.Store(cfg) }
 
 // Parse converts a request to a query, or returns what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
@@ -64,19 +64,19 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countRejected(r, EndingOf(err.Status))
+		f.countRejected(r, OutcomeForStatus(err.Status))
 		// The connection ends: what follows on it is unlikely to be valid and must not cost more.
-		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
-		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
+		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
+		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
 		return nil
 	}
 	q.Client = &client{x: x, log: f.log, count: f.core.Counts().Class(ClassName(r))}
 	q.ClientLeft = x.ClientLeft
 	if !f.core.Submit(q) {
-		q.Client.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		q.Client.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
 // CountTurnedAway counts a request that was refused before it reached the front, as too many connections
@@ -86,8 +86,8 @@
 }
 
 // countRejected counts a reply given without the core, if the request names a class.
-func (f *Front) countRejected(r *lnet.Request, e core.Ending) {
-	if class := ClassName(r); f.conf.Load().classIndex(class, r.At) >= 0 {
+func (f *Front) countRejected(r *lnet.Request, e core.QueryOutcome) {
+	if class := ClassName(r); f.conf.Load().classIndex(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
@@ -99,7 +99,7 @@
 }
 
 // OutcomeForStatus returns what a reply's status means for the query.
-func EndingOf(status int) core.Ending {
+func OutcomeForStatus(status int) core.QueryOutcome {
 	switch status {
 	case 200:
 		return core.Answered
@@ -123,10 +123,10 @@
 // parse converts a request to a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
-		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
 	cfg := f.conf.Load()
-	class := cfg.classIndex(ClassName(r), r.At)
+	class := cfg.classIndex(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -138,20 +138,20 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.backend,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.backend,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.rulesFor(class, q.Key != "", r.At)
+	b := cfg.rulesFor(class, q.Key != "", r.ReceivedAt)
 	switch {
 	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.sendKey && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
 	case !b.sendKey:
 		q.Key = ""
 	}
-	q.Rules, q.Most = &b.rules, b.maxAttempts
+	q.Rules, q.MaxAttempts = &b.rules, b.maxAttempts
 	wait := time.Duration(b.rules.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
@@ -162,7 +162,7 @@
 			wait = time.Duration(s * float64(time.Second))
 		}
 	}
-	q.Deadline = r.At.Add(wait)
+	q.Deadline = r.ReceivedAt.Add(wait)
 	var body queryBody
 	if !utf8.Valid(r.Body) { // decoding would replace invalid bytes, and the parts would carry the changed text
 		return fail(400, "the body is not UTF-8")
@@ -173,7 +173,7 @@
 	if len(body.Slices) == 0 || len(body.Slices) > maxParts {
 		return fail(400, "slices: 1 to %d are needed", maxParts)
 	}
-	q.Text = []byte(body.Filter)
+	q.Payload = []byte(body.Filter)
 	seen, total := map[int]bool{}, 0.0
 	for _, s := range body.Slices {
 		if s.Slice == nil || *s.Slice < 0 || *s.Slice >= cfg.Shards || seen[*s.Slice] {
@@ -225,7 +225,7 @@
 
 // reply sends a reply and counts its outcome.
 func (c *client) reply(r lnet.Response) {
-	c.count.Add(EndingOf(r.Status))
+	c.count.Add(OutcomeForStatus(r.Status))
 	c.x.Reply(r)
 }
 
@@ -241,15 +241,15 @@
 }
 
 // Final sends the reply.
-func (c *client) Final(f core.Final) {
-	switch f.Ending {
+func (c *client) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		r := Answer(f, c.log)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		c.reply(r)
 	case core.Refused:
 		r := Refusal(f.RetryAfter)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		if f.Why != "" {
 			r.Body = []byte("refused for now: " + f.Why + "\n")
 		}
@@ -262,13 +262,13 @@
 		case f.NameTaken:
 			status = 409
 		}
-		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, Decided: f.Decided})
+		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, DecidedAt: f.Decided})
 	}
 }
 
 // Answer returns the response to a query that was answered.
-func Answer(f core.Final, log *slog.Logger) lnet.Response {
-	body := answerBody{Entire: f.Whole, Items: make([]answerItem, 0, len(f.Values))}
+func Answer(f core.FinalAnswer, log *slog.Logger) lnet.Response {
+	body := answerBody{Entire: f.Complete, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
 		body.Items = append(body.Items, answerItem{Slice: v.Shard, Body: string(v.Body)})
 	}
@@ -277,7 +277,7 @@
 		log.Warn("answer exceeds the largest reply body", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: b}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: b}
 }
 
 // Refusal returns a response that tells the client when to retry.
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -177,7 +177,7 @@
 	case !written:
 		return balance.NoConnection
 	case errors.Is(c.endErr, errMalformed):
-		return balance.Spoilt
+		return balance.Malformed
 	}
 	return balance.Reset
 }
@@ -217,7 +217,7 @@
 	c.mu.Unlock()
 	c.wakeWriter()
 	if conn != nil {
-		lnet.Cut(conn)
+		lnet.AbortAndClose(conn)
 	}
 	c.backend.budget.Release()
 	if err != nil {
@@ -229,7 +229,7 @@
 		if unsent[a] {
 			outcome = ifUnsent
 		}
-		c.backend.post(core.Outcome{Attempt: a, Outcome: outcome})
+		c.backend.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 	}
 	for _, p := range probes {
 		outcome := ifWritten
--- a/internal/platform/noderace_test.go
+++ b/internal/platform/noderace_test.go
@@ -44,18 +44,18 @@
 // newAttempt returns an attempt with plenty of time left.
 func newAttempt(name string, id balance.ReplicaID) *core.Attempt {
 	return &core.Attempt{Query: &core.Query{Name: name}, Replica: id, Timeout: 10 * time.Second,
-		Until: time.Now().Add(10 * time.Second)}
+		Deadline: time.Now().Add(10 * time.Second)}
 }
 
 // nodesWithOutcomes returns a Nodes for one node without a network, and a channel with its outcomes.
 func nodesWithOutcomes(t *testing.T, edit ...string) (n *Nodes, id balance.ReplicaID,
-	outcomes chan core.Outcome) {
+	outcomes chan core.AttemptDone) {
 	t.Helper()
-	outcomes = make(chan core.Outcome, 16)
+	outcomes = make(chan core.AttemptDone, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
 	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) {
-			if o, ok := e.(core.Outcome); ok {
+			if o, ok := e.(core.AttemptDone); ok {
 				outcomes <- o
 			}
 		})
@@ -82,7 +82,7 @@
 		t.Fatal("not queued")
 	}
 	hosts := []Host{{Host: "a", Dial: c.node.addr, Health: terminating, Share: 1}}
-	n.Learn(hosts, true)
+	n.UpdateHosts(hosts, true)
 	held := newHeldConn()
 	c.conn, c.writeConn, c.connected = held, held, true
 	go c.writeLoop(held)
@@ -90,7 +90,7 @@
 		t.Fatalf("%+v", o)
 	}
 	hosts[0].Health = inService
-	n.Learn(hosts, true)
+	n.UpdateHosts(hosts, true)
 	if !n.Send(id, []*core.Attempt{newAttempt("again", id)}) {
 		t.Fatal("not queued")
 	}
@@ -108,14 +108,14 @@
 	c.close(nil)
 }
 
-func nextOutcome(t *testing.T, outcomes chan core.Outcome) core.Outcome {
+func nextOutcome(t *testing.T, outcomes chan core.AttemptDone) core.AttemptDone {
 	t.Helper()
 	select {
 	case o := <-outcomes:
 		return o
 	case <-time.After(10 * time.Second):
 		t.Fatal("no outcome")
-		return core.Outcome{}
+		return core.AttemptDone{}
 	}
 }
 
@@ -160,9 +160,9 @@
 	running := newAttempt("q0", id)
 	left, windowOver, expired, valid := newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id),
 		newAttempt("q4", id)
-	windowOver.Before = time.Now()
-	expired.Until = time.Now()
-	valid.Before = time.Now().Add(time.Minute)
+	windowOver.StartBy = time.Now()
+	expired.Deadline = time.Now()
+	valid.StartBy = time.Now().Add(time.Minute)
 	n.Send(id, []*core.Attempt{running})
 	go c.writeLoop(held)
 	<-held.writing
@@ -171,7 +171,7 @@
 			t.Fatal("not queued")
 		}
 	}
-	k.Leave(left.Query)
+	k.Abandon(left.Query)
 	held.result <- nil
 	for _, a := range []*core.Attempt{left, windowOver, expired} {
 		if o := nextOutcome(t, outcomes); o.Attempt != a || o.Outcome != balance.NotSent {
@@ -192,11 +192,11 @@
 	c.conn, c.writeConn, c.connected = held, held, true
 	all := []*core.Attempt{newAttempt("q1", id), newAttempt("q2", id), newAttempt("q3", id)}
 	for _, a := range all {
-		a.Until = time.Now().Add(2 * time.Second) // it has waited for a connection since
+		a.Deadline = time.Now().Add(2 * time.Second) // it has waited for a connection since
 	}
-	all[2].Query.Key, all[2].Query.Text = "key", []byte("text")
+	all[2].Query.Key, all[2].Query.Payload = "key", []byte("text")
 	n.Send(id, all)
-	if !n.Withdraw(all[1]) {
+	if !n.Cancel(all[1]) {
 		t.Fatal("a part of a call that has not started has never run")
 	}
 	go c.writeLoop(held)
@@ -228,7 +228,7 @@
 		defer c.mu.Unlock()
 		return len(c.writtenAt) == 1
 	})
-	if n.Withdraw(a) {
+	if n.Cancel(a) {
 		t.Fatal("it may have run")
 	}
 	n.Send(id, []*core.Attempt{b})
@@ -304,7 +304,7 @@
 		hosts = append(hosts, hostAt(fmt.Sprint("n", i), n.Addr, 0))
 	}
 	down.Store(false)
-	standin.Until(t, "the list", func() bool { return k.core.Counts().Listed.Load() == 20 })
+	standin.Until(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
 	standin.Until(t, "connections to more nodes than descriptors were reserved for", func() bool {
 		post(t, k, "rate-check", 0)
 		opened := 0
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -29,11 +29,11 @@
 // malformed answer are meaningless, so it ends the connection.
 func (c *nodeConn) readLoop(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
-	reader := &lnet.PassingReader{Conn: conn}
+	reader := &lnet.RetryingReader{Conn: conn}
 	partial := false // the ring holds an incomplete frame
 	for {
 		count, err := reader.Read(in.Free())
-		in.Grew(count)
+		in.Commit(count)
 		if count > 0 {
 			c.noteReceived()
 		}
@@ -219,7 +219,7 @@
 			c.closeSilentSiblings(sentAt)
 		}
 		if attempt != nil {
-			c.backend.post(core.Outcome{Attempt: attempt, Outcome: answer.outcome,
+			c.backend.post(core.AttemptDone{Attempt: attempt, Outcome: answer.outcome,
 				Report: c.backend.conf.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
 		}
 		return nil
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -88,7 +88,7 @@
 // called before the core learns of the nodes. Nodes that are gone are deleted once nothing is in flight to
 // them: ids are never reused and would accumulate. It returns the changes, to be logged once the core has
 // learnt of them.
-func (n *Nodes) Learn(hosts []Host, full bool) (changes []nodeChange) {
+func (n *Nodes) UpdateHosts(hosts []Host, full bool) (changes []nodeChange) {
 	n.mu.Lock()
 	var stale, retiring []*nodeConn
 	first := len(n.nodes) == 0
@@ -237,7 +237,7 @@
 	if best == nil {
 		best = silentConn
 	}
-	if !n.budget.TakeServer() {
+	if !n.budget.AcquireServer() {
 		return best // no descriptor is left: the call queues behind others
 	}
 	c := &nodeConn{backend: n, node: x, pending: map[string]*core.Attempt{},
@@ -250,7 +250,7 @@
 
 // Cancel cancels an attempt. One that has not started is withdrawn from the queue, otherwise the node is
 // told.
-func (n *Nodes) Withdraw(a *core.Attempt) bool {
+func (n *Nodes) Cancel(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
 	var c *nodeConn
@@ -309,7 +309,7 @@
 }
 
 // CancelQueued withdraws what is queued for a node and has not started: none of it may be sent any more.
-func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
+func (n *Nodes) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	var withdrawn []*core.Attempt
 	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -18,7 +18,7 @@
 // heldAttempt is an attempt that may not begin, and the reason.
 type heldAttempt struct {
 	attempt *core.Attempt
-	reason  core.Hold
+	reason  core.HoldReason
 }
 
 // encodeCall encodes a call as of now, with those of its parts that are still pending and may begin. For
@@ -35,7 +35,7 @@
 		if !c.node.draining.Load() {
 			wait, hold = a.BeginWrite(c, now)
 		}
-		if hold != core.MayBegin {
+		if hold != core.NoHold {
 			held = append(held, heldAttempt{a, hold})
 			continue
 		}
@@ -43,8 +43,8 @@
 		if a.Query.Key != "" {
 			b = fmt.Appendf(b, ",k=%s", a.Query.Key)
 		}
-		b = fmt.Appendf(b, " %d\n", len(a.Query.Text))
-		b = append(b, a.Query.Text...)
+		b = fmt.Appendf(b, " %d\n", len(a.Query.Payload))
+		b = append(b, a.Query.Payload...)
 		encoded = append(encoded, a)
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
@@ -55,7 +55,7 @@
 func callSize(call []*core.Attempt) int {
 	n := 5
 	for _, a := range call {
-		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Text) + partOverhead
+		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Payload) + partOverhead
 	}
 	return n
 }
@@ -192,7 +192,7 @@
 // reportHeld tells the core of parts that never ran.
 func (w *frameWriter) reportHeld() {
 	for _, h := range w.held {
-		w.conn.backend.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
+		w.conn.backend.post(core.AttemptDone{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
 		w.conn.backend.log.Info("attempt not begun", "node", w.conn.node.name, "part", wireID(h.attempt),
@@ -207,7 +207,7 @@
 	switch {
 	case err != nil:
 	case w.hasFrame:
-		w.conn.backend.counts.Tries.Add(int64(len(w.writing)))
+		w.conn.backend.counts.AttemptsSent.Add(int64(len(w.writing)))
 		w.recordDelay(time.Now())
 	case w.conn.isClosed(): // while the socket accepted nothing
 		err = net.ErrClosed
@@ -219,8 +219,8 @@
 
 // recordDelay records a call that was written late.
 func (w *frameWriter) recordDelay(now time.Time) {
-	if took := now.Sub(w.checkedAt); took >= delay.Notable && len(w.writing) > 0 {
-		w.conn.backend.delays.Note(delay.Attempt, took, "node", w.conn.node.name, "part", wireID(w.writing[0]),
+	if took := now.Sub(w.checkedAt); took >= delay.Threshold && len(w.writing) > 0 {
+		w.conn.backend.delays.Record(delay.Attempt, took, "node", w.conn.node.name, "part", wireID(w.writing[0]),
 			"parts", len(w.writing))
 	}
 }
@@ -248,7 +248,7 @@
 		c.interrupted = nil
 		c.mu.Unlock()
 		for _, a := range interrupted {
-			c.backend.post(core.Outcome{Attempt: a, Outcome: outcome})
+			c.backend.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 		}
 		return true
 	}
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -67,9 +67,9 @@
 }
 
 // finalFunc is a client that passes its final answer to a function.
-type finalFunc func(core.Final)
+type finalFunc func(core.FinalAnswer)
 
-func (f finalFunc) Final(x core.Final) { f(x) }
+func (f finalFunc) Final(x core.FinalAnswer) { f(x) }
 
 // coreWithNode returns a running core with one data node, whose connection's writer the test blocks.
 func coreWithNode(t *testing.T) (*core.Core, *Nodes, *pausedConn) {
@@ -88,12 +88,12 @@
 	go c.writeLoop(held)
 	go k.Run()
 	t.Cleanup(func() { k.Close(); _ = held.Close(); c.close(nil) })
-	k.Post(core.Listed{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
+	k.Post(core.ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
 	return k, n, held
 }
 
 func heldQuery(n *Nodes, name string, wait time.Duration, client core.Client) *core.Query {
-	return &core.Query{Name: name, Deadline: time.Now().Add(wait), Via: n, Client: client,
+	return &core.Query{Name: name, Deadline: time.Now().Add(wait), Backend: n, Client: client,
 		Parts: []core.PartSpec{{Shard: 0, Weight: 1}}}
 }
 
@@ -103,7 +103,7 @@
 	k, n, held := coreWithNode(t)
 	writable := make(chan bool, 1)
 	start := time.Now()
-	answered := finalFunc(func(core.Final) { writable <- held.mayStillWrite() })
+	answered := finalFunc(func(core.FinalAnswer) { writable <- held.mayStillWrite() })
 	k.Submit(heldQuery(n, "q1", 1200*time.Millisecond, answered))
 	awaitWrite(t, held)
 	select {
@@ -121,10 +121,10 @@
 // may still begin.
 func TestNoAttemptBeginsLongAfterTheClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	k.Submit(q)
 	awaitWrite(t, held)
-	k.Leave(q)
+	k.Abandon(q)
 	select {
 	case <-held.closed:
 	case <-time.After(2 * time.Second):
@@ -137,7 +137,7 @@
 func TestAHeldWriteIsAbortedOnceItsClientHasLeft(t *testing.T) {
 	k, n, held := coreWithNode(t)
 	var left atomic.Bool
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	q.ClientLeft = left.Load
 	k.Submit(q)
 	awaitWrite(t, held)
@@ -149,7 +149,7 @@
 // aborted although its request is still open.
 func TestAHeldWriteDoesNotCarryAnExpiredTime(t *testing.T) {
 	k, n, held := coreWithNode(t)
-	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.Final) {}))
+	q := heldQuery(n, "q1", 3*time.Second, finalFunc(func(core.FinalAnswer) {}))
 	k.Submit(q)
 	awaitWrite(t, held)
 	awaitAbort(t, held, q)
@@ -164,7 +164,7 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("a blocked write can still be sent")
 	}
-	if q.Over() {
+	if q.Finished() {
 		t.Error("the blocked write was aborted only by its request's end")
 	}
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -44,23 +44,23 @@
 )
 
 // ExtraFront is a further front on the same core.
-type Extra interface {
+type ExtraFront interface {
 	// Backend sends the parts of its queries to their servers.
 	Backend() core.Backend
 	// Start begins to serve. The core is running by then.
 	Start(c *core.Core, budget *lnet.Budget) error
 	// ApplySettings takes in new settings, in which classes have kept their indexes.
-	Settle(s balance.Settings)
-	ender
+	ApplySettings(s balance.Settings)
+	drainer
 }
 
 // drainer is a listener with its connections, as far as shutdown needs it.
-type ender interface {
-	Retire()                // answers readiness checks with "not ready" from now on
+type drainer interface {
+	MarkNotReady()          // answers readiness checks with "not ready" from now on
 	StopListening()         // accepts no new connections
-	Wind()                  // every reply ends its connection from now on
+	CloseAfterReply()       // every reply ends its connection from now on
 	LastRequest() time.Time // when the last request arrived
-	Finish()                // additionally closes idle connections
+	Drain()                 // additionally closes idle connections
 	Wait(most time.Duration) bool
 }
 
@@ -73,10 +73,10 @@
 	server       *lnet.Server
 	nodes        *Nodes
 	delays       *delay.Recorder
-	peers        *peers
+	peers        *peerSocket
 	fleet        *fleet.Fleet // nil without a fleet
 	failed       chan error   // receives, once, the reason why this process must stop serving
-	extras       []Extra
+	extras       []ExtraFront
 	adminServer  *admin.Server
 	shuttingDown atomic.Bool
 	accepting    atomic.Bool   // the fronts have been started
@@ -101,7 +101,7 @@
 }
 
 // Start starts a coordinator.
-func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
+func Start(cfg *Config, log *slog.Logger, extras ...ExtraFront) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
 		listKnown: make(chan struct{}), current: cfg, failed: make(chan error, 1)}
 	received, besideOld := requestSockets(cfg, log)
@@ -122,9 +122,9 @@
 	}
 	k.front = NewFront(cfg, log, k.nodes)
 	coreCfg := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
-		Delays: k.delays,
-		Listed: func() { close(k.listKnown) },
-		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
+		Delays:      k.delays,
+		OnFirstList: func() { close(k.listKnown) },
+		ServerName:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
 	if cfg.PeerListen != "" && !cfg.fleetSharesPeerSocket() {
 		if k.peers, err = listenPeers(cfg, log, post, received); err != nil {
@@ -137,8 +137,8 @@
 			return nil, err
 		}
 		coreCfg.Peers = k.fleet
-		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			coreCfg.Gate = limits{k, &atomic.Pointer[classRanks]{}}
+		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.OverloadEnabled() {
+			coreCfg.Admission = fleetGate{k, &atomic.Pointer[classRanks]{}}
 		}
 		k.enableEvidence(&coreCfg)
 	}
@@ -147,7 +147,7 @@
 		besideOld: besideOld}
 	k.watcher = w
 	if cfg.Module.Subscribe {
-		coreCfg.Lister = w
+		coreCfg.Discovery = w
 	}
 	if k.core, err = core.New(coreCfg); err != nil {
 		return nil, err
@@ -162,7 +162,7 @@
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.CountTurnedAway, k.core.Advise
+		k.server.OnRejected, k.server.CapRetryAfter = k.front.CountTurnedAway, k.core.CapRetryAfter
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
@@ -172,15 +172,15 @@
 		k.upgrade.fleetState = make(chan *fleet.Handover, 1)
 	}
 	if received != nil {
-		k.core.Post(core.Inherited{Out: received.hello.Cordons, Barred: received.hello.FleetCordons,
-			Since: received.hello.RestoredAt, Memory: received.hello.Memory, Now: received.hello.Clock})
+		k.core.Post(core.HandoverState{Cordons: received.hello.Cordons, FleetCordons: received.hello.FleetCordons,
+			RestoredAt: received.hello.RestoredAt, Memory: received.hello.Memory, Clock: received.hello.Clock})
 		k.upgrade.followPredecessor(received)
 	}
 	if cfg.Known != nil { // the list known before a restart is enough to begin with
 		w.seq = cfg.Known.Seq
-		changes := k.nodes.Learn(cfg.Known.Hosts, true)
-		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
-			Heard: time.Now()})
+		changes := k.nodes.UpdateHosts(cfg.Known.Hosts, true)
+		k.core.Post(core.ListUpdate{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
+			ReceivedAt: time.Now()})
 		k.nodes.logChanges(changes)
 	}
 	if k.peers != nil {
@@ -269,7 +269,7 @@
 		}
 	}
 	if besideOld {
-		k.core.Cordoned(linkTimeout) // queued behind the list: once this returns, the core has taken the list in
+		k.core.HandoverState(linkTimeout) // queued behind the list: once this returns, the core has taken the list in
 	}
 	k.upgrade.announceReady()
 	k.front.ready.Store(!k.shuttingDown.Load()) // before any client is accepted
@@ -298,7 +298,7 @@
 
 // MaxClients returns how many clients can be connected where the process may hold the given number of
 // descriptors.
-func ClientPlaces(sockets int, admin bool) int {
+func MaxClients(sockets int, admin bool) int {
 	capacity := socketBudget(sockets, admin)
 	return capacity - capacity/nodeSocketShare
 }
@@ -307,7 +307,7 @@
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
 // AdminAddr returns the address of the admin endpoint.
-func (k *Coordinator) Door() string { return k.adminServer.Addr() }
+func (k *Coordinator) AdminAddr() string { return k.adminServer.Addr() }
 
 // adminState is the view of a coordinator that the admin endpoint shows.
 type adminState struct{ k *Coordinator }
@@ -319,10 +319,10 @@
 func (a adminState) Counters() admin.Counters {
 	c := a.k.core.Counts()
 	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
-		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
+		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(), PoolEjected: c.AvoidedServers.Load(),
+		ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
-		f.OK[name], f.Shed[name], f.Errors[name] = x.Of(core.Answered), x.Of(core.Refused), x.Of(core.Failed)
+		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused), x.Count(core.Failed)
 	}
 	for _, x := range a.k.extras {
 		if counter, ok := x.(interface{ Figures() map[string]int64 }); ok {
@@ -333,12 +333,14 @@
 }
 
 // Delays returns the statistics of actions that were carried out late.
-func (a adminState) Delays() any { return a.k.delays.Figures() }
+func (a adminState) Delays() any { return a.k.delays.Stats() }
 
 // Gate returns the admission controller, or nil where only the budget limits connections.
 func (a adminState) Gate() admin.Gate {
 	for _, x := range a.k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
 			return admissionGate{g.Gate()}
 		}
 	}
@@ -370,16 +372,16 @@
 		if call.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if call.Out && !a.k.core.Knows(core.ServerID(call.ID), within) {
+	} else if call.Out && !a.k.core.IsListed(core.ServerID(call.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	status, err := a.k.fleet.Say(v, within, call.Wait)
+	status, err := a.k.fleet.IssueVerdict(v, within, call.Wait)
 	switch {
-	case errors.Is(err, fleet.ErrLate):
+	case errors.Is(err, fleet.ErrTimeout):
 		err = admin.ErrTimeout
-	case errors.Is(err, fleet.ErrNothing):
+	case errors.Is(err, fleet.ErrNoVerdict):
 		err = admin.ErrUnknown
-	case errors.Is(err, verdict.ErrForm):
+	case errors.Is(err, verdict.ErrInvalid):
 		err = admin.ErrTooLong
 	}
 	return status, len(status.Missing) == 0, err
@@ -402,16 +404,16 @@
 }
 
 // admissionGate adapts an admission controller to the admin endpoint.
-type admissionGate struct{ *lnet.Keeper }
+type admissionGate struct{ *lnet.AdmissionController }
 
 // Stats returns the statistics that the admin endpoint shows.
-func (g admissionGate) Stats(n int) any { return g.Keeper.Figures(n) }
+func (g admissionGate) Stats(n int) any { return g.AdmissionController.Stats(n) }
 
 // Cordon cordons or uncordons a data node.
 func (a adminState) Cordon(id string, cordoned bool, within time.Duration) error {
 	known, inTime := a.k.core.Cordon(core.ServerID(id), cordoned, within)
 	if known {
-		a.k.upgrade.forwardCordon(core.ServerID(id), core.Here, cordoned)
+		a.k.upgrade.forwardCordon(core.ServerID(id), core.ByOperator, cordoned)
 	}
 	switch {
 	case !inTime:
@@ -444,7 +446,7 @@
 		return err
 	}
 	for _, x := range k.extras {
-		x.Settle(merged.Module)
+		x.ApplySettings(merged.Module)
 		if f, ok := x.(interface{ Conform(*Config) }); ok {
 			f.Conform(merged)
 		}
@@ -460,7 +462,7 @@
 	if watched {
 		k.watcher.moveTo(merged.Discovery)
 	}
-	k.core.Counts().Applied.Add(1)
+	k.core.Counts().ConfigsApplied.Add(1)
 	k.log.Info("configuration reloaded", "discovery", merged.Discovery, "classes", cfg.Classes)
 	return nil
 }
@@ -473,7 +475,7 @@
 	if k.sharing {
 		s.ColdShare /= 2
 	}
-	k.core.Post(core.Reconfigured{Settings: s})
+	k.core.Post(core.SettingsChanged{Settings: s})
 }
 
 // setSharing begins or ends the time in which two processes serve.
@@ -488,7 +490,7 @@
 
 // RejectConfig records that a configuration was rejected. The old one stays in force as a whole.
 func (k *Coordinator) RejectConfig(err error) {
-	k.core.Counts().Rejected.Add(1)
+	k.core.Counts().ConfigsRejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
 
@@ -504,7 +506,7 @@
 	if !handedOver { // otherwise the coordinator stays available, whichever of its processes is asked
 		k.front.ready.Store(false)
 	}
-	var drainers []ender
+	var drainers []drainer
 	if k.server != nil {
 		drainers = append(drainers, platformFront{k.server})
 	}
@@ -514,12 +516,12 @@
 		}
 	}
 	for _, x := range drainers {
-		x.Retire()
+		x.MarkNotReady()
 	}
 	k.mu.Lock()
 	answerLimit, exitLimit := k.current.shutdownTimes()
 	k.mu.Unlock()
-	queriesDone := k.core.Finish(start.Add(answerLimit))
+	queriesDone := k.core.Shutdown(start.Add(answerLimit))
 	if !handedOver {
 		time.Sleep(acceptGrace)
 		for inUse := true; inUse && !k.upgrade.handedOver() && time.Since(start) < answerLimit-finalReplyTime; {
@@ -541,7 +543,7 @@
 	}
 	for _, x := range drainers {
 		x.StopListening()
-		x.Finish()
+		x.Drain()
 	}
 	select {
 	case <-queriesDone:
@@ -560,13 +562,13 @@
 
 // redirectClients moves clients to the successor: the next reply on a connection ends it. An idle
 // connection stays open until the given time, as a request may be in transit and closing would cross it.
-func (k *Coordinator) redirectClients(drainers []ender, until time.Time) {
+func (k *Coordinator) redirectClients(drainers []drainer, until time.Time) {
 	if k.peers != nil {
 		_ = k.peers.conn.Close() // datagrams are for the successor from now on
 	}
 	for _, x := range drainers {
 		x.StopListening()
-		x.Wind()
+		x.CloseAfterReply()
 	}
 	for _, x := range drainers {
 		x.Wait(max(0, time.Until(until)))
@@ -588,17 +590,17 @@
 type platformFront struct{ *lnet.Server }
 
 // MarkNotReady does nothing.
-func (platformFront) Retire() {}
+func (platformFront) MarkNotReady() {}
 
 // Close ends the coordinator at once, for tests.
 func (k *Coordinator) Close() {
 	if k.server != nil {
-		k.server.Finish()
+		k.server.Drain()
 		k.server.StopListening()
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			x.Finish()
+			x.Drain()
 			x.StopListening()
 		}
 	}
@@ -624,7 +626,7 @@
 }
 
 // peerSocket exchanges datagrams with other coordinators.
-type peers struct {
+type peerSocket struct {
 	cfg         *Config
 	log         *slog.Logger
 	post        func(core.Event)
@@ -641,8 +643,8 @@
 }
 
 func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event),
-	received *receivedSockets) (*peers, error) {
-	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), peerNumbers: map[string]uint32{}}
+	received *receivedSockets) (*peerSocket, error) {
+	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), peerNumbers: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
@@ -670,7 +672,7 @@
 }
 
 // Tell queues a datagram, or drops it where the queue is full: any datagram may be lost.
-func (p *peers) Tell(peer uint32, text string) {
+func (p *peerSocket) Tell(peer uint32, text string) {
 	if len(text) == 0 || len(text) > maxDatagram { // the platform forbids longer ones
 		p.log.Error("message to a peer is empty or too long", "bytes", len(text))
 		return
@@ -691,7 +693,7 @@
 	}
 }
 
-func (p *peers) write() {
+func (p *peerSocket) write() {
 	for d := range p.out {
 		if _, err := p.conn.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
 			return
@@ -699,7 +701,7 @@
 	}
 }
 
-func (p *peers) read() {
+func (p *peerSocket) read() {
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDP(buf)
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -63,7 +63,7 @@
 type cordonMessage struct {
 	Server balance.ReplicaID `json:"server"`
 	Out    bool              `json:"out"`
-	By     core.Author       `json:"by,omitempty"`
+	By     core.CordonSource `json:"by,omitempty"`
 	At     balance.Micros    `json:"at"`
 }
 
@@ -346,11 +346,11 @@
 		sockets = min(sockets, u.ownShare)
 	}
 	u.mu.Unlock()
-	memory, refusalSockets := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.SpareMost
+	memory, refusalSockets := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.MaxOverflow
 	if !alone {
 		memory, refusalSockets = memory/2, minRefusalSockets
 	}
-	u.budget.Limit(sockets, sockets/nodeSocketShare, refusalSockets)
+	u.budget.SetLimits(sockets, sockets/nodeSocketShare, refusalSockets)
 	debug.SetMemoryLimit(memory)
 	u.k.setSharing(!alone)
 }
@@ -447,7 +447,7 @@
 			u.k.log.Info("upgrade: the successor serves")
 			l.send(linkMessage{Acknowledged: true})
 			if u.k.fleet != nil { // the successor is the fleet's member from now on
-				l.send(linkMessage{Fleet: u.k.fleet.Release()})
+				l.send(linkMessage{Fleet: u.k.fleet.HandOver()})
 			}
 		}
 		u.applyCordon(msg)
@@ -464,7 +464,7 @@
 		u.k.log.Warn("upgrade: the successor is gone")
 		u.applyLimits()
 		if u.k.fleet != nil {
-			u.k.fleet.Again()
+			u.k.fleet.Reclaim()
 		}
 		go u.acceptSuccessors()
 	}
@@ -484,7 +484,7 @@
 		u.mu.Lock()
 		ownShare := u.available() / 2
 		if u.k.shuttingDown.Load() {
-			ownShare = min(u.ownShare, u.budget.Used()+minOwnShare)
+			ownShare = min(u.ownShare, u.budget.InUse()+minOwnShare)
 		}
 		changed := ownShare != u.ownShare
 		u.ownShare = ownShare
@@ -503,7 +503,7 @@
 // successorShare returns how many descriptors the successor may hold: those that this process neither
 // holds nor may hold. The caller holds mu.
 func (u *upgrade) successorShare() int {
-	return max(minOwnShare, u.available()-max(u.ownShare, u.budget.Used()))
+	return max(minOwnShare, u.available()-max(u.ownShare, u.budget.InUse()))
 }
 
 // sendHello makes room for a successor and sends it the hello with the sockets. The sockets' modes don't
@@ -516,17 +516,17 @@
 	ownShare := u.ownShare
 	u.mu.Unlock()
 	u.applyLimits()
-	for u.budget.Used() > ownShare && u.k.server.MakeWay() {
+	for u.budget.InUse() > ownShare && u.k.server.EvictStalled() {
 	}
-	state, ok := u.k.core.Cordoned(linkTimeout / 2)
+	state, ok := u.k.core.HandoverState(linkTimeout / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
 	grant := u.successorShare()
 	u.mu.Unlock()
-	hello := linkMessage{Cordons: state.Out, FleetCordons: state.Barred, RestoredAt: state.Since,
-		Memory: state.Memory, Clock: state.Now, MaxSockets: grant}
+	hello := linkMessage{Cordons: state.Cordons, FleetCordons: state.FleetCordons, RestoredAt: state.RestoredAt,
+		Memory: state.Memory, Clock: state.Clock, MaxSockets: grant}
 	sockets := []any{u.k.server.Listener()}
 	hello.Sockets = []string{"listen"}
 	if u.k.peers != nil {
@@ -598,7 +598,7 @@
 		u.applyLimits()
 		u.k.log.Info("upgrade: the old process is gone")
 		if u.k.fleet != nil {
-			u.k.fleet.Alone()
+			u.k.fleet.PredecessorGone()
 		}
 	}()
 }
@@ -629,12 +629,12 @@
 	if c := msg.Cordon; c != nil {
 		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
 		// good.
-		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
+		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Out, Source: c.By, AllowUnlisted: true})
 	}
 }
 
 // forwardCordon sends an operator's call, or a fleet-wide cordon, to the other process if there is one.
-func (u *upgrade) forwardCordon(id balance.ReplicaID, by core.Author, out bool) {
+func (u *upgrade) forwardCordon(id balance.ReplicaID, by core.CordonSource, out bool) {
 	u.mu.Lock()
 	links := [2]*link{u.predecessor, u.successor}
 	u.mu.Unlock()
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -45,7 +45,7 @@
 	if err != nil || r.Status != 200 {
 		t.Fatalf("%s: %v %v", name, r, err)
 	}
-	return c.Sound()
+	return c.Reusable()
 }
 
 // A new process takes over an address while clients connect: no client is refused, a connection to the old
@@ -59,7 +59,7 @@
 	awaitUpgradeSocket(t, cfg)
 	call := func(k *Coordinator, name string) {
 		t.Helper()
-		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
+		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
@@ -79,7 +79,7 @@
 	}
 	t.Cleanup(successor.Close)
 	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, successor.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
 		t.Error("the successor is ready before the old process knows of it")
@@ -90,7 +90,7 @@
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
 	standin.Until(t, "the shutdown of the old process", func() bool { return old.shuttingDown.Load() })
-	if r := standin.Call(t, old.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.Call(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the old process answers %d", r.Status)
 	}
 	for range 20 {
@@ -171,7 +171,7 @@
 		t.Fatal("the old process received nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, successor.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the admin endpoint answers %d", r.Status)
 	}
 	if successor.accepting.Load() {
@@ -181,7 +181,7 @@
 		t.Fatal(err)
 	}
 	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, successor.Door(), "GET", "/admin/health", nil, "").Status == 200
+		return standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 		t.Errorf("/up answers %d", r.Status)
@@ -216,7 +216,7 @@
 	received.link.send(linkMessage{Ready: true})
 	standin.Until(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
 	standin.Until(t, "the clients to be redirected", func() bool {
-		return old.server.Open() == 0 || !staysOpen(t, c, "then")
+		return old.server.OpenConns() == 0 || !staysOpen(t, c, "then")
 	})
 	<-ended
 }
@@ -236,11 +236,11 @@
 	}
 	t.Cleanup(successor.Close)
 	standin.Until(t, "the old process to know of it", u.handedOver)
-	if sum := u.budget.Most() + successor.upgrade.budget.Most() + 2*minSockets; sum > cfg.Limits.Sockets {
+	if sum := u.budget.Capacity() + successor.upgrade.budget.Capacity() + 2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "the full budget", func() bool { return successor.upgrade.budget.Most() == fullBudget })
+	standin.Until(t, "the full budget", func() bool { return successor.upgrade.budget.Capacity() == fullBudget })
 }
 
 // A process may be taken over from while its own predecessor still shuts down. The three share what one
@@ -262,7 +262,7 @@
 	}
 	capacity := func(of ...*Coordinator) (sum int) {
 		for _, k := range of {
-			sum += k.upgrade.budget.Most()
+			sum += k.upgrade.budget.Capacity()
 		}
 		return sum
 	}
@@ -288,7 +288,7 @@
 	}
 	second.Shutdown()
 	standin.Until(t, "the full budget", func() bool {
-		return third.upgrade.budget.Most() == third.upgrade.fullBudget
+		return third.upgrade.budget.Capacity() == third.upgrade.fullBudget
 	})
 }
 
@@ -364,7 +364,7 @@
 	if err := k.upgrade.sendHello(old); err != nil {
 		t.Fatal(err)
 	}
-	k.upgrade.forwardCordon(7, core.Here, true)
+	k.upgrade.forwardCordon(7, core.ByOperator, true)
 	go old.writeLoop()
 	_ = theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
 	if msg, err := fresh.readMessage(); err != nil || msg.Sockets[0] != "listen" {
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -212,7 +212,7 @@
 			retried = false
 			if polling {
 				watching = false
-				w.post(core.Listed{Mode: balance.Failed})
+				w.post(core.ListUpdate{Mode: balance.Failed})
 				continue
 			}
 			full = true // after a missed change the full list is cheap
@@ -233,8 +233,8 @@
 	if list.Complete {
 		mode = balance.Full
 	}
-	changes := w.nodes.Learn(list.Hosts, list.Complete)
-	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
+	changes := w.nodes.UpdateHosts(list.Hosts, list.Complete)
+	w.post(core.ListUpdate{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), ReceivedAt: time.Now()})
 	w.nodes.logChanges(changes)
 	if list.Complete {
 		select {
@@ -275,7 +275,7 @@
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
 	c := k.client
-	if k.cancelled || c != nil && (err != nil || !c.Sound()) {
+	if k.cancelled || c != nil && (err != nil || !c.Reusable()) {
 		if c != nil {
 			c.Close()
 		}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -107,7 +107,7 @@
 	for name, worst := range map[string]time.Duration{
 		"pushed, fallen silent":    pushTimes.undetectedSilence() + pushTimes.limit,
 		"asked for, fallen silent": pollTimes.undetectedSilence() + pollTimes.limit,
-		"asked for, after many":    us(balance.AskMost) + pollTimes.limit,
+		"asked for, after many":    us(balance.MaxListRetryDelay) + pollTimes.limit,
 	} {
 		if worst > propagationLimit {
 			t.Errorf("%s: received after %v, announced after %v", name, worst, propagationLimit)
@@ -156,7 +156,7 @@
 				}
 			})
 			k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the whole list", func() bool { return k.core.Counts().Listed.Load() == 1 })
+			standin.Until(t, "the whole list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
@@ -318,5 +318,5 @@
 		}
 	})
 	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
-	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().Listed.Load() == 1 })
+	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -186,14 +186,14 @@
 
 // AddError records an error at a key. A key in an array of tables contains the table's number, counted
 // from 1: server[2].name.
-func (f *File) Fault(key, format string, args ...any) {
+func (f *File) AddError(key, format string, args ...any) {
 	f.errs = append(f.errs, lineError{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
 }
 
 // Require records an error unless a condition holds.
-func (f *File) Check(holds bool, key, format string, args ...any) {
+func (f *File) Require(holds bool, key, format string, args ...any) {
 	if !holds {
-		f.Fault(key, format, args...)
+		f.AddError(key, format, args...)
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 		p.Number != 214 || p.Deadline != 0x8405da {
 		t.Fatalf("part %+v", p)
 	}
-	if r.events[1].Kind != balance.Awake || r.events[2].Kind != balance.ClientGone ||
+	if r.events[1].Kind != balance.WakeUp || r.events[2].Kind != balance.ClientGone ||
 		r.events[2].ID != 0x0e6f2b19 {
 		t.Fatalf("events %+v", r.events[1:])
 	}
@@ -110,10 +110,10 @@
 		0801 1100 74776f2073657276657273206b6e6f776e`)
 	var r Reply
 	r.Begin(12)
-	r.From(3)
+	r.SetInstance(3)
 	r.Action(balance.Action{Kind: balance.Send, ID: 0x5d3a91c4, Replica: 0x1f43074a120a, After: 80000})
 	r.Action(balance.Action{Kind: balance.Wake, After: 500000})
-	r.From(5)
+	r.SetInstance(5)
 	r.Action(balance.Action{Kind: balance.Note, Text: "two servers known"})
 	if got := r.Bytes(); !bytes.Equal(got, want) {
 		t.Fatalf("got  %x\nwant %x", got, want)
@@ -125,7 +125,7 @@
 		a    balance.Action
 		want string
 	}{
-		{balance.Action{Kind: balance.Answer, ID: 0x0e6f2b19, Whole: true}, "0c01 192b6f0e 01"},
+		{balance.Action{Kind: balance.Answer, ID: 0x0e6f2b19, Complete: true}, "0c01 192b6f0e 01"},
 		{balance.Action{Kind: balance.Refuse, ID: 1, After: 256}, "0101 01000000 00010000"},
 		{balance.Action{Kind: balance.Fail, ID: 1}, "0201 01000000"},
 		{balance.Action{Kind: balance.Cancel, ID: 1, Attempt: 2}, "0301 01000000 02"},
