--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -205,8 +205,8 @@
 }
 
 // loadFronts reads the configuration, and the fronts' files if any are given.
-func loadFronts(files sources, env func(string) string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
-	error) {
+func loadFronts(files sources, env func(string) string, log *slog.Logger) (*platform.Config,
+	[]platform.ExtraFront, error) {
 	alone := env("RELAY_CONFIG") == ""
 	switch {
 	case files.translate != "" && files.ranges != "":
@@ -243,7 +243,8 @@
 }
 
 // loadTranslation reads the file of the front for old terminals.
-func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.ExtraFront, error) {
+func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
+	error) {
 	file, err := kiosk.LoadConfig(path)
 	if err != nil {
 		return nil, nil, err
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -88,7 +88,8 @@
 	go c.writeLoop(held)
 	go k.Run()
 	t.Cleanup(func() { k.Close(); _ = held.Close(); c.close(nil) })
-	k.Post(core.ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
+	k.Post(core.ListUpdate{Mode: balance.Full,
+		Replicas: []balance.Replica{{ID: id, State: balance.Ready, Size: 1}}})
 	return k, n, held
 }
 
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -269,7 +269,7 @@
 		}
 	}
 	if besideOld {
-		k.core.HandoverState(linkTimeout) // queued behind the list: once this returns, the core has taken the list in
+		k.core.HandoverState(linkTimeout) // queued behind the list, which has then been taken in
 	}
 	k.upgrade.announceReady()
 	k.front.ready.Store(!k.shuttingDown.Load()) // before any client is accepted
@@ -319,10 +319,11 @@
 func (a adminState) Counters() admin.Counters {
 	c := a.k.core.Counts()
 	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(), PoolEjected: c.AvoidedServers.Load(),
-		ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
+		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(),
+		PoolEjected: c.AvoidedServers.Load(), ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
-		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused), x.Count(core.Failed)
+		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused),
+			x.Count(core.Failed)
 	}
 	for _, x := range a.k.extras {
 		if counter, ok := x.(interface{ Figures() map[string]int64 }); ok {
@@ -644,7 +645,8 @@
 
 func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event),
 	received *receivedSockets) (*peerSocket, error) {
-	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), peerNumbers: map[string]uint32{}}
+	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64),
+		peerNumbers: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -236,7 +236,8 @@
 	}
 	t.Cleanup(successor.Close)
 	standin.Until(t, "the old process to know of it", u.handedOver)
-	if sum := u.budget.Capacity() + successor.upgrade.budget.Capacity() + 2*minSockets; sum > cfg.Limits.Sockets {
+	if sum := u.budget.Capacity() + successor.upgrade.budget.Capacity() +
+		2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
