--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -52,7 +52,7 @@
 	Ready() bool
 	Counters() Counters
 	// Cordon cordons or uncordons a data node, waits until that holds, and gives up after the given time.
-	Cordon(id string, out bool, within time.Duration) error
+	Cordon(id string, cordoned bool, within time.Duration) error
 }
 
 // Gate is what the endpoint needs of an admission controller.
@@ -80,7 +80,7 @@
 	ID         string // of the node
 	Prefix     netip.Prefix
 	Pin        bool // of a prefix: pinned as known, not banned
-	Out        bool // of a node: cordoned; of a prefix: the ban or pin is set
+	Set        bool // of a node: cordoned; of a prefix: the ban or pin is set
 	By, Reason string
 	Duration   time.Duration // 0: until it is lifted
 	Wait       time.Duration // for all members that are alive
@@ -202,13 +202,13 @@
 func parseFleetCall(r *lnet.Request) (c FleetCall, err error) {
 	call := strings.TrimPrefix(r.Path, "/admin/fleet/")
 	prefix := call == "ban" || call == "pin" || call == "lift"
-	c.Out, c.Pin = call == "cordon" || call == "ban" || call == "pin", call == "pin"
+	c.Set, c.Pin = call == "cordon" || call == "ban" || call == "pin", call == "pin"
 	c.By, c.Reason = r.Header.Get("X-By"), r.Header.Get("X-Reason")
 	fields := strings.Fields(string(r.Body))
 	switch {
-	case prefix && len(fields) != 2 && (c.Out || len(fields) != 1):
+	case prefix && len(fields) != 2 && (c.Set || len(fields) != 1):
 		return c, errors.New("the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
-	case len(fields) == 0 || len(fields) > 2 || len(fields) == 2 && !c.Out:
+	case len(fields) == 0 || len(fields) > 2 || len(fields) == 2 && !c.Set:
 		return c, errors.New("the body has to be one data node's id and, to put it out, a time such as 10m")
 	}
 	c.ID = fields[0]
@@ -240,7 +240,7 @@
 func (srv *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange,
 	reply func(status int, text string)) {
 	shown, everywhere, err := s.ApplyFleetCall(c, answerTimeout)
-	srv.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out,
+	srv.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Set,
 		"for", c.Duration, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
@@ -339,15 +339,15 @@
 
 // applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
 // of its own.
-func (srv *Server) applyCordon(id string, out bool, reply func(status int, text string)) {
-	err := srv.state.Cordon(id, out, answerTimeout)
-	srv.log.Info("operator's call", "node", id, "out", out, "err", err)
+func (srv *Server) applyCordon(id string, cordoned bool, reply func(status int, text string)) {
+	err := srv.state.Cordon(id, cordoned, answerTimeout)
+	srv.log.Info("operator's call", "node", id, "out", cordoned, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		reply(404, err.Error())
 	case err != nil:
 		reply(503, err.Error())
-	case out:
+	case cordoned:
 		reply(200, "out")
 	default:
 		reply(200, "back")
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -316,7 +316,7 @@
 
 // requestRules are the rules that apply to one request.
 type requestRules struct {
-	rules       balance.Class
+	class       balance.Class
 	maxAttempts int  // attempts for a part
 	sendKey     bool // the request's key is sent with its parts
 }
@@ -324,8 +324,8 @@
 // rulesFor returns the rules for a request of a class. Just after a change it is unknown which rules the
 // client followed, unless the key tells. Otherwise both apply, and the stricter rule of each kind wins.
 func (c *Config) rulesFor(class int, key bool, now time.Time) requestRules {
-	r := requestRules{rules: c.Module.Classes[class], maxAttempts: c.Module.MaxAttempts}
-	r.sendKey = r.rules.Effect == balance.Keyed
+	r := requestRules{class: c.Module.Classes[class], maxAttempts: c.Module.MaxAttempts}
+	r.sendKey = r.class.Effect == balance.Keyed
 	prev := c.previousClass(class, now)
 	if prev == nil {
 		return r
@@ -334,18 +334,18 @@
 	wasKeyed := prev.Effect == balance.Keyed
 	switch {
 	case r.sendKey && !wasKeyed && !key: // the client followed the old rules
-		r.rules, r.sendKey = *prev, false
+		r.class, r.sendKey = *prev, false
 	case wasKeyed && !r.sendKey && !key: // the client followed the new rules
 	default:
 		switch {
 		case wasKeyed && r.sendKey:
-			r.rules.Window = min(r.rules.Window, prev.Window)
+			r.class.Window = min(r.class.Window, prev.Window)
 		case wasKeyed:
-			r.rules.Window = prev.Window
+			r.class.Window = prev.Window
 		}
 		r.sendKey = r.sendKey || wasKeyed
-		r.rules.Effect = max(r.rules.Effect, prev.Effect)
-		r.rules.Deadline = max(r.rules.Deadline, prev.Deadline)
+		r.class.Effect = max(r.class.Effect, prev.Effect)
+		r.class.Deadline = max(r.class.Deadline, prev.Deadline)
 	}
 	return r
 }
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -82,18 +82,18 @@
 	}
 	name, _ := c.Verdict.Node()
 	id := core.ServerID(name)
-	by := core.ByFleetOperator
+	source := core.ByFleetOperator
 	switch c.Verdict.Kind {
 	case verdict.SickNode:
-		by = core.ByFleetEvidence
+		source = core.ByFleetEvidence
 	case verdict.SickPath:
-		by = core.ByZoneEvidence
+		source = core.ByZoneEvidence
 	}
-	if !k.core.ApplyVerdict(id, by, c.InForce, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, source, c.InForce, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleetOperator { // the successor receives verdicts by evidence with the table
-		k.upgrade.forwardCordon(id, by, c.InForce)
+	if source == core.ByFleetOperator { // the successor receives verdicts by evidence with the table
+		k.upgrade.forwardCordon(id, source, c.InForce)
 	}
 	return true
 }
@@ -218,19 +218,19 @@
 
 // classRanks are the ranks of a configuration's classes.
 type classRanks struct {
-	conf  *Config
+	cfg   *Config
 	ranks []int
 }
 
 // rank returns the rank of a class by worth.
-func (l fleetGate) rank(conf *Config, class int) int {
+func (l fleetGate) rank(cfg *Config, class int) int {
 	r := l.cached.Load()
-	if r == nil || r.conf != conf {
-		worth := make([]float64, len(conf.Module.Classes))
+	if r == nil || r.cfg != cfg {
+		worth := make([]float64, len(cfg.Module.Classes))
 		for i := range worth {
-			worth[i] = conf.Module.Classes[i].Worth
+			worth[i] = cfg.Module.Classes[i].Worth
 		}
-		r = &classRanks{conf, overload.RankByWorth(worth)}
+		r = &classRanks{cfg, overload.RankByWorth(worth)}
 		l.cached.Store(r)
 	}
 	return r.ranks[class]
@@ -238,12 +238,12 @@
 
 // Admit reports whether a query may be admitted.
 func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
-	conf := l.k.front.conf.Load()
-	class, queryID := conf.Classes[q.Class], q.Name
+	cfg := l.k.front.cfg.Load()
+	class, queryID := cfg.Classes[q.Class], q.Name
 	if q.Key != "" {
 		queryID = q.Key // the same for all retries of the query
 	}
-	if ok, after := l.k.fleet.Admit(l.rank(conf, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
+	if ok, after := l.k.fleet.Admit(l.rank(cfg, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
 	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -29,7 +29,7 @@
 
 // Front serves clients of the platform.
 type Front struct {
-	conf    atomic.Pointer[Config]
+	cfg     atomic.Pointer[Config]
 	log     *slog.Logger
 	core    *core.Core
 	backend core.Backend
@@ -39,12 +39,12 @@
 // NewFront returns a front without a core. It parses requests for another front with the same format.
 func NewFront(cfg *Config, log *slog.Logger, backend core.Backend) *Front {
 	f := &Front{log: log, backend: backend}
-	f.conf.Store(cfg)
+	f.cfg.Store(cfg)
 	return f
 }
 
 // SetConfig sets the configuration that requests are parsed with.
-func (f *Front) SetConfig(cfg *Config) { f.conf.Store(cfg) }
+func (f *Front) SetConfig(cfg *Config) { f.cfg.Store(cfg) }
 
 // Parse converts a request to a query, or returns what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
@@ -87,7 +87,7 @@
 
 // countRejected counts a reply given without the core, if the request names a class.
 func (f *Front) countRejected(r *lnet.Request, e core.QueryOutcome) {
-	if class := ClassName(r); f.conf.Load().classIndex(class, r.ReceivedAt) >= 0 {
+	if class := ClassName(r); f.cfg.Load().classIndex(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
@@ -125,7 +125,7 @@
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
 		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
-	cfg := f.conf.Load()
+	cfg := f.cfg.Load()
 	class := cfg.classIndex(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
@@ -144,15 +144,15 @@
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.rulesFor(class, q.Key != "", r.ReceivedAt)
+	rules := cfg.rulesFor(class, q.Key != "", r.ReceivedAt)
 	switch {
-	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.sendKey && q.Key != "" && !isToken(q.Key):
+	case rules.class.Effect == balance.Keyed && !isToken(q.Key), rules.sendKey && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
-	case !b.sendKey:
+	case !rules.sendKey:
 		q.Key = ""
 	}
-	q.Rules, q.MaxAttempts = &b.rules, b.maxAttempts
-	wait := time.Duration(b.rules.Deadline) * time.Microsecond
+	q.Rules, q.MaxAttempts = &rules.class, rules.maxAttempts
+	wait := time.Duration(rules.class.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(s >= 0) || math.IsInf(s, 0) {
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -111,7 +111,7 @@
 	}
 	if p := f.probe; p != nil {
 		c.probes = append(c.probes, p)
-		time.AfterFunc(c.backend.conf.Load().DialTimeout, func() { c.finishProbe(p, balance.TimedOut, nil) })
+		time.AfterFunc(c.backend.cfg.Load().DialTimeout, func() { c.finishProbe(p, balance.TimedOut, nil) })
 	}
 	c.lastUsed = time.Now()
 	c.wakeWriter()
--- a/internal/platform/noderace_test.go
+++ b/internal/platform/noderace_test.go
@@ -153,7 +153,7 @@
 	n, id, outcomes := nodesWithOutcomes(t)
 	c, held := n.attach(id), newHeldConn()
 	c.conn, c.writeConn, c.connected = held, held, true
-	k, err := core.New(core.Config{Settings: n.conf.Load().Module, Log: standin.Quiet()})
+	k, err := core.New(core.Config{Settings: n.cfg.Load().Module, Log: standin.Quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -271,9 +271,9 @@
 			writeList(c, listBody(n, true, hosts...))
 		}
 	})
-	conf := testConfig(t, &discovery{addr: d.addr})
-	conf.Limits.Sockets = 1 // the smallest possible budget: 32, of which 8 are reserved for nodes
-	k := startReady(t, conf)
+	cfg := testConfig(t, &discovery{addr: d.addr})
+	cfg.Limits.Sockets = 1 // the smallest possible budget: 32, of which 8 are reserved for nodes
+	k := startReady(t, cfg)
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -77,7 +77,7 @@
 // frameTimeout returns how long a frame may take from its first byte to its last.
 func (n *Nodes) frameTimeout() time.Duration {
 	aim := balance.Micros(0)
-	for _, c := range n.conf.Load().Module.Classes {
+	for _, c := range n.cfg.Load().Module.Classes {
 		if aim == 0 || c.Aim < aim {
 			aim = c.Aim
 		}
@@ -220,7 +220,7 @@
 		}
 		if attempt != nil {
 			c.backend.post(core.AttemptDone{Attempt: attempt, Outcome: answer.outcome,
-				Report: c.backend.conf.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
+				Report: c.backend.cfg.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
 		}
 		return nil
 	case '3', '4':
@@ -235,7 +235,7 @@
 		if string(rest) == "E" {
 			c.finishProbe(p, balance.Error, nil)
 		} else {
-			c.finishProbe(p, balance.OK, c.backend.conf.Load().parseReport(string(rest)))
+			c.finishProbe(p, balance.OK, c.backend.cfg.Load().parseReport(string(rest)))
 		}
 		return nil
 	case 'X':
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -50,7 +50,7 @@
 
 // Nodes is the backend of the platform's queries.
 type Nodes struct {
-	conf   atomic.Pointer[Config]
+	cfg    atomic.Pointer[Config]
 	log    *slog.Logger
 	budget *lnet.Budget
 	post   func(core.Event)
@@ -80,7 +80,7 @@
 func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	post func(core.Event)) *Nodes {
 	n := &Nodes{log: log, budget: budget, post: post, counts: counts, nodes: map[balance.ReplicaID]*node{}}
-	n.conf.Store(cfg)
+	n.cfg.Store(cfg)
 	return n
 }
 
@@ -216,7 +216,7 @@
 	silenceLimit := x.latency.upperBound()
 	for _, c := range x.conns {
 		c.mu.Lock()
-		free := n.conf.Load().StreamsPerConn - c.inFlight
+		free := n.cfg.Load().StreamsPerConn - c.inFlight
 		switch {
 		case c.closed || c.retired:
 		case !c.owedSince.IsZero() && time.Since(c.owedSince) > silenceLimit:
@@ -281,7 +281,7 @@
 		}
 	}
 	c.mu.Unlock()
-	if !unsent && n.conf.Load().Module.CanCancel { // otherwise the node's answer is discarded
+	if !unsent && n.cfg.Load().Module.CanCancel { // otherwise the node's answer is discarded
 		b := append([]byte{0, 0, 0, 0, '2'}, id...)
 		binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
 		c.enqueue(frame{payload: b, size: len(b)})
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -62,7 +62,7 @@
 
 // dialAndWrite dials and then runs the write loop.
 func (c *nodeConn) dialAndWrite(addr string) {
-	conn, err := net.DialTimeout("tcp", addr, c.backend.conf.Load().DialTimeout)
+	conn, err := net.DialTimeout("tcp", addr, c.backend.cfg.Load().DialTimeout)
 	if err != nil {
 		c.close(err)
 		return
@@ -82,7 +82,7 @@
 // writeLoop writes the frames one by one, each within its time limit, so that a node that does not read
 // only blocks its own connection.
 func (c *nodeConn) writeLoop(conn net.Conn) {
-	limit := time.Duration(idleShare * float64(c.backend.conf.Load().ConnIdle))
+	limit := time.Duration(idleShare * float64(c.backend.cfg.Load().ConnIdle))
 	idle := time.NewTimer(limit)
 	defer idle.Stop()
 	w := &frameWriter{conn: c}
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -93,16 +93,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := fresh.rulesFor(0, c.key, now)
-		if b.rules.Effect != c.want || b.sendKey != c.sent || b.maxAttempts != 2 {
-			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, b)
+		rules := fresh.rulesFor(0, c.key, now)
+		if rules.class.Effect != c.want || rules.sendKey != c.sent || rules.maxAttempts != 2 {
+			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, rules)
 		}
-		if b.rules.Effect == balance.Keyed && b.rules.Window != 2000000 {
-			t.Errorf("%s to %s: the window is %d us", c.old, c.new, b.rules.Window)
+		if rules.class.Effect == balance.Keyed && rules.class.Window != 2000000 {
+			t.Errorf("%s to %s: the window is %d us", c.old, c.new, rules.class.Window)
 		}
 		later := fresh.rulesFor(0, c.key, now.Add(settingsOverlap))
 		want := fresh.Module.Classes[0].Effect
-		if later.rules.Effect != want || later.sendKey != (want == balance.Keyed) {
+		if later.class.Effect != want || later.sendKey != (want == balance.Keyed) {
 			t.Errorf("%s to %s, later: %+v", c.old, c.new, later)
 		}
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -66,7 +66,7 @@
 
 // Coordinator is a running coordinator.
 type Coordinator struct {
-	cfg          *Config
+	cfg          *Config // the configuration at the start
 	log          *slog.Logger
 	core         *core.Core
 	front        *Front
@@ -320,7 +320,8 @@
 	c := a.k.core.Counts()
 	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
 		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(),
-		PoolEjected: c.AvoidedServers.Load(), ConfigApplied: c.ConfigsApplied.Load(), ConfigRejected: c.ConfigsRejected.Load()}
+		PoolEjected: c.AvoidedServers.Load(), ConfigApplied: c.ConfigsApplied.Load(),
+		ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
 		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused),
 			x.Count(core.Failed)
@@ -366,14 +367,14 @@
 
 // ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
 func (a adminState) ApplyFleetCall(call admin.FleetCall, within time.Duration) (any, bool, error) {
-	v := verdict.Verdict{Kind: verdict.Node, What: call.ID, On: call.Out, By: call.By, Reason: call.Reason,
+	v := verdict.Verdict{Kind: verdict.Node, What: call.ID, On: call.Set, By: call.By, Reason: call.Reason,
 		Span: call.Duration.Microseconds()}
 	if call.Prefix.IsValid() {
 		v.Kind, v.What = verdict.Prefix, call.Prefix.Masked().String()
 		if call.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if call.Out && !a.k.core.IsListed(core.ServerID(call.ID), within) {
+	} else if call.Set && !a.k.core.IsListed(core.ServerID(call.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
 	status, err := a.k.fleet.IssueVerdict(v, within, call.Wait)
@@ -439,8 +440,8 @@
 		for _, name := range merged.Classes {
 			k.core.Counts().Class(name)
 		}
-		k.nodes.conf.Store(merged)
-		k.front.conf.Store(merged)
+		k.nodes.cfg.Store(merged)
+		k.front.cfg.Store(merged)
 	}
 	k.mu.Unlock()
 	if err != nil {
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -61,10 +61,10 @@
 }
 
 type cordonMessage struct {
-	Server balance.ReplicaID `json:"server"`
-	Out    bool              `json:"out"`
-	By     core.CordonSource `json:"by,omitempty"`
-	At     balance.Micros    `json:"at"`
+	Server   balance.ReplicaID `json:"server"`
+	Cordoned bool              `json:"out"`
+	Source   core.CordonSource `json:"by,omitempty"`
+	At       balance.Micros    `json:"at"`
 }
 
 // link is one end of the connection between an old process and a new one. Messages are queued until the
@@ -629,18 +629,19 @@
 	if c := msg.Cordon; c != nil {
 		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
 		// good.
-		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Out, Source: c.By, AllowUnlisted: true})
+		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Cordoned, Source: c.Source, AllowUnlisted: true})
 	}
 }
 
 // forwardCordon sends an operator's call, or a fleet-wide cordon, to the other process if there is one.
-func (u *upgrade) forwardCordon(id balance.ReplicaID, by core.CordonSource, out bool) {
+func (u *upgrade) forwardCordon(id balance.ReplicaID, source core.CordonSource, cordoned bool) {
 	u.mu.Lock()
 	links := [2]*link{u.predecessor, u.successor}
 	u.mu.Unlock()
 	for _, l := range links {
 		if l != nil {
-			l.send(linkMessage{Cordon: &cordonMessage{Server: id, Out: out, By: by, At: time.Now().UnixMicro()}})
+			l.send(linkMessage{Cordon: &cordonMessage{Server: id, Cordoned: cordoned, Source: source,
+				At: time.Now().UnixMicro()}})
 		}
 	}
 }
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -372,7 +372,7 @@
 		t.Fatalf("%+v %v", msg, err)
 	}
 	if msg, err := fresh.readMessage(); err != nil || msg.Cordon == nil || msg.Cordon.Server != 7 ||
-		!msg.Cordon.Out {
+		!msg.Cordon.Cordoned {
 		t.Fatalf("%+v %v", msg, err)
 	}
 }
