--- a/cmd/lapislever/main_test.go
+++ b/cmd/lapislever/main_test.go
@@ -17,7 +17,7 @@
 	"lapislever/internal/standin"
 )
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -26,7 +26,7 @@
 	return path
 }
 
-const workers = "worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.l.retries=2\n" +
+const jkWorkers = "worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.l.retries=2\n" +
 	"worker.a.port=9101\n"
 
 const soundFile = `listen = "127.0.0.1:0"
@@ -37,9 +37,9 @@
 `
 
 func TestCommandLine(t *testing.T) {
-	sound := write(t, "promql.toml", soundFile)
-	unsound := write(t, "bad.toml", "listen = 3\n")
-	jk := write(t, "workers.properties", workers)
+	sound := writeFile(t, "promql.toml", soundFile)
+	unsound := writeFile(t, "bad.toml", "listen = 3\n")
+	workers := writeFile(t, "workers.properties", jkWorkers)
 	for _, c := range []struct {
 		args        []string
 		usage, fail bool
@@ -50,7 +50,7 @@
 		{args: []string{"serve", "--no-such-flag"}, usage: true},
 		{args: []string{"serve", "extra"}, usage: true},
 		{args: []string{"import"}, usage: true},
-		{args: []string{"import", jk, jk}, usage: true},
+		{args: []string{"import", workers, workers}, usage: true},
 		{args: []string{"help"}, out: "usage: "},
 		{args: []string{"version"}, out: "lapislever "},
 		{args: []string{"check"}, fail: true}, // no configuration is named
@@ -63,8 +63,8 @@
 		{args: []string{"fleet", "--door", "127.0.0.1:1", "dance"}, usage: true},
 		{args: []string{"fleet", "--door", "127.0.0.1:1", "members"}, fail: true},
 		{args: []string{"import", unsound, "--class", "ranges"}, fail: true},
-		{args: []string{"import", jk}, fail: true}, // without a class
-		{args: []string{"import", jk, "--class", "ranges", "--listen", "127.0.0.1:7"},
+		{args: []string{"import", workers}, fail: true}, // without a class
+		{args: []string{"import", workers, "--class", "ranges", "--listen", "127.0.0.1:7"},
 			out: `listen = "127.0.0.1:7"`},
 	} {
 		var out, errs bytes.Buffer
@@ -80,7 +80,7 @@
 // The output of import is a file that serve starts with, and import reports what it could not convert.
 func TestServeTakesWhatImportPrints(t *testing.T) {
 	var file, remarks bytes.Buffer
-	args := []string{"import", write(t, "workers.properties", workers), "--class", "ranges",
+	args := []string{"import", writeFile(t, "workers.properties", jkWorkers), "--class", "ranges",
 		"--listen", "127.0.0.1:0"}
 	if err := run(args, &file, &remarks, os.Getenv, nil); err != nil {
 		t.Fatal(err)
@@ -88,11 +88,11 @@
 	if !strings.Contains(remarks.String(), "workers.properties:4: worker.l.retries has no counterpart") {
 		t.Error(remarks.String())
 	}
-	ends := make(chan os.Signal, 1)
-	ends <- syscall.SIGTERM
+	signals := make(chan os.Signal, 1)
+	signals <- syscall.SIGTERM
 	var out, log bytes.Buffer
-	args = []string{"serve", "--promql", write(t, "promql.toml", file.String())}
-	if err := run(args, &out, &log, func(string) string { return "" }, ends); err != nil {
+	args = []string{"serve", "--promql", writeFile(t, "promql.toml", file.String())}
+	if err := run(args, &out, &log, func(string) string { return "" }, signals); err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(log.String(), "msg=started") || !strings.Contains(log.String(), "msg=ended") {
@@ -103,7 +103,7 @@
 // SIGHUP reads the file again and ends nothing: a bad file is logged and the old one kept. SIGTERM after
 // that still shuts down in order. Without a handler the first signal would end this test.
 func TestHangUpReloads(t *testing.T) {
-	path := write(t, "promql.toml", soundFile)
+	path := writeFile(t, "promql.toml", soundFile)
 	signals := platform.Signals()
 	var log lockedBuffer
 	ended := make(chan error, 1)
@@ -180,23 +180,23 @@
 			t.Errorf("%v: %v", args, err)
 		}
 	}
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	endpoint := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
 		if path == "/admin/admission/ban" {
 			return 400, "no"
 		}
 		return 200, "{}"
 	})
 	var out strings.Builder
-	if err := run([]string{"admission", "--door", door.Addr}, &out, io.Discard, none, nil); err != nil ||
+	if err := run([]string{"admission", "--door", endpoint.Addr}, &out, io.Discard, none, nil); err != nil ||
 		out.String() != "{}\n" {
 		t.Errorf("%q, %v", out.String(), err)
 	}
-	err := run([]string{"admission", "--door", door.Addr, "ban", "10.0.0.0/8"}, io.Discard, io.Discard, none,
+	err := run([]string{"admission", "--door", endpoint.Addr, "ban", "10.0.0.0/8"}, io.Discard, io.Discard, none,
 		nil)
 	if err == nil || !strings.Contains(err.Error(), "400: no") {
 		t.Errorf("%v", err)
 	}
-	if seen := door.Seen(); len(seen) != 2 || !strings.HasPrefix(seen[1], "/admin/admission/ban?") {
+	if seen := endpoint.Seen(); len(seen) != 2 || !strings.HasPrefix(seen[1], "/admin/admission/ban?") {
 		t.Errorf("%q", seen)
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -39,7 +39,7 @@
 	return ErrUnknown
 }
 
-func open(t *testing.T, s *state) string {
+func listen(t *testing.T, s *state) string {
 	t.Helper()
 	d, err := Listen("127.0.0.1:0", s, standin.Quiet())
 	if err != nil {
@@ -51,7 +51,7 @@
 
 func TestCalls(t *testing.T) {
 	s := &state{}
-	addr := open(t, s)
+	addr := listen(t, s)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -94,7 +94,7 @@
 // Connections without a complete request stay open for seconds. However many there are, the next call is
 // answered.
 func TestSilentClientsDoNotBlockOperators(t *testing.T) {
-	addr := open(t, &state{ready: true})
+	addr := listen(t, &state{ready: true})
 	for i := range 3 * maxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -107,11 +107,11 @@
 	}
 	for range 3 {
 		time.Sleep(400 * time.Millisecond)
-		begun := time.Now()
+		start := time.Now()
 		if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
-		if took := time.Since(begun); took > 5*time.Second {
+		if took := time.Since(start); took > 5*time.Second {
 			t.Fatalf("answered after %v", took)
 		}
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -12,21 +12,21 @@
 	"lapislever/internal/standin"
 )
 
-const view = `{"self":"a1","incarnation":3,"digest":"00ff","alive":2,"members":[
+const fleetReply = `{"self":"a1","incarnation":3,"digest":"00ff","alive":2,"members":[
  {"name":"a1","zone":"praha","addr":"127.0.0.1:7946","state":"alive","incarnation":3,"since_ms":90000},
  {"name":"b1","zone":"brno","addr":"127.0.0.2:7946","state":"dead","incarnation":1,"since_ms":1500}],
  "figures":{"health":1,"crash_known_within_ms":2800,"settled_within_ms":4000,"settings_differ":["b1"],
  "conflict":"127.0.0.9:7946"}}`
 
 func TestMembers(t *testing.T) {
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	endpoint := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/fleet" {
 			return 404, "no such call"
 		}
-		return 200, view
+		return 200, fleetReply
 	})
 	var out bytes.Buffer
-	if err := (FleetCommand{Addr: door.Addr}).Run([]string{"members"}, &out); err != nil {
+	if err := (FleetCommand{Addr: endpoint.Addr}).Run([]string{"members"}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"a1, incarnation 3: 2 of 2 alive, digest 00ff, health 1",
@@ -38,14 +38,14 @@
 		}
 	}
 	out.Reset()
-	if err := (FleetCommand{Addr: door.Addr, JSON: true}).Run([]string{"members"}, &out); err != nil ||
-		strings.TrimSpace(out.String()) != view {
+	if err := (FleetCommand{Addr: endpoint.Addr, JSON: true}).Run([]string{"members"}, &out); err != nil ||
+		strings.TrimSpace(out.String()) != fleetReply {
 		t.Fatalf("%v %s", err, out.String())
 	}
 	out.Reset()
 	stop := make(chan os.Signal, 1)
 	time.AfterFunc(watchInterval*3/2, func() { stop <- os.Interrupt })
-	if err := (FleetCommand{Addr: door.Addr, Watch: true, Stop: stop}).Run([]string{"members"},
+	if err := (FleetCommand{Addr: endpoint.Addr, Watch: true, Stop: stop}).Run([]string{"members"},
 		&out); err != nil ||
 		strings.Count(out.String(), "NAME ") != 2 {
 		t.Fatalf("%v %s", err, out.String())
@@ -53,21 +53,21 @@
 }
 
 func TestErrorStatusIsAnError(t *testing.T) {
-	door := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
-	var no *StatusError
-	err := FleetCommand{Addr: door.Addr}.Run([]string{"members"}, &bytes.Buffer{})
-	if !errors.As(err, &no) || no.Status != 404 || no.Text != "no such call" {
+	endpoint := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
+	var statusErr *StatusError
+	err := FleetCommand{Addr: endpoint.Addr}.Run([]string{"members"}, &bytes.Buffer{})
+	if !errors.As(err, &statusErr) || statusErr.Status != 404 || statusErr.Text != "no such call" {
 		t.Fatalf("%v", err)
 	}
-	for _, words := range [][]string{nil, {"dance"}, {"members", "again"}} {
-		if err := (FleetCommand{Addr: door.Addr}).Run(words, &bytes.Buffer{}); !errors.Is(err, ErrUsage) {
-			t.Errorf("%q: %v", words, err)
+	for _, args := range [][]string{nil, {"dance"}, {"members", "again"}} {
+		if err := (FleetCommand{Addr: endpoint.Addr}).Run(args, &bytes.Buffer{}); !errors.Is(err, ErrUsage) {
+			t.Errorf("%q: %v", args, err)
 		}
 	}
 }
 
 func TestOverload(t *testing.T) {
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	endpoint := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/overload" {
 			return 404, "no such call"
 		}
@@ -75,7 +75,7 @@
 		 "retries":{"spent":12,"allowed":40,"denied":5},"duties":[{"what":"level","owner":"b1","since_ms":61000}]}`
 	})
 	var out bytes.Buffer
-	if err := (FleetCommand{Addr: door.Addr}).Run([]string{"overload"}, &out); err != nil {
+	if err := (FleetCommand{Addr: endpoint.Addr}).Run([]string{"overload"}, &out); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"level 52 of 64, heard 100ms ago: all below is turned away",
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -74,11 +74,11 @@
 // coreWithNode returns a running core with one data node, whose connection's writer the test blocks.
 func coreWithNode(t *testing.T) (*core.Core, *Nodes, *pausedConn) {
 	t.Helper()
-	conf := testConfig(t, newDiscovery(t))
+	cfg := testConfig(t, newDiscovery(t))
 	var k *core.Core
-	n := NewNodes(conf, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n := NewNodes(cfg, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(e core.Event) { k.Post(e) })
-	k, err := core.New(core.Config{Settings: conf.Module, Backends: []core.Backend{n}, Log: standin.Quiet()})
+	k, err := core.New(core.Config{Settings: cfg.Module, Backends: []core.Backend{n}, Log: standin.Quiet()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -88,15 +88,15 @@
 }
 
 // expectNoParts checks that queries are answered and that no part of them goes to a node that drains.
-func expectNoParts(t *testing.T, k *Coordinator, drains *standin.Node) {
+func expectNoParts(t *testing.T, k *Coordinator, draining *standin.Node) {
 	t.Helper()
-	before := len(drains.Parts())
+	before := len(draining.Parts())
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	if n := len(drains.Parts()) - before; n != 0 {
+	if n := len(draining.Parts()) - before; n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
 }
@@ -105,9 +105,9 @@
 func TestWatchTimesKeepThePropagationLimit(t *testing.T) {
 	us := func(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	for name, worst := range map[string]time.Duration{
-		"pushed, fallen silent":    pushTimes.undetectedSilence() + pushTimes.limit,
-		"asked for, fallen silent": pollTimes.undetectedSilence() + pollTimes.limit,
-		"asked for, after many":    us(balance.MaxListRetryDelay) + pollTimes.limit,
+		"pushed, fallen silent":       pushTimes.undetectedSilence() + pushTimes.limit,
+		"polled, fallen silent":       pollTimes.undetectedSilence() + pollTimes.limit,
+		"polled, after many failures": us(balance.MaxListRetryDelay) + pollTimes.limit,
 	} {
 		if worst > propagationLimit {
 			t.Errorf("%s: received after %v, announced after %v", name, worst, propagationLimit)
@@ -140,12 +140,12 @@
 			t.Parallel()
 			a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 			both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-			var over atomic.Bool
+			var ended atomic.Bool
 			d := newScripted(t, func(n int, query string, c *net.TCPConn) {
 				switch {
 				case n == 1:
 					writeList(c, listBody(1, true, both...))
-				case query != "" && over.CompareAndSwap(false, true):
+				case query != "" && ended.CompareAndSwap(false, true):
 					end(c, listBody(2, true, hostAt("wrong", a.Addr, 0)))
 				case query == "":
 					var indented strings.Builder
@@ -156,7 +156,7 @@
 				}
 			})
 			k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the whole list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
+			standin.Until(t, "the full list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
@@ -214,14 +214,14 @@
 func TestStartWaitsForDiscovery(t *testing.T) {
 	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := []host{both[0], both[1]}
-	drains[0].Health = "terminating"
+	draining := []host{both[0], both[1]}
+	draining[0].Health = "terminating"
 	called, release := make(chan struct{}, 100), make(chan struct{})
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
 		called <- struct{}{}
 		if query == "" {
 			<-release
-			writeList(c, listBody(9, true, drains...))
+			writeList(c, listBody(9, true, draining...))
 		}
 	})
 	c := testConfig(t, &discovery{addr: d.addr})
@@ -250,18 +250,18 @@
 func TestPolledWatchIsRenewedAfterSilence(t *testing.T) {
 	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := both[0]
-	drains.Health = "terminating"
-	at := make(chan time.Time, 2)
+	draining := both[0]
+	draining.Health = "terminating"
+	times := make(chan time.Time, 2)
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		switch n {
 		case 1:
 			writeList(c, listBody(1, true, both...))
 		case 2: // silent
-			at <- time.Now()
+			times <- time.Now()
 		case 3:
-			at <- time.Now()
-			writeList(c, listBody(2, false, drains))
+			times <- time.Now()
+			writeList(c, listBody(2, false, draining))
 		}
 	})
 	k := startReady(t, testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
@@ -271,8 +271,8 @@
 	if seen[2] != "index=1&wait=2500" || seen[3] != "index=2&wait=2500" {
 		t.Fatalf("%q", seen)
 	}
-	silent, anew := <-at, <-at
-	if gap := anew.Sub(silent); gap < pollTimes.undetectedSilence()-50*time.Millisecond {
+	silent, repeated := <-times, <-times
+	if gap := repeated.Sub(silent); gap < pollTimes.undetectedSilence()-50*time.Millisecond {
 		t.Fatalf("the call was abandoned after %v", gap)
 	}
 	expectNoParts(t, k, a)
@@ -283,11 +283,11 @@
 func TestPolledWatchContinuesFromAKnownList(t *testing.T) {
 	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := both[0]
-	drains.Health = "terminating"
+	draining := both[0]
+	draining.Health = "terminating"
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		if n == 1 {
-			writeList(c, listBody(1, false, drains))
+			writeList(c, listBody(1, false, draining))
 		}
 	})
 	c := testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
