--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin is the operators' door: an address of its own where on-call staff ask how this coordinator
-// does and put data nodes out and back. It owns the calls and the words of their replies. It must never hold
-// the state that it shows or changes: that is behind State, and so is every wait.
+// Package admin is the admin endpoint: an address of its own where operators check this coordinator's
+// state and cordon data nodes. It defines the calls and the form of their replies. It must never hold the
+// state that it shows or changes: that is behind State, as is everything that blocks.
 package admin
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// Sockets is how many descriptors the door may take; they are kept for it, so that no crowd of clients
-	// can shut operators out.
-	Sockets = callers + callers/4
-	callers = 12 // connections at a time; one that asks nothing makes way for the next
-	maxID   = 256
-	// An answer is owed within 1 s. Should the coordinator not get to a call by this, the operator is told
-	// so, and may ask again: no call does more the second time.
-	answerIn = 800 * time.Millisecond
+	// Sockets is how many descriptors the endpoint may use. They are reserved, so that no number of clients
+	// can lock operators out.
+	Sockets  = maxConns + maxConns/4
+	maxConns = 12 // connections in parallel; one that sends no request makes room for the next
+	maxID    = 256
+	// Operators get an answer within 1 s. If the coordinator has not processed a call by this time, they are
+	// told so and may call again: calls are idempotent.
+	answerTimeout = 800 * time.Millisecond
 )
 
-// What State may say to a call.
+// The errors that State returns for a call.
 var (
 	ErrUnknown = errors.New("no data node of that id is listed")
-	ErrLate    = errors.New("not done in time, and may still be: call again")
-	ErrForm    = errors.New("the id, who says so or why is too long")
+	ErrTimeout = errors.New("not done in time, and may still be: call again")
+	ErrTooLong = errors.New("the id, who says so or why is too long")
 )
 
-// Figures are a process's counts since its start, by their names on the wire.
-type Figures struct {
+// Counters are a process's counters since its start, by their names on the wire.
+type Counters struct {
 	OK             map[string]int64 `json:"ok"`
 	Shed           map[string]int64 `json:"shed"`
 	Errors         map[string]int64 `json:"errors"`
@@ -47,62 +47,65 @@
 	Unusable       map[string]int64 `json:"unusable,omitempty"` // attempts at new-form nodes, by reason
 }
 
-// State is the coordinator as the door sees it. Ready and Figures must not wait.
+// State is what the endpoint needs of the coordinator. Ready and Counters must not block.
 type State interface {
 	Ready() bool
-	Figures() Figures
-	// Cordon puts a data node out or back, waits until that holds, and gives up after the time given.
-	Cordon(id string, out bool, within time.Duration) error
+	Counters() Counters
+	// Cordon cordons or uncordons a data node, waits until that holds, and gives up after the given time.
+	Cordon(id string, cordoned bool, within time.Duration) error
 }
 
-// Gate is who is let in, as far as the door asks.
+// Gate is what the endpoint needs of an admission controller.
 type Gate interface {
-	Figures(n int) any
+	Stats(n int) any
 	BanOrPin(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
 }
 
-// Fleeted is a State with a view of the fleet, to be shown as JSON; nil where there is none.
-type Fleeted interface {
+// FleetState is a State with a view of the fleet, to be shown as JSON; nil without a fleet.
+type FleetState interface {
 	Fleet() any
 	Verdicts() any
 	Limits() any
 	Overload() any
-	// Say gives a verdict for the whole fleet, and returns what is to be shown of it, and whether all that are
-	// alive hold it. It gives up after the time given, or the call's own wait if that is longer.
-	Say(c FleetCall, within time.Duration) (shown any, all bool, err error)
+	// ApplyFleetCall issues a verdict for the whole fleet. It returns what is to be shown of the verdict, and
+	// whether all members that are alive hold it. It gives up after the given time, or after the call's own
+	// wait if that is longer.
+	ApplyFleetCall(c FleetCall, within time.Duration) (shown any, all bool, err error)
 }
 
-// FleetCall is a call that puts a data node out or back for the whole fleet, or bans, pins or lifts a prefix.
+// FleetCall is a call that cordons or uncordons a data node for the whole fleet, or bans, pins or lifts a
+// prefix.
 type FleetCall struct {
 	ID         string // of the node
 	Prefix     netip.Prefix
-	Pin        bool // of a prefix: known, not banned
-	Out        bool // of a node: out; of a prefix: the word holds
+	Pin        bool // of a prefix: pinned as known, not banned
+	Set        bool // of a node: cordoned; of a prefix: the ban or pin is set
 	By, Reason string
-	Span       time.Duration // 0: until it is taken back
-	Wait       time.Duration // for all who are alive
+	Duration   time.Duration // 0: until it is lifted
+	Wait       time.Duration // for all members that are alive
 }
 
-// Delayed is a State that counts what was carried out late, to be shown as JSON.
-type Delayed interface{ Delays() any }
+// DelayState is a State with statistics of late actions, to be shown as JSON.
+type DelayState interface{ Delays() any }
 
-// Gated is a State with a gate, or nil where there is none.
-type Gated interface{ Gate() Gate }
+// GateState is a State with an admission controller, or nil without one.
+type GateState interface{ Gate() Gate }
 
-// topMost is how many addresses are shown.
-const topMost = 20
+// maxTopAddresses is how many addresses are shown.
+const maxTopAddresses = 20
 
-// only tells that a call is made by another method.
-func only(x *lnet.Exchange, method string) {
+// methodNotAllowed replies that a call takes another method.
+func methodNotAllowed(x *lnet.Exchange, method string) {
 	x.Reply(lnet.Response{Status: 405, Header: [][2]string{{"Allow", method}}, Close: true,
 		Body: []byte("use " + method + "\n")})
 }
 
-// admission takes a call to the gate. It returns false where there is none, or no such call.
-func (d *Door) admission(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
+// serveAdmission handles a call to the admission controller. It returns false if there is none, or no such
+// call.
+func (srv *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
-	s, gated := d.state.(Gated)
+	s, gated := srv.state.(GateState)
 	if !ok || !gated || s.Gate() == nil {
 		return false
 	}
@@ -110,19 +113,19 @@
 	switch call {
 	case "":
 		if r.Method != "GET" {
-			only(x, "GET")
+			methodNotAllowed(x, "GET")
 			return true
 		}
-		show(x, say, g.Figures(topMost))
+		replyJSON(x, reply, g.Stats(maxTopAddresses))
 	case "/ban", "/pin", "/lift":
 		if r.Method != "POST" {
-			only(x, "POST")
+			methodNotAllowed(x, "POST")
 			return true
 		}
 		text, span, _ := strings.Cut(strings.TrimSpace(string(r.Body)), " ")
 		p, err := parsePrefix(text)
 		if err != nil {
-			say(400, "the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
+			reply(400, "the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
 			return true
 		}
 		if call == "/lift" {
@@ -130,82 +133,82 @@
 		} else {
 			t, err := time.ParseDuration(span)
 			if err != nil || t <= 0 || t > 365*24*time.Hour {
-				say(400, "the time has to be one such as 10m, of a year at most")
+				reply(400, "the time has to be one such as 10m, of a year at most")
 				return true
 			}
 			g.BanOrPin(p, call == "/pin", t)
 		}
-		d.log.Info("operator's word on a prefix", "call", call[1:], "prefix", p, "for", span)
-		say(200, "done")
+		srv.log.Info("operator's call on a prefix", "call", call[1:], "prefix", p, "for", span)
+		reply(200, "done")
 	default:
 		return false
 	}
 	return true
 }
 
-// show replies with a value as JSON.
-func show(x *lnet.Exchange, say func(int, string), value any) {
+// replyJSON replies with a value as JSON.
+func replyJSON(x *lnet.Exchange, reply func(int, string), value any) {
 	b, err := json.Marshal(value)
 	if err != nil {
-		say(500, err.Error())
+		reply(500, err.Error())
 		return
 	}
 	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b, Close: true})
 }
 
-// fleet takes a call about the fleet. It returns false where there is none, or no such call.
-func (d *Door) fleet(r *lnet.Request, x *lnet.Exchange, say func(int, string)) bool {
-	s, ok := d.state.(Fleeted)
+// serveFleet handles a call about the fleet. It returns false if there is no fleet, or no such call.
+func (srv *Server) serveFleet(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
+	s, ok := srv.state.(FleetState)
 	if !ok || s.Fleet() == nil {
 		return false
 	}
 	method := "GET"
-	var act func()
+	var handle func()
 	switch r.Path {
 	case "/admin/fleet":
-		act = func() { show(x, say, s.Fleet()) }
+		handle = func() { replyJSON(x, reply, s.Fleet()) }
 	case "/admin/verdicts":
-		act = func() { show(x, say, s.Verdicts()) }
+		handle = func() { replyJSON(x, reply, s.Verdicts()) }
 	case "/admin/limits":
-		act = func() { show(x, say, s.Limits()) }
+		handle = func() { replyJSON(x, reply, s.Limits()) }
 	case "/admin/overload":
-		act = func() { show(x, say, s.Overload()) }
+		handle = func() { replyJSON(x, reply, s.Overload()) }
 	case "/admin/fleet/cordon", "/admin/fleet/uncordon", "/admin/fleet/ban", "/admin/fleet/pin",
 		"/admin/fleet/lift":
 		method = "POST"
-		act = func() {
-			c, err := fleetCall(r)
+		handle = func() {
+			c, err := parseFleetCall(r)
 			if err != nil {
-				say(400, err.Error())
+				reply(400, err.Error())
 				return
 			}
-			go d.fleetCordon(s, c, x, say)
+			go srv.applyFleetCall(s, c, x, reply)
 		}
 	default:
 		return false
 	}
 	if r.Method != method {
-		only(x, method)
+		methodNotAllowed(x, method)
 	} else {
-		act()
+		handle()
 	}
 	return true
 }
 
-// mostWait bounds how long a call may wait for other members.
-const mostWait = 30 * time.Second
+// maxWait bounds how long a call may wait for other members.
+const maxWait = 30 * time.Second
 
-// fleetCall reads a call: ID [TIME], and ?wait=TIME.
-func fleetCall(r *lnet.Request) (c FleetCall, err error) {
+// parseFleetCall parses a call: ID [TIME], and ?wait=TIME.
+func parseFleetCall(r *lnet.Request) (c FleetCall, err error) {
 	call := strings.TrimPrefix(r.Path, "/admin/fleet/")
 	prefix := call == "ban" || call == "pin" || call == "lift"
-	c.Out, c.Pin = call == "cordon" || call == "ban" || call == "pin", call == "pin"
+	c.Set, c.Pin = call == "cordon" || call == "ban" || call == "pin", call == "pin"
 	c.By, c.Reason = r.Header.Get("X-By"), r.Header.Get("X-Reason")
 	fields := strings.Fields(string(r.Body))
 	switch {
-	case prefix && len(fields) != 2 && (c.Out || len(fields) != 1):
+	case prefix && len(fields) != 2 && (c.Set || len(fields) != 1):
 		return c, errors.New("the body has to be a prefix or an address, and for a ban or a pin a time such as 10m")
-	case len(fields) == 0 || len(fields) > 2 || len(fields) == 2 && !c.Out:
+	case len(fields) == 0 || len(fields) > 2 || len(fields) == 2 && !c.Set:
 		return c, errors.New("the body has to be one data node's id and, to put it out, a time such as 10m")
 	}
 	c.ID = fields[0]
@@ -216,7 +219,8 @@
 		c.ID = ""
 	}
 	if len(fields) == 2 {
-		if c.Span, err = time.ParseDuration(fields[1]); err != nil || c.Span <= 0 || c.Span > 365*24*time.Hour {
+		if c.Duration, err = time.ParseDuration(fields[1]); err != nil || c.Duration <= 0 ||
+			c.Duration > 365*24*time.Hour {
 			return c, errors.New("the time has to be one such as 10m, of a year at most")
 		}
 	}
@@ -225,40 +229,41 @@
 		return c, errors.New("the query can't be read")
 	}
 	if text := query.Get("wait"); text != "" {
-		if c.Wait, err = time.ParseDuration(text); err != nil || c.Wait < 0 || c.Wait > mostWait {
+		if c.Wait, err = time.ParseDuration(text); err != nil || c.Wait < 0 || c.Wait > maxWait {
 			return c, errors.New("wait has to be a time such as 2s, of 30s at most")
 		}
 	}
 	return c, nil
 }
 
-// fleetCordon carries out one call for the whole fleet; it waits, so it has a goroutine of its own.
-func (d *Door) fleetCordon(s Fleeted, c FleetCall, x *lnet.Exchange, say func(status int, text string)) {
-	shown, all, err := s.Say(c, answerIn)
-	d.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Out, "for", c.Span,
-		"err", err)
+// applyFleetCall executes a call for the whole fleet. It blocks, so it runs in a goroutine of its own.
+func (srv *Server) applyFleetCall(s FleetState, c FleetCall, x *lnet.Exchange,
+	reply func(status int, text string)) {
+	shown, everywhere, err := s.ApplyFleetCall(c, answerTimeout)
+	srv.log.Info("operator's call for the fleet", "node", c.ID, "prefix", c.Prefix, "on", c.Set,
+		"for", c.Duration, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		say(404, err.Error())
-	case errors.Is(err, ErrForm):
-		say(400, err.Error())
+		reply(404, err.Error())
+	case errors.Is(err, ErrTooLong):
+		reply(400, err.Error())
 	case err != nil:
-		say(503, err.Error())
+		reply(503, err.Error())
 	default:
 		b, err := json.Marshal(shown)
 		if err != nil {
-			say(500, err.Error())
+			reply(500, err.Error())
 			return
 		}
 		status := 200
-		if c.Wait > 0 && !all {
+		if c.Wait > 0 && !everywhere {
 			status = 202
 		}
 		x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: b, Close: true})
 	}
 }
 
-// parsePrefix reads a prefix, or an address as one of its own.
+// parsePrefix parses a prefix, or an address as a prefix of its full length.
 func parsePrefix(text string) (netip.Prefix, error) {
 	p, err := netip.ParsePrefix(text)
 	if a, aerr := netip.ParseAddr(text); err != nil && aerr == nil {
@@ -267,43 +272,43 @@
 	return p, err
 }
 
-// Door is an open door.
-type Door struct {
+// Server is a running admin endpoint.
+type Server struct {
 	server *lnet.Server
 	state  State
 	log    *slog.Logger
 }
 
-// Open listens on an address.
-func Open(addr string, state State, log *slog.Logger) (*Door, error) {
-	d := &Door{state: state, log: log}
+// Listen opens the endpoint on an address.
+func Listen(addr string, state State, log *slog.Logger) (*Server, error) {
+	srv := &Server{state: state, log: log}
 	var err error
-	if d.server, err = lnet.Listen(addr, lnet.NewBudget(callers, 0), log, d.serve); err != nil {
+	if srv.server, err = lnet.Listen(addr, lnet.NewBudget(maxConns, 0), log, srv.serve); err != nil {
 		return nil, err
 	}
-	go d.server.Serve()
-	return d, nil
+	go srv.server.Serve()
+	return srv, nil
 }
 
-// Addr is the address listened on.
-func (d *Door) Addr() string { return d.server.Addr() }
+// Addr returns the address that the endpoint listens on.
+func (srv *Server) Addr() string { return srv.server.Addr() }
 
-// Close shuts the door; calls that are being answered get their answer.
-func (d *Door) Close() {
-	d.server.StopListening()
-	d.server.Drain()
+// Close stops the endpoint. Calls in progress are answered.
+func (srv *Server) Close() {
+	srv.server.StopListening()
+	srv.server.Drain()
 }
 
-// serve takes one call. Every reply ends its connection: one call each is the rule here.
-func (d *Door) serve(r *lnet.Request, x *lnet.Exchange) func() {
-	say := func(status int, text string) {
+// serve handles one call. Every reply ends its connection: a connection carries one call.
+func (srv *Server) serve(r *lnet.Request, x *lnet.Exchange) func() {
+	reply := func(status int, text string) {
 		x.Reply(lnet.Response{Status: status, Body: []byte(text + "\n"), Close: true})
 	}
-	if d.admission(r, x, say) || d.fleet(r, x, say) {
+	if srv.serveAdmission(r, x, reply) || srv.serveFleet(r, x, reply) {
 		return nil
 	}
-	if s, ok := d.state.(Delayed); ok && r.Path == "/admin/delays" && r.Method == "GET" {
-		show(x, say, s.Delays())
+	if s, ok := srv.state.(DelayState); ok && r.Path == "/admin/delays" && r.Method == "GET" {
+		replyJSON(x, reply, s.Delays())
 		return nil
 	}
 	method := "GET"
@@ -312,38 +317,39 @@
 	}
 	switch {
 	case r.Path != "/admin/health" && r.Path != "/admin/stats" && method == "GET":
-		say(404, "no such call")
+		reply(404, "no such call")
 	case r.Method != method:
-		only(x, method)
-	case r.Path == "/admin/health" && d.state.Ready():
-		say(200, "serving")
+		methodNotAllowed(x, method)
+	case r.Path == "/admin/health" && srv.state.Ready():
+		reply(200, "serving")
 	case r.Path == "/admin/health":
-		say(503, "not serving")
+		reply(503, "not serving")
 	case r.Path == "/admin/stats":
-		show(x, say, d.state.Figures())
+		replyJSON(x, reply, srv.state.Counters())
 	default:
 		id := strings.TrimSpace(string(r.Body))
 		if id == "" || len(id) > maxID || strings.ContainsAny(id, " \t\r\n") {
-			say(400, "the body has to be one data node's id")
+			reply(400, "the body has to be one data node's id")
 			return nil
 		}
-		go d.cordon(id, r.Path == "/admin/cordon", say)
+		go srv.applyCordon(id, r.Path == "/admin/cordon", reply)
 	}
 	return nil
 }
 
-// cordon carries out one call to put a data node out or back; it waits, so it has a goroutine of its own.
-func (d *Door) cordon(id string, out bool, say func(status int, text string)) {
-	err := d.state.Cordon(id, out, answerIn)
-	d.log.Info("operator's call", "node", id, "out", out, "err", err)
+// applyCordon executes a call that cordons or uncordons a data node. It blocks, so it runs in a goroutine
+// of its own.
+func (srv *Server) applyCordon(id string, cordoned bool, reply func(status int, text string)) {
+	err := srv.state.Cordon(id, cordoned, answerTimeout)
+	srv.log.Info("operator's call", "node", id, "out", cordoned, "err", err)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		say(404, err.Error())
+		reply(404, err.Error())
 	case err != nil:
-		say(503, err.Error())
-	case out:
-		say(200, "out")
+		reply(503, err.Error())
+	case cordoned:
+		reply(200, "out")
 	default:
-		say(200, "back")
+		reply(200, "back")
 	}
 }
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -1,7 +1,7 @@
 package platform
 
-// A coordinator's part in the fleet: when it joins, hands its place over, and leaves. What a member is and
-// who is alive others decide: internal/membership.
+// A coordinator's part in the fleet: joining, handover and leaving. Membership and failure detection are
+// in internal/membership.
 
 import (
 	"fmt"
@@ -18,15 +18,15 @@
 )
 
 const (
-	// joinSlack is how many periods a start waits at most to be let into the fleet: for one that nobody
-	// answers, and for another process of its name that does not answer either, and some.
-	joinSlack = 16
-	// leavePeriods is how long the end waits at most for others to hear of it.
+	// joinPeriods is how many periods a start waits at most to be admitted to the fleet: enough for one try that
+	// nobody answers, for another process with this name that doesn't answer either, and some margin.
+	joinPeriods = 16
+	// leavePeriods is how many periods the shutdown waits at most for others to learn of it.
 	leavePeriods = 3
-	// toldPeriods is how long a start waits at most to be told the fleet's verdicts.
-	toldPeriods = 12
-	toldLook    = 5 * time.Millisecond
-	bindEvery   = 200 * time.Millisecond
+	// verdictPeriods is how many periods a start waits at most for the fleet's verdicts.
+	verdictPeriods = 12
+	verdictPoll    = 5 * time.Millisecond
+	bindRetry      = 200 * time.Millisecond
 )
 
 func (c *Config) fleetSockets() int {
@@ -36,74 +36,75 @@
 	return fleet.MaxSockets
 }
 
-// fleetCarriesPeers tells that the fleet's socket is the one for other coordinators, and carries what the
-// module has to say to them.
-func (c *Config) fleetCarriesPeers() bool {
+// fleetSharesPeerSocket reports whether the fleet's socket is also the one for other coordinators. It then
+// carries the module's messages to them.
+func (c *Config) fleetSharesPeerSocket() bool {
 	return c.Fleet != nil && c.Fleet.Fleet.Listen == c.PeerListen
 }
 
-// joinFleet opens the fleet's socket. One that takes over from another process gets that one's, and begins
-// once that one stops: see takeFleetOver.
-func (k *Coordinator) joinFleet(h *inheritance, beside bool) (err error) {
-	if h != nil && h.fleet != nil {
-		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, h.fleet)
+// openFleet opens the fleet's socket. A process that takes over from another one receives the socket from
+// it, and starts when that one stops: see takeOverFleet.
+func (k *Coordinator) openFleet(received *receivedSockets, besideOld bool) (err error) {
+	if received != nil && received.fleet != nil {
+		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, received.fleet)
 		return err
 	}
 	for k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, nil); err != nil; {
-		if !beside {
+		if !besideOld {
 			return err
 		}
-		// The process beside this one has the socket and could not hand it over: it ends sooner or later.
-		k.log.Warn("waiting for the fleet's socket", "err", err)
-		time.Sleep(bindEvery)
+		// The process beside this one holds the socket and could not hand it over. It ends sooner or later.
+		k.log.Warn("the fleet's socket is in use: waiting for it", "err", err)
+		time.Sleep(bindRetry)
 		k.fleet, err = fleet.Open(k.cfg.Fleet, k.log, nil)
 	}
 	return nil
 }
 
-// enterFleet begins to take part, unless this process takes over from another, and waits until this member is
-// let in and told what the fleet holds, or goes on alone. The core has to run.
-func (k *Coordinator) enterFleet() error {
-	if k.fleet == nil || k.upgrade.place != nil {
+// startFleet joins the fleet, unless this process takes over from another one. It waits until this member
+// is admitted and has received the fleet's verdicts, or until that takes too long. The core must be
+// running.
+func (k *Coordinator) startFleet() error {
+	if k.fleet == nil || k.upgrade.fleetState != nil {
 		return nil
 	}
 	if err := k.fleet.Start(nil, k.fleetHost()); err != nil {
 		return err
 	}
-	return k.awaitFleet()
+	return k.awaitFleetJoin()
 }
 
-// carryVerdict carries out here what the whole fleet holds.
-func (k *Coordinator) carryVerdict(c verdict.Change) bool {
+// applyVerdict applies a fleet-wide verdict here.
+func (k *Coordinator) applyVerdict(c verdict.Change) bool {
 	if c.Verdict.Kind == verdict.Prefix {
-		k.carryPrefix(c)
+		k.applyPrefixVerdict(c)
 		return true
 	}
 	name, _ := c.Verdict.Node()
 	id := core.ServerID(name)
-	by := core.ByFleetOperator
+	source := core.ByFleetOperator
 	switch c.Verdict.Kind {
 	case verdict.SickNode:
-		by = core.ByFleetEvidence
+		source = core.ByFleetEvidence
 	case verdict.SickPath:
-		by = core.ByZoneEvidence
+		source = core.ByZoneEvidence
 	}
-	if !k.core.ApplyVerdict(id, by, c.InForce, c.Verdict.Stamp) {
+	if !k.core.ApplyVerdict(id, source, c.InForce, c.Verdict.Stamp) {
 		return false
 	}
-	if by == core.ByFleetOperator { // what is judged the next process hears with the table
-		k.upgrade.pass(id, by, c.InForce)
+	if source == core.ByFleetOperator { // the successor receives verdicts by evidence with the table
+		k.upgrade.forwardCordon(id, source, c.InForce)
 	}
 	return true
 }
 
-// fleetHost is this process as the fleet's part needs it.
+// fleetHost returns the functions that the fleet calls in this process.
 func (k *Coordinator) fleetHost() fleet.Host {
-	return fleet.Host{Apply: k.carryVerdict, NodeName: k.nodeName,
+	return fleet.Host{Apply: k.applyVerdict, NodeName: k.nodeName,
 		NodeCount: func() int { return int(k.core.Counts().ListedServers.Load()) }}
 }
 
-// nodeName is the name of a data node, on whichever way it is reached.
+// nodeName returns the name of a data node, whichever backend it belongs to.
 func (k *Coordinator) nodeName(node uint64) (string, bool) {
 	if name, ok := k.nodes.Name(balance.ReplicaID(node)); ok {
 		return name, true
@@ -120,41 +121,42 @@
 	return "", false
 }
 
-// witness has the fleet hear how attempts end, as far as that says something of the node.
-func (k *Coordinator) witness(s core.AttemptResult) {
-	end := verdict.Failed
+// reportAttempt reports how an attempt ended to the fleet, where that is evidence about the node.
+func (k *Coordinator) reportAttempt(s core.AttemptResult) {
+	outcome := verdict.Failed
 	switch {
 	case s.Outcome == balance.OK:
-		end = verdict.Served
+		outcome = verdict.Served
 	case s.Outcome == balance.TimedOut:
-		end = verdict.TimedOut
+		outcome = verdict.TimedOut
 	case s.Superseded:
-		end = verdict.HedgeWon
+		outcome = verdict.HedgeWon
 	case s.Outcome == balance.Cancelled:
-		end = verdict.Cancelled
+		outcome = verdict.Cancelled
 	case s.Outcome == balance.Busy, s.Outcome == balance.NotSent:
 		return
 	}
-	k.fleet.ObserveAttempt(uint64(s.Replica), s.Class, end, s.Elapsed)
+	k.fleet.ObserveAttempt(uint64(s.Replica), s.Class, outcome, s.Elapsed)
 }
 
-// judge has evidence against data nodes count, where the fleet's file says so.
-func (k *Coordinator) judge(conf *core.Config) {
+// enableEvidence lets evidence against data nodes count, where the fleet's file says so.
+func (k *Coordinator) enableEvidence(coreCfg *core.Config) {
 	if !k.cfg.Fleet.EvidenceEnabled() {
 		return
 	}
 	m := &k.cfg.Module
-	conf.OnAttemptEnd = k.witness
-	conf.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
+	coreCfg.OnAttemptEnd = k.reportAttempt
+	coreCfg.LimitCordons = func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool {
 		return verdict.LimitEjections(listed, sick, m.Cells, m.Reach, k.cfg.Fleet.EvidenceShare())
 	}
 }
 
-// carryPrefix tells the gates, where there are any, of a word on a prefix.
-func (k *Coordinator) carryPrefix(c verdict.Change) {
+// applyPrefixVerdict tells the fronts' admission controllers of a ban or pin of a prefix, or that it was
+// lifted.
+func (k *Coordinator) applyPrefixVerdict(c verdict.Change) {
 	p, err := netip.ParsePrefix(c.Verdict.What)
 	if err != nil {
-		return // from a member of another version: nothing to carry out
+		return // sent by a member of another version: nothing to apply
 	}
 	for _, x := range k.extras {
 		if g, ok := x.(interface {
@@ -169,31 +171,32 @@
 	}
 }
 
-// awaitFleet waits until this member is one.
-func (k *Coordinator) awaitFleet() error {
-	late := time.NewTimer(joinSlack * k.cfg.Fleet.Period())
-	defer late.Stop()
+// awaitFleetJoin waits until the fleet has admitted this member.
+func (k *Coordinator) awaitFleetJoin() error {
+	timeout := time.NewTimer(joinPeriods * k.cfg.Fleet.Period())
+	defer timeout.Stop()
 	select {
 	case <-k.fleet.Joined():
 	case err := <-k.fleet.NameTaken():
 		k.fleet.Close()
 		return err
-	case <-late.C:
-		k.log.Warn("not let into the fleet in time: serving all the same")
+	case <-timeout.C:
+		k.log.Warn("not admitted to the fleet in time: serving anyway")
 		return nil
 	}
-	for end := time.Now().Add(toldPeriods * k.cfg.Fleet.Period()); !k.fleet.VerdictsSynced(); time.Sleep(toldLook) {
-		if time.Now().After(end) {
-			k.log.Warn("nobody has told the fleet's verdicts in time: serving without what they may be")
+	for deadline := time.Now().Add(
+		verdictPeriods * k.cfg.Fleet.Period()); !k.fleet.VerdictsSynced(); time.Sleep(verdictPoll) {
+		if time.Now().After(deadline) {
+			k.log.Warn("the fleet's verdicts were not received in time: serving without them")
 			break
 		}
 	}
 	return nil
 }
 
-// hearFleet hands the module what other members' modules have to say, and watches for a process that bears
-// this one's name and is older.
-func (k *Coordinator) hearFleet() {
+// receiveFleet passes messages of other members' modules to this module, and ends this process when an
+// older process with the same name exists.
+func (k *Coordinator) receiveFleet() {
 	for {
 		select {
 		case h := <-k.fleet.Messages():
@@ -207,40 +210,40 @@
 	}
 }
 
-// fleetGate asks the fleet's level and limits.
+// fleetGate checks queries and attempts against the fleet's overload level and limits.
 type fleetGate struct {
 	k      *Coordinator
-	ranked *atomic.Pointer[ranked]
+	cached *atomic.Pointer[classRanks]
 }
 
-// ranked are the ranks of a configuration's classes.
-type ranked struct {
-	conf  *Config
+// classRanks are the ranks of a configuration's classes.
+type classRanks struct {
+	cfg   *Config
 	ranks []int
 }
 
-// rank is the place of a class by worth.
-func (l fleetGate) rank(conf *Config, class int) int {
-	r := l.ranked.Load()
-	if r == nil || r.conf != conf {
-		worth := make([]float64, len(conf.Module.Classes))
+// rank returns the rank of a class by worth.
+func (l fleetGate) rank(cfg *Config, class int) int {
+	r := l.cached.Load()
+	if r == nil || r.cfg != cfg {
+		worth := make([]float64, len(cfg.Module.Classes))
 		for i := range worth {
-			worth[i] = conf.Module.Classes[i].Worth
+			worth[i] = cfg.Module.Classes[i].Worth
 		}
-		r = &ranked{conf, overload.RankByWorth(worth)}
-		l.ranked.Store(r)
+		r = &classRanks{cfg, overload.RankByWorth(worth)}
+		l.cached.Store(r)
 	}
 	return r.ranks[class]
 }
 
-// Admit asks whether a query may be let in.
+// Admit reports whether a query may be admitted.
 func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
-	conf := l.k.front.conf.Load()
-	class, who := conf.Classes[q.Class], q.Name
+	cfg := l.k.front.cfg.Load()
+	class, queryID := cfg.Classes[q.Class], q.Name
 	if q.Key != "" {
-		who = q.Key // the same for all tries of it
+		queryID = q.Key // the same for all retries of the query
 	}
-	if ok, after := l.k.fleet.Admit(l.rank(conf, q.Class), class, q.Caller, who, q.Repeat); !ok {
+	if ok, after := l.k.fleet.Admit(l.rank(cfg, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
 	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
@@ -253,7 +256,7 @@
 	return true, 0, ""
 }
 
-// QueryEnded gives back what a query held, and tells how it ended.
+// QueryEnded releases what a query held, and reports its outcome.
 func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
 	l.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
@@ -262,7 +265,7 @@
 	}
 }
 
-// AllowSend asks whether an attempt may be sent.
+// AllowSend reports whether an attempt may be sent.
 func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
 	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
@@ -274,10 +277,10 @@
 	if !t.Empty() {
 		a.Ticket = t
 	}
-	return ok, balance.Busy // to the module the node is full
+	return ok, balance.Busy // the module treats the node as full
 }
 
-// AttemptEnded gives back what an attempt held.
+// AttemptEnded releases what an attempt held.
 func (l fleetGate) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
@@ -285,35 +288,35 @@
 	}
 }
 
-// Failed hears once why this process must not go on serving.
+// Failed receives, once, the reason why this process must stop serving.
 func (k *Coordinator) Failed() <-chan error { return k.failed }
 
-// takeFleetOver goes on as the member that the old process was, once that one has said where it stands. If it
-// does not, this process joins as a restarted one: at the same address nobody else can be.
-func (k *Coordinator) takeFleetOver() {
-	if k.fleet == nil || k.upgrade.place == nil {
+// takeOverFleet continues as the member that the old process was, once that one has sent its state. If it
+// does not, this process joins like a restarted member: nobody else can be at the same address.
+func (k *Coordinator) takeOverFleet() {
+	if k.fleet == nil || k.upgrade.fleetState == nil {
 		return
 	}
-	var from *fleet.Handover
+	var state *fleet.Handover
 	select {
-	case from = <-k.upgrade.place:
-	case <-time.After(linkWait):
-		k.log.Warn("the old process has not said where it stands in the fleet: joining anew")
+	case state = <-k.upgrade.fleetState:
+	case <-time.After(linkTimeout):
+		k.log.Warn("the old process did not send its fleet state in time: joining as a restarted member")
 	case <-k.stop:
 		return
 	}
-	if err := k.fleet.Start(from, k.fleetHost()); err != nil {
-		k.log.Error("no part in the fleet", "err", err)
+	if err := k.fleet.Start(state, k.fleetHost()); err != nil {
+		k.log.Error("joining the fleet failed: serving without it", "err", err)
 	}
 }
 
-// leaveFleet tells the others that this member goes, now that all is answered.
+// leaveFleet tells the other members that this one leaves, once everything is answered.
 func (k *Coordinator) leaveFleet(until time.Time) {
 	if k.fleet == nil {
 		return
 	}
 	wait := min(leavePeriods*k.cfg.Fleet.Period(), max(50*time.Millisecond, time.Until(until)))
 	if !k.fleet.Leave(wait) {
-		k.log.Warn("the fleet may not have heard that this member leaves")
+		k.log.Warn("the fleet may not have learnt that this member leaves")
 	}
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,8 +1,8 @@
 package platform
 
-// The clients' front: it turns a request into a query for the core and a final answer into a reply. It owns
-// the form of both and nothing else; it must never hold a query's state, answer one by itself once the core
-// has it, or wait.
+// The clients' front: it converts a request to a query for the core, and a final answer to a reply. It
+// defines the format of both and nothing else; it must never hold a query's state, answer a query itself
+// once the core has it, or block.
 
 import (
 	"encoding/json"
@@ -21,35 +21,35 @@
 )
 
 const (
-	maxName  = 128  // of a query's or a key's characters
+	maxName  = 128  // length of a query's name or key
 	maxParts = 1024 // of one query
 
-	massSlack = 0.001 // by which masses that were rounded may miss 1
+	massTolerance = 0.001 // rounding error allowed in the sum of masses
 )
 
 // Front serves clients of the platform.
 type Front struct {
-	conf  atomic.Pointer[Config]
-	log   *slog.Logger
-	core  *core.Core
-	via   core.Backend
-	ready atomic.Bool
+	cfg     atomic.Pointer[Config]
+	log     *slog.Logger
+	core    *core.Core
+	backend core.Backend
+	ready   atomic.Bool
 }
 
-// NewFront returns the form of requests without a core behind it, for another front that speaks it.
-func NewFront(cfg *Config, log *slog.Logger, via core.Backend) *Front {
-	f := &Front{log: log, via: via}
-	f.conf.Store(cfg)
+// NewFront returns a front without a core. It parses requests for another front with the same format.
+func NewFront(cfg *Config, log *slog.Logger, backend core.Backend) *Front {
+	f := &Front{log: log, backend: backend}
+	f.cfg.Store(cfg)
 	return f
 }
 
-// SetConfig has requests read by a configuration that was taken in.
-func (f *Front) SetConfig(cfg *Config) { f.conf.Store(cfg) }
+// SetConfig sets the configuration that requests are parsed with.
+func (f *Front) SetConfig(cfg *Config) { f.cfg.Store(cfg) }
 
-// Parse turns a request into a query, or says what is wrong with it. The query has no client yet.
+// Parse converts a request to a query, or returns what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
 
-// Serve takes one request.
+// Serve handles one request.
 func (f *Front) Serve(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
 		switch {
@@ -64,8 +64,8 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countUnasked(r, OutcomeForStatus(err.Status))
-		// The end of the connection: what else comes on it is worth as little, and must not cost more.
+		f.countRejected(r, OutcomeForStatus(err.Status))
+		// The connection ends: what follows on it is unlikely to be valid and must not cost more.
 		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
 		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
 		return nil
@@ -79,25 +79,26 @@
 	return func() { f.core.Abandon(q) }
 }
 
-// TurnAway counts a request that was refused before it came here: too many connections are open.
-func (f *Front) TurnAway(r *lnet.Request) {
-	f.countUnasked(r, core.Refused)
+// CountTurnedAway counts a request that was refused before it reached the front, as too many connections
+// are open.
+func (f *Front) CountTurnedAway(r *lnet.Request) {
+	f.countRejected(r, core.Refused)
 }
 
-// countUnasked counts a reply that the core was not asked for, if the request names a class.
-func (f *Front) countUnasked(r *lnet.Request, e core.QueryOutcome) {
-	if class := ClassName(r); f.conf.Load().class(class, r.ReceivedAt) >= 0 {
+// countRejected counts a reply given without the core, if the request names a class.
+func (f *Front) countRejected(r *lnet.Request, e core.QueryOutcome) {
+	if class := ClassName(r); f.cfg.Load().classIndex(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
 
-// ClassName is the class that a request names, known or not.
+// ClassName returns the class that a request names, known or not.
 func ClassName(r *lnet.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	return name
 }
 
-// OutcomeForStatus is what a reply's status means to a client.
+// OutcomeForStatus returns what a reply's status means for the query.
 func OutcomeForStatus(status int) core.QueryOutcome {
 	switch status {
 	case 200:
@@ -119,13 +120,13 @@
 	Filter string `json:"filter"`
 }
 
-// parse turns a request into a query.
+// parse converts a request to a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
 		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
-	cfg := f.conf.Load()
-	class := cfg.class(ClassName(r), r.ReceivedAt)
+	cfg := f.cfg.Load()
+	class := cfg.classIndex(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -137,21 +138,21 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.via,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.backend,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.bind(class, q.Key != "", r.ReceivedAt)
+	rules := cfg.rulesFor(class, q.Key != "", r.ReceivedAt)
 	switch {
-	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.key && q.Key != "" && !isToken(q.Key):
+	case rules.class.Effect == balance.Keyed && !isToken(q.Key), rules.sendKey && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
-	case !b.key:
+	case !rules.sendKey:
 		q.Key = ""
 	}
-	q.Rules, q.MaxAttempts = &b.rules, b.most
-	wait := time.Duration(b.rules.Deadline) * time.Microsecond
+	q.Rules, q.MaxAttempts = &rules.class, rules.maxAttempts
+	wait := time.Duration(rules.class.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(s >= 0) || math.IsInf(s, 0) {
@@ -163,7 +164,7 @@
 	}
 	q.Deadline = r.ReceivedAt.Add(wait)
 	var body queryBody
-	if !utf8.Valid(r.Body) { // what cannot be read would be replaced, and the parts carry it unchanged
+	if !utf8.Valid(r.Body) { // decoding would replace invalid bytes, and the parts would carry the changed text
 		return fail(400, "the body is not UTF-8")
 	}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -179,7 +180,7 @@
 			return fail(400, "slices: a slice is missing, unknown or named twice")
 		}
 		seen[*s.Slice] = true
-		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massSlack) {
+		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massTolerance) {
 			return fail(400, "slices: a mass is missing or not possible")
 		}
 		p := core.PartSpec{Shard: *s.Slice, Weight: *s.Mass}
@@ -196,13 +197,13 @@
 		}
 		q.Parts = append(q.Parts, p)
 	}
-	if math.Abs(total-1) > massSlack {
+	if math.Abs(total-1) > massTolerance {
 		return fail(400, "slices: the masses add up to %g, not to 1", total)
 	}
 	return q, nil
 }
 
-// isToken tells that a text can stand in a line of a frame.
+// isToken reports whether a text can be part of a frame's line.
 func isToken(s string) bool {
 	if s == "" || len(s) > maxName {
 		return false
@@ -222,7 +223,7 @@
 	count *core.ClassCount
 }
 
-// reply words the final answer, and counts what the client is told.
+// reply sends a reply and counts its outcome.
 func (c *client) reply(r lnet.Response) {
 	c.count.Add(OutcomeForStatus(r.Status))
 	c.x.Reply(r)
@@ -239,7 +240,7 @@
 	Body  string `json:"body"`
 }
 
-// Final replies.
+// Final sends the reply.
 func (c *client) Final(f core.FinalAnswer) {
 	switch f.Outcome {
 	case core.Answered:
@@ -265,7 +266,7 @@
 	}
 }
 
-// Answer is the reply to a query that was answered.
+// Answer returns the response to a query that was answered.
 func Answer(f core.FinalAnswer, log *slog.Logger) lnet.Response {
 	body := answerBody{Entire: f.Complete, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
@@ -273,13 +274,13 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil || len(b) > lnet.MaxBody {
-		log.Warn("an answer is too large", "bytes", len(b), "err", err)
+		log.Warn("answer exceeds the largest reply body", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
 	return lnet.Response{Status: 200, ContentType: "application/json", Body: b}
 }
 
-// Refusal is a reply that tells when to come back.
+// Refusal returns a response that tells the client when to retry.
 func Refusal(after time.Duration) lnet.Response {
 	r := lnet.Response{Status: 503, Body: []byte("refused for now\n")}
 	if after > 0 {
--- a/internal/platform/nodeconn.go
+++ b/internal/platform/nodeconn.go
@@ -1,7 +1,7 @@
 package platform
 
-// The state of one connection to a data node: what is queued on it, who waits for an answer, and how attempts
-// end with it.
+// The state of one connection to a data node: its queue, the attempts that wait for an answer, and how
+// attempts end with the connection.
 
 import (
 	"errors"
@@ -15,117 +15,119 @@
 	lnet "lapislever/internal/net"
 )
 
-// nodeConn is one connection to a data node. Its writer goroutine dials and writes; its reader reads.
+// nodeConn is one connection to a data node. One goroutine dials and then writes, another one reads.
 type nodeConn struct {
-	n       *Nodes
-	node    *node
-	socket  net.Conn   // c, set before the writer writes
-	mu      sync.Mutex // guards all below
-	frames  []frame
-	booked  int             // bytes of the frames
-	torn    []*core.Attempt // out in a frame that was being written as the connection ended
-	why     error           // it ended for
-	waiting map[string]*core.Attempt
-	given   map[string]time.Time // written and then given up: an answer may come all the same
-	written map[string]time.Time // when the parts that wait were written
-	owed    time.Time            // since when it owes an answer and nothing has come; zero: it owes none
-	doubt   time.Time            // when another connection first outlived it
-	probes  []*probe             // probes out, in their order
-	calls   int                  // calls with a part that waits
-	up      bool
-	dead    bool
-	retired bool // takes nothing new
-	used    time.Time
-	opened  time.Time
-	wake    chan struct{}
-	c       net.Conn
-	trying  bool   // the writer is in the system calls for the first frame: not all of it is out
-	tries   uint64 // frames that were tried so far
+	backend      *Nodes
+	node         *node
+	writeConn    net.Conn   // the same as conn, set before the writer starts
+	mu           sync.Mutex // guards all below
+	frames       []frame
+	queuedBytes  int             // size of the frames in the queue
+	interrupted  []*core.Attempt // in a frame that was being written as the connection ended
+	endErr       error           // reason for the end; nil: closed while idle
+	pending      map[string]*core.Attempt
+	abandoned    map[string]time.Time // written and then cancelled: an answer may still arrive
+	writtenAt    map[string]time.Time // when the pending parts were written
+	owedSince    time.Time            // since when an answer is due and nothing has arrived; zero: none is due
+	suspectSince time.Time            // when an answer on another connection raised doubt
+	probes       []*probe             // in flight, oldest first
+	inFlight     int                  // calls with a pending part
+	connected    bool
+	closed       bool
+	retired      bool // accepts no new frames
+	lastUsed     time.Time
+	openedAt     time.Time
+	wake         chan struct{}
+	conn         net.Conn
+	writing      bool   // the writer is in the system calls for the first frame, which is not written completely
+	writes       uint64 // writes started so far
 }
 
-// probe is one probe that is out. An overdue one stays in its place, for its answer bears no name.
+// probe is one probe in flight. An expired one stays in its place, as answers to probes carry no name.
 type probe struct {
-	at   time.Time
-	over bool
+	sentAt time.Time
+	done   bool
 }
 
-// frame is what the writer has to write. A call is worded when it begins, as the time that it tells is what
-// is left by then; what is not begun can still be taken back, part by part.
+// frame is an entry of the writer's queue. A call is encoded when its write starts, because it carries the
+// time that is left by then. What has not started can still be withdrawn, part by part.
 type frame struct {
-	call  []*core.Attempt // nil for a cancel or a probe
-	text  []byte          // of a cancel or a probe
-	probe *probe          // of a probe
-	size  int             // booked of outLimit
-	begun bool            // the writer has it: only that knows whether its last byte goes out
+	call    []*core.Attempt // nil for a cancellation or a probe
+	payload []byte          // of a cancellation or a probe
+	probe   *probe          // of a probe
+	size    int             // bytes counted towards maxQueuedBytes
+	started bool            // the writer has it: only the writer knows whether its last byte is sent
 }
 
-// retire lets a connection take nothing new: it ends now if nothing is out on it, else after that.
+// retire stops a connection from taking new frames. It ends at once if nothing is in flight, otherwise
+// after that.
 func (c *nodeConn) retire() {
 	c.mu.Lock()
 	c.retired = true
 	c.mu.Unlock()
-	c.poke()
+	c.wakeWriter()
 }
 
-// poke has the writer look at the connection again.
-func (c *nodeConn) poke() {
+// wakeWriter makes the writer check the connection's state again.
+func (c *nodeConn) wakeWriter() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// giveUp remembers that an answer to a part may still come. Of those that never came the oldest are
-// forgotten.
-func (c *nodeConn) giveUp(id string) {
-	if len(c.given) >= givenMost {
-		oldest, since := "", time.Time{}
-		for k, at := range c.given {
-			if oldest == "" || at.Before(since) {
-				oldest, since = k, at
+// markAbandoned records that an answer to a cancelled part may still arrive. Beyond maxAbandoned the
+// oldest record is dropped.
+func (c *nodeConn) markAbandoned(id string) {
+	if len(c.abandoned) >= maxAbandoned {
+		oldest, oldestAt := "", time.Time{}
+		for k, at := range c.abandoned {
+			if oldest == "" || at.Before(oldestAt) {
+				oldest, oldestAt = k, at
 			}
 		}
-		delete(c.given, oldest)
+		delete(c.abandoned, oldest)
 	}
-	c.given[id] = time.Now()
+	c.abandoned[id] = time.Now()
 }
 
-// queue appends a frame to what the writer has to write. One that is closing takes no call and no probe.
-func (c *nodeConn) queue(f frame) (ok, closing bool) {
+// enqueue appends a frame to the writer's queue. A connection that is closing takes no call and no probe.
+func (c *nodeConn) enqueue(f frame) (ok, closing bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.dead || c.retired && (f.call != nil || f.probe != nil) {
+	if c.closed || c.retired && (f.call != nil || f.probe != nil) {
 		return false, true
 	}
-	if c.booked+f.size > outLimit {
+	if c.queuedBytes+f.size > maxQueuedBytes {
 		return false, false
 	}
-	c.booked += f.size
+	c.queuedBytes += f.size
 	c.frames = append(c.frames, f)
 	for _, a := range f.call {
-		c.waiting[wireID(a)] = a
+		c.pending[wireID(a)] = a
 	}
 	if f.call != nil {
-		c.calls = c.count()
+		c.inFlight = c.countCalls()
 	}
 	if p := f.probe; p != nil {
 		c.probes = append(c.probes, p)
-		time.AfterFunc(c.n.conf.Load().DialTimeout, func() { c.probeDone(p, balance.TimedOut, nil) })
+		time.AfterFunc(c.backend.cfg.Load().DialTimeout, func() { c.finishProbe(p, balance.TimedOut, nil) })
 	}
-	c.used = time.Now()
-	c.poke()
+	c.lastUsed = time.Now()
+	c.wakeWriter()
 	return true, false
 }
 
-// count is the number of calls out. With one part a call, as here, that is the parts that wait; parts that
-// share a call are counted one by one, which opens a further connection sooner than needed, never later.
-func (c *nodeConn) count() int { return len(c.waiting) }
+// countCalls returns the number of calls in flight. With one part a call, as here, it is the number of
+// pending parts. Parts that share a call are counted one by one, which opens another connection sooner
+// than needed but never later.
+func (c *nodeConn) countCalls() int { return len(c.pending) }
 
-// queued tells that an attempt's frame is not begun.
-func (c *nodeConn) queued(a *core.Attempt) bool {
+// isQueued reports whether the write of an attempt's frame has not started.
+func (c *nodeConn) isQueued(a *core.Attempt) bool {
 	for _, f := range c.frames {
 		for _, x := range f.call {
-			if x == a && !f.begun {
+			if x == a && !f.started {
 				return true
 			}
 		}
@@ -133,118 +135,119 @@
 	return false
 }
 
-// isTrying tells that an attempt is in the system call that the writer is in. The caller holds mu.
-func (c *nodeConn) isTrying(a *core.Attempt) bool {
-	return c.trying && len(c.frames) > 0 && slices.Contains(c.frames[0].call, a)
+// isWriting reports whether an attempt is in the writer's current system call. The caller holds mu.
+func (c *nodeConn) isWriting(a *core.Attempt) bool {
+	return c.writing && len(c.frames) > 0 && slices.Contains(c.frames[0].call, a)
 }
 
-// unqueue takes an attempt back, and its call where nothing else in it is wanted, if it is not begun.
-func (c *nodeConn) unqueue(a *core.Attempt) bool {
-	c.calls = c.count()
-	if !c.queued(a) {
+// dequeue withdraws an attempt whose write has not started, and its call if no other part in it is wanted.
+func (c *nodeConn) dequeue(a *core.Attempt) bool {
+	c.inFlight = c.countCalls()
+	if !c.isQueued(a) {
 		return false
 	}
 	c.filterQueue(func(f *frame) bool {
 		wanted := f.call == nil
 		for _, x := range f.call {
-			wanted = wanted || c.waiting[wireID(x)] == x
+			wanted = wanted || c.pending[wireID(x)] == x
 		}
 		return wanted
 	})
 	return true
 }
 
-// filterQueue drops the frames that are not begun and not wanted.
+// filterQueue drops frames that have not started and are no longer wanted.
 func (c *nodeConn) filterQueue(wanted func(*frame) bool) {
 	c.frames = slices.DeleteFunc(c.frames, func(f frame) bool {
-		drop := !f.begun && !wanted(&f)
+		drop := !f.started && !wanted(&f)
 		if drop {
-			c.booked -= f.size
+			c.queuedBytes -= f.size
 			c.probes = slices.DeleteFunc(c.probes, func(p *probe) bool { return p == f.probe })
 		}
 		return drop
 	})
 }
 
-// broken is how an attempt ended on a connection that has, by whether its frame was written whole. Closed
-// while idle, a connection says nothing of its node.
-func (c *nodeConn) broken(written bool) balance.Outcome {
+// outcomeAfterClose returns how an attempt ended on a closed connection, depending on whether its frame
+// was written completely. A connection that was closed while idle is no evidence about its node.
+func (c *nodeConn) outcomeAfterClose(written bool) balance.Outcome {
 	switch {
-	case !written && c.why == nil:
+	case !written && c.endErr == nil:
 		return balance.NotSent
 	case !written:
 		return balance.NoConnection
-	case errors.Is(c.why, errSpoilt):
+	case errors.Is(c.endErr, errMalformed):
 		return balance.Malformed
 	}
 	return balance.Reset
 }
 
-// end closes the connection and tells how its attempts ended: those whose frame's last byte was not written
+// close closes the connection and reports how its attempts ended: attempts whose last byte was not written
 // have never run, the others may have.
-func (c *nodeConn) end(err error) {
-	c.n.mu.Lock()
+func (c *nodeConn) close(err error) {
+	c.backend.mu.Lock()
 	for i, x := range c.node.conns {
 		if x == c {
 			c.node.conns = append(c.node.conns[:i], c.node.conns[i+1:]...)
 			break
 		}
 	}
-	if x := c.node; x.gone && len(x.conns) == 0 && c.n.nodes[x.id] == x {
-		delete(c.n.nodes, x.id)
+	if x := c.node; x.removed && len(x.conns) == 0 && c.backend.nodes[x.id] == x {
+		delete(c.backend.nodes, x.id)
 	}
-	c.n.mu.Unlock()
+	c.backend.mu.Unlock()
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		return
 	}
-	c.dead, c.why = true, err
-	conn, waiting, probes, up := c.c, c.waiting, c.probes, c.up
+	c.closed, c.endErr = true, err
+	conn, waiting, probes, up := c.conn, c.pending, c.probes, c.connected
 	unsent := map[*core.Attempt]bool{}
 	for _, f := range c.frames {
 		for _, a := range f.call {
-			if unsent[a] = true; f.begun && waiting[wireID(a)] == a {
-				delete(waiting, wireID(a)) // the writer tells how it ended
-				c.torn = append(c.torn, a)
+			if unsent[a] = true; f.started && waiting[wireID(a)] == a {
+				delete(waiting, wireID(a)) // the writer reports how it ended
+				c.interrupted = append(c.interrupted, a)
 			}
 		}
 	}
-	whole, not := c.broken(true), c.broken(false)
-	c.waiting, c.given, c.written, c.frames, c.probes = nil, nil, nil, nil, nil
+	ifWritten, ifUnsent := c.outcomeAfterClose(true), c.outcomeAfterClose(false)
+	c.pending, c.abandoned, c.writtenAt, c.frames, c.probes = nil, nil, nil, nil, nil
 	c.mu.Unlock()
-	c.poke()
+	c.wakeWriter()
 	if conn != nil {
 		lnet.AbortAndClose(conn)
 	}
-	c.n.budget.Release()
+	c.backend.budget.Release()
 	if err != nil {
-		c.n.log.Info("connection to a node ended", "node", c.node.name, "up", up, "parts", len(waiting),
-			"age", time.Since(c.opened), "err", err)
+		c.backend.log.Info("connection to a node ended", "node", c.node.name, "up", up, "parts", len(waiting),
+			"age", time.Since(c.openedAt), "err", err)
 	}
 	for _, a := range waiting {
-		o := whole
+		outcome := ifWritten
 		if unsent[a] {
-			o = not
+			outcome = ifUnsent
 		}
-		c.n.post(core.AttemptDone{Attempt: a, Outcome: o})
+		c.backend.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 	}
 	for _, p := range probes {
-		o := whole
+		outcome := ifWritten
 		if !up {
-			o = balance.NoConnection
+			outcome = balance.NoConnection
 		}
-		c.probeDone(p, o, nil)
+		c.finishProbe(p, outcome, nil)
 	}
 }
 
-// probeDone tells how a probe ended, once.
-func (c *nodeConn) probeDone(p *probe, o balance.Outcome, report []float32) {
+// finishProbe reports how a probe ended, once.
+func (c *nodeConn) finishProbe(p *probe, outcome balance.Outcome, report []float32) {
 	c.mu.Lock()
-	over := p.over
-	p.over = true
+	done := p.done
+	p.done = true
 	c.mu.Unlock()
-	if !over {
-		c.n.post(core.ProbeDone{Replica: c.node.id, Outcome: o, Elapsed: time.Since(p.at), Report: report})
+	if !done {
+		c.backend.post(core.ProbeDone{Replica: c.node.id, Outcome: outcome, Elapsed: time.Since(p.sentAt),
+			Report: report})
 	}
 }
--- a/internal/platform/noderead.go
+++ b/internal/platform/noderead.go
@@ -1,6 +1,6 @@
 package platform
 
-// The reader of a connection to a data node: frames, answers, and silence.
+// The read loop of a connection to a data node: frames, answers, and silent connections.
 
 import (
 	"bytes"
@@ -17,136 +17,137 @@
 	lnet "lapislever/internal/net"
 )
 
-// errSpoilt marks the end of a connection on which something came that cannot be used, or nothing any more
-// while the node answers on others. What is out on it may have run; of the node it says nothing.
-var errSpoilt = errors.New("spoilt")
+// errMalformed marks the end of a connection that delivered unusable bytes, or that fell silent while its
+// node answers on others. Attempts in flight on it may have run; it is no evidence about the node.
+var errMalformed = errors.New("spoilt")
 
-func spoilt(format string, args ...any) error {
-	return fmt.Errorf("%w: %s", errSpoilt, fmt.Sprintf(format, args...))
+func malformed(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", errMalformed, fmt.Sprintf(format, args...))
 }
 
-// read takes answers off the connection. Spoilt ones may come from any node; the bytes after one mean
-// nothing, so the connection ends with it.
-func (c *nodeConn) read(conn net.Conn) {
+// readLoop reads answers from the connection. Malformed ones may come from any node. The bytes after a
+// malformed answer are meaningless, so it ends the connection.
+func (c *nodeConn) readLoop(conn net.Conn) {
 	in := lnet.NewRing(maxFrame + 4)
-	from := &lnet.RetryingReader{Conn: conn}
-	begun := false // a frame that is not all there
+	reader := &lnet.RetryingReader{Conn: conn}
+	partial := false // the ring holds an incomplete frame
 	for {
-		n, err := from.Read(in.Free())
-		in.Commit(n)
-		if n > 0 {
-			c.heard()
+		count, err := reader.Read(in.Free())
+		in.Commit(count)
+		if count > 0 {
+			c.noteReceived()
 		}
-		taken := in.Len()
+		consumed := in.Len()
 		for {
-			b, bad := nextFrame(in)
+			b, frameErr := nextFrame(in)
 			if b != nil {
-				bad = c.frame(b)
+				frameErr = c.handleFrame(b)
 			}
-			if bad != nil {
-				c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", bad)
-				c.end(bad)
+			if frameErr != nil {
+				c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", frameErr)
+				c.close(frameErr)
 				return
 			}
 			if b == nil {
 				break
 			}
 		}
-		taken -= in.Len()
+		consumed -= in.Len()
 		switch {
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			err = spoilt("a frame that does not come to its end")
-			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
-		case in.Len() > 0 && c.quiet():
-			// More than belongs to a good answer, which stands. The next answer would be read behind it.
-			err = spoilt("%d bytes of noise", in.Len())
-			c.n.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
-		case in.Len() > 0 && (!begun || taken > 0):
-			_ = conn.SetReadDeadline(time.Now().Add(c.n.frameLimit()))
-		case in.Len() == 0 && begun:
+			err = malformed("frame not completed in time")
+			c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+		case in.Len() > 0 && c.isIdle():
+			// Surplus bytes behind a good answer, which counts. The next answer would be read behind them.
+			err = malformed("%d unexpected bytes behind an answer", in.Len())
+			c.backend.log.Warn("bad frame from a node", "node", c.node.name, "err", err)
+		case in.Len() > 0 && (!partial || consumed > 0):
+			_ = conn.SetReadDeadline(time.Now().Add(c.backend.frameTimeout()))
+		case in.Len() == 0 && partial:
 			_ = conn.SetReadDeadline(time.Time{})
 		}
-		begun = in.Len() > 0
+		partial = in.Len() > 0
 		if err != nil {
-			c.end(err)
+			c.close(err)
 			return
 		}
 	}
 }
 
-// frameLimit is how long a frame may take once it has begun.
-func (n *Nodes) frameLimit() time.Duration {
+// frameTimeout returns how long a frame may take from its first byte to its last.
+func (n *Nodes) frameTimeout() time.Duration {
 	aim := balance.Micros(0)
-	for _, c := range n.conf.Load().Module.Classes {
+	for _, c := range n.cfg.Load().Module.Classes {
 		if aim == 0 || c.Aim < aim {
 			aim = c.Aim
 		}
 	}
-	return max(frameLeast, time.Duration(aim)*time.Microsecond/frameShare)
+	return max(minFrameTimeout, time.Duration(aim)*time.Microsecond/frameAimShare)
 }
 
-// heard notes that something came on the connection.
-func (c *nodeConn) heard() {
+// noteReceived records that bytes arrived on the connection.
+func (c *nodeConn) noteReceived() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.owed, c.doubt = time.Time{}, time.Time{}
-	if len(c.written) > 0 {
-		c.owed = time.Now()
+	c.owedSince, c.suspectSince = time.Time{}, time.Time{}
+	if len(c.writtenAt) > 0 {
+		c.owedSince = time.Now()
 	}
 }
 
-// expectResponse forgets what is not waited for any more: the connection owes an answer since the oldest part
-// that is.
-func (c *nodeConn) expectResponse() {
+// updateOwed recomputes, after an attempt was cancelled, since when an answer is due: since the oldest
+// part that is still pending was written.
+func (c *nodeConn) updateOwed() {
 	var oldest time.Time
-	for _, at := range c.written {
+	for _, at := range c.writtenAt {
 		if oldest.IsZero() || at.Before(oldest) {
 			oldest = at
 		}
 	}
-	if oldest.IsZero() || oldest.After(c.owed) {
-		c.owed = oldest
+	if oldest.IsZero() || oldest.After(c.owedSince) {
+		c.owedSince = oldest
 	}
 }
 
-// outlived is called when a node has answered, on this connection, what was written at the time given. One
-// that has been silent since before, and goes on to be, has fallen silent for good: what is out on it is
-// told now, and not by a time-out each. After a pause of the node it has the time to speak up too.
-func (c *nodeConn) outlived(written time.Time) {
-	var mute []*nodeConn
-	limit := c.node.took.most()
-	c.n.mu.Lock()
+// closeSilentSiblings is called when a node has answered, on this connection, what was written at the
+// given time. A connection that has been silent since before that, and stays so for the node's usual
+// latency, is closed: its attempts end now and not by a time-out each. The wait gives it time to respond
+// after a pause of the node.
+func (c *nodeConn) closeSilentSiblings(sentAt time.Time) {
+	var silent []*nodeConn
+	limit := c.node.latency.upperBound()
+	c.backend.mu.Lock()
 	for _, x := range c.node.conns {
 		if x == c {
 			continue
 		}
 		x.mu.Lock()
-		if !x.owed.IsZero() && x.owed.Before(written) && time.Since(x.owed) > limit {
-			if x.doubt.IsZero() {
-				x.doubt = time.Now()
-			} else if time.Since(x.doubt) > limit {
-				mute = append(mute, x)
+		if !x.owedSince.IsZero() && x.owedSince.Before(sentAt) && time.Since(x.owedSince) > limit {
+			if x.suspectSince.IsZero() {
+				x.suspectSince = time.Now()
+			} else if time.Since(x.suspectSince) > limit {
+				silent = append(silent, x)
 			}
 		}
 		x.mu.Unlock()
 	}
-	c.n.mu.Unlock()
-	for _, x := range mute {
-		c.n.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
-		x.end(spoilt("nothing came any more"))
+	c.backend.mu.Unlock()
+	for _, x := range silent {
+		c.backend.log.Warn("connection to a node fell silent", "node", c.node.name, "after", limit)
+		x.close(malformed("connection fell silent"))
 	}
 }
 
-// quiet tells that nothing is out on the connection.
-func (c *nodeConn) quiet() bool {
+// isIdle reports whether nothing is in flight on the connection.
+func (c *nodeConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.waiting) == 0 && len(c.given) == 0 && len(c.probes) == 0
+	return len(c.pending) == 0 && len(c.abandoned) == 0 && len(c.probes) == 0
 }
 
-// nextFrame takes one whole frame, without its length, out of the ring. It returns nil while bytes are
-// lacking, and an error as soon as what is there cannot become a frame. Nothing is allocated by a length that
-// has not come.
+// nextFrame takes one complete frame, without its length, out of the ring. It returns nil while bytes are
+// missing, and an error as soon as what is there cannot become a frame. It never allocates memory for
+// bytes that have not arrived.
 func nextFrame(in *lnet.Ring) ([]byte, error) {
 	var head [5]byte
 	n := in.Peek(head[:], 0)
@@ -155,14 +156,14 @@
 	}
 	size := binary.LittleEndian.Uint32(head[:])
 	if size < 1 || size > maxFrame {
-		return nil, spoilt("a frame of %d bytes", size)
+		return nil, malformed("impossible frame length %d", size)
 	}
 	if n == 5 && (head[4] < '3' || head[4] > '5') && head[4] != 'X' {
-		return nil, spoilt("a frame of the unknown kind %q", head[4])
+		return nil, malformed("unknown frame type %q", head[4])
 	}
 	if in.Len() < 4+int(size) {
 		if in.Len() > maxLine && in.Index([]byte("\n")) < 0 {
-			return nil, spoilt("a line that does not come to its end")
+			return nil, malformed("answer line too long")
 		}
 		return nil, nil
 	}
@@ -172,78 +173,78 @@
 	return b, nil
 }
 
-// frame takes in one frame of the node.
-func (c *nodeConn) frame(b []byte) error {
+// handleFrame handles one frame from the node.
+func (c *nodeConn) handleFrame(b []byte) error {
 	rest := b[1:]
 	switch b[0] {
 	case '5':
-		a, err := parseAnswer(rest)
+		answer, err := parseAnswer(rest)
 		if err != nil {
 			return err
 		}
-		var sent time.Time
+		var sentAt time.Time
 		c.mu.Lock()
-		c.used = time.Now()
-		at := c.waiting[a.id]
-		_, given := c.given[a.id]
+		c.lastUsed = time.Now()
+		attempt := c.pending[answer.id]
+		_, wasCancelled := c.abandoned[answer.id]
 		switch {
-		case at != nil && !(given && c.queued(at)):
-			if c.queued(at) {
+		case attempt != nil && !(wasCancelled && c.isQueued(attempt)):
+			if c.isQueued(attempt) {
 				c.mu.Unlock()
-				return spoilt("an answer to a part that was not sent")
+				return malformed("answer to a part that was not sent")
 			}
-			sent = c.written[a.id]
-			delete(c.waiting, a.id)
-			delete(c.written, a.id)
-			if len(c.written) == 0 {
-				c.owed = time.Time{}
+			sentAt = c.writtenAt[answer.id]
+			delete(c.pending, answer.id)
+			delete(c.writtenAt, answer.id)
+			if len(c.writtenAt) == 0 {
+				c.owedSince = time.Time{}
 			}
-			c.calls = c.count()
-		case given: // late: the attempt was given up
-			at = nil
-			delete(c.given, a.id)
+			c.inFlight = c.countCalls()
+		case wasCancelled: // late: the attempt was cancelled
+			attempt = nil
+			delete(c.abandoned, answer.id)
 		default:
-			c.mu.Unlock() // if it is a second copy, the first stands
-			return spoilt("an answer to no part that is out: %.100q", a.id)
+			c.mu.Unlock() // if it duplicates an answer, the first one counts
+			return malformed("answer to an unknown part: %.100q", answer.id)
 		}
-		done := c.retired && len(c.waiting) == 0
+		drained := c.retired && len(c.pending) == 0
 		c.mu.Unlock()
-		if done {
-			c.poke()
+		if drained {
+			c.wakeWriter()
 		}
-		if !sent.IsZero() {
-			if a.outcome != balance.Busy { // which comes at once, whatever waits
-				c.node.took.add(time.Since(sent))
+		if !sentAt.IsZero() {
+			if answer.outcome != balance.Busy { // which is answered at once, regardless of the queue
+				c.node.latency.add(time.Since(sentAt))
 			}
-			c.outlived(sent)
+			c.closeSilentSiblings(sentAt)
 		}
-		if at != nil {
-			c.n.post(core.AttemptDone{Attempt: at, Outcome: a.outcome, Report: c.n.conf.Load().report(a.report),
-				Value: core.Value{Body: a.value}})
+		if attempt != nil {
+			c.backend.post(core.AttemptDone{Attempt: attempt, Outcome: answer.outcome,
+				Report: c.backend.cfg.Load().parseReport(answer.report), Value: core.Value{Body: answer.value}})
 		}
 		return nil
 	case '3', '4':
 		c.mu.Lock()
 		if len(c.probes) == 0 {
 			c.mu.Unlock()
-			return spoilt("an answer to no probe")
+			return malformed("answer without a probe")
 		}
 		p := c.probes[0]
 		c.probes = c.probes[1:]
 		c.mu.Unlock()
 		if string(rest) == "E" {
-			c.probeDone(p, balance.Error, nil)
+			c.finishProbe(p, balance.Error, nil)
 		} else {
-			c.probeDone(p, balance.OK, c.n.conf.Load().report(string(rest)))
+			c.finishProbe(p, balance.OK, c.backend.cfg.Load().parseReport(string(rest)))
 		}
 		return nil
 	case 'X':
-		return fmt.Errorf("the node could not use a frame: %.100q", rest)
+		return fmt.Errorf("the node rejected a frame: %.100q", rest)
 	}
-	return spoilt("a frame of the unknown kind %q", b[0])
+	return malformed("unknown frame type %q", b[0])
 }
 
-// nodeAnswer is the line of an answer and its value.
+// nodeAnswer is the parsed line of an answer and its value.
 type nodeAnswer struct {
 	id      string
 	outcome balance.Outcome
@@ -251,15 +252,15 @@
 	value   []byte
 }
 
-// parseAnswer reads `ID END SCORE REPORT` LF value.
+// parseAnswer parses `ID END SCORE REPORT` LF value.
 func parseAnswer(b []byte) (nodeAnswer, error) {
 	i := bytes.IndexByte(b, '\n')
 	if i < 0 {
-		return nodeAnswer{}, spoilt("an answer without a line")
+		return nodeAnswer{}, malformed("answer without a line end")
 	}
-	f := strings.SplitN(string(b[:i]), " ", 4) // a report that cannot be read spoils no answer
+	f := strings.SplitN(string(b[:i]), " ", 4) // a malformed report does not invalidate the answer
 	if len(f) != 4 || f[0] == "" {
-		return nodeAnswer{}, spoilt("an answer's line %.100q", b[:i])
+		return nodeAnswer{}, malformed("malformed answer line %.100q", b[:i])
 	}
 	a := nodeAnswer{id: f[0], report: f[3], value: b[i+1:]}
 	switch f[1] {
@@ -270,7 +271,7 @@
 	case "B":
 		a.outcome = balance.Busy
 	default:
-		return nodeAnswer{}, spoilt("an answer's end %.20q", f[1])
+		return nodeAnswer{}, malformed("unknown answer status %.20q", f[1])
 	}
 	return a, nil
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -20,8 +20,8 @@
 	"lapislever/internal/standin"
 )
 
-// settings is the settings object of a small deployment: two cells of one shard each.
-const settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":2,"quantumUs":5000,
+// testSettings is the settings object of a small deployment: two cells of one shard each.
+const testSettings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":2,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
  "bounds":{"cancel":true,"secondCopies":true,"sendCap":4,"retryAfter":true,"maxRetryAfterUs":2000000,
   "peers":true,
@@ -41,8 +41,8 @@
 	seq     int
 	hosts   []host
 	waiting *lnet.Exchange
-	asked   []string
-	mute    bool // calls that wait are not answered, also when their time is over
+	seen    []string
+	silent  bool // calls that wait are not answered, not even when their time is over
 }
 
 func newDiscovery(t *testing.T, hosts ...host) *discovery {
@@ -59,20 +59,20 @@
 }
 
 func (d *discovery) reply(x *lnet.Exchange, whole bool, hosts []host) {
-	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Whole: whole, Hosts: hosts})
+	b, _ := json.Marshal(hostList{Seq: int64(d.seq), Complete: whole, Hosts: hosts})
 	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b})
 }
 
 func (d *discovery) serve(r *lnet.Request, x *lnet.Exchange) func() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.asked = append(d.asked, r.Query)
+	d.seen = append(d.seen, r.Query)
 	if r.Query == "" {
 		d.reply(x, true, d.hosts)
 		return nil
 	}
 	d.waiting = x
-	if d.mute {
+	if d.silent {
 		return nil
 	}
 	q, _ := url.ParseQuery(r.Query)
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// change tells of hosts, once a watch waits for it.
+// change announces hosts as soon as a watch waits for a change.
 func (d *discovery) change(t *testing.T, hosts ...host) {
 	t.Helper()
 	standin.Until(t, "a watch", func() bool {
@@ -107,11 +107,11 @@
 func (d *discovery) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]string(nil), d.asked...)
+	return append([]string(nil), d.seen...)
 }
 
-// last is the last call.
-func (d *discovery) last() string {
+// lastQuery returns the query string of the last call.
+func (d *discovery) lastQuery() string {
 	all := d.queries()
 	return all[len(all)-1]
 }
@@ -120,18 +120,19 @@
 	return host{Host: name, Dial: addr, Site: "praha", Block: cell, Health: "in_service", Share: 1}
 }
 
-// ok is a data node that serves every part.
-func ok(p standin.Part) (string, string) { return "S", "v:" + p.ID }
+// answerAll makes a data node answer every part.
+func answerAll(p standin.Part) (string, string) { return "S", "v:" + p.ID }
 
-// silent takes parts and answers none.
-func silent(standin.Part) (string, string) { return "", "" }
+// answerNone makes a data node accept parts and answer none.
+func answerNone(standin.Part) (string, string) { return "", "" }
 
-// config is a configuration with the stand-ins' addresses; edit changes the text before it is read.
-func config(t *testing.T, d *discovery, edit ...string) *Config {
+// testConfig returns a configuration with the stand-in's address. edit holds pairs of old and new texts
+// that are replaced in the settings first.
+func testConfig(t *testing.T, d *discovery, edit ...string) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":200},"settings":%s}`, d.addr,
-		strings.NewReplacer(edit...).Replace(settings))
+		strings.NewReplacer(edit...).Replace(testSettings))
 	c, err := Parse([]byte(text), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -139,8 +140,8 @@
 	return c
 }
 
-// run starts a coordinator and waits until it is ready.
-func run(t *testing.T, c *Config) *Coordinator {
+// startReady starts a coordinator and waits until it is ready.
+func startReady(t *testing.T, c *Config) *Coordinator {
 	t.Helper()
 	k, err := Start(c, standin.Quiet())
 	if err != nil {
@@ -153,18 +154,18 @@
 	return k
 }
 
-var calls struct {
+var callCount struct {
 	sync.Mutex
 	n int
 }
 
-// post sends a query for the shards and returns the reply.
+// post sends a query for the given shards and returns the reply.
 func post(t *testing.T, k *Coordinator, class string, shards ...int) *lnet.Reply {
 	t.Helper()
-	calls.Lock()
-	calls.n++
-	id := fmt.Sprintf("c%d", calls.n)
-	calls.Unlock()
+	callCount.Lock()
+	callCount.n++
+	id := fmt.Sprintf("c%d", callCount.n)
+	callCount.Unlock()
 	items := make([]string, len(shards))
 	for i, s := range shards {
 		items[i] = fmt.Sprintf(`{"slice":%d,"mass":%g}`, s, 1/float64(len(shards)))
@@ -175,8 +176,8 @@
 }
 
 func TestQueryIsServedFromItsParts(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	r := post(t, k, "rate-check", 1, 0)
 	id := strings.TrimSuffix(a.Parts()[0].ID, ".0")
 	want := fmt.Sprintf(`{"entire":true,"items":[{"slice":1,"body":"v:%s.1"},{"slice":0,"body":"v:%s.0"}]}`,
@@ -199,47 +200,48 @@
 	}
 }
 
-// A node that is not there never ran anything, so the next candidate is tried; and where there is none the
-// client is told when to come back, even of a class that must not be repeated.
+// A query for an unreachable node has never run, so the next candidate is tried. Without one the client is
+// told when to retry, even for a class that must not be repeated.
 func TestWhatNeverRanIsRefused(t *testing.T) {
-	gone := standin.NewNode(t, ok)
+	gone := standin.NewNode(t, answerAll)
 	gone.Close()
-	k := run(t, config(t, newDiscovery(t, hostAt("a", gone.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", gone.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 503 || r.Header.Get("Retry-After") == "" {
 		t.Fatalf("%d %q", r.Status, r.Header.Get("Retry-After"))
 	}
 }
 
-// A connection that breaks after a frame's last byte leaves it open whether the part ran: a refusal would
-// tell the client that it did not.
+// When a connection breaks after a frame's last byte, the part may have run. A refusal would tell the
+// client that it did not.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	var n *standin.Node
 	n = standin.NewNode(t, func(standin.Part) (string, string) { n.Drop(); return "", "" })
-	k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 502 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 }
 
-// A part that is silent is copied, the copy answers, and the loser is given up by name.
-func TestLosingTwinIsGivenUp(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
-	for len(a.Parts()) == 0 { // until the silent one is drawn
+// A part without an answer is hedged, the hedge answers, and the node of the first attempt receives its
+// cancellation.
+func TestLosingAttemptIsCancelled(t *testing.T) {
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))))
+	for len(a.Parts()) == 0 { // until the silent node is chosen
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	standin.Until(t, "the word that it is given up", func() bool { return len(a.Given()) > 0 })
+	standin.Until(t, "the cancellation", func() bool { return len(a.Given()) > 0 })
 	if got, want := a.Given()[0], a.Parts()[0].ID; got != want {
-		t.Fatalf("%q is given up, want %q", got, want)
+		t.Fatalf("%q is cancelled, want %q", got, want)
 	}
 }
 
-// One connection carries so many parts and no more; a silent node blocks only itself.
+// A connection carries a limited number of parts. A silent node blocks only itself.
 func TestPartsBeyondAConnectionOpenAnother(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	var wg sync.WaitGroup
 	for range 3 {
 		wg.Add(1)
@@ -247,7 +249,7 @@
 	}
 	standin.Until(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
 	if n := a.Opened(); n < 2 {
-		t.Errorf("%d connections for three parts out", n)
+		t.Errorf("%d connections for three parts in flight", n)
 	}
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
 		t.Errorf("%d: a silent node blocks others", r.Status)
@@ -255,82 +257,82 @@
 	wg.Wait()
 }
 
-// The watch goes on from the last version, and what it tells counts: nothing new goes to a node that
+// The watch continues from the last version, and its changes take effect: nothing new goes to a node that
 // drains.
 func TestWatchAndDrain(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	k := run(t, config(t, d))
+	k := startReady(t, testConfig(t, d))
 	draining := hostAt("a", a.Addr, 0)
 	draining.Health = "terminating"
 	d.change(t, draining)
-	standin.Until(t, "the next watch", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.Until(t, "the next watch", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	if got := d.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Fatalf("%q", got)
 	}
-	// The list is queued before the next watch is sent, and queries come after it.
-	getsNothing(t, k, a)
+	// The list is queued before the next watch is sent, and queries follow it.
+	expectNoParts(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
 }
 
-// What waits for a connection that is still coming up is queued: a drain takes it back, and it never ran.
-func TestStopTakesBackWhatIsQueued(t *testing.T) {
-	n := NewNodes(config(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+// Calls that wait for a connection to come up are queued. A drain withdraws them, and they have never run.
+func TestDrainWithdrawsQueuedCalls(t *testing.T) {
+	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
-	c := &nodeConn{n: n, node: &node{id: id}, waiting: map[string]*core.Attempt{},
-		given: map[string]time.Time{}, written: map[string]time.Time{}, wake: make(chan struct{}, 1)}
+	c := &nodeConn{backend: n, node: &node{id: id}, pending: map[string]*core.Attempt{},
+		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1)}
 	n.nodes[id] = c.node
 	c.node.conns = []*nodeConn{c}
 	var all []*core.Attempt
 	for i := range 4 {
 		a := &core.Attempt{Query: &core.Query{Name: fmt.Sprint("q", i)}, Replica: id}
 		call := []*core.Attempt{a}
-		c.queue(frame{call: call, size: callSize(call)})
+		c.enqueue(frame{call: call, size: callSize(call)})
 		all = append(all, a)
 	}
-	c.frames[0].begun = true // the writer has it
+	c.frames[0].started = true // the writer has it
 	if !n.Cancel(all[2]) || n.Cancel(all[0]) {
-		t.Fatal("only what is not begun has never run")
+		t.Fatal("only an attempt that has not started has never run")
 	}
-	if back := n.CancelQueued(id); len(back) != 2 || back[0] != all[1] || back[1] != all[3] {
-		t.Fatalf("%v", back)
+	if withdrawn := n.CancelQueued(id); len(withdrawn) != 2 || withdrawn[0] != all[1] || withdrawn[1] != all[3] {
+		t.Fatalf("%v", withdrawn)
 	}
-	if c.calls != len(c.waiting) {
-		t.Fatalf("%d calls are counted, %d parts wait", c.calls, len(c.waiting))
+	if c.inFlight != len(c.pending) {
+		t.Fatalf("%d calls are counted, %d parts are pending", c.inFlight, len(c.pending))
 	}
-	// What is left is the call that the writer has, and the word that its part is given up.
+	// The queue still holds the call that the writer has, and the cancellation of its part.
 	if len(c.frames) != 2 || len(c.frames[0].call) != 1 || c.frames[0].call[0] != all[0] ||
-		string(c.frames[1].text[4:]) != "2q0.0" {
+		string(c.frames[1].payload[4:]) != "2q0.0" {
 		t.Fatalf("%+v", c.frames)
 	}
-	if booked := c.frames[0].size + c.frames[1].size; c.booked != booked {
-		t.Fatalf("%d bytes are booked, %d wait", c.booked, booked)
+	if want := c.frames[0].size + c.frames[1].size; c.queuedBytes != want {
+		t.Fatalf("%d bytes are counted, %d are queued", c.queuedBytes, want)
 	}
 }
 
-// After a restart the list known before it is enough to serve, while discovery is silent.
+// After a restart the list known before it is enough to serve while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
-	a := standin.NewNode(t, ok)
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	c := config(t, &discovery{addr: mute.Addr})
-	c.Known = &hostList{Seq: 7, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
-	if r := post(t, run(t, c), "rate-check", 0); r.Status != 200 {
+	a := standin.NewNode(t, answerAll)
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	c := testConfig(t, &discovery{addr: silent.Addr})
+	c.Known = &hostList{Seq: 7, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
+	if r := post(t, startReady(t, c), "rate-check", 0); r.Status != 200 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 }
 
-// Where a call is work for discovery, a start goes on from the list that was known before it. Asking for the
-// whole list first, many coordinators that start together ask for more lines than discovery gives.
-func TestAskedListGoesOnFromTheKnownOne(t *testing.T) {
-	a := standin.NewNode(t, ok)
+// Where a call is work for discovery, a start continues from the list known before it. If many
+// coordinators that start together requested the full list, discovery could not deliver so many entries.
+func TestPolledListContinuesFromTheKnownOne(t *testing.T) {
+	a := standin.NewNode(t, answerAll)
 	for mode, first := range map[string]string{"automatic": "", "subscribe": "index=41&wait=2500"} {
 		d := newDiscovery(t, hostAt("a", a.Addr, 0))
-		c := config(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
-		c.Known = &hostList{Seq: 41, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
-		k := run(t, c)
+		c := testConfig(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
+		c.Known = &hostList{Seq: 41, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
+		k := startReady(t, c)
 		standin.Until(t, "a call", func() bool { return len(d.queries()) > 0 })
 		if got := d.queries()[0]; got != first {
 			t.Errorf("%s: the first call was %q, want %q", mode, got, first)
@@ -341,33 +343,33 @@
 	}
 }
 
-// A reload moves the watch at once, also with a call out on the old address, and begins with the whole list.
-// What is held meanwhile is answered, and the known nodes serve while the new address is silent.
+// A reload moves the watch at once, even while a call to the old address is in flight, and starts with the
+// full list. Open queries are answered, and known nodes serve while the new address is silent.
 func TestReloadMovesTheWatch(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	b := standin.NewNode(t, ok)
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
+	b := standin.NewNode(t, answerAll)
 	first := newDiscovery(t, hostAt("a", a.Addr, 0))
-	first.mute = true
-	k := run(t, config(t, first))
+	first.silent = true
+	k := startReady(t, testConfig(t, first))
 	standin.Until(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	begun := time.Now()
-	k.Reload(config(t, &discovery{addr: mute.Addr}))
-	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	start := time.Now()
+	k.Reload(testConfig(t, &discovery{addr: silent.Addr}))
+	standin.Until(t, "the call to a silent address", func() bool { return len(silent.Seen()) >= 1 })
 	calls := len(first.queries())
-	if took := time.Since(begun); took > pushed.silence()/2 { // the call that is out would last longer
+	if took := time.Since(start); took > pushTimes.undetectedSilence()/2 { // shorter than the call in flight
 		t.Errorf("the move took %v", took)
 	}
-	close(free)
-	if got := <-held; got != 200 {
-		t.Errorf("what was held got %d", got)
+	close(release)
+	if got := <-status; got != 200 {
+		t.Errorf("the open request got %d", got)
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
-	k.Reload(config(t, second))
+	k.Reload(testConfig(t, second))
 	standin.Until(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
 	if got := second.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Errorf("%q", got)
@@ -381,30 +383,30 @@
 }
 
 func TestNotReadyBeforeAnyList(t *testing.T) {
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	k, err := Start(config(t, &discovery{addr: mute.Addr}), standin.Quiet())
+	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	k, err := Start(testConfig(t, &discovery{addr: silent.Addr}), standin.Quiet())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	standin.Until(t, "the call for the list", func() bool { return len(mute.Seen()) > 0 })
+	standin.Until(t, "the call for the list", func() bool { return len(silent.Seen()) > 0 })
 	if r := standin.Call(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
 		t.Fatal(r.Status)
 	}
 }
 
-// Ending in order: not ready at once, still serving whoever comes, on connections that stay open; all that
-// was taken answered, and an end.
+// Shutdown in order: not ready at once, but still serving on connections that stay open; everything that
+// was accepted is answered before the end.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
-	a, b := standin.NewNode(t, silent), standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
+	a, b := standin.NewNode(t, answerNone), standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))))
 	c, err := lnet.Dial(k.Addr(), 5*time.Second, 1<<20)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	ended := make(chan struct{})
 	go func() { k.Shutdown(); close(ended) }()
@@ -419,33 +421,33 @@
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
 		t.Errorf("a new connection got %d", r.Status)
 	}
-	if got := <-held; got != 503 {
-		t.Errorf("what was held got %d", got)
+	if got := <-status; got != 503 {
+		t.Errorf("the open request got %d", got)
 	}
 	<-ended
 }
 
-// Datagrams reach the peer they are for; what is too long, or from a stranger, reaches nobody.
+// Datagrams reach the peer that they are for. One that is too long, or from an unknown sender, is dropped.
 func TestDatagrams(t *testing.T) {
-	c := config(t, newDiscovery(t))
-	var socks []*net.UDPConn
+	c := testConfig(t, newDiscovery(t))
+	var sockets []*net.UDPConn
 	for range 3 {
 		s, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _ = s.Close() })
-		socks = append(socks, s)
+		sockets = append(sockets, s)
 	}
-	own, peer, stranger := socks[0].LocalAddr().String(), socks[1], socks[2]
-	_ = socks[0].Close()
+	own, peer, stranger := sockets[0].LocalAddr().String(), sockets[1], sockets[2]
+	_ = sockets[0].Close()
 	c.PeerListen, c.Peers = own, []string{own, peer.LocalAddr().String()}
 	got := make(chan core.Event, 10)
 	p, err := listenPeers(c, standin.Quiet(), func(e core.Event) { got <- e }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = p.c.Close() })
+	t.Cleanup(func() { _ = p.conn.Close() })
 	go p.read()
 	go p.write()
 	p.Tell(1, strings.Repeat("x", maxDatagram+1))
@@ -466,8 +468,8 @@
 }
 
 func TestBadRequestsAreAnswered(t *testing.T) {
-	a := standin.NewNode(t, ok)
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
+	a := standin.NewNode(t, answerAll)
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
 	id := [2]string{"X-Call-Id", "x1"}
 	key := [2]string{"Idempotency-Key", "k1"}
 	good := `{"slices":[{"slice":0,"mass":1}],"filter":"f"}`
@@ -513,7 +515,7 @@
 		if r := standin.Call(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
 			t.Errorf("%s: %d, want %d", name, r.Status, c.want)
 		} else if c.path != "/up" && c.want/100 == 4 && r.Header.Get("Connection") != "close" {
-			t.Errorf("%s: the connection goes on", name)
+			t.Errorf("%s: the connection stays open", name)
 		}
 	}
 	if n := len(a.Parts()); n != 1 {
@@ -521,30 +523,30 @@
 	}
 }
 
-// The id of another client's open request is an error for whoever comes second; the first is unharmed.
-func TestOpenRequestKeepsItsName(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
-	ask := func() *lnet.Reply {
+// A request with the id of another client's open request is rejected, and the first request is unharmed.
+func TestDuplicateIDOfAnOpenRequestIsRejected(t *testing.T) {
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
+	send := func() *lnet.Reply {
 		return standin.Call(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
 			`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`)
 	}
 	first := make(chan *lnet.Reply, 1)
-	go func() { first <- ask() }()
+	go func() { first <- send() }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	if r := ask(); r.Status != 409 || r.Header.Get("Connection") != "close" {
+	if r := send(); r.Status != 409 || r.Header.Get("Connection") != "close" {
 		t.Errorf("the second got %d", r.Status)
 	}
-	close(free)
+	close(release)
 	if r := <-first; r.Status != 200 || !strings.Contains(string(r.Body), `"v:same.0"`) {
 		t.Errorf("the first got %d %s", r.Status, r.Body)
 	}
 }
 
-// A part whose answer is spoilt has failed and may have run; the connection ends at once, and the part goes
-// on another, also to the same node: spoilt answers come from any.
-func TestSpoiltAnswersEndTheConnection(t *testing.T) {
+// A part with a malformed answer has failed and may have run. The connection ends at once, and the part is
+// retried on another one, possibly to the same node: any node may send malformed answers.
+func TestMalformedAnswersEndTheConnection(t *testing.T) {
 	frame := func(size int, rest string) string {
 		return string(binary.LittleEndian.AppendUint32(nil, uint32(size))) + rest
 	}
@@ -566,45 +568,45 @@
 			if first.CompareAndSwap(false, true) {
 				return standin.Raw, answer(p.ID)
 			}
-			return ok(p)
+			return answerAll(p)
 		})
-		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		r := post(t, k, "rate-check", 0)
 		if !strings.Contains(string(r.Body), `"body":"v:`) || n.Opened() != 2 || len(n.Parts()) != 2 {
 			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.Opened())
 		}
 		if len(n.Given()) != 0 {
-			t.Errorf("%s: it was waited for, and given up", name)
+			t.Errorf("%s: the part was waited for and cancelled", name)
 		}
 		k.Close()
 	}
 }
 
-// A connection that falls silent, as one whose path has lost it, gets nothing new, and what is out on it is
-// told as soon as the node has shown on another that it answers: not by a time-out for each part.
-func TestSilentConnectionIsLeft(t *testing.T) {
+// A connection that falls silent, for example because a path lost its state, gets no new parts. Its parts
+// in flight end as soon as the node answers on another connection, and not by a time-out each.
+func TestSilentConnectionIsAbandoned(t *testing.T) {
 	var answered atomic.Int32
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
 		if p.Conn == 1 && answered.Add(1) > 8 {
 			return "", ""
 		}
-		return ok(p)
+		return answerAll(p)
 	})
-	k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	for range 8 {
 		post(t, k, "rate-check", 0)
 	}
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part that is swallowed", func() bool { return len(n.Parts()) == 9 })
-	for waits, begun := true, time.Now(); waits; time.Sleep(silentLeast) {
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
+	standin.Until(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
+	for waits, start := true, time.Now(); waits; time.Sleep(minSilence) {
 		select {
-		case got := <-held:
+		case got := <-status:
 			if waits = false; got != 200 {
-				t.Errorf("what was out on the silent connection got %d", got)
+				t.Errorf("the request on the silent connection got %d", got)
 			}
 		default:
-			if time.Since(begun) < silentMost { // it may take the connection for a slow one until then
+			if time.Since(start) < maxSilence { // until then it may pass for a slow one
 				continue
 			}
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
@@ -612,14 +614,14 @@
 			}
 		}
 	}
-	if swallowed := answered.Load() - 8; swallowed > 1 {
-		t.Errorf("%d parts went on the silent connection", swallowed)
+	if unanswered := answered.Load() - 8; unanswered > 1 {
+		t.Errorf("%d parts went on the silent connection", unanswered)
 	}
 }
 
-// Whatever comes behind a good answer takes nothing from it, and nothing new goes on that connection; a load
-// report that cannot be read spoils neither.
-func TestMoreThanAGoodAnswer(t *testing.T) {
+// Bytes behind a good answer don't affect it, and the connection gets no new parts. A malformed load
+// report affects neither.
+func TestBytesBehindAGoodAnswer(t *testing.T) {
 	good := func(p standin.Part, report string) string {
 		line := "5" + p.ID + " S 1 " + report + "\nv:" + p.ID
 		return string(binary.LittleEndian.AppendUint32(nil, uint32(len(line)))) + line
@@ -635,14 +637,14 @@
 		"report of words":   {func(p standin.Part) string { return good(p, "all is well") }, 1},
 	} {
 		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.Raw, c.answer(p) })
-		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		for range 2 {
 			if r := post(t, k, "exchange-post", 0); !strings.Contains(string(r.Body), `"body":"v:`) {
 				t.Errorf("%s: %d %s", name, r.Status, r.Body)
 			}
 			if c.conns > 1 {
 				standin.Until(t, "the end of the connection", func() bool {
-					return len(k.nodes.connsOf(core.ServerID("a"))) == 0
+					return len(k.nodes.connsTo(core.ServerID("a"))) == 0
 				})
 			}
 		}
@@ -653,15 +655,15 @@
 	}
 }
 
-// A node that was replaced is forgotten, but not before the last that is out on it has ended.
-func TestReplacedNodesAreForgotten(t *testing.T) {
-	free := make(chan struct{})
-	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	b := standin.NewNode(t, ok)
+// A node that was replaced is deleted, but not before the last attempt in flight to it has ended.
+func TestReplacedNodesAreDeleted(t *testing.T) {
+	release := make(chan struct{})
+	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
+	b := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1))
-	k := run(t, config(t, d))
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
+	k := startReady(t, testConfig(t, d))
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
 	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	known := func() int {
 		k.nodes.mu.Lock()
@@ -671,25 +673,25 @@
 	gone, idle := hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1)
 	gone.Health, idle.Health = "terminated", "terminated"
 	d.change(t, gone, idle, hostAt("b", b.Addr, 0))
-	standin.Until(t, "the idle one's end", func() bool { return known() == 2 })
-	close(free)
-	if got := <-held; got != 200 {
-		t.Errorf("what was out got %d", got)
+	standin.Until(t, "the end of the idle node", func() bool { return known() == 2 })
+	close(release)
+	if got := <-status; got != 200 {
+		t.Errorf("the open request got %d", got)
 	}
-	standin.Until(t, "the other one's end", func() bool { return known() == 1 })
+	standin.Until(t, "the end of the other node", func() bool { return known() == 1 })
 	if r := post(t, k, "rate-check", 0); r.Status != 200 || len(b.Parts()) != 1 {
 		t.Errorf("%d, %d parts at the new node", r.Status, len(b.Parts()))
 	}
 }
 
-// stuck is a stream that nobody reads.
-type stuck struct{ free chan struct{} }
+// blockedWriter is a stream that nobody reads.
+type blockedWriter struct{ free chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
+func (s blockedWriter) Write(p []byte) (int, error) { <-s.free; return len(p), nil }
 
-// A log that nobody reads must not hold up who logs, the core's goroutine among them.
+// A log that nobody reads must not block its callers, the core's goroutine among them.
 func TestLogNeverBlocks(t *testing.T) {
-	s := stuck{make(chan struct{})}
+	s := blockedWriter{make(chan struct{})}
 	log, flush := NewLog(s, 0)
 	for range 3 * logQueue {
 		log.Info("a line")
@@ -717,36 +719,36 @@
 	}
 	for _, in := range []string{"", "x S 1 -", "x S 1\n", " S 1 -\n", "x Z 1 -\n"} {
 		if _, err := parseAnswer([]byte(in)); err == nil {
-			t.Errorf("%q is taken", in)
+			t.Errorf("%q is accepted", in)
 		}
 	}
 }
 
-// Any bytes are an answer or an error.
+// Any input is either an answer or an error.
 func FuzzParseAnswer(f *testing.F) {
 	f.Add([]byte("x.3 S 18 inflight=7,util=0.61\nvalue"))
-	c := &Config{Columns: []string{"rps", "waiting"}}
+	c := &Config{ReportColumns: []string{"rps", "waiting"}}
 	f.Fuzz(func(t *testing.T, in []byte) {
-		if a, err := parseAnswer(in); err == nil && (a.id == "" || len(c.report(a.report))%2 != 0) {
+		if a, err := parseAnswer(in); err == nil && (a.id == "" || len(c.parseReport(a.report))%2 != 0) {
 			t.Fatalf("%+v", a)
 		}
 	})
 }
 
 func TestReportIsReadByName(t *testing.T) {
-	c := &Config{Columns: []string{"rps", "waiting"}}
+	c := &Config{ReportColumns: []string{"rps", "waiting"}}
 	for in, want := range map[string]string{"queue=3,qps=7.5": "[7.5 3]", "waiting=3,x=1,rps=2": "[2 3]",
 		"-": "[]", "queue=3": "[]", "queue=3,qps=bad": "[]", "queue=-3,qps=1": "[]", "queue=NaN,qps=1": "[]"} {
-		if got := fmt.Sprint(c.report(in)); got != want {
+		if got := fmt.Sprint(c.parseReport(in)); got != want {
 			t.Errorf("%q: %s, want %s", in, got, want)
 		}
 	}
 }
 
 func TestParseConfig(t *testing.T) {
-	c := config(t, &discovery{addr: "127.0.0.1:1"})
+	c := testConfig(t, &discovery{addr: "127.0.0.1:1"})
 	if c.Module.MaxAttempts != 4 || len(c.Classes) != 2 || c.Classes[1] != "exchange-post" || c.Shards != 2 ||
-		c.Module.Classes[1].Effect != balance.Keyed || c.Zones[1] != "brno" || c.Streams != 2 ||
+		c.Module.Classes[1].Effect != balance.Keyed || c.Zones[1] != "brno" || c.StreamsPerConn != 2 ||
 		c.Module.Tick != 5000 || c.seed() != 0x8c1f30d27a5be964 || c.Module.ReportQueue != 1 {
 		t.Fatalf("%+v", c)
 	}
@@ -760,9 +762,9 @@
 		`{"listen":"a:1","discovery":"b:1","peers":["c"]}`:            "peers",
 		`{"listen":"a:1","discovery":"b:1","seed":"x","settings":{}}`: "seed",
 		`{"listen":"a:1","discovery":"b:1","settings":` +
-			strings.Replace(settings, `"sendCap":4`, `"sendCap":0`, 1) + `}`: "MaxAttempts",
-		`{"listen":"a:1","discovery":"b:1","settings":` + strings.Replace(settings, `"name":"rate-check",`, ``, 1) +
-			`}`: "lanes.0.name",
+			strings.Replace(testSettings, `"sendCap":4`, `"sendCap":0`, 1) + `}`: "MaxAttempts",
+		`{"listen":"a:1","discovery":"b:1","settings":` +
+			strings.Replace(testSettings, `"name":"rate-check",`, ``, 1) + `}`: "lanes.0.name",
 	} {
 		_, err := Parse([]byte(edited), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -784,40 +786,40 @@
 	}
 }
 
-// figures asks the operators' door.
-func figures(t *testing.T, k *Coordinator) admin.Figures {
+// counters reads the counters at the admin endpoint.
+func counters(t *testing.T, k *Coordinator) admin.Counters {
 	t.Helper()
 	r := standin.Call(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
-	var f admin.Figures
+	var f admin.Counters
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
 	}
 	return f
 }
 
-// door is a configuration with the operators' door.
-func door(t *testing.T, d *discovery, edit ...string) *Config {
-	c := config(t, d, edit...)
+// adminConfig is a test configuration with an admin endpoint.
+func adminConfig(t *testing.T, d *discovery, edit ...string) *Config {
+	c := testConfig(t, d, edit...)
 	c.Operator = "127.0.0.1:0"
 	return c
 }
 
-// Operators compare the figures with what clients and data nodes saw: each reply counts once and in its
-// class, each attempt when it was written, an open request until it ends, also where its client leaves.
-func TestFiguresAreTrue(t *testing.T) {
-	var mute atomic.Bool
+// The counters match what clients and data nodes see: each reply counts once and in its class, each
+// attempt when it is written, and a request is open until it ends, also when its client leaves.
+func TestCountersAreCorrect(t *testing.T) {
+	var silent atomic.Bool
 	n := standin.NewNode(t, func(p standin.Part) (string, string) {
-		if mute.Load() {
+		if silent.Load() {
 			return "", ""
 		}
 		return "S", "v"
 	})
-	k := run(t, door(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	k := startReady(t, adminConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	post(t, k, "rate-check", 0)
 	post(t, k, "exchange-post", 0)
-	post(t, k, "exchange-post", 1) // no node holds it
-	post(t, k, "exchange-post", 7) // there is no such shard
-	f := figures(t, k)
+	post(t, k, "exchange-post", 1) // no node holds the shard
+	post(t, k, "exchange-post", 7) // the shard does not exist
+	f := counters(t, k)
 	if f.OK["rate-check"] != 1 || f.OK["exchange-post"] != 1 || f.Shed["exchange-post"] != 1 ||
 		f.Errors["exchange-post"] != 1 || f.Errors["rate-check"] != 0 {
 		t.Fatalf("%+v", f)
@@ -825,7 +827,7 @@
 	if f.Tries != int64(len(n.Parts())) || f.PoolSize != 1 || f.PoolEjected != 0 || f.Active != 0 {
 		t.Fatalf("%+v, and %d attempts came", f, len(n.Parts()))
 	}
-	mute.Store(true)
+	silent.Store(true)
 	c, err := lnet.Dial(k.Addr(), time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
@@ -835,17 +837,17 @@
 		time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "an open request", func() bool { return figures(t, k).Active == 1 })
+	standin.Until(t, "an open request", func() bool { return counters(t, k).Active == 1 })
 	c.Close()
-	standin.Until(t, "its end", func() bool { return figures(t, k).Active == 0 })
+	standin.Until(t, "its end", func() bool { return counters(t, k).Active == 0 })
 }
 
-// A node that operators put out gets nothing new, whatever the list says, until they put it back; then it is
-// in use again. Two calls out are undone by one call back.
+// A cordoned node gets nothing new, whatever the list says, until it is uncordoned. Then it is used again.
+// One uncordon undoes two cordons.
 func TestCordonHoldsWhateverTheListSays(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	k := run(t, door(t, d))
+	k := startReady(t, adminConfig(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
 		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
@@ -855,25 +857,25 @@
 	call("cordon", "c", 404)
 	call("cordon", "a", 200)
 	call("cordon", "a", 200)
-	standin.Until(t, "the figure", func() bool {
-		f := figures(t, k)
+	standin.Until(t, "the counters", func() bool {
+		f := counters(t, k)
 		return f.PoolSize == 2 && f.PoolEjected == 1
 	})
 	before := len(a.Parts())
 	again := hostAt("a", a.Addr, 0)
 	again.Born = float64(time.Now().UnixMilli())
 	d.change(t, again)
-	standin.Until(t, "the change", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.Until(t, "the change", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d", r.Status)
 		}
 	}
 	if n := len(a.Parts()) - before; n != 0 {
-		t.Fatalf("%d parts went to a node that is out", n)
+		t.Fatalf("%d parts went to a cordoned node", n)
 	}
 	call("uncordon", "a", 200)
-	standin.Until(t, "use of the node that is back", func() bool {
+	standin.Until(t, "use of the uncordoned node", func() bool {
 		post(t, k, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
