--- a/cmd/lapislever/main_test.go
+++ b/cmd/lapislever/main_test.go
@@ -115,9 +115,9 @@
 		if err := syscall.Kill(os.Getpid(), s); err != nil {
 			t.Fatal(err)
 		}
-		standin.Until(t, want, func() bool { return strings.Contains(log.String(), want) })
+		standin.WaitFor(t, want, func() bool { return strings.Contains(log.String(), want) })
 	}
-	standin.Until(t, "the start", func() bool { return strings.Contains(log.String(), "msg=started") })
+	standin.WaitFor(t, "the start", func() bool { return strings.Contains(log.String(), "msg=started") })
 	send(syscall.SIGHUP, "configuration reloaded")
 	if err := os.WriteFile(path, []byte("listen = 3\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 			t.Errorf("%v: %v", args, err)
 		}
 	}
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	door := standin.NewHTTPServer(t, func(path string, _ url.Values) (int, string) {
 		if path == "/admin/admission/ban" {
 			return 400, "no"
 		}
@@ -196,7 +196,7 @@
 	if err == nil || !strings.Contains(err.Error(), "400: no") {
 		t.Errorf("%v", err)
 	}
-	if seen := door.Seen(); len(seen) != 2 || !strings.HasPrefix(seen[1], "/admin/admission/ban?") {
+	if seen := door.Requests(); len(seen) != 2 || !strings.HasPrefix(seen[1], "/admin/admission/ban?") {
 		t.Errorf("%q", seen)
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -41,7 +41,7 @@
 
 func open(t *testing.T, s *state) string {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", s, standin.Quiet())
+	d, err := Open("127.0.0.1:0", s, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,7 +72,7 @@
 		{"POST", "/admin/cordon", "s-1 s-2", 400, ""},
 		{"GET", "/admin/cordon", "", 405, ""},
 	} {
-		r := standin.Call(t, addr, c.method, c.path, nil, c.body)
+		r := standin.DoHTTP(t, addr, c.method, c.path, nil, c.body)
 		if r.Status != c.status || !strings.HasPrefix(string(r.Body), c.want) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, r.Status, r.Body)
 		}
@@ -86,7 +86,7 @@
 		t.Fatalf("the coordinator was told %q", got)
 	}
 	s.ready = true
-	if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
+	if r := standin.DoHTTP(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
 		t.Fatalf("%d", r.Status)
 	}
 }
@@ -107,7 +107,7 @@
 	for range 3 {
 		time.Sleep(400 * time.Millisecond)
 		begun := time.Now()
-		if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
+		if r := standin.DoHTTP(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 		if took := time.Since(begun); took > 5*time.Second {
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -30,7 +30,7 @@
 
 // forward is a good request's payload.
 func forward() []byte {
-	return standin.AJPForward(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
+	return standin.AJPRequest(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
 		"secret", "s3cret", "query_string", "a=b", "JK_LB_ACTIVATION", "ACT")
 }
 
@@ -44,7 +44,7 @@
 		fmt.Sprint(f.Header) != "[[Content-Length 7] [X-Call-Id c1]]" {
 		t.Errorf("%+v", f)
 	}
-	stored := append(standin.AJPForward(0xff, "/x", nil), 0)
+	stored := append(standin.AJPRequest(0xff, "/x", nil), 0)
 	stored = append(stored[:len(stored)-2], 13, 0, 5, 'P', 'A', 'T', 'C', 'H', 0, 0xff)
 	if f, err := ParseForward(stored); err != nil || f.Method != "PATCH" {
 		t.Errorf("a stored method: %+v, %v", f, err)
@@ -98,7 +98,7 @@
 // Any payload is a request or an error; what was read is never longer than what came.
 func FuzzForward(f *testing.F) {
 	f.Add(forward())
-	f.Add(standin.AJPForward(2, "/", nil))
+	f.Add(standin.AJPRequest(2, "/", nil))
 	f.Add([]byte{2, 2, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ParseForward(b)
@@ -136,7 +136,7 @@
 func serve(t *testing.T, o Options, budget *lnet.Budget) *seen {
 	x := &seen{}
 	var err error
-	x.s, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request, e *lnet.Exchange) func() {
+	x.s, err = Listen("127.0.0.1:0", o, budget, standin.DiscardLogger(), func(r *lnet.Request, e *lnet.Exchange) func() {
 		x.mu.Lock()
 		x.reqs = append(x.reqs, r)
 		x.mu.Unlock()
@@ -168,33 +168,33 @@
 	a := standin.DialAJP(t, x.s.Addr())
 	ping := func() {
 		t.Helper()
-		a.Raw(standin.AJPPacket([]byte{10}))
-		if r, err := a.Read(nil); err != nil || !r.Pong {
+		a.WriteRaw(standin.AJPPacket([]byte{10}))
+		if r, err := a.ReadReply(nil); err != nil || !r.Pong {
 			t.Fatalf("CPing: %+v, %v", r, err)
 		}
 	}
 	for _, size := range []int{0, 1, 8186, 8187, 20_000, lnet.MaxBody} {
 		ping()
 		body := strings.Repeat("x", size)
-		r, err := a.Call("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
+		r, err := a.Do("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
 		if err != nil || r.Status != 200 || r.Body != body || !r.Reuse || r.Header["01"] != "application/json" {
 			t.Fatalf("%d bytes: %+v, %v", size, r, err)
 		}
 	}
 	// A body of untold length is asked for, chunk by chunk.
-	a.Raw(standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
 		"secret",
 		"s3cret")))
 	chunks := []string{"one", "two", ""}
-	r, err := a.Read(func(int) []byte {
-		b := standin.AJPBody([]byte(chunks[0]))
+	r, err := a.ReadReply(func(int) []byte {
+		b := standin.AJPChunk([]byte(chunks[0]))
 		chunks = chunks[1:]
 		return b
 	})
-	if err != nil || r.Body != "onetwo" || len(r.Asked) != 3 {
+	if err != nil || r.Body != "onetwo" || len(r.BodyRequests) != 3 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if r, err = a.Call("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
+	if r, err = a.Do("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
 		r.Header["Retry-After"] != "0.2" || !r.Reuse {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -202,7 +202,7 @@
 		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
 	}
 	x.s.CloseAfterReply()
-	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
+	if r, err = a.Do("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
 		t.Fatalf("while ending: %+v, %v", r, err)
 	}
 	if !x.s.Wait(5*time.Second) || budget.InUse() != 0 {
@@ -213,7 +213,7 @@
 // Each fault has its definite end: an answer and the end of the connection, or the end alone. Others go on.
 func TestFaultsEndTheirConnection(t *testing.T) {
 	head := func(size string) []byte {
-		return standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
+		return standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
 			"s3cret"))
 	}
 	for name, c := range map[string]struct {
@@ -228,15 +228,15 @@
 		"shutdown":         {standin.AJPPacket([]byte{7}), 0, false},
 		"long CPing":       {standin.AJPPacket([]byte{10, 0}), 0, false},
 		"truncated":        {standin.AJPPacket(forward()[:20]), 0, false},
-		"no secret":        {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
-		"wrong secret":     {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
+		"no secret":        {standin.AJPPacket(standin.AJPRequest(4, "/x", nil)), 403, false},
+		"wrong secret":     {standin.AJPPacket(standin.AJPRequest(4, "/x", nil, "secret", "s3creT")), 403, false},
 		"body too large":   {head("65537"), 413, false},
 		"bad length":       {head("-1"), 400, false},
 		"body ends":        {append(head("5"), standin.AJPPacket(nil)...), 400, false},
-		"more than told":   {append(head("2"), standin.AJPPacket(standin.AJPBody([]byte("abc")))...), 0, false},
+		"more than told":   {append(head("2"), standin.AJPPacket(standin.AJPChunk([]byte("abc")))...), 0, false},
 		"bad chunk":        {append(head("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
 		"body never comes": {head("5"), 408, true},
-		"two at once": {append(standin.AJPPacket(standin.AJPForward(4, "/never", nil, "secret", "s3cret")),
+		"two at once": {append(standin.AJPPacket(standin.AJPRequest(4, "/never", nil, "secret", "s3cret")),
 			standin.AJPPacket([]byte{10})...), 0, false},
 		"says nothing": {nil, 0, true},
 	} {
@@ -244,14 +244,14 @@
 			t.Parallel()
 			x := serve(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
 			a := standin.DialAJP(t, x.s.Addr())
-			a.Raw(c.send)
-			r, err := a.Read(func(int) []byte { return nil })
+			a.WriteRaw(c.send)
+			r, err := a.ReadReply(func(int) []byte { return nil })
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "its end", func() bool { return x.s.OpenConns() == 0 })
+			standin.WaitFor(t, "its end", func() bool { return x.s.OpenConns() == 0 })
 			b := standin.DialAJP(t, x.s.Addr())
-			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
+			if r, err := b.Do("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
 				t.Errorf("the next one: %+v, %v", r, err)
 			}
 		})
@@ -262,14 +262,14 @@
 func TestFrontThatLeaves(t *testing.T) {
 	x := serve(t, Options{}, lnet.NewBudget(10, 0))
 	a := standin.DialAJP(t, x.s.Addr())
-	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
-	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(2, "/never", nil)))
+	standin.WaitFor(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.Until(t, "the word that it left", func() bool { _, gone := x.count(); return gone == 1 })
+	standin.WaitFor(t, "the word that it left", func() bool { _, gone := x.count(); return gone == 1 })
 	b := standin.DialAJP(t, x.s.Addr())
-	b.Raw(standin.AJPPacket(forward())[:30])
+	b.WriteRaw(standin.AJPPacket(forward())[:30])
 	b.Close()
-	standin.Until(t, "the end", func() bool { return x.s.OpenConns() == 0 })
+	standin.WaitFor(t, "the end", func() bool { return x.s.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
@@ -293,10 +293,10 @@
 		budget := lnet.NewBudget(10, 0)
 		x := serve(t, Options{}, budget)
 		a := standin.DialAJP(t, x.s.Addr())
-		if r, err := a.Call("/echo", nil, "x"); err != nil || r.Status != 200 {
+		if r, err := a.Do("/echo", nil, "x"); err != nil || r.Status != 200 {
 			t.Fatalf("%+v, %v", r, err)
 		}
-		standin.Until(t, "rest", func() bool {
+		standin.WaitFor(t, "rest", func() bool {
 			x.s.mu.Lock()
 			defer x.s.mu.Unlock()
 			for c := range x.s.conns {
@@ -307,6 +307,6 @@
 			return false
 		})
 		end(x.s)
-		standin.Until(t, name+": the place", func() bool { return x.s.OpenConns() == 0 && budget.InUse() == 0 })
+		standin.WaitFor(t, name+": the place", func() bool { return x.s.OpenConns() == 0 && budget.InUse() == 0 })
 	}
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -19,7 +19,7 @@
  "conflict":"127.0.0.9:7946"}}`
 
 func TestMembers(t *testing.T) {
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	door := standin.NewHTTPServer(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/fleet" {
 			return 404, "no such call"
 		}
@@ -52,7 +52,7 @@
 }
 
 func TestNoIsAnError(t *testing.T) {
-	door := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
+	door := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
 	var no *No
 	err := Fleet{Door: door.Addr}.Run([]string{"members"}, &bytes.Buffer{})
 	if !errors.As(err, &no) || no.Status != 404 || no.Text != "no such call" {
@@ -66,7 +66,7 @@
 }
 
 func TestOverload(t *testing.T) {
-	door := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	door := standin.NewHTTPServer(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/overload" {
 			return 404, "no such call"
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f, err := Open(c, standin.Quiet(), nil)
+	f, err := Open(c, standin.DiscardLogger(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 	if err := f.Start(nil, Host{}); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(c, standin.Quiet(), nil); err == nil {
+	if _, err := Open(c, standin.DiscardLogger(), nil); err == nil {
 		t.Fatal("two processes have one address")
 	}
 	<-f.Joined()
@@ -201,7 +201,7 @@
 		_, _ = s.Write(b)
 	}
 	for _, why := range []string{"foreign", "version", "key", "cut", "malformed", "long"} {
-		standin.Until(t, why, func() bool { return f.Status().Figures.Dropped[why] == 1 })
+		standin.WaitFor(t, why, func() bool { return f.Status().Figures.Dropped[why] == 1 })
 	}
 	if st := f.Status(); st.Alive != 1 || len(st.Members) != 1 || st.Incarnation != 1 {
 		t.Fatalf("%+v", st)
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -96,7 +96,7 @@
 
 // Any bytes are an answer or an error, and what is read agrees with the library.
 func FuzzAnswer(f *testing.F) {
-	f.Add(standin.TextAnswer(3, "x"))
+	f.Add(standin.TextMessage(3, "x"))
 	f.Add([]byte{0x08, 0x03, 0x18, 0x09, 0x21, 1, 2, 3, 4, 5, 6, 7, 8, 0x32, 0x02, 0x10, 0x01})
 	f.Add([]byte{0x0b, 0x0c, 0xff})
 	c := protocompile.Compiler{Resolver: &protocompile.SourceResolver{}}
@@ -150,7 +150,7 @@
 
 func newRig(t *testing.T, cfg Config, keys *Credentials, nodes ...Target) *rig {
 	r := &rig{t: t, ends: map[*core.Attempt]core.AttemptDone{}, many: map[*core.Attempt]int{}}
-	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
+	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{}, &translate.Tally{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -192,71 +192,71 @@
 // want waits for an attempt's end.
 func (r *rig) want(what string, a *core.Attempt, o balance.Outcome) {
 	r.t.Helper()
-	standin.Until(r.t, what, func() bool { _, ok := r.ended(a); return ok })
+	standin.WaitFor(r.t, what, func() bool { _, ok := r.ended(a); return ok })
 	if got, _ := r.ended(a); got.Outcome != o {
 		r.t.Errorf("%s: outcome %d, want %d", what, got.Outcome, o)
 	}
 }
 
-func answer(standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v"} }
-func silent(standin.NewCall) standin.NewDo { return standin.NewDo{Silent: true} }
+func answer(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{Text: "v"} }
+func silent(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{NoReply: true} }
 
 // Whether a call may have run is told exactly, for every way in which it can end without an answer.
 func TestNeverRanOrMayHave(t *testing.T) {
 	second := func(conn int, stream uint32) bool { return stream > 1 }
 	t.Run("refused stream", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Refuse: second}, silent)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{RefuseStream: second}, silent)
 		r := newRig(t, bounds, nil, target(n))
 		r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream that was refused", r.send(10, time.Minute), balance.Busy)
-		if n.Opened() != 1 || len(n.Calls()) != 1 {
-			t.Errorf("%d connections, %d calls: it was sent again", n.Opened(), len(n.Calls()))
+		if n.ConnsOpened() != 1 || len(n.Calls()) != 1 {
+			t.Errorf("%d connections, %d calls: it was sent again", n.ConnsOpened(), len(n.Calls()))
 		}
 	})
 	t.Run("left out by GOAWAY", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{LeaveOut: second}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: second}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
 		})
 		r := newRig(t, bounds, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream beyond the last one", r.send(10, time.Minute), balance.NotSent)
 		r.want("the one that it covers", first, balance.OK)
 		r.want("what comes after", r.send(10, time.Minute), balance.OK)
-		if n.Opened() != 2 {
-			t.Errorf("%d connections", n.Opened())
+		if n.ConnsOpened() != 2 {
+			t.Errorf("%d connections", n.ConnsOpened())
 		}
-		standin.Until(t, "the end of the first connection", func() bool { return n.Open() == 1 })
+		standin.WaitFor(t, "the end of the first connection", func() bool { return n.OpenConns() == 1 })
 	})
 	t.Run("left out with one behind it", func(t *testing.T) {
 		sent := make(chan struct{})
-		n := standin.NewGRPC(t, standin.NewOptions{LeaveOut: func(_ int, stream uint32) bool {
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: func(_ int, stream uint32) bool {
 			if stream != 3 {
 				return false
 			}
 			<-sent // the GOAWAY crosses a call that is written behind the one that it leaves out
 			return true
-		}}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
+		}}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
 		})
 		r := newRig(t, bounds, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.b.count.AttemptsSent.Load() == 3 })
+		standin.WaitFor(t, "both to be written", func() bool { return r.b.count.AttemptsSent.Load() == 3 })
 		close(sent)
 		r.want("the one that it leaves out", second, balance.NotSent)
 		r.want("the one behind that", third, balance.NotSent)
 		r.want("the one that it covers", first, balance.OK)
-		standin.Until(t, "the end of the connection", func() bool { return n.Open() == 0 })
+		standin.WaitFor(t, "the end of the connection", func() bool { return n.OpenConns() == 0 })
 		if got := len(n.Calls()); got != 1 {
 			t.Errorf("%d calls were executed: one of them is told never to have run", got)
 		}
 	})
 	t.Run("GOAWAY with a covered call", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Silent: true, GoAway: true}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{NoReply: true, GoAway: true}
 		})
 		r := newRig(t, bounds, nil, target(n))
 		a := r.send(10, time.Minute)
@@ -264,33 +264,33 @@
 		if o, ok := r.ended(a); ok {
 			t.Fatalf("ended by a GOAWAY that covers it: %+v", o)
 		}
-		n.Drop()
+		n.ResetConns()
 		r.want("the break after it", a, balance.Reset)
 	})
 	t.Run("break before the last byte", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 100, NoWindowUpdates: true}, answer)
 		r := newRig(t, bounds, nil, target(n))
 		a := r.send(2000, time.Minute)
-		standin.Until(t, "the connection", func() bool { return n.Opened() == 1 })
+		standin.WaitFor(t, "the connection", func() bool { return n.ConnsOpened() == 1 })
 		time.Sleep(100 * time.Millisecond)
-		n.Drop()
+		n.ResetConns()
 		r.want("a call cut short", a, balance.NoConnection)
 	})
 	t.Run("break after the last byte", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{},
-			func(standin.NewCall) standin.NewDo { return standin.NewDo{Drop: true} })
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{},
+			func(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{ResetConn: true} })
 		r := newRig(t, bounds, nil, target(n))
 		r.want("a call that ran", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("reset by the node", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Reset: standin.Code(http2.ErrCodeCancel)}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeCancel)}
 		})
 		r := newRig(t, bounds, nil, target(n))
 		r.want("a call that may have run", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("nobody there", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 		n.Close()
 		r := newRig(t, bounds, nil, target(n))
 		r.want("no connection", r.send(10, time.Minute), balance.NoConnection)
@@ -301,17 +301,17 @@
 		}(), balance.NoConnection)
 	})
 	t.Run("no settings", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Mute: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{NoControlFrames: true}, answer)
 		cfg := bounds
 		cfg.DialTimeout = 100 * time.Millisecond
 		r := newRig(t, cfg, nil, target(n))
 		r.want("a mute node", r.send(10, time.Minute), balance.NoConnection)
 	})
 	t.Run("deadline in the queue", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 1}, silent)
 		r := newRig(t, bounds, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("one whose time passed while it waited", r.send(10, 50*time.Millisecond), balance.NotSent)
 		if !r.b.Cancel(r.send(10, time.Minute)) {
 			t.Error("one that waits may have run")
@@ -319,17 +319,17 @@
 		if r.b.Cancel(first) {
 			t.Error("one that was written whole has never run")
 		}
-		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
+		standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 1 {
 			t.Errorf("%d calls reached the node", len(n.Calls()))
 		}
 	})
 	t.Run("window of its key", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 100, NoWindowUpdates: true}, answer)
 		r := newRig(t, bounds, nil, target(n))
 		a := r.send(2000, time.Minute, time.Now().Add(200*time.Millisecond))
 		r.want("one whose last byte came too late", a, balance.NotSent)
-		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
+		standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 0 {
 			t.Error("it came to its end all the same")
 		}
@@ -340,16 +340,16 @@
 
 // A drain takes back what is not begun, and nothing of it goes out any more.
 func TestStopTakesBackWhatWaits(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 1}, silent)
 	r := newRig(t, bounds, nil, target(n))
 	r.send(10, time.Minute)
-	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+	standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
 	back := r.b.CancelQueued(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d taken back", len(back))
 	}
-	n.Drop()
+	n.ResetConns()
 	time.Sleep(50 * time.Millisecond)
 	if _, ok := r.ended(b); ok || len(n.Calls()) != 1 {
 		t.Errorf("told of again, or sent: %d calls", len(n.Calls()))
@@ -359,9 +359,9 @@
 // Streams, connections and the queue stay within their bounds, and what waits is sent as room comes.
 func TestBoundsOfStreams(t *testing.T) {
 	release := make(chan bool)
-	n := standin.NewGRPC(t, standin.NewOptions{Streams: 3}, func(standin.NewCall) standin.NewDo {
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 3}, func(standin.GRPCCall) standin.GRPCReply {
 		<-release
-		return standin.NewDo{Text: "v"}
+		return standin.GRPCReply{Text: "v"}
 	})
 	cfg := bounds
 	cfg.ConnsPerNode, cfg.QueuePerNode = 2, 2
@@ -369,17 +369,17 @@
 	var all []*core.Attempt
 	for i := range 3 {
 		all = append(all, r.send(10, time.Minute))
-		standin.Until(t, "the call", func() bool { return len(n.Calls()) == i+1 })
+		standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == i+1 })
 	}
 	for i := range 3 { // on a second connection
 		all = append(all, r.send(10, time.Minute))
-		standin.Until(t, "the call", func() bool { return len(n.Calls()) == 4+i })
+		standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == 4+i })
 	}
 	all = append(all, r.send(10, time.Minute), r.send(10, time.Minute)) // wait
 	r.want("one too many", r.send(10, time.Minute), balance.Busy)
 	time.Sleep(50 * time.Millisecond)
-	if n.Opened() != 2 || len(n.Calls()) != 6 {
-		t.Errorf("%d connections, %d calls", n.Opened(), len(n.Calls()))
+	if n.ConnsOpened() != 2 || len(n.Calls()) != 6 {
+		t.Errorf("%d connections, %d calls", n.ConnsOpened(), len(n.Calls()))
 	}
 	close(release)
 	for _, a := range all {
@@ -394,7 +394,7 @@
 
 // A message larger than the windows goes out as the node gives room, next to others.
 func TestFlowControlTowardsTheNode(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{Window: 700}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 700}, answer)
 	r := newRig(t, bounds, nil, target(n))
 	var all []*core.Attempt
 	for range 12 {
@@ -414,7 +414,7 @@
 // once asked for the node's address under the connection's lock, and Send for the connection under the
 // node's.
 func TestSendsBesideTheWriter(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 	cfg := bounds
 	cfg.StreamsPerConn, cfg.ConnsPerNode, cfg.QueuePerNode = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
@@ -473,9 +473,9 @@
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
-		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
+		standin.WaitFor(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.b.budget.InUse() == 0 })
+	standin.WaitFor(t, "the descriptors", func() bool { return r.b.budget.InUse() == 0 })
 }
 
 // A connection on which nothing comes any more is found out by a ping, once a call on it has timed out.
@@ -506,21 +506,21 @@
 	}
 	r.want("the other call", b, balance.Reset)
 	r.send(10, time.Minute)
-	standin.Until(t, "a second connection", func() bool { return len(stuck) == 2 })
+	standin.WaitFor(t, "a second connection", func() bool { return len(stuck) == 2 })
 }
 
 func TestProbe(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 	r := newRig(t, bounds, nil, target(n))
 	if !r.b.Probe(core.ServerID("a")) || r.b.Probe(core.ServerID("b")) {
 		t.Fatal("probes of a known and an unknown node")
 	}
-	standin.Until(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.look) == 1 })
+	standin.WaitFor(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.look) == 1 })
 	if r.look[0].Outcome != balance.OK || n.Pings() != 1 {
 		t.Errorf("%+v", r.look[0])
 	}
 	r.b.CloseIdle(core.ServerID("a"))
-	standin.Until(t, "the end of the idle connection", func() bool { return n.Open() == 0 })
+	standin.WaitFor(t, "the end of the idle connection", func() bool { return n.OpenConns() == 0 })
 }
 
 // Keys change in service: calls that are open come to their end, new ones go out with the new keys, and a set
@@ -552,23 +552,23 @@
 	var mu sync.Mutex
 	var names []string
 	release := make(chan bool)
-	n := standin.NewGRPC(t, standin.NewOptions{TLS: &tls.Config{Certificates: []tls.Certificate{own},
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{TLS: &tls.Config{Certificates: []tls.Certificate{own},
 		NextProtos: []string{"h2"}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: roots,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			mu.Lock()
 			defer mu.Unlock()
 			names = append(names, s.PeerCertificates[0].Subject.CommonName)
 			return nil
-		}}}, func(c standin.NewCall) standin.NewDo {
+		}}}, func(c standin.GRPCCall) standin.GRPCReply {
 		if c.Conn == 1 {
 			<-release
 		}
-		return standin.NewDo{Text: "v"}
+		return standin.GRPCReply{Text: "v"}
 	})
 	to := Target{Name: "a", Address: n.Addr, TLS: true, ServerName: "ledger"}
 	r := newRig(t, bounds, keys, to)
 	open := r.send(10, time.Minute)
-	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+	standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	put(files.Key, []byte("broken"))
 	if changed, err := keys.Reload(); changed || err == nil {
 		t.Fatalf("a broken pair was taken: %v %v", changed, err)
--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -23,7 +23,7 @@
 
 // gated is a front with few descriptors: 65 for clients and nodes, 49 of them for clients.
 func gated(t *testing.T, edit string) (*running, *standin.GRPCNode) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
 	return run(t, "sockets = 120\noperator = \"127.0.0.1:0\"\n"+listeners+`
 [admission]
 reserve = 6
@@ -91,7 +91,7 @@
 		}()
 	}
 	wg.Wait()
-	standin.Until(t, "the limit", func() bool { return r.f.keeper.Stats(1).General >= 43 })
+	standin.WaitFor(t, "the limit", func() bool { return r.f.keeper.Stats(1).General >= 43 })
 	for i := range 6 {
 		c := from(t, "127.0.9.1", r.http)
 		keep(c)
@@ -127,7 +127,7 @@
 		_ = c.Close()
 	}
 	mu.Unlock()
-	standin.Until(t, "the descriptors", func() bool {
+	standin.WaitFor(t, "the descriptors", func() bool {
 		f := r.f.keeper.Stats(1)
 		return f.General+f.Reserve+f.Proving == 0 && r.f.budget.InUse() <= base+2
 	})
@@ -179,16 +179,16 @@
 	}
 	front := standin.DialAJP(t, r.ajp)
 	head, body := request("ajp", "", 0)
-	y, err := front.Call("/rate-check", head, body, "secret", "s3cret")
+	y, err := front.Do("/rate-check", head, body, "secret", "s3cret")
 	if err != nil || y.Status != 200 {
 		t.Errorf("AJP among idle ones: %+v, %v", y, err)
 	}
 	r.f.keeper.BanOrPin(netip.MustParsePrefix("127.0.0.0/8"), false, time.Minute)
-	z, err := standin.DialAJP(t, r.ajp).Call("/rate-check", head, body, "secret", "s3cret")
+	z, err := standin.DialAJP(t, r.ajp).Do("/rate-check", head, body, "secret", "s3cret")
 	if err != nil || z.Status != 503 || z.Header["Retry-After"] == "" || z.Reuse {
 		t.Errorf("a banned front: %+v, %v", z, err)
 	}
-	standin.Until(t, "the end of what rests", func() bool {
+	standin.WaitFor(t, "the end of what rests", func() bool {
 		f := r.f.keeper.Stats(1)
 		return f.General+f.Reserve < 5
 	})
@@ -220,7 +220,7 @@
 			t.Fatalf("%d", status)
 		}
 	}
-	standin.Until(t, "one place left", func() bool {
+	standin.WaitFor(t, "one place left", func() bool {
 		f := r.f.keeper.Stats(1)
 		return f.General+f.Reserve == 48
 	})
@@ -242,7 +242,7 @@
 			}()
 		}
 		wg.Wait()
-		standin.Until(t, "the place again", func() bool {
+		standin.WaitFor(t, "the place again", func() bool {
 			f := r.f.keeper.Stats(1)
 			return f.General+f.Reserve == 48
 		})
@@ -268,7 +268,7 @@
 		return path
 	}
 	cert, key := ca.Issue("lapislever")
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
 	cfg, f := load(t, "sockets = 120\n"+listeners+fmt.Sprintf(`
 [listen_tls]
 cert = %q
@@ -279,7 +279,7 @@
 proving = 4
 prove_s = 0.5
 `, put("cert", cert), put("key", key), put("roots", ca.PEM()))+classes+server("a", n.Addr, "new", 0))
-	k, err := platform.Start(cfg, standin.Quiet(), f)
+	k, err := platform.Start(cfg, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -300,13 +300,13 @@
 		status, _ := askOn(tls.Client(from(t, addr, at), c), id, "")
 		return status
 	}
-	standin.Until(t, "the first answer", func() bool { return ask("127.0.80.1", "first", nil) == 200 })
+	standin.WaitFor(t, "the first answer", func() bool { return ask("127.0.80.1", "first", nil) == 200 })
 	if status := ask("127.0.80.1", "foreign", other); status != 0 {
 		t.Errorf("a certificate that the roots have not signed: %d", status)
 	}
 	var crowd []net.Conn
 	// Handshakes that never begin; their places come back after a while.
-	standin.Until(t, "the limit", func() bool {
+	standin.WaitFor(t, "the limit", func() bool {
 		crowd = append(crowd, from(t, fmt.Sprintf("127.0.81.%d", 1+len(crowd)%200), at))
 		return f.keeper.Stats(1).Refused["unproved"] > 0 // so all places were taken but the reserve
 	})
@@ -315,14 +315,14 @@
 	}
 	// Their time passes, the places come back, and head office gets in, also with strangers asking all the
 	// while.
-	standin.Until(t, "head office", func() bool {
+	standin.WaitFor(t, "head office", func() bool {
 		crowd = append(crowd, from(t, "127.0.82.1", at), from(t, "127.0.82.2", at))
 		return ask("127.0.83.1", "office", ca) == 200
 	})
 	for _, c := range crowd {
 		_ = c.Close()
 	}
-	standin.Until(t, "the places", func() bool {
+	standin.WaitFor(t, "the places", func() bool {
 		f := f.keeper.Stats(1)
 		return f.General+f.Reserve+f.Proving == 0
 	})
@@ -334,7 +334,7 @@
 	door := r.k.AdminAddr()
 	call := func(method, path, body string, want int) string {
 		t.Helper()
-		x := standin.Call(t, door, method, path, nil, body)
+		x := standin.DoHTTP(t, door, method, path, nil, body)
 		if x.Status != want {
 			t.Errorf("%s %s %q: %d %s", method, path, body, x.Status, x.Body)
 		}
--- a/internal/kiosk/bench_test.go
+++ b/internal/kiosk/bench_test.go
@@ -23,8 +23,8 @@
 	}
 	var t nodes
 	a := standin.NewNode(&t, func(standin.Part) (string, string) { return "S", "5be2a07c19f04d63" })
-	b := standin.NewGRPC(&t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
-		return standin.NewDo{Text: "5be2a07c19f04d63"}
+	b := standin.NewGRPCNode(&t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+		return standin.GRPCReply{Text: "5be2a07c19f04d63"}
 	})
 	fmt.Println(a.Addr, b.Addr)
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // until the benchmark ends
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	cfg.Operator, cfg.Limits.Sockets = file.Operator, file.Sockets
-	f, err := New(file, cfg, standin.Quiet())
+	f, err := New(file, cfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,15 +75,15 @@
 	for _, e := range edit {
 		e(f)
 	}
-	k, err := platform.Start(cfg, standin.Quiet(), f)
+	k, err := platform.Start(cfg, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { k.Close(); f.router.anew.Close() })
 	r := &running{k: k, f: f}
 	r.http, r.ajp = f.Addrs()
-	standin.Until(t, "readiness", func() bool {
-		return standin.Call(t, r.http, "GET", "/up", nil,
+	standin.WaitFor(t, "readiness", func() bool {
+		return standin.DoHTTP(t, r.http, "GET", "/up", nil,
 			"").Status == 200
 	})
 	return r
@@ -115,16 +115,16 @@
 	id := fmt.Sprint("c", calls.n)
 	calls.Unlock()
 	head, body := request(id, key, shards...)
-	return standin.Call(t, r.http, "POST", "/"+class, head, body)
+	return standin.DoHTTP(t, r.http, "POST", "/"+class, head, body)
 }
 
 // text answers every call with its id.
-func text(c standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v:" + c.ID} }
+func text(c standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{Text: "v:" + c.ID} }
 
 // An old terminal is answered by new nodes, by HTTP and by AJP, and beside them by an old one.
 func TestOldTerminalsAreServedByNewNodes(t *testing.T) {
-	a := standin.NewGRPC(t, standin.NewOptions{}, text)
-	b := standin.NewGRPC(t, standin.NewOptions{}, text)
+	a := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
+	b := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
 	c := standin.NewNode(t, func(p standin.Part) (string, string) { return "S", "v:" + p.ID })
 	r := run(t, listeners+classes+server("a", a.Addr, "new", 0)+server("b", b.Addr, "new", 1)+
 		server("c", c.Addr, "old", 2))
@@ -148,13 +148,13 @@
 		}
 	}
 	head, body := request("h1", "", 0, 1, 2)
-	x := standin.Call(t, r.http, "POST", "/rate-check", head, body)
+	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", head, body)
 	want("HTTP", x.Status, string(x.Body), "h1")
 	front := standin.DialAJP(t, r.ajp)
 	for i := range 3 { // on one connection
 		id := fmt.Sprint("a", i)
 		head, body := request(id, "", 0, 1, 2)
-		y, err := front.Call("/rate-check", head, body, "secret", "s3cret")
+		y, err := front.Do("/rate-check", head, body, "secret", "s3cret")
 		if err != nil || !y.Reuse {
 			t.Fatalf("%+v %v", y, err)
 		}
@@ -172,52 +172,52 @@
 		t.Errorf("the node got %+v", got[len(got)-1])
 	}
 	for _, n := range []*standin.GRPCNode{a, b} {
-		if n.Opened() != 1 {
-			t.Errorf("%d connections to a node that needed one", n.Opened())
+		if n.ConnsOpened() != 1 {
+			t.Errorf("%d connections to a node that needed one", n.ConnsOpened())
 		}
 	}
 }
 
 // What has no equivalent, and each status: a definite answer of the old form, and a count by reason.
 func TestWhatHasNoEquivalentFailsByName(t *testing.T) {
-	raw := standin.TextAnswer(0, "x")
+	raw := standin.TextMessage(0, "x")
 	for name, c := range map[string]struct {
-		do     standin.NewDo
+		do     standin.GRPCReply
 		status int
 		why    string
 		text   string
 	}{
-		"unknown status":  {standin.NewDo{Status: "42"}, 502, "unknown_status", "failed: unknown_status"},
-		"no number":       {standin.NewDo{Status: "x"}, 502, "unknown_status", "failed: unknown_status"},
-		"unimplemented":   {standin.NewDo{Status: "12"}, 502, "never_possible", "failed: never_possible"},
-		"unauthenticated": {standin.NewDo{Status: "16"}, 502, "denied", "failed: denied"},
-		"no gRPC":         {standin.NewDo{HTTP: 418}, 502, "unreadable_reply", "failed: unreadable_reply"},
-		"other type":      {standin.NewDo{Kind: "text/html"}, 502, "unreadable_reply", "failed: unreadable_reply"},
-		"garbage": {standin.NewDo{Message: []byte{0xff, 0xff}}, 502, "unreadable_reply",
+		"unknown status":  {standin.GRPCReply{Status: "42"}, 502, "unknown_status", "failed: unknown_status"},
+		"no number":       {standin.GRPCReply{Status: "x"}, 502, "unknown_status", "failed: unknown_status"},
+		"unimplemented":   {standin.GRPCReply{Status: "12"}, 502, "never_possible", "failed: never_possible"},
+		"unauthenticated": {standin.GRPCReply{Status: "16"}, 502, "denied", "failed: denied"},
+		"no gRPC":         {standin.GRPCReply{HTTPStatus: 418}, 502, "unreadable_reply", "failed: unreadable_reply"},
+		"other type":      {standin.GRPCReply{ContentType: "text/html"}, 502, "unreadable_reply", "failed: unreadable_reply"},
+		"garbage": {standin.GRPCReply{Message: []byte{0xff, 0xff}}, 502, "unreadable_reply",
 			"failed: unreadable_reply"},
-		"no value": {standin.NewDo{Message: []byte{}}, 502, "value_kind", "failed: value_kind"},
-		"cut message": {standin.NewDo{Prefix: []byte{0, 0, 0, 9, 9}}, 502, "unreadable_reply",
+		"no value": {standin.GRPCReply{Message: []byte{}}, 502, "value_kind", "failed: value_kind"},
+		"cut message": {standin.GRPCReply{Prefix: []byte{0, 0, 0, 9, 9}}, 502, "unreadable_reply",
 			"failed: unreadable_reply"},
-		"compressed": {standin.NewDo{Prefix: []byte{1, 0, 0, 0, byte(len(raw))}}, 502, "compressed",
+		"compressed": {standin.GRPCReply{Prefix: []byte{1, 0, 0, 0, byte(len(raw))}}, 502, "compressed",
 			"failed: compressed"},
-		"real": {standin.NewDo{Message: append([]byte{0x21}, make([]byte, 8)...)}, 502, "value_kind",
+		"real": {standin.GRPCReply{Message: append([]byte{0x21}, make([]byte, 8)...)}, 502, "value_kind",
 			"failed: value_kind"},
-		"other shard": {standin.NewDo{Message: standin.TextAnswer(1, "x")}, 502, "wrong_shard",
+		"other shard": {standin.GRPCReply{Message: standin.TextMessage(1, "x")}, 502, "wrong_shard",
 			"failed: wrong_shard"},
-		"not UTF-8": {standin.NewDo{Text: "\xff"}, 502, "text_not_utf8", "failed: text_not_utf8"},
-		"too large": {standin.NewDo{Text: strings.Repeat("x", maxValue+1)}, 502, "too_large",
+		"not UTF-8": {standin.GRPCReply{Text: "\xff"}, 502, "text_not_utf8", "failed: text_not_utf8"},
+		"too large": {standin.GRPCReply{Text: strings.Repeat("x", maxValue+1)}, 502, "too_large",
 			"failed: too_large"},
-		"far too large": {standin.NewDo{Text: strings.Repeat("x", 60<<10)}, 502, "too_large",
+		"far too large": {standin.GRPCReply{Text: strings.Repeat("x", 60<<10)}, 502, "too_large",
 			"failed: too_large"},
-		"internal":     {standin.NewDo{Status: "13"}, 503, "failing", "refused"},
-		"unavailable":  {standin.NewDo{Status: "14"}, 503, "unavailable", "refused"},
-		"turned away":  {standin.NewDo{Status: "8", Unseen: true}, 503, "turned_away", "refused"},
-		"gateway":      {standin.NewDo{HTTP: 503}, 503, "unavailable", "refused"},
-		"reset":        {standin.NewDo{Reset: standin.Code(http2.ErrCodeInternal)}, 503, "unavailable", "refused"},
-		"its deadline": {standin.NewDo{Status: "4"}, 503, "deadline", "refused"},
+		"internal":     {standin.GRPCReply{Status: "13"}, 503, "failing", "refused"},
+		"unavailable":  {standin.GRPCReply{Status: "14"}, 503, "unavailable", "refused"},
+		"turned away":  {standin.GRPCReply{Status: "8", Unseen: true}, 503, "turned_away", "refused"},
+		"gateway":      {standin.GRPCReply{HTTPStatus: 503}, 503, "unavailable", "refused"},
+		"reset":        {standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}, 503, "unavailable", "refused"},
+		"its deadline": {standin.GRPCReply{Status: "4"}, 503, "deadline", "refused"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo { return c.do })
+			n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply { return c.do })
 			r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
 			x := r.post(t, "rate-check", "", 0)
 			if x.Status != c.status || !strings.HasPrefix(string(x.Body), c.text) {
@@ -230,8 +230,8 @@
 				t.Errorf("counted as %v, want %s", got, c.why)
 			}
 			// The connection is sound after an answer that could not be used.
-			if n.Opened() > 1 && name != "far too large" {
-				t.Errorf("%d connections", n.Opened())
+			if n.ConnsOpened() > 1 && name != "far too large" {
+				t.Errorf("%d connections", n.ConnsOpened())
 			}
 		})
 	}
@@ -244,12 +244,12 @@
 
 // Figures count each request once, in whichever way it came and ended.
 func TestEachRequestCountsOnce(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
 	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
 	r.post(t, "rate-check", "", 0)
 	r.post(t, "rate-check", "", 7) // there is no such shard
 	r.post(t, "none", "", 0)
-	standin.Until(t, "the counts", func() bool {
+	standin.WaitFor(t, "the counts", func() bool {
 		return r.figure("rate-check", core.Answered) == 1 && r.figure("rate-check", core.Failed) == 1
 	})
 }
@@ -257,29 +257,29 @@
 // A client that leaves, and a deadline that passes: the stream is reset, the terminal gets one answer at
 // most.
 func TestCancelsReachTheStream(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{},
-		func(standin.NewCall) standin.NewDo { return standin.NewDo{Silent: true} })
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{},
+		func(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{NoReply: true} })
 	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
 	head, body := request("gone", "", 0)
 	front := standin.DialAJP(t, r.ajp)
-	front.Raw(standin.AJPPacket(standin.AJPForward(4, "/rate-check", append(head,
+	front.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/rate-check", append(head,
 		[2]string{"Content-Length", fmt.Sprint(len(body))}), "secret", "s3cret")))
-	front.Raw(standin.AJPPacket(standin.AJPBody([]byte(body))))
-	standin.Until(t, "the call", func() bool { return len(n.Calls()) == 1 })
+	front.WriteRaw(standin.AJPPacket(standin.AJPChunk([]byte(body))))
+	standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == 1 })
 	front.Close()
-	standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
+	standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
 	head, body = request("late", "", 0)
 	begun := time.Now()
-	x := standin.Call(t, r.http, "POST", "/rate-check", append(head, [2]string{"X-Budget", "0.3"}), body)
+	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", append(head, [2]string{"X-Budget", "0.3"}), body)
 	if x.Status != 503 && x.Status != 504 || time.Since(begun) > 5*time.Second {
 		t.Errorf("%d after %v", x.Status, time.Since(begun))
 	}
-	standin.Until(t, "the second reset", func() bool { return n.Resets() >= 2 })
+	standin.WaitFor(t, "the second reset", func() bool { return n.Resets() >= 2 })
 }
 
 // An old terminal that speaks HTTP/1.0 is answered, and the connection ends as it expects.
 func TestOldestTerminals(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, text)
 	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
 	c, err := net.Dial("tcp", r.http)
 	if err != nil {
@@ -301,19 +301,19 @@
 // answer each, the late one too.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	release := make(chan bool)
-	n := standin.NewGRPC(t, standin.NewOptions{}, func(c standin.NewCall) standin.NewDo {
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(c standin.GRPCCall) standin.GRPCReply {
 		<-release
-		return standin.NewDo{Text: "v"}
+		return standin.GRPCReply{Text: "v"}
 	})
 	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
 	answers := make(chan int, 2)
 	go func() {
 		head, body := request("by-http", "", 0)
-		answers <- standin.Call(t, r.http, "POST", "/rate-check", head, body).Status
+		answers <- standin.DoHTTP(t, r.http, "POST", "/rate-check", head, body).Status
 	}()
 	go func() {
 		head, body := request("by-ajp", "", 0)
-		y, err := standin.DialAJP(t, r.ajp).Call("/rate-check", head, body, "secret", "s3cret")
+		y, err := standin.DialAJP(t, r.ajp).Do("/rate-check", head, body, "secret", "s3cret")
 		if err != nil {
 			t.Error(err)
 			answers <- 0
@@ -321,10 +321,10 @@
 		}
 		answers <- y.Status
 	}()
-	standin.Until(t, "both calls", func() bool { return len(n.Calls()) >= 2 })
+	standin.WaitFor(t, "both calls", func() bool { return len(n.Calls()) >= 2 })
 	ended := make(chan bool)
 	go func() { r.k.Shutdown(); close(ended) }()
-	standin.Until(t, "the word that it ends", func() bool { return r.f.ending.Load() })
+	standin.WaitFor(t, "the word that it ends", func() bool { return r.f.ending.Load() })
 	time.Sleep(50 * time.Millisecond)
 	close(release)
 	for range 2 {
@@ -333,7 +333,7 @@
 		}
 	}
 	<-ended
-	standin.Until(t, "the end of the calls", func() bool { return r.f.http.OpenConns()+r.f.ajp.OpenConns() == 0 })
+	standin.WaitFor(t, "the end of the calls", func() bool { return r.f.http.OpenConns()+r.f.ajp.OpenConns() == 0 })
 }
 
 // A terminal's retry is a query of its own, so that the module knows of no window: the guard's is given to
@@ -343,7 +343,7 @@
 	_, f := load(t, listeners+classes+server("a", n.Addr, "old", 0))
 	r, id := f.router, core.ServerID("a")
 	r.post = func(core.Event) {}
-	r.old = platform.NewNodes(f.base, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{}, r.tell)
+	r.old = platform.NewNodes(f.base, lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{}, r.tell)
 	r.old.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
 	r.learn(map[balance.ReplicaID]string{id: OldForm})
 	const window = 3 * time.Second
@@ -354,7 +354,7 @@
 			Timeout: time.Minute, Deadline: time.Now().Add(time.Minute), StartBy: before}
 		sent := len(n.Parts())
 		r.Send(id, []*core.Attempt{a})
-		standin.Until(t, name, func() bool { return len(n.Parts()) > sent })
+		standin.WaitFor(t, name, func() bool { return len(n.Parts()) > sent })
 		return a
 	}
 	begun := time.Now()
--- a/internal/kiosk/replay_test.go
+++ b/internal/kiosk/replay_test.go
@@ -84,8 +84,8 @@
 			return heads%every == 0
 		}
 	}
-	return standin.NewGRPC(t, standin.NewOptions{Refuse: turn(9), LeaveOut: turn(13)},
-		func(c standin.NewCall) standin.NewDo {
+	return standin.NewGRPCNode(t, standin.GRPCOptions{RefuseStream: turn(9), GoAwayBefore: turn(13)},
+		func(c standin.GRPCCall) standin.GRPCReply {
 			b.post(1, c.Key)
 			mu.Lock()
 			served++
@@ -93,28 +93,28 @@
 			mu.Unlock()
 			switch {
 			case way == 2:
-				return standin.NewDo{Reset: standin.Code(http2.ErrCodeInternal)}
+				return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}
 			case way == 3:
-				return standin.NewDo{Status: "99"}
+				return standin.GRPCReply{Status: "99"}
 			case b.chance(25): // executed, and the answer is lost
-				return standin.NewDo{Silent: true}
+				return standin.GRPCReply{NoReply: true}
 			case b.chance(30):
-				return standin.NewDo{Reset: standin.Code(http2.ErrCodeInternal)}
+				return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}
 			case b.chance(10):
-				return standin.NewDo{Drop: true}
+				return standin.GRPCReply{ResetConn: true}
 			case b.chance(10):
-				return standin.NewDo{Status: "99"}
+				return standin.GRPCReply{Status: "99"}
 			case b.chance(10):
-				return standin.NewDo{Text: "v", GoAway: true}
+				return standin.GRPCReply{Text: "v", GoAway: true}
 			}
-			return standin.NewDo{Text: "v"}
+			return standin.GRPCReply{Text: "v"}
 		})
 }
 
 // oldNode is one of the old form.
 func (b *books) oldNode(t *testing.T) *standin.Node {
 	return standin.NewNode(t, func(p standin.Part) (string, string) {
-		_, key, _ := strings.Cut(p.List, "k=")
+		_, key, _ := strings.Cut(p.Attrs, "k=")
 		b.post(0, key)
 		switch {
 		case b.chance(25):
@@ -179,8 +179,8 @@
 				}
 				status := 0
 				if i%2 == 0 {
-					status = standin.Call(t, r.http, "POST", "/exchange-post", head, body).Status
-				} else if y, err := standin.DialAJP(t, r.ajp).Call("/exchange-post", head, body, "secret",
+					status = standin.DoHTTP(t, r.http, "POST", "/exchange-post", head, body).Status
+				} else if y, err := standin.DialAJP(t, r.ajp).Do("/exchange-post", head, body, "secret",
 					"s3cret"); err == nil {
 					status = y.Status
 				}
--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -16,7 +16,7 @@
 const oneSlice = `{"slices":[{"slice":0,"mass":1}],"filter":"c41e77d0"}`
 
 // runWithLog starts a coordinator that logs by l, with one data node.
-func runWithLog(t *testing.T, l *standin.HeldLog, node *standin.Node) (*Coordinator, *discovery) {
+func runWithLog(t *testing.T, l *standin.BlockingLog, node *standin.Node) (*Coordinator, *discovery) {
 	t.Helper()
 	d := newDiscovery(t, hostAt("a", node.Addr, 0))
 	k, err := Start(config(t, d), l.Logger())
@@ -24,15 +24,15 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	standin.Until(t, "readiness", k.front.ready.Load)
+	standin.WaitFor(t, "readiness", k.front.ready.Load)
 	return k, d
 }
 
 // awaitHeld waits until a logger is held.
-func awaitHeld(t *testing.T, l *standin.HeldLog) {
+func awaitHeld(t *testing.T, l *standin.BlockingLog) {
 	t.Helper()
 	select {
-	case <-l.Held():
+	case <-l.Blocked():
 	case <-time.After(10 * time.Second):
 		t.Fatal("nothing was logged")
 	}
@@ -40,10 +40,10 @@
 
 // The answer is with its client while the line about it is still being logged.
 func TestAnAnswerDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "request ended")
+	l := standin.NewBlockingLog(t, "request ended")
 	k, _ := runWithLog(t, l, standin.NewNode(t, func(standin.Part) (string, string) { return "B", "" }))
 	head := [][2]string{{"X-Call-Id", "q1"}, {"X-Budget", "0.3"}}
-	r := standin.Call(t, k.Addr(), "POST", "/rate-check", head, oneSlice)
+	r := standin.DoHTTP(t, k.Addr(), "POST", "/rate-check", head, oneSlice)
 	if r.Status != 503 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
@@ -52,7 +52,7 @@
 
 // A client leaves: its request is called off while the line about that is still being logged.
 func TestAClientsEndDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "client left with a request out")
+	l := standin.NewBlockingLog(t, "client left with a request out")
 	node := standin.NewNode(t, silent)
 	k, _ := runWithLog(t, l, node)
 	c, err := lnet.Dial(k.Addr(), time.Second, 1<<20)
@@ -64,10 +64,10 @@
 	if err := c.Write("POST", "/rate-check", "a", head, []byte(oneSlice), until); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the part", func() bool { return len(node.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(node.Parts()) > 0 })
 	c.Close()
 	awaitHeld(t, l)
-	standin.Until(t, "the request's end", func() bool { return k.core.Counts().ActiveQueries.Load() == 0 })
+	standin.WaitFor(t, "the request's end", func() bool { return k.core.Counts().ActiveQueries.Load() == 0 })
 	if n := k.core.Counts().Class("rate-check"); n.Count(core.Refused)+n.Count(core.Failed) > 0 {
 		t.Error("it was answered, as if its client were there")
 	}
@@ -76,10 +76,10 @@
 // Discovery tells of a node: the core knows it while the line about it is still being logged.
 func TestAListDoesNotWaitForTheLog(t *testing.T) {
 	for _, message := range []string{"data node", "list taken in"} {
-		l := standin.NewHeldLog(t)
+		l := standin.NewBlockingLog(t)
 		node := standin.NewNode(t, ok)
 		k, d := runWithLog(t, l, node)
-		l.Hold(message)
+		l.Block(message)
 		d.change(t, hostAt("b", node.Addr, 0))
 		awaitHeld(t, l)
 		if !k.core.IsListed(core.ServerID("b"), 10*time.Second) {
@@ -90,7 +90,7 @@
 
 // A write is aborted before that is logged.
 func TestAnAbortDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "write aborted: its request is over and the writer was held")
+	l := standin.NewBlockingLog(t, "write aborted: its request is over and the writer was held")
 	ours, theirs := connPair(t)
 	c := &nodeConn{n: &Nodes{log: l.Logger()}, node: &node{name: "a"}, socket: ours}
 	go c.Abort()
--- a/internal/platform/narrow_test.go
+++ b/internal/platform/narrow_test.go
@@ -52,7 +52,7 @@
 	t.Helper()
 	told = make(chan core.AttemptDone, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that the test holds
-	n = NewNodes(config(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n = NewNodes(config(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(e core.Event) {
 			if o, ok := e.(core.AttemptDone); ok {
 				told <- o
@@ -152,7 +152,7 @@
 	n, id, told := wired(t)
 	c, h := n.attach(id), newHeldConn()
 	c.c, c.socket, c.up = h, h, true
-	k, err := core.New(core.Config{Settings: n.conf.Load().Module, Log: standin.Quiet()})
+	k, err := core.New(core.Config{Settings: n.conf.Load().Module, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -222,7 +222,7 @@
 	go c.writeLoop(h)
 	<-h.writing
 	h.goOn <- nil
-	standin.Until(t, "the frame to be booked", func() bool {
+	standin.WaitFor(t, "the frame to be booked", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.written) == 1
@@ -262,7 +262,7 @@
 func TestCrowdLeavesDescriptorsForOthers(t *testing.T) {
 	free := make(chan struct{})
 	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	slow.Wide.Store(true)
+	slow.Concurrent.Store(true)
 	var down atomic.Bool
 	hosts := []host{hostAt("slow", slow.Addr, 0)}
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
@@ -275,7 +275,7 @@
 	k := run(t, conf)
 	owed := make(chan int, 1)
 	go func() { owed <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	down.Store(true)
 	for i := range 60 {
 		c, err := net.Dial("tcp", k.Addr())
@@ -294,7 +294,7 @@
 		t.Fatalf("the answer that was owed came as %d", got)
 	}
 	asked := d.count()
-	standin.Until(t, "calls for the list", func() bool { return d.count() > asked+2 })
+	standin.WaitFor(t, "calls for the list", func() bool { return d.count() > asked+2 })
 	var nodes []*standin.Node
 	hosts = nil
 	for i := range 20 {
@@ -303,12 +303,12 @@
 		hosts = append(hosts, hostAt(fmt.Sprint("n", i), n.Addr, 0))
 	}
 	down.Store(false)
-	standin.Until(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
-	standin.Until(t, "connections to more nodes than were kept for", func() bool {
+	standin.WaitFor(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
+	standin.WaitFor(t, "connections to more nodes than were kept for", func() bool {
 		post(t, k, "rate-check", 0)
 		opened := 0
 		for _, n := range nodes {
-			opened += min(1, n.Opened())
+			opened += min(1, n.ConnsOpened())
 		}
 		return opened > 12
 	})
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -75,9 +75,9 @@
 	t.Helper()
 	conf := config(t, newDiscovery(t))
 	var k *core.Core
-	n := NewNodes(conf, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n := NewNodes(conf, lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(e core.Event) { k.Post(e) })
-	k, err := core.New(core.Config{Settings: conf.Module, Backends: []core.Backend{n}, Log: standin.Quiet()})
+	k, err := core.New(core.Config{Settings: conf.Module, Backends: []core.Backend{n}, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -48,7 +48,7 @@
 func newDiscovery(t *testing.T, hosts ...host) *discovery {
 	t.Helper()
 	d := &discovery{seq: 41, hosts: hosts}
-	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(50, 0), standin.Quiet(), d.serve)
+	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(50, 0), standin.DiscardLogger(), d.serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 // change tells of hosts, once a watch waits for it.
 func (d *discovery) change(t *testing.T, hosts ...host) {
 	t.Helper()
-	standin.Until(t, "a watch", func() bool {
+	standin.WaitFor(t, "a watch", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if d.waiting == nil {
@@ -142,13 +142,13 @@
 // run starts a coordinator and waits until it is ready.
 func run(t *testing.T, c *Config) *Coordinator {
 	t.Helper()
-	k, err := Start(c, standin.Quiet())
+	k, err := Start(c, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	standin.Until(t, "readiness", func() bool {
-		return standin.Call(t, k.Addr(), "GET", "/up", nil, "").Status == 200
+	standin.WaitFor(t, "readiness", func() bool {
+		return standin.DoHTTP(t, k.Addr(), "GET", "/up", nil, "").Status == 200
 	})
 	return k
 }
@@ -170,7 +170,7 @@
 		items[i] = fmt.Sprintf(`{"slice":%d,"mass":%g}`, s, 1/float64(len(shards)))
 	}
 	head := [][2]string{{"X-Call-Id", id}, {"Idempotency-Key", "k" + id}}
-	return standin.Call(t, k.Addr(), "POST", "/"+class, head,
+	return standin.DoHTTP(t, k.Addr(), "POST", "/"+class, head,
 		fmt.Sprintf(`{"slices":[%s],"filter":"c41e77d0"}`, strings.Join(items, ",")))
 }
 
@@ -185,16 +185,16 @@
 		t.Fatalf("%d %s\nwant %s", r.Status, r.Body, want)
 	}
 	p := a.Parts()[0]
-	if p.Text != "c41e77d0" || !strings.HasPrefix(p.List, "d=") || strings.Contains(p.List, "k=") {
+	if p.Text != "c41e77d0" || !strings.HasPrefix(p.Attrs, "d=") || strings.Contains(p.Attrs, "k=") {
 		t.Fatalf("%+v", p)
 	}
 	for range 20 {
 		post(t, k, "exchange-post", 0)
 	}
-	if p := a.Parts()[1]; !strings.HasSuffix(p.List, ",k=k"+strings.TrimSuffix(p.ID, ".0")) {
+	if p := a.Parts()[1]; !strings.HasSuffix(p.Attrs, ",k=k"+strings.TrimSuffix(p.ID, ".0")) {
 		t.Fatalf("%+v", p)
 	}
-	if n := a.Opened(); n != 1 {
+	if n := a.ConnsOpened(); n != 1 {
 		t.Fatalf("%d connections for one part at a time: they are not reused", n)
 	}
 }
@@ -214,7 +214,7 @@
 // tell the client that it did not.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	var n *standin.Node
-	n = standin.NewNode(t, func(standin.Part) (string, string) { n.Drop(); return "", "" })
+	n = standin.NewNode(t, func(standin.Part) (string, string) { n.ResetConns(); return "", "" })
 	k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 502 {
 		t.Fatalf("%d %s", r.Status, r.Body)
@@ -230,8 +230,8 @@
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	standin.Until(t, "the word that it is given up", func() bool { return len(a.Given()) > 0 })
-	if got, want := a.Given()[0], a.Parts()[0].ID; got != want {
+	standin.WaitFor(t, "the word that it is given up", func() bool { return len(a.Cancelled()) > 0 })
+	if got, want := a.Cancelled()[0], a.Parts()[0].ID; got != want {
 		t.Fatalf("%q is given up, want %q", got, want)
 	}
 }
@@ -245,8 +245,8 @@
 		wg.Add(1)
 		go func() { defer wg.Done(); post(t, k, "rate-check", 0) }()
 	}
-	standin.Until(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
-	if n := a.Opened(); n < 2 {
+	standin.WaitFor(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
+	if n := a.ConnsOpened(); n < 2 {
 		t.Errorf("%d connections for three parts out", n)
 	}
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
@@ -264,7 +264,7 @@
 	draining := hostAt("a", a.Addr, 0)
 	draining.Health = "terminating"
 	d.change(t, draining)
-	standin.Until(t, "the next watch", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.WaitFor(t, "the next watch", func() bool { return d.last() == "index=42&wait=1000" })
 	if got := d.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Fatalf("%q", got)
 	}
@@ -277,7 +277,7 @@
 
 // What waits for a connection that is still coming up is queued: a drain takes it back, and it never ran.
 func TestStopTakesBackWhatIsQueued(t *testing.T) {
-	n := NewNodes(config(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n := NewNodes(config(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
 	c := &nodeConn{n: n, node: &node{id: id}, waiting: map[string]*core.Attempt{},
@@ -314,7 +314,7 @@
 // After a restart the list known before it is enough to serve, while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
 	a := standin.NewNode(t, ok)
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	mute := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
 	c := config(t, &discovery{addr: mute.Addr})
 	c.Known = &hostList{Seq: 7, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
 	if r := post(t, run(t, c), "rate-check", 0); r.Status != 200 {
@@ -331,7 +331,7 @@
 		c := config(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
 		c.Known = &hostList{Seq: 41, Whole: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
 		k := run(t, c)
-		standin.Until(t, "a call", func() bool { return len(d.queries()) > 0 })
+		standin.WaitFor(t, "a call", func() bool { return len(d.queries()) > 0 })
 		if got := d.queries()[0]; got != first {
 			t.Errorf("%s: the first call was %q, want %q", mode, got, first)
 		}
@@ -350,14 +350,14 @@
 	first := newDiscovery(t, hostAt("a", a.Addr, 0))
 	first.mute = true
 	k := run(t, config(t, first))
-	standin.Until(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
+	standin.WaitFor(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	mute := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
 	begun := time.Now()
 	k.Reload(config(t, &discovery{addr: mute.Addr}))
-	standin.Until(t, "the call to a silent address", func() bool { return len(mute.Seen()) >= 1 })
+	standin.WaitFor(t, "the call to a silent address", func() bool { return len(mute.Requests()) >= 1 })
 	calls := len(first.queries())
 	if took := time.Since(begun); took > pushed.silence()/2 { // the call that is out would last longer
 		t.Errorf("the move took %v", took)
@@ -368,7 +368,7 @@
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
 	k.Reload(config(t, second))
-	standin.Until(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
+	standin.WaitFor(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
 	if got := second.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Errorf("%q", got)
 	}
@@ -381,14 +381,14 @@
 }
 
 func TestNotReadyBeforeAnyList(t *testing.T) {
-	mute := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	k, err := Start(config(t, &discovery{addr: mute.Addr}), standin.Quiet())
+	mute := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
+	k, err := Start(config(t, &discovery{addr: mute.Addr}), standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	standin.Until(t, "the call for the list", func() bool { return len(mute.Seen()) > 0 })
-	if r := standin.Call(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
+	standin.WaitFor(t, "the call for the list", func() bool { return len(mute.Requests()) > 0 })
+	if r := standin.DoHTTP(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
 		t.Fatal(r.Status)
 	}
 }
@@ -405,10 +405,10 @@
 	defer c.Close()
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	ended := make(chan struct{})
 	go func() { k.Shutdown(); close(ended) }()
-	standin.Until(t, "the end of readiness", func() bool { return !k.front.ready.Load() })
+	standin.WaitFor(t, "the end of readiness", func() bool { return !k.front.ready.Load() })
 	for n := range 2 {
 		r, err := c.Do("POST", "/rate-check", k.Addr(), [][2]string{{"X-Call-Id", fmt.Sprint("kept", n)}},
 			[]byte(`{"slices":[{"slice":1,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
@@ -441,7 +441,7 @@
 	_ = socks[0].Close()
 	c.PeerListen, c.Peers = own, []string{own, peer.LocalAddr().String()}
 	got := make(chan core.Event, 10)
-	p, err := listenPeers(c, standin.Quiet(), func(e core.Event) { got <- e }, nil)
+	p, err := listenPeers(c, standin.DiscardLogger(), func(e core.Event) { got <- e }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -510,7 +510,7 @@
 		"no time left":    {"POST", "/rate-check", good, [][2]string{id, {"X-Budget", "0"}}, 503},
 		"good":            {"POST", "/exchange-post", good, [][2]string{id, key, {"X-Budget", "2.5"}}, 200},
 	} {
-		if r := standin.Call(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
+		if r := standin.DoHTTP(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
 			t.Errorf("%s: %d, want %d", name, r.Status, c.want)
 		} else if c.path != "/up" && c.want/100 == 4 && r.Header.Get("Connection") != "close" {
 			t.Errorf("%s: the connection goes on", name)
@@ -527,12 +527,12 @@
 	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
 	k := run(t, config(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
 	ask := func() *lnet.Reply {
-		return standin.Call(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
+		return standin.DoHTTP(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
 			`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`)
 	}
 	first := make(chan *lnet.Reply, 1)
 	go func() { first <- ask() }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	if r := ask(); r.Status != 409 || r.Header.Get("Connection") != "close" {
 		t.Errorf("the second got %d", r.Status)
 	}
@@ -564,16 +564,16 @@
 		var first atomic.Bool
 		n := standin.NewNode(t, func(p standin.Part) (string, string) {
 			if first.CompareAndSwap(false, true) {
-				return standin.Raw, answer(p.ID)
+				return standin.RawReply, answer(p.ID)
 			}
 			return ok(p)
 		})
 		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		r := post(t, k, "rate-check", 0)
-		if !strings.Contains(string(r.Body), `"body":"v:`) || n.Opened() != 2 || len(n.Parts()) != 2 {
-			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.Opened())
+		if !strings.Contains(string(r.Body), `"body":"v:`) || n.ConnsOpened() != 2 || len(n.Parts()) != 2 {
+			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.ConnsOpened())
 		}
-		if len(n.Given()) != 0 {
+		if len(n.Cancelled()) != 0 {
 			t.Errorf("%s: it was waited for, and given up", name)
 		}
 		k.Close()
@@ -596,7 +596,7 @@
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part that is swallowed", func() bool { return len(n.Parts()) == 9 })
+	standin.WaitFor(t, "the part that is swallowed", func() bool { return len(n.Parts()) == 9 })
 	for waits, begun := true, time.Now(); waits; time.Sleep(silentLeast) {
 		select {
 		case got := <-held:
@@ -634,20 +634,20 @@
 		"unreadable report": {func(p standin.Part) string { return good(p, "rps=\x00,, =;") }, 1},
 		"report of words":   {func(p standin.Part) string { return good(p, "all is well") }, 1},
 	} {
-		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.Raw, c.answer(p) })
+		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.RawReply, c.answer(p) })
 		k := run(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		for range 2 {
 			if r := post(t, k, "exchange-post", 0); !strings.Contains(string(r.Body), `"body":"v:`) {
 				t.Errorf("%s: %d %s", name, r.Status, r.Body)
 			}
 			if c.conns > 1 {
-				standin.Until(t, "the end of the connection", func() bool {
+				standin.WaitFor(t, "the end of the connection", func() bool {
 					return len(k.nodes.connsOf(core.ServerID("a"))) == 0
 				})
 			}
 		}
-		if n.Opened() != c.conns || len(n.Parts()) != 2 {
-			t.Errorf("%s: %d parts on %d connections", name, len(n.Parts()), n.Opened())
+		if n.ConnsOpened() != c.conns || len(n.Parts()) != 2 {
+			t.Errorf("%s: %d parts on %d connections", name, len(n.Parts()), n.ConnsOpened())
 		}
 		k.Close()
 	}
@@ -662,7 +662,7 @@
 	k := run(t, config(t, d))
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	known := func() int {
 		k.nodes.mu.Lock()
 		defer k.nodes.mu.Unlock()
@@ -671,12 +671,12 @@
 	gone, idle := hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1)
 	gone.Health, idle.Health = "terminated", "terminated"
 	d.change(t, gone, idle, hostAt("b", b.Addr, 0))
-	standin.Until(t, "the idle one's end", func() bool { return known() == 2 })
+	standin.WaitFor(t, "the idle one's end", func() bool { return known() == 2 })
 	close(free)
 	if got := <-held; got != 200 {
 		t.Errorf("what was out got %d", got)
 	}
-	standin.Until(t, "the other one's end", func() bool { return known() == 1 })
+	standin.WaitFor(t, "the other one's end", func() bool { return known() == 1 })
 	if r := post(t, k, "rate-check", 0); r.Status != 200 || len(b.Parts()) != 1 {
 		t.Errorf("%d, %d parts at the new node", r.Status, len(b.Parts()))
 	}
@@ -787,7 +787,7 @@
 // figures asks the operators' door.
 func figures(t *testing.T, k *Coordinator) admin.Figures {
 	t.Helper()
-	r := standin.Call(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
+	r := standin.DoHTTP(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
 	var f admin.Figures
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
@@ -835,9 +835,9 @@
 		time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "an open request", func() bool { return figures(t, k).Active == 1 })
+	standin.WaitFor(t, "an open request", func() bool { return figures(t, k).Active == 1 })
 	c.Close()
-	standin.Until(t, "its end", func() bool { return figures(t, k).Active == 0 })
+	standin.WaitFor(t, "its end", func() bool { return figures(t, k).Active == 0 })
 }
 
 // A node that operators put out gets nothing new, whatever the list says, until they put it back; then it is
@@ -848,14 +848,14 @@
 	k := run(t, door(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
-		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
+		if r := standin.DoHTTP(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
 			t.Fatalf("%s %s: %d %s", name, id, r.Status, r.Body)
 		}
 	}
 	call("cordon", "c", 404)
 	call("cordon", "a", 200)
 	call("cordon", "a", 200)
-	standin.Until(t, "the figure", func() bool {
+	standin.WaitFor(t, "the figure", func() bool {
 		f := figures(t, k)
 		return f.PoolSize == 2 && f.PoolEjected == 1
 	})
@@ -863,7 +863,7 @@
 	again := hostAt("a", a.Addr, 0)
 	again.Born = float64(time.Now().UnixMilli())
 	d.change(t, again)
-	standin.Until(t, "the change", func() bool { return d.last() == "index=42&wait=1000" })
+	standin.WaitFor(t, "the change", func() bool { return d.last() == "index=42&wait=1000" })
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d", r.Status)
@@ -873,7 +873,7 @@
 		t.Fatalf("%d parts went to a node that is out", n)
 	}
 	call("uncordon", "a", 200)
-	standin.Until(t, "use of the node that is back", func() bool {
+	standin.WaitFor(t, "use of the node that is back", func() bool {
 		post(t, k, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -119,11 +119,11 @@
 	}
 	held := make(chan int, 1)
 	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	if err := k.Reload(door(t, d, added...)); err != nil {
 		t.Fatal(err)
 	}
-	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].List, ",k=") {
+	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].Attrs, ",k=") {
 		t.Fatalf("the new class got %d, its part %+v", r.Status, n.Parts()[0])
 	}
 	// rate-check and fresh go
@@ -134,7 +134,7 @@
 	if got := <-held; got != 200 {
 		t.Errorf("what was open when its class went got %d", got)
 	}
-	standin.Until(t, "the end of the class that went", func() bool {
+	standin.WaitFor(t, "the end of the class that went", func() bool {
 		return post(t, k, "rate-check", 1).Status == 404
 	})
 	for _, class := range []string{"other", "exchange-post"} {
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -30,7 +30,7 @@
 // askable waits until a successor can ask the process that serves.
 func askable(t *testing.T, cfg *Config) {
 	t.Helper()
-	standin.Until(t, "the socket to ask at", func() bool {
+	standin.WaitFor(t, "the socket to ask at", func() bool {
 		_, err := os.Lstat(socketPath(cfg))
 		return err == nil
 	})
@@ -58,7 +58,7 @@
 	askable(t, cfg)
 	say := func(k *Coordinator, name string) {
 		t.Helper()
-		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
+		if r := standin.DoHTTP(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
@@ -72,13 +72,13 @@
 	kept(t, c, "first")
 
 	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	fresh, err := Start(&now, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
-	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
+	standin.WaitFor(t, "the yes", func() bool {
+		return standin.DoHTTP(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
 		t.Error("the successor says yes before the old process knows of it")
@@ -88,15 +88,15 @@
 	}
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end of the old process's yes", func() bool { return old.ending.Load() })
-	if r := standin.Call(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	standin.WaitFor(t, "the end of the old process's yes", func() bool { return old.ending.Load() })
+	if r := standin.DoHTTP(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the old process says %d", r.Status)
 	}
 	for range 20 {
 		if r := post(t, fresh, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
-		if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+		if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 			t.Fatalf("/up says %d", r.Status)
 		}
 	}
@@ -107,20 +107,20 @@
 		t.Error("a connection to the old process goes on")
 	}
 	say(old, "uncordon")
-	standin.Until(t, "the call at the old process to hold in the new one", func() bool {
+	standin.WaitFor(t, "the call at the old process to hold in the new one", func() bool {
 		post(t, fresh, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
 	<-ended
 
 	last := *cfg // and the next one asks the one that serves now
-	if h, _ := inherit(&last, standin.Quiet()); h == nil {
+	if h, _ := inherit(&last, standin.DiscardLogger()); h == nil {
 		t.Fatal("nobody to take over from")
 	} else {
 		h.drop()
 	}
-	standin.Until(t, "the socket again, as that successor is gone", func() bool {
-		h, _ := inherit(&last, standin.Quiet())
+	standin.WaitFor(t, "the socket again, as that successor is gone", func() bool {
+		h, _ := inherit(&last, standin.DiscardLogger())
 		if h != nil {
 			h.drop()
 		}
@@ -149,7 +149,7 @@
 		if err != nil {
 			return
 		}
-		l := newLink(c, standin.Quiet())
+		l := newLink(c, standin.DiscardLogger())
 		if _, err := l.next(); err != nil {
 			return
 		}
@@ -160,7 +160,7 @@
 			told <- l
 		}
 	}()
-	fresh, err := Start(cfg, standin.Quiet())
+	fresh, err := Start(cfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -170,7 +170,7 @@
 		t.Fatal("the old process heard nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.DoHTTP(t, fresh.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the door says %d", r.Status)
 	}
 	if fresh.accepting.Load() {
@@ -179,10 +179,10 @@
 	if err := l.write(word{Heard: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
+	standin.WaitFor(t, "the yes", func() bool {
+		return standin.DoHTTP(t, fresh.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
-	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+	if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 		t.Errorf("/up says %d", r.Status)
 	}
 }
@@ -194,7 +194,7 @@
 	old := run(t, cfg)
 	askable(t, cfg)
 	now := *cfg
-	h, _ := inherit(&now, standin.Quiet())
+	h, _ := inherit(&now, standin.DiscardLogger())
 	if h == nil {
 		t.Fatal("nothing to take over")
 	}
@@ -208,13 +208,13 @@
 	kept(t, c, "before")
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end to begin", func() bool { return !old.front.ready.Load() })
+	standin.WaitFor(t, "the end to begin", func() bool { return !old.front.ready.Load() })
 	if !kept(t, c, "sigterm") {
 		t.Error("a connection is ended while there is nobody else to serve")
 	}
 	h.link.say(word{Ready: true})
-	standin.Until(t, "the yes for both", func() bool { return old.front.ready.Load() })
-	standin.Until(t, "the clients to be led over", func() bool {
+	standin.WaitFor(t, "the yes for both", func() bool { return old.front.ready.Load() })
+	standin.WaitFor(t, "the clients to be led over", func() bool {
 		return old.server.OpenConns() == 0 || !kept(t, c, "then")
 	})
 	<-ended
@@ -229,17 +229,17 @@
 	u := old.upgrade
 	whole := u.all
 	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	fresh, err := Start(&now, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(fresh.Close)
-	standin.Until(t, "its word to the old one", u.handedOver)
+	standin.WaitFor(t, "its word to the old one", u.handedOver)
 	if sum := u.budget.Capacity() + fresh.upgrade.budget.Capacity() + 2*leastSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "all for one", func() bool { return fresh.upgrade.budget.Capacity() == whole })
+	standin.WaitFor(t, "all for one", func() bool { return fresh.upgrade.budget.Capacity() == whole })
 }
 
 // A process may be taken over from while the one before it still ends: the three share what one may hold, and
@@ -251,12 +251,12 @@
 	follow := func(before *Coordinator) *Coordinator {
 		t.Helper()
 		now := *cfg
-		k, err := Start(&now, standin.Quiet())
+		k, err := Start(&now, standin.DiscardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		standin.Until(t, "its word to the one before", before.upgrade.handedOver)
+		standin.WaitFor(t, "its word to the one before", before.upgrade.handedOver)
 		return k
 	}
 	all := func(of ...*Coordinator) (sum int) {
@@ -266,7 +266,7 @@
 		return sum
 	}
 	second := follow(first)
-	standin.Until(t, "the second to be the one to ask", func() bool {
+	standin.WaitFor(t, "the second to be the one to ask", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
 		return second.upgrade.asked != nil
@@ -276,7 +276,7 @@
 		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.shared())
 	}
 	first.Shutdown()
-	standin.Until(t, "what the first one held", func() bool {
+	standin.WaitFor(t, "what the first one held", func() bool {
 		return all(second, third) == first.upgrade.shared()
 	})
 	for range 3 { // it stays so
@@ -286,7 +286,7 @@
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "all for one", func() bool { return third.upgrade.budget.Capacity() == third.upgrade.all })
+	standin.WaitFor(t, "all for one", func() bool { return third.upgrade.budget.Capacity() == third.upgrade.all })
 }
 
 // Where there is nobody to take over from, or no place to meet, a coordinator starts and serves all the same.
@@ -353,7 +353,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, fresh := newLink(ours, standin.Quiet()), newLink(theirs, standin.Quiet())
+	old, fresh := newLink(ours, standin.DiscardLogger()), newLink(theirs, standin.DiscardLogger())
 	defer old.close()
 	defer fresh.close()
 	if err := k.upgrade.greet(old); err != nil {
@@ -393,7 +393,7 @@
 		}
 	}()
 	k := run(t, cfg)
-	standin.Until(t, "each question", func() bool { return len(asked) == linkTries })
+	standin.WaitFor(t, "each question", func() bool { return len(asked) == linkTries })
 	select {
 	case <-k.watcher.whole:
 	default:
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -155,7 +155,7 @@
 				}
 			})
 			k := run(t, config(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the whole list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
+			standin.WaitFor(t, "the whole list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
@@ -195,12 +195,12 @@
 	down = true
 	mu.Unlock()
 	asked := d.count()
-	standin.Until(t, "calls to a silent discovery", func() bool { return d.count() > asked+8 })
+	standin.WaitFor(t, "calls to a silent discovery", func() bool { return d.count() > asked+8 })
 	mu.Lock()
 	both[0].Health = "terminating"
 	asked, down = d.count(), false
 	mu.Unlock()
-	standin.Until(t, "the watch that follows the answer", func() bool { // until then the whole list is asked for
+	standin.WaitFor(t, "the watch that follows the answer", func() bool { // until then the whole list is asked for
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return slices.ContainsFunc(d.seen[asked:], func(q string) bool { return q != "" })
@@ -225,7 +225,7 @@
 	})
 	c := config(t, &discovery{addr: d.addr})
 	c.Known = &hostList{Seq: 7, Whole: true, Hosts: both}
-	k, err := Start(c, standin.Quiet())
+	k, err := Start(c, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -236,8 +236,8 @@
 		t.Fatal("ready by an old list alone")
 	}
 	close(free)
-	standin.Until(t, "readiness", k.front.ready.Load)
-	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.whole; return !open })
+	standin.WaitFor(t, "readiness", k.front.ready.Load)
+	standin.WaitFor(t, "the list", func() bool { _, open := <-k.watcher.whole; return !open })
 	getsNothing(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
@@ -265,7 +265,7 @@
 	})
 	k := run(t, config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
 		`"membershipMode":"subscribe"`))
-	standin.Until(t, "the next call", func() bool { return d.count() >= 4 })
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 4 })
 	seen := d.queries()
 	if seen[2] != "index=1&wait=2500" || seen[3] != "index=2&wait=2500" {
 		t.Fatalf("%q", seen)
@@ -292,7 +292,7 @@
 	c := config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
 	c.Known = &hostList{Seq: 0, Whole: true, Hosts: both}
 	k := run(t, c)
-	standin.Until(t, "the next call", func() bool { return d.count() >= 2 })
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 2 })
 	seen := d.queries()
 	if seen[0] != "index=0&wait=2500" || seen[1] != "index=1&wait=2500" {
 		t.Fatalf("%q", seen)
@@ -317,5 +317,5 @@
 		}
 	})
 	k := run(t, config(t, &discovery{addr: d.addr}))
-	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
+	standin.WaitFor(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 }
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -18,7 +18,7 @@
 }
 
 // start runs a front alone, with one cell for each list of servers and the settings over the defaults.
-func start(t *testing.T, settings map[string]any, cells ...[]*standin.HTTP) string {
+func start(t *testing.T, settings map[string]any, cells ...[]*standin.HTTPServer) string {
 	t.Helper()
 	cfg := &Config{Listen: "127.0.0.1:0", Class: "day-report", Settings: settings}
 	for i, servers := range cells {
@@ -37,11 +37,11 @@
 func run(t *testing.T, pc *platform.Config, cfg *Config, alone bool) string {
 	t.Helper()
 	f, err := New(cfg, Place{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
-		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Alone: alone, Log: standin.Quiet()})
+		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Alone: alone, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := platform.Start(pc, standin.Quiet(), f)
+	k, err := platform.Start(pc, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,14 +50,14 @@
 }
 
 // fixed is a server with one reply for every query.
-func fixed(t *testing.T, status int, body string) []*standin.HTTP {
-	return []*standin.HTTP{standin.NewHTTP(t, func(string, url.Values) (int, string) { return status, body })}
+func fixed(t *testing.T, status int, body string) []*standin.HTTPServer {
+	return []*standin.HTTPServer{standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return status, body })}
 }
 
 // ask sends a range query and returns status, Retry-After and body.
 func ask(t *testing.T, addr, query, rest string) (int, string, string) {
 	t.Helper()
-	r := standin.Call(t, addr, "GET", rangePath+"?query="+url.QueryEscape(query)+"&"+rest, nil, "")
+	r := standin.DoHTTP(t, addr, "GET", rangePath+"?query="+url.QueryEscape(query)+"&"+rest, nil, "")
 	return r.Status, r.Header.Get("Retry-After"), string(r.Body)
 }
 
@@ -74,7 +74,7 @@
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
 	form := [][2]string{{"Content-Type", "application/x-www-form-urlencoded"}}
-	r := standin.Call(t, addr, "POST", rangePath, form, "query=m&start=1970-01-01T00:00:00Z&end=60&step=30s")
+	r := standin.DoHTTP(t, addr, "POST", rangePath, form, "query=m&start=1970-01-01T00:00:00Z&end=60&step=30s")
 	if want := matrix(a1, a2, b1); r.Status != 200 || string(r.Body) != want {
 		t.Fatalf("by POST: %d %s", r.Status, r.Body)
 	}
@@ -101,7 +101,7 @@
 			t.Errorf("%s: %d %s\nwant %s", query, status, body, want)
 		}
 	}
-	for _, seen := range append(one[0].Seen(), two[0].Seen()...) {
+	for _, seen := range append(one[0].Requests(), two[0].Requests()...) {
 		if !strings.Contains(seen, "query=m&") && !strings.Contains(seen, "query=%28m%29&") {
 			t.Errorf("a shard was asked for more than the inner expression: %s", seen)
 		}
@@ -118,7 +118,7 @@
 	if status != 200 || body != want {
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
-	if seen := s[0].Seen()[0]; !strings.Contains(seen, "end=100&") || !strings.Contains(seen, "start=10.5&") {
+	if seen := s[0].Requests()[0]; !strings.Contains(seen, "end=100&") || !strings.Contains(seen, "start=10.5&") {
 		t.Fatal(seen)
 	}
 }
@@ -155,7 +155,7 @@
 func withheld(t *testing.T, good string, server int, reply string, want int, kind string) {
 	const other = `{"metric":{"k":"9"},"values":[[0,"5"]]}`
 	const rest = "start=0&end=60&step=30"
-	cells := [][]*standin.HTTP{fixed(t, 200, matrix(good)), fixed(t, server, reply),
+	cells := [][]*standin.HTTPServer{fixed(t, 200, matrix(good)), fixed(t, server, reply),
 		fixed(t, 200, matrix(other))}
 	limit := ""
 	if kind == "timeout" {
@@ -213,7 +213,7 @@
 	s := fixed(t, 200, matrix(a1))
 	addr := start(t, map[string]any{"bounds": map[string]any{"connIdleUs": 300_000}}, s)
 	ask(t, addr, `m`, "start=0&end=60&step=30")
-	standin.Until(t, "the end of the idle connection", func() bool { return s[0].Open() == 0 })
+	standin.WaitFor(t, "the end of the idle connection", func() bool { return s[0].OpenConns() == 0 })
 }
 
 // Both fronts on one core: the servers are discovery's, the file adds where they answer range queries, and
@@ -222,7 +222,7 @@
 	drains, stays := fixed(t, 200, matrix(a1))[0], fixed(t, 200, matrix(a1))[0]
 	const hosts = `{"seq":%d,"whole":%t,"hosts":[{"host":"drains","dial":"127.0.0.1:1","site":"p","health":%q,
 		"share":1},{"host":"stays","dial":"127.0.0.1:1","site":"p","health":"in_service","share":1}]}`
-	discovery := standin.NewHTTP(t, func(_ string, v url.Values) (int, string) {
+	discovery := standin.NewHTTPServer(t, func(_ string, v url.Values) (int, string) {
 		switch v.Get("index") {
 		case "":
 			return 200, fmt.Sprintf(hosts, 1, true, "in_service")
@@ -243,13 +243,13 @@
 		t.Fatal(err)
 	}
 	addr := run(t, pc, file, false)
-	standin.Until(t, "the second watch", func() bool { return len(discovery.Seen()) >= 3 })
+	standin.WaitFor(t, "the second watch", func() bool { return len(discovery.Requests()) >= 3 })
 	for range 10 {
 		if status, _, body := ask(t, addr, `m`, "start=0&end=60&step=30"); status != 200 || body != matrix(a1) {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
-	if n := len(drains.Seen()); n != 0 {
+	if n := len(drains.Requests()); n != 0 {
 		t.Fatalf("%d parts went to a server that drains", n)
 	}
 }
@@ -271,9 +271,9 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "GET %s?query=m&start=0&end=60&step=30 HTTP/1.1\r\nHost: x\r\n\r\n", rangePath)
-	standin.Until(t, "the part", func() bool { return len(silent[0].Seen()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(silent[0].Requests()) > 0 })
 	_ = c.Close()
-	standin.Until(t, "the end of the part", func() bool { return silent[0].Gone() > 0 })
+	standin.WaitFor(t, "the end of the part", func() bool { return silent[0].Disconnects() > 0 })
 }
 
 func TestWhatIsNotServed(t *testing.T) {
@@ -290,7 +290,7 @@
 		{"GET", rangePath + "?query=topk(1,m)&start=0&end=60&step=1", 422, `"errorType":"execution"`},
 		{"GET", "/-/ready", 200, "ok"},
 	} {
-		r := standin.Call(t, addr, c.method, c.target, nil, "")
+		r := standin.DoHTTP(t, addr, c.method, c.target, nil, "")
 		if r.Status != c.status || !strings.Contains(string(r.Body), c.body) {
 			t.Errorf("%s %s: %d %s", c.method, c.target, r.Status, r.Body)
 		}
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -18,7 +18,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	rig.Clean()
+	rig.RemoveProgram()
 	os.Exit(code)
 }
 
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -92,8 +92,8 @@
 		p.nodes = append(p.nodes, newLedger(s.Node, seed*1009+uint64(i)))
 	}
 	p.rig, err = rig.New(rig.Config{Dir: dir, Program: pl.Program, Members: s.Members, Nodes: s.Nodes,
-		Seed: seed, Period: period, Limits: s.Fleet, Most: s.Members, Alone: s.Alone,
-		Edit: worthEdit(),
+		Seed: seed, Period: period, ExtraFleetConfig: s.Fleet, MaxMembers: s.Members, Standalone: s.Alone,
+		SettingsEdits: worthEdit(),
 		Answer: func(node int, q standin.Part) (string, string) {
 			p.book(time.Now(), func(x *Second) { x.Parts++ })
 			end := p.nodes[node].serve()
@@ -144,10 +144,10 @@
 // ready waits until all members serve, and with a fleet see each other.
 func (p *play) ready() error {
 	for end := time.Now().Add(settle); ; time.Sleep(20 * time.Millisecond) {
-		ok := p.s.Alone || rig.Settled(p.rig.Members())
+		ok := p.s.Alone || rig.Converged(p.rig.Members())
 		for _, m := range p.rig.Members() {
 			if ok {
-				r, err := m.Call("GET", "/admin/health", "")
+				r, err := m.CallAdmin("GET", "/admin/health", "")
 				ok = err == nil && r.Status == 200
 			}
 		}
@@ -192,10 +192,10 @@
 	}
 	switch e.Do {
 	case "cut":
-		p.rig.Cut([][]string{e.Who, e.From})
+		p.rig.Partition([][]string{e.Who, e.From})
 		return
 	case "heal":
-		p.rig.Between(rig.Fault{})
+		p.rig.SetAllLinkFaults(rig.Fault{})
 		return
 	}
 	for _, who := range e.Who {
@@ -206,9 +206,9 @@
 		case "start":
 			_ = m.Start() // its log says why, if it does not
 		case "stop":
-			m.Stop()
+			m.Pause()
 		case "cont":
-			m.Cont()
+			m.Resume()
 		}
 	}
 }
@@ -317,10 +317,10 @@
 		return 0
 	}
 	for _, m := range p.rig.Members() {
-		if !m.Up() {
+		if !m.Running() {
 			continue
 		}
-		r, err := m.Call("GET", "/admin/overload", "")
+		r, err := m.CallAdmin("GET", "/admin/overload", "")
 		var v struct{ Level int }
 		if err == nil && json.Unmarshal(r.Body, &v) == nil {
 			most = max(most, v.Level)
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -128,7 +128,7 @@
 	w.now = w.begin.UnixMicro()
 	w.ends = w.now + int64(s.For*1e6)
 	var settings map[string]any
-	text := strings.NewReplacer(worthEdit()...).Replace(rig.Settings)
+	text := strings.NewReplacer(worthEdit()...).Replace(rig.SettingsJSON)
 	if err := json.Unmarshal([]byte(text), &settings); err != nil {
 		return nil, err
 	}
--- a/internal/rig/build.go
+++ b/internal/rig/build.go
@@ -44,8 +44,8 @@
 	return build.path, build.err
 }
 
-// Clean removes what Program has built.
-func Clean() {
+// RemoveProgram removes what Program has built.
+func RemoveProgram() {
 	if build.path != "" {
 		_ = os.RemoveAll(filepath.Dir(build.path))
 	}
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -67,7 +67,7 @@
 	}
 	r.disco = d
 	for i := range mostMembers {
-		l, err := lnet.Listen(r.host(250, portDisco+i), lnet.NewBudget(32, 0), standin.Quiet(),
+		l, err := lnet.Listen(r.host(250, portDisco+i), lnet.NewBudget(32, 0), standin.DiscardLogger(),
 			func(q *lnet.Request, x *lnet.Exchange) func() { return d.serve(i, q, x) })
 		if err != nil {
 			return err
--- a/internal/rig/evidence_test.go
+++ b/internal/rig/evidence_test.go
@@ -11,7 +11,7 @@
 
 // judged are the verdicts by evidence at a member's door: kind and what.
 func (m *Member) judged() (out []string) {
-	reply, err := m.Call("GET", "/admin/verdicts", "")
+	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}
 	}
@@ -32,7 +32,7 @@
 func illRig(t *testing.T, share float64, seed uint64, edit ...string) *Rig {
 	t.Helper()
 	r, err := New(Config{Dir: t.TempDir(), Period: period / 2, Members: 5, Nodes: 8, Seed: seed, Rate: 40,
-		Limits: fmt.Sprintf("[fleet.evidence]\nshare = %g\n", share), Edit: edit})
+		ExtraFleetConfig: fmt.Sprintf("[fleet.evidence]\nshare = %g\n", share), SettingsEdits: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 	}
 	if !within(2*patience, allJudged(r, "path_sick n1@praha")) {
 		for _, m := range r.Members() {
-			reply, err := m.Call("GET", "/admin/verdicts", "")
+			reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
 		}
 		t.Fatal("n1 is not judged")
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -21,9 +21,9 @@
 	"lapislever/internal/standin"
 )
 
-// Settings is the settings object of a small deployment on the platform: two cells of one shard each, two
+// SettingsJSON is the settings object of a small deployment on the platform: two cells of one shard each, two
 // classes.
-const Settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":8,"quantumUs":5000,
+const SettingsJSON = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":8,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
  "bounds":{"cancel":true,"secondCopies":true,"sendCap":4,"retryAfter":true,"maxRetryAfterUs":2000000,
   "peers":true,"probes":true,"connIdleUs":15000000,"dialTimeoutUs":250000,"streamsPerConn":8,"maxOpen":200},
@@ -37,22 +37,22 @@
 
 // Config is what a rig is made of.
 type Config struct {
-	Dir     string // for logs and files; the caller's to remove
-	Members int
-	Seed    uint64
-	Period  time.Duration
-	Nodes   int     // data nodes; they hold the two cells in turn
-	Rate    float64 // queries a second and member
-	Keys    string  // text of the key file; empty: no keys
-	Limits  string  // [[limit]] tables of the fleet's file, or others
-	Program string  // path of the program; empty: it is built
+	Dir              string // for logs and files; the caller's to remove
+	Members          int
+	Seed             uint64
+	Period           time.Duration
+	Nodes            int     // data nodes; they hold the two cells in turn
+	Rate             float64 // queries a second and member
+	Keys             string  // text of the key file; empty: no keys
+	ExtraFleetConfig string  // [[limit]] tables of the fleet's file, or others
+	Program          string  // path of the program; empty: it is built
 	// Answer serves a part at a data node, instead of the rig's own way.
-	Answer func(node int, p standin.Part) (end, value string)
-	Alone  bool     // without the fleet: each by itself
-	Most   int      // members that there may be; 0: 64
-	Roster bool     // the members' names, instead of Most
-	Edit   []string // changes of Settings: old and new text in turn
-	Out    *History
+	Answer        func(node int, p standin.Part) (end, value string)
+	Standalone    bool     // without the fleet: each by itself
+	MaxMembers    int      // members that there may be; 0: 64
+	Roster        bool     // the members' names, instead of Most
+	SettingsEdits []string // changes of Settings: old and new text in turn
+	Out           *History
 	// Faults befall the members' system calls from the start of each process on; nil: none. PID is set here.
 	Faults *SyscallFaults
 }
@@ -164,7 +164,7 @@
 			r.Close()
 			return nil, err
 		}
-		n.Wide.Store(true)
+		n.Concurrent.Store(true)
 		r.nodes = append(r.nodes, n)
 		r.closers = append(r.closers, n.Close)
 	}
@@ -311,8 +311,8 @@
 	}
 }
 
-// Between puts a fault on all links between members.
-func (r *Rig) Between(f Fault) {
+// SetAllLinkFaults puts a fault on all links between members.
+func (r *Rig) SetAllLinkFaults(f Fault) {
 	for _, a := range r.members {
 		for _, b := range r.members {
 			r.Link(a.Name, b.Name, f)
@@ -397,7 +397,7 @@
 		}
 		fmt.Fprintf(&fleet, "roster = [%s]\n", strings.Join(names, ", "))
 	} else {
-		fmt.Fprintf(&fleet, "most = %d\n", cmp.Or(r.cfg.Most, 64))
+		fmt.Fprintf(&fleet, "most = %d\n", cmp.Or(r.cfg.MaxMembers, 64))
 	}
 	var join, routes []string
 	for _, o := range r.members {
@@ -417,7 +417,7 @@
 	}
 	fmt.Fprintf(&fleet, "[fleet.route]\n%s\n[fleet.detect]\nperiod_ms = %d\n", strings.Join(routes, "\n"),
 		r.cfg.Period.Milliseconds())
-	fleet.WriteString(r.cfg.Limits)
+	fleet.WriteString(r.cfg.ExtraFleetConfig)
 	text := strings.NewReplacer(edit...).Replace(fleet.String())
 	if err := replace(m.file("fleet.toml"), text); err != nil {
 		return nil, err
@@ -428,7 +428,7 @@
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"operator":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":400},"settings":%s}`, m.Name, m.Front(),
-		r.relayHost(1+m.index, portDisco), m.Door(), strings.NewReplacer(r.cfg.Edit...).Replace(Settings))
+		r.relayHost(1+m.index, portDisco), m.Door(), strings.NewReplacer(r.cfg.SettingsEdits...).Replace(SettingsJSON))
 	if err := replace(m.file("config.json"), conf); err != nil {
 		return nil, err
 	}
@@ -450,7 +450,7 @@
 		return nil, err
 	}
 	args := []string{"serve", "--fleet", m.file("fleet.toml")}
-	if m.rig.cfg.Alone {
+	if m.rig.cfg.Standalone {
 		args = args[:1]
 	}
 	if m.rig.cfg.Faults != nil {
@@ -485,16 +485,16 @@
 	m.Process().Kill()
 }
 
-// Stop and Cont are SIGSTOP and SIGCONT.
-func (m *Member) Stop() {
+// Pause and Cont are SIGSTOP and SIGCONT.
+func (m *Member) Pause() {
 	m.downs.Add(1)
 	m.up.Store(false)
 	m.note("stop")
 	m.Process().Signal(syscall.SIGSTOP)
 }
 
-// Cont lets a stopped member go on.
-func (m *Member) Cont() {
+// Resume lets a stopped member go on.
+func (m *Member) Resume() {
 	m.note("cont")
 	m.Process().Signal(syscall.SIGCONT)
 	m.up.Store(true)
@@ -574,8 +574,8 @@
 	return c.Do(method, path, addr, nil, []byte(body), time.Now().Add(pollLimit))
 }
 
-// Call makes one call to the member's door.
-func (m *Member) Call(method, path, body string) (*lnet.Reply, error) {
+// CallAdmin makes one call to the member's door.
+func (m *Member) CallAdmin(method, path, body string) (*lnet.Reply, error) {
 	return call(m.Door(), method, path, body)
 }
 
@@ -587,8 +587,8 @@
 	return m.view.Load()
 }
 
-// Up tells that the member runs.
-func (m *Member) Up() bool { return m.up.Load() }
+// Running tells that the member runs.
+func (m *Member) Running() bool { return m.up.Load() }
 
 // poll looks at the member's view, and notes each change.
 func (m *Member) poll() {
@@ -606,7 +606,7 @@
 			last = ""
 			continue
 		}
-		reply, err := m.Call("GET", "/admin/fleet", "")
+		reply, err := m.CallAdmin("GET", "/admin/fleet", "")
 		if err != nil || reply.Status != 200 {
 			continue
 		}
@@ -725,11 +725,11 @@
 
 // Running are the members that run.
 func (r *Rig) Running() []*Member {
-	return slices.DeleteFunc(slices.Clone(r.members), func(m *Member) bool { return !m.Up() })
+	return slices.DeleteFunc(slices.Clone(r.members), func(m *Member) bool { return !m.Running() })
 }
 
-// Settled tells that all members given see one view, in which just they are alive, and none in doubt.
-func Settled(members []*Member) bool {
+// Converged tells that all members given see one view, in which just they are alive, and none in doubt.
+func Converged(members []*Member) bool {
 	digest := ""
 	for _, m := range members {
 		v := m.View()
--- a/internal/rig/hold_test.go
+++ b/internal/rig/hold_test.go
@@ -90,7 +90,7 @@
 func TestAWriteThatIsHeldSendsNothingLate(t *testing.T) {
 	got := &arrivals{at: map[string][]time.Time{}}
 	var served atomic.Int64
-	r := open(t, Config{Members: 1, Seed: 61, Alone: true,
+	r := open(t, Config{Members: 1, Seed: 61, Standalone: true,
 		Faults: &SyscallFaults{Seed: 61, Holds: []SyscallHold{
 			{Call: HeldAttempt, Share: 0.12, Least: heldLeast, Most: heldMost}}},
 		Answer: func(_ int, p standin.Part) (string, string) {
--- a/internal/rig/late_test.go
+++ b/internal/rig/late_test.go
@@ -29,7 +29,7 @@
 
 func playLate(t *testing.T, seed uint64, budget time.Duration, faults *SyscallFaults) *latePlay {
 	p := &latePlay{t: t, budget: budget, got: &arrivals{at: map[string][]time.Time{}}}
-	p.rig = open(t, Config{Members: 1, Seed: seed, Nodes: 6, Alone: true, Faults: faults, Answer: p.answer})
+	p.rig = open(t, Config{Members: 1, Seed: seed, Nodes: 6, Standalone: true, Faults: faults, Answer: p.answer})
 	if !p.rig.Member("m00").serves(patience) {
 		t.Fatal("the coordinator does not serve")
 	}
--- a/internal/rig/limit_test.go
+++ b/internal/rig/limit_test.go
@@ -113,7 +113,7 @@
 
 // share is what a member's door says of the limit.
 func (m *Member) share() (share, inDoubt float64) {
-	reply, err := m.Call("GET", "/admin/limits", "")
+	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return -1, 0
 	}
@@ -134,7 +134,7 @@
 // the middle is one member, a stop longer than a term is waited out; and in no window does more reach the
 // data nodes than the limit.
 func TestOneLimitOverThreeProcesses(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 51, Rate: 100, Limits: aLimit, Most: 3})
+	r := open(t, Config{Members: 3, Seed: 51, Rate: 100, ExtraFleetConfig: aLimit, MaxMembers: 3})
 	awaitSettled(t, r, "start")
 	a, b, c := r.Member("m00"), r.Member("m01"), r.Member("m02")
 	b.Mute.Store(true)
@@ -176,16 +176,16 @@
 			t.Errorf("%s is cut off and has %.1f of its %.1f", m.Name, s, limitRate/3)
 		}
 	}
-	r.Between(Fault{Loss: 0.3, Twice: 0.3, Reorder: 0.3})
+	r.SetAllLinkFaults(Fault{Loss: 0.3, Twice: 0.3, Reorder: 0.3})
 	a.Mute.Store(true)
 	time.Sleep(10 * period)
 	if err := c.Upgrade(); err != nil {
 		t.Fatal(err)
 	}
 	a.Mute.Store(false)
-	b.Stop()
+	b.Pause()
 	time.Sleep(15 * period) // longer than a term
-	b.Cont()
+	b.Resume()
 	time.Sleep(10 * period)
 	if !r.Quiesce(patience) {
 		t.Fatal("queries without an answer")
@@ -228,7 +228,7 @@
 
 // shown is what a member's door says that the limit is, and its share.
 func (m *Member) shown() (limit, share float64) {
-	reply, err := m.Call("GET", "/admin/limits", "")
+	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return -1, -1
 	}
@@ -244,7 +244,7 @@
 // While limits differ, as in a roll-out, the stricter one holds at all, and the door shows who differs; the
 // greater one holds once all have it. Who is turned down because there is no room has nothing.
 func TestTheStricterLimitHoldsInARollOut(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 52, Limits: aLimit, Most: 3})
+	r := open(t, Config{Members: 3, Seed: 52, ExtraFleetConfig: aLimit, MaxMembers: 3})
 	awaitSettled(t, r, "start")
 	all := func(want float64) func() bool {
 		return func() bool {
@@ -302,7 +302,7 @@
 
 // holds are the members whose rest a member says that it has.
 func (m *Member) tenures() (of []string) {
-	reply, err := m.Call("GET", "/admin/limits", "")
+	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return nil
 	}
@@ -316,7 +316,7 @@
 func TestTheDeadsShareIsUsed(t *testing.T) {
 	const rate, burst = 50.0, 10.0
 	r := open(t, Config{Members: 5, Seed: 53, Rate: 40, Roster: true,
-		Limits: "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 50.0\nburst = 10.0\n"})
+		ExtraFleetConfig: "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 50.0\nburst = 10.0\n"})
 	awaitSettled(t, r, "start")
 	own := func(but ...string) func() bool {
 		return func() bool {
@@ -356,7 +356,7 @@
 	if got := float64(n) / 4; got < 0.82*rate { // of 0.9, and the four alone have 0.8
 		t.Errorf("%.1f of %.0f a second in use without one of five", got, rate)
 		for _, m := range r.Running() {
-			reply, err := m.Call("GET", "/admin/limits", "")
+			reply, err := m.CallAdmin("GET", "/admin/limits", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
 		}
 	}
@@ -380,7 +380,7 @@
 			t.Errorf("%s is cut off with one other and has %.1f of its %.1f", name, s, rate/5)
 		}
 	}
-	r.Between(Fault{})
+	r.SetAllLinkFaults(Fault{})
 	if !within(patience, own()) {
 		t.Fatal("not each its own after the heal")
 	}
@@ -421,7 +421,7 @@
 // What may be open at a time over the fleet, for a class and at one data node, and a rate for each tenant:
 // through a kill and a start at once, a cut, an upgrade and a stop, as the data nodes saw it.
 func TestLimitsOnWhatIsOpenAndForEach(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 54, Rate: 60, Roster: true, Limits: `[[limit]]
+	r := open(t, Config{Members: 3, Seed: 54, Rate: 60, Roster: true, ExtraFleetConfig: `[[limit]]
 name = "posts"
 class = "exchange-post"
 concurrent = 6
@@ -455,13 +455,13 @@
 	time.Sleep(10 * period)
 	r.cut([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
 	time.Sleep(15 * period)
-	r.Between(Fault{Loss: 0.2})
+	r.SetAllLinkFaults(Fault{Loss: 0.2})
 	if err := c.Upgrade(); err != nil {
 		t.Fatal(err)
 	}
-	a.Stop()
+	a.Pause()
 	time.Sleep(12 * period)
-	a.Cont()
+	a.Resume()
 	time.Sleep(10 * period)
 	if !r.Quiesce(patience) {
 		t.Fatal("queries without an answer")
--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -18,7 +18,7 @@
 
 func awaitSettled(t *testing.T, r *Rig, what string) {
 	t.Helper()
-	if !within(patience, func() bool { return Settled(r.Running()) }) {
+	if !within(patience, func() bool { return Converged(r.Running()) }) {
 		t.Fatalf("no one view: %s", what)
 	}
 }
@@ -250,7 +250,7 @@
 	r := open(t, Config{Members: 3, Seed: 24, Rate: 40})
 	awaitSettled(t, r, "start")
 	figures := func(m *Member) (sent, got int64) {
-		reply, err := m.Call("GET", "/admin/fleet", "")
+		reply, err := m.CallAdmin("GET", "/admin/fleet", "")
 		if err != nil {
 			return 0, 0
 		}
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -105,7 +105,7 @@
 	res := &Result{History: r.History, Took: map[string]float64{}}
 	period := r.cfg.Period
 	if s.Link != (Fault{}) {
-		r.Between(s.Link)
+		r.SetAllLinkFaults(s.Link)
 	}
 	for _, m := range r.members {
 		if err := m.Start(); err != nil {
@@ -162,7 +162,7 @@
 		r.cut(st.Sides, st.OneWay, s.Link)
 		return nil
 	case "heal":
-		r.Between(s.Link)
+		r.SetAllLinkFaults(s.Link)
 		return nil
 	case "add":
 		for range max(1, len(st.Who)) {
@@ -217,9 +217,9 @@
 	case "start":
 		return m.Start()
 	case "stop":
-		m.Stop()
+		m.Pause()
 	case "cont":
-		m.Cont()
+		m.Resume()
 	case "hup":
 		if err := m.Rewrite(); err != nil {
 			return err
@@ -238,8 +238,8 @@
 	return nil
 }
 
-// Cut separates sides; all other links are sound.
-func (r *Rig) Cut(sides [][]string) { r.cut(sides, false, Fault{}) }
+// Partition separates sides; all other links are sound.
+func (r *Rig) Partition(sides [][]string) { r.cut(sides, false, Fault{}) }
 
 // cut separates sides; all other links get the fault given.
 func (r *Rig) cut(sides [][]string, oneWay bool, rest Fault) {
@@ -276,7 +276,7 @@
 	}
 	holds := func() bool {
 		if st.Expect == "settled" {
-			return Settled(among)
+			return Converged(among)
 		}
 		for _, m := range among {
 			v := m.View()
--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -15,7 +15,7 @@
 func TestMain(m *testing.M) {
 	RunHelper()
 	code := m.Run()
-	Clean()
+	RemoveProgram()
 	os.Exit(code)
 }
 
@@ -67,12 +67,12 @@
 // Three processes see each other; one is killed, and two say so at their doors.
 func TestThreeProcessesSeeOneDie(t *testing.T) {
 	r := open(t, Config{Members: 3, Seed: 1, Rate: 10})
-	if !within(30*time.Second, func() bool { return Settled(r.Running()) }) {
+	if !within(30*time.Second, func() bool { return Converged(r.Running()) }) {
 		t.Fatal("the three never saw each other")
 	}
 	r.Member("m02").Kill()
 	begun := time.Now()
-	if !within(30*time.Second, func() bool { return Settled(r.Running()) }) {
+	if !within(30*time.Second, func() bool { return Converged(r.Running()) }) {
 		t.Fatal("the death was not seen")
 	}
 	t.Logf("known to both after %.1f periods", float64(time.Since(begun))/float64(period))
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -210,7 +210,7 @@
 		s.t.Errorf("seed %d: %s came to n%d %v after the word that it drains", s.seed, p.ID, node, since)
 	}
 	var d int64
-	if _, err := fmt.Sscanf(p.List, "d=%d", &d); err == nil {
+	if _, err := fmt.Sscanf(p.Attrs, "d=%d", &d); err == nil {
 		s.told.Store(fmt.Sprint(p.ID, " ", time.Now().UnixNano()), toldWait{p.ID, time.Now(),
 			time.Duration(d) * time.Millisecond})
 	}
@@ -309,7 +309,7 @@
 func playSoak(t *testing.T, seed uint64) {
 	s := &soak{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 23)), crowded: isCrowded(seed),
 		got: &arrivals{at: map[string][]time.Time{}}}
-	r := openIdle(t, Config{Members: 1, Seed: seed, Nodes: soakNodes, Alone: true, Faults: soakFaults(seed),
+	r := openIdle(t, Config{Members: 1, Seed: seed, Nodes: soakNodes, Standalone: true, Faults: soakFaults(seed),
 		Answer: s.answer})
 	s.rig = r
 	m := r.Member("m00")
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -27,7 +27,7 @@
 // say makes a call for the whole fleet at a member's door.
 func (m *Member) say(t *testing.T, call, body, query string) (status int, s said) {
 	t.Helper()
-	reply, err := m.Call("POST", "/admin/fleet/"+call+query, body)
+	reply, err := m.CallAdmin("POST", "/admin/fleet/"+call+query, body)
 	if err != nil {
 		t.Fatalf("%s at %s: %v", call, m.Name, err)
 	}
@@ -37,7 +37,7 @@
 
 // holds tells what a member's door says of verdicts: the things that are out.
 func (m *Member) holds() (what []string, told bool) {
-	reply, err := m.Call("GET", "/admin/verdicts", "")
+	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}, false
 	}
@@ -163,7 +163,7 @@
 	}) {
 		t.Fatal("the sides do not hold what was said there")
 	}
-	r.Between(Fault{})
+	r.SetAllLinkFaults(Fault{})
 	if !within(time.Duration(SettlePeriods)*period+sayLimit(6)+2*pollEvery, allHold(r, "n1", "n2")) {
 		t.Fatal("no one verdict after the heal")
 	}
@@ -226,7 +226,7 @@
 func TestAVerdictArrivesAtLoss(t *testing.T) {
 	r := open(t, Config{Members: 8, Seed: 34, Rate: 5})
 	awaitSettled(t, r, "start")
-	r.Between(Fault{Loss: 0.3, Twice: 0.2, Reorder: 0.2})
+	r.SetAllLinkFaults(Fault{Loss: 0.3, Twice: 0.2, Reorder: 0.2})
 	for k, who := range []string{"m00", "m05", "m03"} {
 		call, want := "cordon", []string{"n2"}
 		if k == 1 {
--- a/internal/standin/heldlog.go
+++ b/internal/standin/heldlog.go
@@ -8,39 +8,39 @@
 	"testing"
 )
 
-// HeldLog is a log that holds up whoever logs one of the messages given, until the test ends.
-type HeldLog struct {
+// BlockingLog is a log that holds up whoever logs one of the messages given, until the test ends.
+type BlockingLog struct {
 	mu       sync.Mutex // guards messages
 	messages []string
 	held     chan string
 	release  chan struct{}
 }
 
-// NewHeldLog returns such a log.
-func NewHeldLog(t testing.TB, messages ...string) *HeldLog {
-	h := &HeldLog{messages: messages, held: make(chan string, 100), release: make(chan struct{})}
+// NewBlockingLog returns such a log.
+func NewBlockingLog(t testing.TB, messages ...string) *BlockingLog {
+	h := &BlockingLog{messages: messages, held: make(chan string, 100), release: make(chan struct{})}
 	t.Cleanup(sync.OnceFunc(func() { close(h.release) }))
 	return h
 }
 
 // Logger is the log as the program takes it.
-func (h *HeldLog) Logger() *slog.Logger { return slog.New(h) }
+func (h *BlockingLog) Logger() *slog.Logger { return slog.New(h) }
 
-// Hold has the log hold up whoever logs a message, too.
-func (h *HeldLog) Hold(message string) {
+// Block has the log hold up whoever logs a message, too.
+func (h *BlockingLog) Block(message string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.messages = append(h.messages, message)
 }
 
-// Held hears of each message whose logger is held.
-func (h *HeldLog) Held() <-chan string { return h.held }
+// Blocked hears of each message whose logger is held.
+func (h *BlockingLog) Blocked() <-chan string { return h.held }
 
 // Enabled tells that all is logged.
-func (h *HeldLog) Enabled(context.Context, slog.Level) bool { return true }
+func (h *BlockingLog) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle holds the messages given and drops all others.
-func (h *HeldLog) Handle(_ context.Context, r slog.Record) error {
+func (h *BlockingLog) Handle(_ context.Context, r slog.Record) error {
 	h.mu.Lock()
 	hold := slices.Contains(h.messages, r.Message)
 	h.mu.Unlock()
@@ -52,7 +52,7 @@
 }
 
 // WithAttrs drops attributes, as it does records.
-func (h *HeldLog) WithAttrs([]slog.Attr) slog.Handler { return h }
+func (h *BlockingLog) WithAttrs([]slog.Attr) slog.Handler { return h }
 
 // WithGroup drops groups.
-func (h *HeldLog) WithGroup(string) slog.Handler { return h }
+func (h *BlockingLog) WithGroup(string) slog.Handler { return h }
--- a/internal/standin/newform.go
+++ b/internal/standin/newform.go
@@ -18,60 +18,60 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// NewCall is one call as a node of the new form got it.
-type NewCall struct {
+// GRPCCall is one call as a node of the new form got it.
+type GRPCCall struct {
 	ID, Class, Key, Timeout, Filter string
 	Shard                           int
 	Conn                            int // 1 is its first connection
 	Stream                          uint32
 }
 
-// NewDo is what a node of the new form does with a call. The zero NewDo answers with the text "".
-type NewDo struct {
-	Text    string
-	Message []byte // of the answer, in place of one made of Text
-	Prefix  []byte // of the message, in place of a true one
-	Status  string // grpc-status; "": 0, or none where HTTP is set
-	Unseen  bool
-	HTTP    int    // status without a status of gRPC
-	Kind    string // content type
-	Silent  bool   // no answer
-	Reset   *http2.ErrCode
-	Drop    bool // the connection breaks
-	GoAway  bool // after the answer
-	Wait    time.Duration
+// GRPCReply is what a node of the new form does with a call. The zero NewDo answers with the text "".
+type GRPCReply struct {
+	Text        string
+	Message     []byte // of the answer, in place of one made of Text
+	Prefix      []byte // of the message, in place of a true one
+	Status      string // grpc-status; "": 0, or none where HTTP is set
+	Unseen      bool
+	HTTPStatus  int    // status without a status of gRPC
+	ContentType string // content type
+	NoReply     bool   // no answer
+	Reset       *http2.ErrCode
+	ResetConn   bool // the connection breaks
+	GoAway      bool // after the answer
+	Delay       time.Duration
 }
 
-// Code is an error code's address.
-func Code(c http2.ErrCode) *http2.ErrCode { return &c }
-
-// NewOptions are a node's.
-type NewOptions struct {
-	Streams  uint32 // as it tells; 0: not told
-	Window   uint32 // of a stream for requests; 0: the default
-	Stingy   bool   // it gives no windows back
-	Mute     bool   // it sends nothing by itself, its settings neither
-	TLS      *tls.Config
-	Refuse   func(conn int, stream uint32) bool // at the head: REFUSED_STREAM
-	LeaveOut func(conn int, stream uint32) bool // at the head: GOAWAY with the stream before it as the last
+// ErrCode is an error code's address.
+func ErrCode(c http2.ErrCode) *http2.ErrCode { return &c }
+
+// GRPCOptions are a node's.
+type GRPCOptions struct {
+	MaxStreams      uint32 // as it tells; 0: not told
+	StreamWindow    uint32 // of a stream for requests; 0: the default
+	NoWindowUpdates bool   // it gives no windows back
+	NoControlFrames bool   // it sends nothing by itself, its settings neither
+	TLS             *tls.Config
+	RefuseStream    func(conn int, stream uint32) bool // at the head: REFUSED_STREAM
+	GoAwayBefore    func(conn int, stream uint32) bool // at the head: GOAWAY with the stream before it as the last
 }
 
 // GRPCNode is a stand-in for a node of the new form, written from RFC 9113 and gRPC's page on HTTP/2.
 type GRPCNode struct {
 	Addr   string
-	o      NewOptions
-	f      func(NewCall) NewDo
+	o      GRPCOptions
+	f      func(GRPCCall) GRPCReply
 	l      net.Listener
 	mu     sync.Mutex
 	conns  map[net.Conn]bool
 	opened int
-	calls  []NewCall
+	calls  []GRPCCall
 	resets int // by the client
 	pings  int
 }
 
-// NewGRPC starts one.
-func NewGRPC(t testing.TB, o NewOptions, f func(NewCall) NewDo) *GRPCNode {
+// NewGRPCNode starts one.
+func NewGRPCNode(t testing.TB, o GRPCOptions, f func(GRPCCall) GRPCReply) *GRPCNode {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,11 +99,11 @@
 // Close ends it as a dying process does.
 func (n *GRPCNode) Close() {
 	_ = n.l.Close()
-	n.Drop()
+	n.ResetConns()
 }
 
-// Drop resets its connections.
-func (n *GRPCNode) Drop() {
+// ResetConns resets its connections.
+func (n *GRPCNode) ResetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -116,17 +116,17 @@
 
 // Calls are the calls so far whose last byte came, Opened counts connections, Resets the streams that the
 // client gave up, Pings its pings.
-func (n *GRPCNode) Calls() []NewCall {
+func (n *GRPCNode) Calls() []GRPCCall {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]NewCall(nil), n.calls...)
+	return append([]GRPCCall(nil), n.calls...)
 }
 
-// Opened counts connections.
-func (n *GRPCNode) Opened() int { n.mu.Lock(); defer n.mu.Unlock(); return n.opened }
+// ConnsOpened counts connections.
+func (n *GRPCNode) ConnsOpened() int { n.mu.Lock(); defer n.mu.Unlock(); return n.opened }
 
-// Open counts those that are open.
-func (n *GRPCNode) Open() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) }
+// OpenConns counts those that are open.
+func (n *GRPCNode) OpenConns() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) }
 
 // Resets counts the streams that the client gave up.
 func (n *GRPCNode) Resets() int { n.mu.Lock(); defer n.mu.Unlock(); return n.resets }
@@ -165,17 +165,17 @@
 	k := &newConn{n: n, c: c, number: number, fr: http2.NewFramer(c, c)}
 	k.enc = hpack.NewEncoder(&k.block)
 	k.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	if !n.o.Mute {
+	if !n.o.NoControlFrames {
 		var s []http2.Setting
-		if n.o.Streams > 0 {
-			s = append(s, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: n.o.Streams})
+		if n.o.MaxStreams > 0 {
+			s = append(s, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: n.o.MaxStreams})
 		}
-		if n.o.Window > 0 {
-			s = append(s, http2.Setting{ID: http2.SettingInitialWindowSize, Val: n.o.Window})
+		if n.o.StreamWindow > 0 {
+			s = append(s, http2.Setting{ID: http2.SettingInitialWindowSize, Val: n.o.StreamWindow})
 		}
 		_ = k.fr.WriteSettings(s...)
 	}
-	heads := map[uint32]*NewCall{}
+	heads := map[uint32]*GRPCCall{}
 	bodies := map[uint32][]byte{}
 	for {
 		f, err := k.fr.ReadFrame()
@@ -184,7 +184,7 @@
 		}
 		switch f := f.(type) {
 		case *http2.SettingsFrame:
-			if !f.IsAck() && !n.o.Mute {
+			if !f.IsAck() && !n.o.NoControlFrames {
 				k.write(func() { _ = k.fr.WriteSettingsAck() })
 			}
 		case *http2.PingFrame:
@@ -192,7 +192,7 @@
 				n.mu.Lock()
 				n.pings++
 				n.mu.Unlock()
-				if !n.o.Mute {
+				if !n.o.NoControlFrames {
 					k.write(func() { _ = k.fr.WritePing(true, f.Data) })
 				}
 			}
@@ -202,13 +202,13 @@
 			n.mu.Unlock()
 		case *http2.MetaHeadersFrame:
 			id := f.StreamID
-			if n.o.Refuse != nil && n.o.Refuse(number, id) {
+			if n.o.RefuseStream != nil && n.o.RefuseStream(number, id) {
 				k.write(func() { _ = k.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 				continue
 			}
 			out := false
 			k.write(func() {
-				if out = k.away; !out && n.o.LeaveOut != nil && n.o.LeaveOut(number, id) {
+				if out = k.away; !out && n.o.GoAwayBefore != nil && n.o.GoAwayBefore(number, id) {
 					out = true
 					k.goAway(id - 1)
 				}
@@ -219,7 +219,7 @@
 			if out {
 				continue
 			}
-			call := &NewCall{Conn: number, Stream: id}
+			call := &GRPCCall{Conn: number, Stream: id}
 			for _, h := range f.RegularFields() {
 				switch h.Name {
 				case "grpc-timeout":
@@ -232,7 +232,7 @@
 		case *http2.DataFrame:
 			id := f.StreamID
 			bodies[id] = append(bodies[id], f.Data()...)
-			if !n.o.Stingy && f.Length > 0 {
+			if !n.o.NoWindowUpdates && f.Length > 0 {
 				k.write(func() {
 					_ = k.fr.WriteWindowUpdate(0, f.Length)
 					if !f.StreamEnded() {
@@ -270,7 +270,7 @@
 }
 
 // readPart reads a call's message.
-func readPart(call *NewCall, b []byte) {
+func readPart(call *GRPCCall, b []byte) {
 	if len(b) < 5 || int(binary.BigEndian.Uint32(b[1:])) != len(b)-5 {
 		call.ID = "unreadable"
 		return
@@ -303,8 +303,8 @@
 	}
 }
 
-// TextAnswer is the message of an answer with a text and a report.
-func TextAnswer(shard int, text string) []byte {
+// TextMessage is the message of an answer with a text and a report.
+func TextMessage(shard int, text string) []byte {
 	b := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), uint64(shard))
 	b = protowire.AppendString(protowire.AppendTag(b, 2, protowire.BytesType), text)
 	load := protowire.AppendFixed64(protowire.AppendTag(nil, 1, protowire.Fixed64Type), math.Float64bits(5))
@@ -313,9 +313,9 @@
 }
 
 // answer does with a call as the script says.
-func (k *newConn) answer(call NewCall) {
+func (k *newConn) answer(call GRPCCall) {
 	do := k.n.f(call)
-	time.Sleep(do.Wait)
+	time.Sleep(do.Delay)
 	id := call.Stream
 	head := func(end bool, fields ...string) {
 		k.block.Reset()
@@ -325,22 +325,22 @@
 		_ = k.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: k.block.Bytes(), EndStream: end,
 			EndHeaders: true})
 	}
-	kind := do.Kind
+	kind := do.ContentType
 	if kind == "" {
 		kind = "application/grpc"
 	}
 	k.write(func() {
 		switch {
-		case do.Drop:
+		case do.ResetConn:
 			if t, ok := k.c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
 			_ = k.c.Close()
 		case do.Reset != nil:
 			_ = k.fr.WriteRSTStream(id, *do.Reset)
-		case do.Silent:
-		case do.HTTP != 0 && do.Status == "":
-			head(true, ":status", strconv.Itoa(do.HTTP), "content-type", "text/html")
+		case do.NoReply:
+		case do.HTTPStatus != 0 && do.Status == "":
+			head(true, ":status", strconv.Itoa(do.HTTPStatus), "content-type", "text/html")
 		case do.Status != "" && do.Status != "0":
 			fields := []string{":status", "200", "content-type", kind, "grpc-status", do.Status, "grpc-message",
 				"scripted"}
@@ -351,7 +351,7 @@
 		default:
 			b := do.Message
 			if b == nil {
-				b = TextAnswer(call.Shard, do.Text)
+				b = TextMessage(call.Shard, do.Text)
 			}
 			prefix := do.Prefix
 			if prefix == nil {
@@ -371,28 +371,28 @@
 	})
 }
 
-// AJP is a front that forwards by AJP, written from the protocol's page: one connection.
-type AJP struct {
+// AJPClient is a front that forwards by AJP, written from the protocol's page: one connection.
+type AJPClient struct {
 	c net.Conn
 	t testing.TB
 }
 
 // DialAJP connects to a listener.
-func DialAJP(t testing.TB, addr string) *AJP {
+func DialAJP(t testing.TB, addr string) *AJPClient {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return &AJP{c: c, t: t}
+	return &AJPClient{c: c, t: t}
 }
 
 // Close ends the connection.
-func (a *AJP) Close() { _ = a.c.Close() }
+func (a *AJPClient) Close() { _ = a.c.Close() }
 
-// Raw writes bytes as they are.
-func (a *AJP) Raw(b []byte) { _, _ = a.c.Write(b) }
+// WriteRaw writes bytes as they are.
+func (a *AJPClient) WriteRaw(b []byte) { _, _ = a.c.Write(b) }
 
 // AJPPacket is a packet towards a container.
 func AJPPacket(payload []byte) []byte {
@@ -403,8 +403,8 @@
 	return append(append(binary.BigEndian.AppendUint16(b, uint16(len(s))), s...), 0)
 }
 
-// AJPForward is the payload of a forwarded request.
-func AJPForward(method byte, uri string, header [][2]string, attrs ...string) []byte {
+// AJPRequest is the payload of a forwarded request.
+func AJPRequest(method byte, uri string, header [][2]string, attrs ...string) []byte {
 	b := []byte{2, method}
 	for _, s := range []string{"HTTP/1.1", uri, "10.9.8.7", "", "ledger.example"} {
 		b = ajpText(b, s)
@@ -434,16 +434,16 @@
 
 // AJPReply is a whole reply.
 type AJPReply struct {
-	Status int
-	Header map[string]string
-	Body   string
-	Reuse  bool
-	Pong   bool
-	Asked  []int // bytes of body that were asked for
+	Status       int
+	Header       map[string]string
+	Body         string
+	Reuse        bool
+	Pong         bool
+	BodyRequests []int // bytes of body that were asked for
 }
 
-// Read reads a reply; more is asked for the next chunk of the body.
-func (a *AJP) Read(more func(n int) []byte) (*AJPReply, error) {
+// ReadReply reads a reply; more is asked for the next chunk of the body.
+func (a *AJPClient) ReadReply(more func(n int) []byte) (*AJPReply, error) {
 	r := &AJPReply{Header: map[string]string{}}
 	_ = a.c.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for {
@@ -468,8 +468,8 @@
 			return r, nil
 		case 6:
 			n := int(binary.BigEndian.Uint16(b[1:]))
-			r.Asked = append(r.Asked, n)
-			a.Raw(AJPPacket(more(n)))
+			r.BodyRequests = append(r.BodyRequests, n)
+			a.WriteRaw(AJPPacket(more(n)))
 		case 4:
 			r.Status = int(binary.BigEndian.Uint16(b[1:]))
 			_, rest := text(b[3:])
@@ -496,27 +496,27 @@
 	}
 }
 
-// AJPBody is the payload of a chunk.
-func AJPBody(b []byte) []byte {
+// AJPChunk is the payload of a chunk.
+func AJPChunk(b []byte) []byte {
 	if len(b) == 0 {
 		return nil
 	}
 	return append(binary.BigEndian.AppendUint16(nil, uint16(len(b))), b...)
 }
 
-// Call forwards a request with its body and reads the reply.
-func (a *AJP) Call(uri string, header [][2]string, body string, attrs ...string) (*AJPReply, error) {
+// Do forwards a request with its body and reads the reply.
+func (a *AJPClient) Do(uri string, header [][2]string, body string, attrs ...string) (*AJPReply, error) {
 	header = append([][2]string{{"Content-Length", strconv.Itoa(len(body))}}, header...)
-	a.Raw(AJPPacket(AJPForward(4, uri, header, attrs...)))
+	a.WriteRaw(AJPPacket(AJPRequest(4, uri, header, attrs...)))
 	left := []byte(body)
 	next := func(n int) []byte {
 		n = min(n, len(left), 8186)
-		part := AJPBody(left[:n])
+		part := AJPChunk(left[:n])
 		left = left[n:]
 		return part
 	}
 	if len(body) > 0 {
-		a.Raw(AJPPacket(next(8186)))
+		a.WriteRaw(AJPPacket(next(8186)))
 	}
-	return a.Read(next)
+	return a.ReadReply(next)
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -19,11 +19,11 @@
 	lnet "lapislever/internal/net"
 )
 
-// Quiet is a log that nobody reads.
-func Quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// DiscardLogger is a log that nobody reads.
+func DiscardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// Call sends one request on a connection of its own.
-func Call(t testing.TB, addr, method, target string, header [][2]string, body string) *lnet.Reply {
+// DoHTTP sends one request on a connection of its own.
+func DoHTTP(t testing.TB, addr, method, target string, header [][2]string, body string) *lnet.Reply {
 	t.Helper()
 	c, err := lnet.Dial(addr, 5*time.Second, 1<<20)
 	if err != nil {
@@ -41,9 +41,9 @@
 	return r
 }
 
-// HTTP is a stand-in server; a reply without a status is withheld. Silent ends tell how many of the clients
+// HTTPServer is a stand-in server; a reply without a status is withheld. Silent ends tell how many of the clients
 // whose reply was withheld have left.
-type HTTP struct {
+type HTTPServer struct {
 	Addr string
 	l    *lnet.Server
 	mu   sync.Mutex
@@ -51,11 +51,11 @@
 	gone int
 }
 
-// NewHTTP starts a stand-in server that answers by f. Of a form the parameters are handed over.
-func NewHTTP(t testing.TB, f func(path string, v url.Values) (int, string)) *HTTP {
+// NewHTTPServer starts a stand-in server that answers by f. Of a form the parameters are handed over.
+func NewHTTPServer(t testing.TB, f func(path string, v url.Values) (int, string)) *HTTPServer {
 	t.Helper()
-	h := &HTTP{}
-	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(100, 0), Quiet(),
+	h := &HTTPServer{}
+	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(100, 0), DiscardLogger(),
 		func(r *lnet.Request, x *lnet.Exchange) func() {
 			v, _ := url.ParseQuery(r.Query + "&" + string(r.Body))
 			h.mu.Lock()
@@ -79,25 +79,25 @@
 	return h
 }
 
-// Open counts the connections that are open.
-func (h *HTTP) Open() int { return h.l.OpenConns() }
+// OpenConns counts the connections that are open.
+func (h *HTTPServer) OpenConns() int { return h.l.OpenConns() }
 
-// Seen are the requests so far, as path and sorted parameters.
-func (h *HTTP) Seen() []string {
+// Requests are the requests so far, as path and sorted parameters.
+func (h *HTTPServer) Requests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.seen...)
 }
 
-// Gone counts the clients that left before their reply.
-func (h *HTTP) Gone() int {
+// Disconnects counts the clients that left before their reply.
+func (h *HTTPServer) Disconnects() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.gone
 }
 
-// Until waits for something that must come, however slow the machine is.
-func Until(t testing.TB, what string, ok func() bool) {
+// WaitFor waits for something that must come, however slow the machine is.
+func WaitFor(t testing.TB, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -108,8 +108,8 @@
 
 // Part is one part as a data node got it, on its first connection, its second and so on.
 type Part struct {
-	ID, List, Text string
-	Conn           int
+	ID, Attrs, Text string
+	Conn            int
 }
 
 // Node is a stand-in data node. It hands every frame but the parts' to nobody; each part goes to the
@@ -124,12 +124,12 @@
 	conns  []net.Conn
 	opened int
 
-	// Wide has the parts of a connection answered side by side, not one after the other.
-	Wide atomic.Bool
+	// Concurrent has the parts of a connection answered side by side, not one after the other.
+	Concurrent atomic.Bool
 }
 
-// Raw stands for an answer that is no frame.
-const Raw = "raw"
+// RawReply stands for an answer that is no frame.
+const RawReply = "raw"
 
 // NewNode starts a data node.
 func NewNode(t testing.TB, f func(p Part) (end, value string)) *Node {
@@ -169,11 +169,11 @@
 // Close ends the node as a dying process does.
 func (n *Node) Close() {
 	_ = n.l.Close()
-	n.Drop()
+	n.ResetConns()
 }
 
-// Drop resets its connections.
-func (n *Node) Drop() {
+// ResetConns resets its connections.
+func (n *Node) ResetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
@@ -190,22 +190,22 @@
 	return append([]Part(nil), n.parts...)
 }
 
-// Given are the ids that were given up.
-func (n *Node) Given() []string {
+// Cancelled are the ids that were given up.
+func (n *Node) Cancelled() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.given...)
 }
 
-// Opened counts the connections so far.
-func (n *Node) Opened() int {
+// ConnsOpened counts the connections so far.
+func (n *Node) ConnsOpened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.opened
 }
 
-// Frame writes one frame.
-func Frame(w io.Writer, rest string) {
+// WriteFrame writes one frame.
+func WriteFrame(w io.Writer, rest string) {
 	b := binary.LittleEndian.AppendUint32(nil, uint32(len(rest)))
 	_, _ = w.Write(append(b, rest...))
 }
@@ -220,10 +220,10 @@
 	frame := func(rest string) {
 		writing.Lock()
 		defer writing.Unlock()
-		Frame(c, rest)
+		WriteFrame(c, rest)
 	}
 	answer := func(p Part) {
-		if end, value := f(p); end == Raw {
+		if end, value := f(p); end == RawReply {
 			write(value)
 		} else if end != "" {
 			frame(fmt.Sprintf("5%s %s 1 qps=5,queue=2\n%s", p.ID, end, value))
@@ -244,7 +244,7 @@
 				line, more, _ := strings.Cut(rest, "\n")
 				p := Part{Conn: number}
 				var shard, size int
-				if _, err := fmt.Sscanf(line, "%s %d %s %d", &p.ID, &shard, &p.List, &size); err != nil {
+				if _, err := fmt.Sscanf(line, "%s %d %s %d", &p.ID, &shard, &p.Attrs, &size); err != nil {
 					frame("Xbad line")
 					return
 				}
@@ -252,7 +252,7 @@
 				n.mu.Lock()
 				n.parts = append(n.parts, p)
 				n.mu.Unlock()
-				if n.Wide.Load() {
+				if n.Concurrent.Load() {
 					go answer(p)
 				} else {
 					answer(p)
