--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -170,7 +170,7 @@
 				}
 				for i, x := range fronts {
 					if old, ok := x.(*kiosk.Front); ok {
-						old.Adopt(anew[i].(*kiosk.Front))
+						old.Reload(anew[i].(*kiosk.Front))
 					}
 				}
 			}
--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -57,7 +57,7 @@
 	budget *lnet.Budget
 	log    *slog.Logger
 	count  *core.Counts
-	tally  *translate.Tally
+	tally  *translate.FailureCounts
 	post   func(core.Event)
 
 	mu    sync.Mutex // guards nodes, out
@@ -67,7 +67,7 @@
 
 // New returns the way to nodes that Learn will tell of. keys may be nil where no node is reached by TLS.
 func New(cfg Config, keys *Credentials, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
-	tally *translate.Tally, post func(core.Event)) *Backend {
+	tally *translate.FailureCounts, post func(core.Event)) *Backend {
 	return &Backend{cfg: cfg, keys: keys, budget: budget, log: log, count: count, tally: tally, post: post,
 		nodes: map[balance.ReplicaID]*node{}, out: map[*core.Attempt]*conn{}}
 }
@@ -344,24 +344,24 @@
 		return translate.Result{Outcome: balance.Error, Reason: why}, core.Value{}, nil
 	}
 	if len(s.reply) < prefixSize {
-		return bad(translate.BadReply) // success without a message
+		return bad(translate.UnreadableReply) // success without a message
 	}
 	if s.reply[0] != 0 {
 		return bad(translate.Compressed)
 	}
 	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-prefixSize) {
-		return bad(translate.BadReply) // cut short, or more than one
+		return bad(translate.UnreadableReply) // cut short, or more than one
 	}
 	a, err := ParseAnswer(s.reply[prefixSize:])
 	if err != nil {
-		return bad(translate.BadReply)
+		return bad(translate.UnreadableReply)
 	}
 	text, why := a.Value(s.a.Shard, b.cfg.MaxValue)
 	if why != translate.None {
 		return bad(why)
 	}
 	var report []float32
-	if a.Loaded {
+	if a.HasReport {
 		report = []float32{float32(a.Rate), float32(a.Waiting)}
 	}
 	return translate.Result{Outcome: balance.OK}, core.Value{Body: text}, report
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -343,9 +343,9 @@
 	for _, s := range all {
 		r := translate.Result{Outcome: balance.NoConnection}
 		if s.whole || s.ended && writing { // of what is just being written it is not known how far it comes
-			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
+			r = translate.Result{Outcome: balance.Reset, Reason: translate.Unreachable}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
-				r = translate.Result{Outcome: balance.Malformed, Reason: translate.BadReply}
+				r = translate.Result{Outcome: balance.Malformed, Reason: translate.UnreadableReply}
 			}
 		}
 		c.b.done(c.n, s.a, r, core.Value{}, nil)
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -38,7 +38,7 @@
 			s := c.streams[bad.StreamID]
 			c.mu.Unlock()
 			if s != nil {
-				c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
+				c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil,
 					http2.ErrCodeProtocol)
 			}
 			continue
@@ -95,9 +95,9 @@
 		if s == nil {
 			return nil
 		}
-		r := translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
+		r := translate.Result{Outcome: balance.Reset, Reason: translate.Unreachable}
 		if f.ErrCode == http2.ErrCodeRefusedStream {
-			r = translate.Result{Outcome: balance.Busy, Reason: translate.Turned}
+			r = translate.Result{Outcome: balance.Busy, Reason: translate.Rejected}
 		}
 		c.finish(s, r, core.Value{}, nil, http2.ErrCodeNo)
 	case *http2.GoAwayFrame:
@@ -191,7 +191,7 @@
 	c.poke()
 	c.b.log.Info("a node goes away", "node", c.n.name, "code", f.ErrCode, "left_out", len(out))
 	for _, s := range out {
-		c.b.done(c.n, s.a, translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
+		c.b.done(c.n, s.a, translate.Result{Outcome: balance.NotSent, Reason: translate.Rejected}, core.Value{}, nil)
 	}
 }
 
@@ -231,7 +231,7 @@
 		return nil
 	}
 	bad := func(code http2.ErrCode) error {
-		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil, code)
+		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil, code)
 		return nil
 	}
 	if f.Truncated {
@@ -264,7 +264,7 @@
 	}
 	if !f.StreamEnded() {
 		if s.status != 200 || !strings.HasPrefix(kind, "application/grpc") {
-			c.finish(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
+			c.finish(s, translate.FromHTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
 		} else if coding != "" && coding != "identity" {
 			c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.Compressed}, core.Value{}, nil,
 				http2.ErrCodeCancel)
@@ -272,16 +272,16 @@
 		return nil
 	}
 	if code == "" && s.status != 200 {
-		c.finish(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
+		c.finish(s, translate.FromHTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
 		return nil
 	}
 	status, known := translate.ParseStatus(code)
 	if !known {
-		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.BadStatus}, core.Value{}, nil,
+		c.finish(s, translate.Result{Outcome: balance.Error, Reason: translate.UnknownStatus}, core.Value{}, nil,
 			http2.ErrCodeNo)
 		return nil
 	}
-	r, v, report := translate.Status(status, unseen), core.Value{}, []float32(nil)
+	r, v, report := translate.FromStatus(status, unseen), core.Value{}, []float32(nil)
 	if status == translate.OK {
 		r, v, report = c.b.value(s)
 	}
@@ -310,14 +310,14 @@
 		return nil
 	}
 	if !s.begun {
-		return end(translate.BadReply, http2.ErrCodeProtocol)
+		return end(translate.UnreadableReply, http2.ErrCodeProtocol)
 	}
 	if len(s.reply)+len(f.Data()) > c.b.replyMost() {
 		return end(translate.TooLarge, http2.ErrCodeCancel)
 	}
 	s.reply = append(s.reply, f.Data()...) // one goroutine reads, and only it looks at the reply
 	if f.StreamEnded() {                   // without trailers there is no status
-		return end(translate.BadStatus, http2.ErrCodeNo)
+		return end(translate.UnknownStatus, http2.ErrCodeNo)
 	}
 	return nil
 }
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -69,9 +69,9 @@
 		want translate.Answer
 	}{
 		"text":  {"x", translate.Answer{Shard: 3, Kind: translate.Text, Text: []byte("x")}},
-		"whole": {int64(-5), translate.Answer{Shard: 3, Kind: translate.Whole, Whole: -5}},
-		"real":  {0.5, translate.Answer{Shard: 3, Kind: translate.Real}},
-		"raw":   {[]byte{1}, translate.Answer{Shard: 3, Kind: translate.Raw, Text: []byte{1}}},
+		"whole": {int64(-5), translate.Answer{Shard: 3, Kind: translate.Integer, Integer: -5}},
+		"real":  {0.5, translate.Answer{Shard: 3, Kind: translate.Float}},
+		"raw":   {[]byte{1}, translate.Answer{Shard: 3, Kind: translate.Bytes, Text: []byte{1}}},
 	} {
 		m := dynamicpb.NewMessage(out)
 		set := func(m protoreflect.Message, name string, v any) {
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		got, err := ParseAnswer(b)
-		c.want.Loaded, c.want.Rate, c.want.Waiting = true, 12.5, 9
+		c.want.HasReport, c.want.Rate, c.want.Waiting = true, 12.5, 9
 		if err != nil || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", c.want) {
 			t.Errorf("%s: %+v, want %+v: %v", name, got, c.want, err)
 		}
@@ -150,7 +150,7 @@
 
 func newRig(t *testing.T, cfg Config, keys *Credentials, nodes ...Target) *rig {
 	r := &rig{t: t, ends: map[*core.Attempt]core.AttemptDone{}, many: map[*core.Attempt]int{}}
-	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{}, &translate.Tally{},
+	r.b = New(cfg, keys, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{}, &translate.FailureCounts{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
--- a/internal/grpcnode/message.go
+++ b/internal/grpcnode/message.go
@@ -102,14 +102,14 @@
 		case 2, 5: // of a oneof the last one counts
 			a.Kind, a.Text = translate.Text, v
 			if n == 5 {
-				a.Kind = translate.Raw
+				a.Kind = translate.Bytes
 			}
 		case 3:
-			a.Kind, a.Whole = translate.Whole, protowire.DecodeZigZag(x)
+			a.Kind, a.Integer = translate.Integer, protowire.DecodeZigZag(x)
 		case 4:
-			a.Kind = translate.Real
+			a.Kind = translate.Float
 		case 6:
-			a.Loaded = true
+			a.HasReport = true
 			return fields(v, func(n protowire.Number, t protowire.Type, _ []byte, x uint64) bool {
 				switch {
 				case n == 1 && t == protowire.Fixed64Type:
--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -193,7 +193,7 @@
 		return f.General+f.Reserve < 5
 	})
 	_, fresh := load(t, strings.Replace(reloaded, "ADDR", "127.0.0.1:1", 1))
-	r.f.Adopt(fresh)
+	r.f.Reload(fresh)
 	if status, _ := askOn(from(t, "127.0.50.9", r.http), "banned", ""); status == 200 {
 		t.Error("a ban did not outlive new settings")
 	}
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -33,7 +33,7 @@
 	log    *slog.Logger
 	form   *platform.Front
 	keys   *grpcnode.Credentials
-	tally  translate.Tally
+	tally  translate.FailureCounts
 	router *router
 	keeper *lnet.AdmissionController // nil: the budget alone speaks
 	secure atomic.Pointer[tls.Config]
@@ -174,9 +174,9 @@
 	return "", false
 }
 
-// Adopt takes in what a file that was read anew says of the servers. It has been checked whole. What takes a
+// Reload takes in what a file that was read anew says of the servers. It has been checked whole. What takes a
 // restart is named in the log.
-func (f *Front) Adopt(fresh *Front) {
+func (f *Front) Reload(fresh *Front) {
 	old, cfg := f.cfg, fresh.cfg
 	for _, x := range []struct {
 		key  string
--- a/internal/kiosk/replay_test.go
+++ b/internal/kiosk/replay_test.go
@@ -159,7 +159,7 @@
 				return
 			case <-time.After(150 * time.Millisecond):
 				_, fresh := load(t, file(swapped))
-				r.f.Adopt(fresh)
+				r.f.Reload(fresh)
 			}
 		}
 	}()
--- a/internal/kiosk/router.go
+++ b/internal/kiosk/router.go
@@ -28,7 +28,7 @@
 type router struct {
 	old   *platform.Nodes
 	anew  *grpcnode.Backend
-	tally *translate.Tally
+	tally *translate.FailureCounts
 	post  func(core.Event)
 	dial  time.Duration
 	epoch time.Time
--- a/internal/translate/table.go
+++ b/internal/translate/table.go
@@ -43,24 +43,24 @@
 
 // The reasons. Those from BadStatus on have no equivalent in the old form: another try would meet the same.
 const (
-	None         Reason = iota
-	Turned              // the server turned the call away unseen
-	Late                // the server's own deadline passed
-	Broken              // the server says that it cannot be reached, or gave up in the middle
-	Failing             // the server failed
-	BadStatus           // a status that gRPC does not know, or none
-	BadReply            // no gRPC at all, or a message that cannot be read
-	BadValue            // a value of a kind that the old form has not
-	BadText             // text that is not UTF-8
-	BadShard            // the answer to another part
-	TooLarge            // a value larger than an answer may be
-	Compressed          // a message in a coding that was not asked for
-	Denied              // the server does not take calls from here
-	Repeated            // the server has had the key before, and keeps its answer to itself
-	Unsuited            // the server says that the request can never succeed
-	GuardPast           // not sent: the key's window is over
-	GuardDomain         // not sent: the key may have run in the other form
-	GuardCrowded        // not sent: too many keys
+	None            Reason = iota
+	Rejected               // the server turned the call away unseen
+	DeadlinePassed         // the server's own deadline passed
+	Unreachable            // the server says that it cannot be reached, or gave up in the middle
+	ServerError            // the server failed
+	UnknownStatus          // a status that gRPC does not know, or none
+	UnreadableReply        // no gRPC at all, or a message that cannot be read
+	UnsupportedKind        // a value of a kind that the old form has not
+	InvalidUTF8            // text that is not UTF-8
+	WrongShard             // the answer to another part
+	TooLarge               // a value larger than an answer may be
+	Compressed             // a message in a coding that was not asked for
+	Denied                 // the server does not take calls from here
+	RepeatDropped          // the server has had the key before, and keeps its answer to itself
+	NeverPossible          // the server says that the request can never succeed
+	GuardPast              // not sent: the key's window is over
+	GuardDomain            // not sent: the key may have run in the other form
+	GuardCrowded           // not sent: too many keys
 	reasons
 )
 
@@ -72,23 +72,23 @@
 func (r Reason) String() string { return reasonNames[r] }
 
 // Untranslatable tells that the old form has no equivalent, and that asking again would bring the same.
-func (r Reason) Untranslatable() bool { return r >= BadStatus && r <= Unsuited }
+func (r Reason) Untranslatable() bool { return r >= UnknownStatus && r <= NeverPossible }
 
-// Tally counts attempts by reason. It is safe for concurrent use.
-type Tally struct{ n [reasons]atomic.Int64 }
+// FailureCounts counts attempts by reason. It is safe for concurrent use.
+type FailureCounts struct{ n [reasons]atomic.Int64 }
 
 // Add counts one.
-func (t *Tally) Add(r Reason) {
+func (t *FailureCounts) Add(r Reason) {
 	if r != None {
 		t.n[r].Add(1)
 	}
 }
 
 // Of is how many there were of a reason.
-func (t *Tally) Of(r Reason) int64 { return t.n[r].Load() }
+func (t *FailureCounts) Of(r Reason) int64 { return t.n[r].Load() }
 
 // Figures are the counts that are not 0, by name.
-func (t *Tally) Figures() map[string]int64 {
+func (t *FailureCounts) Figures() map[string]int64 {
 	out := map[string]int64{}
 	for r := None + 1; r < reasons; r++ {
 		if n := t.n[r].Load(); n > 0 {
@@ -107,33 +107,33 @@
 // statuses is what each status means where the call may have run.
 var statuses = [...]Result{
 	OK:                 {balance.OK, None},
-	Cancelled:          {balance.Reset, Broken},
-	Unknown:            {balance.Error, Failing},
-	InvalidArgument:    {balance.Error, Unsuited},
-	DeadlineExceeded:   {balance.TimedOut, Late},
-	NotFound:           {balance.Error, Unsuited},
-	AlreadyExists:      {balance.Error, Repeated},
+	Cancelled:          {balance.Reset, Unreachable},
+	Unknown:            {balance.Error, ServerError},
+	InvalidArgument:    {balance.Error, NeverPossible},
+	DeadlineExceeded:   {balance.TimedOut, DeadlinePassed},
+	NotFound:           {balance.Error, NeverPossible},
+	AlreadyExists:      {balance.Error, RepeatDropped},
 	PermissionDenied:   {balance.Error, Denied},
-	ResourceExhausted:  {balance.Error, Failing},
-	FailedPrecondition: {balance.Error, Unsuited},
-	Aborted:            {balance.Error, Failing},
-	OutOfRange:         {balance.Error, Unsuited},
-	Unimplemented:      {balance.Error, Unsuited},
-	Internal:           {balance.Error, Failing},
-	Unavailable:        {balance.Reset, Broken},
-	DataLoss:           {balance.Error, Failing},
+	ResourceExhausted:  {balance.Error, ServerError},
+	FailedPrecondition: {balance.Error, NeverPossible},
+	Aborted:            {balance.Error, ServerError},
+	OutOfRange:         {balance.Error, NeverPossible},
+	Unimplemented:      {balance.Error, NeverPossible},
+	Internal:           {balance.Error, ServerError},
+	Unavailable:        {balance.Reset, Unreachable},
+	DataLoss:           {balance.Error, ServerError},
 	Unauthenticated:    {balance.Error, Denied},
 }
 
-// Status is what a status means. unseen is the service's own word that the call was turned away before it was
+// FromStatus is what a status means. unseen is the service's own word that the call was turned away before it was
 // looked at; it counts with the two statuses that the contract joins it to, and nothing else proves that a
 // call which was written whole has not run.
-func Status(code Code, unseen bool) Result {
+func FromStatus(code Code, unseen bool) Result {
 	if int(code) >= len(statuses) {
-		return Result{balance.Error, BadStatus}
+		return Result{balance.Error, UnknownStatus}
 	}
 	if unseen && (code == ResourceExhausted || code == Unavailable) {
-		return Result{balance.Busy, Turned}
+		return Result{balance.Busy, Rejected}
 	}
 	return statuses[code]
 }
@@ -144,18 +144,18 @@
 	return Code(n), err == nil && n < uint64(len(statuses))
 }
 
-// HTTP is what a reply without a status of gRPC means, by its HTTP status: something between us and the
+// FromHTTP is what a reply without a status of gRPC means, by its HTTP status: something between us and the
 // server has answered, and it cannot be told whether the server has.
-func HTTP(status int) Result {
+func FromHTTP(status int) Result {
 	switch status {
 	case 401, 403:
 		return Result{balance.Error, Denied}
 	case 404:
-		return Result{balance.Error, Unsuited}
+		return Result{balance.Error, NeverPossible}
 	case 429, 502, 503, 504:
-		return Result{balance.Reset, Broken}
+		return Result{balance.Reset, Unreachable}
 	}
-	return Result{balance.Error, BadReply}
+	return Result{balance.Error, UnreadableReply}
 }
 
 // Kind is the kind of a value.
@@ -165,26 +165,26 @@
 const (
 	NoValue Kind = iota
 	Text
-	Whole
-	Real
-	Raw
+	Integer
+	Float
+	Bytes
 )
 
 // Answer is an answer of the new form.
 type Answer struct {
-	Shard   uint32
-	Kind    Kind
-	Text    []byte
-	Whole   int64
-	Rate    float64 // requests a second, as the server reports
-	Waiting uint32
-	Loaded  bool // it has a report
+	Shard     uint32
+	Kind      Kind
+	Text      []byte
+	Integer   int64
+	Rate      float64 // requests a second, as the server reports
+	Waiting   uint32
+	HasReport bool // it has a report
 }
 
 // Value is the old form's value of an answer for a shard, of at most most bytes.
 func (a *Answer) Value(shard, most int) ([]byte, Reason) {
 	if int64(a.Shard) != int64(shard) {
-		return nil, BadShard
+		return nil, WrongShard
 	}
 	switch a.Kind {
 	case Text:
@@ -192,13 +192,13 @@
 		case len(a.Text) > most:
 			return nil, TooLarge
 		case !utf8.Valid(a.Text):
-			return nil, BadText
+			return nil, InvalidUTF8
 		}
 		return a.Text, None
-	case Whole:
-		return strconv.AppendInt(nil, a.Whole, 10), None
+	case Integer:
+		return strconv.AppendInt(nil, a.Integer, 10), None
 	}
-	return nil, BadValue
+	return nil, UnsupportedKind
 }
 
 // Word is what an old terminal is told.
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -161,7 +161,7 @@
 func TestStatuses(t *testing.T) {
 	for code := Code(0); code < 40; code++ {
 		for _, unseen := range []bool{false, true} {
-			r := Status(code, unseen)
+			r := FromStatus(code, unseen)
 			if never := r.Outcome == balance.Busy || r.Outcome == balance.NoConnection ||
 				r.Outcome == balance.NotSent; never != (unseen && (code == 8 || code == 14)) {
 				t.Errorf("status %d, unseen %v: %v", code, unseen, r)
@@ -169,7 +169,7 @@
 			if (r.Outcome == balance.OK) != (code == OK) || (r.Reason == None) != (code == OK) {
 				t.Errorf("status %d: %v", code, r)
 			}
-			if (r.Reason == BadStatus) != (code > 16) {
+			if (r.Reason == UnknownStatus) != (code > 16) {
 				t.Errorf("status %d: %v", code, r)
 			}
 		}
@@ -182,7 +182,7 @@
 		}
 	}
 	for status := 100; status < 600; status++ {
-		if r := HTTP(status); r.Outcome == balance.OK || r.Outcome == balance.Busy || r.Reason == None {
+		if r := FromHTTP(status); r.Outcome == balance.OK || r.Outcome == balance.Busy || r.Reason == None {
 			t.Errorf("HTTP %d without a status of gRPC: %v", status, r)
 		}
 	}
@@ -196,12 +196,12 @@
 	}{
 		{Answer{Shard: 3, Kind: Text, Text: []byte("5be2")}, "5be2", None},
 		{Answer{Shard: 3, Kind: Text}, "", None},
-		{Answer{Shard: 3, Kind: Whole, Whole: -17}, "-17", None},
-		{Answer{Shard: 3, Kind: Real}, "", BadValue},
-		{Answer{Shard: 3, Kind: Raw, Text: []byte("x")}, "", BadValue},
-		{Answer{Shard: 3}, "", BadValue},
-		{Answer{Shard: 4, Kind: Text}, "", BadShard},
-		{Answer{Shard: 3, Kind: Text, Text: []byte{0xff}}, "", BadText},
+		{Answer{Shard: 3, Kind: Integer, Integer: -17}, "-17", None},
+		{Answer{Shard: 3, Kind: Float}, "", UnsupportedKind},
+		{Answer{Shard: 3, Kind: Bytes, Text: []byte("x")}, "", UnsupportedKind},
+		{Answer{Shard: 3}, "", UnsupportedKind},
+		{Answer{Shard: 4, Kind: Text}, "", WrongShard},
+		{Answer{Shard: 3, Kind: Text, Text: []byte{0xff}}, "", InvalidUTF8},
 		{Answer{Shard: 3, Kind: Text, Text: []byte(strings.Repeat("x", 101))}, "", TooLarge},
 	} {
 		got, why := c.a.Value(3, 100)
