--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -80,7 +80,7 @@
 	case "import":
 		flags.StringVar(&into.Listen, "listen", "127.0.0.1:9090", "address that the front listens on")
 		flags.StringVar(&into.Class, "class", "", "class that requests count as")
-		flags.StringVar(&into.For, "for", importer.Ranges, "what the file is for: promql or translate")
+		flags.StringVar(&into.Target, "for", importer.TargetPromQL, "what the file is for: promql or translate")
 		files = 1
 	case "admission":
 		flags.StringVar(&door.addr, "door", "", "address of the operators' door")
@@ -233,8 +233,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	front, err := promql.New(file, promql.Place{Classes: cfg.Classes, Settings: cfg.Module, Zones: cfg.Zones,
-		Shards: cfg.Shards, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, Alone: alone, Log: log})
+	front, err := promql.New(file, promql.Environment{Classes: cfg.Classes, Settings: cfg.Module, Zones: cfg.Zones,
+		Shards: cfg.Shards, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, Standalone: alone, Log: log})
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", from.ranges, err)
 	}
--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -35,13 +35,13 @@
 
 // What a file can be made for.
 const (
-	Ranges      = "promql"
-	Translation = "translate"
+	TargetPromQL    = "promql"
+	TargetTranslate = "translate"
 )
 
 // Options say what is to be made.
 type Options struct {
-	For    string // Ranges or Translation
+	Target string // Ranges or Translation
 	Listen string // where the front listens; for translation, by AJP
 	Class  string // that requests count as
 }
@@ -67,13 +67,13 @@
 // Import reads a file of either kind. Members of one balancer stand in for each other, so each balancer
 // becomes one cell, in the order of the file.
 func Import(text string, o Options) (*Result, error) {
-	if o.For != Ranges && o.For != Translation {
-		return nil, fmt.Errorf("nothing is made for %q: promql or translate", o.For)
+	if o.Target != TargetPromQL && o.Target != TargetTranslate {
+		return nil, fmt.Errorf("nothing is made for %q: promql or translate", o.Target)
 	}
 	if o.Class == "" {
 		return nil, errors.New("the class is missing that requests count as: these files name none")
 	}
-	r := &reader{to: o.For, names: map[string]int{}, draining: map[string]bool{}, ajp: map[string]string{}}
+	r := &reader{to: o.Target, names: map[string]int{}, draining: map[string]bool{}, ajp: map[string]string{}}
 	var err error
 	if isApache(text) {
 		err = r.apache(text)
@@ -84,7 +84,7 @@
 		return nil, err
 	}
 	var b bytes.Buffer
-	if o.For == Translation {
+	if o.Target == TargetTranslate {
 		err = toml.NewEncoder(&b).Encode(r.translation(o))
 	} else {
 		err = toml.NewEncoder(&b).Encode(promql.Config{Listen: o.Listen, Class: o.Class, Servers: r.servers})
@@ -92,7 +92,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.For == Translation { // serve must take what is printed
+	if o.Target == TargetTranslate { // serve must take what is printed
 		_, err = kiosk.ParseConfig("the list that comes of it", b.String())
 	} else if _, err = promql.ParseConfig(b.String()); err != nil {
 		err = fmt.Errorf("the list that comes of it is not sound: %w", err)
@@ -313,7 +313,7 @@
 // unknown reports a worker's settings without counterpart.
 func (r *reader) unknown(name string, w *worker) {
 	for setting, p := range w.props {
-		if r.to == Translation && (setting == "secret" || setting == "max_packet_size") {
+		if r.to == TargetTranslate && (setting == "secret" || setting == "max_packet_size") {
 			continue
 		}
 		if !known[setting] {
@@ -377,7 +377,7 @@
 		if port.value == "" {
 			port.value = map[string]string{"ajp13": "8009", "ajp14": "8011"}[kind.value]
 		}
-		if r.to == Translation {
+		if r.to == TargetTranslate {
 			r.remark(kind.line,
 				"worker %s speaks %s: its address is taken as a node of the new form, and has to answer gRPC",
 				name, kind.value)
@@ -397,7 +397,7 @@
 	switch a := text["activation"]; strings.ToUpper(a.value) {
 	case "A", "ACTIVE":
 	case "D", "DISABLED", "S", "STOPPED":
-		if r.to != Translation {
+		if r.to != TargetTranslate {
 			r.remark(a.line, "worker %s is not active (%s), and left out", name, a.value)
 			return nil
 		}
@@ -405,7 +405,7 @@
 	default:
 		return malformed(a.line, "activation %q", a.value)
 	}
-	if r.to == Translation {
+	if r.to == TargetTranslate {
 		for _, setting := range []string{"secret", "max_packet_size"} {
 			p, ok, err := f.get(name, setting)
 			if err != nil {
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -13,7 +13,7 @@
 // outline writes what an import comes to in one line a server and one a remark.
 func outline(t *testing.T, text string) string {
 	t.Helper()
-	res, err := Import(text, Options{Ranges, "127.0.0.1:9090", "day-report"})
+	res, err := Import(text, Options{TargetPromQL, "127.0.0.1:9090", "day-report"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,7 +121,7 @@
 	f.Add("worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.a.port=$(x)1\n")
 	f.Add("<Proxy balancer://x>\nBalancerMember \"http://a:1/p\" route=b loadfactor=2 \\\n status=-D\n</Proxy>")
 	f.Fuzz(func(t *testing.T, text string) {
-		if res, err := Import(text, Options{Ranges, "127.0.0.1:1", "c"}); err == nil {
+		if res, err := Import(text, Options{TargetPromQL, "127.0.0.1:1", "c"}); err == nil {
 			if c, err := promql.ParseConfig(res.File); err != nil || len(c.Servers) == 0 {
 				t.Fatalf("%v\n%s", err, res.File)
 			}
@@ -164,7 +164,7 @@
 		open + "BalancerMember http://a:1 route=\"\"\n</Proxy>\n":          "line 2",
 		"<Proxy a b>\n</Proxy>\nBalancerMember balancer://x http://a:1\n ": "line 1",
 	} {
-		_, err := Import(text, Options{Ranges, "127.0.0.1:9090", "day-report"})
+		_, err := Import(text, Options{TargetPromQL, "127.0.0.1:9090", "day-report"})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
@@ -190,7 +190,7 @@
 worker.c.secret=other
 worker.c.socket_timeout=3
 `
-	res, err := Import(text, Options{For: Translation, Listen: "127.0.0.1:8009", Class: "posts"})
+	res, err := Import(text, Options{Target: TargetTranslate, Listen: "127.0.0.1:8009", Class: "posts"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -215,12 +215,12 @@
 	if want := []int{4, 4, 4, 15, 16}; !slices.Equal(lines, want) {
 		t.Errorf("remarks on lines %v, want %v: %+v", lines, want, res.Remarks)
 	}
-	for _, to := range []string{Ranges, Translation} {
-		if _, err := Import(text, Options{For: to, Listen: "127.0.0.1:8009"}); err == nil {
+	for _, to := range []string{TargetPromQL, TargetTranslate} {
+		if _, err := Import(text, Options{Target: to, Listen: "127.0.0.1:8009"}); err == nil {
 			t.Errorf("%s: a class was guessed", to)
 		}
 	}
-	if _, err := Import(text, Options{For: "x", Class: "posts"}); err == nil {
+	if _, err := Import(text, Options{Target: "x", Class: "posts"}); err == nil {
 		t.Error("made for nothing known")
 	}
 }
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -154,22 +154,22 @@
 	return all
 }
 
-// Place is what the front has to know of where it runs.
-type Place struct {
+// Environment is what the front has to know of where it runs.
+type Environment struct {
 	Classes     []string
 	Settings    balance.Settings
 	Zones       []string
 	Shards      int
 	DialTimeout time.Duration
 	ConnIdle    time.Duration
-	Alone       bool // there is no discovery: the file's servers are the list
+	Standalone  bool // there is no discovery: the file's servers are the list
 	Log         *slog.Logger
 }
 
 // Front is the front and the backend of its queries.
 type Front struct {
 	cfg      *Config
-	place    Place
+	place    Environment
 	class    int
 	servers  map[balance.ReplicaID]*server
 	core     *core.Core
@@ -191,7 +191,7 @@
 }
 
 // New checks a file against where it is to run.
-func New(cfg *Config, p Place) (*Front, error) {
+func New(cfg *Config, p Environment) (*Front, error) {
 	f := &Front{cfg: cfg, place: p, class: slices.Index(p.Classes, cfg.Class),
 		servers: map[balance.ReplicaID]*server{}, flights: map[*core.Attempt]*flight{}}
 	if f.class < 0 {
@@ -209,7 +209,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if p.Alone && s.Cell >= p.Settings.Cells {
+		if p.Standalone && s.Cell >= p.Settings.Cells {
 			return nil, fmt.Errorf("server %s: there is no cell %d", s.Name, s.Cell)
 		}
 		f.servers[core.ServerID(s.Name)] = &server{name: s.Name, addr: addr, path: path}
@@ -242,7 +242,7 @@
 		return err
 	}
 	f.listener = l
-	if f.place.Alone {
+	if f.place.Standalone {
 		var list []balance.Replica
 		for _, s := range f.cfg.Servers {
 			size := 1.0
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -36,8 +36,8 @@
 // run starts a coordinator with the front.
 func run(t *testing.T, pc *platform.Config, cfg *Config, alone bool) string {
 	t.Helper()
-	f, err := New(cfg, Place{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
-		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Alone: alone, Log: standin.DiscardLogger()})
+	f, err := New(cfg, Environment{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
+		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Standalone: alone, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
