--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -19,7 +19,7 @@
  "conflict":"127.0.0.9:7946"}}`
 
 func TestMembers(t *testing.T) {
-	endpoint := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	endpoint := standin.NewHTTPServer(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/fleet" {
 			return 404, "no such call"
 		}
@@ -53,7 +53,7 @@
 }
 
 func TestErrorStatusIsAnError(t *testing.T) {
-	endpoint := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
+	endpoint := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 404, "no such call\n" })
 	var statusErr *StatusError
 	err := FleetCommand{Addr: endpoint.Addr}.Run([]string{"members"}, &bytes.Buffer{})
 	if !errors.As(err, &statusErr) || statusErr.Status != 404 || statusErr.Text != "no such call" {
@@ -67,7 +67,7 @@
 }
 
 func TestOverload(t *testing.T) {
-	endpoint := standin.NewHTTP(t, func(path string, _ url.Values) (int, string) {
+	endpoint := standin.NewHTTPServer(t, func(path string, _ url.Values) (int, string) {
 		if path != "/admin/overload" {
 			return 404, "no such call"
 		}
--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -57,7 +57,7 @@
 	budget      *lnet.Budget
 	log         *slog.Logger
 	counts      *core.Counts
-	tally       *translate.Tally
+	tally       *translate.FailureCounts
 	post        func(core.Event)
 
 	mu       sync.Mutex // guards nodes, inFlight
@@ -67,7 +67,7 @@
 
 // New returns a backend without nodes; SetTargets adds them. credentials may be nil if no node uses TLS.
 func New(cfg Config, credentials *Credentials, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
-	tally *translate.Tally, post func(core.Event)) *Backend {
+	tally *translate.FailureCounts, post func(core.Event)) *Backend {
 	return &Backend{cfg: cfg, credentials: credentials, budget: budget, log: log, counts: counts, tally: tally,
 		post: post, nodes: map[balance.ReplicaID]*node{}, inFlight: map[*core.Attempt]*conn{}}
 }
@@ -345,24 +345,24 @@
 		return translate.Result{Outcome: balance.Error, Reason: reason}, core.Value{}, nil
 	}
 	if len(s.reply) < messagePrefixSize {
-		return bad(translate.BadReply) // success without a message
+		return bad(translate.UnreadableReply) // success without a message
 	}
 	if s.reply[0] != 0 {
 		return bad(translate.Compressed)
 	}
 	if int64(binary.BigEndian.Uint32(s.reply[1:])) != int64(len(s.reply)-messagePrefixSize) {
-		return bad(translate.BadReply) // truncated, or more than one message
+		return bad(translate.UnreadableReply) // truncated, or more than one message
 	}
 	a, err := ParseAnswer(s.reply[messagePrefixSize:])
 	if err != nil {
-		return bad(translate.BadReply)
+		return bad(translate.UnreadableReply)
 	}
 	text, reason := a.Value(s.attempt.Shard, b.cfg.MaxValue)
 	if reason != translate.None {
 		return bad(reason)
 	}
 	var report []float32
-	if a.Loaded {
+	if a.HasReport {
 		report = []float32{float32(a.Rate), float32(a.Waiting)}
 	}
 	return translate.Result{Outcome: balance.OK}, core.Value{Body: text}, report
--- a/internal/grpcnode/conn.go
+++ b/internal/grpcnode/conn.go
@@ -347,9 +347,9 @@
 	for _, s := range calls {
 		r := translate.Result{Outcome: balance.NoConnection}
 		if s.endWritten || s.endQueued && writing { // how much of a write in progress gets out is unknown
-			r = translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
+			r = translate.Result{Outcome: balance.Reset, Reason: translate.Unreachable}
 			if errors.As(err, &violation) || errors.Is(err, errProtocol) {
-				r = translate.Result{Outcome: balance.Malformed, Reason: translate.BadReply}
+				r = translate.Result{Outcome: balance.Malformed, Reason: translate.UnreadableReply}
 			}
 		}
 		c.backend.finishAttempt(c.node, s.attempt, r, core.Value{}, nil)
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -38,7 +38,7 @@
 			s := c.streams[streamErr.StreamID]
 			c.mu.Unlock()
 			if s != nil {
-				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
+				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil,
 					http2.ErrCodeProtocol)
 			}
 			continue
@@ -95,9 +95,9 @@
 		if s == nil {
 			return nil
 		}
-		r := translate.Result{Outcome: balance.Reset, Reason: translate.Broken}
+		r := translate.Result{Outcome: balance.Reset, Reason: translate.Unreachable}
 		if f.ErrCode == http2.ErrCodeRefusedStream {
-			r = translate.Result{Outcome: balance.Busy, Reason: translate.Turned}
+			r = translate.Result{Outcome: balance.Busy, Reason: translate.Rejected}
 		}
 		c.finishStream(s, r, core.Value{}, nil, http2.ErrCodeNo)
 	case *http2.GoAwayFrame:
@@ -192,7 +192,7 @@
 	c.backend.log.Info("a node sent GOAWAY", "node", c.node.name, "code", f.ErrCode, "left_out", len(rejected))
 	for _, s := range rejected {
 		c.backend.finishAttempt(c.node, s.attempt,
-			translate.Result{Outcome: balance.NotSent, Reason: translate.Turned}, core.Value{}, nil)
+			translate.Result{Outcome: balance.NotSent, Reason: translate.Rejected}, core.Value{}, nil)
 	}
 }
 
@@ -232,7 +232,7 @@
 		return nil
 	}
 	fail := func(code http2.ErrCode) error {
-		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadReply}, core.Value{}, nil,
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil,
 			code)
 		return nil
 	}
@@ -266,7 +266,7 @@
 	}
 	if !f.StreamEnded() {
 		if s.status != 200 || !strings.HasPrefix(contentType, "application/grpc") {
-			c.finishStream(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
+			c.finishStream(s, translate.FromHTTP(s.status), core.Value{}, nil, http2.ErrCodeCancel)
 		} else if encoding != "" && encoding != "identity" {
 			c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.Compressed}, core.Value{},
 				nil, http2.ErrCodeCancel)
@@ -274,16 +274,16 @@
 		return nil
 	}
 	if code == "" && s.status != 200 {
-		c.finishStream(s, translate.HTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
+		c.finishStream(s, translate.FromHTTP(s.status), core.Value{}, nil, http2.ErrCodeNo)
 		return nil
 	}
 	status, known := translate.ParseStatus(code)
 	if !known {
-		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.BadStatus}, core.Value{}, nil,
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnknownStatus}, core.Value{}, nil,
 			http2.ErrCodeNo)
 		return nil
 	}
-	r, v, report := translate.Status(status, unseen), core.Value{}, []float32(nil)
+	r, v, report := translate.FromStatus(status, unseen), core.Value{}, []float32(nil)
 	if status == translate.OK {
 		r, v, report = c.backend.decodeReply(s)
 	}
@@ -312,14 +312,14 @@
 		return nil
 	}
 	if !s.gotHeaders {
-		return fail(translate.BadReply, http2.ErrCodeProtocol)
+		return fail(translate.UnreadableReply, http2.ErrCodeProtocol)
 	}
 	if len(s.reply)+len(f.Data()) > c.backend.maxReply() {
 		return fail(translate.TooLarge, http2.ErrCodeCancel)
 	}
 	s.reply = append(s.reply, f.Data()...) // only the read loop accesses the reply
 	if f.StreamEnded() {                   // without trailers there is no status
-		return fail(translate.BadStatus, http2.ErrCodeNo)
+		return fail(translate.UnknownStatus, http2.ErrCodeNo)
 	}
 	return nil
 }
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -69,9 +69,9 @@
 		want translate.Answer
 	}{
 		"text":  {"x", translate.Answer{Shard: 3, Kind: translate.Text, Text: []byte("x")}},
-		"whole": {int64(-5), translate.Answer{Shard: 3, Kind: translate.Whole, Whole: -5}},
-		"real":  {0.5, translate.Answer{Shard: 3, Kind: translate.Real}},
-		"raw":   {[]byte{1}, translate.Answer{Shard: 3, Kind: translate.Raw, Text: []byte{1}}},
+		"whole": {int64(-5), translate.Answer{Shard: 3, Kind: translate.Integer, Integer: -5}},
+		"real":  {0.5, translate.Answer{Shard: 3, Kind: translate.Float}},
+		"raw":   {[]byte{1}, translate.Answer{Shard: 3, Kind: translate.Bytes, Text: []byte{1}}},
 	} {
 		m := dynamicpb.NewMessage(out)
 		set := func(m protoreflect.Message, name string, v any) {
@@ -87,7 +87,7 @@
 			t.Fatal(err)
 		}
 		got, err := ParseAnswer(b)
-		c.want.Loaded, c.want.Rate, c.want.Waiting = true, 12.5, 9
+		c.want.HasReport, c.want.Rate, c.want.Waiting = true, 12.5, 9
 		if err != nil || fmt.Sprintf("%+v", got) != fmt.Sprintf("%+v", c.want) {
 			t.Errorf("%s: %+v, want %+v: %v", name, got, c.want, err)
 		}
@@ -96,7 +96,7 @@
 
 // Any input is an answer or an error, and a decoded answer agrees with the protobuf library.
 func FuzzAnswer(f *testing.F) {
-	f.Add(standin.TextAnswer(3, "x"))
+	f.Add(standin.TextMessage(3, "x"))
 	f.Add([]byte{0x08, 0x03, 0x18, 0x09, 0x21, 1, 2, 3, 4, 5, 6, 7, 8, 0x32, 0x02, 0x10, 0x01})
 	f.Add([]byte{0x0b, 0x0c, 0xff})
 	c := protocompile.Compiler{Resolver: &protocompile.SourceResolver{}}
@@ -151,7 +151,7 @@
 
 func newRig(t *testing.T, cfg Config, credentials *Credentials, nodes ...Target) *rig {
 	r := &rig{t: t, outcomes: map[*core.Attempt]core.AttemptDone{}, outcomeCount: map[*core.Attempt]int{}}
-	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.Quiet(), &core.Counts{}, &translate.Tally{},
+	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{}, &translate.FailureCounts{},
 		func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
@@ -194,72 +194,72 @@
 // want waits for an attempt to end and checks its outcome.
 func (r *rig) want(what string, a *core.Attempt, o balance.Outcome) {
 	r.t.Helper()
-	standin.Until(r.t, what, func() bool { _, ok := r.ended(a); return ok })
+	standin.WaitFor(r.t, what, func() bool { _, ok := r.ended(a); return ok })
 	if got, _ := r.ended(a); got.Outcome != o {
 		r.t.Errorf("%s: outcome %d, want %d", what, got.Outcome, o)
 	}
 }
 
-func answer(standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v"} }
-func silent(standin.NewCall) standin.NewDo { return standin.NewDo{Silent: true} }
+func answer(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{Text: "v"} }
+func silent(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{NoReply: true} }
 
 // The backend reports exactly whether a call may have run, for every way in which it can end without an
 // answer.
 func TestWhetherCallMayHaveRun(t *testing.T) {
 	second := func(conn int, stream uint32) bool { return stream > 1 }
 	t.Run("refused stream", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Refuse: second}, silent)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{RefuseStream: second}, silent)
 		r := newRig(t, testConfig, nil, target(n))
 		r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream that was refused", r.send(10, time.Minute), balance.Busy)
-		if n.Opened() != 1 || len(n.Calls()) != 1 {
-			t.Errorf("%d connections, %d calls: the call was sent again", n.Opened(), len(n.Calls()))
+		if n.ConnsOpened() != 1 || len(n.Calls()) != 1 {
+			t.Errorf("%d connections, %d calls: the call was sent again", n.ConnsOpened(), len(n.Calls()))
 		}
 	})
 	t.Run("left out by GOAWAY", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{LeaveOut: second}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: second}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
 		})
 		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a stream beyond the last accepted one", r.send(10, time.Minute), balance.NotSent)
 		r.want("the accepted stream", first, balance.OK)
 		r.want("a later call", r.send(10, time.Minute), balance.OK)
-		if n.Opened() != 2 {
-			t.Errorf("%d connections", n.Opened())
+		if n.ConnsOpened() != 2 {
+			t.Errorf("%d connections", n.ConnsOpened())
 		}
-		standin.Until(t, "the end of the first connection", func() bool { return n.Open() == 1 })
+		standin.WaitFor(t, "the end of the first connection", func() bool { return n.OpenConns() == 1 })
 	})
 	t.Run("left out with one behind it", func(t *testing.T) {
 		sent := make(chan struct{})
-		n := standin.NewGRPC(t, standin.NewOptions{LeaveOut: func(_ int, stream uint32) bool {
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: func(_ int, stream uint32) bool {
 			if stream != 3 {
 				return false
 			}
 			<-sent // the GOAWAY crosses a call written after the one that it does not accept
 			return true
-		}}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Text: "v", Wait: 300 * time.Millisecond}
+		}}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
 		})
 		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		second, third := r.send(10, time.Minute), r.send(10, time.Minute)
-		standin.Until(t, "both to be written", func() bool { return r.backend.counts.AttemptsSent.Load() == 3 })
+		standin.WaitFor(t, "both to be written", func() bool { return r.backend.counts.AttemptsSent.Load() == 3 })
 		close(sent)
 		r.want("the call not accepted", second, balance.NotSent)
 		r.want("the call after it", third, balance.NotSent)
 		r.want("the accepted call", first, balance.OK)
-		standin.Until(t, "the end of the connection", func() bool { return n.Open() == 0 })
+		standin.WaitFor(t, "the end of the connection", func() bool { return n.OpenConns() == 0 })
 		if got := len(n.Calls()); got != 1 {
 			t.Errorf("%d calls ran, one of which was reported as never run", got)
 		}
 	})
 	t.Run("GOAWAY with a covered call", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Silent: true, GoAway: true}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{NoReply: true, GoAway: true}
 		})
 		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(10, time.Minute)
@@ -267,33 +267,33 @@
 		if o, ok := r.ended(a); ok {
 			t.Fatalf("ended by a GOAWAY that accepted it: %+v", o)
 		}
-		n.Drop()
+		n.ResetConns()
 		r.want("the connection loss after it", a, balance.Reset)
 	})
 	t.Run("break before the last byte", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 100, NoWindowUpdates: true}, answer)
 		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(2000, time.Minute)
-		standin.Until(t, "the connection", func() bool { return n.Opened() == 1 })
+		standin.WaitFor(t, "the connection", func() bool { return n.ConnsOpened() == 1 })
 		time.Sleep(100 * time.Millisecond)
-		n.Drop()
+		n.ResetConns()
 		r.want("a truncated call", a, balance.NoConnection)
 	})
 	t.Run("break after the last byte", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{},
-			func(standin.NewCall) standin.NewDo { return standin.NewDo{Drop: true} })
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{},
+			func(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{ResetConn: true} })
 		r := newRig(t, testConfig, nil, target(n))
 		r.want("a call that ran", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("reset by the node", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
-			return standin.NewDo{Reset: standin.Code(http2.ErrCodeCancel)}
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+			return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeCancel)}
 		})
 		r := newRig(t, testConfig, nil, target(n))
 		r.want("a call that may have run", r.send(10, time.Minute), balance.Reset)
 	})
 	t.Run("nobody there", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 		n.Close()
 		r := newRig(t, testConfig, nil, target(n))
 		r.want("no connection", r.send(10, time.Minute), balance.NoConnection)
@@ -304,17 +304,17 @@
 		}(), balance.NoConnection)
 	})
 	t.Run("no settings", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Mute: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{NoControlFrames: true}, answer)
 		cfg := testConfig
 		cfg.DialTimeout = 100 * time.Millisecond
 		r := newRig(t, cfg, nil, target(n))
 		r.want("a silent node", r.send(10, time.Minute), balance.NoConnection)
 	})
 	t.Run("deadline in the queue", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 1}, silent)
 		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
-		standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 		r.want("a call that expired in the queue", r.send(10, 50*time.Millisecond), balance.NotSent)
 		if !r.backend.Cancel(r.send(10, time.Minute)) {
 			t.Error("a queued call is reported as possibly run")
@@ -322,17 +322,17 @@
 		if r.backend.Cancel(first) {
 			t.Error("a completely written call is reported as never run")
 		}
-		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
+		standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 1 {
 			t.Errorf("%d calls reached the node", len(n.Calls()))
 		}
 	})
 	t.Run("window of its key", func(t *testing.T) {
-		n := standin.NewGRPC(t, standin.NewOptions{Window: 100, Stingy: true}, answer)
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 100, NoWindowUpdates: true}, answer)
 		r := newRig(t, testConfig, nil, target(n))
 		a := r.send(2000, time.Minute, time.Now().Add(200*time.Millisecond))
 		r.want("a call whose last byte was too late", a, balance.NotSent)
-		standin.Until(t, "the reset", func() bool { return n.Resets() == 1 })
+		standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
 		if len(n.Calls()) != 0 {
 			t.Error("the call was completed all the same")
 		}
@@ -343,16 +343,16 @@
 
 // A drain returns the calls that have not been started, and none of them is sent any more.
 func TestCancelQueuedReturnsPendingCalls(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{Streams: 1}, silent)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 1}, silent)
 	r := newRig(t, testConfig, nil, target(n))
 	r.send(10, time.Minute)
-	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+	standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	b, c := r.send(10, time.Minute), r.send(10, time.Minute)
 	back := r.backend.CancelQueued(core.ServerID("a"))
 	if len(back) != 2 || back[0] != b || back[1] != c {
 		t.Fatalf("%d calls returned", len(back))
 	}
-	n.Drop()
+	n.ResetConns()
 	time.Sleep(50 * time.Millisecond)
 	if _, ok := r.ended(b); ok || len(n.Calls()) != 1 {
 		t.Errorf("reported again, or sent: %d calls", len(n.Calls()))
@@ -363,9 +363,9 @@
 // free.
 func TestBoundsOfStreams(t *testing.T) {
 	release := make(chan bool)
-	n := standin.NewGRPC(t, standin.NewOptions{Streams: 3}, func(standin.NewCall) standin.NewDo {
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{MaxStreams: 3}, func(standin.GRPCCall) standin.GRPCReply {
 		<-release
-		return standin.NewDo{Text: "v"}
+		return standin.GRPCReply{Text: "v"}
 	})
 	cfg := testConfig
 	cfg.ConnsPerNode, cfg.QueuePerNode = 2, 2
@@ -373,17 +373,17 @@
 	var all []*core.Attempt
 	for i := range 3 {
 		all = append(all, r.send(10, time.Minute))
-		standin.Until(t, "the call", func() bool { return len(n.Calls()) == i+1 })
+		standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == i+1 })
 	}
 	for i := range 3 { // on a second connection
 		all = append(all, r.send(10, time.Minute))
-		standin.Until(t, "the call", func() bool { return len(n.Calls()) == 4+i })
+		standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == 4+i })
 	}
 	all = append(all, r.send(10, time.Minute), r.send(10, time.Minute)) // queued
 	r.want("a call beyond the queue", r.send(10, time.Minute), balance.Busy)
 	time.Sleep(50 * time.Millisecond)
-	if n.Opened() != 2 || len(n.Calls()) != 6 {
-		t.Errorf("%d connections, %d calls", n.Opened(), len(n.Calls()))
+	if n.ConnsOpened() != 2 || len(n.Calls()) != 6 {
+		t.Errorf("%d connections, %d calls", n.ConnsOpened(), len(n.Calls()))
 	}
 	close(release)
 	for _, a := range all {
@@ -398,7 +398,7 @@
 
 // A message larger than the flow-control windows is sent as the node opens them, interleaved with others.
 func TestFlowControlTowardsTheNode(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{Window: 700}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{StreamWindow: 700}, answer)
 	r := newRig(t, testConfig, nil, target(n))
 	var all []*core.Attempt
 	for range 12 {
@@ -417,7 +417,7 @@
 // Send runs concurrently with the write and read loops: they must not deadlock. The write loop once took the
 // node's lock while holding the connection's, and Send took them in the opposite order.
 func TestConcurrentSendsAndWritesDoNotDeadlock(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 	cfg := testConfig
 	cfg.StreamsPerConn, cfg.ConnsPerNode, cfg.QueuePerNode = 100, 2, 1000
 	r := newRig(t, cfg, nil, target(n))
@@ -476,9 +476,9 @@
 	r := newRig(t, cfg, nil, Target{Name: "a", Address: l.Addr().String()})
 	for range 6 {
 		a := r.send(60_000, time.Minute)
-		standin.Until(t, "its end", func() bool { _, ok := r.ended(a); return ok })
+		standin.WaitFor(t, "its end", func() bool { _, ok := r.ended(a); return ok })
 	}
-	standin.Until(t, "the descriptors", func() bool { return r.backend.budget.InUse() == 0 })
+	standin.WaitFor(t, "the descriptors", func() bool { return r.backend.budget.InUse() == 0 })
 }
 
 // A connection that has gone silent is detected by a ping, once a call on it has timed out.
@@ -509,21 +509,21 @@
 	}
 	r.want("the other call", b, balance.Reset)
 	r.send(10, time.Minute)
-	standin.Until(t, "a second connection", func() bool { return len(stuck) == 2 })
+	standin.WaitFor(t, "a second connection", func() bool { return len(stuck) == 2 })
 }
 
 func TestProbe(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, answer)
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answer)
 	r := newRig(t, testConfig, nil, target(n))
 	if !r.backend.Probe(core.ServerID("a")) || r.backend.Probe(core.ServerID("b")) {
 		t.Fatal("probes of a known and an unknown node")
 	}
-	standin.Until(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.probes) == 1 })
+	standin.WaitFor(t, "the probe", func() bool { r.mu.Lock(); defer r.mu.Unlock(); return len(r.probes) == 1 })
 	if r.probes[0].Outcome != balance.OK || n.Pings() != 1 {
 		t.Errorf("%+v", r.probes[0])
 	}
 	r.backend.CloseIdle(core.ServerID("a"))
-	standin.Until(t, "the end of the idle connection", func() bool { return n.Open() == 0 })
+	standin.WaitFor(t, "the end of the idle connection", func() bool { return n.OpenConns() == 0 })
 }
 
 // Credentials change at run time: calls in flight continue, new ones use the new credentials, and an
@@ -555,23 +555,23 @@
 	var mu sync.Mutex
 	var names []string
 	release := make(chan bool)
-	n := standin.NewGRPC(t, standin.NewOptions{TLS: &tls.Config{Certificates: []tls.Certificate{own},
+	n := standin.NewGRPCNode(t, standin.GRPCOptions{TLS: &tls.Config{Certificates: []tls.Certificate{own},
 		NextProtos: []string{"h2"}, ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: roots,
 		VerifyConnection: func(s tls.ConnectionState) error {
 			mu.Lock()
 			defer mu.Unlock()
 			names = append(names, s.PeerCertificates[0].Subject.CommonName)
 			return nil
-		}}}, func(c standin.NewCall) standin.NewDo {
+		}}}, func(c standin.GRPCCall) standin.GRPCReply {
 		if c.Conn == 1 {
 			<-release
 		}
-		return standin.NewDo{Text: "v"}
+		return standin.GRPCReply{Text: "v"}
 	})
 	to := Target{Name: "a", Address: n.Addr, TLS: true, ServerName: "ledger"}
 	r := newRig(t, testConfig, credentials, to)
 	open := r.send(10, time.Minute)
-	standin.Until(t, "the first call", func() bool { return len(n.Calls()) == 1 })
+	standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
 	put(files.Key, []byte("broken"))
 	if changed, err := credentials.Reload(); changed || err == nil {
 		t.Fatalf("an invalid key pair was accepted: %v %v", changed, err)
--- a/internal/platform/noderace_test.go
+++ b/internal/platform/noderace_test.go
@@ -53,7 +53,7 @@
 	t.Helper()
 	outcomes = make(chan core.AttemptDone, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
-	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(e core.Event) {
 			if o, ok := e.(core.AttemptDone); ok {
 				outcomes <- o
@@ -153,7 +153,7 @@
 	n, id, outcomes := nodesWithOutcomes(t)
 	c, held := n.attach(id), newHeldConn()
 	c.conn, c.writeConn, c.connected = held, held, true
-	k, err := core.New(core.Config{Settings: n.cfg.Load().Module, Log: standin.Quiet()})
+	k, err := core.New(core.Config{Settings: n.cfg.Load().Module, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -223,7 +223,7 @@
 	go c.writeLoop(held)
 	<-held.writing
 	held.result <- nil
-	standin.Until(t, "the frame to be marked written", func() bool {
+	standin.WaitFor(t, "the frame to be marked written", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.writtenAt) == 1
@@ -263,7 +263,7 @@
 func TestCrowdLeavesDescriptorsForOthers(t *testing.T) {
 	release := make(chan struct{})
 	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
-	slow.Wide.Store(true)
+	slow.Concurrent.Store(true)
 	var down atomic.Bool
 	hosts := []host{hostAt("slow", slow.Addr, 0)}
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
@@ -276,7 +276,7 @@
 	k := startReady(t, cfg)
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	down.Store(true)
 	for i := range 60 {
 		c, err := net.Dial("tcp", k.Addr())
@@ -295,7 +295,7 @@
 		t.Fatalf("the request that was open got %d", got)
 	}
 	calls := d.count()
-	standin.Until(t, "further calls for the list", func() bool { return d.count() > calls+2 })
+	standin.WaitFor(t, "further calls for the list", func() bool { return d.count() > calls+2 })
 	var nodes []*standin.Node
 	hosts = nil
 	for i := range 20 {
@@ -304,12 +304,12 @@
 		hosts = append(hosts, hostAt(fmt.Sprint("n", i), n.Addr, 0))
 	}
 	down.Store(false)
-	standin.Until(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
-	standin.Until(t, "connections to more nodes than descriptors were reserved for", func() bool {
+	standin.WaitFor(t, "the list", func() bool { return k.core.Counts().ListedServers.Load() == 20 })
+	standin.WaitFor(t, "connections to more nodes than descriptors were reserved for", func() bool {
 		post(t, k, "rate-check", 0)
 		opened := 0
 		for _, n := range nodes {
-			opened += min(1, n.Opened())
+			opened += min(1, n.ConnsOpened())
 		}
 		return opened > 12
 	})
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -48,7 +48,7 @@
 func newDiscovery(t *testing.T, hosts ...host) *discovery {
 	t.Helper()
 	d := &discovery{seq: 41, hosts: hosts}
-	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(50, 0), standin.Quiet(), d.serve)
+	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(50, 0), standin.DiscardLogger(), d.serve)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,7 +91,7 @@
 // change announces hosts as soon as a watch waits for a change.
 func (d *discovery) change(t *testing.T, hosts ...host) {
 	t.Helper()
-	standin.Until(t, "a watch", func() bool {
+	standin.WaitFor(t, "a watch", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if d.waiting == nil {
@@ -143,13 +143,13 @@
 // startReady starts a coordinator and waits until it is ready.
 func startReady(t *testing.T, c *Config) *Coordinator {
 	t.Helper()
-	k, err := Start(c, standin.Quiet())
+	k, err := Start(c, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	standin.Until(t, "readiness", func() bool {
-		return standin.Call(t, k.Addr(), "GET", "/up", nil, "").Status == 200
+	standin.WaitFor(t, "readiness", func() bool {
+		return standin.DoHTTP(t, k.Addr(), "GET", "/up", nil, "").Status == 200
 	})
 	return k
 }
@@ -171,7 +171,7 @@
 		items[i] = fmt.Sprintf(`{"slice":%d,"mass":%g}`, s, 1/float64(len(shards)))
 	}
 	head := [][2]string{{"X-Call-Id", id}, {"Idempotency-Key", "k" + id}}
-	return standin.Call(t, k.Addr(), "POST", "/"+class, head,
+	return standin.DoHTTP(t, k.Addr(), "POST", "/"+class, head,
 		fmt.Sprintf(`{"slices":[%s],"filter":"c41e77d0"}`, strings.Join(items, ",")))
 }
 
@@ -186,16 +186,16 @@
 		t.Fatalf("%d %s\nwant %s", r.Status, r.Body, want)
 	}
 	p := a.Parts()[0]
-	if p.Text != "c41e77d0" || !strings.HasPrefix(p.List, "d=") || strings.Contains(p.List, "k=") {
+	if p.Text != "c41e77d0" || !strings.HasPrefix(p.Attrs, "d=") || strings.Contains(p.Attrs, "k=") {
 		t.Fatalf("%+v", p)
 	}
 	for range 20 {
 		post(t, k, "exchange-post", 0)
 	}
-	if p := a.Parts()[1]; !strings.HasSuffix(p.List, ",k=k"+strings.TrimSuffix(p.ID, ".0")) {
+	if p := a.Parts()[1]; !strings.HasSuffix(p.Attrs, ",k=k"+strings.TrimSuffix(p.ID, ".0")) {
 		t.Fatalf("%+v", p)
 	}
-	if n := a.Opened(); n != 1 {
+	if n := a.ConnsOpened(); n != 1 {
 		t.Fatalf("%d connections for one part at a time: they are not reused", n)
 	}
 }
@@ -215,7 +215,7 @@
 // client that it did not.
 func TestWhatMayHaveRunIsNotRefused(t *testing.T) {
 	var n *standin.Node
-	n = standin.NewNode(t, func(standin.Part) (string, string) { n.Drop(); return "", "" })
+	n = standin.NewNode(t, func(standin.Part) (string, string) { n.ResetConns(); return "", "" })
 	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 	if r := post(t, k, "exchange-post", 0); r.Status != 502 {
 		t.Fatalf("%d %s", r.Status, r.Body)
@@ -232,8 +232,8 @@
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	standin.Until(t, "the cancellation", func() bool { return len(a.Given()) > 0 })
-	if got, want := a.Given()[0], a.Parts()[0].ID; got != want {
+	standin.WaitFor(t, "the cancellation", func() bool { return len(a.Cancelled()) > 0 })
+	if got, want := a.Cancelled()[0], a.Parts()[0].ID; got != want {
 		t.Fatalf("%q is cancelled, want %q", got, want)
 	}
 }
@@ -247,8 +247,8 @@
 		wg.Add(1)
 		go func() { defer wg.Done(); post(t, k, "rate-check", 0) }()
 	}
-	standin.Until(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
-	if n := a.Opened(); n < 2 {
+	standin.WaitFor(t, "three parts", func() bool { return len(a.Parts()) >= 3 })
+	if n := a.ConnsOpened(); n < 2 {
 		t.Errorf("%d connections for three parts in flight", n)
 	}
 	if r := post(t, k, "rate-check", 1); r.Status != 200 {
@@ -266,7 +266,7 @@
 	draining := hostAt("a", a.Addr, 0)
 	draining.Health = "terminating"
 	d.change(t, draining)
-	standin.Until(t, "the next watch", func() bool { return d.lastQuery() == "index=42&wait=1000" })
+	standin.WaitFor(t, "the next watch", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	if got := d.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Fatalf("%q", got)
 	}
@@ -279,7 +279,7 @@
 
 // Calls that wait for a connection to come up are queued. A drain withdraws them, and they have never run.
 func TestDrainWithdrawsQueuedCalls(t *testing.T) {
-	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{},
+	n := NewNodes(testConfig(t, newDiscovery(t)), lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(core.Event) {})
 	id := core.ServerID("a")
 	c := &nodeConn{backend: n, node: &node{id: id}, pending: map[string]*core.Attempt{},
@@ -316,7 +316,7 @@
 // After a restart the list known before it is enough to serve while discovery is silent.
 func TestKnownListServesWhileDiscoveryIsSilent(t *testing.T) {
 	a := standin.NewNode(t, answerAll)
-	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	silent := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
 	c := testConfig(t, &discovery{addr: silent.Addr})
 	c.Known = &hostList{Seq: 7, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
 	if r := post(t, startReady(t, c), "rate-check", 0); r.Status != 200 {
@@ -333,7 +333,7 @@
 		c := testConfig(t, d, `"membershipMode":"automatic"`, fmt.Sprintf(`"membershipMode":%q`, mode))
 		c.Known = &hostList{Seq: 41, Complete: true, Hosts: []host{hostAt("a", a.Addr, 0)}}
 		k := startReady(t, c)
-		standin.Until(t, "a call", func() bool { return len(d.queries()) > 0 })
+		standin.WaitFor(t, "a call", func() bool { return len(d.queries()) > 0 })
 		if got := d.queries()[0]; got != first {
 			t.Errorf("%s: the first call was %q, want %q", mode, got, first)
 		}
@@ -352,14 +352,14 @@
 	first := newDiscovery(t, hostAt("a", a.Addr, 0))
 	first.silent = true
 	k := startReady(t, testConfig(t, first))
-	standin.Until(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
+	standin.WaitFor(t, "a call that waits", func() bool { return len(first.queries()) >= 2 })
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
-	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	silent := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
 	start := time.Now()
 	k.Reload(testConfig(t, &discovery{addr: silent.Addr}))
-	standin.Until(t, "the call to a silent address", func() bool { return len(silent.Seen()) >= 1 })
+	standin.WaitFor(t, "the call to a silent address", func() bool { return len(silent.Requests()) >= 1 })
 	calls := len(first.queries())
 	if took := time.Since(start); took > pushTimes.undetectedSilence()/2 { // shorter than the call in flight
 		t.Errorf("the move took %v", took)
@@ -370,7 +370,7 @@
 	}
 	second := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 1))
 	k.Reload(testConfig(t, second))
-	standin.Until(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
+	standin.WaitFor(t, "the watch at the new address", func() bool { return len(second.queries()) >= 2 })
 	if got := second.queries(); got[0] != "" || got[1] != "index=41&wait=1000" {
 		t.Errorf("%q", got)
 	}
@@ -383,14 +383,14 @@
 }
 
 func TestNotReadyBeforeAnyList(t *testing.T) {
-	silent := standin.NewHTTP(t, func(string, url.Values) (int, string) { return 0, "" })
-	k, err := Start(testConfig(t, &discovery{addr: silent.Addr}), standin.Quiet())
+	silent := standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return 0, "" })
+	k, err := Start(testConfig(t, &discovery{addr: silent.Addr}), standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer k.Close()
-	standin.Until(t, "the call for the list", func() bool { return len(silent.Seen()) > 0 })
-	if r := standin.Call(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
+	standin.WaitFor(t, "the call for the list", func() bool { return len(silent.Requests()) > 0 })
+	if r := standin.DoHTTP(t, k.Addr(), "GET", "/up", nil, ""); r.Status != 503 {
 		t.Fatal(r.Status)
 	}
 }
@@ -407,10 +407,10 @@
 	defer c.Close()
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	ended := make(chan struct{})
 	go func() { k.Shutdown(); close(ended) }()
-	standin.Until(t, "the end of readiness", func() bool { return !k.front.ready.Load() })
+	standin.WaitFor(t, "the end of readiness", func() bool { return !k.front.ready.Load() })
 	for n := range 2 {
 		r, err := c.Do("POST", "/rate-check", k.Addr(), [][2]string{{"X-Call-Id", fmt.Sprint("kept", n)}},
 			[]byte(`{"slices":[{"slice":1,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
@@ -443,7 +443,7 @@
 	_ = sockets[0].Close()
 	c.PeerListen, c.Peers = own, []string{own, peer.LocalAddr().String()}
 	got := make(chan core.Event, 10)
-	p, err := listenPeers(c, standin.Quiet(), func(e core.Event) { got <- e }, nil)
+	p, err := listenPeers(c, standin.DiscardLogger(), func(e core.Event) { got <- e }, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -512,7 +512,7 @@
 		"no time left":    {"POST", "/rate-check", good, [][2]string{id, {"X-Budget", "0"}}, 503},
 		"good":            {"POST", "/exchange-post", good, [][2]string{id, key, {"X-Budget", "2.5"}}, 200},
 	} {
-		if r := standin.Call(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
+		if r := standin.DoHTTP(t, k.Addr(), c.method, c.path, c.header, c.body); r.Status != c.want {
 			t.Errorf("%s: %d, want %d", name, r.Status, c.want)
 		} else if c.path != "/up" && c.want/100 == 4 && r.Header.Get("Connection") != "close" {
 			t.Errorf("%s: the connection stays open", name)
@@ -529,12 +529,12 @@
 	a := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
 	k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", a.Addr, 0))))
 	send := func() *lnet.Reply {
-		return standin.Call(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
+		return standin.DoHTTP(t, k.Addr(), "POST", "/rate-check", [][2]string{{"X-Call-Id", "same"}},
 			`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`)
 	}
 	first := make(chan *lnet.Reply, 1)
 	go func() { first <- send() }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	if r := send(); r.Status != 409 || r.Header.Get("Connection") != "close" {
 		t.Errorf("the second got %d", r.Status)
 	}
@@ -566,16 +566,16 @@
 		var first atomic.Bool
 		n := standin.NewNode(t, func(p standin.Part) (string, string) {
 			if first.CompareAndSwap(false, true) {
-				return standin.Raw, answer(p.ID)
+				return standin.RawReply, answer(p.ID)
 			}
 			return answerAll(p)
 		})
 		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		r := post(t, k, "rate-check", 0)
-		if !strings.Contains(string(r.Body), `"body":"v:`) || n.Opened() != 2 || len(n.Parts()) != 2 {
-			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.Opened())
+		if !strings.Contains(string(r.Body), `"body":"v:`) || n.ConnsOpened() != 2 || len(n.Parts()) != 2 {
+			t.Errorf("%s: %d %s, %d parts on %d connections", name, r.Status, r.Body, len(n.Parts()), n.ConnsOpened())
 		}
-		if len(n.Given()) != 0 {
+		if len(n.Cancelled()) != 0 {
 			t.Errorf("%s: the part was waited for and cancelled", name)
 		}
 		k.Close()
@@ -598,7 +598,7 @@
 	}
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
+	standin.WaitFor(t, "the part that is not answered", func() bool { return len(n.Parts()) == 9 })
 	for waits, start := true, time.Now(); waits; time.Sleep(minSilence) {
 		select {
 		case got := <-status:
@@ -636,20 +636,20 @@
 		"unreadable report": {func(p standin.Part) string { return good(p, "rps=\x00,, =;") }, 1},
 		"report of words":   {func(p standin.Part) string { return good(p, "all is well") }, 1},
 	} {
-		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.Raw, c.answer(p) })
+		n := standin.NewNode(t, func(p standin.Part) (string, string) { return standin.RawReply, c.answer(p) })
 		k := startReady(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
 		for range 2 {
 			if r := post(t, k, "exchange-post", 0); !strings.Contains(string(r.Body), `"body":"v:`) {
 				t.Errorf("%s: %d %s", name, r.Status, r.Body)
 			}
 			if c.conns > 1 {
-				standin.Until(t, "the end of the connection", func() bool {
+				standin.WaitFor(t, "the end of the connection", func() bool {
 					return len(k.nodes.connsTo(core.ServerID("a"))) == 0
 				})
 			}
 		}
-		if n.Opened() != c.conns || len(n.Parts()) != 2 {
-			t.Errorf("%s: %d parts on %d connections", name, len(n.Parts()), n.Opened())
+		if n.ConnsOpened() != c.conns || len(n.Parts()) != 2 {
+			t.Errorf("%s: %d parts on %d connections", name, len(n.Parts()), n.ConnsOpened())
 		}
 		k.Close()
 	}
@@ -664,7 +664,7 @@
 	k := startReady(t, testConfig(t, d))
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(a.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(a.Parts()) > 0 })
 	known := func() int {
 		k.nodes.mu.Lock()
 		defer k.nodes.mu.Unlock()
@@ -673,12 +673,12 @@
 	gone, idle := hostAt("a", a.Addr, 0), hostAt("x", "127.0.0.1:1", 1)
 	gone.Health, idle.Health = "terminated", "terminated"
 	d.change(t, gone, idle, hostAt("b", b.Addr, 0))
-	standin.Until(t, "the end of the idle node", func() bool { return known() == 2 })
+	standin.WaitFor(t, "the end of the idle node", func() bool { return known() == 2 })
 	close(release)
 	if got := <-status; got != 200 {
 		t.Errorf("the open request got %d", got)
 	}
-	standin.Until(t, "the end of the other node", func() bool { return known() == 1 })
+	standin.WaitFor(t, "the end of the other node", func() bool { return known() == 1 })
 	if r := post(t, k, "rate-check", 0); r.Status != 200 || len(b.Parts()) != 1 {
 		t.Errorf("%d, %d parts at the new node", r.Status, len(b.Parts()))
 	}
@@ -789,7 +789,7 @@
 // counters reads the counters at the admin endpoint.
 func counters(t *testing.T, k *Coordinator) admin.Counters {
 	t.Helper()
-	r := standin.Call(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
+	r := standin.DoHTTP(t, k.AdminAddr(), "GET", "/admin/stats", nil, "")
 	var f admin.Counters
 	if err := json.Unmarshal(r.Body, &f); err != nil || r.Status != 200 {
 		t.Fatalf("%d %s: %v", r.Status, r.Body, err)
@@ -837,9 +837,9 @@
 		time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "an open request", func() bool { return counters(t, k).Active == 1 })
+	standin.WaitFor(t, "an open request", func() bool { return counters(t, k).Active == 1 })
 	c.Close()
-	standin.Until(t, "its end", func() bool { return counters(t, k).Active == 0 })
+	standin.WaitFor(t, "its end", func() bool { return counters(t, k).Active == 0 })
 }
 
 // A cordoned node gets nothing new, whatever the list says, until it is uncordoned. Then it is used again.
@@ -850,14 +850,14 @@
 	k := startReady(t, adminConfig(t, d))
 	call := func(name, id string, want int) {
 		t.Helper()
-		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
+		if r := standin.DoHTTP(t, k.AdminAddr(), "POST", "/admin/"+name, nil, id); r.Status != want {
 			t.Fatalf("%s %s: %d %s", name, id, r.Status, r.Body)
 		}
 	}
 	call("cordon", "c", 404)
 	call("cordon", "a", 200)
 	call("cordon", "a", 200)
-	standin.Until(t, "the counters", func() bool {
+	standin.WaitFor(t, "the counters", func() bool {
 		f := counters(t, k)
 		return f.PoolSize == 2 && f.PoolEjected == 1
 	})
@@ -865,7 +865,7 @@
 	again := hostAt("a", a.Addr, 0)
 	again.Born = float64(time.Now().UnixMilli())
 	d.change(t, again)
-	standin.Until(t, "the change", func() bool { return d.lastQuery() == "index=42&wait=1000" })
+	standin.WaitFor(t, "the change", func() bool { return d.lastQuery() == "index=42&wait=1000" })
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d", r.Status)
@@ -875,7 +875,7 @@
 		t.Fatalf("%d parts went to a cordoned node", n)
 	}
 	call("uncordon", "a", 200)
-	standin.Until(t, "use of the uncordoned node", func() bool {
+	standin.WaitFor(t, "use of the uncordoned node", func() bool {
 		post(t, k, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -121,11 +121,11 @@
 	}
 	status := make(chan int, 1)
 	go func() { status <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(slow.Parts()) > 0 })
 	if err := k.Reload(adminConfig(t, d, addedClass...)); err != nil {
 		t.Fatal(err)
 	}
-	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].List, ",k=") {
+	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].Attrs, ",k=") {
 		t.Fatalf("the new class got %d, its part %+v", r.Status, n.Parts()[0])
 	}
 	// removes rate-check and fresh
@@ -136,7 +136,7 @@
 	if got := <-status; got != 200 {
 		t.Errorf("the request whose class was removed got %d", got)
 	}
-	standin.Until(t, "the end of the removed class", func() bool {
+	standin.WaitFor(t, "the end of the removed class", func() bool {
 		return post(t, k, "rate-check", 1).Status == 404
 	})
 	for _, class := range []string{"other", "exchange-post"} {
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -30,7 +30,7 @@
 // awaitUpgradeSocket waits until a successor can ask the process that serves.
 func awaitUpgradeSocket(t *testing.T, cfg *Config) {
 	t.Helper()
-	standin.Until(t, "the upgrade socket", func() bool {
+	standin.WaitFor(t, "the upgrade socket", func() bool {
 		_, err := os.Lstat(socketPath(cfg))
 		return err == nil
 	})
@@ -59,7 +59,7 @@
 	awaitUpgradeSocket(t, cfg)
 	call := func(k *Coordinator, name string) {
 		t.Helper()
-		if r := standin.Call(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
+		if r := standin.DoHTTP(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
@@ -73,13 +73,13 @@
 	staysOpen(t, c, "first")
 
 	newCfg := *cfg
-	successor, err := Start(&newCfg, standin.Quiet())
+	successor, err := Start(&newCfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(successor.Close)
-	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
+	standin.WaitFor(t, "the successor's readiness", func() bool {
+		return standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
 		t.Error("the successor is ready before the old process knows of it")
@@ -89,15 +89,15 @@
 	}
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the shutdown of the old process", func() bool { return old.shuttingDown.Load() })
-	if r := standin.Call(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	standin.WaitFor(t, "the shutdown of the old process", func() bool { return old.shuttingDown.Load() })
+	if r := standin.DoHTTP(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the old process answers %d", r.Status)
 	}
 	for range 20 {
 		if r := post(t, successor, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
-		if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+		if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 			t.Fatalf("/up answers %d", r.Status)
 		}
 	}
@@ -108,20 +108,20 @@
 		t.Error("a connection to the old process stays open")
 	}
 	call(old, "uncordon")
-	standin.Until(t, "the uncordon at the old process to take effect in the new one", func() bool {
+	standin.WaitFor(t, "the uncordon at the old process to take effect in the new one", func() bool {
 		post(t, successor, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
 	<-ended
 
 	nextCfg := *cfg // the next one asks the process that serves now
-	if received, _ := requestSockets(&nextCfg, standin.Quiet()); received == nil {
+	if received, _ := requestSockets(&nextCfg, standin.DiscardLogger()); received == nil {
 		t.Fatal("no process to take over from")
 	} else {
 		received.discard()
 	}
-	standin.Until(t, "the socket again after that successor is gone", func() bool {
-		received, _ := requestSockets(&nextCfg, standin.Quiet())
+	standin.WaitFor(t, "the socket again after that successor is gone", func() bool {
+		received, _ := requestSockets(&nextCfg, standin.DiscardLogger())
 		if received != nil {
 			received.discard()
 		}
@@ -150,7 +150,7 @@
 		if err != nil {
 			return
 		}
-		l := newLink(c, standin.Quiet())
+		l := newLink(c, standin.DiscardLogger())
 		if _, err := l.readMessage(); err != nil {
 			return
 		}
@@ -161,7 +161,7 @@
 			ready <- l
 		}
 	}()
-	successor, err := Start(cfg, standin.Quiet())
+	successor, err := Start(cfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		t.Fatal("the old process received nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+	if r := standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
 		t.Errorf("the admin endpoint answers %d", r.Status)
 	}
 	if successor.accepting.Load() {
@@ -180,10 +180,10 @@
 	if err := l.writeMessage(linkMessage{Acknowledged: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the successor's readiness", func() bool {
-		return standin.Call(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
+	standin.WaitFor(t, "the successor's readiness", func() bool {
+		return standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
-	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+	if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
 		t.Errorf("/up answers %d", r.Status)
 	}
 }
@@ -195,7 +195,7 @@
 	old := startReady(t, cfg)
 	awaitUpgradeSocket(t, cfg)
 	newCfg := *cfg
-	received, _ := requestSockets(&newCfg, standin.Quiet())
+	received, _ := requestSockets(&newCfg, standin.DiscardLogger())
 	if received == nil {
 		t.Fatal("nothing to take over")
 	}
@@ -209,13 +209,13 @@
 	staysOpen(t, c, "before")
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the shutdown to begin", func() bool { return !old.front.ready.Load() })
+	standin.WaitFor(t, "the shutdown to begin", func() bool { return !old.front.ready.Load() })
 	if !staysOpen(t, c, "sigterm") {
 		t.Error("a connection is ended while no other process serves")
 	}
 	received.link.send(linkMessage{Ready: true})
-	standin.Until(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
-	standin.Until(t, "the clients to be redirected", func() bool {
+	standin.WaitFor(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
+	standin.WaitFor(t, "the clients to be redirected", func() bool {
 		return old.server.OpenConns() == 0 || !staysOpen(t, c, "then")
 	})
 	<-ended
@@ -230,18 +230,18 @@
 	u := old.upgrade
 	fullBudget := u.fullBudget
 	newCfg := *cfg
-	successor, err := Start(&newCfg, standin.Quiet())
+	successor, err := Start(&newCfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(successor.Close)
-	standin.Until(t, "the old process to know of it", u.handedOver)
+	standin.WaitFor(t, "the old process to know of it", u.handedOver)
 	if sum := u.budget.Capacity() + successor.upgrade.budget.Capacity() +
 		2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "the full budget", func() bool { return successor.upgrade.budget.Capacity() == fullBudget })
+	standin.WaitFor(t, "the full budget", func() bool { return successor.upgrade.budget.Capacity() == fullBudget })
 }
 
 // A process may be taken over from while its own predecessor still shuts down. The three share what one
@@ -253,12 +253,12 @@
 	startSuccessor := func(predecessor *Coordinator) *Coordinator {
 		t.Helper()
 		newCfg := *cfg
-		k, err := Start(&newCfg, standin.Quiet())
+		k, err := Start(&newCfg, standin.DiscardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		standin.Until(t, "the predecessor to know of it", predecessor.upgrade.handedOver)
+		standin.WaitFor(t, "the predecessor to know of it", predecessor.upgrade.handedOver)
 		return k
 	}
 	capacity := func(of ...*Coordinator) (sum int) {
@@ -268,7 +268,7 @@
 		return sum
 	}
 	second := startSuccessor(first)
-	standin.Until(t, "the second one's upgrade socket", func() bool {
+	standin.WaitFor(t, "the second one's upgrade socket", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
 		return second.upgrade.listener != nil
@@ -278,7 +278,7 @@
 		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 	}
 	first.Shutdown()
-	standin.Until(t, "the descriptors of the first", func() bool {
+	standin.WaitFor(t, "the descriptors of the first", func() bool {
 		return capacity(second, third) == first.upgrade.sharedBudget()
 	})
 	for range 3 { // and it stays so
@@ -288,7 +288,7 @@
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "the full budget", func() bool {
+	standin.WaitFor(t, "the full budget", func() bool {
 		return third.upgrade.budget.Capacity() == third.upgrade.fullBudget
 	})
 }
@@ -359,7 +359,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, fresh := newLink(ours, standin.Quiet()), newLink(theirs, standin.Quiet())
+	old, fresh := newLink(ours, standin.DiscardLogger()), newLink(theirs, standin.DiscardLogger())
 	defer old.close()
 	defer fresh.close()
 	if err := k.upgrade.sendHello(old); err != nil {
@@ -400,7 +400,7 @@
 		}
 	}()
 	k := startReady(t, cfg)
-	standin.Until(t, "all tries", func() bool { return len(connected) == linkAttempts })
+	standin.WaitFor(t, "all tries", func() bool { return len(connected) == linkAttempts })
 	select {
 	case <-k.watcher.gotFullList:
 	default:
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -156,7 +156,7 @@
 				}
 			})
 			k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the full list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
+			standin.WaitFor(t, "the full list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
@@ -196,12 +196,12 @@
 	down = true
 	mu.Unlock()
 	calls := d.count()
-	standin.Until(t, "calls to a silent discovery", func() bool { return d.count() > calls+8 })
+	standin.WaitFor(t, "calls to a silent discovery", func() bool { return d.count() > calls+8 })
 	mu.Lock()
 	both[0].Health = "terminating"
 	calls, down = d.count(), false
 	mu.Unlock()
-	standin.Until(t, "the watch that follows the answer", func() bool { // until then the full list is requested
+	standin.WaitFor(t, "the watch that follows the answer", func() bool { // until then the full list is requested
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return slices.ContainsFunc(d.seen[calls:], func(q string) bool { return q != "" })
@@ -226,7 +226,7 @@
 	})
 	c := testConfig(t, &discovery{addr: d.addr})
 	c.Known = &hostList{Seq: 7, Complete: true, Hosts: both}
-	k, err := Start(c, standin.Quiet())
+	k, err := Start(c, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,8 +237,8 @@
 		t.Fatal("ready with an old list only")
 	}
 	close(release)
-	standin.Until(t, "readiness", k.front.ready.Load)
-	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.gotFullList; return !open })
+	standin.WaitFor(t, "readiness", k.front.ready.Load)
+	standin.WaitFor(t, "the list", func() bool { _, open := <-k.watcher.gotFullList; return !open })
 	expectNoParts(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
@@ -266,7 +266,7 @@
 	})
 	k := startReady(t, testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
 		`"membershipMode":"subscribe"`))
-	standin.Until(t, "the next call", func() bool { return d.count() >= 4 })
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 4 })
 	seen := d.queries()
 	if seen[2] != "index=1&wait=2500" || seen[3] != "index=2&wait=2500" {
 		t.Fatalf("%q", seen)
@@ -293,7 +293,7 @@
 	c := testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
 	c.Known = &hostList{Seq: 0, Complete: true, Hosts: both}
 	k := startReady(t, c)
-	standin.Until(t, "the next call", func() bool { return d.count() >= 2 })
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 2 })
 	seen := d.queries()
 	if seen[0] != "index=0&wait=2500" || seen[1] != "index=1&wait=2500" {
 		t.Fatalf("%q", seen)
@@ -318,5 +318,5 @@
 		}
 	})
 	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
-	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
+	standin.WaitFor(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 }
