--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -1,8 +1,7 @@
 package promql
 
-// The front and the way to the servers. This file owns the file of settings, the listener's requests, and
-// the connections to the servers; it must never choose a server, ask one again, or end a query: all that
-// comes from the core.
+// The front: its configuration file, the HTTP requests of its clients and the replies to them. It never
+// chooses a server, retries a part or decides a query's outcome: the core does that.
 
 import (
 	"encoding/json"
@@ -28,38 +27,39 @@
 )
 
 const (
-	rangePath  = "/api/v1/query_range"
-	maxReply   = 8 << 20  // of one server
-	maxHeld    = 24 << 20 // of all replies that wait for their query's end
-	maxShards  = 4096
-	maxIdle    = 32  // connections kept to one server
-	idleShare  = 0.7 // of the idle limit, after which a connection is not used again
-	writeLimit = 300 * time.Millisecond
-	readSlack  = 100 * time.Millisecond // the core's own time-out comes first
+	rangePath         = "/api/v1/query_range"
+	maxReplyBytes     = 8 << 20  // per server reply
+	maxBufferedBytes  = 24 << 20 // total of the replies that are held until their queries end
+	maxShards         = 4096
+	maxIdleConns      = 32  // per server
+	idleReuseFraction = 0.7 // connections idle for longer than this fraction of ConnIdle are not reused
+	writeTimeout      = 300 * time.Millisecond
+	readSlack         = 100 * time.Millisecond // added to the read deadline so that the core times out first
 )
 
-// Server is one server of range queries.
+// Server is one server that answers range queries.
 type Server struct {
 	Name    string   `toml:"name"`
-	Address string   `toml:"address"` // host:port, or a URL with a path before /api
+	Address string   `toml:"address"` // host:port, or a URL whose path is put before /api
 	Zone    string   `toml:"zone,omitempty"`
 	Cell    int      `toml:"cell"`
 	Share   *float64 `toml:"share,omitempty"`
 }
 
-// Config is the front's file.
+// Config is the front's configuration file.
 type Config struct {
 	Listen     string         `toml:"listen"`
 	Class      string         `toml:"class"`
-	ShardLabel string         `toml:"shard_label,omitempty"` // of the series, naming their shard
-	Zone       string         `toml:"zone,omitempty"`        // ours, where there is no platform to tell
-	Shards     int            `toml:"shards,omitempty"`      // where there is no platform to tell
+	ShardLabel string         `toml:"shard_label,omitempty"` // series label that holds the shard number
+	Zone       string         `toml:"zone,omitempty"`        // of this coordinator; only without the platform
+	Shards     int            `toml:"shards,omitempty"`      // only without the platform
 	Reach      int            `toml:"reach,omitempty"`
 	Servers    []Server       `toml:"server"`
-	Settings   map[string]any `toml:"settings,omitempty"` // over the defaults, where there is no platform
+	Settings   map[string]any `toml:"settings,omitempty"` // override the defaults; only without the platform
 }
 
-// ParseConfig reads the front's file. Unknown keys are errors, as a misspelt one would be lost unseen.
+// ParseConfig parses the front's configuration file. Unknown keys are errors: a misspelt key would otherwise
+// be ignored silently.
 func ParseConfig(text string) (*Config, error) {
 	c := &Config{}
 	meta, err := toml.Decode(text, c)
@@ -72,7 +72,7 @@
 	if c.Listen == "" {
 		return nil, errors.New("listen is missing")
 	}
-	if c.Class == "" { // which of the settings' it is cannot be guessed
+	if c.Class == "" { // there is no default: the settings do not say which class range queries belong to
 		return nil, errors.New("class is missing: the one that range queries count as")
 	}
 	if len(c.Servers) == 0 {
@@ -94,7 +94,7 @@
 	return c, nil
 }
 
-// LoadConfig reads the front's file.
+// LoadConfig reads and parses the front's configuration file.
 func LoadConfig(path string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -107,7 +107,7 @@
 	return c, nil
 }
 
-// splitAddress reads host:port, or http://host:port/path.
+// splitAddress splits host:port or http://host:port/path; the port defaults to 80.
 func splitAddress(text string) (hostPort, path string, err error) {
 	if !strings.Contains(text, "://") {
 		text = "http://" + text
@@ -123,7 +123,7 @@
 	return hostPort, strings.TrimSuffix(u.EscapedPath(), "/"), nil
 }
 
-// Standalone is the settings object, in the platform's names, for a start without the platform.
+// Standalone returns a settings object, with the platform's keys, for a start without the platform.
 func (c *Config) Standalone() map[string]any {
 	cells := 1
 	var zones []any
@@ -140,8 +140,9 @@
 	all := map[string]any{
 		"azs": zones, "zone": max(0, slices.Index(zones, any(c.Zone))), "peersTotal": 1, "me": 0,
 		"quantumUs": 5000, "membershipMode": "automatic",
-		// No query is taken for a repeat: the module would else take one with a short time-out for the last
-		// try of an older one, and turn it away as too late to earn anything.
+		// Declares that clients mark their retries. Range-query clients do not, so no query counts as a retry.
+		// The module would otherwise take a query with a short time-out for the last retry of an older one and
+		// refuse it as too late to be of any worth.
 		"callers": map[string]any{"marksRetry": true},
 		"extra":   map[string]any{"places": cells, "slices": shards, "reach": max(1, c.Reach)},
 		"bounds": map[string]any{"cancel": true, "secondCopies": true, "sendCap": 4, "probes": true,
@@ -154,7 +155,7 @@
 	return all
 }
 
-// Place is what the front has to know of where it runs.
+// Environment is what the front needs to know about the coordinator that it runs in.
 type Place struct {
 	Classes     []string
 	Settings    balance.Settings
@@ -162,54 +163,54 @@
 	Shards      int
 	DialTimeout time.Duration
 	ConnIdle    time.Duration
-	Alone       bool // there is no discovery: the file's servers are the list
+	Alone       bool // without discovery: the file's servers are the list
 	Log         *slog.Logger
 }
 
-// Front is the front and the backend of its queries.
+// Front is both the front and the backend of range queries.
 type Front struct {
-	cfg      *Config
-	place    Place
-	class    int
-	servers  map[balance.ReplicaID]*server
-	core     *core.Core
-	budget   *lnet.Budget
-	listener *lnet.Server
-	rules    atomic.Pointer[balance.Class] // of its class, as they are now
-	held     atomic.Int64
-	number   atomic.Uint64
-	ending   atomic.Bool
-	mu       sync.Mutex
-	flights  map[*core.Attempt]*flight
+	cfg           *Config
+	env           Place
+	class         int
+	servers       map[balance.ReplicaID]*server
+	core          *core.Core
+	budget        *lnet.Budget
+	listener      *lnet.Server
+	classSettings atomic.Pointer[balance.Class] // current settings of the front's class
+	bufferedBytes atomic.Int64                  // of server replies, bounded by maxBufferedBytes
+	queryCount    atomic.Uint64                 // numbers the queries' names
+	notReady      atomic.Bool
+	mu            sync.Mutex
+	inFlight      map[*core.Attempt]*roundTrip
 }
 
 type server struct {
 	name, addr, path string
 	mu               sync.Mutex
 	idle             []*lnet.Client
-	sweeps           bool // a look at the idle ones is due
+	sweepScheduled   bool // a timer for closeExpired is running
 }
 
-// New checks a file against where it is to run.
-func New(cfg *Config, p Place) (*Front, error) {
-	f := &Front{cfg: cfg, place: p, class: slices.Index(p.Classes, cfg.Class),
-		servers: map[balance.ReplicaID]*server{}, flights: map[*core.Attempt]*flight{}}
+// New returns a front for a configuration, or an error if the configuration does not fit the environment.
+func New(cfg *Config, env Place) (*Front, error) {
+	f := &Front{cfg: cfg, env: env, class: slices.Index(env.Classes, cfg.Class),
+		servers: map[balance.ReplicaID]*server{}, inFlight: map[*core.Attempt]*roundTrip{}}
 	if f.class < 0 {
 		return nil, fmt.Errorf("class %q is not among the settings'", cfg.Class)
 	}
-	if p.Settings.Classes[f.class].Effect != balance.Safe {
+	if env.Settings.Classes[f.class].Effect != balance.Safe {
 		return nil, fmt.Errorf("class %q is not safe to repeat, as range queries are", cfg.Class)
 	}
-	f.ApplySettings(p.Settings)
-	if p.Shards < 1 || p.Shards > maxShards {
-		return nil, fmt.Errorf("%d shards are not possible", p.Shards)
+	f.ApplySettings(env.Settings)
+	if env.Shards < 1 || env.Shards > maxShards {
+		return nil, fmt.Errorf("%d shards are not possible", env.Shards)
 	}
 	for _, s := range cfg.Servers {
 		addr, path, err := splitAddress(s.Address)
 		if err != nil {
 			return nil, err
 		}
-		if p.Alone && s.Cell >= p.Settings.Cells {
+		if env.Alone && s.Cell >= env.Settings.Cells {
 			return nil, fmt.Errorf("server %s: there is no cell %d", s.Name, s.Cell)
 		}
 		f.servers[core.ServerID(s.Name)] = &server{name: s.Name, addr: addr, path: path}
@@ -217,13 +218,13 @@
 	return f, nil
 }
 
-// ApplySettings takes new settings in.
-func (f *Front) ApplySettings(s balance.Settings) { f.rules.Store(&s.Classes[f.class]) }
+// ApplySettings adopts new settings.
+func (f *Front) ApplySettings(s balance.Settings) { f.classSettings.Store(&s.Classes[f.class]) }
 
-// tenantHeader names the tenant, as range-query services with several tenants have it.
+// tenantHeader carries the tenant; multi-tenant services with Prometheus's API use this header.
 const tenantHeader = "X-Scope-OrgID"
 
-// ServerName is a server's name by its number; false: there is none.
+// ServerName returns the name of the server with the given ID; false if it is unknown.
 func (f *Front) ServerName(id balance.ReplicaID) (string, bool) {
 	if s := f.servers[id]; s != nil {
 		return s.name, true
@@ -231,18 +232,19 @@
 	return "", false
 }
 
-// Backend takes the front's parts to their servers.
+// Backend returns the backend that sends the parts of range queries to servers.
 func (f *Front) Backend() core.Backend { return f }
 
-// Start begins to serve.
+// Start opens the listener and serves requests. Without discovery it first posts the configured servers to
+// the core.
 func (f *Front) Start(c *core.Core, budget *lnet.Budget) error {
 	f.core, f.budget = c, budget
-	l, err := lnet.Listen(f.cfg.Listen, budget, f.place.Log, f.serve)
+	l, err := lnet.Listen(f.cfg.Listen, budget, f.env.Log, f.handle)
 	if err != nil {
 		return err
 	}
 	f.listener = l
-	if f.place.Alone {
+	if f.env.Alone {
 		var list []balance.Replica
 		for _, s := range f.cfg.Servers {
 			size := 1.0
@@ -250,7 +252,7 @@
 				size = *s.Share
 			}
 			list = append(list, balance.Replica{ID: core.ServerID(s.Name), Cell: s.Cell, State: balance.Ready,
-				Zone: slices.Index(f.place.Zones, s.Zone), Size: size})
+				Zone: slices.Index(f.env.Zones, s.Zone), Size: size})
 		}
 		c.Post(core.ListUpdate{Mode: balance.Full, Replicas: list})
 	}
@@ -258,49 +260,50 @@
 	return nil
 }
 
-// Addr is the address that clients reach.
+// Addr returns the listener's address.
 func (f *Front) Addr() string { return f.listener.Addr() }
 
-// MarkNotReady tells who asks that this front is not ready any more.
-func (f *Front) MarkNotReady() { f.ending.Store(true) }
+// MarkNotReady makes /-/ready answer 503 from now on.
+func (f *Front) MarkNotReady() { f.notReady.Store(true) }
 
-// LastRequest is when a request last came.
+// LastRequest returns the time at which the latest request arrived.
 func (f *Front) LastRequest() time.Time { return f.listener.LastRequest() }
 
-// CloseAfterReply has replies end their connections from now on.
+// CloseAfterReply makes every reply close its connection from now on.
 func (f *Front) CloseAfterReply() { f.listener.CloseAfterReply() }
 
-// Drain lets every reply end its connection.
+// Drain closes idle connections, and every other one after its current reply.
 func (f *Front) Drain() { f.listener.Drain() }
 
 // StopListening closes the listener.
 func (f *Front) StopListening() { f.listener.StopListening() }
 
-// Wait waits until every connection has ended.
+// Wait waits until every connection is closed, at most for the given time, and reports whether all are.
 func (f *Front) Wait(most time.Duration) bool { return f.listener.Wait(most) }
 
 func errorReply(e *apiError) lnet.Response {
-	b, err := json.Marshal(envelope{Status: "error", ErrorType: e.kind, Error: e.err.Error()})
+	b, err := json.Marshal(envelope{Status: "error", ErrorType: e.errorType, Error: e.err.Error()})
 	if err != nil {
 		return lnet.Response{Status: 500}
 	}
 	return lnet.Response{Status: e.status, ContentType: "application/json", Body: b}
 }
 
-// unavailable is a refusal. Retry-After is in whole seconds, as HTTP has it.
-func unavailable(kind string, after time.Duration, err error) lnet.Response {
-	r := errorReply(&apiError{503, kind, err})
-	if after > 0 { // else the settings let clients hear nothing
+// unavailable returns a 503 reply. Retry-After is rounded up to whole seconds, as HTTP requires.
+func unavailable(errorType string, after time.Duration, err error) lnet.Response {
+	r := errorReply(&apiError{503, errorType, err})
+	if after > 0 { // 0: the settings forbid Retry-After
 		r.Header = [][2]string{{"Retry-After", strconv.Itoa(max(1, int(math.Ceil(after.Seconds()))))}}
 	}
 	return r
 }
 
-// serve takes one request.
-func (f *Front) serve(r *lnet.Request, x *lnet.Exchange) func() {
+// handle answers one HTTP request. For a query that is passed to the core it returns the function to call if
+// the client disconnects before the reply.
+func (f *Front) handle(r *lnet.Request, x *lnet.Exchange) func() {
 	switch r.Path {
 	case "/-/healthy", "/-/ready":
-		if r.Path == "/-/ready" && f.ending.Load() {
+		if r.Path == "/-/ready" && f.notReady.Load() {
 			x.Reply(lnet.Response{Status: 503, Body: []byte("ending\n")})
 		} else {
 			x.Reply(lnet.Response{Status: 200, Body: []byte("ok\n")})
@@ -311,141 +314,148 @@
 		x.Reply(errorReply(&apiError{404, "not_found", fmt.Errorf("%s is not served here", r.Path)}))
 		return nil
 	}
-	values, bad := form(r)
-	if bad == nil {
+	params, apiErr := requestParams(r)
+	if apiErr == nil {
 		var q *rangeQuery
-		if q, bad = parseQuery(values, f.cfg.ShardLabel); bad == nil {
+		if q, apiErr = parseQuery(params, f.cfg.ShardLabel); apiErr == nil {
 			return f.submit(q, r, x)
 		}
 	}
-	f.place.Log.Warn("bad range query", "status", bad.status, "why", bad.err)
-	reply := errorReply(bad)
-	if bad.status == 405 {
+	f.env.Log.Warn("invalid range query", "status", apiErr.status, "why", apiErr.err)
+	reply := errorReply(apiErr)
+	if apiErr.status == 405 {
 		reply.Header = [][2]string{{"Allow", "GET, POST"}}
 	}
 	x.Reply(reply)
 	return nil
 }
 
-// form reads the parameters of the URL and, of a POST, of the body, which come first.
-func form(r *lnet.Request) (url.Values, *apiError) {
-	values, err := url.ParseQuery(r.Query)
+// requestParams returns the parameters of the URL and, for a POST, of the body. Where both give a parameter,
+// the body's values come first.
+func requestParams(r *lnet.Request) (url.Values, *apiError) {
+	params, err := url.ParseQuery(r.Query)
 	if err != nil {
 		return nil, badData("malformed parameters: %w", err)
 	}
 	switch r.Method {
 	case "GET":
-		return values, nil
+		return params, nil
 	case "POST":
 	default:
 		return nil, &apiError{405, "bad_data", fmt.Errorf("%s is not allowed here", r.Method)}
 	}
-	kind, _, _ := strings.Cut(r.Header.Get("Content-Type"), ";")
-	if len(r.Body) > 0 && !strings.EqualFold(strings.TrimSpace(kind), "application/x-www-form-urlencoded") {
-		return nil, &apiError{415, "bad_data", fmt.Errorf("a body of type %q cannot be read", kind)}
+	mediaType, _, _ := strings.Cut(r.Header.Get("Content-Type"), ";")
+	if len(r.Body) > 0 && !strings.EqualFold(strings.TrimSpace(mediaType), "application/x-www-form-urlencoded") {
+		return nil, &apiError{415, "bad_data", fmt.Errorf("a body of type %q cannot be read", mediaType)}
 	}
 	body, err := url.ParseQuery(string(r.Body))
 	if err != nil {
 		return nil, badData("malformed parameters: %w", err)
 	}
-	for k, v := range values {
+	for k, v := range params {
 		body[k] = append(body[k], v...)
 	}
 	return body, nil
 }
 
-// submit hands a query to the core: one part for each shard.
+// submit passes a query to the core, with one part per shard. It returns the function to call if the client
+// disconnects before the reply; nil if the query has been refused already.
 func (f *Front) submit(q *rangeQuery, r *lnet.Request, x *lnet.Exchange) func() {
-	rules := f.rules.Load()
-	wait := time.Duration(rules.Deadline) * time.Microsecond
+	class := f.classSettings.Load()
+	timeout := time.Duration(class.Deadline) * time.Microsecond
 	if q.timeout > 0 {
-		wait = min(wait, q.timeout)
+		timeout = min(timeout, q.timeout)
 	}
-	j := &job{f: f, q: q, x: x, deadline: r.ReceivedAt.Add(wait)}
-	if rules.Dropped || rules.Effect != balance.Safe { // then the module would not decide for range queries
-		j.reply(unavailable("unavailable", f.core.FullRetryAfter(),
+	pq := &pendingQuery{front: f, query: q, exchange: x, deadline: r.ReceivedAt.Add(timeout)}
+	// New settings may drop the class or change its effect: the module does not decide for range queries then.
+	if class.Dropped || class.Effect != balance.Safe {
+		pq.sendReply(unavailable("unavailable", f.core.FullRetryAfter(),
 			fmt.Errorf("class %q is not there for range queries now", f.cfg.Class)))
 		return nil
 	}
-	cq := &core.Query{Name: "range-" + strconv.FormatUint(f.number.Add(1), 10), Class: f.class,
-		Deadline: j.deadline, Client: j, Backend: f, Data: j, Caller: r.Header.Get(tenantHeader),
+	cq := &core.Query{Name: "range-" + strconv.FormatUint(f.queryCount.Add(1), 10), Class: f.class,
+		Deadline: pq.deadline, Client: pq, Backend: f, Data: pq, Caller: r.Header.Get(tenantHeader),
 		ClientLeft: x.ClientLeft}
-	for s := range f.place.Shards {
+	for s := range f.env.Shards {
 		cq.Parts = append(cq.Parts, core.PartSpec{Shard: s, Weight: 1})
 	}
 	if !f.core.Submit(cq) {
-		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
+		pq.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
 	return func() {
-		j.close()
+		pq.release()
 		f.core.Abandon(cq)
 	}
 }
 
-// job is a query's client, and what its parts' replies take of the memory for them.
-type job struct {
-	f        *Front
-	q        *rangeQuery
-	x        *lnet.Exchange
-	deadline time.Time
-	mu       sync.Mutex
-	held     int64
-	closed   bool
-	refused  *serverError // some server's word that this cannot be computed
+// pendingQuery is the core's client for one query. It also counts the memory that the query's server replies
+// take up.
+type pendingQuery struct {
+	front         *Front
+	query         *rangeQuery
+	exchange      *lnet.Exchange
+	deadline      time.Time
+	mu            sync.Mutex
+	bufferedBytes int64
+	closed        bool
+	permanent     *permanentError // a server's reply that the query cannot be computed, if any
 }
 
-// keep books memory that lives until the query's end. It returns false once that has come.
-func (j *job) keep(n int64) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.closed {
+// retain adds reserved memory that is held until the query ends. It returns false if the query has already
+// ended; the caller then releases the memory.
+func (pq *pendingQuery) retain(n int64) bool {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	if pq.closed {
 		return false
 	}
-	j.held += n
+	pq.bufferedBytes += n
 	return true
 }
 
-func (j *job) close() {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if !j.closed {
-		j.closed = true
-		j.f.held.Add(-j.held)
+func (pq *pendingQuery) release() {
+	pq.mu.Lock()
+	defer pq.mu.Unlock()
+	if !pq.closed {
+		pq.closed = true
+		pq.front.bufferedBytes.Add(-pq.bufferedBytes)
 	}
 }
 
-// Final replies. The core's goroutine calls it, so that what takes time is done elsewhere.
-func (j *job) Final(f core.FinalAnswer) {
+// Final sends the reply. It runs on the core's goroutine, so the merge of the results, which takes time, runs
+// on one of its own.
+func (pq *pendingQuery) Final(f core.FinalAnswer) {
 	switch f.Outcome {
 	case core.Answered:
 		go func() {
-			defer j.close()
-			j.reply(j.answer(f))
+			defer pq.release()
+			pq.sendReply(pq.buildReply(f))
 		}()
 		return
 	case core.Refused:
-		j.mu.Lock()
-		word := j.refused
-		j.mu.Unlock()
+		pq.mu.Lock()
+		permanent := pq.permanent
+		pq.mu.Unlock()
 		switch {
-		case word != nil:
-			j.reply(errorReply(&apiError{422, "execution", word}))
-		case !time.Now().Before(j.deadline.Add(-20 * time.Millisecond)):
-			j.reply(unavailable("timeout", f.RetryAfter, errors.New("the query's time is over")))
+		case permanent != nil:
+			pq.sendReply(errorReply(&apiError{422, "execution", permanent}))
+		case !time.Now().Before(pq.deadline.Add(-20 * time.Millisecond)):
+			pq.sendReply(unavailable("timeout", f.RetryAfter, errors.New("the query's time is over")))
 		default:
-			j.reply(unavailable("unavailable", f.RetryAfter,
+			pq.sendReply(unavailable("unavailable", f.RetryAfter,
 				errors.New("not every shard can answer now: refused rather than thin")))
 		}
 	default:
-		j.reply(unavailable("timeout", j.f.core.FullRetryAfter(), errors.New("the query was not decided in time")))
+		pq.sendReply(unavailable("timeout", pq.front.core.FullRetryAfter(),
+			errors.New("the query was not decided in time")))
 	}
-	j.close()
+	pq.release()
 }
 
-// reply counts what the client is told, and tells it.
-func (j *job) reply(r lnet.Response) {
-	switch count := j.f.core.Counts().Class(j.f.cfg.Class); r.Status {
+// sendReply counts the outcome and sends the reply to the client.
+func (pq *pendingQuery) sendReply(r lnet.Response) {
+	switch count := pq.front.core.Counts().Class(pq.front.cfg.Class); r.Status {
 	case 200:
 		count.Add(core.Answered)
 	case 503:
@@ -453,72 +463,73 @@
 	default:
 		count.Add(core.Failed)
 	}
-	j.x.Reply(r)
+	pq.exchange.Reply(r)
 }
 
-// answer merges the shards' results. What is missing or in conflict is never left out without a word: the
-// query is refused, or, where the class's floor allows it, its answer is marked partial.
-func (j *job) answer(f core.FinalAnswer) lnet.Response {
-	parts := make([]*shardResult, 0, len(f.Values))
+// buildReply merges the shards' results. Missing or conflicting shards are never left out silently: the query
+// is refused or, if the class's floor allows it, its answer is marked partial.
+func (pq *pendingQuery) buildReply(f core.FinalAnswer) lnet.Response {
+	results := make([]*shardResult, 0, len(f.Values))
 	for _, v := range f.Values {
 		if r, ok := v.Data.(*shardResult); ok {
-			parts = append(parts, r)
+			results = append(results, r)
 		}
 	}
-	p := &j.q.plan
-	all, conflicts := merge(parts, p.selects && p.label != "")
+	p := &pq.query.plan
+	merged, conflicts := merge(results, p.hasSelector && p.shardLabel != "")
 	var warnings []string
 	if len(conflicts) > 0 {
-		out := map[int]bool{}
+		conflicting := map[int]bool{}
 		for _, c := range conflicts {
-			out[c.a], out[c.b] = true, true
-			warnings = append(warnings, fmt.Sprintf("shards %d and %d differ on series %s", c.a, c.b, c.labels))
+			conflicting[c.shardA], conflicting[c.shardB] = true, true
+			warnings = append(warnings,
+				fmt.Sprintf("shards %d and %d differ on series %s", c.shardA, c.shardB, c.labels))
 		}
-		j.f.place.Log.Warn("shards differ", "conflicts", len(conflicts), "first", warnings[0])
-		parts = slices.DeleteFunc(parts, func(r *shardResult) bool { return out[r.shard] })
-		all, _ = merge(parts, false)
+		pq.front.env.Log.Warn("shards differ", "conflicts", len(conflicts), "first", warnings[0])
+		results = slices.DeleteFunc(results, func(r *shardResult) bool { return conflicting[r.shard] })
+		merged, _ = merge(results, false)
 		warnings = warnings[:min(len(warnings), 10)]
 	}
-	if missing := j.missing(parts); len(missing) > 0 {
-		share := float64(len(parts)) / float64(j.f.place.Shards)
-		if floor := j.f.rules.Load().Floor; len(parts) == 0 || share < floor-1e-9 {
-			return unavailable("unavailable", j.f.core.FullRetryAfter(),
+	if missing := pq.missingShards(results); len(missing) > 0 {
+		share := float64(len(results)) / float64(pq.front.env.Shards)
+		if floor := pq.front.classSettings.Load().Floor; len(results) == 0 || share < floor-1e-9 {
+			return unavailable("unavailable", pq.front.core.FullRetryAfter(),
 				fmt.Errorf("shards %v are missing or in conflict: refused rather than thin", missing))
 		}
 		warnings = append([]string{fmt.Sprintf("partial answer: %d of %d shards are missing: %v",
-			len(missing), j.f.place.Shards, missing)}, warnings...)
+			len(missing), pq.front.env.Shards, missing)}, warnings...)
 	}
-	all = p.apply(all)
-	if j.q.limit > 0 && len(all) > j.q.limit {
-		all = all[:j.q.limit]
+	merged = p.aggregate(merged)
+	if pq.query.limit > 0 && len(merged) > pq.query.limit {
+		merged = merged[:pq.query.limit]
 		warnings = append(warnings, "results truncated due to limit")
 	}
 	var infos []string
-	for _, r := range parts {
+	for _, r := range results {
 		for _, text := range r.infos {
 			if !slices.Contains(infos, text) {
 				infos = append(infos, text)
 			}
 		}
 	}
-	body, err := encode(all, warnings, infos)
+	body, err := encodeReply(merged, warnings, infos)
 	if err != nil {
 		return errorReply(&apiError{500, "internal", err})
 	}
 	return lnet.Response{Status: 200, ContentType: "application/json", Body: body}
 }
 
-// missing are the shards that nothing is in from.
-func (j *job) missing(parts []*shardResult) []int {
-	in := map[int]bool{}
-	for _, r := range parts {
-		in[r.shard] = true
+// missingShards returns the shards without a result.
+func (pq *pendingQuery) missingShards(results []*shardResult) []int {
+	present := map[int]bool{}
+	for _, r := range results {
+		present[r.shard] = true
 	}
-	var out []int
-	for s := range j.f.place.Shards {
-		if !in[s] {
-			out = append(out, s)
+	var missing []int
+	for s := range pq.front.env.Shards {
+		if !present[s] {
+			missing = append(missing, s)
 		}
 	}
-	return out
+	return missing
 }
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -12,13 +12,14 @@
 	"lapislever/internal/standin"
 )
 
-// matrix is a server's reply with the given series.
-func matrix(series ...string) string {
+// matrixReply returns a server's reply with the given series.
+func matrixReply(series ...string) string {
 	return `{"status":"success","data":{"resultType":"matrix","result":[` + strings.Join(series, ",") + `]}}`
 }
 
-// start runs a front alone, with one cell for each list of servers and the settings over the defaults.
-func start(t *testing.T, settings map[string]any, cells ...[]*standin.HTTP) string {
+// startAlone starts a coordinator without the platform, with one cell per list of servers and with settings
+// that override the defaults. It returns the front's address.
+func startAlone(t *testing.T, settings map[string]any, cells ...[]*standin.HTTP) string {
 	t.Helper()
 	cfg := &Config{Listen: "127.0.0.1:0", Class: "day-report", Settings: settings}
 	for i, servers := range cells {
@@ -30,11 +31,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return run(t, pc, cfg, true)
+	return startFront(t, pc, cfg, true)
 }
 
-// run starts a coordinator with the front.
-func run(t *testing.T, pc *platform.Config, cfg *Config, alone bool) string {
+// startFront starts a coordinator with the front and returns the front's address.
+func startFront(t *testing.T, pc *platform.Config, cfg *Config, alone bool) string {
 	t.Helper()
 	f, err := New(cfg, Place{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
 		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Alone: alone, Log: standin.Quiet()})
@@ -49,13 +50,13 @@
 	return f.Addr()
 }
 
-// fixed is a server with one reply for every query.
-func fixed(t *testing.T, status int, body string) []*standin.HTTP {
+// fixedServer starts a server that gives the same reply to every query. Status 0: it never replies.
+func fixedServer(t *testing.T, status int, body string) []*standin.HTTP {
 	return []*standin.HTTP{standin.NewHTTP(t, func(string, url.Values) (int, string) { return status, body })}
 }
 
-// ask sends a range query and returns status, Retry-After and body.
-func ask(t *testing.T, addr, query, rest string) (int, string, string) {
+// queryRange sends a range query and returns the reply's status, Retry-After and body.
+func queryRange(t *testing.T, addr, query, rest string) (int, string, string) {
 	t.Helper()
 	r := standin.Call(t, addr, "GET", rangePath+"?query="+url.QueryEscape(query)+"&"+rest, nil, "")
 	return r.Status, r.Header.Get("Retry-After"), string(r.Body)
@@ -68,53 +69,53 @@
 )
 
 func TestSeriesOfAllShardsAreMergedInOrder(t *testing.T) {
-	addr := start(t, nil, fixed(t, 200, matrix(b1)), fixed(t, 200, matrix(a1, a2)))
-	status, _, body := ask(t, addr, `m`, "start=0&end=60&step=30")
-	if want := matrix(a1, a2, b1); status != 200 || body != want {
+	addr := startAlone(t, nil, fixedServer(t, 200, matrixReply(b1)), fixedServer(t, 200, matrixReply(a1, a2)))
+	status, _, body := queryRange(t, addr, `m`, "start=0&end=60&step=30")
+	if want := matrixReply(a1, a2, b1); status != 200 || body != want {
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
 	form := [][2]string{{"Content-Type", "application/x-www-form-urlencoded"}}
 	r := standin.Call(t, addr, "POST", rangePath, form, "query=m&start=1970-01-01T00:00:00Z&end=60&step=30s")
-	if want := matrix(a1, a2, b1); r.Status != 200 || string(r.Body) != want {
+	if want := matrixReply(a1, a2, b1); r.Status != 200 || string(r.Body) != want {
 		t.Fatalf("by POST: %d %s", r.Status, r.Body)
 	}
 }
 
-// The values are computed by hand. The two shards have 2 series and 1 series, so that a mean of their means
-// would be another figure (at 0 s: 52.75 in place of 37).
+// The expected values are computed by hand. The two shards have 2 series and 1 series, so a mean of the
+// shards' means would differ (at 0 s: 52.75 instead of 37).
 func TestOutermostAggregationIsComputedOverAllShards(t *testing.T) {
-	one, two := fixed(t, 200, matrix(a1, a2)), fixed(t, 200, matrix(b1))
-	addr := start(t, nil, one, two)
+	one, two := fixedServer(t, 200, matrixReply(a1, a2)), fixedServer(t, 200, matrixReply(b1))
+	addr := startAlone(t, nil, one, two)
 	for query, want := range map[string]string{
-		`sum(m)`:   matrix(`{"metric":{},"values":[[0,"111"],[30,"22"],[60,"NaN"]]}`),
-		`avg(m)`:   matrix(`{"metric":{},"values":[[0,"37"],[30,"11"],[60,"NaN"]]}`),
-		`min((m))`: matrix(`{"metric":{},"values":[[0,"1"],[30,"2"],[60,"4"]]}`),
-		`(max(m))`: matrix(`{"metric":{},"values":[[0,"100"],[30,"20"],[60,"4"]]}`),
-		`count(m)`: matrix(`{"metric":{},"values":[[0,"3"],[30,"2"],[60,"2"]]}`),
-		`sum by (z) (m)`: matrix(`{"metric":{"z":"p"},"values":[[0,"11"],[30,"22"],[60,"4"]]}`,
+		`sum(m)`:   matrixReply(`{"metric":{},"values":[[0,"111"],[30,"22"],[60,"NaN"]]}`),
+		`avg(m)`:   matrixReply(`{"metric":{},"values":[[0,"37"],[30,"11"],[60,"NaN"]]}`),
+		`min((m))`: matrixReply(`{"metric":{},"values":[[0,"1"],[30,"2"],[60,"4"]]}`),
+		`(max(m))`: matrixReply(`{"metric":{},"values":[[0,"100"],[30,"20"],[60,"4"]]}`),
+		`count(m)`: matrixReply(`{"metric":{},"values":[[0,"3"],[30,"2"],[60,"2"]]}`),
+		`sum by (z) (m)`: matrixReply(`{"metric":{"z":"p"},"values":[[0,"11"],[30,"22"],[60,"4"]]}`,
 			`{"metric":{"z":"q"},"values":[[0,"100"],[60,"NaN"]]}`),
-		`avg without (k) (m)`: matrix(`{"metric":{"z":"p"},"values":[[0,"5.5"],[30,"11"],[60,"4"]]}`,
+		`avg without (k) (m)`: matrixReply(`{"metric":{"z":"p"},"values":[[0,"5.5"],[30,"11"],[60,"4"]]}`,
 			`{"metric":{"z":"q"},"values":[[0,"100"],[60,"NaN"]]}`),
-		`count by (absent)(m)`: matrix(`{"metric":{},"values":[[0,"3"],[30,"2"],[60,"2"]]}`),
+		`count by (absent)(m)`: matrixReply(`{"metric":{},"values":[[0,"3"],[30,"2"],[60,"2"]]}`),
 	} {
-		if status, _, body := ask(t, addr, query, "start=0&end=60&step=30"); status != 200 || body != want {
+		if status, _, body := queryRange(t, addr, query, "start=0&end=60&step=30"); status != 200 || body != want {
 			t.Errorf("%s: %d %s\nwant %s", query, status, body, want)
 		}
 	}
 	for _, seen := range append(one[0].Seen(), two[0].Seen()...) {
 		if !strings.Contains(seen, "query=m&") && !strings.Contains(seen, "query=%28m%29&") {
-			t.Errorf("a shard was asked for more than the inner expression: %s", seen)
+			t.Errorf("a shard was sent something other than the inner expression: %s", seen)
 		}
 	}
 }
 
-// The step does not divide the range: the end is no point, but the servers are told of it, since an
-// expression may refer to it.
+// If the step does not divide the range, the end is no evaluation timestamp. It is still passed to the
+// servers, since an expression may refer to it.
 func TestStepThatDoesNotDivideTheRange(t *testing.T) {
-	s := fixed(t, 200, matrix(`{"metric":{"k":"1"},"values":[[10.5,"1"],[40.5,"2"],[70.5,"3"]]}`))
-	addr := start(t, nil, s)
-	status, _, body := ask(t, addr, `sum(m)`, "start=10.5&end=100&step=30")
-	want := matrix(`{"metric":{},"values":[[10.500,"1"],[40.500,"2"],[70.500,"3"]]}`)
+	s := fixedServer(t, 200, matrixReply(`{"metric":{"k":"1"},"values":[[10.5,"1"],[40.5,"2"],[70.5,"3"]]}`))
+	addr := startAlone(t, nil, s)
+	status, _, body := queryRange(t, addr, `sum(m)`, "start=10.5&end=100&step=30")
+	want := matrixReply(`{"metric":{},"values":[[10.500,"1"],[40.500,"2"],[70.500,"3"]]}`)
 	if status != 200 || body != want {
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
@@ -123,103 +124,112 @@
 	}
 }
 
-// Whatever makes an answer thinner than it looks refuses it where the class allows nothing less than the
-// whole, and is marked where it does.
-func TestWithheldPartsAndErrors(t *testing.T) {
+// A shard whose reply is missing or unusable makes the query be refused if the class needs all shards. If the
+// class's floor allows a partial answer, the answer is marked as partial.
+func TestUnusableShardReplies(t *testing.T) {
 	good := `{"metric":{"k":"1"},"values":[[0,"1"],[30,"2"]]}`
 	for name, c := range map[string]struct {
-		status int
-		body   string
-		want   int // with all shards needed
-		kind   string
+		status    int
+		body      string
+		want      int // status if all shards are needed
+		errorType string
 	}{
-		"withheld":        {0, "", 503, "timeout"},
+		"no reply":        {0, "", 503, "timeout"},
 		"server error":    {500, `{"status":"error","errorType":"internal","error":"x"}`, 503, "unavailable"},
 		"overloaded":      {429, ``, 503, "unavailable"},
 		"not of this API": {200, `<html>`, 503, "unavailable"},
-		"a warning": {200, strings.Replace(matrix(good), `"data"`, `"warnings":["thin"],"data"`, 1), 503,
+		"a warning": {200, strings.Replace(matrixReply(good), `"data"`, `"warnings":["thin"],"data"`, 1), 503,
 			"unavailable"},
-		"off the grid":   {200, matrix(`{"metric":{"k":"2"},"values":[[0,"1"],[45,"2"]]}`), 503, "unavailable"},
-		"after the end":  {200, matrix(`{"metric":{"k":"2"},"values":[[0,"1"],[90,"2"]]}`), 503, "unavailable"},
-		"in conflict":    {200, matrix(`{"metric":{"k":"1"},"values":[[0,"1"],[30,"3"]]}`), 503, "unavailable"},
-		"thinner":        {200, matrix(`{"metric":{"k":"1"},"values":[[0,"1"]]}`), 503, "unavailable"},
+		"between steps": {200, matrixReply(`{"metric":{"k":"2"},"values":[[0,"1"],[45,"2"]]}`), 503,
+			"unavailable"},
+		"after the end": {200, matrixReply(`{"metric":{"k":"2"},"values":[[0,"1"],[90,"2"]]}`), 503,
+			"unavailable"},
+		"in conflict": {200, matrixReply(`{"metric":{"k":"1"},"values":[[0,"1"],[30,"3"]]}`), 503,
+			"unavailable"},
+		"fewer samples":  {200, matrixReply(`{"metric":{"k":"1"},"values":[[0,"1"]]}`), 503, "unavailable"},
 		"cannot compute": {422, `{"status":"error","errorType":"execution","error":"no"}`, 422, "execution"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			withheld(t, good, c.status, c.body, c.want, c.kind)
+			checkUnusableReply(t, good, c.status, c.body, c.want, c.errorType)
 		})
 	}
 }
 
-func withheld(t *testing.T, good string, server int, reply string, want int, kind string) {
+// checkUnusableReply queries three shards, one of which gives the server reply. It checks what the client
+// receives with all shards needed, and with a floor of 0.3.
+func checkUnusableReply(t *testing.T, good string, serverStatus int, serverReply string, want int,
+	errorType string) {
 	const other = `{"metric":{"k":"9"},"values":[[0,"5"]]}`
 	const rest = "start=0&end=60&step=30"
-	cells := [][]*standin.HTTP{fixed(t, 200, matrix(good)), fixed(t, server, reply),
-		fixed(t, 200, matrix(other))}
-	limit := ""
-	if kind == "timeout" {
-		limit = "&timeout=700ms"
+	cells := [][]*standin.HTTP{fixedServer(t, 200, matrixReply(good)), fixedServer(t, serverStatus, serverReply),
+		fixedServer(t, 200, matrixReply(other))}
+	timeout := ""
+	if errorType == "timeout" {
+		timeout = "&timeout=700ms"
 	}
-	status, after, body := ask(t, start(t, nil, cells...), `m`, rest+limit)
-	if status != want || !strings.Contains(body, `"errorType":"`+kind+`"`) || (status == 503) != (after == "1") {
+	status, after, body := queryRange(t, startAlone(t, nil, cells...), `m`, rest+timeout)
+	if status != want || !strings.Contains(body, `"errorType":"`+errorType+`"`) ||
+		(status == 503) != (after == "1") {
 		t.Errorf("%d, Retry-After %q, %s", status, after, body)
 	}
 	floor := map[string]any{"extra": map[string]any{"leastShare": []any{0.3}}}
-	status, _, body = ask(t, start(t, floor, cells...), `m`, rest)
+	status, _, body = queryRange(t, startAlone(t, floor, cells...), `m`, rest)
 	marked := strings.Contains(body, `"warnings":["partial answer: `)
 	if status != 200 || !marked || !strings.Contains(body, other) {
-		t.Errorf("part enough: %d %s", status, body)
+		t.Errorf("partial answer allowed: %d %s", status, body)
 	}
 	if strings.Contains(body, `[45,`) || strings.Contains(body, `[30,"3"]`) {
-		t.Errorf("what was wrong stands in the answer: %s", body)
+		t.Errorf("the answer contains a rejected sample: %s", body)
 	}
 }
 
-// Servers that hold several shards give the same series for each of them: it counts once.
-func TestTheSameSeriesTwiceCountsOnce(t *testing.T) {
+// A server that holds several shards returns the same series for each of them. The series counts once.
+func TestDuplicateSeriesCountOnce(t *testing.T) {
 	s := `{"metric":{"k":"1"},"values":[[0,"NaN"],[30,"2"]]}`
-	addr := start(t, nil, fixed(t, 200, matrix(s)), fixed(t, 200, matrix(s)))
-	status, _, body := ask(t, addr, `count(m)`, "start=0&end=30&step=30")
-	if want := matrix(`{"metric":{},"values":[[0,"1"],[30,"1"]]}`); status != 200 || body != want {
+	addr := startAlone(t, nil, fixedServer(t, 200, matrixReply(s)), fixedServer(t, 200, matrixReply(s)))
+	status, _, body := queryRange(t, addr, `count(m)`, "start=0&end=30&step=30")
+	if want := matrixReply(`{"metric":{},"values":[[0,"1"],[30,"1"]]}`); status != 200 || body != want {
 		t.Fatalf("%d %s", status, body)
 	}
 }
 
-// A silent server does not keep a shard from its answer while another holds it too.
+// If a server does not answer, another server of the shard does.
 func TestSilentServerIsHedged(t *testing.T) {
-	silent := fixed(t, 0, "")
-	addr := start(t, nil, append(silent, fixed(t, 200, matrix(a1))...))
-	for range 5 { // at least once of these the silent one is drawn first, or it is never asked at all
-		if status, _, body := ask(t, addr, `m`, "start=0&end=60&step=30"); status != 200 || body != matrix(a1) {
+	silent := fixedServer(t, 0, "")
+	addr := startAlone(t, nil, append(silent, fixedServer(t, 200, matrixReply(a1))...))
+	for range 5 { // the silent server is chosen first at least once, unless it is never chosen at all
+		if status, _, body := queryRange(t, addr, `m`, "start=0&end=60&step=30"); status != 200 ||
+			body != matrixReply(a1) {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
 }
 
-// A short time-out after long ones is no repeat of an older query, and is served as any other.
+// A query with a short time-out after one with a long time-out is no retry of the older one, and is served
+// like any other. Taken for its last retry, it would be refused as too late.
 func TestShortTimeoutAfterLongOnes(t *testing.T) {
-	addr := start(t, nil, fixed(t, 200, matrix(a1)))
+	addr := startAlone(t, nil, fixedServer(t, 200, matrixReply(a1)))
 	for _, timeout := range []string{"10s", "2s"} {
-		status, _, body := ask(t, addr, `m`, "start=0&end=60&step=30&timeout="+timeout)
+		status, _, body := queryRange(t, addr, `m`, "start=0&end=60&step=30&timeout="+timeout)
 		if status != 200 {
 			t.Fatalf("%s: %d %s", timeout, status, body)
 		}
 	}
 }
 
-// Connections to a server are reused, and closed once they have been idle for too long.
+// Connections to a server are kept for reuse, and closed once they have been idle for too long.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	s := fixed(t, 200, matrix(a1))
-	addr := start(t, map[string]any{"bounds": map[string]any{"connIdleUs": 300_000}}, s)
-	ask(t, addr, `m`, "start=0&end=60&step=30")
+	s := fixedServer(t, 200, matrixReply(a1))
+	addr := startAlone(t, map[string]any{"bounds": map[string]any{"connIdleUs": 300_000}}, s)
+	queryRange(t, addr, `m`, "start=0&end=60&step=30")
 	standin.Until(t, "the end of the idle connection", func() bool { return s[0].Open() == 0 })
 }
 
-// Both fronts on one core: the servers are discovery's, the file adds where they answer range queries, and
-// what discovery tells holds for these as well: nothing goes to a server that drains.
+// With both fronts on one core, discovery gives the list of servers, and the front's file only adds the
+// addresses for range queries. Discovery's states apply to range queries too: a draining server gets none.
 func TestBothFrontsOnOneCore(t *testing.T) {
-	drains, stays := fixed(t, 200, matrix(a1))[0], fixed(t, 200, matrix(a1))[0]
+	drains, stays := fixedServer(t, 200, matrixReply(a1))[0], fixedServer(t, 200, matrixReply(a1))[0]
 	const hosts = `{"seq":%d,"whole":%t,"hosts":[{"host":"drains","dial":"127.0.0.1:1","site":"p","health":%q,
 		"share":1},{"host":"stays","dial":"127.0.0.1:1","site":"p","health":"in_service","share":1}]}`
 	discovery := standin.NewHTTP(t, func(_ string, v url.Values) (int, string) {
@@ -242,30 +252,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := run(t, pc, file, false)
+	addr := startFront(t, pc, file, false)
 	standin.Until(t, "the second watch", func() bool { return len(discovery.Seen()) >= 3 })
 	for range 10 {
-		if status, _, body := ask(t, addr, `m`, "start=0&end=60&step=30"); status != 200 || body != matrix(a1) {
+		if status, _, body := queryRange(t, addr, `m`, "start=0&end=60&step=30"); status != 200 ||
+			body != matrixReply(a1) {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
 	if n := len(drains.Seen()); n != 0 {
-		t.Fatalf("%d parts went to a server that drains", n)
+		t.Fatalf("%d parts were sent to a draining server", n)
 	}
 }
 
-func TestNoRoomIsARefusal(t *testing.T) {
-	addr := start(t, map[string]any{"bounds": map[string]any{"maxOpen": 1}}, fixed(t, 200, matrix(a1)))
-	status, after, body := ask(t, addr, `m`, "start=0&end=60&step=30")
+// maxOpen 1 leaves no room for a query with one part.
+func TestFullCoreRefusesQueries(t *testing.T) {
+	addr := startAlone(t, map[string]any{"bounds": map[string]any{"maxOpen": 1}},
+		fixedServer(t, 200, matrixReply(a1)))
+	status, after, body := queryRange(t, addr, `m`, "start=0&end=60&step=30")
 	if status != 503 || after != "1" || !strings.Contains(body, `"errorType":"unavailable"`) {
 		t.Fatalf("%d %q %s", status, after, body)
 	}
 }
 
-// A client that leaves ends its query: what is out at the servers is given up, long before any time-out.
-func TestClientGoneEndsTheQuery(t *testing.T) {
-	silent := fixed(t, 0, "")
-	addr := start(t, nil, silent)
+// When a client disconnects, its query ends and its attempts at the servers are cancelled, well before any
+// time-out.
+func TestClientDisconnectEndsTheQuery(t *testing.T) {
+	silent := fixedServer(t, 0, "")
+	addr := startAlone(t, nil, silent)
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -276,8 +290,8 @@
 	standin.Until(t, "the end of the part", func() bool { return silent[0].Gone() > 0 })
 }
 
-func TestWhatIsNotServed(t *testing.T) {
-	addr := start(t, nil, fixed(t, 200, matrix(a1)))
+func TestInvalidRequests(t *testing.T) {
+	addr := startAlone(t, nil, fixedServer(t, 200, matrixReply(a1)))
 	for _, c := range []struct {
 		method, target string
 		status         int
--- a/internal/promql/query.go
+++ b/internal/promql/query.go
@@ -1,11 +1,11 @@
-// Package promql is the second front: PromQL range queries over HTTP, for clients of Prometheus's public
-// API, and the way of their parts to servers that speak the same API. It must never bypass the core: a
-// query is admitted, sent, hedged, timed and ended there like any other.
-//
-// This file owns what a query asks for: its parameters, its steps, and the plan by which its expression is
-// computed over shards. It must never let an expression through that could be wrong over shards.
+// Package promql serves PromQL range queries over HTTP to clients of the Prometheus API, and sends their
+// parts to servers that implement the same API. It never bypasses the core: range queries are admitted,
+// sent, hedged, timed out and finished there like any other query.
 package promql
 
+// The query: its parameters, its evaluation timestamps, and the plan for evaluating its expression over
+// shards. Expressions that could give a wrong result over shards are refused.
+
 import (
 	"errors"
 	"fmt"
@@ -19,13 +19,13 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-const maxPoints = 11000 // of one series
+const maxPoints = 11000 // per series, as in Prometheus
 
-// apiError is an error in the terms of Prometheus's API.
+// apiError is an error reply of the Prometheus API.
 type apiError struct {
-	status int
-	kind   string
-	err    error
+	status    int
+	errorType string
+	err       error
 }
 
 func badData(format string, args ...any) *apiError {
@@ -36,22 +36,22 @@
 	return badData("invalid parameter %q: %w", name, err)
 }
 
-// rangeQuery is a query as its client asked for it. Times are in milliseconds.
+// rangeQuery holds a client's range query. Times are in milliseconds.
 type rangeQuery struct {
 	start, end, step int64
-	timeout          time.Duration // 0: none was given
-	limit            int           // of series; 0: none
+	timeout          time.Duration // 0 if not given
+	limit            int           // maximum number of series; 0: unlimited
 	lookback         string
 	plan             plan
 }
 
-// onGrid tells that a query asks for the point: start + k x step, up to the end. Where the step does not
-// divide the range the end is not among them.
-func (q *rangeQuery) onGrid(t int64) bool {
+// isEvalTimestamp reports whether the query is evaluated at t, that is at start + k x step up to the end. The
+// end itself is not included if the step does not divide the range.
+func (q *rangeQuery) isEvalTimestamp(t int64) bool {
 	return t >= q.start && t <= q.end && (t-q.start)%q.step == 0
 }
 
-// parseQuery reads the parameters of a range query.
+// parseQuery parses the parameters of a range query.
 func parseQuery(v url.Values, shardLabel string) (*rangeQuery, *apiError) {
 	q := &rangeQuery{lookback: v.Get("lookback_delta")}
 	if s := v.Get("limit"); s != "" {
@@ -115,7 +115,7 @@
 	return q, nil
 }
 
-// parseTime reads Unix seconds with decimals, or RFC 3339, to the millisecond.
+// parseTime parses a timestamp in Unix seconds with decimals or in RFC 3339, and returns Unix milliseconds.
 func parseTime(s string) (int64, error) {
 	if f, err := strconv.ParseFloat(s, 64); err == nil {
 		if !(math.Abs(f) < 1e12) {
@@ -129,7 +129,7 @@
 	return 0, fmt.Errorf("cannot parse %q to a valid timestamp", s)
 }
 
-// parseDuration reads seconds with decimals, or a duration such as 5m.
+// parseDuration parses a duration in seconds with decimals, or in Prometheus's notation such as 5m.
 func parseDuration(s string) (time.Duration, error) {
 	if f, err := strconv.ParseFloat(s, 64); err == nil {
 		if !(math.Abs(f) < 9e9) {
@@ -143,40 +143,41 @@
 	return 0, fmt.Errorf("cannot parse %q to a valid duration", s)
 }
 
-// plan says how an expression is computed over shards: what each of them is asked for, and the aggregation
-// over all their series, if there is one.
+// plan describes how an expression is evaluated over shards: the expression that every shard evaluates, and
+// the outermost aggregation, if any, which is computed here over the series of all shards.
 type plan struct {
-	expr      parser.Expr
-	aggregate parser.ItemType // 0: the shards' series are merged as they are
-	grouping  []string
-	without   bool
-	selects   bool // has a selector: its series are those of one shard each
-	label     string
+	shardExpr   parser.Expr
+	op          parser.ItemType // the aggregation; 0: the shards' series are merged unchanged
+	grouping    []string
+	without     bool
+	hasSelector bool // if so, each series of the result comes from one shard
+	shardLabel  string
 }
 
-// text is the expression that one shard is asked for.
-func (p *plan) text(shard int) string {
-	if p.label == "" || !p.selects {
-		return p.expr.String()
+// shardQuery returns the expression that is sent to a shard. With a shard label, its selectors match only the
+// shard's own series.
+func (p *plan) shardQuery(shard int) string {
+	if p.shardLabel == "" || !p.hasSelector {
+		return p.shardExpr.String()
 	}
-	// The expression is parsed anew, so that shards do not share what is changed here.
-	expr, err := parser.NewParser(parser.Options{}).ParseExpr(p.expr.String())
+	// Parses a copy, because the selectors are modified for each shard.
+	expr, err := parser.NewParser(parser.Options{}).ParseExpr(p.shardExpr.String())
 	if err != nil {
-		return p.expr.String()
+		return p.shardExpr.String()
 	}
 	parser.Inspect(expr, func(n parser.Node, _ []parser.Node) error {
 		if v, ok := n.(*parser.VectorSelector); ok {
 			v.LabelMatchers = append(v.LabelMatchers,
-				labels.MustNewMatcher(labels.MatchEqual, p.label, strconv.Itoa(shard)))
+				labels.MustNewMatcher(labels.MatchEqual, p.shardLabel, strconv.Itoa(shard)))
 		}
 		return nil
 	})
 	return expr.String()
 }
 
-// makePlan decides whether an expression can be right over shards. Series lie on one shard each, and
-// nothing is known of which: so only what looks at one series at a time may be left to the shards, and one
-// outermost aggregation is computed here over all of their series.
+// makePlan returns the plan of an expression, or an error if its result over shards could be wrong. Each
+// series lies on one shard, which is not known in advance. Shards may therefore evaluate only what looks at
+// one series at a time; one outermost aggregation is computed here over the series of all shards.
 func makePlan(expr parser.Expr, shardLabel string) (plan, error) {
 	for {
 		p, ok := expr.(*parser.ParenExpr)
@@ -185,37 +186,37 @@
 		}
 		expr = p.Expr
 	}
-	p := plan{expr: expr, label: shardLabel}
+	p := plan{shardExpr: expr, shardLabel: shardLabel}
 	if a, ok := expr.(*parser.AggregateExpr); ok {
 		switch a.Op {
 		case parser.SUM, parser.MIN, parser.MAX, parser.COUNT, parser.AVG:
 		default:
 			return p, fmt.Errorf("%s cannot be computed over shards; sum, min, max, count and avg can", a.Op)
 		}
-		p.expr, p.aggregate, p.grouping, p.without = a.Expr, a.Op, a.Grouping, a.Without
+		p.shardExpr, p.op, p.grouping, p.without = a.Expr, a.Op, a.Grouping, a.Without
 	}
-	l := local{}
-	if err := l.check(p.expr); err != nil {
+	l := shardLocalCheck{}
+	if err := l.check(p.shardExpr); err != nil {
 		return p, err
 	}
-	if p.selects = l.selects; l.folds != "" && shardLabel == "" {
-		// Two series of two shards could become one under the same labels, and nothing would show it.
+	if p.hasSelector = l.hasSelector; l.collapsedBy != "" && shardLabel == "" {
+		// Series of two shards could end up with the same labels and be merged into one undetected.
 		return p, fmt.Errorf("%s over more than one metric name may fold series of different shards into one; "+
-			"name one metric", l.folds)
+			"name one metric", l.collapsedBy)
 	}
 	return p, nil
 }
 
-// local walks an expression that each shard is to compute by itself.
-type local struct {
-	selects bool
-	unnamed bool   // some selector matches more than one metric name
-	folds   string // what could make two series the same, where that can happen
+// shardLocalCheck checks that each shard can evaluate an expression on its own.
+type shardLocalCheck struct {
+	hasSelector     bool
+	multipleMetrics bool   // some selector can match more than one metric name
+	collapsedBy     string // what can give two series the same labels; "": nothing
 }
 
-// oneByOne are the functions that look at one series at a time. The value tells whether the metric name
-// stays.
-var oneByOne = map[string]bool{
+// perSeriesFunctions lists the functions that look at one series at a time. The value says whether the
+// function keeps the metric name.
+var perSeriesFunctions = map[string]bool{
 	"abs": false, "acos": false, "acosh": false, "asin": false, "asinh": false, "atan": false, "atanh": false,
 	"avg_over_time": false, "ceil": false, "changes": false, "clamp": false, "clamp_max": false,
 	"clamp_min": false, "cos": false, "cosh": false, "count_over_time": false, "days_in_month": false,
@@ -227,11 +228,11 @@
 	"rate": false, "resets": false, "round": false, "sgn": false, "sin": false, "sinh": false, "sqrt": false,
 	"stddev_over_time": false, "stdvar_over_time": false, "sum_over_time": false, "tan": false, "tanh": false,
 	"time": false, "timestamp": false, "vector": false, "year": false,
-	// The order of series has no meaning in a range query.
+	// Sorting has no effect on the result of a range query.
 	"sort": true, "sort_desc": true,
 }
 
-func (l *local) check(e parser.Expr) error {
+func (l *shardLocalCheck) check(e parser.Expr) error {
 	switch e := e.(type) {
 	case *parser.NumberLiteral:
 		return nil
@@ -241,15 +242,15 @@
 		if err := l.check(e.Expr); err != nil {
 			return err
 		}
-		l.dropsName("a sign")
+		l.dropMetricName("a sign")
 		return nil
 	case *parser.VectorSelector:
-		l.selects = true
+		l.hasSelector = true
 		named := false
 		for _, m := range e.LabelMatchers {
 			named = named || m.Name == model.MetricNameLabel && m.Type == labels.MatchEqual && m.Value != ""
 		}
-		l.unnamed = l.unnamed || !named
+		l.multipleMetrics = l.multipleMetrics || !named
 		return nil
 	case *parser.MatrixSelector:
 		return l.check(e.VectorSelector)
@@ -266,11 +267,11 @@
 			return err
 		}
 		if !e.Op.IsComparisonOperator() || e.ReturnBool {
-			l.dropsName("an operator")
+			l.dropMetricName("an operator")
 		}
 		return nil
 	case *parser.Call:
-		keeps, ok := oneByOne[e.Func.Name]
+		keepsName, ok := perSeriesFunctions[e.Func.Name]
 		if !ok {
 			return fmt.Errorf("%s() cannot be computed over shards", e.Func.Name)
 		}
@@ -279,8 +280,8 @@
 				return err
 			}
 		}
-		if !keeps {
-			l.dropsName(e.Func.Name + "()")
+		if !keepsName {
+			l.dropMetricName(e.Func.Name + "()")
 		}
 		return nil
 	case *parser.AggregateExpr:
@@ -289,8 +290,9 @@
 	return errors.New("this expression cannot be computed over shards")
 }
 
-func (l *local) dropsName(what string) {
-	if l.unnamed && l.folds == "" {
-		l.folds = what
+// dropMetricName records what removes the metric name, if the selectors match more than one name.
+func (l *shardLocalCheck) dropMetricName(cause string) {
+	if l.multipleMetrics && l.collapsedBy == "" {
+		l.collapsedBy = cause
 	}
 }
--- a/internal/promql/query_test.go
+++ b/internal/promql/query_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func values(t *testing.T, s string) url.Values {
+func mustParseParams(t *testing.T, s string) url.Values {
 	t.Helper()
 	v, err := url.ParseQuery(s)
 	if err != nil {
@@ -26,7 +26,7 @@
 		"start=0&end=1&step=1m&timeout=2m&limit=3": {end: 1000, step: 60000,
 			timeout: 2 * time.Minute, limit: 3},
 	} {
-		q, err := parseQuery(values(t, "query=m&"+s), "")
+		q, err := parseQuery(mustParseParams(t, "query=m&"+s), "")
 		if err != nil {
 			t.Errorf("%s: %v", s, err.err)
 			continue
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestParseQueryRefuses(t *testing.T) {
+func TestParseQueryErrors(t *testing.T) {
 	for s, want := range map[string]string{
 		"query=m&end=1&step=1":                          "start",
 		"query=m&start=x&end=1&step=1":                  "start",
@@ -60,14 +60,15 @@
 		"query=m[5m]&start=0&end=1&step=1":              "range query",
 		`query="text"&start=0&end=1&step=1`:             "range query",
 	} {
-		_, err := parseQuery(values(t, s), "")
-		if err == nil || err.status != 400 || err.kind != "bad_data" || !strings.Contains(err.err.Error(), want) {
+		_, err := parseQuery(mustParseParams(t, s), "")
+		if err == nil || err.status != 400 || err.errorType != "bad_data" ||
+			!strings.Contains(err.err.Error(), want) {
 			t.Errorf("%s: %+v", s, err)
 		}
 	}
 }
 
-func TestWhatIsRightOverShards(t *testing.T) {
+func TestShardableExpressions(t *testing.T) {
 	for s, sent := range map[string]string{
 		`m`:                             `m`,
 		`rate(m{a="b"}[5m])`:            `rate(m{a="b"}[5m])`,
@@ -84,13 +85,13 @@
 		q, err := parseQuery(url.Values{"query": {s}, "start": {"0"}, "end": {"1"}, "step": {"1"}}, "")
 		if err != nil {
 			t.Errorf("%s: %v", s, err.err)
-		} else if got := q.plan.text(3); got != sent {
-			t.Errorf("%s: a shard is asked for %s, want %s", s, got, sent)
+		} else if got := q.plan.shardQuery(3); got != sent {
+			t.Errorf("%s: the shard's query is %s, want %s", s, got, sent)
 		}
 	}
 }
 
-func TestWhatCannotBeRightOverShardsIsRefused(t *testing.T) {
+func TestUnshardableExpressionsAreRefused(t *testing.T) {
 	for _, s := range []string{`a / b`, `a and b`, `a or vector(0)`, `topk(3, m)`, `quantile(0.9, m)`,
 		`stddev(m)`, `count_values("x", m)`, `sum(sum by (a) (m))`, `sum(m) / 2`, `rate(m[5m]) + sum(m)`,
 		`absent(m)`, `absent_over_time(m[5m])`, `scalar(m)`, `m > scalar(n)`, `vector(scalar(m))`,
@@ -98,30 +99,30 @@
 		`label_join(m, "a", ",", "b")`, `sum(a or b)`, `max_over_time(sum(m)[1h:1m])`, `group(m)`,
 		`rate({__name__=~"a|b"}[5m])`, `sum({k="1"} * 2)`, `-{k="1"}`} {
 		_, err := parseQuery(url.Values{"query": {s}, "start": {"0"}, "end": {"1"}, "step": {"1"}}, "")
-		if err == nil || err.status != 422 || err.kind != "execution" {
+		if err == nil || err.status != 422 || err.errorType != "execution" {
 			t.Errorf("%s: %+v", s, err)
 		}
 	}
 }
 
-// With a label that names the shard each shard is asked for its own series alone.
+// With a shard label, each shard is asked only for its own series.
 func TestShardLabel(t *testing.T) {
 	q, err := parseQuery(url.Values{"query": {`sum(rate({k="1"}[5m]))`}, "start": {"0"}, "end": {"1"},
 		"step": {"1"}}, "shard")
 	if err != nil {
 		t.Fatal(err.err)
 	}
-	if got := q.plan.text(7); got != `rate({k="1",shard="7"}[5m])` {
+	if got := q.plan.shardQuery(7); got != `rate({k="1",shard="7"}[5m])` {
 		t.Fatal(got)
 	}
-	if got := q.plan.text(8); got != `rate({k="1",shard="8"}[5m])` {
+	if got := q.plan.shardQuery(8); got != `rate({k="1",shard="8"}[5m])` {
 		t.Fatal(got)
 	}
 }
 
-// Whatever a client or a server sends is taken or refused, and never ends the program.
+// Any input from a client or a server is accepted or refused, and never causes a panic.
 func FuzzQueryAndReply(f *testing.F) {
-	f.Add(`sum by (a) (rate(m{b="c"}[5m]))`, "0", "60", "30", matrix(a1, a2))
+	f.Add(`sum by (a) (rate(m{b="c"}[5m]))`, "0", "60", "30", matrixReply(a1, a2))
 	f.Add(`-m @ end() offset 1m > bool 2`, "1970-01-01T00:00:00Z", "1e3", "1m", `{"status":"success","data":{}}`)
 	f.Fuzz(func(t *testing.T, query, start, end, step, reply string) {
 		q, err := parseQuery(url.Values{"query": {query}, "start": {start}, "end": {end}, "step": {step}}, "s")
@@ -131,35 +132,35 @@
 			}
 			return
 		}
-		_ = q.form(1, time.Second)
-		if r, err := readReply(200, []byte(reply), q); err == nil {
+		_ = q.serverParams(1, time.Second)
+		if r, err := parseReply(200, []byte(reply), q); err == nil {
 			all, _ := merge([]*shardResult{r, r}, false)
-			if _, err := encode(q.plan.apply(all), nil, nil); err != nil {
+			if _, err := encodeReply(q.plan.aggregate(all), nil, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 	})
 }
 
-func TestParseConfigRefuses(t *testing.T) {
-	const of = "listen = \"127.0.0.1:1\"\nclass = \"ranges\""
+func TestParseConfigErrors(t *testing.T) {
+	const base = "listen = \"127.0.0.1:1\"\nclass = \"ranges\""
 	const server = "\n[[server]]\nname = \"a\"\naddress = \"127.0.0.1:1\"\n"
 	for s, want := range map[string]string{
 		``:                                "listen",
 		`listen = "127.0.0.1:1"`:          "class",
 		`listen = "127.0.0.1:1"` + server: "class",
-		of:                                "server",
-		of + "\nlisten_on = 3" + server:   "listen_on",
-		of + server + server:              "taken",
-		of + strings.Replace(server, "127.0.0.1:1", "ftp://x", 1): "address",
-		of + server + "cell = -1":                                 "cell",
-		of + server + "share = 0.0":                               "share",
+		base:                              "server",
+		base + "\nlisten_on = 3" + server: "listen_on",
+		base + server + server:            "taken",
+		base + strings.Replace(server, "127.0.0.1:1", "ftp://x", 1): "address",
+		base + server + "cell = -1":                                 "cell",
+		base + server + "share = 0.0":                               "share",
 	} {
 		if _, err := ParseConfig(s); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", s, err)
 		}
 	}
-	c, err := ParseConfig(of + server)
+	c, err := ParseConfig(base + server)
 	if err != nil || c.Class != "ranges" {
 		t.Fatalf("%+v %v", c, err)
 	}
--- a/internal/promql/series.go
+++ b/internal/promql/series.go
@@ -1,8 +1,7 @@
 package promql
 
-// What servers answer and what becomes of it: reading a reply, merging the shards' series, the outermost
-// aggregation, and the reply to the client. This file owns the arithmetic; it must never drop a series or a
-// sample without a word.
+// Results: parsing the servers' replies, merging the shards' series, the outermost aggregation, and encoding
+// the reply to the client. A series or a sample is never dropped silently.
 
 import (
 	"encoding/json"
@@ -18,34 +17,34 @@
 	"github.com/prometheus/prometheus/promql/parser"
 )
 
-// point is one sample.
+// point is one sample of a series.
 type point struct {
 	t int64 // ms
 	v float64
 }
 
-// series is one series of a result.
+// series is one time series of a result.
 type series struct {
 	labels labels.Labels
 	points []point
 }
 
-// UnmarshalJSON reads [seconds, "value"].
+// UnmarshalJSON parses a sample of the form [seconds, "value"].
 func (p *point) UnmarshalJSON(b []byte) error {
 	var pair []json.RawMessage
 	if err := json.Unmarshal(b, &pair); err != nil {
 		return err
 	}
 	if len(pair) != 2 {
-		return errors.New("a sample is a pair")
+		return fmt.Errorf("sample is not a pair: it has %d elements", len(pair))
 	}
 	sec, err := strconv.ParseFloat(string(pair[0]), 64)
 	if err != nil || !(math.Abs(sec) < 1e12) {
-		return fmt.Errorf("a timestamp %.40s", pair[0])
+		return fmt.Errorf("invalid timestamp %.40s", pair[0])
 	}
 	p.t = int64(math.Round(sec * 1000))
 	if math.Abs(sec*1000-float64(p.t)) > 0.01 {
-		return fmt.Errorf("a timestamp between milliseconds: %.40s", pair[0])
+		return fmt.Errorf("timestamp %.40s is not a whole number of milliseconds", pair[0])
 	}
 	var text string
 	if err := json.Unmarshal(pair[1], &text); err != nil {
@@ -55,7 +54,7 @@
 	return err
 }
 
-// envelope is the form of a reply, the servers' and ours.
+// envelope is the JSON object of every reply, the servers' and the front's own.
 type envelope struct {
 	Status    string   `json:"status"`
 	Data      *result  `json:"data,omitempty"`
@@ -76,53 +75,56 @@
 	Histograms json.RawMessage   `json:"histograms,omitempty"`
 }
 
-// shardResult is what one shard gave.
+// shardResult is one shard's result.
 type shardResult struct {
 	shard  int
 	series []series
 	infos  []string
 }
 
-// serverError is a server's word that a query cannot be computed: asking again changes nothing.
-type serverError struct{ text string }
+// permanentError is a server's error reply that a retry would not change, since the query itself cannot be
+// computed. The client receives its text.
+type permanentError struct{ text string }
 
-func (e *serverError) Error() string { return e.text }
+func (e *permanentError) Error() string { return e.text }
 
-// readReply takes a server's reply for a query, and nothing that is not whole or not of this query.
-func readReply(status int, body []byte, q *rangeQuery) (*shardResult, error) {
+// parseReply parses a server's reply to a query. A reply that is incomplete or does not fit the query is an
+// error.
+func parseReply(status int, body []byte, q *rangeQuery) (*shardResult, error) {
 	var e envelope
 	if err := json.Unmarshal(body, &e); err != nil {
-		return nil, fmt.Errorf("status %d, not a reply of this API: %w", status, err)
+		return nil, fmt.Errorf("status %d, not a reply of the Prometheus API: %w", status, err)
 	}
 	if status != 200 || e.Status != "success" {
 		err := fmt.Errorf("status %d, %s: %s", status, e.ErrorType, e.Error)
 		if status == 400 && e.ErrorType == "bad_data" || status == 422 && e.ErrorType == "execution" {
-			return nil, &serverError{text: e.Error}
+			return nil, &permanentError{text: e.Error}
 		}
 		return nil, err
 	}
-	if len(e.Warnings) > 0 { // something is not as whole as it looks
-		return nil, fmt.Errorf("it warns: %s", e.Warnings[0])
+	if len(e.Warnings) > 0 { // the result may be incomplete
+		return nil, fmt.Errorf("reply has a warning: %s", e.Warnings[0])
 	}
 	if e.Data == nil || e.Data.ResultType != "matrix" {
-		return nil, errors.New("the result is not a matrix")
+		return nil, errors.New("result is not a matrix")
 	}
 	out := &shardResult{infos: e.Infos}
 	seen := map[string]bool{}
 	for i := range e.Data.Result {
 		w := &e.Data.Result[i]
 		if len(w.Histograms) > 0 && string(w.Histograms) != "null" {
-			return nil, &serverError{text: "native histograms cannot be merged over shards"}
+			return nil, &permanentError{text: "native histograms cannot be merged over shards"}
 		}
 		s := series{labels: labels.FromMap(w.Metric), points: w.Values}
 		if key := string(s.labels.Bytes(nil)); seen[key] {
-			return nil, fmt.Errorf("series %s comes twice", s.labels)
+			return nil, fmt.Errorf("series %s is listed twice", s.labels)
 		} else {
 			seen[key] = true
 		}
 		for j, p := range s.points {
-			if !q.onGrid(p.t) {
-				return nil, fmt.Errorf("series %s has a sample off the grid at %d ms", s.labels, p.t)
+			if !q.isEvalTimestamp(p.t) {
+				return nil, fmt.Errorf("series %s has a sample at %d ms, which is no evaluation timestamp of the query",
+					s.labels, p.t)
 			}
 			if j > 0 && p.t <= s.points[j-1].t {
 				return nil, fmt.Errorf("series %s has samples out of order", s.labels)
@@ -135,14 +137,15 @@
 	return out, nil
 }
 
-// conflict tells that two shards gave one series differently.
+// conflict is a series for which two shards gave different samples, or which only one shard may have.
 type conflict struct {
-	labels labels.Labels
-	a, b   int
+	labels         labels.Labels
+	shardA, shardB int
 }
 
-// merge puts the shards' series together, sorted by labels. A series that several shards give alike, as
-// servers with several shards do, counts once; where exclusive is set none may. All conflicts are returned.
+// merge merges the shards' series and sorts them by labels. A series that several shards return with the same
+// samples, as servers that hold several shards do, counts once; if exclusive is set, that is a conflict too.
+// All conflicts are returned.
 func merge(parts []*shardResult, exclusive bool) ([]series, []conflict) {
 	type entry struct {
 		s     *series
@@ -154,12 +157,12 @@
 		for i := range p.series {
 			s := &p.series[i]
 			key := string(s.labels.Bytes(nil))
-			had, dup := byLabels[key]
+			first, dup := byLabels[key]
 			switch {
 			case !dup:
 				byLabels[key] = entry{s, p.shard}
-			case exclusive || !slices.EqualFunc(had.s.points, s.points, samePoint):
-				conflicts = append(conflicts, conflict{labels: s.labels, a: had.shard, b: p.shard})
+			case exclusive || !slices.EqualFunc(first.s.points, s.points, samePoint):
+				conflicts = append(conflicts, conflict{labels: s.labels, shardA: first.shard, shardB: p.shard})
 			}
 		}
 	}
@@ -179,66 +182,66 @@
 	sort.Slice(s, func(i, j int) bool { return labels.Compare(s[i].labels, s[j].labels) < 0 })
 }
 
-// fold is an aggregation of one group at one moment.
-type fold struct {
-	n        int
-	sum, err float64 // Neumaier's sum and its compensation
-	mean     float64 // kept beside it for sums that leave the range of numbers
-	inf      bool    // an infinite value was among them
-	min, max float64
+// accumulator aggregates the samples of one group at one timestamp.
+type accumulator struct {
+	count             int
+	sum, compensation float64 // Kahan-Babuska-Neumaier summation
+	mean              float64 // incremental, used if the sum overflows
+	hasInf            bool    // one of the samples is infinite
+	min, max          float64
 }
 
-func (f *fold) add(v float64) {
-	f.n++
-	if f.n == 1 {
-		f.min, f.max = v, v
+func (a *accumulator) add(v float64) {
+	a.count++
+	if a.count == 1 {
+		a.min, a.max = v, v
 	}
-	if v < f.min || math.IsNaN(f.min) {
-		f.min = v
+	if v < a.min || math.IsNaN(a.min) {
+		a.min = v
 	}
-	if v > f.max || math.IsNaN(f.max) {
-		f.max = v
+	if v > a.max || math.IsNaN(a.max) {
+		a.max = v
 	}
-	f.inf = f.inf || math.IsInf(v, 0)
-	f.mean += v/float64(f.n) - f.mean/float64(f.n)
-	t := f.sum + v
+	a.hasInf = a.hasInf || math.IsInf(v, 0)
+	a.mean += v/float64(a.count) - a.mean/float64(a.count)
+	t := a.sum + v
 	switch {
 	case math.IsInf(t, 0):
-		f.err = 0
-	case math.Abs(f.sum) >= math.Abs(v):
-		f.err += f.sum - t + v
+		a.compensation = 0
+	case math.Abs(a.sum) >= math.Abs(v):
+		a.compensation += a.sum - t + v
 	default:
-		f.err += v - t + f.sum
+		a.compensation += v - t + a.sum
 	}
-	f.sum = t
+	a.sum = t
 }
 
-func (f *fold) value(op parser.ItemType) float64 {
+func (a *accumulator) value(op parser.ItemType) float64 {
 	switch op {
 	case parser.SUM:
-		return f.sum + f.err
+		return a.sum + a.compensation
 	case parser.MIN:
-		return f.min
+		return a.min
 	case parser.MAX:
-		return f.max
+		return a.max
 	case parser.COUNT:
-		return float64(f.n)
-	default: // the mean over all series, never over the shards' means
-		if math.IsInf(f.sum, 0) && !f.inf {
-			return f.mean
+		return float64(a.count)
+	default: // AVG: the mean over all series, not a mean of the shards' means
+		if math.IsInf(a.sum, 0) && !a.hasInf {
+			return a.mean
 		}
-		return (f.sum + f.err) / float64(f.n)
+		return (a.sum + a.compensation) / float64(a.count)
 	}
 }
 
-// apply computes the outermost aggregation over the series of all shards.
-func (p *plan) apply(in []series) []series {
-	if p.aggregate == 0 {
+// aggregate computes the outermost aggregation, if any, over the series of all shards.
+func (p *plan) aggregate(in []series) []series {
+	if p.op == 0 {
 		return in
 	}
 	type group struct {
 		labels labels.Labels
-		at     map[int64]*fold
+		byTime map[int64]*accumulator
 	}
 	groups := map[string]*group{}
 	for _, s := range in {
@@ -252,23 +255,23 @@
 		key := string(l.Bytes(nil))
 		g := groups[key]
 		if g == nil {
-			g = &group{labels: l, at: map[int64]*fold{}}
+			g = &group{labels: l, byTime: map[int64]*accumulator{}}
 			groups[key] = g
 		}
 		for _, pt := range s.points {
-			f := g.at[pt.t]
-			if f == nil {
-				f = &fold{}
-				g.at[pt.t] = f
+			acc := g.byTime[pt.t]
+			if acc == nil {
+				acc = &accumulator{}
+				g.byTime[pt.t] = acc
 			}
-			f.add(pt.v)
+			acc.add(pt.v)
 		}
 	}
 	out := make([]series, 0, len(groups))
 	for _, g := range groups {
 		s := series{labels: g.labels}
-		for t, f := range g.at {
-			s.points = append(s.points, point{t, f.value(p.aggregate)})
+		for t, acc := range g.byTime {
+			s.points = append(s.points, point{t, acc.value(p.op)})
 		}
 		sort.Slice(s.points, func(i, j int) bool { return s.points[i].t < s.points[j].t })
 		out = append(out, s)
@@ -277,7 +280,7 @@
 	return out
 }
 
-// appendPoint writes a sample as Prometheus does.
+// appendPoint appends a sample in Prometheus's JSON form.
 func appendPoint(b []byte, p point) []byte {
 	t := p.t
 	b = append(b, '[')
@@ -289,16 +292,16 @@
 		b = append(b, fmt.Sprintf(".%03d", ms)...)
 	}
 	b = append(b, ',', '"')
-	form := byte('f')
+	format := byte('f')
 	if a := math.Abs(p.v); a != 0 && (a < 1e-6 || a >= 1e21) {
-		form = 'e'
+		format = 'e'
 	}
-	b = strconv.AppendFloat(b, p.v, form, -1, 64)
+	b = strconv.AppendFloat(b, p.v, format, -1, 64)
 	return append(b, '"', ']')
 }
 
-// encode writes a successful reply.
-func encode(all []series, warnings, infos []string) ([]byte, error) {
+// encodeReply encodes a successful reply.
+func encodeReply(all []series, warnings, infos []string) ([]byte, error) {
 	b := []byte(`{"status":"success","data":{"resultType":"matrix","result":[`)
 	for i, s := range all {
 		if i > 0 {
--- a/internal/promql/servers.go
+++ b/internal/promql/servers.go
@@ -1,6 +1,6 @@
 package promql
 
-// The way to the servers: the backend of range queries, its connections, and one attempt at a time.
+// The backend of range queries: connections to servers, and one HTTP request per attempt.
 
 import (
 	"errors"
@@ -15,71 +15,72 @@
 	lnet "lapislever/internal/net"
 )
 
-// flight is one attempt on its way.
-type flight struct {
-	f         *Front
-	a         *core.Attempt
-	s         *server
-	mu        sync.Mutex
-	c         *lnet.Client
-	began     bool // something of the request may have been written
-	cancelled bool
-	granted   int64
+// roundTrip is one attempt's request to a server and the reply to it.
+type roundTrip struct {
+	front         *Front
+	attempt       *core.Attempt
+	server        *server
+	mu            sync.Mutex
+	conn          *lnet.Client
+	writeBegun    bool // part of the request may have been written
+	cancelled     bool
+	reservedBytes int64 // buffer memory reserved for the reply
 }
 
-// Send starts the attempts of a call; each is a request of its own.
+// Send starts the attempts of a call. Each is sent as a separate request.
 func (f *Front) Send(to balance.ReplicaID, call []*core.Attempt) bool {
 	s := f.servers[to]
 	if s == nil {
-		f.place.Log.Warn("no range-query address is known", "server", uint64(to))
+		f.env.Log.Warn("server has no range-query address in the front's file", "server", uint64(to))
 		return false
 	}
 	for _, a := range call {
-		fl := &flight{f: f, a: a, s: s}
+		rt := &roundTrip{front: f, attempt: a, server: s}
 		f.mu.Lock()
-		f.flights[a] = fl
+		f.inFlight[a] = rt
 		f.mu.Unlock()
-		go fl.run()
+		go rt.run()
 	}
 	return true
 }
 
-// Cancel ends an attempt: its connection is closed, as HTTP knows no other way.
+// Cancel cancels an attempt by closing its connection, the only way that HTTP/1.1 has. It reports whether the
+// attempt is certain not to have run.
 func (f *Front) Cancel(a *core.Attempt) bool {
 	f.mu.Lock()
-	fl := f.flights[a]
+	rt := f.inFlight[a]
 	f.mu.Unlock()
-	if fl == nil {
+	if rt == nil {
 		return false
 	}
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	fl.cancelled = true
-	if fl.c != nil {
-		fl.c.Close()
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	rt.cancelled = true
+	if rt.conn != nil {
+		rt.conn.Close()
 	}
-	return !fl.began
+	return !rt.writeBegun
 }
 
-// CancelQueued withdraws what is not begun.
+// CancelQueued cancels and returns the attempts for a server whose request has not begun to be written.
 func (f *Front) CancelQueued(to balance.ReplicaID) []*core.Attempt {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var back []*core.Attempt
-	for a, fl := range f.flights {
+	var cancelled []*core.Attempt
+	for a, rt := range f.inFlight {
 		if a.Replica == to {
-			fl.mu.Lock()
-			if !fl.began && !fl.cancelled {
-				fl.cancelled = true
-				back = append(back, a)
+			rt.mu.Lock()
+			if !rt.writeBegun && !rt.cancelled {
+				rt.cancelled = true
+				cancelled = append(cancelled, a)
 			}
-			fl.mu.Unlock()
+			rt.mu.Unlock()
 		}
 	}
-	return back
+	return cancelled
 }
 
-// CloseIdle closes connections that carry nothing.
+// CloseIdle closes a server's idle connections.
 func (f *Front) CloseIdle(to balance.ReplicaID) {
 	if s := f.servers[to]; s != nil {
 		s.mu.Lock()
@@ -87,82 +88,85 @@
 		s.idle = nil
 		s.mu.Unlock()
 		for _, c := range idle {
-			f.drop(c)
+			f.closeConn(c)
 		}
 	}
 }
 
-func (f *Front) drop(c *lnet.Client) {
+// closeConn closes a connection and releases its place in the budget.
+func (f *Front) closeConn(c *lnet.Client) {
 	c.Close()
 	f.budget.Release()
 }
 
-// Probe asks a server whether it is healthy. Where the platform's nodes are known by frames, those are
-// probed.
+// Probe requests a server's /-/healthy. The core turns to this backend only for servers that no earlier
+// backend can probe: nodes that speak the platform's protocol are probed over that.
 func (f *Front) Probe(to balance.ReplicaID) bool {
 	s := f.servers[to]
 	if s == nil {
 		return false
 	}
 	go func() {
-		at, o := time.Now(), balance.NoConnection
-		until := at.Add(f.place.DialTimeout)
-		if c := f.connect(s, f.place.DialTimeout); c != nil {
-			o = balance.Error
-			reply, err := c.Do("GET", s.path+"/-/healthy", s.addr, nil, nil, until)
+		startedAt, outcome := time.Now(), balance.NoConnection
+		deadline := startedAt.Add(f.env.DialTimeout)
+		if c := f.getConn(s, f.env.DialTimeout); c != nil {
+			outcome = balance.Error
+			reply, err := c.Do("GET", s.path+"/-/healthy", s.addr, nil, nil, deadline)
 			if err == nil && reply.Status == 200 {
-				o = balance.OK
+				outcome = balance.OK
 			}
-			f.put(s, c)
+			f.putConn(s, c)
 		}
-		f.core.Post(core.ProbeDone{Replica: to, Outcome: o, Elapsed: time.Since(at)})
+		f.core.Post(core.ProbeDone{Replica: to, Outcome: outcome, Elapsed: time.Since(startedAt)})
 	}()
 	return true
 }
 
-func (f *Front) idleLimit() time.Duration {
-	return time.Duration(idleShare * float64(f.place.ConnIdle))
+// reuseLimit is how long a connection may be idle and still be reused.
+func (f *Front) reuseLimit() time.Duration {
+	return time.Duration(idleReuseFraction * float64(f.env.ConnIdle))
 }
 
-// sweep closes connections that have been idle for too long: their server would, and leave us the
-// descriptor.
-func (f *Front) sweep(s *server) {
+// closeExpired closes connections that have been idle for too long. The server would close its end of them
+// anyway, and the descriptor here would stay in use.
+func (f *Front) closeExpired(s *server) {
 	s.mu.Lock()
-	var old []*lnet.Client
+	var expired []*lnet.Client
 	s.idle = slices.DeleteFunc(s.idle, func(c *lnet.Client) bool {
-		over := time.Since(c.IdleSince) >= f.idleLimit()
-		if over {
-			old = append(old, c)
+		tooOld := time.Since(c.IdleSince) >= f.reuseLimit()
+		if tooOld {
+			expired = append(expired, c)
 		}
-		return over
+		return tooOld
 	})
-	if s.sweeps = len(s.idle) > 0; s.sweeps {
-		time.AfterFunc(f.idleLimit(), func() { f.sweep(s) })
+	if s.sweepScheduled = len(s.idle) > 0; s.sweepScheduled {
+		time.AfterFunc(f.reuseLimit(), func() { f.closeExpired(s) })
 	}
 	s.mu.Unlock()
-	for _, c := range old {
-		f.drop(c)
+	for _, c := range expired {
+		f.closeConn(c)
 	}
 }
 
-// connect takes an idle connection that is fresh enough, or opens one.
-func (f *Front) connect(s *server, timeout time.Duration) *lnet.Client {
+// getConn returns an idle connection that may still be reused, or else a new one. It returns nil if there is
+// no free descriptor or the server cannot be reached.
+func (f *Front) getConn(s *server, timeout time.Duration) *lnet.Client {
 	s.mu.Lock()
 	for len(s.idle) > 0 {
-		last := s.idle[len(s.idle)-1] // the freshest
+		last := s.idle[len(s.idle)-1] // the most recently used
 		s.idle = s.idle[:len(s.idle)-1]
-		if time.Since(last.IdleSince) < f.idleLimit() {
+		if time.Since(last.IdleSince) < f.reuseLimit() {
 			s.mu.Unlock()
 			return last
 		}
-		defer f.drop(last)
+		defer f.closeConn(last)
 	}
 	s.mu.Unlock()
 	if !f.budget.AcquireServer() {
-		f.place.Log.Warn("no descriptor is left for a server", "server", s.name)
+		f.env.Log.Warn("no free descriptor for a connection to a server", "server", s.name)
 		return nil
 	}
-	c, err := lnet.Dial(s.addr, timeout, maxReply)
+	c, err := lnet.Dial(s.addr, timeout, maxReplyBytes)
 	if err != nil {
 		f.budget.Release()
 		return nil
@@ -170,16 +174,16 @@
 	return c
 }
 
-// put keeps a connection that may go on.
-func (f *Front) put(s *server, c *lnet.Client) {
+// putConn keeps a reusable connection as idle, and closes any other.
+func (f *Front) putConn(s *server, c *lnet.Client) {
 	if c.ReserveBytes = nil; c.Reusable() {
 		s.mu.Lock()
-		keep := len(s.idle) < maxIdle
+		keep := len(s.idle) < maxIdleConns
 		if keep {
 			s.idle = append(s.idle, c)
-			if !s.sweeps {
-				s.sweeps = true
-				time.AfterFunc(f.idleLimit(), func() { f.sweep(s) })
+			if !s.sweepScheduled {
+				s.sweepScheduled = true
+				time.AfterFunc(f.reuseLimit(), func() { f.closeExpired(s) })
 			}
 		}
 		s.mu.Unlock()
@@ -187,65 +191,65 @@
 			return
 		}
 	}
-	f.drop(c)
+	f.closeConn(c)
 }
 
-// run carries an attempt to its end.
-func (fl *flight) run() {
-	o, v := fl.fly()
-	fl.f.mu.Lock()
-	delete(fl.f.flights, fl.a)
-	fl.f.mu.Unlock()
-	fl.mu.Lock()
-	cancelled := fl.cancelled
-	fl.mu.Unlock()
-	// What the reply took is given back now, or with the query's end if it is part of that.
-	if o != balance.OK || cancelled || !fl.a.Query.Data.(*job).keep(fl.granted) {
-		fl.f.held.Add(-fl.granted)
+// run sends the attempt and posts its outcome to the core.
+func (rt *roundTrip) run() {
+	outcome, v := rt.do()
+	rt.front.mu.Lock()
+	delete(rt.front.inFlight, rt.attempt)
+	rt.front.mu.Unlock()
+	rt.mu.Lock()
+	cancelled := rt.cancelled
+	rt.mu.Unlock()
+	// The reply's memory is released now or, if the reply is part of the result, when the query ends.
+	if outcome != balance.OK || cancelled || !rt.attempt.Query.Data.(*pendingQuery).retain(rt.reservedBytes) {
+		rt.front.bufferedBytes.Add(-rt.reservedBytes)
 	}
 	if !cancelled {
-		fl.f.core.Post(core.AttemptDone{Attempt: fl.a, Outcome: o, Value: v})
+		rt.front.core.Post(core.AttemptDone{Attempt: rt.attempt, Outcome: outcome, Value: v})
 	}
 }
 
-// grant takes memory for a reply.
-func (fl *flight) grant(n int) bool {
-	if fl.f.held.Add(int64(n)) > maxHeld {
-		fl.f.held.Add(int64(-n))
+// reserve reserves memory for a reply, and returns false if the buffered replies leave too little.
+func (rt *roundTrip) reserve(n int) bool {
+	if rt.front.bufferedBytes.Add(int64(n)) > maxBufferedBytes {
+		rt.front.bufferedBytes.Add(int64(-n))
 		return false
 	}
-	fl.granted += int64(n)
+	rt.reservedBytes += int64(n)
 	return true
 }
 
-// fly sends the request and reads the reply.
-func (fl *flight) fly() (balance.Outcome, core.Value) {
-	f, j := fl.f, fl.a.Query.Data.(*job)
-	begun := time.Now()
-	c := f.connect(fl.s, f.place.DialTimeout)
+// do sends the request, and reads and parses the reply.
+func (rt *roundTrip) do() (balance.Outcome, core.Value) {
+	f, pq := rt.front, rt.attempt.Query.Data.(*pendingQuery)
+	startedAt := time.Now()
+	c := f.getConn(rt.server, f.env.DialTimeout)
 	if c == nil {
 		return balance.NoConnection, core.Value{}
 	}
-	c.ReserveBytes = fl.grant
-	until := begun.Add(fl.a.Timeout)
+	c.ReserveBytes = rt.reserve
+	deadline := startedAt.Add(rt.attempt.Timeout)
 	now := time.Now()
-	body := j.q.form(fl.a.Shard, until.Sub(now)).Encode()
-	head := [][2]string{{"Content-Type", "application/x-www-form-urlencoded"}, {"Accept", "application/json"}}
-	if !fl.begin(c, now) {
-		f.put(fl.s, c)
+	body := pq.query.serverParams(rt.attempt.Shard, deadline.Sub(now)).Encode()
+	header := [][2]string{{"Content-Type", "application/x-www-form-urlencoded"}, {"Accept", "application/json"}}
+	if !rt.beginWrite(c, now) {
+		f.putConn(rt.server, c)
 		return balance.NotSent, core.Value{}
 	}
-	err := c.Write("POST", fl.s.path+rangePath, fl.s.addr, head, []byte(body), now.Add(writeLimit))
-	fl.a.EndWrite(c)
-	if err != nil { // its last byte was not written: it never ran
-		fl.leave()
+	err := c.Write("POST", rt.server.path+rangePath, rt.server.addr, header, []byte(body), now.Add(writeTimeout))
+	rt.attempt.EndWrite(c)
+	if err != nil { // the request was not written to its end, so it never ran
+		rt.releaseConn()
 		return balance.NoConnection, core.Value{}
 	}
-	fl.f.core.Counts().AttemptsSent.Add(1)
-	reply, err := c.Read(until.Add(readSlack))
-	fl.leave()
+	rt.front.core.Counts().AttemptsSent.Add(1)
+	reply, err := c.Read(deadline.Add(readSlack))
+	rt.releaseConn()
 	if err != nil {
-		f.place.Log.Debug("no reply from a server", "server", fl.s.name, "err", err)
+		f.env.Log.Debug("reading a server's reply failed", "server", rt.server.name, "err", err)
 		var bad *lnet.BadMessage
 		if errors.As(err, &bad) {
 			return balance.Error, core.Value{}
@@ -255,52 +259,54 @@
 	if reply.Status == 429 {
 		return balance.Busy, core.Value{}
 	}
-	r, err := readReply(reply.Status, reply.Body, j.q)
+	r, err := parseReply(reply.Status, reply.Body, pq.query)
 	if err != nil {
-		f.place.Log.Warn("a server's reply is not used", "server", fl.s.name, "shard", fl.a.Shard, "why", err)
-		var word *serverError
-		if errors.As(err, &word) {
-			j.mu.Lock()
-			j.refused = word
-			j.mu.Unlock()
+		f.env.Log.Warn("server reply rejected", "server", rt.server.name, "shard", rt.attempt.Shard, "why", err)
+		var permanent *permanentError
+		if errors.As(err, &permanent) {
+			pq.mu.Lock()
+			pq.permanent = permanent
+			pq.mu.Unlock()
 		}
 		return balance.Error, core.Value{}
 	}
-	r.shard = fl.a.Shard
+	r.shard = rt.attempt.Shard
 	return balance.OK, core.Value{Data: r}
 }
 
-// begin begins the request's write on a connection; it may not where the attempt was given up or must not
-// begin any more.
-func (fl *flight) begin(c *lnet.Client, now time.Time) bool {
-	fl.mu.Lock()
-	defer fl.mu.Unlock()
-	if fl.cancelled {
+// beginWrite marks the request as being written to a connection. It returns false if the attempt has been
+// cancelled or may no longer begin.
+func (rt *roundTrip) beginWrite(c *lnet.Client, now time.Time) bool {
+	rt.mu.Lock()
+	defer rt.mu.Unlock()
+	if rt.cancelled {
 		return false
 	}
-	if _, hold := fl.a.BeginWrite(c, now); hold != core.NoHold {
-		fl.f.place.Log.Info("attempt not begun", "server", fl.s.name, "query", fl.a.Query.Name,
-			"shard", fl.a.Shard, "why", string(hold))
+	if _, reason := rt.attempt.BeginWrite(c, now); reason != core.NoHold {
+		rt.front.env.Log.Info("attempt not begun", "server", rt.server.name, "query", rt.attempt.Query.Name,
+			"shard", rt.attempt.Shard, "why", string(reason))
 		return false
 	}
-	fl.c, fl.began = c, true
+	rt.conn, rt.writeBegun = c, true
 	return true
 }
 
-// leave parts from the connection, so that a withdrawal that comes later closes nothing of others.
-func (fl *flight) leave() {
-	fl.mu.Lock()
-	c := fl.c
-	fl.c = nil
-	fl.mu.Unlock()
-	fl.f.put(fl.s, c)
+// releaseConn gives the connection back. A later Cancel no longer closes it, as another attempt may use it by
+// then.
+func (rt *roundTrip) releaseConn() {
+	rt.mu.Lock()
+	c := rt.conn
+	rt.conn = nil
+	rt.mu.Unlock()
+	rt.front.putConn(rt.server, c)
 }
 
-// form is the request to one server. The end is the client's own, as the expression may refer to it.
-func (q *rangeQuery) form(shard int, left time.Duration) url.Values {
+// serverParams returns the parameters of the request for one shard. The end is passed on exactly as the
+// client gave it, because the expression may refer to it.
+func (q *rangeQuery) serverParams(shard int, remaining time.Duration) url.Values {
 	seconds := func(ms int64) string { return strconv.FormatFloat(float64(ms)/1000, 'f', -1, 64) }
-	v := url.Values{"query": {q.plan.text(shard)}, "start": {seconds(q.start)}, "end": {seconds(q.end)},
-		"step": {seconds(q.step)}, "timeout": {seconds(max(1, left.Milliseconds()))}}
+	v := url.Values{"query": {q.plan.shardQuery(shard)}, "start": {seconds(q.start)}, "end": {seconds(q.end)},
+		"step": {seconds(q.step)}, "timeout": {seconds(max(1, remaining.Milliseconds()))}}
 	if q.lookback != "" {
 		v.Set("lookback_delta", q.lookback)
 	}
