--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -1,7 +1,7 @@
-// Package importer reads the balancers of Apache's mod_jk worker files and of Apache's proxy configuration,
-// and makes the range-query front's file of them. It owns these two syntaxes and what they mean here; it
-// must never guess silently: what has no counterpart is reported by its line, and what is malformed is an
-// error.
+// Package importer converts the load balancers of mod_jk worker files (workers.properties) and of Apache
+// httpd's proxy configuration into the configuration file of the range-query front or of the translating
+// front. It never guesses silently: settings without a counterpart are reported with their line, and
+// malformed input is an error.
 package importer
 
 import (
@@ -21,39 +21,39 @@
 	"lapislever/internal/promql"
 )
 
-// Remark is what a line says and this program has no counterpart for, or takes in another way.
+// Remark reports a setting that has no counterpart here, or that is taken over with another meaning.
 type Remark struct {
 	Line int
 	Text string
 }
 
-// Result is the front's file and what there is to say of it.
+// Result is the generated configuration file with the remarks on its source.
 type Result struct {
 	File    string
 	Remarks []Remark
 }
 
-// What a file can be made for.
+// The fronts that a file can be generated for.
 const (
 	Ranges      = "promql"
 	Translation = "translate"
 )
 
-// Options say what is to be made.
+// Options control what is generated.
 type Options struct {
-	For    string // Ranges or Translation
-	Listen string // where the front listens; for translation, by AJP
-	Class  string // that requests count as
+	For    string // TargetPromQL or TargetTranslate
+	Listen string // address that the front listens on; for TargetTranslate, its AJP listener
+	Class  string // class of all requests
 }
 
-// reader is the state of one import.
+// reader holds the state of one import.
 type reader struct {
-	to       string
-	draining map[string]bool   // servers that get nothing new
-	ajp      map[string]string // what the front's AJP listener takes over from the workers
-	remarks  []Remark
-	servers  []promql.Server
-	names    map[string]int // to the line of their server
+	target      string
+	draining    map[string]bool   // servers that receive no new requests
+	ajpSettings map[string]string // worker settings that the front's AJP listener takes over
+	remarks     []Remark
+	servers     []promql.Server
+	serverLines map[string]int // by server name
 }
 
 func (r *reader) remark(line int, format string, args ...any) {
@@ -64,8 +64,8 @@
 	return fmt.Errorf("line %d: %s", line, fmt.Sprintf(format, args...))
 }
 
-// Import reads a file of either kind. Members of one balancer stand in for each other, so each balancer
-// becomes one cell, in the order of the file.
+// Import converts a file of either syntax. The members of one balancer are replicas of each other, so each
+// balancer becomes one cell, in the order of the file.
 func Import(text string, o Options) (*Result, error) {
 	if o.For != Ranges && o.For != Translation {
 		return nil, fmt.Errorf("nothing is made for %q: promql or translate", o.For)
@@ -73,26 +73,27 @@
 	if o.Class == "" {
 		return nil, errors.New("the class is missing that requests count as: these files name none")
 	}
-	r := &reader{to: o.For, names: map[string]int{}, draining: map[string]bool{}, ajp: map[string]string{}}
+	r := &reader{target: o.For, serverLines: map[string]int{}, draining: map[string]bool{},
+		ajpSettings: map[string]string{}}
 	var err error
 	if isApache(text) {
-		err = r.apache(text)
+		err = r.parseApache(text)
 	} else {
-		err = r.workers(text)
+		err = r.parseWorkers(text)
 	}
 	if err != nil {
 		return nil, err
 	}
 	var b bytes.Buffer
 	if o.For == Translation {
-		err = toml.NewEncoder(&b).Encode(r.translation(o))
+		err = toml.NewEncoder(&b).Encode(r.translateConfig(o))
 	} else {
 		err = toml.NewEncoder(&b).Encode(promql.Config{Listen: o.Listen, Class: o.Class, Servers: r.servers})
 	}
 	if err != nil {
 		return nil, err
 	}
-	if o.For == Translation { // serve must take what is printed
+	if o.For == Translation { // the serve command must accept the generated file
 		_, err = kiosk.ParseConfig("the list that comes of it", b.String())
 	} else if _, err = promql.ParseConfig(b.String()); err != nil {
 		err = fmt.Errorf("the list that comes of it is not sound: %w", err)
@@ -104,21 +105,23 @@
 	return &Result{File: b.String(), Remarks: r.remarks}, nil
 }
 
-// The class of an imported front. Nothing in these files tells how long a request may take or whether it may
-// be repeated, so that nothing is, and the times are those of a range query's own start without settings.
+// Times of the imported class. The source files do not say how long a request may take or whether it may be
+// repeated. The class is therefore unsafe to repeat, and its times are the defaults of range queries without
+// the platform.
 const (
 	classAim      = 3.0  // seconds
 	classDeadline = 10.0 // seconds
 )
 
-// translation is the file for old terminals: the workers are nodes of the new form, and the front that
-// forwarded to them by AJP forwards to us. The class is named by the caller, and is to be looked over.
-func (r *reader) translation(o Options) *kiosk.Config {
+// translateConfig returns the configuration of the translating front. The workers become nodes of the new
+// form, and the web server that forwarded to them by AJP forwards to the coordinator instead. The operator
+// has to review the class, as only its name is given.
+func (r *reader) translateConfig(o Options) *kiosk.Config {
 	listen := o.Listen
 	c := &kiosk.Config{Classes: []kiosk.Class{
 		{Name: o.Class, Effect: "unsafe", Aim: classAim, Deadline: classDeadline, Worth: 1}}}
-	c.AJP.Listen, c.AJP.Secret = listen, r.ajp["secret"]
-	c.AJP.Packet, _ = strconv.Atoi(r.ajp["max_packet_size"])
+	c.AJP.Listen, c.AJP.Secret = listen, r.ajpSettings["secret"]
+	c.AJP.Packet, _ = strconv.Atoi(r.ajpSettings["max_packet_size"])
 	for _, s := range r.servers {
 		c.Servers = append(c.Servers, kiosk.Server{Name: s.Name, Address: s.Address, Form: kiosk.NewForm,
 			Cell:  s.Cell,
@@ -127,63 +130,64 @@
 	return c
 }
 
-var directive = regexp.MustCompile(`(?im)^\s*(<Proxy\s|BalancerMember\s|ProxyPass)`)
+var apacheDirective = regexp.MustCompile(`(?im)^\s*(<Proxy\s|BalancerMember\s|ProxyPass)`)
 
-func isApache(text string) bool { return directive.MatchString(text) }
+func isApache(text string) bool { return apacheDirective.MatchString(text) }
 
-// member adds a server to a cell.
-func (r *reader) member(line int, name, address string, cell int, share float64) {
-	if at, taken := r.names[name]; taken {
-		r.remark(line, "%s is left out of cell %d: line %d has a server of that name already", name, cell, at)
+// addServer adds a server to a cell, unless its name is taken.
+func (r *reader) addServer(line int, name, address string, cell int, share float64) {
+	if first, taken := r.serverLines[name]; taken {
+		r.remark(line, "%s is left out of cell %d: line %d has a server of that name already", name, cell, first)
 		return
 	}
-	r.names[name] = line
+	r.serverLines[name] = line
 	r.servers = append(r.servers, promql.Server{Name: name, Address: address, Cell: cell, Share: &share})
 }
 
-// property is one setting of a worker.
+// property is the value of one worker setting.
 type property struct {
 	value string
 	line  int
 }
 
-// worker is one worker of mod_jk with the settings of its own lines.
+// worker is one mod_jk worker with the settings given for itself, without those from its reference.
 type worker struct {
 	line  int // of its first setting
 	props map[string]property
 }
 
-// lists are the settings that add up over lines; elsewhere a later line replaces an earlier one.
-var lists = map[string]bool{"balance_workers": true, "balanced_workers": true, "mount": true}
+// cumulativeSettings lists the settings whose values add up over several lines. For all others a later line
+// replaces an earlier one.
+var cumulativeSettings = map[string]bool{"balance_workers": true, "balanced_workers": true, "mount": true}
 
-// jkFile is a file of workers.
+// jkFile is a parsed workers.properties file.
 type jkFile struct {
-	workers map[string]*worker
-	order   []string
-	list    []string // worker.list
+	workers    map[string]*worker
+	order      []string // worker names in the order of the file
+	workerList []string // worker.list
 }
 
-// workers reads mod_jk's workers.properties.
-func (r *reader) workers(text string) error {
-	f, err := r.readProperties(text)
+// parseWorkers converts the lb workers of mod_jk's workers.properties.
+func (r *reader) parseWorkers(text string) error {
+	f, err := r.parseProperties(text)
 	if err != nil {
 		return err
 	}
 	cell := 0
 	used := map[string]bool{}
 	for _, name := range f.order {
-		kind, _, err := f.get(name, "type")
+		kind, _, err := f.lookup(name, "type")
 		if err != nil {
 			return err
 		}
 		if kind.value != "lb" {
 			continue
 		}
-		if len(f.list) > 0 && !slices.Contains(f.list, name) && !f.referenced(name) {
+		if len(f.workerList) > 0 && !slices.Contains(f.workerList, name) && !f.isTemplate(name) {
 			r.remark(f.workers[name].line, "balancer %s is not in worker.list, and left out", name)
 			continue
 		}
-		if err := r.balancer(f, name, cell, used); err != nil {
+		if err := r.addBalancer(f, name, cell, used); err != nil {
 			return err
 		}
 		cell++
@@ -193,15 +197,15 @@
 	}
 	for _, name := range f.order {
 		w := f.workers[name]
-		if kind, _, _ := f.get(name, "type"); !used[name] && kind.value != "lb" && !f.referenced(name) {
+		if kind, _, _ := f.lookup(name, "type"); !used[name] && kind.value != "lb" && !f.isTemplate(name) {
 			r.remark(w.line, "worker %s of type %q is no member of a balancer, and left out", name, kind.value)
 		}
 	}
 	return nil
 }
 
-// readProperties reads lines of name=value with $(name) for earlier ones.
-func (r *reader) readProperties(text string) (*jkFile, error) {
+// parseProperties parses lines of name=value. $(name) stands for the value of an earlier line.
+func (r *reader) parseProperties(text string) (*jkFile, error) {
 	f := &jkFile{workers: map[string]*worker{}}
 	macros := map[string]string{}
 	for i, line := range strings.Split(text, "\n") {
@@ -236,12 +240,12 @@
 			if len(key) > 7 && strings.HasPrefix(key, "workers.") {
 				r.remark(n, "%s has no counterpart", key)
 			}
-			continue // a variable for $( )
+			continue // defines a variable for $(name)
 		}
 		dot := strings.LastIndexByte(rest, '.')
 		switch {
 		case rest == "list":
-			f.list = append(f.list, split(value)...)
+			f.workerList = append(f.workerList, splitList(value)...)
 			continue
 		case dot < 0:
 			r.remark(n, "%s has no counterpart", key)
@@ -256,22 +260,23 @@
 			f.workers[name] = w
 			f.order = append(f.order, name)
 		}
-		if had, dup := w.props[setting]; dup && lists[setting] {
-			value = had.value + "," + value
+		if earlier, dup := w.props[setting]; dup && cumulativeSettings[setting] {
+			value = earlier.value + "," + value
 		} else if dup {
-			r.remark(n, "%s replaces line %d", key, had.line)
+			r.remark(n, "%s replaces line %d", key, earlier.line)
 		}
 		w.props[setting] = property{value, n}
 	}
 	return f, nil
 }
 
-func split(list string) []string {
+// splitList splits a list at commas and blanks.
+func splitList(list string) []string {
 	return strings.FieldsFunc(list, func(c rune) bool { return c == ',' || c == ' ' || c == '\t' })
 }
 
-// get looks a setting up, in the worker and then along its references.
-func (f *jkFile) get(name, setting string) (property, bool, error) {
+// lookup returns a worker's setting: its own, or else the one inherited through its references.
+func (f *jkFile) lookup(name, setting string) (property, bool, error) {
 	seen := map[string]bool{}
 	for {
 		w := f.workers[name]
@@ -296,8 +301,8 @@
 	}
 }
 
-// referenced tells that a worker serves as a template.
-func (f *jkFile) referenced(name string) bool {
+// isTemplate reports whether another worker references this one.
+func (f *jkFile) isTemplate(name string) bool {
 	for _, w := range f.workers {
 		if w.props["reference"].value == "worker."+name {
 			return true
@@ -306,48 +311,48 @@
 	return false
 }
 
-// known are the settings that are read here; of all others a remark tells.
-var known = map[string]bool{"type": true, "host": true, "port": true, "lbfactor": true, "activation": true,
-	"route": true, "reference": true, "balance_workers": true, "balanced_workers": true}
+// knownSettings lists the settings that are converted. All others are reported in remarks.
+var knownSettings = map[string]bool{"type": true, "host": true, "port": true, "lbfactor": true,
+	"activation": true, "route": true, "reference": true, "balance_workers": true, "balanced_workers": true}
 
-// unknown reports a worker's settings without counterpart.
-func (r *reader) unknown(name string, w *worker) {
+// reportUnknown adds a remark for each of a worker's settings without a counterpart.
+func (r *reader) reportUnknown(name string, w *worker) {
 	for setting, p := range w.props {
-		if r.to == Translation && (setting == "secret" || setting == "max_packet_size") {
+		if r.target == Translation && (setting == "secret" || setting == "max_packet_size") {
 			continue
 		}
-		if !known[setting] {
+		if !knownSettings[setting] {
 			r.remark(p.line, "worker.%s.%s has no counterpart", name, setting)
 		}
 	}
 }
 
-// balancer makes a cell of one lb worker.
-func (r *reader) balancer(f *jkFile, name string, cell int, used map[string]bool) error {
+// addBalancer converts one lb worker to a cell.
+func (r *reader) addBalancer(f *jkFile, name string, cell int, used map[string]bool) error {
 	w := f.workers[name]
-	r.unknown(name, w)
+	r.reportUnknown(name, w)
 	var members []string
 	for _, setting := range []string{"balance_workers", "balanced_workers"} {
-		p, _, err := f.get(name, setting)
+		p, _, err := f.lookup(name, setting)
 		if err != nil {
 			return err
 		}
-		members = append(members, split(p.value)...)
+		members = append(members, splitList(p.value)...)
 	}
 	if len(members) == 0 {
 		return malformed(w.line, "balancer %s has no balance_workers", name)
 	}
 	before := len(r.servers)
 	for _, m := range members {
-		mw := f.workers[m]
-		if mw == nil {
+		member := f.workers[m]
+		if member == nil {
 			return malformed(w.line, "balancer %s: worker %s is not defined", name, m)
 		}
 		if !used[m] {
-			r.unknown(m, mw)
+			r.reportUnknown(m, member)
 		}
 		used[m] = true
-		if err := r.jkMember(f, m, cell); err != nil {
+		if err := r.addWorker(f, m, cell); err != nil {
 			return err
 		}
 	}
@@ -357,27 +362,27 @@
 	return nil
 }
 
-// jkMember adds one worker to a cell.
-func (r *reader) jkMember(f *jkFile, name string, cell int) error {
+// addWorker adds one member worker to a cell.
+func (r *reader) addWorker(f *jkFile, name string, cell int) error {
 	line := f.workers[name].line
-	text := map[string]property{"type": {"ajp13", line}, "host": {"localhost", line}, "lbfactor": {"1", line},
-		"activation": {"A", line}, "route": {name, line}}
+	settings := map[string]property{"type": {"ajp13", line}, "host": {"localhost", line},
+		"lbfactor": {"1", line}, "activation": {"A", line}, "route": {name, line}}
 	for _, setting := range []string{"type", "host", "port", "lbfactor", "activation", "route"} {
-		p, ok, err := f.get(name, setting)
+		p, ok, err := f.lookup(name, setting)
 		if err != nil {
 			return err
 		}
 		if ok {
-			text[setting] = p
+			settings[setting] = p
 		}
 	}
-	port := text["port"]
-	switch kind := text["type"]; kind.value {
+	port := settings["port"]
+	switch kind := settings["type"]; kind.value {
 	case "ajp13", "ajp14":
 		if port.value == "" {
 			port.value = map[string]string{"ajp13": "8009", "ajp14": "8011"}[kind.value]
 		}
-		if r.to == Translation {
+		if r.target == Translation {
 			r.remark(kind.line,
 				"worker %s speaks %s: its address is taken as a node of the new form, and has to answer gRPC",
 				name, kind.value)
@@ -390,57 +395,58 @@
 	if n, err := strconv.Atoi(port.value); err != nil || n < 1 || n > 65535 {
 		return malformed(port.line, "port %q", port.value)
 	}
-	share, err := strconv.ParseFloat(text["lbfactor"].value, 64)
+	share, err := strconv.ParseFloat(settings["lbfactor"].value, 64)
 	if err != nil || !(share > 0) || share > 1e6 {
-		return malformed(text["lbfactor"].line, "lbfactor %q", text["lbfactor"].value)
+		return malformed(settings["lbfactor"].line, "lbfactor %q", settings["lbfactor"].value)
 	}
-	switch a := text["activation"]; strings.ToUpper(a.value) {
+	switch a := settings["activation"]; strings.ToUpper(a.value) {
 	case "A", "ACTIVE":
 	case "D", "DISABLED", "S", "STOPPED":
-		if r.to != Translation {
+		if r.target != Translation {
 			r.remark(a.line, "worker %s is not active (%s), and left out", name, a.value)
 			return nil
 		}
-		r.draining[text["route"].value] = true
+		r.draining[settings["route"].value] = true
 	default:
 		return malformed(a.line, "activation %q", a.value)
 	}
-	if r.to == Translation {
+	if r.target == Translation {
 		for _, setting := range []string{"secret", "max_packet_size"} {
-			p, ok, err := f.get(name, setting)
+			p, ok, err := f.lookup(name, setting)
 			if err != nil {
 				return err
 			}
-			switch had, before := r.ajp[setting]; {
-			case !ok || before && had == p.value:
-			case before:
+			switch first, set := r.ajpSettings[setting]; {
+			case !ok || set && first == p.value:
+			case set:
 				r.remark(p.line, "worker %s has another %s than those before: the front's listener keeps the first", name,
 					setting)
 			default:
-				r.ajp[setting] = p.value
+				r.ajpSettings[setting] = p.value
 			}
 		}
 	}
-	r.member(line, text["route"].value, net.JoinHostPort(text["host"].value, port.value), cell, share)
+	r.addServer(line, settings["route"].value, net.JoinHostPort(settings["host"].value, port.value), cell, share)
 	return nil
 }
 
-// apacheBalancer is one balancer of the proxy's configuration.
+// apacheBalancer is one balancer of Apache's proxy configuration.
 type apacheBalancer struct {
 	name    string
 	line    int
 	members []apacheMember
 }
 
+// apacheMember is one BalancerMember directive with its arguments.
 type apacheMember struct {
 	line int
 	args []string
 }
 
-// apache reads <Proxy balancer://...> sections and BalancerMember directives.
-func (r *reader) apache(text string) error {
+// parseApache converts the <Proxy balancer://...> sections and BalancerMember directives of a configuration.
+func (r *reader) parseApache(text string) error {
 	var all []*apacheBalancer
-	find := func(name string, line int) *apacheBalancer {
+	balancerNamed := func(name string, line int) *apacheBalancer {
 		for _, b := range all {
 			if b.name == name {
 				return b
@@ -449,8 +455,8 @@
 		all = append(all, &apacheBalancer{name: name, line: line})
 		return all[len(all)-1]
 	}
-	var in *apacheBalancer
-	section := 0 // line of the <Proxy> we are in
+	var current *apacheBalancer
+	section := 0 // line of the enclosing <Proxy>; 0: none
 	lines := strings.Split(text, "\n")
 	for i := 0; i < len(lines); i++ {
 		n, line := i+1, strings.TrimSpace(lines[i])
@@ -461,24 +467,24 @@
 		if line == "" || line[0] == '#' {
 			continue
 		}
-		closed := strings.TrimSuffix(line, ">")
+		inner := strings.TrimSuffix(line, ">")
 		isSection := strings.HasPrefix(line, "<")
-		if isSection && closed == line {
+		if isSection && inner == line {
 			return malformed(n, "%q has no end", line)
 		}
 		if isSection {
-			line = closed[1:]
+			line = inner[1:]
 		}
-		words, err := fields(line)
+		words, err := splitArgs(line)
 		if err != nil {
 			return malformed(n, "%v", err)
 		}
 		if len(words) == 0 {
 			return malformed(n, "an empty section")
 		}
-		what := strings.ToLower(words[0])
+		directive := strings.ToLower(words[0])
 		switch {
-		case isSection && what == "proxy":
+		case isSection && directive == "proxy":
 			if section > 0 {
 				return malformed(n, "<Proxy> within the one of line %d", section)
 			}
@@ -486,33 +492,33 @@
 				return malformed(n, "<Proxy> takes one URL")
 			}
 			if name, ok := balancerName(words[1]); ok {
-				in = find(name, n)
+				current = balancerNamed(name, n)
 			} else {
 				r.remark(n, "<Proxy %s> is no balancer, and left out", words[1])
 			}
-		case isSection && what == "/proxy":
+		case isSection && directive == "/proxy":
 			if section == 0 {
 				return malformed(n, "</Proxy> without a <Proxy>")
 			}
-			in, section = nil, 0
-		case !isSection && what == "balancermember":
-			to, args := in, words[1:]
+			current, section = nil, 0
+		case !isSection && directive == "balancermember":
+			target, args := current, words[1:]
 			if len(args) > 0 {
 				if name, ok := balancerName(args[0]); ok {
 					if section > 0 {
 						return malformed(n, "BalancerMember names a balancer within <Proxy>")
 					}
-					to, args = find(name, n), args[1:]
+					target, args = balancerNamed(name, n), args[1:]
 				}
 			}
-			if to == nil {
+			if target == nil {
 				return malformed(n, "BalancerMember belongs to no balancer")
 			}
 			if len(args) == 0 {
 				return malformed(n, "BalancerMember has no URL")
 			}
-			to.members = append(to.members, apacheMember{n, args})
-		case isSection && strings.HasPrefix(what, "/"): // its beginning was reported
+			target.members = append(target.members, apacheMember{n, args})
+		case isSection && strings.HasPrefix(directive, "/"): // its opening line has been reported
 		case isSection:
 			r.remark(n, "<%s> has no counterpart", words[0])
 		default:
@@ -526,7 +532,7 @@
 	for _, b := range all {
 		before := len(r.servers)
 		for _, m := range b.members {
-			if err := r.apacheMember(m, cell); err != nil {
+			if err := r.addBalancerMember(m, cell); err != nil {
 				return err
 			}
 		}
@@ -541,6 +547,7 @@
 	return nil
 }
 
+// balancerName returns the name in a balancer:// URL; false if the text is none.
 func balancerName(text string) (string, bool) {
 	if len(text) < 11 || !strings.EqualFold(text[:11], "balancer://") {
 		return "", false
@@ -548,8 +555,8 @@
 	return strings.TrimSuffix(strings.ToLower(text[11:]), "/"), true
 }
 
-// fields splits a line as Apache does: at blanks, but for what stands in quotes.
-func fields(line string) ([]string, error) {
+// splitArgs splits a line into arguments like Apache: at blanks outside quotes.
+func splitArgs(line string) ([]string, error) {
 	var out []string
 	for {
 		line = strings.TrimLeft(line, " \t")
@@ -585,13 +592,13 @@
 	}
 }
 
-// apacheMember adds one BalancerMember to a cell.
-func (r *reader) apacheMember(m apacheMember, cell int) error {
+// addBalancerMember adds the server of one BalancerMember to a cell.
+func (r *reader) addBalancerMember(m apacheMember, cell int) error {
 	u, err := url.Parse(m.args[0])
 	if err != nil || u.Host == "" {
 		return malformed(m.line, "BalancerMember %q is no URL", m.args[0])
 	}
-	address, name, share, out := u.Host+strings.TrimSuffix(u.EscapedPath(), "/"), u.Host, 1.0, ""
+	address, name, share, leftOut := u.Host+strings.TrimSuffix(u.EscapedPath(), "/"), u.Host, 1.0, ""
 	if strings.Contains(address, "/") {
 		address = "http://" + address
 	}
@@ -606,7 +613,7 @@
 		}
 		r.remark(m.line, "%s speaks ajp: its address is taken, and has to answer HTTP", m.args[0])
 	default:
-		out = fmt.Sprintf("%s: only plain HTTP is spoken", m.args[0])
+		leftOut = fmt.Sprintf("%s: only plain HTTP is spoken", m.args[0])
 	}
 	for _, arg := range m.args[1:] {
 		key, value, ok := strings.Cut(arg, "=")
@@ -630,7 +637,7 @@
 					set = false
 				case 'D', 'S', 'E', 'N', 'H', 'R':
 					if set {
-						out = fmt.Sprintf("%s has status %s", m.args[0], value)
+						leftOut = fmt.Sprintf("%s has status %s", m.args[0], value)
 					}
 				case 'I', 'C':
 					r.remark(m.line, "status %c has no counterpart", c)
@@ -642,10 +649,10 @@
 			r.remark(m.line, "%s has no counterpart", key)
 		}
 	}
-	if out != "" {
-		r.remark(m.line, "%s, and is left out", out)
+	if leftOut != "" {
+		r.remark(m.line, "%s, and is left out", leftOut)
 		return nil
 	}
-	r.member(m.line, name, address, cell, share)
+	r.addServer(m.line, name, address, cell, share)
 	return nil
 }
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -10,8 +10,8 @@
 	"lapislever/internal/promql"
 )
 
-// outline writes what an import comes to in one line a server and one a remark.
-func outline(t *testing.T, text string) string {
+// importSummary imports a text and returns one line per server and one per remark.
+func importSummary(t *testing.T, text string) string {
 	t.Helper()
 	res, err := Import(text, Options{Ranges, "127.0.0.1:9090", "day-report"})
 	if err != nil {
@@ -19,7 +19,7 @@
 	}
 	c, err := promql.ParseConfig(res.File)
 	if err != nil {
-		t.Fatalf("serve does not take it: %v\n%s", err, res.File)
+		t.Fatalf("serve rejects the generated file: %v\n%s", err, res.File)
 	}
 	var b strings.Builder
 	for _, s := range c.Servers {
@@ -31,15 +31,15 @@
 	return b.String()
 }
 
-func check(t *testing.T, text, want string) {
+func checkImport(t *testing.T, text, want string) {
 	t.Helper()
-	if got := outline(t, text); got != strings.TrimLeft(want, "\n") {
+	if got := importSummary(t, text); got != strings.TrimLeft(want, "\n") {
 		t.Errorf("got\n%s\nwant%s", got, want)
 	}
 }
 
-func TestWorkers(t *testing.T) {
-	check(t, `# two balancers, a template
+func TestModJKWorkers(t *testing.T) {
+	checkImport(t, `# two balancers, a template
 hosts=127.0.0
 worker.list=lb1, lb2
 worker.list=jkstatus
@@ -85,8 +85,8 @@
 `)
 }
 
-func TestApache(t *testing.T) {
-	check(t, `# a proxy
+func TestApacheBalancers(t *testing.T) {
+	checkImport(t, `# a proxy
 ProxyPass "/q" "balancer://one" stickysession=J
 <Proxy "balancer://One">
   BalancerMember "http://127.0.0.1:9101" route=n1 loadfactor=2.5
@@ -116,7 +116,7 @@
 `)
 }
 
-// Any text is a list that serve takes, or an error.
+// Any input gives either an error or a file that serve accepts.
 func FuzzImport(f *testing.F) {
 	f.Add("worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.a.port=$(x)1\n")
 	f.Add("<Proxy balancer://x>\nBalancerMember \"http://a:1/p\" route=b loadfactor=2 \\\n status=-D\n</Proxy>")
@@ -171,8 +171,8 @@
 	}
 }
 
-// Workers of mod_jk become nodes of the new form; what the front needs to forward to us comes along.
-func TestWorkersForTranslation(t *testing.T) {
+// mod_jk workers become nodes of the new form. The AJP secret and packet size are taken over.
+func TestModJKWorkersForTranslation(t *testing.T) {
 	const text = `worker.list=ledger
 worker.ledger.type=lb
 worker.ledger.balance_workers=a,b,c
@@ -215,12 +215,12 @@
 	if want := []int{4, 4, 4, 15, 16}; !slices.Equal(lines, want) {
 		t.Errorf("remarks on lines %v, want %v: %+v", lines, want, res.Remarks)
 	}
-	for _, to := range []string{Ranges, Translation} {
-		if _, err := Import(text, Options{For: to, Listen: "127.0.0.1:8009"}); err == nil {
-			t.Errorf("%s: a class was guessed", to)
+	for _, target := range []string{Ranges, Translation} {
+		if _, err := Import(text, Options{For: target, Listen: "127.0.0.1:8009"}); err == nil {
+			t.Errorf("%s: imported without a class", target)
 		}
 	}
 	if _, err := Import(text, Options{For: "x", Class: "posts"}); err == nil {
-		t.Error("made for nothing known")
+		t.Error("an unknown target was accepted")
 	}
 }
