--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -35,13 +35,13 @@
 
 // The fronts that a file can be generated for.
 const (
-	Ranges      = "promql"
-	Translation = "translate"
+	TargetPromQL    = "promql"
+	TargetTranslate = "translate"
 )
 
 // Options control what is generated.
 type Options struct {
-	For    string // TargetPromQL or TargetTranslate
+	Target string // TargetPromQL or TargetTranslate
 	Listen string // address that the front listens on; for TargetTranslate, its AJP listener
 	Class  string // class of all requests
 }
@@ -67,13 +67,13 @@
 // Import converts a file of either syntax. The members of one balancer are replicas of each other, so each
 // balancer becomes one cell, in the order of the file.
 func Import(text string, o Options) (*Result, error) {
-	if o.For != Ranges && o.For != Translation {
-		return nil, fmt.Errorf("nothing is made for %q: promql or translate", o.For)
+	if o.Target != TargetPromQL && o.Target != TargetTranslate {
+		return nil, fmt.Errorf("nothing is made for %q: promql or translate", o.Target)
 	}
 	if o.Class == "" {
 		return nil, errors.New("the class is missing that requests count as: these files name none")
 	}
-	r := &reader{target: o.For, serverLines: map[string]int{}, draining: map[string]bool{},
+	r := &reader{target: o.Target, serverLines: map[string]int{}, draining: map[string]bool{},
 		ajpSettings: map[string]string{}}
 	var err error
 	if isApache(text) {
@@ -85,7 +85,7 @@
 		return nil, err
 	}
 	var b bytes.Buffer
-	if o.For == Translation {
+	if o.Target == TargetTranslate {
 		err = toml.NewEncoder(&b).Encode(r.translateConfig(o))
 	} else {
 		err = toml.NewEncoder(&b).Encode(promql.Config{Listen: o.Listen, Class: o.Class, Servers: r.servers})
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.For == Translation { // the serve command must accept the generated file
+	if o.Target == TargetTranslate { // the serve command must accept the generated file
 		_, err = kiosk.ParseConfig("the list that comes of it", b.String())
 	} else if _, err = promql.ParseConfig(b.String()); err != nil {
 		err = fmt.Errorf("the list that comes of it is not sound: %w", err)
@@ -318,7 +318,7 @@
 // reportUnknown adds a remark for each of a worker's settings without a counterpart.
 func (r *reader) reportUnknown(name string, w *worker) {
 	for setting, p := range w.props {
-		if r.target == Translation && (setting == "secret" || setting == "max_packet_size") {
+		if r.target == TargetTranslate && (setting == "secret" || setting == "max_packet_size") {
 			continue
 		}
 		if !knownSettings[setting] {
@@ -382,7 +382,7 @@
 		if port.value == "" {
 			port.value = map[string]string{"ajp13": "8009", "ajp14": "8011"}[kind.value]
 		}
-		if r.target == Translation {
+		if r.target == TargetTranslate {
 			r.remark(kind.line,
 				"worker %s speaks %s: its address is taken as a node of the new form, and has to answer gRPC",
 				name, kind.value)
@@ -402,7 +402,7 @@
 	switch a := settings["activation"]; strings.ToUpper(a.value) {
 	case "A", "ACTIVE":
 	case "D", "DISABLED", "S", "STOPPED":
-		if r.target != Translation {
+		if r.target != TargetTranslate {
 			r.remark(a.line, "worker %s is not active (%s), and left out", name, a.value)
 			return nil
 		}
@@ -410,7 +410,7 @@
 	default:
 		return malformed(a.line, "activation %q", a.value)
 	}
-	if r.target == Translation {
+	if r.target == TargetTranslate {
 		for _, setting := range []string{"secret", "max_packet_size"} {
 			p, ok, err := f.lookup(name, setting)
 			if err != nil {
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -156,21 +156,21 @@
 }
 
 // Environment is what the front needs to know about the coordinator that it runs in.
-type Place struct {
+type Environment struct {
 	Classes     []string
 	Settings    balance.Settings
 	Zones       []string
 	Shards      int
 	DialTimeout time.Duration
 	ConnIdle    time.Duration
-	Alone       bool // without discovery: the file's servers are the list
+	Standalone  bool // without discovery: the file's servers are the list
 	Log         *slog.Logger
 }
 
 // Front is both the front and the backend of range queries.
 type Front struct {
 	cfg           *Config
-	env           Place
+	env           Environment
 	class         int
 	servers       map[balance.ReplicaID]*server
 	core          *core.Core
@@ -192,7 +192,7 @@
 }
 
 // New returns a front for a configuration, or an error if the configuration does not fit the environment.
-func New(cfg *Config, env Place) (*Front, error) {
+func New(cfg *Config, env Environment) (*Front, error) {
 	f := &Front{cfg: cfg, env: env, class: slices.Index(env.Classes, cfg.Class),
 		servers: map[balance.ReplicaID]*server{}, inFlight: map[*core.Attempt]*roundTrip{}}
 	if f.class < 0 {
@@ -210,7 +210,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if env.Alone && s.Cell >= env.Settings.Cells {
+		if env.Standalone && s.Cell >= env.Settings.Cells {
 			return nil, fmt.Errorf("server %s: there is no cell %d", s.Name, s.Cell)
 		}
 		f.servers[core.ServerID(s.Name)] = &server{name: s.Name, addr: addr, path: path}
@@ -244,7 +244,7 @@
 		return err
 	}
 	f.listener = l
-	if f.env.Alone {
+	if f.env.Standalone {
 		var list []balance.Replica
 		for _, s := range f.cfg.Servers {
 			size := 1.0
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -19,7 +19,7 @@
 
 // startAlone starts a coordinator without the platform, with one cell per list of servers and with settings
 // that override the defaults. It returns the front's address.
-func startAlone(t *testing.T, settings map[string]any, cells ...[]*standin.HTTP) string {
+func startAlone(t *testing.T, settings map[string]any, cells ...[]*standin.HTTPServer) string {
 	t.Helper()
 	cfg := &Config{Listen: "127.0.0.1:0", Class: "day-report", Settings: settings}
 	for i, servers := range cells {
@@ -37,12 +37,12 @@
 // startFront starts a coordinator with the front and returns the front's address.
 func startFront(t *testing.T, pc *platform.Config, cfg *Config, alone bool) string {
 	t.Helper()
-	f, err := New(cfg, Place{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
-		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Alone: alone, Log: standin.Quiet()})
+	f, err := New(cfg, Environment{Classes: pc.Classes, Settings: pc.Module, Zones: pc.Zones, Shards: pc.Shards,
+		DialTimeout: pc.DialTimeout, ConnIdle: pc.ConnIdle, Standalone: alone, Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	k, err := platform.Start(pc, standin.Quiet(), f)
+	k, err := platform.Start(pc, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,14 +51,14 @@
 }
 
 // fixedServer starts a server that gives the same reply to every query. Status 0: it never replies.
-func fixedServer(t *testing.T, status int, body string) []*standin.HTTP {
-	return []*standin.HTTP{standin.NewHTTP(t, func(string, url.Values) (int, string) { return status, body })}
+func fixedServer(t *testing.T, status int, body string) []*standin.HTTPServer {
+	return []*standin.HTTPServer{standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return status, body })}
 }
 
 // queryRange sends a range query and returns the reply's status, Retry-After and body.
 func queryRange(t *testing.T, addr, query, rest string) (int, string, string) {
 	t.Helper()
-	r := standin.Call(t, addr, "GET", rangePath+"?query="+url.QueryEscape(query)+"&"+rest, nil, "")
+	r := standin.DoHTTP(t, addr, "GET", rangePath+"?query="+url.QueryEscape(query)+"&"+rest, nil, "")
 	return r.Status, r.Header.Get("Retry-After"), string(r.Body)
 }
 
@@ -75,7 +75,7 @@
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
 	form := [][2]string{{"Content-Type", "application/x-www-form-urlencoded"}}
-	r := standin.Call(t, addr, "POST", rangePath, form, "query=m&start=1970-01-01T00:00:00Z&end=60&step=30s")
+	r := standin.DoHTTP(t, addr, "POST", rangePath, form, "query=m&start=1970-01-01T00:00:00Z&end=60&step=30s")
 	if want := matrixReply(a1, a2, b1); r.Status != 200 || string(r.Body) != want {
 		t.Fatalf("by POST: %d %s", r.Status, r.Body)
 	}
@@ -102,7 +102,7 @@
 			t.Errorf("%s: %d %s\nwant %s", query, status, body, want)
 		}
 	}
-	for _, seen := range append(one[0].Seen(), two[0].Seen()...) {
+	for _, seen := range append(one[0].Requests(), two[0].Requests()...) {
 		if !strings.Contains(seen, "query=m&") && !strings.Contains(seen, "query=%28m%29&") {
 			t.Errorf("a shard was sent something other than the inner expression: %s", seen)
 		}
@@ -119,7 +119,7 @@
 	if status != 200 || body != want {
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
-	if seen := s[0].Seen()[0]; !strings.Contains(seen, "end=100&") || !strings.Contains(seen, "start=10.5&") {
+	if seen := s[0].Requests()[0]; !strings.Contains(seen, "end=100&") || !strings.Contains(seen, "start=10.5&") {
 		t.Fatal(seen)
 	}
 }
@@ -162,7 +162,7 @@
 	errorType string) {
 	const other = `{"metric":{"k":"9"},"values":[[0,"5"]]}`
 	const rest = "start=0&end=60&step=30"
-	cells := [][]*standin.HTTP{fixedServer(t, 200, matrixReply(good)), fixedServer(t, serverStatus, serverReply),
+	cells := [][]*standin.HTTPServer{fixedServer(t, 200, matrixReply(good)), fixedServer(t, serverStatus, serverReply),
 		fixedServer(t, 200, matrixReply(other))}
 	timeout := ""
 	if errorType == "timeout" {
@@ -223,7 +223,7 @@
 	s := fixedServer(t, 200, matrixReply(a1))
 	addr := startAlone(t, map[string]any{"bounds": map[string]any{"connIdleUs": 300_000}}, s)
 	queryRange(t, addr, `m`, "start=0&end=60&step=30")
-	standin.Until(t, "the end of the idle connection", func() bool { return s[0].Open() == 0 })
+	standin.WaitFor(t, "the end of the idle connection", func() bool { return s[0].OpenConns() == 0 })
 }
 
 // With both fronts on one core, discovery gives the list of servers, and the front's file only adds the
@@ -232,7 +232,7 @@
 	drains, stays := fixedServer(t, 200, matrixReply(a1))[0], fixedServer(t, 200, matrixReply(a1))[0]
 	const hosts = `{"seq":%d,"whole":%t,"hosts":[{"host":"drains","dial":"127.0.0.1:1","site":"p","health":%q,
 		"share":1},{"host":"stays","dial":"127.0.0.1:1","site":"p","health":"in_service","share":1}]}`
-	discovery := standin.NewHTTP(t, func(_ string, v url.Values) (int, string) {
+	discovery := standin.NewHTTPServer(t, func(_ string, v url.Values) (int, string) {
 		switch v.Get("index") {
 		case "":
 			return 200, fmt.Sprintf(hosts, 1, true, "in_service")
@@ -253,14 +253,14 @@
 		t.Fatal(err)
 	}
 	addr := startFront(t, pc, file, false)
-	standin.Until(t, "the second watch", func() bool { return len(discovery.Seen()) >= 3 })
+	standin.WaitFor(t, "the second watch", func() bool { return len(discovery.Requests()) >= 3 })
 	for range 10 {
 		if status, _, body := queryRange(t, addr, `m`, "start=0&end=60&step=30"); status != 200 ||
 			body != matrixReply(a1) {
 			t.Fatalf("%d %s", status, body)
 		}
 	}
-	if n := len(drains.Seen()); n != 0 {
+	if n := len(drains.Requests()); n != 0 {
 		t.Fatalf("%d parts were sent to a draining server", n)
 	}
 }
@@ -285,9 +285,9 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(c, "GET %s?query=m&start=0&end=60&step=30 HTTP/1.1\r\nHost: x\r\n\r\n", rangePath)
-	standin.Until(t, "the part", func() bool { return len(silent[0].Seen()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(silent[0].Requests()) > 0 })
 	_ = c.Close()
-	standin.Until(t, "the end of the part", func() bool { return silent[0].Gone() > 0 })
+	standin.WaitFor(t, "the end of the part", func() bool { return silent[0].Disconnects() > 0 })
 }
 
 func TestInvalidRequests(t *testing.T) {
@@ -304,7 +304,7 @@
 		{"GET", rangePath + "?query=topk(1,m)&start=0&end=60&step=1", 422, `"errorType":"execution"`},
 		{"GET", "/-/ready", 200, "ok"},
 	} {
-		r := standin.Call(t, addr, c.method, c.target, nil, "")
+		r := standin.DoHTTP(t, addr, c.method, c.target, nil, "")
 		if r.Status != c.status || !strings.Contains(string(r.Body), c.body) {
 			t.Errorf("%s %s: %d %s", c.method, c.target, r.Status, r.Body)
 		}
