--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -53,13 +53,14 @@
 	ajpSettings map[string]string // worker settings that the front's AJP listener takes over
 	remarks     []Remark
 	servers     []promql.Server
-	serverLines map[string]int // by server name
+	serverLines map[string]int // by server name, the line that it comes from
 }
 
 func (r *reader) remark(line int, format string, args ...any) {
 	r.remarks = append(r.remarks, Remark{line, fmt.Sprintf(format, args...)})
 }
 
+// malformed returns the error for a malformed line.
 func malformed(line int, format string, args ...any) error {
 	return fmt.Errorf("line %d: %s", line, fmt.Sprintf(format, args...))
 }
@@ -220,19 +221,19 @@
 			return nil, malformed(n, "%q is not name=value", line)
 		}
 		for {
-			a := strings.Index(value, "$(")
-			if a < 0 {
+			start := strings.Index(value, "$(")
+			if start < 0 {
 				break
 			}
-			b := strings.IndexByte(value[a:], ')')
-			if b < 0 {
+			length := strings.IndexByte(value[start:], ')')
+			if length < 0 {
 				return nil, malformed(n, "$( without an end")
 			}
-			v, known := macros[value[a+2:a+b]]
+			v, known := macros[value[start+2:start+length]]
 			if !known {
-				return nil, malformed(n, "%s is not defined above", value[a:a+b+1])
+				return nil, malformed(n, "%s is not defined above", value[start:start+length+1])
 			}
-			value = value[:a] + v + value[a+b+1:]
+			value = value[:start] + v + value[start+length+1:]
 		}
 		macros[key] = value
 		rest, ok := strings.CutPrefix(key, "worker.")
@@ -327,7 +328,7 @@
 	}
 }
 
-// addBalancer converts one lb worker to a cell.
+// addBalancer converts one lb worker to a cell and marks its members in used.
 func (r *reader) addBalancer(f *jkFile, name string, cell int, used map[string]bool) error {
 	w := f.workers[name]
 	r.reportUnknown(name, w)
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -137,7 +137,7 @@
 	if shards <= 0 {
 		shards = cells
 	}
-	all := map[string]any{
+	defaults := map[string]any{
 		"azs": zones, "zone": max(0, slices.Index(zones, any(c.Zone))), "peersTotal": 1, "me": 0,
 		"quantumUs": 5000, "membershipMode": "automatic",
 		// Declares that clients mark their retries. Range-query clients do not, so no query counts as a retry.
@@ -151,8 +151,8 @@
 		"lanes": []any{map[string]any{"name": c.Class, "goalTimeUs": 3_000_000, "hardLimitUs": 10_000_000,
 			"idempotency": "read_like", "worth": 5, "lateWorth": 0}},
 	}
-	settings.Overlay(all, c.Settings)
-	return all
+	settings.Overlay(defaults, c.Settings)
+	return defaults
 }
 
 // Environment is what the front needs to know about the coordinator that it runs in.
@@ -178,7 +178,7 @@
 	listener      *lnet.Server
 	classSettings atomic.Pointer[balance.Class] // current settings of the front's class
 	bufferedBytes atomic.Int64                  // of server replies, bounded by maxBufferedBytes
-	queryCount    atomic.Uint64                 // numbers the queries' names
+	queryCount    atomic.Uint64                 // numbers the queries, for their names in the log
 	notReady      atomic.Bool
 	mu            sync.Mutex
 	inFlight      map[*core.Attempt]*roundTrip
@@ -278,8 +278,8 @@
 // StopListening closes the listener.
 func (f *Front) StopListening() { f.listener.StopListening() }
 
-// Wait waits until every connection is closed, at most for the given time, and reports whether all are.
-func (f *Front) Wait(most time.Duration) bool { return f.listener.Wait(most) }
+// Wait waits until all connections are closed or the timeout expires, and reports whether all are closed.
+func (f *Front) Wait(timeout time.Duration) bool { return f.listener.Wait(timeout) }
 
 func errorReply(e *apiError) lnet.Response {
 	b, err := json.Marshal(envelope{Status: "error", ErrorType: e.errorType, Error: e.err.Error()})
@@ -330,8 +330,8 @@
 	return nil
 }
 
-// requestParams returns the parameters of the URL and, for a POST, of the body. Where both give a parameter,
-// the body's values come first.
+// requestParams returns the parameters of the URL and, for a POST, of the body. If both give a parameter, the
+// body's value takes precedence.
 func requestParams(r *lnet.Request) (url.Values, *apiError) {
 	params, err := url.ParseQuery(r.Query)
 	if err != nil {
@@ -485,7 +485,7 @@
 			warnings = append(warnings,
 				fmt.Sprintf("shards %d and %d differ on series %s", c.shardA, c.shardB, c.labels))
 		}
-		pq.front.env.Log.Warn("shards differ", "conflicts", len(conflicts), "first", warnings[0])
+		pq.front.env.Log.Warn("shards returned conflicting series", "conflicts", len(conflicts), "first", warnings[0])
 		results = slices.DeleteFunc(results, func(r *shardResult) bool { return conflicting[r.shard] })
 		merged, _ = merge(results, false)
 		warnings = warnings[:min(len(warnings), 10)]
--- a/internal/promql/front_test.go
+++ b/internal/promql/front_test.go
@@ -52,7 +52,8 @@
 
 // fixedServer starts a server that gives the same reply to every query. Status 0: it never replies.
 func fixedServer(t *testing.T, status int, body string) []*standin.HTTPServer {
-	return []*standin.HTTPServer{standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return status, body })}
+	return []*standin.HTTPServer{
+		standin.NewHTTPServer(t, func(string, url.Values) (int, string) { return status, body })}
 }
 
 // queryRange sends a range query and returns the reply's status, Retry-After and body.
@@ -119,7 +120,8 @@
 	if status != 200 || body != want {
 		t.Fatalf("%d %s\nwant %s", status, body, want)
 	}
-	if seen := s[0].Requests()[0]; !strings.Contains(seen, "end=100&") || !strings.Contains(seen, "start=10.5&") {
+	if seen := s[0].Requests()[0]; !strings.Contains(seen, "end=100&") ||
+		!strings.Contains(seen, "start=10.5&") {
 		t.Fatal(seen)
 	}
 }
@@ -162,8 +164,8 @@
 	errorType string) {
 	const other = `{"metric":{"k":"9"},"values":[[0,"5"]]}`
 	const rest = "start=0&end=60&step=30"
-	cells := [][]*standin.HTTPServer{fixedServer(t, 200, matrixReply(good)), fixedServer(t, serverStatus, serverReply),
-		fixedServer(t, 200, matrixReply(other))}
+	cells := [][]*standin.HTTPServer{fixedServer(t, 200, matrixReply(good)),
+		fixedServer(t, serverStatus, serverReply), fixedServer(t, 200, matrixReply(other))}
 	timeout := ""
 	if errorType == "timeout" {
 		timeout = "&timeout=700ms"
--- a/internal/promql/series.go
+++ b/internal/promql/series.go
@@ -36,7 +36,7 @@
 		return err
 	}
 	if len(pair) != 2 {
-		return fmt.Errorf("sample is not a pair: it has %d elements", len(pair))
+		return errors.New("sample is not a [timestamp, value] pair")
 	}
 	sec, err := strconv.ParseFloat(string(pair[0]), 64)
 	if err != nil || !(math.Abs(sec) < 1e12) {
