--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -485,7 +485,8 @@
 			warnings = append(warnings,
 				fmt.Sprintf("shards %d and %d differ on series %s", c.shardA, c.shardB, c.labels))
 		}
-		pq.front.env.Log.Warn("shards returned conflicting series", "conflicts", len(conflicts), "first", warnings[0])
+		pq.front.env.Log.Warn("shards returned conflicting series", "conflicts", len(conflicts),
+			"first", warnings[0])
 		results = slices.DeleteFunc(results, func(r *shardResult) bool { return conflicting[r.shard] })
 		merged, _ = merge(results, false)
 		warnings = warnings[:min(len(warnings), 10)]
