--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -13,7 +13,7 @@
 	"lapislever/internal/standin"
 )
 
-func TestSize(t *testing.T) {
+func TestPayloadSize(t *testing.T) {
 	for _, c := range []struct {
 		head string
 		size int
@@ -21,21 +21,21 @@
 	}{{"\x12\x34\x00\x10", 16, true}, {"\x12\x34\x1f\xfc", 8188, true}, {"\x12\x34\x1f\xfd", 0, false},
 		{"\x12\x35\x00\x10", 0, false}, {"AB\x00\x10", 0, false}, {"GET ", 0, false}, {"\x12\x34\x00\x00", 0,
 			true}} {
-		n, err := Size([]byte(c.head), DefaultSize)
+		n, err := PayloadSize([]byte(c.head), DefaultSize)
 		if n != c.size || (err == nil) != c.ok || err != nil && !errors.Is(err, ErrPacket) {
 			t.Errorf("%q: %d, %v", c.head, n, err)
 		}
 	}
 }
 
-// forward is a good request's payload.
-func forward() []byte {
+// validForward is a good request's payload.
+func validForward() []byte {
 	return standin.AJPForward(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
 		"secret", "s3cret", "query_string", "a=b", "JK_LB_ACTIVATION", "ACT")
 }
 
 func TestParseForward(t *testing.T) {
-	f, err := ParseForward(forward())
+	f, err := ParseForward(validForward())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	if f, err := ParseForward(stored); err != nil || f.Method != "PATCH" {
 		t.Errorf("a stored method: %+v, %v", f, err)
 	}
-	good := forward()
+	good := validForward()
 	for cut := range good { // whatever is lacking is seen
 		if _, err := ParseForward(good[:cut]); !errors.Is(err, ErrPacket) {
 			t.Errorf("cut after %d bytes: %v", cut, err)
@@ -76,7 +76,7 @@
 		},
 		"attribute": func(b []byte) []byte { b[bytes.LastIndexByte(b, 12)] = 99; return b },
 	} {
-		if _, err := ParseForward(edit(forward())); !errors.Is(err, ErrPacket) {
+		if _, err := ParseForward(edit(validForward())); !errors.Is(err, ErrPacket) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -97,7 +97,7 @@
 
 // Any payload is a request or an error; what was read is never longer than what came.
 func FuzzForward(f *testing.F) {
-	f.Add(forward())
+	f.Add(validForward())
 	f.Add(standin.AJPForward(2, "/", nil))
 	f.Add([]byte{2, 2, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -120,25 +120,25 @@
 }
 
 // serve starts a listener that echoes a request's body, and tells who was seen and who has left.
-type seen struct {
-	mu   sync.Mutex
-	reqs []*lnet.Request
-	gone int
-	s    *Server
+type echoServer struct {
+	mu        sync.Mutex
+	requests  []*lnet.Request
+	abandoned int
+	server    *Server
 }
 
-func (s *seen) count() (reqs, gone int) {
+func (s *echoServer) count() (reqs, gone int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.reqs), s.gone
+	return len(s.requests), s.abandoned
 }
 
-func serve(t *testing.T, o Options, budget *lnet.Budget) *seen {
-	x := &seen{}
+func startEcho(t *testing.T, o Options, budget *lnet.Budget) *echoServer {
+	x := &echoServer{}
 	var err error
-	x.s, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request, e *lnet.Exchange) func() {
+	x.server, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request, e *lnet.Exchange) func() {
 		x.mu.Lock()
-		x.reqs = append(x.reqs, r)
+		x.requests = append(x.requests, r)
 		x.mu.Unlock()
 		switch r.Path {
 		case "/never":
@@ -149,23 +149,23 @@
 		}
 		return func() {
 			x.mu.Lock()
-			x.gone++
+			x.abandoned++
 			x.mu.Unlock()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go x.s.Serve()
-	t.Cleanup(func() { x.s.StopListening(); x.s.Drain() })
+	go x.server.Serve()
+	t.Cleanup(func() { x.server.StopListening(); x.server.Drain() })
 	return x
 }
 
 // Requests of all sizes and both kinds of body, CPings between them, on one connection that goes on.
 func TestOneConnectionServesManyRequests(t *testing.T) {
 	budget := lnet.NewBudget(10, 0)
-	x := serve(t, Options{Secret: "s3cret"}, budget)
-	a := standin.DialAJP(t, x.s.Addr())
+	x := startEcho(t, Options{Secret: "s3cret"}, budget)
+	a := standin.DialAJP(t, x.server.Addr())
 	ping := func() {
 		t.Helper()
 		a.Raw(standin.AJPPacket([]byte{10}))
@@ -198,20 +198,20 @@
 		r.Header["Retry-After"] != "0.2" || !r.Reuse {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if x.s.OpenConns() != 1 || budget.InUse() != 1 {
-		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
+	if x.server.OpenConns() != 1 || budget.InUse() != 1 {
+		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
-	x.s.CloseAfterReply()
+	x.server.CloseAfterReply()
 	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
 		t.Fatalf("while ending: %+v, %v", r, err)
 	}
-	if !x.s.Wait(5*time.Second) || budget.InUse() != 0 {
-		t.Errorf("%d connections, %d descriptors", x.s.OpenConns(), budget.InUse())
+	if !x.server.Wait(5*time.Second) || budget.InUse() != 0 {
+		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
 }
 
 // Each fault has its definite end: an answer and the end of the connection, or the end alone. Others go on.
-func TestFaultsEndTheirConnection(t *testing.T) {
+func TestFaultsCloseConnection(t *testing.T) {
 	head := func(size string) []byte {
 		return standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
 			"s3cret"))
@@ -227,7 +227,7 @@
 		"unknown type":     {standin.AJPPacket([]byte{99}), 0, false},
 		"shutdown":         {standin.AJPPacket([]byte{7}), 0, false},
 		"long CPing":       {standin.AJPPacket([]byte{10, 0}), 0, false},
-		"truncated":        {standin.AJPPacket(forward()[:20]), 0, false},
+		"truncated":        {standin.AJPPacket(validForward()[:20]), 0, false},
 		"no secret":        {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
 		"wrong secret":     {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
 		"body too large":   {head("65537"), 413, false},
@@ -242,15 +242,15 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := serve(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
-			a := standin.DialAJP(t, x.s.Addr())
+			x := startEcho(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
+			a := standin.DialAJP(t, x.server.Addr())
 			a.Raw(c.send)
 			r, err := a.Read(func(int) []byte { return nil })
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "its end", func() bool { return x.s.OpenConns() == 0 })
-			b := standin.DialAJP(t, x.s.Addr())
+			standin.Until(t, "its end", func() bool { return x.server.OpenConns() == 0 })
+			b := standin.DialAJP(t, x.server.Addr())
 			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
 				t.Errorf("the next one: %+v, %v", r, err)
 			}
@@ -259,17 +259,17 @@
 }
 
 // A front that leaves takes its request along; one that ends in the middle of a packet has sent none.
-func TestFrontThatLeaves(t *testing.T) {
-	x := serve(t, Options{}, lnet.NewBudget(10, 0))
-	a := standin.DialAJP(t, x.s.Addr())
+func TestProxyDisconnects(t *testing.T) {
+	x := startEcho(t, Options{}, lnet.NewBudget(10, 0))
+	a := standin.DialAJP(t, x.server.Addr())
 	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
 	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
 	standin.Until(t, "the word that it left", func() bool { _, gone := x.count(); return gone == 1 })
-	b := standin.DialAJP(t, x.s.Addr())
-	b.Raw(standin.AJPPacket(forward())[:30])
+	b := standin.DialAJP(t, x.server.Addr())
+	b.Raw(standin.AJPPacket(validForward())[:30])
 	b.Close()
-	standin.Until(t, "the end", func() bool { return x.s.OpenConns() == 0 })
+	standin.Until(t, "the end", func() bool { return x.server.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
@@ -277,13 +277,13 @@
 
 // A connection that carries nothing makes way, or ends with the server: its place is free at once, and not
 // when it would have been idle for too long.
-func TestConnectionThatMakesWayGivesItsPlaceBack(t *testing.T) {
+func TestClosedIdleConnectionReleasesSlot(t *testing.T) {
 	for name, end := range map[string]func(*Server){
 		"makes way": func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				if !c.yield() {
+				if !c.closeIfIdle() {
 					t.Error("it carries nothing, and does not yield")
 				}
 			}
@@ -291,22 +291,22 @@
 		"ends": (*Server).Drain,
 	} {
 		budget := lnet.NewBudget(10, 0)
-		x := serve(t, Options{}, budget)
-		a := standin.DialAJP(t, x.s.Addr())
+		x := startEcho(t, Options{}, budget)
+		a := standin.DialAJP(t, x.server.Addr())
 		if r, err := a.Call("/echo", nil, "x"); err != nil || r.Status != 200 {
 			t.Fatalf("%+v, %v", r, err)
 		}
 		standin.Until(t, "rest", func() bool {
-			x.s.mu.Lock()
-			defer x.s.mu.Unlock()
-			for c := range x.s.conns {
+			x.server.mu.Lock()
+			defer x.server.mu.Unlock()
+			for c := range x.server.conns {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return !c.begun && !c.busy.Load()
+				return !c.inPacket && !c.busy.Load()
 			}
 			return false
 		})
-		end(x.s)
-		standin.Until(t, name+": the place", func() bool { return x.s.OpenConns() == 0 && budget.InUse() == 0 })
+		end(x.server)
+		standin.Until(t, name+": the place", func() bool { return x.server.OpenConns() == 0 && budget.InUse() == 0 })
 	}
 }
--- a/internal/ajp/packet.go
+++ b/internal/ajp/packet.go
@@ -35,18 +35,18 @@
 // ErrPacket is a packet that breaks the protocol. What comes behind it means nothing.
 var ErrPacket = errors.New("ajp")
 
-func broken(format string, args ...any) error {
+func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrPacket, fmt.Sprintf(format, args...))
 }
 
-// Size reads a packet's header and returns how many bytes of payload follow. most is the largest packet.
-func Size(head []byte, most int) (int, error) {
+// PayloadSize reads a packet's header and returns how many bytes of payload follow. most is the largest packet.
+func PayloadSize(head []byte, most int) (int, error) {
 	if head[0] != 0x12 || head[1] != 0x34 {
-		return 0, broken("magic %02x%02x", head[0], head[1])
+		return 0, protocolError("magic %02x%02x", head[0], head[1])
 	}
 	n := int(binary.BigEndian.Uint16(head[2:]))
 	if n+headerSize > most {
-		return 0, broken("a packet of %d bytes", n+headerSize)
+		return 0, protocolError("a packet of %d bytes", n+headerSize)
 	}
 	return n, nil
 }
@@ -94,12 +94,12 @@
 // decoder reads a payload; after the first thing that is not there it reads nothing more.
 type decoder struct {
 	b   []byte
-	bad error
+	err error
 }
 
 func (d *decoder) fail(format string, args ...any) {
-	if d.bad == nil {
-		d.bad = broken(format, args...)
+	if d.err == nil {
+		d.err = protocolError(format, args...)
 		d.b = nil
 	}
 }
@@ -127,7 +127,7 @@
 // text reads a string; there is none where its length is 0xFFFF.
 func (d *decoder) text() (string, bool) {
 	n := d.int()
-	if n == 0xffff || d.bad != nil {
+	if n == 0xffff || d.err != nil {
 		return "", false
 	}
 	return d.chars(n), true
@@ -143,10 +143,10 @@
 	return s
 }
 
-// Kind is the type of a packet that begins an exchange.
-func Kind(payload []byte) (byte, error) {
+// PacketType is the type of a packet that begins an exchange.
+func PacketType(payload []byte) (byte, error) {
 	if len(payload) == 0 {
-		return 0, broken("an empty packet where a request begins")
+		return 0, protocolError("an empty packet where a request begins")
 	}
 	return payload[0], nil
 }
@@ -154,8 +154,8 @@
 // ParseForward reads a forwarded request.
 func ParseForward(payload []byte) (*Forward, error) {
 	d := &decoder{b: payload}
-	if k := d.byte(); d.bad == nil && k != typeForward {
-		return nil, broken("a packet of type %d where a request was expected", k)
+	if k := d.byte(); d.err == nil && k != typeForward {
+		return nil, protocolError("a packet of type %d where a request was expected", k)
 	}
 	f := &Forward{Attrs: map[string]string{}}
 	method := d.byte()
@@ -171,7 +171,7 @@
 	}
 	n := d.int()
 	if n > maxHeaders {
-		return nil, broken("%d headers", n)
+		return nil, protocolError("%d headers", n)
 	}
 	for range n {
 		var name string
@@ -181,7 +181,7 @@
 				break
 			}
 			name = requestHeaders[code&0xff]
-		} else if code != 0xffff && d.bad == nil {
+		} else if code != 0xffff && d.err == nil {
 			name = d.chars(code)
 		}
 		value, ok := d.text()
@@ -191,9 +191,9 @@
 		}
 		f.Header = append(f.Header, [2]string{name, value})
 	}
-	for i := 0; d.bad == nil; i++ {
+	for i := 0; d.err == nil; i++ {
 		code := d.byte()
-		if code == attrEnd && d.bad == nil {
+		if code == attrEnd && d.err == nil {
 			break
 		}
 		if i >= maxAttrs {
@@ -215,23 +215,23 @@
 			d.fail("attribute %d", code)
 		}
 	}
-	if d.bad == nil && len(d.b) > 0 {
+	if d.err == nil && len(d.b) > 0 {
 		d.fail("%d bytes behind a request", len(d.b))
 	}
-	if d.bad != nil {
-		return nil, d.bad
+	if d.err != nil {
+		return nil, d.err
 	}
 	switch {
 	case method == storedMethod && f.Attrs["stored_method"] != "":
 		f.Method = f.Attrs["stored_method"]
 	case method == 0 || int(method) >= len(methods):
-		return nil, broken("method %d", method)
+		return nil, protocolError("method %d", method)
 	default:
 		f.Method = methods[method]
 	}
 	f.Query = f.Attrs["query_string"]
 	if f.URI == "" {
-		return nil, broken("a request without a URI")
+		return nil, protocolError("a request without a URI")
 	}
 	return f, nil
 }
@@ -243,22 +243,22 @@
 	}
 	d := &decoder{b: payload}
 	n := d.int()
-	if d.bad == nil && n > len(d.b) {
+	if d.err == nil && n > len(d.b) {
 		d.fail("a chunk of %d bytes in a packet of %d", n, len(payload))
 	}
-	if d.bad == nil && n < len(d.b) {
+	if d.err == nil && n < len(d.b) {
 		d.fail("%d bytes behind a chunk", len(d.b)-n)
 	}
-	if d.bad != nil {
-		return nil, d.bad
+	if d.err != nil {
+		return nil, d.err
 	}
 	return d.b[:n], nil
 }
 
-// open begins a packet towards the front; shut writes its length.
-func open(b []byte, kind byte) ([]byte, int) { return append(b, 'A', 'B', 0, 0, kind), len(b) }
+// beginPacket begins a packet towards the front; shut writes its length.
+func beginPacket(b []byte, kind byte) ([]byte, int) { return append(b, 'A', 'B', 0, 0, kind), len(b) }
 
-func shut(b []byte, at int) []byte {
+func endPacket(b []byte, at int) []byte {
 	binary.BigEndian.PutUint16(b[at+2:], uint16(len(b)-at-headerSize))
 	return b
 }
@@ -277,7 +277,7 @@
 
 // AppendHeaders appends a reply's status and headers.
 func AppendHeaders(b []byte, status int, reason string, header [][2]string) []byte {
-	b, at := open(b, typeHeaders)
+	b, at := beginPacket(b, typeHeaders)
 	b = binary.BigEndian.AppendUint16(b, uint16(status))
 	b = appendText(b, reason)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(header)))
@@ -289,7 +289,7 @@
 		}
 		b = appendText(b, h[1])
 	}
-	return shut(b, at)
+	return endPacket(b, at)
 }
 
 // AppendBody appends a reply's body, in packets of at most most bytes.
@@ -297,10 +297,10 @@
 	for len(body) > 0 {
 		n := min(len(body), most-headerSize-4)
 		var at int
-		b, at = open(b, typeBody)
+		b, at = beginPacket(b, typeBody)
 		b = binary.BigEndian.AppendUint16(b, uint16(n))
 		b = append(append(b, body[:n]...), 0)
-		b = shut(b, at)
+		b = endPacket(b, at)
 		body = body[n:]
 	}
 	return b
@@ -308,21 +308,21 @@
 
 // AppendEnd appends the end of a reply, and whether the connection goes on.
 func AppendEnd(b []byte, reuse bool) []byte {
-	b, at := open(b, typeEnd)
+	b, at := beginPacket(b, typeEnd)
 	if reuse {
-		return shut(append(b, 1), at)
+		return endPacket(append(b, 1), at)
 	}
-	return shut(append(b, 0), at)
+	return endPacket(append(b, 0), at)
 }
 
 // AppendGetBody asks for so many bytes of the request's body.
 func AppendGetBody(b []byte, n int) []byte {
-	b, at := open(b, typeGetBody)
-	return shut(binary.BigEndian.AppendUint16(b, uint16(n)), at)
+	b, at := beginPacket(b, typeGetBody)
+	return endPacket(binary.BigEndian.AppendUint16(b, uint16(n)), at)
 }
 
 // AppendPong answers a CPing.
 func AppendPong(b []byte) []byte {
-	b, at := open(b, typePong)
-	return shut(b, at)
+	b, at := beginPacket(b, typePong)
+	return endPacket(b, at)
 }
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -25,34 +25,34 @@
 
 // Limits in time. Fronts keep connections open for as long as they like to; what has begun comes to its end.
 const (
-	idleLimit    = 10 * time.Minute
-	requestLimit = 2500 * time.Millisecond
-	writeLimit   = 5 * time.Second
-	turnLimit    = time.Second // of a connection that is to be refused
-	waitStep     = 5 * time.Millisecond
+	idleTimeout    = 10 * time.Minute
+	requestTimeout = 2500 * time.Millisecond
+	writeTimeout   = 5 * time.Second
+	rejectTimeout  = time.Second // of a connection that is to be refused
+	pollInterval   = 5 * time.Millisecond
 )
 
 // Options are a listener's.
 type Options struct {
-	Size   int    // of a packet, as the front has it; 0: the default
-	Secret string // that every request has to bear; empty: none
+	PacketSize int    // of a packet, as the front has it; 0: the default
+	Secret     string // that every request has to bear; empty: none
 }
 
 // Server accepts fronts' connections and hands their requests over as those of HTTP.
 type Server struct {
-	l       net.Listener
-	o       Options
-	handle  lnet.Handler
-	budget  *lnet.Budget
-	log     *slog.Logger
-	closing atomic.Bool
-	begun   time.Time    // when it was made
-	last    atomic.Int64 // when a request last came, in nanoseconds since then
-	mu      sync.Mutex   // guards conns
-	conns   map[*conn]struct{}
+	listener    net.Listener
+	options     Options
+	handle      lnet.Handler
+	budget      *lnet.Budget
+	log         *slog.Logger
+	closing     atomic.Bool
+	createdAt   time.Time    // when it was made
+	lastRequest atomic.Int64 // when a request last came, in nanoseconds since then
+	mu          sync.Mutex   // guards conns
+	conns       map[*conn]struct{}
 	// Admission, if set before Serve, says who is let in.
 	Admission *lnet.AdmissionController
-	turned    atomic.Int64 // connections that are just being refused
+	rejecting atomic.Int64 // connections that are just being refused
 }
 
 // Listen starts to listen on an address and on nothing else.
@@ -61,43 +61,43 @@
 	if err != nil {
 		return nil, err
 	}
-	if o.Size == 0 {
-		o.Size = DefaultSize
+	if o.PacketSize == 0 {
+		o.PacketSize = DefaultSize
 	}
-	return &Server{l: l, o: o, handle: h, budget: budget, log: log, conns: map[*conn]struct{}{},
-		begun: time.Now()}, nil
+	return &Server{listener: l, options: o, handle: h, budget: budget, log: log, conns: map[*conn]struct{}{},
+		createdAt: time.Now()}, nil
 }
 
 // Addr is the address listened on.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
 // Serve accepts until the listener is closed.
 func (s *Server) Serve() {
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			s.log.Warn("accept failed", "err", err)
-			time.Sleep(waitStep)
+			time.Sleep(pollInterval)
 			continue
 		}
-		k := &conn{s: s, c: c, packets: make(chan packet), over: make(chan struct{})}
+		k := &conn{server: s, netConn: c, packets: make(chan packet), done: make(chan struct{})}
 		var after time.Duration
 		if s.Admission != nil {
-			k.guest, k.held, after = s.Admission.Admit(c, s.budget, k.yield)
+			k.admitted, k.hasSlot, after = s.Admission.Admit(c, s.budget, k.closeIfIdle)
 		} else {
-			k.held = s.budget.AcquireClient()
+			k.hasSlot = s.budget.AcquireClient()
 		}
-		if !k.held {
-			if s.Admission != nil && s.turned.Add(1) <= lnet.MaxOverflow {
-				go k.read()
-				go k.turn(after)
+		if !k.hasSlot {
+			if s.Admission != nil && s.rejecting.Add(1) <= lnet.MaxOverflow {
+				go k.readLoop()
+				go k.reject(after)
 				continue
 			}
 			if s.Admission != nil {
-				s.turned.Add(-1)
+				s.rejecting.Add(-1)
 			}
 			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
 			_ = c.Close()
@@ -106,19 +106,19 @@
 		s.mu.Lock()
 		s.conns[k] = struct{}{}
 		s.mu.Unlock()
-		go k.read()
+		go k.readLoop()
 		go k.serve()
 	}
 }
 
 // StopListening closes the listener; connections go on.
-func (s *Server) StopListening() { _ = s.l.Close() }
+func (s *Server) StopListening() { _ = s.listener.Close() }
 
 // CloseAfterReply has every reply end its connection from now on.
 func (s *Server) CloseAfterReply() { s.closing.Store(true) }
 
 // LastRequest is when a request last came.
-func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
+func (s *Server) LastRequest() time.Time { return s.createdAt.Add(time.Duration(s.lastRequest.Load())) }
 
 // Drain winds, and closes the connections that carry nothing. Of one that is closed no packet is handled any
 // more, also if it had just been read.
@@ -127,7 +127,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.yield()
+		c.closeIfIdle()
 	}
 }
 
@@ -140,7 +140,7 @@
 
 // Wait waits until every connection has ended, or until the time is over.
 func (s *Server) Wait(most time.Duration) bool {
-	for end := time.Now().Add(most); s.OpenConns() > 0; time.Sleep(waitStep) {
+	for end := time.Now().Add(most); s.OpenConns() > 0; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -152,82 +152,82 @@
 type packet struct {
 	payload []byte
 	err     error
-	begun   bool // its first byte came before the end
+	started bool // its first byte came before the end
 }
 
 type conn struct {
-	s       *Server
-	c       net.Conn
-	packets chan packet
-	over    chan struct{} // closed when serve has ended
-	busy    atomic.Bool   // in the middle of a request
-	held    bool          // has a place in the budget
-	guest   lnet.AdmittedConn
-	mu      sync.Mutex // guards begun, yielded
-	begun   bool       // something of a packet has come and is not done with
-	yielded bool
+	server     *Server
+	netConn    net.Conn
+	packets    chan packet
+	done       chan struct{} // closed when serve has ended
+	busy       atomic.Bool   // in the middle of a request
+	hasSlot    bool          // has a place in the budget
+	admitted   lnet.AdmittedConn
+	mu         sync.Mutex // guards begun, yielded
+	inPacket   bool       // something of a packet has come and is not done with
+	closedIdle bool
 }
 
-// yield closes the connection if nothing of a request has come.
-func (c *conn) yield() bool {
+// closeIfIdle closes the connection if nothing of a request has come.
+func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.begun || c.busy.Load() {
+	if c.inPacket || c.busy.Load() {
 		return false
 	}
-	c.yielded = true
-	_ = c.c.Close()
+	c.closedIdle = true
+	_ = c.netConn.Close()
 	return true
 }
 
-// begin notes that a packet has begun, or is done with. It returns false once the connection has made way.
-func (c *conn) begin(begun bool) bool {
+// setInPacket notes that a packet has begun, or is done with. It returns false once the connection has made way.
+func (c *conn) setInPacket(begun bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begun = begun
-	return !c.yielded
+	c.inPacket = begun
+	return !c.closedIdle
 }
 
-// turn answers the one request of a connection that is not let in, and closes it.
-func (c *conn) turn(after time.Duration) {
+// reject answers the one request of a connection that is not let in, and closes it.
+func (c *conn) reject(after time.Duration) {
 	defer func() {
-		close(c.over)
-		_ = c.c.Close()
-		c.s.turned.Add(-1)
+		close(c.done)
+		_ = c.netConn.Close()
+		c.server.rejecting.Add(-1)
 	}()
-	payload, err := c.next(turnLimit)
+	payload, err := c.nextPacket(rejectTimeout)
 	if err != nil {
 		return
 	}
-	if kind, err := Kind(payload); err != nil || kind != typeForward {
+	if kind, err := PacketType(payload); err != nil || kind != typeForward {
 		return // a CPing gets none: the front is to look elsewhere
 	}
 	seconds := strconv.Itoa(max(1, int(math.Ceil(after.Seconds()))))
-	_ = c.answer(lnet.Response{Status: 503, Header: [][2]string{{"Retry-After", seconds}}, Close: true,
+	_ = c.writeResponse(lnet.Response{Status: 503, Header: [][2]string{{"Retry-After", seconds}}, Close: true,
 		Body: []byte("too many connections\n")}, false)
 }
 
-// read takes packets in, one at a time: the next is read only once the last was taken.
-func (c *conn) read() {
+// readLoop takes packets in, one at a time: the next is read only once the last was taken.
+func (c *conn) readLoop() {
 	var head [headerSize]byte
 	for {
-		n, err := io.ReadFull(c.c, head[:])
-		p := packet{err: err, begun: n > 0}
-		if !c.begin(n > 0) {
+		n, err := io.ReadFull(c.netConn, head[:])
+		p := packet{err: err, started: n > 0}
+		if !c.setInPacket(n > 0) {
 			p.err = net.ErrClosed // it has made way: serve gives its place back
 		} else if err == nil {
 			var size int
-			if size, p.err = Size(head[:], c.s.o.Size); p.err == nil {
+			if size, p.err = PayloadSize(head[:], c.server.options.PacketSize); p.err == nil {
 				p.payload = make([]byte, size)
-				_, p.err = io.ReadFull(c.c, p.payload)
+				_, p.err = io.ReadFull(c.netConn, p.payload)
 			}
 		}
-		if p.begun && (errors.Is(p.err, io.EOF) || errors.Is(p.err, io.ErrUnexpectedEOF)) {
-			p.err = broken("a packet that ends too soon")
+		if p.started && (errors.Is(p.err, io.EOF) || errors.Is(p.err, io.ErrUnexpectedEOF)) {
+			p.err = protocolError("a packet that ends too soon")
 		}
 		select {
 		case c.packets <- p:
-		case <-c.over:
+		case <-c.done:
 			return
 		}
 		if p.err != nil {
@@ -236,82 +236,82 @@
 	}
 }
 
-// next waits for a packet.
-func (c *conn) next(limit time.Duration) ([]byte, error) {
+// nextPacket waits for a packet.
+func (c *conn) nextPacket(limit time.Duration) ([]byte, error) {
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
 	case p := <-c.packets:
 		return p.payload, p.err
 	case <-timer.C:
-		return nil, errLate
+		return nil, errTimeout
 	}
 }
 
-var errLate = errors.New("nothing came in time")
+var errTimeout = errors.New("nothing came in time")
 
 // serve takes one request after the other.
 func (c *conn) serve() {
 	defer func() {
-		close(c.over)
-		_ = c.c.Close()
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
-		c.s.mu.Unlock()
-		c.guest.Release()
-		c.s.budget.ReleaseClient()
+		close(c.done)
+		_ = c.netConn.Close()
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
+		c.server.mu.Unlock()
+		c.admitted.Release()
+		c.server.budget.ReleaseClient()
 	}()
-	limit := requestLimit // of the first packet: who connects has something to say
+	limit := requestTimeout // of the first packet: who connects has something to say
 	for {
-		payload, err := c.next(limit)
-		limit = idleLimit
+		payload, err := c.nextPacket(limit)
+		limit = idleTimeout
 		if err == nil {
 			c.busy.Store(true)
-			c.guest.MarkBusy()
-			err = c.exchange(payload)
-			c.begin(false)
+			c.admitted.MarkBusy()
+			err = c.handlePacket(payload)
+			c.setInPacket(false)
 			c.busy.Store(false)
-			c.guest.MarkIdle()
+			c.admitted.MarkIdle()
 		}
 		switch {
 		case err == nil: // also while the server ends: the reply has told that the connection goes on
 			continue
 		case errors.Is(err, ErrPacket):
-			c.s.log.Warn("bad AJP packet", "client", c.c.RemoteAddr(), "why", err)
+			c.server.log.Warn("bad AJP packet", "client", c.netConn.RemoteAddr(), "why", err)
 		}
 		return
 	}
 }
 
-// errEnd ends the connection without a word of log.
-var errEnd = errors.New("the connection ends")
+// errClose ends the connection without a word of log.
+var errClose = errors.New("the connection ends")
 
-// exchange takes the packet that begins something.
-func (c *conn) exchange(payload []byte) error {
-	kind, err := Kind(payload)
+// handlePacket takes the packet that begins something.
+func (c *conn) handlePacket(payload []byte) error {
+	kind, err := PacketType(payload)
 	if err != nil {
 		return err
 	}
 	switch kind {
 	case typePing:
 		if len(payload) != 1 {
-			return broken("%d bytes in a CPing", len(payload))
+			return protocolError("%d bytes in a CPing", len(payload))
 		}
 		return c.write(AppendPong(nil))
 	case typeForward:
 	case typeShutdown:
-		return broken("a shutdown, which is not taken from anybody")
+		return protocolError("a shutdown, which is not taken from anybody")
 	default:
-		return broken("a packet of type %d", kind)
+		return protocolError("a packet of type %d", kind)
 	}
 	f, err := ParseForward(payload)
 	if err != nil {
 		return err
 	}
-	if want := c.s.o.Secret; want != "" &&
+	if want := c.server.options.Secret; want != "" &&
 		subtle.ConstantTimeCompare([]byte(want), []byte(f.Attrs["secret"])) != 1 {
-		c.s.log.Warn("an AJP request without the secret", "client", c.c.RemoteAddr())
-		return c.answer(lnet.Response{Status: 403, Body: []byte("the secret is missing or wrong\n"), Close: true},
+		c.server.log.Warn("an AJP request without the secret", "client", c.netConn.RemoteAddr())
+		return c.writeResponse(lnet.Response{Status: 403, Body: []byte("the secret is missing or wrong\n"), Close: true},
 			false)
 	}
 	r := &lnet.Request{Method: f.Method, Path: f.URI, Query: f.Query, Header: textproto.MIMEHeader{}}
@@ -324,17 +324,17 @@
 		r.Header.Del("X-Remote-User")
 	}
 	var refused *lnet.BadMessage
-	if r.Body, err = c.body(r.Header); errors.As(err, &refused) {
-		c.s.log.Warn("bad request", "client", c.c.RemoteAddr(), "why", refused.Detail)
-		return c.answer(lnet.Response{Status: refused.Status, Body: []byte(refused.Detail + "\n"), Close: true},
+	if r.Body, err = c.readBody(r.Header); errors.As(err, &refused) {
+		c.server.log.Warn("bad request", "client", c.netConn.RemoteAddr(), "why", refused.Detail)
+		return c.writeResponse(lnet.Response{Status: refused.Status, Body: []byte(refused.Detail + "\n"), Close: true},
 			false)
 	} else if err != nil {
 		return err
 	}
 	r.ReceivedAt = time.Now()
-	c.s.last.Store(int64(r.ReceivedAt.Sub(c.s.begun)))
-	x, reply := lnet.NewExchange(c.c)
-	gone := c.s.handle(r, x)
+	c.server.lastRequest.Store(int64(r.ReceivedAt.Sub(c.server.createdAt)))
+	x, reply := lnet.NewExchange(c.netConn)
+	gone := c.server.handle(r, x)
 	leave := func(err error) error {
 		if gone != nil {
 			gone()
@@ -343,27 +343,27 @@
 	}
 	select {
 	case resp := <-reply:
-		return c.answer(resp, r.Method == "HEAD")
+		return c.writeResponse(resp, r.Method == "HEAD")
 	case p := <-c.packets:
 		select {
 		case resp := <-reply: // both at once: the reply comes first
-			_ = c.answer(resp, r.Method == "HEAD")
-			return errEnd
+			_ = c.writeResponse(resp, r.Method == "HEAD")
+			return errClose
 		default:
 		}
 		if p.err == nil {
-			return leave(broken("a packet where a reply was due"))
+			return leave(protocolError("a packet where a reply was due"))
 		}
 		if errors.Is(p.err, ErrPacket) {
 			return leave(p.err)
 		}
-		return leave(errEnd) // the front has left
+		return leave(errClose) // the front has left
 	}
 }
 
-// body reads a request's body. Of one whose length is told the front sends the first chunk by itself; the
+// readBody reads a request's body. Of one whose length is told the front sends the first chunk by itself; the
 // others are asked for one by one.
-func (c *conn) body(h textproto.MIMEHeader) ([]byte, error) {
+func (c *conn) readBody(h textproto.MIMEHeader) ([]byte, error) {
 	refuse := func(status int, format string, args ...any) ([]byte, error) {
 		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
@@ -391,9 +391,9 @@
 	if length == 0 {
 		return nil, nil
 	}
-	until := time.Now().Add(requestLimit)
+	until := time.Now().Add(requestTimeout)
 	var body []byte
-	chunk := c.s.o.Size - headerSize - 2
+	chunk := c.server.options.PacketSize - headerSize - 2
 	for first := true; length < 0 || len(body) < length; first = false {
 		if !first || length < 0 {
 			ask := chunk
@@ -404,8 +404,8 @@
 				return nil, err
 			}
 		}
-		payload, err := c.next(time.Until(until))
-		if errors.Is(err, errLate) {
+		payload, err := c.nextPacket(time.Until(until))
+		if errors.Is(err, errTimeout) {
 			return refuse(408, "the request did not come to its end in time")
 		}
 		if err != nil {
@@ -420,7 +420,7 @@
 		case len(part) == 0:
 			return refuse(400, "the body ends after %d of %d bytes", len(body), length)
 		case length >= 0 && len(body)+len(part) > length:
-			return nil, broken("more body than was told")
+			return nil, protocolError("more body than was told")
 		case len(body)+len(part) > lnet.MaxBody:
 			return refuse(413, "the body is larger than %d bytes", lnet.MaxBody)
 		}
@@ -429,8 +429,8 @@
 	return body, nil
 }
 
-// answer writes a reply. Where it says so, or the server ends, the connection ends with it.
-func (c *conn) answer(r lnet.Response, headOnly bool) error {
+// writeResponse writes a reply. Where it says so, or the server ends, the connection ends with it.
+func (c *conn) writeResponse(r lnet.Response, headOnly bool) error {
 	kind := r.ContentType
 	if kind == "" {
 		kind = "text/plain; charset=utf-8"
@@ -439,20 +439,20 @@
 	header = append(header, r.Header...)
 	b := AppendHeaders(nil, r.Status, lnet.ReasonPhrase(r.Status), header)
 	if !headOnly {
-		b = AppendBody(b, r.Body, c.s.o.Size)
+		b = AppendBody(b, r.Body, c.server.options.PacketSize)
 	}
-	end := r.Close || c.s.closing.Load()
+	end := r.Close || c.server.closing.Load()
 	if err := c.write(AppendEnd(b, !end)); err != nil {
 		return err
 	}
 	if end {
-		return errEnd
+		return errClose
 	}
 	return nil
 }
 
 func (c *conn) write(b []byte) error {
-	_ = c.c.SetWriteDeadline(time.Now().Add(writeLimit))
-	_, err := c.c.Write(b)
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.netConn.Write(b)
 	return err
 }
--- a/internal/kiosk/admission.go
+++ b/internal/kiosk/admission.go
@@ -41,15 +41,15 @@
 	Rules []Rule `toml:"rule,omitempty"`
 }
 
-func (c Caps) check(f *settings.File, at string) {
+func (c Caps) validate(f *settings.File, at string) {
 	f.Require(c.Open == nil || *c.Open > 0, at+".open", "a cap of nothing or less lets nobody in")
 	f.Require(c.Rate == nil || *c.Rate > 0, at+".rate", "a rate of nothing or less lets nobody in")
 	f.Require(c.Burst == nil || *c.Burst >= 1, at+".burst", "a burst under 1 lets nobody in")
 	f.Require(c.Burst == nil || c.Rate != nil, at+".burst", "is of no use without a rate")
 }
 
-// rule is a cap in the gate's form.
-func (c Caps) rule() (r admission.Rule) {
+// toRule is a cap in the gate's form.
+func (c Caps) toRule() (r admission.Rule) {
 	if c.Open != nil {
 		r.MaxOpen = *c.Open
 	}
@@ -62,10 +62,10 @@
 	return r
 }
 
-// check notes all that is wrong; places is how many clients there can be at most.
-func (a *Admission) check(f *settings.File, places int) {
-	orElse(&a.Prove, 2)
-	orElse(&a.Track, 10_000)
+// validate notes all that is wrong; places is how many clients there can be at most.
+func (a *Admission) validate(f *settings.File, places int) {
+	setDefault(&a.Prove, 2)
+	setDefault(&a.Track, 10_000)
 	f.Require(a.Reserve >= 0, "admission.reserve", "%d is under 0", a.Reserve)
 	f.Require(a.Proving >= 0, "admission.proving", "%d is under 0", a.Proving)
 	f.Require(a.Reserve+a.Proving < places, "admission.reserve",
@@ -75,8 +75,8 @@
 	f.Require(a.Prove >= 0.1 && a.Prove <= 30, "admission.prove_s", "%g s is not within 0.1 and 30", a.Prove)
 	f.Require(a.Track >= 100 && a.Track <= 10_000_000, "admission.track", "%d is not within 100 and 10000000",
 		a.Track)
-	a.Caps.check(f, "admission")
-	a.Block.check(f, "admission.block")
+	a.Caps.validate(f, "admission")
+	a.Block.validate(f, "admission.block")
 	seen := map[netip.Prefix]int{}
 	for i, r := range a.Rules {
 		at := fmt.Sprintf("admission.rule[%d]", i+1)
@@ -93,16 +93,16 @@
 		f.Require(!r.Known || r.Rate == nil, at+".rate", "contradicts known: known clients are held to no rate")
 		f.Require(!r.Known || !r.Gateway, at+".gateway", "contradicts known: whoever is behind it would be known")
 		f.Require(r.All == nil || *r.All > 0, at+".all", "a cap of nothing or less lets nobody in")
-		r.Caps.check(f, at)
+		r.Caps.validate(f, at)
 	}
 }
 
-// limits is the part in the gate's form.
-func (a *Admission) limits() admission.Limits {
+// toLimits is the part in the gate's form.
+func (a *Admission) toLimits() admission.Limits {
 	l := admission.Limits{Reserve: a.Reserve, Proving: a.Proving, ProveTimeout: seconds(a.Prove).Microseconds(),
-		MaxTracked: a.Track, Block: a.Block.rule(), Default: a.Caps.rule()}
+		MaxTracked: a.Track, Block: a.Block.toRule(), Default: a.Caps.toRule()}
 	for _, r := range a.Rules {
-		x := r.Caps.rule()
+		x := r.Caps.toRule()
 		x.Prefix, _ = netip.ParsePrefix(r.Prefix)
 		x.Known, x.Gateway = r.Known, r.Gateway
 		if r.All != nil {
@@ -143,4 +143,4 @@
 }
 
 // Gate is the keeper of the front's listeners, or nil.
-func (f *Front) Gate() *lnet.AdmissionController { return f.keeper }
+func (f *Front) Gate() *lnet.AdmissionController { return f.admission }
--- a/internal/kiosk/bench_test.go
+++ b/internal/kiosk/bench_test.go
@@ -21,7 +21,7 @@
 	if os.Getenv("LAPISLEVER_NODES") == "" {
 		os.Exit(m.Run())
 	}
-	var t nodes
+	var t standaloneTB
 	a := standin.NewNode(&t, func(standin.Part) (string, string) { return "S", "5be2a07c19f04d63" })
 	b := standin.NewGRPC(&t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo {
 		return standin.NewDo{Text: "5be2a07c19f04d63"}
@@ -30,12 +30,12 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // until the benchmark ends
 }
 
-// nodes stands in for a test where there is none.
-type nodes struct{ testing.TB }
+// standaloneTB stands in for a test where there is none.
+type standaloneTB struct{ testing.TB }
 
-func (*nodes) Helper()        {}
-func (*nodes) Cleanup(func()) {}
-func (*nodes) Fatal(x ...any) { panic(fmt.Sprint(x...)) }
+func (*standaloneTB) Helper()        {}
+func (*standaloneTB) Cleanup(func()) {}
+func (*standaloneTB) Fatal(x ...any) { panic(fmt.Sprint(x...)) }
 
 // BenchmarkPart is what a part costs this process, by the form of its server: a request of the old form with
 // eight parts through front, core, module and backend, over loopback to nodes in another process.
@@ -53,9 +53,9 @@
 	const parts = 8
 	for form, addr := range map[string]string{OldForm: old, NewForm: anew} {
 		b.Run(form, func(b *testing.B) {
-			text := "shards = 8\n" + listeners + classes + server("a", addr, form, 0) +
+			text := "shards = 8\n" + listenersTOML + classesTOML + serverTOML("a", addr, form, 0) +
 				"[settings.extra]\nplaces = 1\n[settings.bounds]\nmaxOpen = 1000\n"
-			r := run(b, text)
+			r := startFront(b, text)
 			c, err := lnet.Dial(r.http, 5*time.Second, 1<<20)
 			if err != nil {
 				b.Fatal(err)
@@ -87,7 +87,7 @@
 			b.ReportMetric(float64(cpu(after)-cpu(before))/n/1000, "cpu-us/part")
 			b.ReportMetric(float64(m1.Mallocs-m0.Mallocs)/n, "allocs/part")
 			b.ReportMetric(float64(m1.TotalAlloc-m0.TotalAlloc)/n, "B/part")
-			if f := r.figure("rate-check", core.Failed); f > 0 {
+			if f := r.outcomeCount("rate-check", core.Failed); f > 0 {
 				b.Errorf("%d failed", f)
 			}
 		})
--- a/internal/kiosk/config.go
+++ b/internal/kiosk/config.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, c.check(f)
+	return c, c.validate(f)
 }
 
 // ParseConfig reads a text as that file.
@@ -112,31 +112,31 @@
 	if err != nil {
 		return nil, err
 	}
-	return c, c.check(f)
+	return c, c.validate(f)
 }
 
-func orElse[T comparable](v *T, otherwise T) {
+func setDefault[T comparable](v *T, otherwise T) {
 	var zero T
 	if *v == zero {
 		*v = otherwise
 	}
 }
 
-// check fills in what is left out, and notes all that is wrong.
-func (c *Config) check(f *settings.File) error {
-	orElse(&c.Reach, 1)
-	orElse(&c.Attempts, 4)
-	orElse(&c.Sockets, 1024)
-	orElse(&c.AJP.Packet, ajp.DefaultSize)
-	orElse(&c.New.Streams, 32)
-	orElse(&c.New.Connections, 2)
-	orElse(&c.New.Queue, 64)
-	orElse(&c.New.Dial, 0.5)
-	orElse(&c.New.Idle, 60)
-	orElse(&c.New.Write, 1)
-	orElse(&c.TLS.Watch, 10)
-	orElse(&c.Keys.Most, 100_000)
-	orElse(&c.Keys.Remember, 60)
+// validate fills in what is left out, and notes all that is wrong.
+func (c *Config) validate(f *settings.File) error {
+	setDefault(&c.Reach, 1)
+	setDefault(&c.Attempts, 4)
+	setDefault(&c.Sockets, 1024)
+	setDefault(&c.AJP.Packet, ajp.DefaultSize)
+	setDefault(&c.New.Streams, 32)
+	setDefault(&c.New.Connections, 2)
+	setDefault(&c.New.Queue, 64)
+	setDefault(&c.New.Dial, 0.5)
+	setDefault(&c.New.Idle, 60)
+	setDefault(&c.New.Write, 1)
+	setDefault(&c.TLS.Watch, 10)
+	setDefault(&c.Keys.Most, 100_000)
+	setDefault(&c.Keys.Remember, 60)
 
 	address := func(key, text string) {
 		if _, port, err := net.SplitHostPort(text); err != nil || port == "" {
@@ -175,7 +175,7 @@
 	f.Require(c.Keys.Most >= 1, "keys.most", "%d leaves room for no key", c.Keys.Most)
 	f.Require(c.Sockets >= 64 && c.Sockets <= 1<<20, "sockets", "%d is not within 64 and %d", c.Sockets, 1<<20)
 	if c.Admission != nil {
-		c.Admission.check(f, platform.MaxClients(c.Sockets, c.Operator != ""))
+		c.Admission.validate(f, platform.MaxClients(c.Sockets, c.Operator != ""))
 	}
 	f.Require((c.ListenTLS.Cert == "") == (c.ListenTLS.Key == ""), "listen_tls.cert", "cert and key go together")
 	f.Require(c.ListenTLS.Roots == "" || c.ListenTLS.Cert != "", "listen_tls.client_roots",
@@ -235,7 +235,7 @@
 		}
 		f.Require(c.Reach >= 1 && c.Reach <= cells, "reach", "%d is not within 1 and the %d cells", c.Reach, cells)
 	}
-	orElse(&c.Shards, cells)
+	setDefault(&c.Shards, cells)
 	f.Require(c.Shards >= 1 && c.Shards <= maxShards, "shards", "%d is not within 1 and %d", c.Shards, maxShards)
 	return f.Err()
 }
@@ -285,8 +285,8 @@
 	return all
 }
 
-// bounds are the limits of connections to new-form nodes.
-func (c *Config) bounds(most int) grpcnode.Config {
+// grpcConfig are the limits of connections to new-form nodes.
+func (c *Config) grpcConfig(most int) grpcnode.Config {
 	return grpcnode.Config{StreamsPerConn: c.New.Streams, ConnsPerNode: c.New.Connections, QueuePerNode: c.New.Queue, MaxValue: most,
 		DialTimeout: seconds(c.New.Dial), IdleTimeout: seconds(c.New.Idle), WriteTimeout: seconds(c.New.Write)}
 }
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -23,55 +23,55 @@
 	"lapislever/internal/translate"
 )
 
-// maxValue is what the value of one part may hold: an answer of many parts has to fit into a reply.
-const maxValue = 16 << 10
+// maxValueSize is what the value of one part may hold: an answer of many parts has to fit into a reply.
+const maxValueSize = 16 << 10
 
 // Front is the front.
 type Front struct {
-	cfg    *Config // of the start; what Adopt took since is in the parts that it concerns
-	base   *platform.Config
-	log    *slog.Logger
-	form   *platform.Front
-	keys   *grpcnode.Credentials
-	tally  translate.Tally
-	router *router
-	keeper *lnet.AdmissionController // nil: the budget alone speaks
-	secure atomic.Pointer[tls.Config]
-	budget *lnet.Budget
-	core   *core.Core
-	http   *lnet.Server
-	ajp    *ajp.Server
-	ending atomic.Bool
-	stop   chan struct{}
-	halted sync.Once
-	mu     sync.Mutex // guards listed
-	listed map[string]Server
+	cfg            *Config // of the start; what Adopt took since is in the parts that it concerns
+	platformConfig *platform.Config
+	log            *slog.Logger
+	parser         *platform.Front
+	credentials    *grpcnode.Credentials
+	failures       translate.Tally
+	router         *router
+	admission      *lnet.AdmissionController // nil: the budget alone speaks
+	listenTLS      atomic.Pointer[tls.Config]
+	budget         *lnet.Budget
+	core           *core.Core
+	http           *lnet.Server
+	ajp            *ajp.Server
+	notReady       atomic.Bool
+	stop           chan struct{}
+	stopOnce       sync.Once
+	mu             sync.Mutex // guards listed
+	servers        map[string]Server
 }
 
 // New checks a file as far as that goes without starting: it reads the keys.
 func New(cfg *Config, base *platform.Config, log *slog.Logger) (*Front, error) {
-	f := &Front{cfg: cfg, base: base, log: log, stop: make(chan struct{})}
+	f := &Front{cfg: cfg, platformConfig: base, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
 		var err error
-		f.keys, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
+		f.credentials, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
 	}
 	if cfg.Admission != nil {
-		f.keeper = lnet.NewAdmissionController(cfg.Admission.limits())
+		f.admission = lnet.NewAdmissionController(cfg.Admission.toLimits())
 	}
 	if cfg.ListenTLS.Cert != "" {
 		c, err := cfg.ListenTLS.load()
 		if err != nil {
 			return nil, err
 		}
-		f.secure.Store(c)
+		f.listenTLS.Store(c)
 	}
-	f.router = &router{tally: &f.tally, dial: base.DialTimeout, epoch: time.Now(),
-		out:   map[*core.Attempt]flight{},
-		guard: translate.NewGuard(0, seconds(cfg.Keys.Remember).Microseconds(), cfg.Keys.Most)}
-	f.form = platform.NewFront(base, log, f.router)
+	f.router = &router{failures: &f.failures, dialTimeout: base.DialTimeout, epoch: time.Now(),
+		inFlight: map[*core.Attempt]sentAttempt{},
+		guard:    translate.NewGuard(0, seconds(cfg.Keys.Remember).Microseconds(), cfg.Keys.Most)}
+	f.parser = platform.NewFront(base, log, f.router)
 	return f, nil
 }
 
@@ -83,49 +83,49 @@
 	f.core, f.budget = c, budget
 	r := f.router
 	r.post = c.Post
-	r.old = platform.NewNodes(f.base, budget, f.log, c.Counts(), r.tell)
-	r.anew = grpcnode.New(f.cfg.bounds(maxValue), f.keys, budget, f.log, c.Counts(), &f.tally, r.tell)
+	r.oldNodes = platform.NewNodes(f.platformConfig, budget, f.log, c.Counts(), r.report)
+	r.newNodes = grpcnode.New(f.cfg.grpcConfig(maxValueSize), f.credentials, budget, f.log, c.Counts(), &f.failures, r.report)
 	var err error
 	if f.cfg.Listen != "" {
-		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.serve); err != nil {
+		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.handle); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		f.http.Admission = f.keeper
-		if f.secure.Load() != nil {
-			f.http.Handshake = lnet.TLSHandshake(f.secure.Load)
+		f.http.Admission = f.admission
+		if f.listenTLS.Load() != nil {
+			f.http.Handshake = lnet.TLSHandshake(f.listenTLS.Load)
 		}
-		f.http.OnRejected = func(r *lnet.Request) { f.count(r, core.Refused) }
+		f.http.OnRejected = func(r *lnet.Request) { f.countOutcome(r, core.Refused) }
 	}
 	if f.cfg.AJP.Listen != "" {
-		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{Size: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
+		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{PacketSize: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
 			budget,
-			f.log, f.serve)
+			f.log, f.handle)
 		if err != nil {
 			if f.http != nil {
 				f.http.StopListening()
 			}
 			return fmt.Errorf("ajp.listen: %w", err)
 		}
-		f.ajp.Admission = f.keeper
+		f.ajp.Admission = f.admission
 	}
-	f.list(f.cfg)
+	f.updateServers(f.cfg)
 	if f.http != nil {
 		go f.http.Serve()
 	}
 	if f.ajp != nil {
 		go f.ajp.Serve()
 	}
-	if f.keys != nil {
-		go f.watch()
+	if f.credentials != nil {
+		go f.watchCredentials()
 	}
 	return nil
 }
 
-// list tells of the file's servers: first where they are, then the core.
-func (f *Front) list(cfg *Config) {
+// updateServers tells of the file's servers: first where they are, then the core.
+func (f *Front) updateServers(cfg *Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	zones := f.base.Zones
+	zones := f.platformConfig.Zones
 	forms := map[balance.ReplicaID]string{}
 	var hosts []platform.Host
 	var targets []grpcnode.Target
@@ -149,16 +149,16 @@
 		if s.Draining {
 			r.State = balance.Draining
 		}
-		if was, known := f.listed[s.Name]; f.listed != nil && (!known || was.Form != s.Form ||
+		if was, known := f.servers[s.Name]; f.servers != nil && (!known || was.Form != s.Form ||
 			was.Address != s.Address) { // another process than before
 			r.Started = time.Now().UnixMicro()
 		}
 		replicas = append(replicas, r)
 	}
-	f.listed = listed
-	f.router.old.UpdateHosts(hosts, true)
-	f.router.anew.SetTargets(targets)
-	f.router.learn(forms)
+	f.servers = listed
+	f.router.oldNodes.UpdateHosts(hosts, true)
+	f.router.newNodes.SetTargets(targets)
+	f.router.setForms(forms)
 	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
 
@@ -166,7 +166,7 @@
 func (f *Front) ServerName(id balance.ReplicaID) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name := range f.listed {
+	for name := range f.servers {
 		if core.ServerID(name) == id {
 			return name, true
 		}
@@ -189,16 +189,16 @@
 			f.log.Warn("a change of the file takes a restart", "key", x.key)
 		}
 	}
-	f.list(cfg)
-	f.rekey()
+	f.updateServers(cfg)
+	f.reloadCredentials()
 	switch {
-	case f.keeper != nil && cfg.Admission != nil:
-		f.keeper.SetLimits(cfg.Admission.limits())
-	case (f.keeper != nil) != (cfg.Admission != nil):
+	case f.admission != nil && cfg.Admission != nil:
+		f.admission.SetLimits(cfg.Admission.toLimits())
+	case (f.admission != nil) != (cfg.Admission != nil):
 		f.log.Warn("a change of the file takes a restart", "key", "admission")
 	}
-	if c := fresh.secure.Load(); c != nil && f.secure.Load() != nil {
-		f.secure.Store(c) // new handshakes; who is in stays in
+	if c := fresh.listenTLS.Load(); c != nil && f.listenTLS.Load() != nil {
+		f.listenTLS.Store(c) // new handshakes; who is in stays in
 	}
 }
 
@@ -206,39 +206,39 @@
 func (f *Front) ApplySettings(balance.Settings) {}
 
 // Conform has requests read by the classes of a configuration that was taken in.
-func (f *Front) Conform(base *platform.Config) { f.form.SetConfig(base) }
+func (f *Front) Conform(base *platform.Config) { f.parser.SetConfig(base) }
 
-// watch looks at the keys now and then.
-func (f *Front) watch() {
+// watchCredentials looks at the keys now and then.
+func (f *Front) watchCredentials() {
 	tick := time.NewTicker(seconds(f.cfg.TLS.Watch))
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			f.rekey()
+			f.reloadCredentials()
 		case <-f.stop:
 			return
 		}
 	}
 }
 
-// rekey reads the keys again. A set that does not hold together is turned down, and the old one stays.
-func (f *Front) rekey() {
-	if f.keys == nil {
+// reloadCredentials reads the keys again. A set that does not hold together is turned down, and the old one stays.
+func (f *Front) reloadCredentials() {
+	if f.credentials == nil {
 		return
 	}
-	changed, err := f.keys.Reload()
+	changed, err := f.credentials.Reload()
 	switch {
 	case err != nil:
 		f.log.Error("keys not reloaded: the old ones stay", "err", err)
 	case changed:
 		f.log.Info("keys reloaded")
-		f.router.anew.RetireTLSConns()
+		f.router.newNodes.RetireTLSConns()
 	}
 }
 
 // Figures are the attempts that brought nothing, by reason.
-func (f *Front) Figures() map[string]int64 { return f.tally.Figures() }
+func (f *Front) Figures() map[string]int64 { return f.failures.NonZero() }
 
 // Addrs are the addresses that terminals reach; empty where there is no listener.
 func (f *Front) Addrs() (http, ajp string) {
@@ -252,10 +252,10 @@
 }
 
 // MarkNotReady tells who asks that this front is not ready any more.
-func (f *Front) MarkNotReady() { f.ending.Store(true) }
+func (f *Front) MarkNotReady() { f.notReady.Store(true) }
 
-// each calls a function for every listener.
-func (f *Front) each(h func(*lnet.Server), a func(*ajp.Server)) {
+// eachListener calls a function for every listener.
+func (f *Front) eachListener(h func(*lnet.Server), a func(*ajp.Server)) {
 	if f.http != nil {
 		h(f.http)
 	}
@@ -266,18 +266,18 @@
 
 // StopListening closes the listeners.
 func (f *Front) StopListening() {
-	f.each((*lnet.Server).StopListening, (*ajp.Server).StopListening)
+	f.eachListener((*lnet.Server).StopListening, (*ajp.Server).StopListening)
 }
 
 // CloseAfterReply has replies end their connections from now on.
 func (f *Front) CloseAfterReply() {
-	f.each((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
+	f.eachListener((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
 }
 
 // Drain winds, and closes idle connections.
 func (f *Front) Drain() {
-	f.each((*lnet.Server).Drain, (*ajp.Server).Drain)
-	f.halted.Do(func() { close(f.stop) })
+	f.eachListener((*lnet.Server).Drain, (*ajp.Server).Drain)
+	f.stopOnce.Do(func() { close(f.stop) })
 }
 
 // LastRequest is when a request last came.
@@ -287,46 +287,46 @@
 			last = t
 		}
 	}
-	f.each(func(s *lnet.Server) { later(s.LastRequest()) }, func(s *ajp.Server) { later(s.LastRequest()) })
+	f.eachListener(func(s *lnet.Server) { later(s.LastRequest()) }, func(s *ajp.Server) { later(s.LastRequest()) })
 	return last
 }
 
 // Wait waits until every connection has ended.
 func (f *Front) Wait(most time.Duration) bool {
 	end, all := time.Now().Add(most), true
-	f.each(func(s *lnet.Server) { all = s.Wait(time.Until(end)) },
+	f.eachListener(func(s *lnet.Server) { all = s.Wait(time.Until(end)) },
 		func(s *ajp.Server) { all = s.Wait(time.Until(end)) && all })
 	return all
 }
 
-func (f *Front) count(r *lnet.Request, e core.QueryOutcome) {
-	if class := platform.ClassName(r); slices.Contains(f.base.Classes, class) {
+func (f *Front) countOutcome(r *lnet.Request, e core.QueryOutcome) {
+	if class := platform.ClassName(r); slices.Contains(f.platformConfig.Classes, class) {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
 
-// serve takes one request, whichever way it came.
-func (f *Front) serve(r *lnet.Request, x *lnet.Exchange) func() {
+// handle takes one request, whichever way it came.
+func (f *Front) handle(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
-		if f.ending.Load() {
+		if f.notReady.Load() {
 			x.Reply(lnet.Response{Status: 503, Body: []byte("ending\n")})
 		} else {
 			x.Reply(lnet.Response{Status: 200, Body: []byte("up\n")})
 		}
 		return nil
 	}
-	q, bad := f.form.Parse(r)
+	q, bad := f.parser.Parse(r)
 	if bad != nil {
 		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.Detail)
-		f.count(r, platform.OutcomeForStatus(bad.Status))
+		f.countOutcome(r, platform.OutcomeForStatus(bad.Status))
 		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
-	j := &job{f: f, x: x, class: platform.ClassName(r)}
-	if v := f.router.known(q); v != translate.Allowed {
+	j := &clientQuery{front: f, exchange: x, class: platform.ClassName(r)}
+	if v := f.router.checkQuery(q); v != translate.Allowed {
 		f.log.Warn("a keyed request is not taken", "class", j.class, "why", v)
-		f.tally.Add(v.Reason())
-		j.reply(translate.Turn(v), f.core.FullRetryAfter())
+		f.failures.Add(v.Reason())
+		j.reply(translate.GuardReply(v), f.core.FullRetryAfter())
 		return nil
 	}
 	q.Client, q.Data, q.ClientLeft = j, j, x.ClientLeft
@@ -337,38 +337,38 @@
 	return func() { f.core.Abandon(q) }
 }
 
-// job is a query's client, and what its attempts met.
-type job struct {
-	f     *Front
-	x     *lnet.Exchange
-	class string
-	why   atomic.Uint32
+// clientQuery is a query's client, and what its attempts met.
+type clientQuery struct {
+	front       *Front
+	exchange    *lnet.Exchange
+	class       string
+	lastFailure atomic.Uint32
 }
 
 // ClassName is the query's class.
-func (j *job) ClassName() string { return j.class }
+func (j *clientQuery) ClassName() string { return j.class }
 
 // RecordFailure hears why an attempt brought nothing.
-func (j *job) RecordFailure(why translate.Reason) { j.why.Store(uint32(why)) }
+func (j *clientQuery) RecordFailure(why translate.Reason) { j.lastFailure.Store(uint32(why)) }
 
 // Final replies.
-func (j *job) Final(f core.FinalAnswer) {
+func (j *clientQuery) Final(f core.FinalAnswer) {
 	if f.Outcome == core.Answered {
-		r := platform.Answer(f, j.f.log)
-		j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-		j.x.Reply(r)
+		r := platform.Answer(f, j.front.log)
+		j.front.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
+		j.exchange.Reply(r)
 		return
 	}
-	j.reply(translate.Failed(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
+	j.reply(translate.FailureReply(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.lastFailure.Load())),
 		f.RetryAfter)
 }
 
 // reply words what is no answer, and counts what the terminal is told.
-func (j *job) reply(w translate.Word, after time.Duration) {
+func (j *clientQuery) reply(w translate.Reply, after time.Duration) {
 	r := lnet.Response{Status: w.Status, Body: []byte(w.Text + "\n"), Close: w.Close}
 	if w.Refused {
 		r = platform.Refusal(after)
 	}
-	j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-	j.x.Reply(r)
+	j.front.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
+	j.exchange.Reply(r)
 }
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -19,7 +19,7 @@
 	"lapislever/internal/standin"
 )
 
-const classes = `
+const classesTOML = `
 [[class]]
 name = "rate-check"
 effect = "safe"
@@ -35,21 +35,21 @@
 worth = 1.0
 `
 
-// server is a line of the file.
-func server(name, addr, form string, cell int, more ...string) string {
+// serverTOML is a line of the file.
+func serverTOML(name, addr, form string, cell int, more ...string) string {
 	return fmt.Sprintf("[[server]]\nname = %q\naddress = %q\nform = %q\ncell = %d\n%s\n", name, addr, form, cell,
 		strings.Join(more, "\n"))
 }
 
-// running is a front that serves.
-type running struct {
-	k         *platform.Coordinator
-	f         *Front
-	http, ajp string
+// testFront is a front that serves.
+type testFront struct {
+	coordinator *platform.Coordinator
+	front       *Front
+	http, ajp   string
 }
 
-// load makes a front of a text.
-func load(t testing.TB, text string) (*platform.Config, *Front) {
+// newFront makes a front of a text.
+func newFront(t testing.TB, text string) (*platform.Config, *Front) {
 	t.Helper()
 	file, err := ParseConfig("f", text)
 	if err != nil {
@@ -67,11 +67,11 @@
 	return cfg, f
 }
 
-const listeners = "listen = \"127.0.0.1:0\"\n[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n"
+const listenersTOML = "listen = \"127.0.0.1:0\"\n[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n"
 
-func run(t testing.TB, text string, edit ...func(*Front)) *running {
+func startFront(t testing.TB, text string, edit ...func(*Front)) *testFront {
 	t.Helper()
-	cfg, f := load(t, text)
+	cfg, f := newFront(t, text)
 	for _, e := range edit {
 		e(f)
 	}
@@ -79,8 +79,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { k.Close(); f.router.anew.Close() })
-	r := &running{k: k, f: f}
+	t.Cleanup(func() { k.Close(); f.router.newNodes.Close() })
+	r := &testFront{coordinator: k, front: f}
 	r.http, r.ajp = f.Addrs()
 	standin.Until(t, "readiness", func() bool {
 		return standin.Call(t, r.http, "GET", "/up", nil,
@@ -108,7 +108,7 @@
 }
 
 // post sends a request by HTTP and returns the reply.
-func (r *running) post(t testing.TB, class, key string, shards ...int) *lnet.Reply {
+func (r *testFront) post(t testing.TB, class, key string, shards ...int) *lnet.Reply {
 	t.Helper()
 	calls.Lock()
 	calls.n++
@@ -118,16 +118,16 @@
 	return standin.Call(t, r.http, "POST", "/"+class, head, body)
 }
 
-// text answers every call with its id.
-func text(c standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v:" + c.ID} }
+// answerWithID answers every call with its id.
+func answerWithID(c standin.NewCall) standin.NewDo { return standin.NewDo{Text: "v:" + c.ID} }
 
 // An old terminal is answered by new nodes, by HTTP and by AJP, and beside them by an old one.
-func TestOldTerminalsAreServedByNewNodes(t *testing.T) {
-	a := standin.NewGRPC(t, standin.NewOptions{}, text)
-	b := standin.NewGRPC(t, standin.NewOptions{}, text)
+func TestOldClientsServedByNewNodes(t *testing.T) {
+	a := standin.NewGRPC(t, standin.NewOptions{}, answerWithID)
+	b := standin.NewGRPC(t, standin.NewOptions{}, answerWithID)
 	c := standin.NewNode(t, func(p standin.Part) (string, string) { return "S", "v:" + p.ID })
-	r := run(t, listeners+classes+server("a", a.Addr, "new", 0)+server("b", b.Addr, "new", 1)+
-		server("c", c.Addr, "old", 2))
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", a.Addr, "new", 0)+serverTOML("b", b.Addr, "new", 1)+
+		serverTOML("c", c.Addr, "old", 2))
 	want := func(by string, status int, body string, id string) {
 		t.Helper()
 		var got struct {
@@ -179,7 +179,7 @@
 }
 
 // What has no equivalent, and each status: a definite answer of the old form, and a count by reason.
-func TestWhatHasNoEquivalentFailsByName(t *testing.T) {
+func TestUntranslatableAnswersFailWithReason(t *testing.T) {
 	raw := standin.TextAnswer(0, "x")
 	for name, c := range map[string]struct {
 		do     standin.NewDo
@@ -205,7 +205,7 @@
 		"other shard": {standin.NewDo{Message: standin.TextAnswer(1, "x")}, 502, "wrong_shard",
 			"failed: wrong_shard"},
 		"not UTF-8": {standin.NewDo{Text: "\xff"}, 502, "text_not_utf8", "failed: text_not_utf8"},
-		"too large": {standin.NewDo{Text: strings.Repeat("x", maxValue+1)}, 502, "too_large",
+		"too large": {standin.NewDo{Text: strings.Repeat("x", maxValueSize+1)}, 502, "too_large",
 			"failed: too_large"},
 		"far too large": {standin.NewDo{Text: strings.Repeat("x", 60<<10)}, 502, "too_large",
 			"failed: too_large"},
@@ -218,7 +218,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := standin.NewGRPC(t, standin.NewOptions{}, func(standin.NewCall) standin.NewDo { return c.do })
-			r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
+			r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 			x := r.post(t, "rate-check", "", 0)
 			if x.Status != c.status || !strings.HasPrefix(string(x.Body), c.text) {
 				t.Errorf("%d %q, want %d %q", x.Status, x.Body, c.status, c.text)
@@ -226,7 +226,7 @@
 			if x.Status == 503 && x.Header.Get("Retry-After") == "" {
 				t.Error("refused without a word on when to come back")
 			}
-			if got := r.f.Figures(); got[c.why] == 0 || len(got) > 1 {
+			if got := r.front.Figures(); got[c.why] == 0 || len(got) > 1 {
 				t.Errorf("counted as %v, want %s", got, c.why)
 			}
 			// The connection is sound after an answer that could not be used.
@@ -237,29 +237,29 @@
 	}
 }
 
-// figure is a class's count.
-func (r *running) figure(class string, e core.QueryOutcome) int64 {
-	return r.f.core.Counts().Class(class).Count(e)
+// outcomeCount is a class's count.
+func (r *testFront) outcomeCount(class string, e core.QueryOutcome) int64 {
+	return r.front.core.Counts().Class(class).Count(e)
 }
 
 // Figures count each request once, in whichever way it came and ended.
-func TestEachRequestCountsOnce(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
-	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
+func TestEachRequestCountedOnce(t *testing.T) {
+	n := standin.NewGRPC(t, standin.NewOptions{}, answerWithID)
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	r.post(t, "rate-check", "", 0)
 	r.post(t, "rate-check", "", 7) // there is no such shard
 	r.post(t, "none", "", 0)
 	standin.Until(t, "the counts", func() bool {
-		return r.figure("rate-check", core.Answered) == 1 && r.figure("rate-check", core.Failed) == 1
+		return r.outcomeCount("rate-check", core.Answered) == 1 && r.outcomeCount("rate-check", core.Failed) == 1
 	})
 }
 
 // A client that leaves, and a deadline that passes: the stream is reset, the terminal gets one answer at
 // most.
-func TestCancelsReachTheStream(t *testing.T) {
+func TestCancelResetsStream(t *testing.T) {
 	n := standin.NewGRPC(t, standin.NewOptions{},
 		func(standin.NewCall) standin.NewDo { return standin.NewDo{Silent: true} })
-	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	head, body := request("gone", "", 0)
 	front := standin.DialAJP(t, r.ajp)
 	front.Raw(standin.AJPPacket(standin.AJPForward(4, "/rate-check", append(head,
@@ -278,9 +278,9 @@
 }
 
 // An old terminal that speaks HTTP/1.0 is answered, and the connection ends as it expects.
-func TestOldestTerminals(t *testing.T) {
-	n := standin.NewGRPC(t, standin.NewOptions{}, text)
-	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
+func TestHTTP10Client(t *testing.T) {
+	n := standin.NewGRPC(t, standin.NewOptions{}, answerWithID)
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	c, err := net.Dial("tcp", r.http)
 	if err != nil {
 		t.Fatal(err)
@@ -299,13 +299,13 @@
 
 // What was taken is answered through an end: queries that are open on both carriers when it comes get one
 // answer each, the late one too.
-func TestShutdownAnswersWhatWasTaken(t *testing.T) {
+func TestShutdownAnswersAcceptedQueries(t *testing.T) {
 	release := make(chan bool)
 	n := standin.NewGRPC(t, standin.NewOptions{}, func(c standin.NewCall) standin.NewDo {
 		<-release
 		return standin.NewDo{Text: "v"}
 	})
-	r := run(t, listeners+classes+server("a", n.Addr, "new", 0))
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	answers := make(chan int, 2)
 	go func() {
 		head, body := request("by-http", "", 0)
@@ -323,8 +323,8 @@
 	}()
 	standin.Until(t, "both calls", func() bool { return len(n.Calls()) >= 2 })
 	ended := make(chan bool)
-	go func() { r.k.Shutdown(); close(ended) }()
-	standin.Until(t, "the word that it ends", func() bool { return r.f.ending.Load() })
+	go func() { r.coordinator.Shutdown(); close(ended) }()
+	standin.Until(t, "the word that it ends", func() bool { return r.front.notReady.Load() })
 	time.Sleep(50 * time.Millisecond)
 	close(release)
 	for range 2 {
@@ -333,19 +333,19 @@
 		}
 	}
 	<-ended
-	standin.Until(t, "the end of the calls", func() bool { return r.f.http.OpenConns()+r.f.ajp.OpenConns() == 0 })
+	standin.Until(t, "the end of the calls", func() bool { return r.front.http.OpenConns()+r.front.ajp.OpenConns() == 0 })
 }
 
 // A terminal's retry is a query of its own, so that the module knows of no window: the guard's is given to
 // whoever writes the frame, also of the old form, and an earlier one of the module's stays.
-func TestRetryIsHeldToItsWindowWhereItIsWritten(t *testing.T) {
+func TestRetryStartByFollowsKeyWindow(t *testing.T) {
 	n := standin.NewNode(t, func(standin.Part) (string, string) { return "", "" })
-	_, f := load(t, listeners+classes+server("a", n.Addr, "old", 0))
+	_, f := newFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "old", 0))
 	r, id := f.router, core.ServerID("a")
 	r.post = func(core.Event) {}
-	r.old = platform.NewNodes(f.base, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{}, r.tell)
-	r.old.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
-	r.learn(map[balance.ReplicaID]string{id: OldForm})
+	r.oldNodes = platform.NewNodes(f.platformConfig, lnet.NewBudget(10, 0), standin.Quiet(), &core.Counts{}, r.report)
+	r.oldNodes.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
+	r.setForms(map[balance.ReplicaID]string{id: OldForm})
 	const window = 3 * time.Second
 	rules := &balance.Class{Effect: balance.Keyed, Window: window.Microseconds()}
 	send := func(name string, before time.Time) *core.Attempt {
--- a/internal/kiosk/replay_test.go
+++ b/internal/kiosk/replay_test.go
@@ -18,30 +18,30 @@
 // after they have executed, refuse streams, go away, and swap their form midway. Counted at the nodes:
 // executions of a key, over all domains. Counted at the terminals: answers of a request.
 
-// books are what the nodes of one shard know of keys, each form by itself: a repeat is dropped within the
+// nodeLedger are what the nodes of one shard know of keys, each form by itself: a repeat is dropped within the
 // window.
-type books struct {
+type nodeLedger struct {
 	mu       sync.Mutex
 	window   time.Duration
 	seen     [2]map[string]time.Time
-	executed map[string][]arrival
+	executed map[string][]execution
 	dropped  int
 	rng      *rand.Rand
 }
 
-// arrival is when a key was executed, and by which form.
-type arrival struct {
+// execution is when a key was executed, and by which form.
+type execution struct {
 	at   time.Time
 	form int
 }
 
-func newBooks(seed uint64, window time.Duration) *books {
-	return &books{window: window, seen: [2]map[string]time.Time{{}, {}}, executed: map[string][]arrival{},
+func newBooks(seed uint64, window time.Duration) *nodeLedger {
+	return &nodeLedger{window: window, seen: [2]map[string]time.Time{{}, {}}, executed: map[string][]execution{},
 		rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// post is one part as a node of a form takes it.
-func (b *books) post(form int, key string) {
+// execute is one part as a node of a form takes it.
+func (b *nodeLedger) execute(form int, key string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if at, ok := b.seen[form][key]; ok && time.Since(at) < b.window {
@@ -49,18 +49,18 @@
 		return
 	}
 	b.seen[form][key] = time.Now()
-	b.executed[key] = append(b.executed[key], arrival{time.Now(), form})
+	b.executed[key] = append(b.executed[key], execution{time.Now(), form})
 }
 
 // chance is true for so many in a hundred.
-func (b *books) chance(of int) bool {
+func (b *nodeLedger) chance(of int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.rng.IntN(100) < of
 }
 
 // duplicates lists the executions beyond the first of each key.
-func (b *books) duplicates() (again []string) {
+func (b *nodeLedger) duplicates() (again []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, all := range b.executed {
@@ -73,7 +73,7 @@
 }
 
 // newNode is a node of the new form that keeps the books and fails in every way.
-func (b *books) newNode(t *testing.T) *standin.GRPCNode {
+func (b *nodeLedger) newNode(t *testing.T) *standin.GRPCNode {
 	var mu sync.Mutex
 	heads, served := 0, 0
 	turn := func(every int) func(int, uint32) bool {
@@ -86,7 +86,7 @@
 	}
 	return standin.NewGRPC(t, standin.NewOptions{Refuse: turn(9), LeaveOut: turn(13)},
 		func(c standin.NewCall) standin.NewDo {
-			b.post(1, c.Key)
+			b.execute(1, c.Key)
 			mu.Lock()
 			served++
 			way := served // each way to fail has to come, whatever order the draws come in
@@ -112,10 +112,10 @@
 }
 
 // oldNode is one of the old form.
-func (b *books) oldNode(t *testing.T) *standin.Node {
+func (b *nodeLedger) oldNode(t *testing.T) *standin.Node {
 	return standin.NewNode(t, func(p standin.Part) (string, string) {
 		_, key, _ := strings.Cut(p.List, "k=")
-		b.post(0, key)
+		b.execute(0, key)
 		switch {
 		case b.chance(25):
 			return "", ""
@@ -134,16 +134,16 @@
 	oldA, oldB := b.oldNode(t), b.oldNode(t)
 	newA, newB, newC := b.newNode(t), b.newNode(t), b.newNode(t)
 	file := func(swapped bool) string {
-		text := "attempts = 6\n" + listeners +
-			strings.NewReplacer("window_s = 3.0", "window_s = 1.0").Replace(classes)
+		text := "attempts = 6\n" + listenersTOML +
+			strings.NewReplacer("window_s = 3.0", "window_s = 1.0").Replace(classesTOML)
 		if swapped {
-			return text + server("a", newA.Addr, "new", 0) + server("b", oldB.Addr, "old", 0) +
-				server("c", newC.Addr, "new", 0)
+			return text + serverTOML("a", newA.Addr, "new", 0) + serverTOML("b", oldB.Addr, "old", 0) +
+				serverTOML("c", newC.Addr, "new", 0)
 		}
-		return text + server("a", oldA.Addr, "old", 0) + server("b", newB.Addr, "new", 0) +
-			server("c", newC.Addr, "new", 0)
+		return text + serverTOML("a", oldA.Addr, "old", 0) + serverTOML("b", newB.Addr, "new", 0) +
+			serverTOML("c", newC.Addr, "new", 0)
 	}
-	r := run(t, file(false), func(f *Front) {
+	r := startFront(t, file(false), func(f *Front) {
 		if !guarded {
 			f.router.guard = nil
 		}
@@ -158,8 +158,8 @@
 			case <-stop:
 				return
 			case <-time.After(150 * time.Millisecond):
-				_, fresh := load(t, file(swapped))
-				r.f.Adopt(fresh)
+				_, fresh := newFront(t, file(swapped))
+				r.front.Adopt(fresh)
 			}
 		}
 	}()
@@ -201,15 +201,15 @@
 	if len(odd) > 0 {
 		t.Errorf("answers that no old terminal understands, by status: %v", odd)
 	}
-	told := r.figure("exchange-post", core.Answered) + r.figure("exchange-post", core.Refused) +
-		r.figure("exchange-post", core.Failed)
+	told := r.outcomeCount("exchange-post", core.Answered) + r.outcomeCount("exchange-post", core.Refused) +
+		r.outcomeCount("exchange-post", core.Failed)
 	if told != int64(answers) {
 		t.Errorf("%d answers counted, %d came", told, answers)
 	}
-	return b.duplicates(), answers, r.f.Figures()
+	return b.duplicates(), answers, r.front.Figures()
 }
 
-func TestReplayOfOldTerminals(t *testing.T) {
+func TestReplayExecutesKeysOnce(t *testing.T) {
 	const requests = 60
 	dups, answers, figures := replay(t, 1, requests, true)
 	if len(dups) != 0 || answers != 3*requests {
--- a/internal/translate/table.go
+++ b/internal/translate/table.go
@@ -43,28 +43,28 @@
 
 // The reasons. Those from BadStatus on have no equivalent in the old form: another try would meet the same.
 const (
-	None         Reason = iota
-	Turned              // the server turned the call away unseen
-	Late                // the server's own deadline passed
-	Broken              // the server says that it cannot be reached, or gave up in the middle
-	Failing             // the server failed
-	BadStatus           // a status that gRPC does not know, or none
-	BadReply            // no gRPC at all, or a message that cannot be read
-	BadValue            // a value of a kind that the old form has not
-	BadText             // text that is not UTF-8
-	BadShard            // the answer to another part
-	TooLarge            // a value larger than an answer may be
-	Compressed          // a message in a coding that was not asked for
-	Denied              // the server does not take calls from here
-	Repeated            // the server has had the key before, and keeps its answer to itself
-	Unsuited            // the server says that the request can never succeed
-	GuardPast           // not sent: the key's window is over
-	GuardDomain         // not sent: the key may have run in the other form
-	GuardCrowded        // not sent: too many keys
-	reasons
+	None             Reason = iota
+	Turned                  // the server turned the call away unseen
+	Late                    // the server's own deadline passed
+	Broken                  // the server says that it cannot be reached, or gave up in the middle
+	Failing                 // the server failed
+	BadStatus               // a status that gRPC does not know, or none
+	BadReply                // no gRPC at all, or a message that cannot be read
+	BadValue                // a value of a kind that the old form has not
+	BadText                 // text that is not UTF-8
+	BadShard                // the answer to another part
+	TooLarge                // a value larger than an answer may be
+	Compressed              // a message in a coding that was not asked for
+	Denied                  // the server does not take calls from here
+	Repeated                // the server has had the key before, and keeps its answer to itself
+	Unsuited                // the server says that the request can never succeed
+	GuardWindowOver         // not sent: the key's window is over
+	GuardOtherForm          // not sent: the key may have run in the other form
+	GuardTooManyKeys        // not sent: too many keys
+	numReasons
 )
 
-var reasonNames = [reasons]string{"", "turned_away", "deadline", "unavailable", "failing", "unknown_status",
+var reasonNames = [numReasons]string{"", "turned_away", "deadline", "unavailable", "failing", "unknown_status",
 	"unreadable_reply", "value_kind", "text_not_utf8", "wrong_shard", "too_large", "compressed", "denied",
 	"repeat_dropped", "never_possible", "window_over", "other_form", "too_many_keys"}
 
@@ -75,23 +75,23 @@
 func (r Reason) Untranslatable() bool { return r >= BadStatus && r <= Unsuited }
 
 // Tally counts attempts by reason. It is safe for concurrent use.
-type Tally struct{ n [reasons]atomic.Int64 }
+type Tally struct{ counts [numReasons]atomic.Int64 }
 
 // Add counts one.
 func (t *Tally) Add(r Reason) {
 	if r != None {
-		t.n[r].Add(1)
+		t.counts[r].Add(1)
 	}
 }
 
-// Of is how many there were of a reason.
-func (t *Tally) Of(r Reason) int64 { return t.n[r].Load() }
+// Count is how many there were of a reason.
+func (t *Tally) Count(r Reason) int64 { return t.counts[r].Load() }
 
-// Figures are the counts that are not 0, by name.
-func (t *Tally) Figures() map[string]int64 {
+// NonZero are the counts that are not 0, by name.
+func (t *Tally) NonZero() map[string]int64 {
 	out := map[string]int64{}
-	for r := None + 1; r < reasons; r++ {
-		if n := t.n[r].Load(); n > 0 {
+	for r := None + 1; r < numReasons; r++ {
+		if n := t.counts[r].Load(); n > 0 {
 			out[r.String()] = n
 		}
 	}
@@ -104,8 +104,8 @@
 	Reason  Reason
 }
 
-// statuses is what each status means where the call may have run.
-var statuses = [...]Result{
+// statusResults is what each status means where the call may have run.
+var statusResults = [...]Result{
 	OK:                 {balance.OK, None},
 	Cancelled:          {balance.Reset, Broken},
 	Unknown:            {balance.Error, Failing},
@@ -129,19 +129,19 @@
 // looked at; it counts with the two statuses that the contract joins it to, and nothing else proves that a
 // call which was written whole has not run.
 func Status(code Code, unseen bool) Result {
-	if int(code) >= len(statuses) {
+	if int(code) >= len(statusResults) {
 		return Result{balance.Error, BadStatus}
 	}
 	if unseen && (code == ResourceExhausted || code == Unavailable) {
 		return Result{balance.Busy, Turned}
 	}
-	return statuses[code]
+	return statusResults[code]
 }
 
 // ParseStatus reads a grpc-status. What is no number of a known status is none.
 func ParseStatus(text string) (Code, bool) {
 	n, err := strconv.ParseUint(text, 10, 32)
-	return Code(n), err == nil && n < uint64(len(statuses))
+	return Code(n), err == nil && n < uint64(len(statusResults))
 }
 
 // HTTP is what a reply without a status of gRPC means, by its HTTP status: something between us and the
@@ -201,41 +201,41 @@
 	return nil, BadValue
 }
 
-// Word is what an old terminal is told.
-type Word struct {
+// Reply is what an old terminal is told.
+type Reply struct {
 	Status  int
 	Text    string
 	Refused bool // trying again is harmless
 	Close   bool
 }
 
-// Failed is the word on a query that was not served. refused is the module's decision, overdue and taken are
+// FailureReply is the word on a query that was not served. refused is the module's decision, overdue and taken are
 // the core's, why is what its last attempt that brought nothing met.
-func Failed(refused, overdue, taken bool, why Reason) Word {
+func FailureReply(refused, overdue, taken bool, why Reason) Reply {
 	switch {
 	case why.Untranslatable(): // also where it was refused: the same would come again
-		return Word{Status: 502, Text: "failed: " + why.String()}
+		return Reply{Status: 502, Text: "failed: " + why.String()}
 	case refused:
-		return Word{Status: 503, Text: "refused for now", Refused: true}
+		return Reply{Status: 503, Text: "refused for now", Refused: true}
 	case taken:
-		return Word{Status: 409, Text: "failed: a request of this id is open", Close: true}
+		return Reply{Status: 409, Text: "failed: a request of this id is open", Close: true}
 	case overdue:
-		return Word{Status: 504, Text: "failed"}
-	case why == GuardPast || why == GuardDomain:
-		return Word{Status: 409, Text: "failed: " + why.String()}
+		return Reply{Status: 504, Text: "failed"}
+	case why == GuardWindowOver || why == GuardOtherForm:
+		return Reply{Status: 409, Text: "failed: " + why.String()}
 	}
-	return Word{Status: 502, Text: "failed"}
+	return Reply{Status: 502, Text: "failed"}
 }
 
-// Turn is the word on a query that the guard turns away before it is taken.
-func Turn(v Verdict) Word {
-	if v == Crowded {
-		return Word{Status: 503, Text: "refused for now", Refused: true}
+// GuardReply is the word on a query that the guard turns away before it is taken.
+func GuardReply(v Decision) Reply {
+	if v == TooManyKeys {
+		return Reply{Status: 503, Text: "refused for now", Refused: true}
 	}
-	return Word{Status: 409, Text: "failed: " + GuardPast.String()}
+	return Reply{Status: 409, Text: "failed: " + GuardWindowOver.String()}
 }
 
 // Reason is the reason that a verdict counts as.
-func (v Verdict) Reason() Reason {
-	return [...]Reason{None, GuardPast, GuardDomain, GuardCrowded}[v]
+func (v Decision) Reason() Reason {
+	return [...]Reason{None, GuardWindowOver, GuardOtherForm, GuardTooManyKeys}[v]
 }
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -14,7 +14,7 @@
 const ms = balance.Micros(1000)
 
 // The wheel against a sorted list, over times on every level and gaps of any length.
-func TestWheelAgainstASortedList(t *testing.T) {
+func TestWheelMatchesReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := balance.Micros(rng.Int64N(1 << 40))
@@ -66,16 +66,16 @@
 }
 
 // What the guard says, move by move.
-func TestGuard(t *testing.T) {
+func TestGuardDecisions(t *testing.T) {
 	g := NewGuard(0, 10_000*ms, 2)
-	ask := func(now balance.Micros, key string, domain int) (Verdict, uint64) {
-		v, token, by := g.Ask(now, key, 1, domain, 3000*ms)
+	ask := func(now balance.Micros, key string, domain int) (Decision, uint64) {
+		v, token, by := g.BeginSend(now, key, 1, domain, 3000*ms)
 		if v == Allowed && by > now+3000*ms {
 			t.Fatalf("may be written until %d", by)
 		}
 		return v, token
 	}
-	want := func(what string, got, want Verdict) {
+	want := func(what string, got, want Decision) {
 		t.Helper()
 		if got != want {
 			t.Errorf("%s: %v, want %v", what, got, want)
@@ -84,17 +84,17 @@
 	v, first := ask(0, "a", 0)
 	want("the first", v, Allowed)
 	v, _ = ask(1000*ms, "a", 1)
-	want("in the other form", v, Elsewhere)
+	want("in the other form", v, OtherDomain)
 	v, second := ask(2000*ms, "a", 0)
 	want("a repeat within the window", v, Allowed)
 	v, _ = ask(3000*ms, "a", 0)
-	want("a repeat past it", v, Past)
-	g.Never(3000*ms, "a", 1, first)
+	want("a repeat past it", v, WindowOver)
+	g.CancelSend(3000*ms, "a", 1, first)
 	v, third := ask(3500*ms, "a", 0)
 	want("once the first has proved never to have run", v, Allowed)
-	g.Never(3600*ms, "a", 1, second)
-	g.Never(3600*ms, "a", 1, third)
-	g.Never(3600*ms, "a", 1, third)
+	g.CancelSend(3600*ms, "a", 1, second)
+	g.CancelSend(3600*ms, "a", 1, third)
+	g.CancelSend(3600*ms, "a", 1, third)
 	if g.Len() != 0 {
 		t.Errorf("%d keys held of which nothing may have run", g.Len())
 	}
@@ -103,11 +103,11 @@
 	v, _ = ask(4000*ms, "b", 1)
 	want("a second key", v, Allowed)
 	v, _ = ask(4000*ms, "c", 1)
-	want("a third key where two are the most", v, Crowded)
-	want("a query of it", g.Known(4000*ms, "c", 1), Crowded)
-	want("a late retry of a known one", g.Known(8000*ms, "a", 1), Past)
-	want("its other shard", g.Known(8000*ms, "a", 2), Crowded)
-	want("long after", g.Known(4000*ms+13_000*ms+2*guardTick, "a", 1), Allowed)
+	want("a third key where two are the most", v, TooManyKeys)
+	want("a query of it", g.CheckQuery(4000*ms, "c", 1), TooManyKeys)
+	want("a late retry of a known one", g.CheckQuery(8000*ms, "a", 1), WindowOver)
+	want("its other shard", g.CheckQuery(8000*ms, "a", 2), TooManyKeys)
+	want("long after", g.CheckQuery(4000*ms+13_000*ms+2*expiryTick, "a", 1), Allowed)
 	if g.Len() != 0 || g.wheel.Len() != 0 {
 		t.Errorf("%d keys and %d timers are left", g.Len(), g.wheel.Len())
 	}
@@ -115,7 +115,7 @@
 
 // Whatever is asked and taken back in whatever order: no key is ever sent to two domains, nor past the window
 // of the first send that may still have run, as counted by a record that forgets nothing.
-func TestGuardOverLongHistories(t *testing.T) {
+func TestGuardRandomHistories(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		window, remember := 300*ms, 2000*ms
@@ -131,12 +131,12 @@
 			key := fmt.Sprint("k", now/(4000*ms), "-", rng.IntN(12)) // each is asked for over four seconds at most
 			if sends := record[key]; len(sends) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(sends))
-				g.Never(now, key, 0, sends[i].token)
+				g.CancelSend(now, key, 0, sends[i].token)
 				record[key] = slices.Delete(sends, i, i+1)
 				continue
 			}
 			domain := rng.IntN(2)
-			v, token, by := g.Ask(now, key, 0, domain, window)
+			v, token, by := g.BeginSend(now, key, 0, domain, window)
 			sends := record[key]
 			if v == Allowed {
 				allowed++
@@ -147,7 +147,7 @@
 					t.Fatalf("seed %d: %s sent at %d to %d after %+v", seed, key, now, domain, sends)
 				}
 				record[key] = append(sends, send{now, domain, token})
-			} else if v != Crowded && len(sends) == 0 {
+			} else if v != TooManyKeys && len(sends) == 0 {
 				t.Fatalf("seed %d: %s turned away (%v) though nothing of it may have run", seed, key, v)
 			}
 		}
@@ -158,7 +158,7 @@
 }
 
 // Every status has an outcome and a reason; only the contract's own word makes one that never ran.
-func TestStatuses(t *testing.T) {
+func TestStatusResults(t *testing.T) {
 	for code := Code(0); code < 40; code++ {
 		for _, unseen := range []bool{false, true} {
 			r := Status(code, unseen)
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestValues(t *testing.T) {
+func TestAnswerValues(t *testing.T) {
 	for _, c := range []struct {
 		a    Answer
 		want string
@@ -212,11 +212,11 @@
 }
 
 // What an old terminal is told is always one of its words, and never a blank one.
-func TestWords(t *testing.T) {
-	for why := range reasons {
+func TestReplies(t *testing.T) {
+	for why := range numReasons {
 		for i := range 8 {
 			refused, overdue, taken := i&1 > 0, i&2 > 0, i&4 > 0
-			w := Failed(refused, overdue, taken, why)
+			w := FailureReply(refused, overdue, taken, why)
 			if w.Status == 200 || w.Text == "" || w.Refused != (w.Status == 503) {
 				t.Errorf("%v, %v: %+v", why, i, w)
 			}
@@ -228,8 +228,8 @@
 			t.Errorf("reason %d has no name", why)
 		}
 	}
-	for v := Past; v <= Crowded; v++ {
-		if w := Turn(v); w.Refused != (v == Crowded) || w.Status == 200 {
+	for v := WindowOver; v <= TooManyKeys; v++ {
+		if w := GuardReply(v); w.Refused != (v == TooManyKeys) || w.Status == 200 {
 			t.Errorf("%v: %+v", v, w)
 		}
 	}
@@ -237,7 +237,7 @@
 
 // Structures for expiry. The work is a guard's: a key is added, and mostly taken out again before it is due,
 // as its query was refused unseen; the rest expires.
-type expiry interface {
+type expiryQueue interface {
 	add(i int, due balance.Micros)
 	remove(i int)
 	advance(now balance.Micros) int
@@ -264,7 +264,7 @@
 func (x *mapExpiry) add(i int, due balance.Micros) { x.m[i] = due }
 func (x *mapExpiry) remove(i int)                  { delete(x.m, i) }
 func (x *mapExpiry) advance(now balance.Micros) (n int) {
-	if now-x.last < guardTick {
+	if now-x.last < expiryTick {
 		return 0
 	}
 	x.last = now
@@ -279,29 +279,32 @@
 
 type heapItem struct {
 	due balance.Micros
-	i   int
+	id  int
 }
 
 type heapExpiry struct {
-	h  []heapItem
-	at []int // place in the heap, or -1
+	h     []heapItem
+	index []int // place in the heap, or -1
 }
 
 func (x *heapExpiry) Len() int           { return len(x.h) }
 func (x *heapExpiry) Less(i, j int) bool { return x.h[i].due < x.h[j].due }
 func (x *heapExpiry) Swap(i, j int) {
 	x.h[i], x.h[j] = x.h[j], x.h[i]
-	x.at[x.h[i].i], x.at[x.h[j].i] = i, j
+	x.index[x.h[i].id], x.index[x.h[j].id] = i, j
+}
+func (x *heapExpiry) Push(v any) {
+	x.index[v.(heapItem).id] = len(x.h)
+	x.h = append(x.h, v.(heapItem))
 }
-func (x *heapExpiry) Push(v any) { x.at[v.(heapItem).i] = len(x.h); x.h = append(x.h, v.(heapItem)) }
 func (x *heapExpiry) Pop() any {
 	v := x.h[len(x.h)-1]
-	x.h, x.at[v.i] = x.h[:len(x.h)-1], -1
+	x.h, x.index[v.id] = x.h[:len(x.h)-1], -1
 	return v
 }
 func (x *heapExpiry) add(i int, due balance.Micros) { heap.Push(x, heapItem{due, i}) }
 func (x *heapExpiry) remove(i int) {
-	if at := x.at[i]; at >= 0 {
+	if at := x.index[i]; at >= 0 {
 		heap.Remove(x, at)
 	}
 }
@@ -319,14 +322,14 @@
 		for _, kind := range []string{"wheel", "heap", "map"} {
 			b.Run(fmt.Sprintf("%s/%d", kind, held), func(b *testing.B) {
 				n := 2 * held
-				var x expiry
+				var x expiryQueue
 				switch kind {
 				case "wheel":
-					x = &wheelExpiry{NewWheel[int](guardTick, 0), make([]Item[int], n)}
+					x = &wheelExpiry{NewWheel[int](expiryTick, 0), make([]Item[int], n)}
 				case "heap":
-					h := &heapExpiry{at: make([]int, n)}
-					for i := range h.at {
-						h.at[i] = -1
+					h := &heapExpiry{index: make([]int, n)}
+					for i := range h.index {
+						h.index[i] = -1
 					}
 					x = h
 				case "map":
--- a/internal/translate/wheel.go
+++ b/internal/translate/wheel.go
@@ -18,16 +18,16 @@
 	prev, next *Item[T]
 	level      int8
 	slot       uint8
-	in         bool
+	linked     bool
 }
 
 // Wheel holds items until they are due. It is not safe for concurrent use.
 type Wheel[T any] struct {
-	tick  balance.Micros
-	now   int64 // tick up to which all has expired
-	count int
-	lists [wheelLevels][wheelSlots]*Item[T]
-	full  [wheelLevels]uint64 // which slots hold something
+	tick     balance.Micros
+	now      int64 // tick up to which all has expired
+	count    int
+	slots    [wheelLevels][wheelSlots]*Item[T]
+	occupied [wheelLevels]uint64 // which slots hold something
 }
 
 // NewWheel returns a wheel that starts at a time. Items expire up to one tick late, never early.
@@ -43,20 +43,20 @@
 	w.Remove(it)
 	it.due = max((due+w.tick-1)/w.tick, w.now+1)
 	w.count++
-	w.place(it)
+	w.insert(it)
 }
 
 // Remove takes an item out, if it is in.
 func (w *Wheel[T]) Remove(it *Item[T]) {
-	if it.in {
+	if it.linked {
 		w.unlink(it)
 		w.count--
 	}
 }
 
-// place links an item where it belongs as of now: on the level whose slots are the finest that reach its
+// insert links an item where it belongs as of now: on the level whose slots are the finest that reach its
 // time.
-func (w *Wheel[T]) place(it *Item[T]) {
+func (w *Wheel[T]) insert(it *Item[T]) {
 	level, ahead := 0, it.due-w.now
 	for level < wheelLevels-1 && ahead >= 1<<(wheelBits*(level+1)) {
 		level++
@@ -66,28 +66,28 @@
 		at = most // beyond the reach: it is looked at again before its time, and placed anew
 	}
 	slot := uint8(at >> (wheelBits * level) & (wheelSlots - 1))
-	it.level, it.slot, it.in = int8(level), slot, true
-	it.prev, it.next = nil, w.lists[level][slot]
+	it.level, it.slot, it.linked = int8(level), slot, true
+	it.prev, it.next = nil, w.slots[level][slot]
 	if it.next != nil {
 		it.next.prev = it
 	}
-	w.lists[level][slot] = it
-	w.full[level] |= 1 << slot
+	w.slots[level][slot] = it
+	w.occupied[level] |= 1 << slot
 }
 
 func (w *Wheel[T]) unlink(it *Item[T]) {
 	if it.prev != nil {
 		it.prev.next = it.next
 	} else {
-		w.lists[it.level][it.slot] = it.next
+		w.slots[it.level][it.slot] = it.next
 		if it.next == nil {
-			w.full[it.level] &^= 1 << it.slot
+			w.occupied[it.level] &^= 1 << it.slot
 		}
 	}
 	if it.next != nil {
 		it.next.prev = it.prev
 	}
-	it.prev, it.next, it.in = nil, nil, false
+	it.prev, it.next, it.linked = nil, nil, false
 }
 
 // Advance moves to a time and hands over each item that is due. What it calls may add and remove items.
@@ -100,7 +100,7 @@
 		}
 		// Nothing is due before the next slot of the lowest level that holds something, or its end.
 		step := int64(1)
-		if w.full[0] == 0 {
+		if w.occupied[0] == 0 {
 			step = wheelSlots - w.now&(wheelSlots-1)
 		}
 		w.now += min(step, end-w.now)
@@ -108,7 +108,7 @@
 			w.cascade(level, uint8(w.now>>(wheelBits*level)&(wheelSlots-1)))
 		}
 		slot := uint8(w.now & (wheelSlots - 1))
-		for it := w.lists[0][slot]; it != nil; it = w.lists[0][slot] {
+		for it := w.slots[0][slot]; it != nil; it = w.slots[0][slot] {
 			w.unlink(it)
 			w.count--
 			expired(it)
@@ -118,13 +118,13 @@
 
 // cascade spreads a slot of a level over the finer ones.
 func (w *Wheel[T]) cascade(level int, slot uint8) {
-	it := w.lists[level][slot]
-	w.lists[level][slot] = nil
-	w.full[level] &^= 1 << slot
+	it := w.slots[level][slot]
+	w.slots[level][slot] = nil
+	w.occupied[level] &^= 1 << slot
 	for it != nil {
 		next := it.next
 		it.prev, it.next = nil, nil
-		w.place(it)
+		w.insert(it)
 		it = next
 	}
 }
