--- a/internal/translate/guard.go
+++ b/internal/translate/guard.go
@@ -1,31 +1,31 @@
 package translate
 
-// The guard of keys: what may have run is not sent again past its window, and not to servers that never heard
-// of it. Servers of one domain drop a repeat for as long as the window lasts, counted from the first send
-// that may have run; after that, and in another domain, a repeat would be executed. The guard outlives
-// queries: a client's own retry is a new query with the same key. It has no clock and no goroutine.
+// The idempotency guard keeps a keyed part from being executed twice. Servers of one domain drop repeats of a
+// key for the length of its window, counted from the first send that may have run. After the window, or in
+// another domain, a repeat would be executed again, so the guard rejects such sends. Its state outlives
+// queries, because a client's own retry is a new query with the same key. It has no clock and no goroutine.
 
 import (
 	"lapislever/balance"
 )
 
-// Decision is the guard's word on a send.
+// Decision tells whether a send is allowed and, if not, why.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
 	Allowed     Decision = iota
-	WindowOver           // the window is over, and an earlier send may have run
+	WindowOver           // an earlier send may have run, and the window has ended
 	OtherDomain          // an earlier send may have run in another domain
-	TooManyKeys          // no room for one more key: none is forgotten early
+	TooManyKeys          // the table of keys is full; keys are never evicted early
 )
 
-// String is what logs and counts call it.
-func (v Decision) String() string {
-	return [...]string{"allowed", "window over", "other domain", "too many keys"}[v]
+// String returns the decision's name in logs.
+func (d Decision) String() string {
+	return [...]string{"allowed", "window over", "other domain", "too many keys"}[d]
 }
 
-// expiryTick is how late an expired key may be forgotten.
+// expiryTick, in microseconds, bounds how late an expired key is removed.
 const expiryTick = 20_000
 
 type guardKey struct {
@@ -33,7 +33,7 @@
 	shard int
 }
 
-// guardSend is one send that may have run.
+// guardSend is a send that may have run.
 type guardSend struct {
 	token  uint64
 	at     balance.Micros
@@ -43,11 +43,11 @@
 type guardEntry struct {
 	guardKey
 	window balance.Micros
-	sends  []guardSend // in the order in which they were made
+	sends  []guardSend // oldest first
 	timer  Item[*guardEntry]
 }
 
-// Guard is the state of the guard. It is not safe for concurrent use.
+// Guard tracks which keyed parts may have run, where and when. It is not safe for concurrent use.
 type Guard struct {
 	retention balance.Micros
 	maxKeys   int
@@ -57,20 +57,20 @@
 	rejected  [TooManyKeys + 1]int64
 }
 
-// NewGuard returns a guard that starts now. A key is remembered for so long past its window, and there are no
-// more than most keys at a time.
-func NewGuard(now, remember balance.Micros, most int) *Guard {
-	return &Guard{retention: remember, maxKeys: most, entries: map[guardKey]*guardEntry{},
+// NewGuard returns an empty guard whose time starts at now. It keeps a key for retention beyond its window,
+// and at most maxKeys keys at a time.
+func NewGuard(now, retention balance.Micros, maxKeys int) *Guard {
+	return &Guard{retention: retention, maxKeys: maxKeys, entries: map[guardKey]*guardEntry{},
 		wheel: NewWheel[*guardEntry](expiryTick, now)}
 }
 
-// Len is how many keys are remembered.
+// Len returns the number of keys held; each shard of a key counts.
 func (g *Guard) Len() int { return len(g.entries) }
 
-// Rejected counts the verdicts of a kind.
-func (g *Guard) Rejected(v Decision) int64 { return g.rejected[v] }
+// Rejected returns the number of sends rejected with decision d.
+func (g *Guard) Rejected(d Decision) int64 { return g.rejected[d] }
 
-// check is the word on a send of a key's part to a domain; any domain will do where it is below 0.
+// check decides on a further send of e's part to domain. A negative domain skips the domain check.
 func (g *Guard) check(now balance.Micros, e *guardEntry, domain int) Decision {
 	switch first := e.sends[0]; {
 	case now >= first.at+e.window:
@@ -81,7 +81,8 @@
 	return Allowed
 }
 
-// CheckQuery is the word on a query before any of it is sent: whether a part of it could still be sent at all.
+// CheckQuery decides, before any part of a query is sent, whether its part for shard could be sent to any
+// domain at all.
 func (g *Guard) CheckQuery(now balance.Micros, key string, shard int) Decision {
 	g.expire(now)
 	if e := g.entries[guardKey{key, shard}]; e != nil {
@@ -93,22 +94,22 @@
 	return Allowed
 }
 
-// BeginSend is called before each send. Where the verdict is Allowed the send counts as one that may run, until
-// Never takes its token back; its last byte must be written before by.
-func (g *Guard) BeginSend(now balance.Micros, key string, shard, domain int, window balance.Micros) (v Decision,
-	token uint64, by balance.Micros) {
+// BeginSend must be called before each send. If the decision is Allowed, the send counts as one that may have
+// run until CancelSend is called with its token, and its last byte must be written before writeBy.
+func (g *Guard) BeginSend(now balance.Micros, key string, shard, domain int, window balance.Micros) (
+	d Decision, token uint64, writeBy balance.Micros) {
 	g.expire(now)
 	k := guardKey{key, shard}
 	e := g.entries[k]
 	switch {
 	case e != nil:
-		v = g.check(now, e, domain)
+		d = g.check(now, e, domain)
 	case len(g.entries) >= g.maxKeys:
-		v = TooManyKeys
+		d = TooManyKeys
 	}
-	if v != Allowed {
-		g.rejected[v]++
-		return v, 0, 0
+	if d != Allowed {
+		g.rejected[d]++
+		return d, 0, 0
 	}
 	if e == nil {
 		e = &guardEntry{guardKey: k, window: window}
@@ -121,7 +122,7 @@
 	return Allowed, g.lastToken, e.sends[0].at + e.window
 }
 
-// CancelSend tells that a send has proved not to have run.
+// CancelSend removes a send that is known not to have run. Once none is left, the key is free again.
 func (g *Guard) CancelSend(now balance.Micros, key string, shard int, token uint64) {
 	g.expire(now)
 	e := g.entries[guardKey{key, shard}]
@@ -143,6 +144,7 @@
 	}
 }
 
+// schedule sets the entry's expiry: retention after the window of its latest send.
 func (g *Guard) schedule(e *guardEntry) {
 	g.wheel.Add(&e.timer, e.sends[len(e.sends)-1].at+e.window+g.retention)
 }
--- a/internal/translate/table.go
+++ b/internal/translate/table.go
@@ -1,9 +1,9 @@
-// Package translate decides what the old form and the new one mean to each other: which outcome a status of
-// gRPC is to the decision module, which value the old form can carry, what an old terminal is told, and
-// whether a keyed part may be sent once more. It does no input or output, reads no clock and knows no
-// connection; what has no equivalent gets a definite word and a reason, never a blank answer.
+// Package translate maps between the old and the new form of nodes: which outcome a gRPC status is to the
+// decision module, which values the old form can represent, which reply an old-form client gets, and
+// whether a keyed part may be sent again. It does no I/O, reads no clock and knows no connection. An answer
+// without an equivalent in the old form becomes an explicit failure with a reason, never an empty answer.
 //
-// This file holds the tables.
+// This file holds the mapping tables.
 package translate
 
 import (
@@ -14,10 +14,10 @@
 	"lapislever/balance"
 )
 
-// Code is a status of gRPC.
+// Code is a gRPC status code.
 type Code uint32
 
-// The statuses of gRPC.
+// The gRPC status codes.
 const (
 	OK Code = iota
 	Cancelled
@@ -38,56 +38,57 @@
 	Unauthenticated
 )
 
-// Reason tells why an attempt brought nothing that the old form can carry.
+// Reason tells why an attempt produced no value that the old form can represent.
 type Reason uint8
 
-// The reasons. Those from BadStatus on have no equivalent in the old form: another try would meet the same.
+// The reasons. Those from UnknownStatus to NeverPossible have no equivalent in the old form, and a retry
+// would meet the same.
 const (
 	None             Reason = iota
-	Turned                  // the server turned the call away unseen
+	Turned                  // the server rejected the call without processing it
 	Late                    // the server's own deadline passed
-	Broken                  // the server says that it cannot be reached, or gave up in the middle
+	Broken                  // the server reported itself unavailable or aborted the call midway
 	Failing                 // the server failed
-	BadStatus               // a status that gRPC does not know, or none
-	BadReply                // no gRPC at all, or a message that cannot be read
-	BadValue                // a value of a kind that the old form has not
-	BadText                 // text that is not UTF-8
-	BadShard                // the answer to another part
-	TooLarge                // a value larger than an answer may be
-	Compressed              // a message in a coding that was not asked for
-	Denied                  // the server does not take calls from here
-	Repeated                // the server has had the key before, and keeps its answer to itself
-	Unsuited                // the server says that the request can never succeed
-	GuardWindowOver         // not sent: the key's window is over
+	BadStatus               // the status is missing or no gRPC status
+	BadReply                // the reply is not gRPC, or its message cannot be decoded
+	BadValue                // the old form has no such kind of value
+	BadText                 // the text is not UTF-8
+	BadShard                // the answer belongs to another part
+	TooLarge                // the value exceeds the size limit
+	Compressed              // the message is compressed, which was not requested
+	Denied                  // the server does not authorize calls from this coordinator
+	Repeated                // the server has seen the key before and does not return the answer again
+	Unsuited                // the server reported that the request cannot succeed
+	GuardWindowOver         // not sent: the key's window has ended
 	GuardOtherForm          // not sent: the key may have run in the other form
-	GuardTooManyKeys        // not sent: too many keys
+	GuardTooManyKeys        // not sent: the guard's table of keys is full
 	numReasons
 )
 
-var reasonNames = [numReasons]string{"", "turned_away", "deadline", "unavailable", "failing", "unknown_status",
-	"unreadable_reply", "value_kind", "text_not_utf8", "wrong_shard", "too_large", "compressed", "denied",
-	"repeat_dropped", "never_possible", "window_over", "other_form", "too_many_keys"}
+var reasonNames = [numReasons]string{"", "turned_away", "deadline", "unavailable", "failing",
+	"unknown_status", "unreadable_reply", "value_kind", "text_not_utf8", "wrong_shard", "too_large", "compressed",
+	"denied", "repeat_dropped", "never_possible", "window_over", "other_form", "too_many_keys"}
 
-// String is the reason's name in logs, figures and answers.
+// String returns the reason's name in logs, counters and replies.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Untranslatable tells that the old form has no equivalent, and that asking again would bring the same.
+// Untranslatable reports whether the old form has no equivalent and a retry would meet the same.
 func (r Reason) Untranslatable() bool { return r >= BadStatus && r <= Unsuited }
 
-// Tally counts attempts by reason. It is safe for concurrent use.
+// FailureCounts counts attempts by reason. It is safe for concurrent use.
 type Tally struct{ counts [numReasons]atomic.Int64 }
 
-// Add counts one.
+// Add counts one attempt; None is not counted.
 func (t *Tally) Add(r Reason) {
 	if r != None {
 		t.counts[r].Add(1)
 	}
 }
 
-// Count is how many there were of a reason.
+// Count returns the number of attempts with reason r.
 func (t *Tally) Count(r Reason) int64 { return t.counts[r].Load() }
 
-// NonZero are the counts that are not 0, by name.
+// NonZero returns the counts above 0 by the reason's name.
 func (t *Tally) NonZero() map[string]int64 {
 	out := map[string]int64{}
 	for r := None + 1; r < numReasons; r++ {
@@ -98,13 +99,13 @@
 	return out
 }
 
-// Result is what an attempt's end means to the module, and why.
+// Result is an attempt's outcome for the module, and the reason if it failed.
 type Result struct {
 	Outcome balance.Outcome
 	Reason  Reason
 }
 
-// statusResults is what each status means where the call may have run.
+// statusResults maps each status of a call that may have run.
 var statusResults = [...]Result{
 	OK:                 {balance.OK, None},
 	Cancelled:          {balance.Reset, Broken},
@@ -125,9 +126,9 @@
 	Unauthenticated:    {balance.Error, Denied},
 }
 
-// Status is what a status means. unseen is the service's own word that the call was turned away before it was
-// looked at; it counts with the two statuses that the contract joins it to, and nothing else proves that a
-// call which was written whole has not run.
+// FromStatus maps a gRPC status. unseen means that the service stated to have rejected the call before
+// looking at it. The service's contract defines this only for ResourceExhausted and Unavailable; nothing
+// else proves that a call that was written completely has not run.
 func Status(code Code, unseen bool) Result {
 	if int(code) >= len(statusResults) {
 		return Result{balance.Error, BadStatus}
@@ -138,14 +139,14 @@
 	return statusResults[code]
 }
 
-// ParseStatus reads a grpc-status. What is no number of a known status is none.
+// ParseStatus parses a grpc-status value. It returns false unless that is the number of a known status.
 func ParseStatus(text string) (Code, bool) {
 	n, err := strconv.ParseUint(text, 10, 32)
 	return Code(n), err == nil && n < uint64(len(statusResults))
 }
 
-// HTTP is what a reply without a status of gRPC means, by its HTTP status: something between us and the
-// server has answered, and it cannot be told whether the server has.
+// FromHTTP maps the HTTP status of a reply without a gRPC status. Such a reply comes from an intermediary,
+// and whether the server processed the call is unknown.
 func HTTP(status int) Result {
 	switch status {
 	case 401, 403:
@@ -158,10 +159,10 @@
 	return Result{balance.Error, BadReply}
 }
 
-// Kind is the kind of a value.
+// Kind is the type of an answer's value.
 type Kind uint8
 
-// The kinds of values of the new form.
+// The value kinds of the new form.
 const (
 	NoValue Kind = iota
 	Text
@@ -170,26 +171,26 @@
 	Raw
 )
 
-// Answer is an answer of the new form.
+// Answer is a decoded answer of the new form.
 type Answer struct {
 	Shard   uint32
 	Kind    Kind
 	Text    []byte
 	Whole   int64
-	Rate    float64 // requests a second, as the server reports
-	Waiting uint32
-	Loaded  bool // it has a report
+	Rate    float64 // load report: requests per second
+	Waiting uint32  // load report: requests waiting
+	Loaded  bool    // a load report is present
 }
 
-// Value is the old form's value of an answer for a shard, of at most most bytes.
-func (a *Answer) Value(shard, most int) ([]byte, Reason) {
+// Value converts the answer for shard to a value of the old form, of at most maxSize bytes.
+func (a *Answer) Value(shard, maxSize int) ([]byte, Reason) {
 	if int64(a.Shard) != int64(shard) {
 		return nil, BadShard
 	}
 	switch a.Kind {
 	case Text:
 		switch {
-		case len(a.Text) > most:
+		case len(a.Text) > maxSize:
 			return nil, TooLarge
 		case !utf8.Valid(a.Text):
 			return nil, BadText
@@ -201,19 +202,20 @@
 	return nil, BadValue
 }
 
-// Reply is what an old terminal is told.
+// Reply is a failure reply to an old-form client.
 type Reply struct {
 	Status  int
 	Text    string
-	Refused bool // trying again is harmless
+	Refused bool // the client may safely retry
 	Close   bool
 }
 
-// FailureReply is the word on a query that was not served. refused is the module's decision, overdue and taken are
-// the core's, why is what its last attempt that brought nothing met.
+// FailureReply returns the reply to a query that was not served. refused is the module's decision; overdue
+// and taken (its id belongs to another query in flight) are the core's; why is the reason of the last
+// failed attempt.
 func FailureReply(refused, overdue, taken bool, why Reason) Reply {
 	switch {
-	case why.Untranslatable(): // also where it was refused: the same would come again
+	case why.Untranslatable(): // even if refused, as a retry would meet the same
 		return Reply{Status: 502, Text: "failed: " + why.String()}
 	case refused:
 		return Reply{Status: 503, Text: "refused for now", Refused: true}
@@ -227,15 +229,15 @@
 	return Reply{Status: 502, Text: "failed"}
 }
 
-// GuardReply is the word on a query that the guard turns away before it is taken.
-func GuardReply(v Decision) Reply {
-	if v == TooManyKeys {
+// GuardReply returns the reply to a query that the guard rejected before it was accepted.
+func GuardReply(d Decision) Reply {
+	if d == TooManyKeys {
 		return Reply{Status: 503, Text: "refused for now", Refused: true}
 	}
 	return Reply{Status: 409, Text: "failed: " + GuardWindowOver.String()}
 }
 
-// Reason is the reason that a verdict counts as.
-func (v Decision) Reason() Reason {
-	return [...]Reason{None, GuardWindowOver, GuardOtherForm, GuardTooManyKeys}[v]
+// Reason returns the reason that the decision is counted under.
+func (d Decision) Reason() Reason {
+	return [...]Reason{None, GuardWindowOver, GuardOtherForm, GuardTooManyKeys}[d]
 }
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -13,7 +13,7 @@
 
 const ms = balance.Micros(1000)
 
-// The wheel against a sorted list, over times on every level and gaps of any length.
+// Compares the wheel with a reference map, with due times on every level and time steps of any length.
 func TestWheelMatchesReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -29,7 +29,7 @@
 				due[step] = at
 				w.Add(items[step], at)
 			case 3:
-				for id := range items { // any
+				for id := range items { // any one item
 					w.Remove(items[id])
 					w.Remove(items[id])
 					delete(items, id)
@@ -54,7 +54,7 @@
 				})
 				for id, at := range due {
 					if at <= now-10*ms-1 {
-						t.Fatalf("seed %d: item %d is due at %d, and still held at %d", seed, id, at, now)
+						t.Fatalf("seed %d: item %d, due at %d, is still held at %d", seed, id, at, now)
 					}
 				}
 			}
@@ -65,15 +65,15 @@
 	}
 }
 
-// What the guard says, move by move.
+// Walks through the guard's decisions step by step.
 func TestGuardDecisions(t *testing.T) {
 	g := NewGuard(0, 10_000*ms, 2)
 	ask := func(now balance.Micros, key string, domain int) (Decision, uint64) {
-		v, token, by := g.BeginSend(now, key, 1, domain, 3000*ms)
-		if v == Allowed && by > now+3000*ms {
-			t.Fatalf("may be written until %d", by)
+		d, token, by := g.BeginSend(now, key, 1, domain, 3000*ms)
+		if d == Allowed && by > now+3000*ms {
+			t.Fatalf("may be written until %d, after the end of the window", by)
 		}
-		return v, token
+		return d, token
 	}
 	want := func(what string, got, want Decision) {
 		t.Helper()
@@ -81,45 +81,45 @@
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	v, first := ask(0, "a", 0)
-	want("the first", v, Allowed)
-	v, _ = ask(1000*ms, "a", 1)
-	want("in the other form", v, OtherDomain)
-	v, second := ask(2000*ms, "a", 0)
-	want("a repeat within the window", v, Allowed)
-	v, _ = ask(3000*ms, "a", 0)
-	want("a repeat past it", v, WindowOver)
+	d, first := ask(0, "a", 0)
+	want("first send", d, Allowed)
+	d, _ = ask(1000*ms, "a", 1)
+	want("send to the other domain", d, OtherDomain)
+	d, second := ask(2000*ms, "a", 0)
+	want("repeat within the window", d, Allowed)
+	d, _ = ask(3000*ms, "a", 0)
+	want("repeat after the window", d, WindowOver)
 	g.CancelSend(3000*ms, "a", 1, first)
-	v, third := ask(3500*ms, "a", 0)
-	want("once the first has proved never to have run", v, Allowed)
+	d, third := ask(3500*ms, "a", 0)
+	want("repeat after the first send proved not to have run", d, Allowed)
 	g.CancelSend(3600*ms, "a", 1, second)
 	g.CancelSend(3600*ms, "a", 1, third)
 	g.CancelSend(3600*ms, "a", 1, third)
 	if g.Len() != 0 {
-		t.Errorf("%d keys held of which nothing may have run", g.Len())
+		t.Errorf("%d keys held although no send may have run", g.Len())
 	}
-	v, _ = ask(4000*ms, "a", 1)
-	want("elsewhere, as nothing has run", v, Allowed)
-	v, _ = ask(4000*ms, "b", 1)
-	want("a second key", v, Allowed)
-	v, _ = ask(4000*ms, "c", 1)
-	want("a third key where two are the most", v, TooManyKeys)
-	want("a query of it", g.CheckQuery(4000*ms, "c", 1), TooManyKeys)
-	want("a late retry of a known one", g.CheckQuery(8000*ms, "a", 1), WindowOver)
-	want("its other shard", g.CheckQuery(8000*ms, "a", 2), TooManyKeys)
-	want("long after", g.CheckQuery(4000*ms+13_000*ms+2*expiryTick, "a", 1), Allowed)
+	d, _ = ask(4000*ms, "a", 1)
+	want("other domain after all sends proved not to have run", d, Allowed)
+	d, _ = ask(4000*ms, "b", 1)
+	want("second key", d, Allowed)
+	d, _ = ask(4000*ms, "c", 1)
+	want("third key with a limit of two", d, TooManyKeys)
+	want("query with the third key", g.CheckQuery(4000*ms, "c", 1), TooManyKeys)
+	want("late retry of a held key", g.CheckQuery(8000*ms, "a", 1), WindowOver)
+	want("other shard of a held key", g.CheckQuery(8000*ms, "a", 2), TooManyKeys)
+	want("query after the key expired", g.CheckQuery(4000*ms+13_000*ms+2*expiryTick, "a", 1), Allowed)
 	if g.Len() != 0 || g.wheel.Len() != 0 {
 		t.Errorf("%d keys and %d timers are left", g.Len(), g.wheel.Len())
 	}
 }
 
-// Whatever is asked and taken back in whatever order: no key is ever sent to two domains, nor past the window
-// of the first send that may still have run, as counted by a record that forgets nothing.
+// Begins and cancels sends in random order: no key may be sent to two domains, or after the window of the
+// first send that may still have run. A record that keeps every send is the reference.
 func TestGuardRandomHistories(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		window, remember := 300*ms, 2000*ms
-		g := NewGuard(0, remember, 40)
+		window, retention := 300*ms, 2000*ms
+		g := NewGuard(0, retention, 40)
 		type send struct {
 			at     balance.Micros
 			domain int
@@ -128,7 +128,7 @@
 		record := map[string][]send{}
 		allowed := 0
 		for now := balance.Micros(0); now < 60_000*ms; now += rng.Int64N(20 * ms) {
-			key := fmt.Sprint("k", now/(4000*ms), "-", rng.IntN(12)) // each is asked for over four seconds at most
+			key := fmt.Sprint("k", now/(4000*ms), "-", rng.IntN(12)) // each key is used within four seconds
 			if sends := record[key]; len(sends) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(sends))
 				g.CancelSend(now, key, 0, sends[i].token)
@@ -136,19 +136,19 @@
 				continue
 			}
 			domain := rng.IntN(2)
-			v, token, by := g.BeginSend(now, key, 0, domain, window)
+			d, token, by := g.BeginSend(now, key, 0, domain, window)
 			sends := record[key]
-			if v == Allowed {
+			if d == Allowed {
 				allowed++
-				if n := len(sends); n > 0 && now >= sends[n-1].at+window+remember {
-					sends = nil // long enough ago to be forgotten
+				if n := len(sends); n > 0 && now >= sends[n-1].at+window+retention {
+					sends = nil // the guard has expired the key
 				}
 				if len(sends) > 0 && (now >= sends[0].at+window || domain != sends[0].domain || by > sends[0].at+window) {
 					t.Fatalf("seed %d: %s sent at %d to %d after %+v", seed, key, now, domain, sends)
 				}
 				record[key] = append(sends, send{now, domain, token})
-			} else if v != TooManyKeys && len(sends) == 0 {
-				t.Fatalf("seed %d: %s turned away (%v) though nothing of it may have run", seed, key, v)
+			} else if d != TooManyKeys && len(sends) == 0 {
+				t.Fatalf("seed %d: %s rejected (%v) although no send of it may have run", seed, key, d)
 			}
 		}
 		if allowed < 100 {
@@ -157,7 +157,8 @@
 	}
 }
 
-// Every status has an outcome and a reason; only the contract's own word makes one that never ran.
+// Every status has an outcome and a reason. Only the service's own statement makes an outcome that proves the
+// call not to have run.
 func TestStatusResults(t *testing.T) {
 	for code := Code(0); code < 40; code++ {
 		for _, unseen := range []bool{false, true} {
@@ -183,7 +184,7 @@
 	}
 	for status := 100; status < 600; status++ {
 		if r := HTTP(status); r.Outcome == balance.OK || r.Outcome == balance.Busy || r.Reason == None {
-			t.Errorf("HTTP %d without a status of gRPC: %v", status, r)
+			t.Errorf("HTTP %d without a gRPC status: %v", status, r)
 		}
 	}
 }
@@ -211,7 +212,7 @@
 	}
 }
 
-// What an old terminal is told is always one of its words, and never a blank one.
+// Every reply has an error status and a text, and invites a retry only if the query was refused.
 func TestReplies(t *testing.T) {
 	for why := range numReasons {
 		for i := range 8 {
@@ -221,7 +222,7 @@
 				t.Errorf("%v, %v: %+v", why, i, w)
 			}
 			if w.Refused && (!refused || why.Untranslatable()) {
-				t.Errorf("%v, %v: told to come again: %+v", why, i, w)
+				t.Errorf("%v, %v: invited to retry: %+v", why, i, w)
 			}
 		}
 		if why > None && why.String() == "" {
@@ -235,8 +236,8 @@
 	}
 }
 
-// Structures for expiry. The work is a guard's: a key is added, and mostly taken out again before it is due,
-// as its query was refused unseen; the rest expires.
+// Data structures for expiry, compared under the guard's load: most keys are removed before they are due,
+// because their query was rejected without being processed; the others expire.
 type expiryQueue interface {
 	add(i int, due balance.Micros)
 	remove(i int)
@@ -255,7 +256,7 @@
 	return n
 }
 
-// mapExpiry sweeps all it holds, once a tick.
+// mapExpiry scans all items once per tick.
 type mapExpiry struct {
 	m    map[int]balance.Micros
 	last balance.Micros
@@ -284,7 +285,7 @@
 
 type heapExpiry struct {
 	h     []heapItem
-	index []int // place in the heap, or -1
+	index []int // position in the heap, or -1
 }
 
 func (x *heapExpiry) Len() int           { return len(x.h) }
@@ -316,7 +317,7 @@
 	return n
 }
 
-// BenchmarkExpiry is one key's life among so many that are held.
+// BenchmarkExpiry measures adding a key and removing or expiring one, by the number of keys held.
 func BenchmarkExpiry(b *testing.B) {
 	for _, held := range []int{1_000, 100_000} {
 		for _, kind := range []string{"wheel", "heap", "map"} {
@@ -339,7 +340,7 @@
 				step := life / balance.Micros(held)
 				rng := rand.New(rand.NewPCG(1, 1))
 				now := balance.Micros(0)
-				turn := func(i int) {
+				addAndRemove := func(i int) {
 					now += step
 					x.advance(now)
 					x.add(i%n, now+life+rng.Int64N(1000*ms))
@@ -348,12 +349,12 @@
 					}
 				}
 				for i := range n {
-					turn(i)
+					addAndRemove(i)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					turn(i)
+					addAndRemove(i)
 				}
 			})
 		}
--- a/internal/translate/wheel.go
+++ b/internal/translate/wheel.go
@@ -1,20 +1,20 @@
 package translate
 
-// A hierarchical timing wheel: what is due at a time is put in, taken out again or expires, each at a cost
-// that does not grow with how much it holds. It reads no clock: time is passed in and only moves forward.
+// A hierarchical timing wheel: adding, removing and expiring an item take constant time, however many items
+// it holds. It reads no clock: the caller passes the time in, which only moves forward.
 
 import "lapislever/balance"
 
 const (
 	wheelBits   = 6
 	wheelSlots  = 1 << wheelBits
-	wheelLevels = 5 // with a tick of 10 ms they reach 124 days
+	wheelLevels = 5 // with a 10 ms tick they span 124 days
 )
 
-// Item is a place in a wheel. The zero Item is in none.
+// Item is a timer with a value. The zero Item is in no wheel.
 type Item[T any] struct {
 	Value      T
-	due        int64 // tick
+	due        int64 // in ticks
 	prev, next *Item[T]
 	level      int8
 	slot       uint8
@@ -24,21 +24,21 @@
 // Wheel holds items until they are due. It is not safe for concurrent use.
 type Wheel[T any] struct {
 	tick     balance.Micros
-	now      int64 // tick up to which all has expired
+	now      int64 // current tick; all items due by then have expired
 	count    int
 	slots    [wheelLevels][wheelSlots]*Item[T]
-	occupied [wheelLevels]uint64 // which slots hold something
+	occupied [wheelLevels]uint64 // bitmap of the non-empty slots
 }
 
-// NewWheel returns a wheel that starts at a time. Items expire up to one tick late, never early.
+// NewWheel returns an empty wheel whose time starts at now. Items expire up to one tick late, never early.
 func NewWheel[T any](tick, now balance.Micros) *Wheel[T] {
 	return &Wheel[T]{tick: tick, now: now / tick}
 }
 
-// Len is how many items are held.
+// Len returns the number of items held.
 func (w *Wheel[T]) Len() int { return w.count }
 
-// Add puts an item in, or moves it if it is in already.
+// Add schedules an item, or reschedules it if it is in the wheel already.
 func (w *Wheel[T]) Add(it *Item[T], due balance.Micros) {
 	w.Remove(it)
 	it.due = max((due+w.tick-1)/w.tick, w.now+1)
@@ -46,7 +46,7 @@
 	w.insert(it)
 }
 
-// Remove takes an item out, if it is in.
+// Remove removes an item, if it is in the wheel.
 func (w *Wheel[T]) Remove(it *Item[T]) {
 	if it.linked {
 		w.unlink(it)
@@ -54,16 +54,15 @@
 	}
 }
 
-// insert links an item where it belongs as of now: on the level whose slots are the finest that reach its
-// time.
+// insert links an item into the finest level whose range, counted from now, includes the item's due time.
 func (w *Wheel[T]) insert(it *Item[T]) {
 	level, ahead := 0, it.due-w.now
 	for level < wheelLevels-1 && ahead >= 1<<(wheelBits*(level+1)) {
 		level++
 	}
 	at := it.due
-	if most := w.now + 1<<(wheelBits*wheelLevels) - 1; at > most {
-		at = most // beyond the reach: it is looked at again before its time, and placed anew
+	if last := w.now + 1<<(wheelBits*wheelLevels) - 1; at > last {
+		at = last // beyond the wheel's range: a cascade inserts it again before it is due
 	}
 	slot := uint8(at >> (wheelBits * level) & (wheelSlots - 1))
 	it.level, it.slot, it.linked = int8(level), slot, true
@@ -90,7 +89,8 @@
 	it.prev, it.next, it.linked = nil, nil, false
 }
 
-// Advance moves to a time and hands over each item that is due. What it calls may add and remove items.
+// Advance moves the time to now, removes each item that is due and calls expired with it. The callback may
+// add and remove items.
 func (w *Wheel[T]) Advance(now balance.Micros, expired func(*Item[T])) {
 	end := now / w.tick
 	for w.now < end {
@@ -98,7 +98,7 @@
 			w.now = end
 			return
 		}
-		// Nothing is due before the next slot of the lowest level that holds something, or its end.
+		// While the finest level is empty, skip to its end: nothing is due before the next cascade.
 		step := int64(1)
 		if w.occupied[0] == 0 {
 			step = wheelSlots - w.now&(wheelSlots-1)
@@ -116,7 +116,7 @@
 	}
 }
 
-// cascade spreads a slot of a level over the finer ones.
+// cascade moves the items of a slot to the finer levels.
 func (w *Wheel[T]) cascade(level int, slot uint8) {
 	it := w.slots[level][slot]
 	w.slots[level][slot] = nil
