--- a/internal/translate/table.go
+++ b/internal/translate/table.go
@@ -66,8 +66,8 @@
 )
 
 var reasonNames = [numReasons]string{"", "turned_away", "deadline", "unavailable", "failing",
-	"unknown_status", "unreadable_reply", "value_kind", "text_not_utf8", "wrong_shard", "too_large", "compressed",
-	"denied", "repeat_dropped", "never_possible", "window_over", "other_form", "too_many_keys"}
+	"unknown_status", "unreadable_reply", "value_kind", "text_not_utf8", "wrong_shard", "too_large",
+	"compressed", "denied", "repeat_dropped", "never_possible", "window_over", "other_form", "too_many_keys"}
 
 // String returns the reason's name in logs, counters and replies.
 func (r Reason) String() string { return reasonNames[r] }
@@ -211,20 +211,20 @@
 }
 
 // FailureReply returns the reply to a query that was not served. refused is the module's decision; overdue
-// and taken (its id belongs to another query in flight) are the core's; why is the reason of the last
+// and taken (its id belongs to another query in flight) are the core's; reason is the reason of the last
 // failed attempt.
-func FailureReply(refused, overdue, taken bool, why Reason) Reply {
+func FailureReply(refused, overdue, taken bool, reason Reason) Reply {
 	switch {
-	case why.Untranslatable(): // even if refused, as a retry would meet the same
-		return Reply{Status: 502, Text: "failed: " + why.String()}
+	case reason.Untranslatable(): // even if refused, as a retry would meet the same
+		return Reply{Status: 502, Text: "failed: " + reason.String()}
 	case refused:
 		return Reply{Status: 503, Text: "refused for now", Refused: true}
 	case taken:
 		return Reply{Status: 409, Text: "failed: a request of this id is open", Close: true}
 	case overdue:
 		return Reply{Status: 504, Text: "failed"}
-	case why == GuardWindowOver || why == GuardOtherForm:
-		return Reply{Status: 409, Text: "failed: " + why.String()}
+	case reason == GuardWindowOver || reason == GuardOtherForm:
+		return Reply{Status: 409, Text: "failed: " + reason.String()}
 	}
 	return Reply{Status: 502, Text: "failed"}
 }
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -191,9 +191,9 @@
 
 func TestAnswerValues(t *testing.T) {
 	for _, c := range []struct {
-		a    Answer
-		want string
-		why  Reason
+		a      Answer
+		want   string
+		reason Reason
 	}{
 		{Answer{Shard: 3, Kind: Text, Text: []byte("5be2")}, "5be2", None},
 		{Answer{Shard: 3, Kind: Text}, "", None},
@@ -205,33 +205,33 @@
 		{Answer{Shard: 3, Kind: Text, Text: []byte{0xff}}, "", BadText},
 		{Answer{Shard: 3, Kind: Text, Text: []byte(strings.Repeat("x", 101))}, "", TooLarge},
 	} {
-		got, why := c.a.Value(3, 100)
-		if string(got) != c.want || why != c.why {
-			t.Errorf("%+v: %q, %v", c.a, got, why)
+		got, reason := c.a.Value(3, 100)
+		if string(got) != c.want || reason != c.reason {
+			t.Errorf("%+v: %q, %v", c.a, got, reason)
 		}
 	}
 }
 
 // Every reply has an error status and a text, and invites a retry only if the query was refused.
 func TestReplies(t *testing.T) {
-	for why := range numReasons {
+	for reason := range numReasons {
 		for i := range 8 {
 			refused, overdue, taken := i&1 > 0, i&2 > 0, i&4 > 0
-			w := FailureReply(refused, overdue, taken, why)
-			if w.Status == 200 || w.Text == "" || w.Refused != (w.Status == 503) {
-				t.Errorf("%v, %v: %+v", why, i, w)
+			reply := FailureReply(refused, overdue, taken, reason)
+			if reply.Status == 200 || reply.Text == "" || reply.Refused != (reply.Status == 503) {
+				t.Errorf("%v, %v: %+v", reason, i, reply)
 			}
-			if w.Refused && (!refused || why.Untranslatable()) {
-				t.Errorf("%v, %v: invited to retry: %+v", why, i, w)
+			if reply.Refused && (!refused || reason.Untranslatable()) {
+				t.Errorf("%v, %v: invited to retry: %+v", reason, i, reply)
 			}
 		}
-		if why > None && why.String() == "" {
-			t.Errorf("reason %d has no name", why)
+		if reason > None && reason.String() == "" {
+			t.Errorf("reason %d has no name", reason)
 		}
 	}
-	for v := WindowOver; v <= TooManyKeys; v++ {
-		if w := GuardReply(v); w.Refused != (v == TooManyKeys) || w.Status == 200 {
-			t.Errorf("%v: %+v", v, w)
+	for d := WindowOver; d <= TooManyKeys; d++ {
+		if reply := GuardReply(d); reply.Refused != (d == TooManyKeys) || reply.Status == 200 {
+			t.Errorf("%v: %+v", d, reply)
 		}
 	}
 }
