--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// validForward is a good request's payload.
+// validForward returns the payload of a valid request.
 func validForward() []byte {
 	return standin.AJPForward(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
 		"secret", "s3cret", "query_string", "a=b", "JK_LB_ACTIVATION", "ACT")
@@ -47,34 +47,34 @@
 	stored := append(standin.AJPForward(0xff, "/x", nil), 0)
 	stored = append(stored[:len(stored)-2], 13, 0, 5, 'P', 'A', 'T', 'C', 'H', 0, 0xff)
 	if f, err := ParseForward(stored); err != nil || f.Method != "PATCH" {
-		t.Errorf("a stored method: %+v, %v", f, err)
+		t.Errorf("stored method: %+v, %v", f, err)
 	}
 	good := validForward()
-	for cut := range good { // whatever is lacking is seen
+	for cut := range good { // each truncation is detected
 		if _, err := ParseForward(good[:cut]); !errors.Is(err, ErrPacket) {
-			t.Errorf("cut after %d bytes: %v", cut, err)
+			t.Errorf("truncated after %d bytes: %v", cut, err)
 		}
 	}
 	for name, edit := range map[string]func([]byte) []byte{
-		"more behind":      func(b []byte) []byte { return append(b, 0) },
-		"another type":     func(b []byte) []byte { b[0] = 3; return b },
-		"no method":        func(b []byte) []byte { b[1] = 0; return b },
-		"method 28":        func(b []byte) []byte { b[1] = 28; return b },
-		"method not there": func(b []byte) []byte { b[1] = 0xff; return b },
-		"string too long":  func(b []byte) []byte { b[2] = 0x7f; return b },
-		"header code": func(b []byte) []byte {
+		"trailing byte":         func(b []byte) []byte { return append(b, 0) },
+		"wrong type":            func(b []byte) []byte { b[0] = 3; return b },
+		"no method":             func(b []byte) []byte { b[1] = 0; return b },
+		"method 28":             func(b []byte) []byte { b[1] = 28; return b },
+		"stored method missing": func(b []byte) []byte { b[1] = 0xff; return b },
+		"string too long":       func(b []byte) []byte { b[2] = 0x7f; return b },
+		"unknown header code": func(b []byte) []byte {
 			i := bytes.Index(b, []byte{0xa0,
 				0x08})
 			b[i+1] = 0x0f
 			return b
 		},
-		"header null": func(b []byte) []byte {
+		"null header value": func(b []byte) []byte {
 			i := bytes.Index(b, []byte{0xa0, 0x08})
 			b[i+2], b[i+3] = 255,
 				255
 			return b
 		},
-		"attribute": func(b []byte) []byte { b[bytes.LastIndexByte(b, 12)] = 99; return b },
+		"unknown attribute code": func(b []byte) []byte { b[bytes.LastIndexByte(b, 12)] = 99; return b },
 	} {
 		if _, err := ParseForward(edit(validForward())); !errors.Is(err, ErrPacket) {
 			t.Errorf("%s: %v", name, err)
@@ -95,7 +95,7 @@
 	}
 }
 
-// Any payload is a request or an error; what was read is never longer than what came.
+// Any payload is either parsed or an ErrPacket, and the parsed strings are no longer than the payload.
 func FuzzForward(f *testing.F) {
 	f.Add(validForward())
 	f.Add(standin.AJPForward(2, "/", nil))
@@ -119,7 +119,7 @@
 	})
 }
 
-// serve starts a listener that echoes a request's body, and tells who was seen and who has left.
+// echoServer is a listener that echoes request bodies and records requests and abandoned requests.
 type echoServer struct {
 	mu        sync.Mutex
 	requests  []*lnet.Request
@@ -136,7 +136,8 @@
 func startEcho(t *testing.T, o Options, budget *lnet.Budget) *echoServer {
 	x := &echoServer{}
 	var err error
-	x.server, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request, e *lnet.Exchange) func() {
+	x.server, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request,
+		e *lnet.Exchange) func() {
 		x.mu.Lock()
 		x.requests = append(x.requests, r)
 		x.mu.Unlock()
@@ -161,7 +162,8 @@
 	return x
 }
 
-// Requests of all sizes and both kinds of body, CPings between them, on one connection that goes on.
+// One connection serves requests with bodies of all sizes, of announced and unknown length, and CPings
+// between them, until the server closes it after a reply.
 func TestOneConnectionServesManyRequests(t *testing.T) {
 	budget := lnet.NewBudget(10, 0)
 	x := startEcho(t, Options{Secret: "s3cret"}, budget)
@@ -181,7 +183,7 @@
 			t.Fatalf("%d bytes: %+v, %v", size, r, err)
 		}
 	}
-	// A body of untold length is asked for, chunk by chunk.
+	// A body of unknown length is requested chunk by chunk.
 	a.Raw(standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
 		"secret",
 		"s3cret")))
@@ -203,42 +205,43 @@
 	}
 	x.server.CloseAfterReply()
 	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
-		t.Fatalf("while ending: %+v, %v", r, err)
+		t.Fatalf("after CloseAfterReply: %+v, %v", r, err)
 	}
 	if !x.server.Wait(5*time.Second) || budget.InUse() != 0 {
 		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
 }
 
-// Each fault has its definite end: an answer and the end of the connection, or the end alone. Others go on.
+// Each fault closes its connection, with or without an error reply, and leaves other connections usable.
 func TestFaultsCloseConnection(t *testing.T) {
-	head := func(size string) []byte {
+	withLength := func(size string) []byte {
 		return standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
 			"s3cret"))
 	}
 	for name, c := range map[string]struct {
 		send   []byte
-		status int // 0: closed without a word
+		status int // 0: closed without a reply
 		late   bool
 	}{
-		"wrong magic":      {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, false},
-		"oversized":        {[]byte{0x12, 0x34, 0xff, 0xff}, 0, false},
-		"empty":            {[]byte{0x12, 0x34, 0, 0}, 0, false},
-		"unknown type":     {standin.AJPPacket([]byte{99}), 0, false},
-		"shutdown":         {standin.AJPPacket([]byte{7}), 0, false},
-		"long CPing":       {standin.AJPPacket([]byte{10, 0}), 0, false},
-		"truncated":        {standin.AJPPacket(validForward()[:20]), 0, false},
-		"no secret":        {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
-		"wrong secret":     {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
-		"body too large":   {head("65537"), 413, false},
-		"bad length":       {head("-1"), 400, false},
-		"body ends":        {append(head("5"), standin.AJPPacket(nil)...), 400, false},
-		"more than told":   {append(head("2"), standin.AJPPacket(standin.AJPBody([]byte("abc")))...), 0, false},
-		"bad chunk":        {append(head("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
-		"body never comes": {head("5"), 408, true},
-		"two at once": {append(standin.AJPPacket(standin.AJPForward(4, "/never", nil, "secret", "s3cret")),
+		"wrong magic":     {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, false},
+		"oversized":       {[]byte{0x12, 0x34, 0xff, 0xff}, 0, false},
+		"empty":           {[]byte{0x12, 0x34, 0, 0}, 0, false},
+		"unknown type":    {standin.AJPPacket([]byte{99}), 0, false},
+		"shutdown":        {standin.AJPPacket([]byte{7}), 0, false},
+		"long CPing":      {standin.AJPPacket([]byte{10, 0}), 0, false},
+		"truncated":       {standin.AJPPacket(validForward()[:20]), 0, false},
+		"no secret":       {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
+		"wrong secret":    {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
+		"body too large":  {withLength("65537"), 413, false},
+		"bad length":      {withLength("-1"), 400, false},
+		"body ends early": {append(withLength("5"), standin.AJPPacket(nil)...), 400, false},
+		"body too long": {append(withLength("2"),
+			standin.AJPPacket(standin.AJPBody([]byte("abc")))...), 0, false},
+		"bad chunk":       {append(withLength("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
+		"body never sent": {withLength("5"), 408, true},
+		"early packet": {append(standin.AJPPacket(standin.AJPForward(4, "/never", nil, "secret", "s3cret")),
 			standin.AJPPacket([]byte{10})...), 0, false},
-		"says nothing": {nil, 0, true},
+		"silent": {nil, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -249,46 +252,47 @@
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "its end", func() bool { return x.server.OpenConns() == 0 })
+			standin.Until(t, "the connection to close", func() bool { return x.server.OpenConns() == 0 })
 			b := standin.DialAJP(t, x.server.Addr())
 			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
-				t.Errorf("the next one: %+v, %v", r, err)
+				t.Errorf("next connection: %+v, %v", r, err)
 			}
 		})
 	}
 }
 
-// A front that leaves takes its request along; one that ends in the middle of a packet has sent none.
+// A proxy that disconnects abandons its request. One that disconnects in the middle of a packet has sent no
+// request.
 func TestProxyDisconnects(t *testing.T) {
 	x := startEcho(t, Options{}, lnet.NewBudget(10, 0))
 	a := standin.DialAJP(t, x.server.Addr())
 	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
 	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.Until(t, "the word that it left", func() bool { _, gone := x.count(); return gone == 1 })
+	standin.Until(t, "the request to be abandoned", func() bool { _, gone := x.count(); return gone == 1 })
 	b := standin.DialAJP(t, x.server.Addr())
 	b.Raw(standin.AJPPacket(validForward())[:30])
 	b.Close()
-	standin.Until(t, "the end", func() bool { return x.server.OpenConns() == 0 })
+	standin.Until(t, "the connections to close", func() bool { return x.server.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
 }
 
-// A connection that carries nothing makes way, or ends with the server: its place is free at once, and not
-// when it would have been idle for too long.
+// A connection closed while idle, in favour of another one or by Drain, releases its slot at once and does
+// not hold it until the idle timeout.
 func TestClosedIdleConnectionReleasesSlot(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"makes way": func(s *Server) {
+		"closeIfIdle": func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
 				if !c.closeIfIdle() {
-					t.Error("it carries nothing, and does not yield")
+					t.Error("idle connection was not closed")
 				}
 			}
 		},
-		"ends": (*Server).Drain,
+		"Drain": (*Server).Drain,
 	} {
 		budget := lnet.NewBudget(10, 0)
 		x := startEcho(t, Options{}, budget)
@@ -296,7 +300,7 @@
 		if r, err := a.Call("/echo", nil, "x"); err != nil || r.Status != 200 {
 			t.Fatalf("%+v, %v", r, err)
 		}
-		standin.Until(t, "rest", func() bool {
+		standin.Until(t, "the connection to be idle", func() bool {
 			x.server.mu.Lock()
 			defer x.server.mu.Unlock()
 			for c := range x.server.conns {
@@ -307,6 +311,8 @@
 			return false
 		})
 		end(x.server)
-		standin.Until(t, name+": the place", func() bool { return x.server.OpenConns() == 0 && budget.InUse() == 0 })
+		standin.Until(t, name+": the slot to be released", func() bool {
+			return x.server.OpenConns() == 0 && budget.InUse() == 0
+		})
 	}
 }
--- a/internal/ajp/packet.go
+++ b/internal/ajp/packet.go
@@ -1,8 +1,9 @@
-// Package ajp speaks AJP/1.3 as a container does: mod_jk and Apache's proxy_ajp forward their clients'
-// requests by it. It owns packets, connections and the listener, and makes of each request what HTTP would
-// have made of it; it must never know what a request is for, or answer one by itself once its handler has it.
+// Package ajp implements the container side of AJP/1.3, the protocol by which proxies such as mod_jk and
+// Apache's mod_proxy_ajp forward their clients' requests. It owns the packets, the connections and the
+// listener, and turns each request into the same form as one received over HTTP. It must not depend on what
+// a request is for, and must not answer a request once its handler has it.
 //
-// This file holds the packets: parsing and building, without I/O.
+// This file parses and builds packets, without I/O.
 package ajp
 
 import (
@@ -11,16 +12,16 @@
 	"fmt"
 )
 
-// Sizes of packets.
+// Limits of packets and requests.
 const (
 	headerSize  = 4
-	DefaultSize = 8192  // of a packet with its header, as both sides have it unless told otherwise
-	LargestSize = 65536 // that max_packet_size allows
+	DefaultSize = 8192  // default packet size on both sides, header included
+	LargestSize = 65536 // largest value of mod_jk's max_packet_size
 	maxHeaders  = 256
 	maxAttrs    = 256
 )
 
-// Types of packets.
+// Packet types.
 const (
 	typeForward  = 2
 	typeBody     = 3
@@ -32,55 +33,56 @@
 	typePing     = 10
 )
 
-// ErrPacket is a packet that breaks the protocol. What comes behind it means nothing.
+// ErrPacket reports a packet that violates the protocol. The bytes after such a packet cannot be interpreted.
 var ErrPacket = errors.New("ajp")
 
 func protocolError(format string, args ...any) error {
 	return fmt.Errorf("%w: %s", ErrPacket, fmt.Sprintf(format, args...))
 }
 
-// PayloadSize reads a packet's header and returns how many bytes of payload follow. most is the largest packet.
-func PayloadSize(head []byte, most int) (int, error) {
-	if head[0] != 0x12 || head[1] != 0x34 {
-		return 0, protocolError("magic %02x%02x", head[0], head[1])
+// PayloadSize parses a packet's header and returns the size of the payload that follows. A packet larger than
+// maxPacket bytes, header included, is an error.
+func PayloadSize(header []byte, maxPacket int) (int, error) {
+	if header[0] != 0x12 || header[1] != 0x34 {
+		return 0, protocolError("bad magic %02x%02x", header[0], header[1])
 	}
-	n := int(binary.BigEndian.Uint16(head[2:]))
-	if n+headerSize > most {
-		return 0, protocolError("a packet of %d bytes", n+headerSize)
+	n := int(binary.BigEndian.Uint16(header[2:]))
+	if n+headerSize > maxPacket {
+		return 0, protocolError("packet of %d bytes exceeds the limit of %d", n+headerSize, maxPacket)
 	}
 	return n, nil
 }
 
-// Forward is a forwarded request, all but its body.
+// Forward is a forwarded request without its body.
 type Forward struct {
 	Method   string
 	Protocol string
 	URI      string
 	Query    string
-	Address  string // of the client
-	Host     string // server name and port as the client had them
+	Address  string // the client's address
+	Host     string // the server name and port that the client used
 	SSL      bool
 	Header   [][2]string
-	Attrs    map[string]string // by name: context, remote_user, route, secret and what the front sends itself
+	Attrs    map[string]string // by name; "req_" precedes names that the proxy's configuration defines
 }
 
-// methods are the codes of methods.
+// methods lists the methods by code.
 var methods = [...]string{1: "OPTIONS", "GET", "HEAD", "POST", "PUT", "DELETE", "TRACE", "PROPFIND",
 	"PROPPATCH",
 	"MKCOL", "COPY", "MOVE", "LOCK", "UNLOCK", "ACL", "REPORT", "VERSION-CONTROL", "CHECKIN", "CHECKOUT",
 	"UNCHECKOUT",
 	"SEARCH", "MKWORKSPACE", "UPDATE", "LABEL", "MERGE", "BASELINE-CONTROL", "MKACTIVITY"}
 
-// storedMethod tells that the method's name is an attribute.
+// storedMethod is the code of a method whose name is sent as an attribute.
 const storedMethod = 0xff
 
-// requestHeaders are the codes of headers, from 0xA001 on.
+// requestHeaders lists the common request headers by the low byte of their codes, which start at 0xA001.
 var requestHeaders = [...]string{1: "Accept", "Accept-Charset", "Accept-Encoding", "Accept-Language",
 	"Authorization",
 	"Connection", "Content-Type", "Content-Length", "Cookie", "Cookie2", "Host", "Pragma", "Referer",
 	"User-Agent"}
 
-// attributes are the codes of attributes that hold one string.
+// attributes lists the attributes with a single string value by code.
 var attributes = map[byte]string{1: "context", 2: "servlet_path", 3: "remote_user", 4: "auth_type",
 	5: "query_string",
 	6: "route", 7: "ssl_cert", 8: "ssl_cipher", 9: "ssl_session", 12: "secret", 13: "stored_method"}
@@ -91,7 +93,7 @@
 	attrEnd     = 0xff
 )
 
-// decoder reads a payload; after the first thing that is not there it reads nothing more.
+// decoder reads fields from a payload. After its first error it returns zero values.
 type decoder struct {
 	b   []byte
 	err error
@@ -106,7 +108,7 @@
 
 func (d *decoder) byte() byte {
 	if len(d.b) < 1 {
-		d.fail("a packet that ends too soon")
+		d.fail("truncated packet")
 		return 0
 	}
 	x := d.b[0]
@@ -116,7 +118,7 @@
 
 func (d *decoder) int() int {
 	if len(d.b) < 2 {
-		d.fail("a packet that ends too soon")
+		d.fail("truncated packet")
 		return 0
 	}
 	x := int(binary.BigEndian.Uint16(d.b))
@@ -124,7 +126,7 @@
 	return x
 }
 
-// text reads a string; there is none where its length is 0xFFFF.
+// text reads a string. It returns false for a null string, whose length is given as 0xFFFF.
 func (d *decoder) text() (string, bool) {
 	n := d.int()
 	if n == 0xffff || d.err != nil {
@@ -133,9 +135,10 @@
 	return d.chars(n), true
 }
 
+// chars reads the n bytes of a string and its terminating zero.
 func (d *decoder) chars(n int) string {
 	if len(d.b) < n+1 || d.b[n] != 0 {
-		d.fail("a string of %d bytes that does not end", n)
+		d.fail("string of %d bytes is truncated or not terminated", n)
 		return ""
 	}
 	s := string(d.b[:n])
@@ -143,26 +146,26 @@
 	return s
 }
 
-// PacketType is the type of a packet that begins an exchange.
+// PacketType returns the type of a packet that begins an exchange.
 func PacketType(payload []byte) (byte, error) {
 	if len(payload) == 0 {
-		return 0, protocolError("an empty packet where a request begins")
+		return 0, protocolError("empty packet where a request was expected")
 	}
 	return payload[0], nil
 }
 
-// ParseForward reads a forwarded request.
+// ParseForward parses a forwarded request.
 func ParseForward(payload []byte) (*Forward, error) {
 	d := &decoder{b: payload}
 	if k := d.byte(); d.err == nil && k != typeForward {
-		return nil, protocolError("a packet of type %d where a request was expected", k)
+		return nil, protocolError("packet of type %d where a request was expected", k)
 	}
 	f := &Forward{Attrs: map[string]string{}}
 	method := d.byte()
 	f.Protocol, _ = d.text()
 	f.URI, _ = d.text()
 	f.Address, _ = d.text()
-	d.text() // the client's host name: nobody asks for it
+	d.text() // the client's host name, which is not used
 	f.Host, _ = d.text()
 	port := d.int()
 	f.SSL = d.byte() != 0
@@ -171,13 +174,13 @@
 	}
 	n := d.int()
 	if n > maxHeaders {
-		return nil, protocolError("%d headers", n)
+		return nil, protocolError("%d headers exceed the limit of %d", n, maxHeaders)
 	}
 	for range n {
 		var name string
 		if code := d.int(); code>>8 == 0xa0 {
 			if code&0xff == 0 || code&0xff >= len(requestHeaders) {
-				d.fail("header %04x", code)
+				d.fail("unknown header code %04x", code)
 				break
 			}
 			name = requestHeaders[code&0xff]
@@ -186,7 +189,7 @@
 		}
 		value, ok := d.text()
 		if !ok || name == "" {
-			d.fail("a header without a name or value")
+			d.fail("header without a name or value")
 			break
 		}
 		f.Header = append(f.Header, [2]string{name, value})
@@ -206,17 +209,17 @@
 			name, ok := d.text()
 			value, _ := d.text()
 			if !ok {
-				d.fail("an attribute without a name")
+				d.fail("attribute without a name")
 			}
 			f.Attrs["req_"+name] = value
 		case code == attrKeySize:
 			d.int()
 		default:
-			d.fail("attribute %d", code)
+			d.fail("unknown attribute code %d", code)
 		}
 	}
 	if d.err == nil && len(d.b) > 0 {
-		d.fail("%d bytes behind a request", len(d.b))
+		d.fail("%d bytes after the end of a request", len(d.b))
 	}
 	if d.err != nil {
 		return nil, d.err
@@ -225,18 +228,18 @@
 	case method == storedMethod && f.Attrs["stored_method"] != "":
 		f.Method = f.Attrs["stored_method"]
 	case method == 0 || int(method) >= len(methods):
-		return nil, protocolError("method %d", method)
+		return nil, protocolError("unknown method code %d", method)
 	default:
 		f.Method = methods[method]
 	}
 	f.Query = f.Attrs["query_string"]
 	if f.URI == "" {
-		return nil, protocolError("a request without a URI")
+		return nil, protocolError("request without a URI")
 	}
 	return f, nil
 }
 
-// ParseBody reads a chunk of a body: none is left where it is empty. What it returns refers to the payload.
+// ParseBody parses a chunk of a request body. An empty chunk ends the body. The result aliases payload.
 func ParseBody(payload []byte) ([]byte, error) {
 	if len(payload) == 0 {
 		return nil, nil
@@ -244,10 +247,10 @@
 	d := &decoder{b: payload}
 	n := d.int()
 	if d.err == nil && n > len(d.b) {
-		d.fail("a chunk of %d bytes in a packet of %d", n, len(payload))
+		d.fail("body chunk of %d bytes in a packet of %d", n, len(payload))
 	}
 	if d.err == nil && n < len(d.b) {
-		d.fail("%d bytes behind a chunk", len(d.b)-n)
+		d.fail("%d bytes after the end of a body chunk", len(d.b)-n)
 	}
 	if d.err != nil {
 		return nil, d.err
@@ -255,7 +258,8 @@
 	return d.b[:n], nil
 }
 
-// beginPacket begins a packet towards the front; shut writes its length.
+// beginPacket appends the start of a packet to the proxy and returns the buffer and the packet's offset in
+// it; endPacket fills in the packet's length.
 func beginPacket(b []byte, kind byte) ([]byte, int) { return append(b, 'A', 'B', 0, 0, kind), len(b) }
 
 func endPacket(b []byte, at int) []byte {
@@ -268,14 +272,14 @@
 	return append(append(b, s...), 0)
 }
 
-// responseHeaders are the codes of a reply's headers, from 0xA001 on.
+// responseHeaders holds the codes of the common response headers.
 var responseHeaders = map[string]uint16{
 	"Content-Type": 0xa001, "Content-Language": 0xa002, "Content-Length": 0xa003, "Date": 0xa004,
 	"Last-Modified": 0xa005, "Location": 0xa006, "Set-Cookie": 0xa007, "Set-Cookie2": 0xa008,
 	"Servlet-Engine": 0xa009, "Status": 0xa00a, "WWW-Authenticate": 0xa00b,
 }
 
-// AppendHeaders appends a reply's status and headers.
+// AppendHeaders appends a response's status and headers.
 func AppendHeaders(b []byte, status int, reason string, header [][2]string) []byte {
 	b, at := beginPacket(b, typeHeaders)
 	b = binary.BigEndian.AppendUint16(b, uint16(status))
@@ -292,10 +296,10 @@
 	return endPacket(b, at)
 }
 
-// AppendBody appends a reply's body, in packets of at most most bytes.
-func AppendBody(b, body []byte, most int) []byte {
+// AppendBody appends a response's body in packets of at most maxPacket bytes.
+func AppendBody(b, body []byte, maxPacket int) []byte {
 	for len(body) > 0 {
-		n := min(len(body), most-headerSize-4)
+		n := min(len(body), maxPacket-headerSize-4)
 		var at int
 		b, at = beginPacket(b, typeBody)
 		b = binary.BigEndian.AppendUint16(b, uint16(n))
@@ -306,7 +310,7 @@
 	return b
 }
 
-// AppendEnd appends the end of a reply, and whether the connection goes on.
+// AppendEnd appends the end of a response; reuse tells whether the connection stays open.
 func AppendEnd(b []byte, reuse bool) []byte {
 	b, at := beginPacket(b, typeEnd)
 	if reuse {
@@ -315,13 +319,13 @@
 	return endPacket(append(b, 0), at)
 }
 
-// AppendGetBody asks for so many bytes of the request's body.
+// AppendGetBody appends a request for up to n more bytes of the request's body.
 func AppendGetBody(b []byte, n int) []byte {
 	b, at := beginPacket(b, typeGetBody)
 	return endPacket(binary.BigEndian.AppendUint16(b, uint16(n)), at)
 }
 
-// AppendPong answers a CPing.
+// AppendPong appends the reply to a CPing.
 func AppendPong(b []byte) []byte {
 	b, at := beginPacket(b, typePong)
 	return endPacket(b, at)
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -1,8 +1,8 @@
 package ajp
 
-// The listener and its connections. A front keeps connections for long and sends one request at a time on
-// each. One goroutine reads packets, another serves; a packet that comes where none may is the end of the
-// connection.
+// The listener and its connections. A proxy keeps connections open for a long time and sends one request at
+// a time on each. Per connection, one goroutine reads packets and another serves requests. A packet that
+// arrives out of turn ends the connection.
 
 import (
 	"context"
@@ -23,22 +23,22 @@
 	lnet "lapislever/internal/net"
 )
 
-// Limits in time. Fronts keep connections open for as long as they like to; what has begun comes to its end.
+// Timeouts. Proxies may keep idle connections open for long; what has started must complete soon.
 const (
 	idleTimeout    = 10 * time.Minute
 	requestTimeout = 2500 * time.Millisecond
 	writeTimeout   = 5 * time.Second
-	rejectTimeout  = time.Second // of a connection that is to be refused
+	rejectTimeout  = time.Second // for the request of a connection that is rejected
 	pollInterval   = 5 * time.Millisecond
 )
 
-// Options are a listener's.
+// Options configures a listener.
 type Options struct {
-	PacketSize int    // of a packet, as the front has it; 0: the default
-	Secret     string // that every request has to bear; empty: none
+	PacketSize int    // maximum packet size, which must equal the proxy's; 0 means DefaultSize
+	Secret     string // required in every request; empty means none
 }
 
-// Server accepts fronts' connections and hands their requests over as those of HTTP.
+// Server accepts connections of proxies and passes their requests to the handler as if received over HTTP.
 type Server struct {
 	listener    net.Listener
 	options     Options
@@ -46,16 +46,16 @@
 	budget      *lnet.Budget
 	log         *slog.Logger
 	closing     atomic.Bool
-	createdAt   time.Time    // when it was made
-	lastRequest atomic.Int64 // when a request last came, in nanoseconds since then
+	createdAt   time.Time
+	lastRequest atomic.Int64 // time of the latest request, in nanoseconds since createdAt
 	mu          sync.Mutex   // guards conns
 	conns       map[*conn]struct{}
-	// Admission, if set before Serve, says who is let in.
+	// Admission, if set before Serve, decides which connections are admitted.
 	Admission *lnet.AdmissionController
-	rejecting atomic.Int64 // connections that are just being refused
+	rejecting atomic.Int64 // connections being rejected
 }
 
-// Listen starts to listen on an address and on nothing else.
+// Listen opens the listener; Serve accepts connections.
 func Listen(addr string, o Options, budget *lnet.Budget, log *slog.Logger, h lnet.Handler) (*Server, error) {
 	l, err := (&net.ListenConfig{}).Listen(context.Background(), "tcp", addr)
 	if err != nil {
@@ -68,10 +68,10 @@
 		createdAt: time.Now()}, nil
 }
 
-// Addr is the address listened on.
+// Addr returns the listener's address.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	for {
 		c, err := s.listener.Accept()
@@ -84,22 +84,22 @@
 			continue
 		}
 		k := &conn{server: s, netConn: c, packets: make(chan packet), done: make(chan struct{})}
-		var after time.Duration
+		var retryAfter time.Duration
 		if s.Admission != nil {
-			k.admitted, k.hasSlot, after = s.Admission.Admit(c, s.budget, k.closeIfIdle)
+			k.admitted, k.hasSlot, retryAfter = s.Admission.Admit(c, s.budget, k.closeIfIdle)
 		} else {
 			k.hasSlot = s.budget.AcquireClient()
 		}
 		if !k.hasSlot {
 			if s.Admission != nil && s.rejecting.Add(1) <= lnet.MaxOverflow {
 				go k.readLoop()
-				go k.reject(after)
+				go k.reject(retryAfter)
 				continue
 			}
 			if s.Admission != nil {
 				s.rejecting.Add(-1)
 			}
-			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
+			s.log.Warn("connection closed: too many connections are open", "client", c.RemoteAddr())
 			_ = c.Close()
 			continue
 		}
@@ -111,17 +111,17 @@
 	}
 }
 
-// StopListening closes the listener; connections go on.
+// StopListening closes the listener; open connections continue.
 func (s *Server) StopListening() { _ = s.listener.Close() }
 
-// CloseAfterReply has every reply end its connection from now on.
+// CloseAfterReply makes every connection close after its next reply.
 func (s *Server) CloseAfterReply() { s.closing.Store(true) }
 
-// LastRequest is when a request last came.
+// LastRequest returns the time of the latest request, or of the server's creation if there was none.
 func (s *Server) LastRequest() time.Time { return s.createdAt.Add(time.Duration(s.lastRequest.Load())) }
 
-// Drain winds, and closes the connections that carry nothing. Of one that is closed no packet is handled any
-// more, also if it had just been read.
+// Drain calls CloseAfterReply and closes idle connections. A packet that was just read from a connection
+// closed this way is not handled.
 func (s *Server) Drain() {
 	s.CloseAfterReply()
 	s.mu.Lock()
@@ -131,16 +131,16 @@
 	}
 }
 
-// OpenConns counts the connections.
+// OpenConns returns the number of open connections.
 func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Wait waits until every connection has ended, or until the time is over.
-func (s *Server) Wait(most time.Duration) bool {
-	for end := time.Now().Add(most); s.OpenConns() > 0; time.Sleep(pollInterval) {
+// Wait waits until every connection has ended. It returns false if that takes longer than timeout.
+func (s *Server) Wait(timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); s.OpenConns() > 0; time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -148,27 +148,27 @@
 	return true
 }
 
-// packet is a payload, or why there is none.
+// packet is what the read loop delivers: a payload or an error.
 type packet struct {
 	payload []byte
 	err     error
-	started bool // its first byte came before the end
+	started bool // at least one byte was read
 }
 
 type conn struct {
 	server     *Server
 	netConn    net.Conn
 	packets    chan packet
-	done       chan struct{} // closed when serve has ended
-	busy       atomic.Bool   // in the middle of a request
-	hasSlot    bool          // has a place in the budget
+	done       chan struct{} // closed when serve or reject has ended
+	busy       atomic.Bool   // a request is in progress
+	hasSlot    bool          // holds a slot of the budget
 	admitted   lnet.AdmittedConn
-	mu         sync.Mutex // guards begun, yielded
-	inPacket   bool       // something of a packet has come and is not done with
+	mu         sync.Mutex // guards inPacket and closedIdle
+	inPacket   bool       // part of a packet has been read, and it is not handled yet
 	closedIdle bool
 }
 
-// closeIfIdle closes the connection if nothing of a request has come.
+// closeIfIdle closes the connection unless a packet or request is in progress. It reports whether it did.
 func (c *conn) closeIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -180,16 +180,17 @@
 	return true
 }
 
-// setInPacket notes that a packet has begun, or is done with. It returns false once the connection has made way.
-func (c *conn) setInPacket(begun bool) bool {
+// setInPacket records whether a packet is in progress. It returns false once closeIfIdle has closed the
+// connection.
+func (c *conn) setInPacket(inPacket bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.inPacket = begun
+	c.inPacket = inPacket
 	return !c.closedIdle
 }
 
-// reject answers the one request of a connection that is not let in, and closes it.
-func (c *conn) reject(after time.Duration) {
+// reject answers the first request of a connection that is not admitted with 503, and closes the connection.
+func (c *conn) reject(retryAfter time.Duration) {
 	defer func() {
 		close(c.done)
 		_ = c.netConn.Close()
@@ -200,30 +201,31 @@
 		return
 	}
 	if kind, err := PacketType(payload); err != nil || kind != typeForward {
-		return // a CPing gets none: the front is to look elsewhere
+		return // a CPing gets no reply, so that the proxy turns to another backend
 	}
-	seconds := strconv.Itoa(max(1, int(math.Ceil(after.Seconds()))))
+	seconds := strconv.Itoa(max(1, int(math.Ceil(retryAfter.Seconds()))))
 	_ = c.writeResponse(lnet.Response{Status: 503, Header: [][2]string{{"Retry-After", seconds}}, Close: true,
 		Body: []byte("too many connections\n")}, false)
 }
 
-// readLoop takes packets in, one at a time: the next is read only once the last was taken.
+// readLoop reads packets one at a time: it reads the next only after the previous one was received from
+// c.packets.
 func (c *conn) readLoop() {
-	var head [headerSize]byte
+	var header [headerSize]byte
 	for {
-		n, err := io.ReadFull(c.netConn, head[:])
+		n, err := io.ReadFull(c.netConn, header[:])
 		p := packet{err: err, started: n > 0}
 		if !c.setInPacket(n > 0) {
-			p.err = net.ErrClosed // it has made way: serve gives its place back
+			p.err = net.ErrClosed // closeIfIdle has closed the connection; serve releases its slot
 		} else if err == nil {
 			var size int
-			if size, p.err = PayloadSize(head[:], c.server.options.PacketSize); p.err == nil {
+			if size, p.err = PayloadSize(header[:], c.server.options.PacketSize); p.err == nil {
 				p.payload = make([]byte, size)
 				_, p.err = io.ReadFull(c.netConn, p.payload)
 			}
 		}
 		if p.started && (errors.Is(p.err, io.EOF) || errors.Is(p.err, io.ErrUnexpectedEOF)) {
-			p.err = protocolError("a packet that ends too soon")
+			p.err = protocolError("truncated packet")
 		}
 		select {
 		case c.packets <- p:
@@ -236,9 +238,9 @@
 	}
 }
 
-// nextPacket waits for a packet.
-func (c *conn) nextPacket(limit time.Duration) ([]byte, error) {
-	timer := time.NewTimer(limit)
+// nextPacket waits for the next packet's payload. It returns errTimeout if none arrives within timeout.
+func (c *conn) nextPacket(timeout time.Duration) ([]byte, error) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case p := <-c.packets:
@@ -248,9 +250,9 @@
 	}
 }
 
-var errTimeout = errors.New("nothing came in time")
+var errTimeout = errors.New("no packet arrived before the timeout")
 
-// serve takes one request after the other.
+// serve handles the connection's requests one after the other.
 func (c *conn) serve() {
 	defer func() {
 		close(c.done)
@@ -261,10 +263,10 @@
 		c.admitted.Release()
 		c.server.budget.ReleaseClient()
 	}()
-	limit := requestTimeout // of the first packet: who connects has something to say
+	timeout := requestTimeout // shorter for the first packet: a proxy connects when it has something to send
 	for {
-		payload, err := c.nextPacket(limit)
-		limit = idleTimeout
+		payload, err := c.nextPacket(timeout)
+		timeout = idleTimeout
 		if err == nil {
 			c.busy.Store(true)
 			c.admitted.MarkBusy()
@@ -274,7 +276,7 @@
 			c.admitted.MarkIdle()
 		}
 		switch {
-		case err == nil: // also while the server ends: the reply has told that the connection goes on
+		case err == nil: // even during shutdown: the reply announced that the connection stays open
 			continue
 		case errors.Is(err, ErrPacket):
 			c.server.log.Warn("bad AJP packet", "client", c.netConn.RemoteAddr(), "why", err)
@@ -283,10 +285,10 @@
 	}
 }
 
-// errClose ends the connection without a word of log.
-var errClose = errors.New("the connection ends")
+// errClose closes the connection without a log line.
+var errClose = errors.New("connection closed")
 
-// handlePacket takes the packet that begins something.
+// handlePacket handles a packet that begins an exchange.
 func (c *conn) handlePacket(payload []byte) error {
 	kind, err := PacketType(payload)
 	if err != nil {
@@ -295,14 +297,14 @@
 	switch kind {
 	case typePing:
 		if len(payload) != 1 {
-			return protocolError("%d bytes in a CPing", len(payload))
+			return protocolError("CPing with a payload of %d bytes", len(payload))
 		}
 		return c.write(AppendPong(nil))
 	case typeForward:
 	case typeShutdown:
-		return protocolError("a shutdown, which is not taken from anybody")
+		return protocolError("shutdown packet; shutdown over AJP is not supported")
 	default:
-		return protocolError("a packet of type %d", kind)
+		return protocolError("unexpected packet type %d", kind)
 	}
 	f, err := ParseForward(payload)
 	if err != nil {
@@ -310,23 +312,23 @@
 	}
 	if want := c.server.options.Secret; want != "" &&
 		subtle.ConstantTimeCompare([]byte(want), []byte(f.Attrs["secret"])) != 1 {
-		c.server.log.Warn("an AJP request without the secret", "client", c.netConn.RemoteAddr())
-		return c.writeResponse(lnet.Response{Status: 403, Body: []byte("the secret is missing or wrong\n"), Close: true},
-			false)
+		c.server.log.Warn("AJP request without the required secret", "client", c.netConn.RemoteAddr())
+		return c.writeResponse(lnet.Response{Status: 403, Body: []byte("the secret is missing or wrong\n"),
+			Close: true}, false)
 	}
 	r := &lnet.Request{Method: f.Method, Path: f.URI, Query: f.Query, Header: textproto.MIMEHeader{}}
 	for _, h := range f.Header {
 		r.Header.Add(h[0], h[1])
 	}
-	if f.Attrs["remote_user"] != "" { // the front's own word, which no client can set
+	if f.Attrs["remote_user"] != "" { // set by the proxy itself; no client can forge it
 		r.Header.Set("X-Remote-User", f.Attrs["remote_user"])
 	} else {
 		r.Header.Del("X-Remote-User")
 	}
-	var refused *lnet.BadMessage
-	if r.Body, err = c.readBody(r.Header); errors.As(err, &refused) {
-		c.server.log.Warn("bad request", "client", c.netConn.RemoteAddr(), "why", refused.Detail)
-		return c.writeResponse(lnet.Response{Status: refused.Status, Body: []byte(refused.Detail + "\n"), Close: true},
+	var bad *lnet.BadMessage
+	if r.Body, err = c.readBody(r.Header); errors.As(err, &bad) {
+		c.server.log.Warn("bad request", "client", c.netConn.RemoteAddr(), "why", bad.Detail)
+		return c.writeResponse(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true},
 			false)
 	} else if err != nil {
 		return err
@@ -334,10 +336,10 @@
 	r.ReceivedAt = time.Now()
 	c.server.lastRequest.Store(int64(r.ReceivedAt.Sub(c.server.createdAt)))
 	x, reply := lnet.NewExchange(c.netConn)
-	gone := c.server.handle(r, x)
-	leave := func(err error) error {
-		if gone != nil {
-			gone()
+	abandon := c.server.handle(r, x)
+	abort := func(err error) error {
+		if abandon != nil {
+			abandon()
 		}
 		return err
 	}
@@ -346,23 +348,23 @@
 		return c.writeResponse(resp, r.Method == "HEAD")
 	case p := <-c.packets:
 		select {
-		case resp := <-reply: // both at once: the reply comes first
+		case resp := <-reply: // both are ready: the reply takes precedence
 			_ = c.writeResponse(resp, r.Method == "HEAD")
 			return errClose
 		default:
 		}
 		if p.err == nil {
-			return leave(protocolError("a packet where a reply was due"))
+			return abort(protocolError("packet received while a reply was pending"))
 		}
 		if errors.Is(p.err, ErrPacket) {
-			return leave(p.err)
+			return abort(p.err)
 		}
-		return leave(errClose) // the front has left
+		return abort(errClose) // the proxy has disconnected
 	}
 }
 
-// readBody reads a request's body. Of one whose length is told the front sends the first chunk by itself; the
-// others are asked for one by one.
+// readBody reads a request's body. If the length is known, the proxy sends the first chunk unasked; every
+// other chunk has to be requested.
 func (c *conn) readBody(h textproto.MIMEHeader) ([]byte, error) {
 	refuse := func(status int, format string, args ...any) ([]byte, error) {
 		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
@@ -391,45 +393,46 @@
 	if length == 0 {
 		return nil, nil
 	}
-	until := time.Now().Add(requestTimeout)
+	deadline := time.Now().Add(requestTimeout)
 	var body []byte
-	chunk := c.server.options.PacketSize - headerSize - 2
+	maxChunk := c.server.options.PacketSize - headerSize - 2
 	for first := true; length < 0 || len(body) < length; first = false {
 		if !first || length < 0 {
-			ask := chunk
+			want := maxChunk
 			if length >= 0 {
-				ask = min(ask, length-len(body))
+				want = min(want, length-len(body))
 			}
-			if err := c.write(AppendGetBody(nil, ask)); err != nil {
+			if err := c.write(AppendGetBody(nil, want)); err != nil {
 				return nil, err
 			}
 		}
-		payload, err := c.nextPacket(time.Until(until))
+		payload, err := c.nextPacket(time.Until(deadline))
 		if errors.Is(err, errTimeout) {
 			return refuse(408, "the request did not come to its end in time")
 		}
 		if err != nil {
 			return nil, err
 		}
-		part, err := ParseBody(payload)
+		chunk, err := ParseBody(payload)
 		switch {
 		case err != nil:
 			return nil, err
-		case len(part) == 0 && length < 0:
+		case len(chunk) == 0 && length < 0:
 			return body, nil
-		case len(part) == 0:
+		case len(chunk) == 0:
 			return refuse(400, "the body ends after %d of %d bytes", len(body), length)
-		case length >= 0 && len(body)+len(part) > length:
-			return nil, protocolError("more body than was told")
-		case len(body)+len(part) > lnet.MaxBody:
+		case length >= 0 && len(body)+len(chunk) > length:
+			return nil, protocolError("body is longer than the announced %d bytes", length)
+		case len(body)+len(chunk) > lnet.MaxBody:
 			return refuse(413, "the body is larger than %d bytes", lnet.MaxBody)
 		}
-		body = append(body, part...)
+		body = append(body, chunk...)
 	}
 	return body, nil
 }
 
-// writeResponse writes a reply. Where it says so, or the server ends, the connection ends with it.
+// writeResponse writes a reply. If the reply requires it, or the server is shutting down, the connection is
+// closed afterwards, which errClose reports.
 func (c *conn) writeResponse(r lnet.Response, headOnly bool) error {
 	kind := r.ContentType
 	if kind == "" {
@@ -441,11 +444,11 @@
 	if !headOnly {
 		b = AppendBody(b, r.Body, c.server.options.PacketSize)
 	}
-	end := r.Close || c.server.closing.Load()
-	if err := c.write(AppendEnd(b, !end)); err != nil {
+	closeConn := r.Close || c.server.closing.Load()
+	if err := c.write(AppendEnd(b, !closeConn)); err != nil {
 		return err
 	}
-	if end {
+	if closeConn {
 		return errClose
 	}
 	return nil
