--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -127,7 +127,7 @@
 	server    *Server
 }
 
-func (s *echoServer) count() (reqs, gone int) {
+func (s *echoServer) count() (requests, abandoned int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests), s.abandoned
@@ -269,7 +269,7 @@
 	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
 	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.Until(t, "the request to be abandoned", func() bool { _, gone := x.count(); return gone == 1 })
+	standin.Until(t, "the request to be abandoned", func() bool { _, abandoned := x.count(); return abandoned == 1 })
 	b := standin.DialAJP(t, x.server.Addr())
 	b.Raw(standin.AJPPacket(validForward())[:30])
 	b.Close()
--- a/internal/kiosk/admission.go
+++ b/internal/kiosk/admission.go
@@ -1,6 +1,6 @@
 package kiosk
 
-// The file's part on admission, and what it makes of it.
+// The [admission] and [listen_tls] sections of the configuration file.
 
 import (
 	"crypto/tls"
@@ -14,41 +14,43 @@
 	"lapislever/internal/settings"
 )
 
-// Caps bind one address, or one block. What is left out is not bound.
+// Caps limits the connections of an address or a block. An unset limit does not apply.
 type Caps struct {
-	Open  *int     `toml:"open,omitempty"`  // connections at a time
-	Rate  *float64 `toml:"rate,omitempty"`  // new ones a second
-	Burst *float64 `toml:"burst,omitempty"` // that may come at once
+	Open  *int     `toml:"open,omitempty"`  // concurrent connections
+	Rate  *float64 `toml:"rate,omitempty"`  // new connections per second
+	Burst *float64 `toml:"burst,omitempty"` // new connections at once
 }
 
-// Rule is what the file says of a prefix.
+// Rule is an [[admission.rule]] section: the rules for a prefix.
 type Rule struct {
 	Prefix string `toml:"prefix"`
 	Caps
-	All     *int `toml:"all,omitempty"` // connections of the whole prefix
+	All     *int `toml:"all,omitempty"` // concurrent connections of the whole prefix
 	Known   bool `toml:"known,omitempty"`
 	Gateway bool `toml:"gateway,omitempty"`
 }
 
-// Admission is the file's part on who is let in. Without it the budget of descriptors alone speaks.
+// Admission is the [admission] section, which decides which connections are admitted. Without it, only the
+// descriptor budget limits connections.
 type Admission struct {
-	Reserve int     `toml:"reserve,omitempty"` // places for known clients only
-	Proving int     `toml:"proving,omitempty"` // places for those that have yet to prove who they are
+	Reserve int     `toml:"reserve,omitempty"` // slots reserved for known clients
+	Proving int     `toml:"proving,omitempty"` // slots for connections in the TLS handshake
 	Prove   float64 `toml:"prove_s,omitempty"`
-	Track   int     `toml:"track,omitempty"` // addresses, and blocks, that something is remembered of
+	Track   int     `toml:"track,omitempty"` // maximum number of addresses, and of blocks, to keep state for
 	Caps
-	Block Caps   `toml:"block,omitempty"` // of each /24 and /64
+	Block Caps   `toml:"block,omitempty"` // limits of each /24 and /64 block
 	Rules []Rule `toml:"rule,omitempty"`
 }
 
-func (c Caps) validate(f *settings.File, at string) {
-	f.Require(c.Open == nil || *c.Open > 0, at+".open", "a cap of nothing or less lets nobody in")
-	f.Require(c.Rate == nil || *c.Rate > 0, at+".rate", "a rate of nothing or less lets nobody in")
-	f.Require(c.Burst == nil || *c.Burst >= 1, at+".burst", "a burst under 1 lets nobody in")
-	f.Require(c.Burst == nil || c.Rate != nil, at+".burst", "is of no use without a rate")
+// validate reports errors of the limits, under keys that begin with section.
+func (c Caps) validate(f *settings.File, section string) {
+	f.Require(c.Open == nil || *c.Open > 0, section+".open", "a cap of nothing or less lets nobody in")
+	f.Require(c.Rate == nil || *c.Rate > 0, section+".rate", "a rate of nothing or less lets nobody in")
+	f.Require(c.Burst == nil || *c.Burst >= 1, section+".burst", "a burst under 1 lets nobody in")
+	f.Require(c.Burst == nil || c.Rate != nil, section+".burst", "is of no use without a rate")
 }
 
-// toRule is a cap in the gate's form.
+// toRule converts the limits to an admission rule.
 func (c Caps) toRule() (r admission.Rule) {
 	if c.Open != nil {
 		r.MaxOpen = *c.Open
@@ -62,42 +64,43 @@
 	return r
 }
 
-// validate notes all that is wrong; places is how many clients there can be at most.
-func (a *Admission) validate(f *settings.File, places int) {
+// validate fills in defaults and reports all errors. maxClients is the maximum number of client connections.
+func (a *Admission) validate(f *settings.File, maxClients int) {
 	setDefault(&a.Prove, 2)
 	setDefault(&a.Track, 10_000)
 	f.Require(a.Reserve >= 0, "admission.reserve", "%d is under 0", a.Reserve)
 	f.Require(a.Proving >= 0, "admission.proving", "%d is under 0", a.Proving)
-	f.Require(a.Reserve+a.Proving < places, "admission.reserve",
+	f.Require(a.Reserve+a.Proving < maxClients, "admission.reserve",
 		"reserve and proving are %d of the %d places that clients have: none is left for others",
-		a.Reserve+a.Proving,
-		places)
+		a.Reserve+a.Proving, maxClients)
 	f.Require(a.Prove >= 0.1 && a.Prove <= 30, "admission.prove_s", "%g s is not within 0.1 and 30", a.Prove)
 	f.Require(a.Track >= 100 && a.Track <= 10_000_000, "admission.track", "%d is not within 100 and 10000000",
 		a.Track)
 	a.Caps.validate(f, "admission")
 	a.Block.validate(f, "admission.block")
-	seen := map[netip.Prefix]int{}
+	seen := map[netip.Prefix]int{} // the number of the rule
 	for i, r := range a.Rules {
-		at := fmt.Sprintf("admission.rule[%d]", i+1)
+		section := fmt.Sprintf("admission.rule[%d]", i+1)
 		p, err := netip.ParsePrefix(r.Prefix)
 		if err != nil {
-			f.AddError(at+".prefix", "%q is no prefix such as 10.0.0.0/8", r.Prefix)
+			f.AddError(section+".prefix", "%q is no prefix such as 10.0.0.0/8", r.Prefix)
 			continue
 		}
-		f.Require(p == p.Masked(), at+".prefix", "%s has bits beyond its length: %s is meant?", p, p.Masked())
-		if first, taken := seen[p.Masked()]; taken {
-			f.AddError(at+".prefix", "%s is there already, as rule %d", p, first)
+		f.Require(p == p.Masked(), section+".prefix", "%s has bits beyond its length: %s is meant?", p, p.Masked())
+		if first, duplicate := seen[p.Masked()]; duplicate {
+			f.AddError(section+".prefix", "%s is there already, as rule %d", p, first)
 		}
 		seen[p.Masked()] = i + 1
-		f.Require(!r.Known || r.Rate == nil, at+".rate", "contradicts known: known clients are held to no rate")
-		f.Require(!r.Known || !r.Gateway, at+".gateway", "contradicts known: whoever is behind it would be known")
-		f.Require(r.All == nil || *r.All > 0, at+".all", "a cap of nothing or less lets nobody in")
-		r.Caps.validate(f, at)
+		f.Require(!r.Known || r.Rate == nil, section+".rate",
+			"contradicts known: known clients are held to no rate")
+		f.Require(!r.Known || !r.Gateway, section+".gateway",
+			"contradicts known: whoever is behind it would be known")
+		f.Require(r.All == nil || *r.All > 0, section+".all", "a cap of nothing or less lets nobody in")
+		r.Caps.validate(f, section)
 	}
 }
 
-// toLimits is the part in the gate's form.
+// toLimits converts the section to the limits of an admission controller.
 func (a *Admission) toLimits() admission.Limits {
 	l := admission.Limits{Reserve: a.Reserve, Proving: a.Proving, ProveTimeout: seconds(a.Prove).Microseconds(),
 		MaxTracked: a.Track, Block: a.Block.toRule(), Default: a.Caps.toRule()}
@@ -113,16 +116,15 @@
 	return l
 }
 
-// ListenTLS is the file's part on TLS towards terminals. Who shows a certificate that roots have signed is
-// known.
+// ListenTLS is the [listen_tls] section: TLS towards clients. A client with a certificate signed by one of
+// the roots is known.
 type ListenTLS struct {
 	Cert  string `toml:"cert,omitempty"`
 	Key   string `toml:"key,omitempty"`
 	Roots string `toml:"client_roots,omitempty"`
 }
 
-// load reads the files. Who shows a certificate has to show one that the roots have signed; none need be
-// shown.
+// load reads the files. Client certificates are optional, but one that is presented must be signed by a root.
 func (t ListenTLS) load() (*tls.Config, error) {
 	pair, err := tls.LoadX509KeyPair(t.Cert, t.Key)
 	if err != nil {
@@ -142,5 +144,5 @@
 	return c, nil
 }
 
-// Gate is the keeper of the front's listeners, or nil.
+// Gate returns the admission controller of the front's listeners, or nil.
 func (f *Front) Gate() *lnet.AdmissionController { return f.admission }
