--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -1,8 +1,8 @@
-// Package kiosk is the front for old terminals: the platform's form of requests over HTTP and AJP, served by
-// nodes of the old form and of the new one side by side. It owns the file of settings, both listeners and the
-// way from an attempt to the backend of its server's form. It must never decide about a query, hold its state
-// or answer it twice: queries go through the core, and what the two forms mean to each other is in
-// internal/translate.
+// Package kiosk is the front for clients of the old form: it accepts the platform's request format over
+// HTTP and AJP, and serves it from nodes of the old and of the new form side by side. It owns its
+// configuration file, both listeners and the routing of each attempt to the backend for its server's form.
+// It must not make decisions on a query, hold its state or answer it twice: queries go through the core.
+// The mapping between the two forms is in internal/translate.
 package kiosk
 
 import (
@@ -23,19 +23,19 @@
 	"lapislever/internal/translate"
 )
 
-// maxValueSize is what the value of one part may hold: an answer of many parts has to fit into a reply.
+// maxValueSize limits the value of one part, so that an answer of many parts fits into a reply.
 const maxValueSize = 16 << 10
 
-// Front is the front.
+// Front implements the front for old-form clients.
 type Front struct {
-	cfg            *Config // of the start; what Adopt took since is in the parts that it concerns
+	cfg            *Config // as of the start; Reload applies changes to the components, not here
 	platformConfig *platform.Config
 	log            *slog.Logger
 	parser         *platform.Front
 	credentials    *grpcnode.Credentials
 	failures       translate.Tally
 	router         *router
-	admission      *lnet.AdmissionController // nil: the budget alone speaks
+	admission      *lnet.AdmissionController // nil if only the budget limits connections
 	listenTLS      atomic.Pointer[tls.Config]
 	budget         *lnet.Budget
 	core           *core.Core
@@ -44,16 +44,17 @@
 	notReady       atomic.Bool
 	stop           chan struct{}
 	stopOnce       sync.Once
-	mu             sync.Mutex // guards listed
+	mu             sync.Mutex // guards servers
 	servers        map[string]Server
 }
 
-// New checks a file as far as that goes without starting: it reads the keys.
-func New(cfg *Config, base *platform.Config, log *slog.Logger) (*Front, error) {
-	f := &Front{cfg: cfg, platformConfig: base, log: log, stop: make(chan struct{})}
+// New makes a front without starting it. It loads the TLS credentials, so that faults in them show up here.
+func New(cfg *Config, platformConfig *platform.Config, log *slog.Logger) (*Front, error) {
+	f := &Front{cfg: cfg, platformConfig: platformConfig, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
 		var err error
-		f.credentials, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
+		f.credentials, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert,
+			Key: cfg.TLS.Key})
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
@@ -68,23 +69,24 @@
 		}
 		f.listenTLS.Store(c)
 	}
-	f.router = &router{failures: &f.failures, dialTimeout: base.DialTimeout, epoch: time.Now(),
+	f.router = &router{failures: &f.failures, dialTimeout: platformConfig.DialTimeout, epoch: time.Now(),
 		inFlight: map[*core.Attempt]sentAttempt{},
 		guard:    translate.NewGuard(0, seconds(cfg.Keys.Remember).Microseconds(), cfg.Keys.Most)}
-	f.parser = platform.NewFront(base, log, f.router)
+	f.parser = platform.NewFront(platformConfig, log, f.router)
 	return f, nil
 }
 
-// Backend takes the queries' parts to their servers.
+// Backend returns the backend that sends the queries' parts to their servers.
 func (f *Front) Backend() core.Backend { return f.router }
 
-// Start begins to serve.
+// Start opens the listeners and starts serving.
 func (f *Front) Start(c *core.Core, budget *lnet.Budget) error {
 	f.core, f.budget = c, budget
 	r := f.router
 	r.post = c.Post
 	r.oldNodes = platform.NewNodes(f.platformConfig, budget, f.log, c.Counts(), r.report)
-	r.newNodes = grpcnode.New(f.cfg.grpcConfig(maxValueSize), f.credentials, budget, f.log, c.Counts(), &f.failures, r.report)
+	r.newNodes = grpcnode.New(f.cfg.grpcConfig(maxValueSize), f.credentials, budget, f.log, c.Counts(),
+		&f.failures, r.report)
 	var err error
 	if f.cfg.Listen != "" {
 		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.handle); err != nil {
@@ -97,9 +99,8 @@
 		f.http.OnRejected = func(r *lnet.Request) { f.countOutcome(r, core.Refused) }
 	}
 	if f.cfg.AJP.Listen != "" {
-		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{PacketSize: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
-			budget,
-			f.log, f.handle)
+		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen,
+			ajp.Options{PacketSize: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret}, budget, f.log, f.handle)
 		if err != nil {
 			if f.http != nil {
 				f.http.StopListening()
@@ -121,7 +122,8 @@
 	return nil
 }
 
-// updateServers tells of the file's servers: first where they are, then the core.
+// updateServers passes the configured servers to the backends and then, once these know the addresses, to the
+// core.
 func (f *Front) updateServers(cfg *Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -130,11 +132,11 @@
 	var hosts []platform.Host
 	var targets []grpcnode.Target
 	var replicas []balance.Replica
-	listed := map[string]Server{}
+	servers := map[string]Server{}
 	for _, s := range cfg.Servers {
 		id := core.ServerID(s.Name)
 		forms[id] = s.Form
-		listed[s.Name] = s
+		servers[s.Name] = s
 		if s.Form == NewForm {
 			targets = append(targets, grpcnode.Target{Name: s.Name, Address: s.Address, TLS: s.TLS,
 				ServerName: s.ServerName})
@@ -149,20 +151,20 @@
 		if s.Draining {
 			r.State = balance.Draining
 		}
-		if was, known := f.servers[s.Name]; f.servers != nil && (!known || was.Form != s.Form ||
-			was.Address != s.Address) { // another process than before
+		if old, known := f.servers[s.Name]; f.servers != nil && (!known || old.Form != s.Form ||
+			old.Address != s.Address) { // a new process
 			r.Started = time.Now().UnixMicro()
 		}
 		replicas = append(replicas, r)
 	}
-	f.servers = listed
+	f.servers = servers
 	f.router.oldNodes.UpdateHosts(hosts, true)
 	f.router.newNodes.SetTargets(targets)
 	f.router.setForms(forms)
 	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
 
-// ServerName is a server's name by its number; false: there is none.
+// ServerName returns the name of the server with an id, or false if there is none.
 func (f *Front) ServerName(id balance.ReplicaID) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -174,8 +176,9 @@
 	return "", false
 }
 
-// Adopt takes in what a file that was read anew says of the servers. It has been checked whole. What takes a
-// restart is named in the log.
+// Reload applies the configuration of fresh, which was made from the re-read file and never started: the
+// servers, the credentials, the admission limits and the listener's certificate. It logs the changes that
+// require a restart.
 func (f *Front) Adopt(fresh *Front) {
 	old, cfg := f.cfg, fresh.cfg
 	for _, x := range []struct {
@@ -186,7 +189,7 @@
 		{"new", old.New == cfg.New}, {"keys", old.Keys == cfg.Keys}, {"shards", old.Shards == cfg.Shards},
 		{"tls", old.TLS == cfg.TLS}, {"zone", old.Zone == cfg.Zone}} {
 		if !x.same {
-			f.log.Warn("a change of the file takes a restart", "key", x.key)
+			f.log.Warn("configuration change requires a restart", "key", x.key)
 		}
 	}
 	f.updateServers(cfg)
@@ -195,20 +198,20 @@
 	case f.admission != nil && cfg.Admission != nil:
 		f.admission.SetLimits(cfg.Admission.toLimits())
 	case (f.admission != nil) != (cfg.Admission != nil):
-		f.log.Warn("a change of the file takes a restart", "key", "admission")
+		f.log.Warn("configuration change requires a restart", "key", "admission")
 	}
 	if c := fresh.listenTLS.Load(); c != nil && f.listenTLS.Load() != nil {
-		f.listenTLS.Store(c) // new handshakes; who is in stays in
+		f.listenTLS.Store(c) // for new handshakes; open connections are kept
 	}
 }
 
-// ApplySettings takes new settings in: classes and their rules.
+// ApplySettings does nothing: this front keeps no settings of its own.
 func (f *Front) ApplySettings(balance.Settings) {}
 
-// Conform has requests read by the classes of a configuration that was taken in.
-func (f *Front) Conform(base *platform.Config) { f.parser.SetConfig(base) }
+// Conform makes the front parse requests by the classes of an applied configuration.
+func (f *Front) Conform(platformConfig *platform.Config) { f.parser.SetConfig(platformConfig) }
 
-// watchCredentials looks at the keys now and then.
+// watchCredentials checks the credential files for changes periodically.
 func (f *Front) watchCredentials() {
 	tick := time.NewTicker(seconds(f.cfg.TLS.Watch))
 	defer tick.Stop()
@@ -222,7 +225,8 @@
 	}
 }
 
-// reloadCredentials reads the keys again. A set that does not hold together is turned down, and the old one stays.
+// reloadCredentials re-reads the credential files. If they are invalid or do not match each other, the old
+// credentials stay in use.
 func (f *Front) reloadCredentials() {
 	if f.credentials == nil {
 		return
@@ -230,17 +234,17 @@
 	changed, err := f.credentials.Reload()
 	switch {
 	case err != nil:
-		f.log.Error("keys not reloaded: the old ones stay", "err", err)
+		f.log.Error("TLS credentials not reloaded: keeping the old ones", "err", err)
 	case changed:
-		f.log.Info("keys reloaded")
+		f.log.Info("TLS credentials reloaded")
 		f.router.newNodes.RetireTLSConns()
 	}
 }
 
-// Figures are the attempts that brought nothing, by reason.
+// Figures returns the number of failed attempts by reason.
 func (f *Front) Figures() map[string]int64 { return f.failures.NonZero() }
 
-// Addrs are the addresses that terminals reach; empty where there is no listener.
+// Addrs returns the addresses of the listeners for clients; empty for one that is not configured.
 func (f *Front) Addrs() (http, ajp string) {
 	if f.http != nil {
 		http = f.http.Addr()
@@ -251,16 +255,16 @@
 	return http, ajp
 }
 
-// MarkNotReady tells who asks that this front is not ready any more.
+// MarkNotReady makes readiness checks fail from now on.
 func (f *Front) MarkNotReady() { f.notReady.Store(true) }
 
-// eachListener calls a function for every listener.
-func (f *Front) eachListener(h func(*lnet.Server), a func(*ajp.Server)) {
+// eachListener calls a function with every listener: onHTTP or onAJP.
+func (f *Front) eachListener(onHTTP func(*lnet.Server), onAJP func(*ajp.Server)) {
 	if f.http != nil {
-		h(f.http)
+		onHTTP(f.http)
 	}
 	if f.ajp != nil {
-		a(f.ajp)
+		onAJP(f.ajp)
 	}
 }
 
@@ -269,43 +273,45 @@
 	f.eachListener((*lnet.Server).StopListening, (*ajp.Server).StopListening)
 }
 
-// CloseAfterReply has replies end their connections from now on.
+// CloseAfterReply makes every connection close after its next reply.
 func (f *Front) CloseAfterReply() {
 	f.eachListener((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
 }
 
-// Drain winds, and closes idle connections.
+// Drain calls CloseAfterReply, closes idle connections and stops watching the credentials.
 func (f *Front) Drain() {
 	f.eachListener((*lnet.Server).Drain, (*ajp.Server).Drain)
 	f.stopOnce.Do(func() { close(f.stop) })
 }
 
-// LastRequest is when a request last came.
+// LastRequest returns the time of the latest request on any listener.
 func (f *Front) LastRequest() (last time.Time) {
-	later := func(t time.Time) {
+	update := func(t time.Time) {
 		if t.After(last) {
 			last = t
 		}
 	}
-	f.eachListener(func(s *lnet.Server) { later(s.LastRequest()) }, func(s *ajp.Server) { later(s.LastRequest()) })
+	f.eachListener(func(s *lnet.Server) { update(s.LastRequest()) },
+		func(s *ajp.Server) { update(s.LastRequest()) })
 	return last
 }
 
-// Wait waits until every connection has ended.
-func (f *Front) Wait(most time.Duration) bool {
-	end, all := time.Now().Add(most), true
-	f.eachListener(func(s *lnet.Server) { all = s.Wait(time.Until(end)) },
-		func(s *ajp.Server) { all = s.Wait(time.Until(end)) && all })
-	return all
+// Wait waits until every connection has ended. It returns false if that takes longer than timeout.
+func (f *Front) Wait(timeout time.Duration) bool {
+	deadline, ended := time.Now().Add(timeout), true
+	f.eachListener(func(s *lnet.Server) { ended = s.Wait(time.Until(deadline)) },
+		func(s *ajp.Server) { ended = s.Wait(time.Until(deadline)) && ended })
+	return ended
 }
 
-func (f *Front) countOutcome(r *lnet.Request, e core.QueryOutcome) {
+// countOutcome counts the outcome of a request that does not become a query, if its class exists.
+func (f *Front) countOutcome(r *lnet.Request, outcome core.QueryOutcome) {
 	if class := platform.ClassName(r); slices.Contains(f.platformConfig.Classes, class) {
-		f.core.Counts().Class(class).Add(e)
+		f.core.Counts().Class(class).Add(outcome)
 	}
 }
 
-// handle takes one request, whichever way it came.
+// handle handles a request from either listener. The function it returns, if any, abandons the query.
 func (f *Front) handle(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
 		if f.notReady.Load() {
@@ -322,53 +328,53 @@
 		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
-	j := &clientQuery{front: f, exchange: x, class: platform.ClassName(r)}
-	if v := f.router.checkQuery(q); v != translate.Allowed {
-		f.log.Warn("a keyed request is not taken", "class", j.class, "why", v)
-		f.failures.Add(v.Reason())
-		j.reply(translate.GuardReply(v), f.core.FullRetryAfter())
+	cq := &clientQuery{front: f, exchange: x, class: platform.ClassName(r)}
+	if d := f.router.checkQuery(q); d != translate.Allowed {
+		f.log.Warn("keyed request rejected", "class", cq.class, "why", d)
+		f.failures.Add(d.Reason())
+		cq.reply(translate.GuardReply(d), f.core.FullRetryAfter())
 		return nil
 	}
-	q.Client, q.Data, q.ClientLeft = j, j, x.ClientLeft
+	q.Client, q.Data, q.ClientLeft = cq, cq, x.ClientLeft
 	if !f.core.Submit(q) {
-		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
+		cq.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
 	return func() { f.core.Abandon(q) }
 }
 
-// clientQuery is a query's client, and what its attempts met.
+// clientQuery connects a query with its client's exchange, and holds the latest failure of its attempts.
 type clientQuery struct {
 	front       *Front
 	exchange    *lnet.Exchange
 	class       string
-	lastFailure atomic.Uint32
+	lastFailure atomic.Uint32 // a translate.Reason
 }
 
-// ClassName is the query's class.
-func (j *clientQuery) ClassName() string { return j.class }
+// ClassName returns the name of the query's class.
+func (q *clientQuery) ClassName() string { return q.class }
 
-// RecordFailure hears why an attempt brought nothing.
-func (j *clientQuery) RecordFailure(why translate.Reason) { j.lastFailure.Store(uint32(why)) }
+// RecordFailure stores the reason of a failed attempt.
+func (q *clientQuery) RecordFailure(reason translate.Reason) { q.lastFailure.Store(uint32(reason)) }
 
-// Final replies.
-func (j *clientQuery) Final(f core.FinalAnswer) {
+// Final replies to the client with the query's result.
+func (q *clientQuery) Final(f core.FinalAnswer) {
 	if f.Outcome == core.Answered {
-		r := platform.Answer(f, j.front.log)
-		j.front.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-		j.exchange.Reply(r)
+		r := platform.Answer(f, q.front.log)
+		q.front.core.Counts().Class(q.class).Add(platform.OutcomeForStatus(r.Status))
+		q.exchange.Reply(r)
 		return
 	}
-	j.reply(translate.FailureReply(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.lastFailure.Load())),
-		f.RetryAfter)
+	q.reply(translate.FailureReply(f.Outcome == core.Refused, f.Overdue, f.NameTaken,
+		translate.Reason(q.lastFailure.Load())), f.RetryAfter)
 }
 
-// reply words what is no answer, and counts what the terminal is told.
-func (j *clientQuery) reply(w translate.Reply, after time.Duration) {
-	r := lnet.Response{Status: w.Status, Body: []byte(w.Text + "\n"), Close: w.Close}
-	if w.Refused {
-		r = platform.Refusal(after)
+// reply sends a failure reply and counts it by its status.
+func (q *clientQuery) reply(failure translate.Reply, retryAfter time.Duration) {
+	r := lnet.Response{Status: failure.Status, Body: []byte(failure.Text + "\n"), Close: failure.Close}
+	if failure.Refused {
+		r = platform.Refusal(retryAfter)
 	}
-	j.front.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-	j.exchange.Reply(r)
+	q.front.core.Counts().Class(q.class).Add(platform.OutcomeForStatus(r.Status))
+	q.exchange.Reply(r)
 }
