--- a/internal/kiosk/router.go
+++ b/internal/kiosk/router.go
@@ -1,8 +1,8 @@
 package kiosk
 
-// The way from one attempt to the backend of its server's form, with the guard of keys before it. The router
-// must never choose a server or send anything twice: it passes on what the core says, or tells that it has
-// not.
+// The router sends each attempt to the backend for its server's form, after the idempotency guard has
+// allowed it. It must never choose a server or send anything twice: it either passes on an attempt as the
+// core decided, or reports that it has not.
 
 import (
 	"sync"
@@ -15,16 +15,17 @@
 	"lapislever/internal/translate"
 )
 
-// oldWriteMargin is what a send of the old form may take until its last byte is written, beside the dialling.
+// oldWriteMargin is the time allowed for writing a send of the old form completely, in addition to the dial
+// timeout.
 const oldWriteMargin = 300 * time.Millisecond
 
-// sentAttempt is an attempt that is out.
+// sentAttempt is an attempt in flight.
 type sentAttempt struct {
 	backend core.Backend
-	token   uint64 // of the guard; 0: its class needs none
+	token   uint64 // from the guard; 0 if the class is not keyed
 }
 
-// router is a core.Backend over the two forms.
+// router is a core.Backend that combines the backends of the two forms.
 type router struct {
 	oldNodes    *platform.Nodes
 	newNodes    *grpcnode.Backend
@@ -33,23 +34,23 @@
 	dialTimeout time.Duration
 	epoch       time.Time
 
-	mu       sync.Mutex // guards all below
+	mu       sync.Mutex // guards the fields below
 	forms    map[balance.ReplicaID]string
-	guard    *translate.Guard // nil only in the test that shows what it is for
+	guard    *translate.Guard // nil only in a test that shows the duplicates without it
 	inFlight map[*core.Attempt]sentAttempt
 }
 
-// now is the guard's time.
+// now returns the guard's time.
 func (r *router) now() balance.Micros { return time.Since(r.epoch).Microseconds() }
 
-// setForms takes in which form each server has.
+// setForms sets the form of each server.
 func (r *router) setForms(forms map[balance.ReplicaID]string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.forms = forms
 }
 
-// domain is what the guard and the module call a form.
+// domain returns the number of a form's domain for the guard and the module.
 func (r *router) domain(form string) int {
 	if form == NewForm && r.guard != nil {
 		return 1
@@ -57,7 +58,7 @@
 	return 0
 }
 
-// checkQuery is the guard's word on a query before it is taken.
+// checkQuery asks the guard whether a query may be accepted.
 func (r *router) checkQuery(q *core.Query) translate.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,14 +66,14 @@
 		return translate.Allowed
 	}
 	for i := range q.Parts {
-		if v := r.guard.CheckQuery(r.now(), q.Key, q.Parts[i].Shard); v != translate.Allowed {
-			return v
+		if d := r.guard.CheckQuery(r.now(), q.Key, q.Parts[i].Shard); d != translate.Allowed {
+			return d
 		}
 	}
 	return translate.Allowed
 }
 
-// Send passes attempts on, each to the backend of its server's form.
+// Send passes each attempt to the backend of its server's form.
 func (r *router) Send(to balance.ReplicaID, call []*core.Attempt) bool {
 	for _, a := range call {
 		r.sendAttempt(to, a)
@@ -80,88 +81,92 @@
 	return true
 }
 
+// sendAttempt sends one attempt. For a keyed class it asks the guard first and limits the attempt's StartBy
+// to the end of the key's window.
 func (r *router) sendAttempt(to balance.ReplicaID, a *core.Attempt) {
 	now := r.now()
 	r.mu.Lock()
 	form := r.forms[to]
-	var f sentAttempt
+	var sent sentAttempt
 	if form != "" && r.guard != nil && a.Query.Rules.Effect == balance.Keyed {
-		v, token, until := r.guard.BeginSend(now, a.Query.Key, a.Shard, r.domain(form), a.Query.Rules.Window)
-		if v == translate.Allowed && form == OldForm && until-now < (r.dialTimeout+oldWriteMargin).Microseconds() {
-			// It could wait for a connection beyond the window: the terminal hears at once why it is not sent.
+		d, token, writeBy := r.guard.BeginSend(now, a.Query.Key, a.Shard, r.domain(form), a.Query.Rules.Window)
+		if d == translate.Allowed && form == OldForm &&
+			writeBy-now < (r.dialTimeout+oldWriteMargin).Microseconds() {
+			// The attempt could wait for a connection until after the window. Do not send it, so that the
+			// client learns the reason at once.
 			r.guard.CancelSend(now, a.Query.Key, a.Shard, token)
-			v = translate.WindowOver
+			d = translate.WindowOver
 		}
-		if v != translate.Allowed {
+		if d != translate.Allowed {
 			r.mu.Unlock()
-			r.failures.Add(v.Reason())
-			if j, ok := a.Query.Data.(grpcnode.QueryInfo); ok {
-				j.RecordFailure(v.Reason())
+			r.failures.Add(d.Reason())
+			if q, ok := a.Query.Data.(grpcnode.QueryInfo); ok {
+				q.RecordFailure(d.Reason())
 			}
 			r.reportNotRun(a, balance.NotSent)
 			return
 		}
-		f.token = token
-		// Whoever writes it looks at the clock then: it may wait behind others for longer than thought here.
-		if by := r.epoch.Add(time.Duration(until) * time.Microsecond); a.StartBy.IsZero() || by.Before(a.StartBy) {
-			a.StartBy = by
+		sent.token = token
+		// The write loop checks StartBy again, as the attempt may be queued for longer than assumed here.
+		if t := r.epoch.Add(time.Duration(writeBy) * time.Microsecond); a.StartBy.IsZero() || t.Before(a.StartBy) {
+			a.StartBy = t
 		}
 	}
 	switch form {
 	case OldForm:
-		f.backend = r.oldNodes
+		sent.backend = r.oldNodes
 	case NewForm:
-		f.backend = r.newNodes
+		sent.backend = r.newNodes
 	default:
 		r.mu.Unlock()
 		r.reportNotRun(a, balance.NoConnection)
 		return
 	}
-	r.inFlight[a] = f
+	r.inFlight[a] = sent
 	r.mu.Unlock()
-	if !f.backend.Send(to, []*core.Attempt{a}) {
+	if !sent.backend.Send(to, []*core.Attempt{a}) {
 		r.reportNotRun(a, balance.NoConnection)
 	}
 }
 
-// reportNotRun tells of an attempt that was not passed on; the core calls Send, so that the word must not wait for
-// it.
+// reportNotRun reports an attempt that was not passed on. It does so asynchronously, because the core is in
+// Send and cannot take the event before that returns.
 func (r *router) reportNotRun(a *core.Attempt, o balance.Outcome) {
 	go r.report(core.AttemptDone{Attempt: a, Outcome: o})
 }
 
-// report passes on what a backend says, and gives the guard's tokens back of what never ran.
+// report passes a backend's event on to the core. It first removes an attempt that is done.
 func (r *router) report(e core.Event) {
-	if o, ok := e.(core.AttemptDone); ok {
-		r.remove(o.Attempt, o.Outcome == balance.Busy || o.Outcome == balance.NoConnection ||
-			o.Outcome == balance.NotSent)
+	if done, ok := e.(core.AttemptDone); ok {
+		r.remove(done.Attempt, done.Outcome == balance.Busy || done.Outcome == balance.NoConnection ||
+			done.Outcome == balance.NotSent)
 	}
 	r.post(e)
 }
 
-// remove forgets an attempt that is not out any more.
-func (r *router) remove(a *core.Attempt, never bool) core.Backend {
+// remove removes an attempt that is no longer in flight. If it has not run, the guard forgets the send.
+func (r *router) remove(a *core.Attempt, notRun bool) core.Backend {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	f := r.inFlight[a]
+	sent := r.inFlight[a]
 	delete(r.inFlight, a)
-	if never && f.token != 0 {
-		r.guard.CancelSend(r.now(), a.Query.Key, a.Shard, f.token)
+	if notRun && sent.token != 0 {
+		r.guard.CancelSend(r.now(), a.Query.Key, a.Shard, sent.token)
 	}
-	return f.backend
+	return sent.backend
 }
 
-// Cancel gives an attempt up.
+// Cancel cancels an attempt. It returns true if the attempt has not run.
 func (r *router) Cancel(a *core.Attempt) bool {
 	r.mu.Lock()
-	via := r.inFlight[a].backend
+	backend := r.inFlight[a].backend
 	r.mu.Unlock()
-	never := via != nil && via.Cancel(a)
-	r.remove(a, never)
-	return never
+	notRun := backend != nil && backend.Cancel(a)
+	r.remove(a, notRun)
+	return notRun
 }
 
-// Probe looks at a server in its form.
+// Probe probes a server by the protocol of its form.
 func (r *router) Probe(to balance.ReplicaID) bool {
 	r.mu.Lock()
 	form := r.forms[to]
@@ -175,17 +180,18 @@
 	return false
 }
 
-// CloseIdle closes the connections to a server that carry nothing.
+// CloseIdle closes the idle connections to a server.
 func (r *router) CloseIdle(to balance.ReplicaID) {
 	r.oldNodes.CloseIdle(to)
 	r.newNodes.CloseIdle(to)
 }
 
-// CancelQueued takes back what is queued for a server and not begun, in whichever form.
+// CancelQueued cancels and returns the attempts queued for a server that have not been started, of either
+// form.
 func (r *router) CancelQueued(to balance.ReplicaID) []*core.Attempt {
-	back := append(r.oldNodes.CancelQueued(to), r.newNodes.CancelQueued(to)...)
-	for _, a := range back {
+	cancelled := append(r.oldNodes.CancelQueued(to), r.newNodes.CancelQueued(to)...)
+	for _, a := range cancelled {
 		r.remove(a, true)
 	}
-	return back
+	return cancelled
 }
