--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -30,7 +30,7 @@
 
 // validForward returns the payload of a valid request.
 func validForward() []byte {
-	return standin.AJPForward(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
+	return standin.AJPRequest(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
 		"secret", "s3cret", "query_string", "a=b", "JK_LB_ACTIVATION", "ACT")
 }
 
@@ -44,7 +44,7 @@
 		fmt.Sprint(f.Header) != "[[Content-Length 7] [X-Call-Id c1]]" {
 		t.Errorf("%+v", f)
 	}
-	stored := append(standin.AJPForward(0xff, "/x", nil), 0)
+	stored := append(standin.AJPRequest(0xff, "/x", nil), 0)
 	stored = append(stored[:len(stored)-2], 13, 0, 5, 'P', 'A', 'T', 'C', 'H', 0, 0xff)
 	if f, err := ParseForward(stored); err != nil || f.Method != "PATCH" {
 		t.Errorf("stored method: %+v, %v", f, err)
@@ -98,7 +98,7 @@
 // Any payload is either parsed or an ErrPacket, and the parsed strings are no longer than the payload.
 func FuzzForward(f *testing.F) {
 	f.Add(validForward())
-	f.Add(standin.AJPForward(2, "/", nil))
+	f.Add(standin.AJPRequest(2, "/", nil))
 	f.Add([]byte{2, 2, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ParseForward(b)
@@ -136,7 +136,7 @@
 func startEcho(t *testing.T, o Options, budget *lnet.Budget) *echoServer {
 	x := &echoServer{}
 	var err error
-	x.server, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request,
+	x.server, err = Listen("127.0.0.1:0", o, budget, standin.DiscardLogger(), func(r *lnet.Request,
 		e *lnet.Exchange) func() {
 		x.mu.Lock()
 		x.requests = append(x.requests, r)
@@ -170,33 +170,33 @@
 	a := standin.DialAJP(t, x.server.Addr())
 	ping := func() {
 		t.Helper()
-		a.Raw(standin.AJPPacket([]byte{10}))
-		if r, err := a.Read(nil); err != nil || !r.Pong {
+		a.WriteRaw(standin.AJPPacket([]byte{10}))
+		if r, err := a.ReadReply(nil); err != nil || !r.Pong {
 			t.Fatalf("CPing: %+v, %v", r, err)
 		}
 	}
 	for _, size := range []int{0, 1, 8186, 8187, 20_000, lnet.MaxBody} {
 		ping()
 		body := strings.Repeat("x", size)
-		r, err := a.Call("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
+		r, err := a.Do("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
 		if err != nil || r.Status != 200 || r.Body != body || !r.Reuse || r.Header["01"] != "application/json" {
 			t.Fatalf("%d bytes: %+v, %v", size, r, err)
 		}
 	}
 	// A body of unknown length is requested chunk by chunk.
-	a.Raw(standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
 		"secret",
 		"s3cret")))
 	chunks := []string{"one", "two", ""}
-	r, err := a.Read(func(int) []byte {
-		b := standin.AJPBody([]byte(chunks[0]))
+	r, err := a.ReadReply(func(int) []byte {
+		b := standin.AJPChunk([]byte(chunks[0]))
 		chunks = chunks[1:]
 		return b
 	})
-	if err != nil || r.Body != "onetwo" || len(r.Asked) != 3 {
+	if err != nil || r.Body != "onetwo" || len(r.BodyRequests) != 3 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if r, err = a.Call("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
+	if r, err = a.Do("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
 		r.Header["Retry-After"] != "0.2" || !r.Reuse {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -204,7 +204,7 @@
 		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
 	x.server.CloseAfterReply()
-	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
+	if r, err = a.Do("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
 		t.Fatalf("after CloseAfterReply: %+v, %v", r, err)
 	}
 	if !x.server.Wait(5*time.Second) || budget.InUse() != 0 {
@@ -215,7 +215,7 @@
 // Each fault closes its connection, with or without an error reply, and leaves other connections usable.
 func TestFaultsCloseConnection(t *testing.T) {
 	withLength := func(size string) []byte {
-		return standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
+		return standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
 			"s3cret"))
 	}
 	for name, c := range map[string]struct {
@@ -230,16 +230,16 @@
 		"shutdown":        {standin.AJPPacket([]byte{7}), 0, false},
 		"long CPing":      {standin.AJPPacket([]byte{10, 0}), 0, false},
 		"truncated":       {standin.AJPPacket(validForward()[:20]), 0, false},
-		"no secret":       {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
-		"wrong secret":    {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
+		"no secret":       {standin.AJPPacket(standin.AJPRequest(4, "/x", nil)), 403, false},
+		"wrong secret":    {standin.AJPPacket(standin.AJPRequest(4, "/x", nil, "secret", "s3creT")), 403, false},
 		"body too large":  {withLength("65537"), 413, false},
 		"bad length":      {withLength("-1"), 400, false},
 		"body ends early": {append(withLength("5"), standin.AJPPacket(nil)...), 400, false},
 		"body too long": {append(withLength("2"),
-			standin.AJPPacket(standin.AJPBody([]byte("abc")))...), 0, false},
+			standin.AJPPacket(standin.AJPChunk([]byte("abc")))...), 0, false},
 		"bad chunk":       {append(withLength("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
 		"body never sent": {withLength("5"), 408, true},
-		"early packet": {append(standin.AJPPacket(standin.AJPForward(4, "/never", nil, "secret", "s3cret")),
+		"early packet": {append(standin.AJPPacket(standin.AJPRequest(4, "/never", nil, "secret", "s3cret")),
 			standin.AJPPacket([]byte{10})...), 0, false},
 		"silent": {nil, 0, true},
 	} {
@@ -247,14 +247,14 @@
 			t.Parallel()
 			x := startEcho(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
 			a := standin.DialAJP(t, x.server.Addr())
-			a.Raw(c.send)
-			r, err := a.Read(func(int) []byte { return nil })
+			a.WriteRaw(c.send)
+			r, err := a.ReadReply(func(int) []byte { return nil })
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "the connection to close", func() bool { return x.server.OpenConns() == 0 })
+			standin.WaitFor(t, "the connection to close", func() bool { return x.server.OpenConns() == 0 })
 			b := standin.DialAJP(t, x.server.Addr())
-			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
+			if r, err := b.Do("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
 				t.Errorf("next connection: %+v, %v", r, err)
 			}
 		})
@@ -266,14 +266,14 @@
 func TestProxyDisconnects(t *testing.T) {
 	x := startEcho(t, Options{}, lnet.NewBudget(10, 0))
 	a := standin.DialAJP(t, x.server.Addr())
-	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
-	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(2, "/never", nil)))
+	standin.WaitFor(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.Until(t, "the request to be abandoned", func() bool { _, abandoned := x.count(); return abandoned == 1 })
+	standin.WaitFor(t, "the request to be abandoned", func() bool { _, abandoned := x.count(); return abandoned == 1 })
 	b := standin.DialAJP(t, x.server.Addr())
-	b.Raw(standin.AJPPacket(validForward())[:30])
+	b.WriteRaw(standin.AJPPacket(validForward())[:30])
 	b.Close()
-	standin.Until(t, "the connections to close", func() bool { return x.server.OpenConns() == 0 })
+	standin.WaitFor(t, "the connections to close", func() bool { return x.server.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
@@ -297,10 +297,10 @@
 		budget := lnet.NewBudget(10, 0)
 		x := startEcho(t, Options{}, budget)
 		a := standin.DialAJP(t, x.server.Addr())
-		if r, err := a.Call("/echo", nil, "x"); err != nil || r.Status != 200 {
+		if r, err := a.Do("/echo", nil, "x"); err != nil || r.Status != 200 {
 			t.Fatalf("%+v, %v", r, err)
 		}
-		standin.Until(t, "the connection to be idle", func() bool {
+		standin.WaitFor(t, "the connection to be idle", func() bool {
 			x.server.mu.Lock()
 			defer x.server.mu.Unlock()
 			for c := range x.server.conns {
@@ -311,7 +311,7 @@
 			return false
 		})
 		end(x.server)
-		standin.Until(t, name+": the slot to be released", func() bool {
+		standin.WaitFor(t, name+": the slot to be released", func() bool {
 			return x.server.OpenConns() == 0 && budget.InUse() == 0
 		})
 	}
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -33,7 +33,7 @@
 	log            *slog.Logger
 	parser         *platform.Front
 	credentials    *grpcnode.Credentials
-	failures       translate.Tally
+	failures       translate.FailureCounts
 	router         *router
 	admission      *lnet.AdmissionController // nil if only the budget limits connections
 	listenTLS      atomic.Pointer[tls.Config]
@@ -179,7 +179,7 @@
 // Reload applies the configuration of fresh, which was made from the re-read file and never started: the
 // servers, the credentials, the admission limits and the listener's certificate. It logs the changes that
 // require a restart.
-func (f *Front) Adopt(fresh *Front) {
+func (f *Front) Reload(fresh *Front) {
 	old, cfg := f.cfg, fresh.cfg
 	for _, x := range []struct {
 		key  string
--- a/internal/kiosk/router.go
+++ b/internal/kiosk/router.go
@@ -29,7 +29,7 @@
 type router struct {
 	oldNodes    *platform.Nodes
 	newNodes    *grpcnode.Backend
-	failures    *translate.Tally
+	failures    *translate.FailureCounts
 	post        func(core.Event)
 	dialTimeout time.Duration
 	epoch       time.Time
--- a/internal/translate/table.go
+++ b/internal/translate/table.go
@@ -45,20 +45,20 @@
 // would meet the same.
 const (
 	None             Reason = iota
-	Turned                  // the server rejected the call without processing it
-	Late                    // the server's own deadline passed
-	Broken                  // the server reported itself unavailable or aborted the call midway
-	Failing                 // the server failed
-	BadStatus               // the status is missing or no gRPC status
-	BadReply                // the reply is not gRPC, or its message cannot be decoded
-	BadValue                // the old form has no such kind of value
-	BadText                 // the text is not UTF-8
-	BadShard                // the answer belongs to another part
+	Rejected                // the server rejected the call without processing it
+	DeadlinePassed          // the server's own deadline passed
+	Unreachable             // the server reported itself unavailable or aborted the call midway
+	ServerError             // the server failed
+	UnknownStatus           // the status is missing or no gRPC status
+	UnreadableReply         // the reply is not gRPC, or its message cannot be decoded
+	UnsupportedKind         // the old form has no such kind of value
+	InvalidUTF8             // the text is not UTF-8
+	WrongShard              // the answer belongs to another part
 	TooLarge                // the value exceeds the size limit
 	Compressed              // the message is compressed, which was not requested
 	Denied                  // the server does not authorize calls from this coordinator
-	Repeated                // the server has seen the key before and does not return the answer again
-	Unsuited                // the server reported that the request cannot succeed
+	RepeatDropped           // the server has seen the key before and does not return the answer again
+	NeverPossible           // the server reported that the request cannot succeed
 	GuardWindowOver         // not sent: the key's window has ended
 	GuardOtherForm          // not sent: the key may have run in the other form
 	GuardTooManyKeys        // not sent: the guard's table of keys is full
@@ -73,23 +73,23 @@
 func (r Reason) String() string { return reasonNames[r] }
 
 // Untranslatable reports whether the old form has no equivalent and a retry would meet the same.
-func (r Reason) Untranslatable() bool { return r >= BadStatus && r <= Unsuited }
+func (r Reason) Untranslatable() bool { return r >= UnknownStatus && r <= NeverPossible }
 
 // FailureCounts counts attempts by reason. It is safe for concurrent use.
-type Tally struct{ counts [numReasons]atomic.Int64 }
+type FailureCounts struct{ counts [numReasons]atomic.Int64 }
 
 // Add counts one attempt; None is not counted.
-func (t *Tally) Add(r Reason) {
+func (t *FailureCounts) Add(r Reason) {
 	if r != None {
 		t.counts[r].Add(1)
 	}
 }
 
 // Count returns the number of attempts with reason r.
-func (t *Tally) Count(r Reason) int64 { return t.counts[r].Load() }
+func (t *FailureCounts) Count(r Reason) int64 { return t.counts[r].Load() }
 
 // NonZero returns the counts above 0 by the reason's name.
-func (t *Tally) NonZero() map[string]int64 {
+func (t *FailureCounts) NonZero() map[string]int64 {
 	out := map[string]int64{}
 	for r := None + 1; r < numReasons; r++ {
 		if n := t.counts[r].Load(); n > 0 {
@@ -108,33 +108,33 @@
 // statusResults maps each status of a call that may have run.
 var statusResults = [...]Result{
 	OK:                 {balance.OK, None},
-	Cancelled:          {balance.Reset, Broken},
-	Unknown:            {balance.Error, Failing},
-	InvalidArgument:    {balance.Error, Unsuited},
-	DeadlineExceeded:   {balance.TimedOut, Late},
-	NotFound:           {balance.Error, Unsuited},
-	AlreadyExists:      {balance.Error, Repeated},
+	Cancelled:          {balance.Reset, Unreachable},
+	Unknown:            {balance.Error, ServerError},
+	InvalidArgument:    {balance.Error, NeverPossible},
+	DeadlineExceeded:   {balance.TimedOut, DeadlinePassed},
+	NotFound:           {balance.Error, NeverPossible},
+	AlreadyExists:      {balance.Error, RepeatDropped},
 	PermissionDenied:   {balance.Error, Denied},
-	ResourceExhausted:  {balance.Error, Failing},
-	FailedPrecondition: {balance.Error, Unsuited},
-	Aborted:            {balance.Error, Failing},
-	OutOfRange:         {balance.Error, Unsuited},
-	Unimplemented:      {balance.Error, Unsuited},
-	Internal:           {balance.Error, Failing},
-	Unavailable:        {balance.Reset, Broken},
-	DataLoss:           {balance.Error, Failing},
+	ResourceExhausted:  {balance.Error, ServerError},
+	FailedPrecondition: {balance.Error, NeverPossible},
+	Aborted:            {balance.Error, ServerError},
+	OutOfRange:         {balance.Error, NeverPossible},
+	Unimplemented:      {balance.Error, NeverPossible},
+	Internal:           {balance.Error, ServerError},
+	Unavailable:        {balance.Reset, Unreachable},
+	DataLoss:           {balance.Error, ServerError},
 	Unauthenticated:    {balance.Error, Denied},
 }
 
 // FromStatus maps a gRPC status. unseen means that the service stated to have rejected the call before
 // looking at it. The service's contract defines this only for ResourceExhausted and Unavailable; nothing
 // else proves that a call that was written completely has not run.
-func Status(code Code, unseen bool) Result {
+func FromStatus(code Code, unseen bool) Result {
 	if int(code) >= len(statusResults) {
-		return Result{balance.Error, BadStatus}
+		return Result{balance.Error, UnknownStatus}
 	}
 	if unseen && (code == ResourceExhausted || code == Unavailable) {
-		return Result{balance.Busy, Turned}
+		return Result{balance.Busy, Rejected}
 	}
 	return statusResults[code]
 }
@@ -147,16 +147,16 @@
 
 // FromHTTP maps the HTTP status of a reply without a gRPC status. Such a reply comes from an intermediary,
 // and whether the server processed the call is unknown.
-func HTTP(status int) Result {
+func FromHTTP(status int) Result {
 	switch status {
 	case 401, 403:
 		return Result{balance.Error, Denied}
 	case 404:
-		return Result{balance.Error, Unsuited}
+		return Result{balance.Error, NeverPossible}
 	case 429, 502, 503, 504:
-		return Result{balance.Reset, Broken}
+		return Result{balance.Reset, Unreachable}
 	}
-	return Result{balance.Error, BadReply}
+	return Result{balance.Error, UnreadableReply}
 }
 
 // Kind is the type of an answer's value.
@@ -166,26 +166,26 @@
 const (
 	NoValue Kind = iota
 	Text
-	Whole
-	Real
-	Raw
+	Integer
+	Float
+	Bytes
 )
 
 // Answer is a decoded answer of the new form.
 type Answer struct {
-	Shard   uint32
-	Kind    Kind
-	Text    []byte
-	Whole   int64
-	Rate    float64 // load report: requests per second
-	Waiting uint32  // load report: requests waiting
-	Loaded  bool    // a load report is present
+	Shard     uint32
+	Kind      Kind
+	Text      []byte
+	Integer   int64
+	Rate      float64 // load report: requests per second
+	Waiting   uint32  // load report: requests waiting
+	HasReport bool    // a load report is present
 }
 
 // Value converts the answer for shard to a value of the old form, of at most maxSize bytes.
 func (a *Answer) Value(shard, maxSize int) ([]byte, Reason) {
 	if int64(a.Shard) != int64(shard) {
-		return nil, BadShard
+		return nil, WrongShard
 	}
 	switch a.Kind {
 	case Text:
@@ -193,13 +193,13 @@
 		case len(a.Text) > maxSize:
 			return nil, TooLarge
 		case !utf8.Valid(a.Text):
-			return nil, BadText
+			return nil, InvalidUTF8
 		}
 		return a.Text, None
-	case Whole:
-		return strconv.AppendInt(nil, a.Whole, 10), None
+	case Integer:
+		return strconv.AppendInt(nil, a.Integer, 10), None
 	}
-	return nil, BadValue
+	return nil, UnsupportedKind
 }
 
 // Reply is a failure reply to an old-form client.
