--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -21,21 +21,22 @@
 	"lapislever/internal/standin"
 )
 
-// startWithAdmission is a front with few descriptors: 65 for clients and nodes, 49 of them for clients.
-func startWithAdmission(t *testing.T, edit string) (*testFront, *standin.GRPCNode) {
+// startWithAdmission starts a front with 65 descriptors for clients and nodes, 49 of them for clients.
+// admission is added to the [admission] section.
+func startWithAdmission(t *testing.T, admission string) (*testFront, *standin.GRPCNode) {
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answerWithID)
 	return startFront(t, "sockets = 120\noperator = \"127.0.0.1:0\"\n"+listenersTOML+`
 [admission]
 reserve = 6
 track = 200
-`+edit+`
+`+admission+`
 [[admission.rule]]
 prefix = "127.0.9.0/24"
 known = true
 `+classesTOML+serverTOML("a", n.Addr, "new", 0)), n
 }
 
-// dialFrom dials from an address of its own.
+// dialFrom connects to an address from a given local address.
 func dialFrom(t testing.TB, addr, to string) net.Conn {
 	t.Helper()
 	c, err := (&net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(addr)},
@@ -46,7 +47,8 @@
 	return c
 }
 
-// requestOn sends a request on a connection and reads the reply; status 0 where the connection ended without one.
+// requestOn sends a request on a connection and reads the reply. Status 0 means that the connection was
+// closed without one.
 func requestOn(c net.Conn, id, key string) (status int, header http.Header) {
 	head, body := request(id, key, 0)
 	class := "rate-check"
@@ -70,8 +72,9 @@
 	return r.StatusCode, r.Header
 }
 
-// A crowd takes all there is, in every way of taking it; a known client still connects and is answered, who
-// is refused hears so, and every admitted query gets one answer. Afterwards all is given back.
+// Strangers take all general slots, some with half a request and some with idle connections. Known clients
+// still connect and are answered, further strangers are refused or closed, and no query of theirs reaches
+// the node. Once all connections are closed, every slot and descriptor is released.
 func TestKnownClientsAdmittedWhenFull(t *testing.T) {
 	r, n := startWithAdmission(t, "")
 	base := r.front.budget.InUse()
@@ -84,14 +87,16 @@
 		go func() {
 			defer wg.Done()
 			c := dialFrom(t, fmt.Sprintf("127.0.%d.%d", 20+i%3, 1+i%200), r.http)
-			if i%2 == 0 { // half of a request, then nothing
+			if i%2 == 0 { // half a request, never completed
 				_, _ = io.WriteString(c, "POST /rate-check HTTP/1.1\r\nHost: x\r\n")
 			}
 			keep(c)
 		}()
 	}
 	wg.Wait()
-	standin.WaitFor(t, "the limit", func() bool { return r.front.admission.Stats(1).General >= 43 })
+	standin.WaitFor(t, "all general slots to be taken", func() bool {
+		return r.front.admission.Stats(1).General >= 43
+	})
 	for i := range 6 {
 		c := dialFrom(t, "127.0.9.1", r.http)
 		keep(c)
@@ -99,9 +104,9 @@
 			t.Errorf("known client %d: %d", i, status)
 		}
 	}
-	f := r.front.admission.Stats(5)
-	if f.Reserve != 6 || f.General > 43 || f.Refused["full"] == 0 {
-		t.Errorf("%+v", f)
+	stats := r.front.admission.Stats(5)
+	if stats.Reserve != 6 || stats.General > 43 || stats.Refused["full"] == 0 {
+		t.Errorf("%+v", stats)
 	}
 	refused, closed := 0, 0
 	for range 20 {
@@ -112,7 +117,7 @@
 		case status == 0:
 			closed++
 		default:
-			t.Errorf("a stranger past the limit: %d", status)
+			t.Errorf("stranger beyond the limit: %d", status)
 		}
 		_ = c.Close()
 	}
@@ -127,13 +132,14 @@
 		_ = c.Close()
 	}
 	mu.Unlock()
-	standin.WaitFor(t, "the descriptors", func() bool {
-		f := r.front.admission.Stats(1)
-		return f.General+f.Reserve+f.Proving == 0 && r.front.budget.InUse() <= base+2
+	standin.WaitFor(t, "all slots and descriptors to be released", func() bool {
+		stats := r.front.admission.Stats(1)
+		return stats.General+stats.Reserve+stats.Proving == 0 && r.front.budget.InUse() <= base+2
 	})
 }
 
-// A terminal that reconnects in a loop is held to its rate, told when to come back, and nobody else notices.
+// A client that reconnects in a loop is limited to its rate and gets a Retry-After; other clients are
+// unaffected.
 func TestReconnectLoopIsRateLimited(t *testing.T) {
 	r, _ := startWithAdmission(t, "rate = 5.0\nburst = 5.0\nopen = 4\n")
 	answered, refused := 0, 0
@@ -151,7 +157,7 @@
 		if i%10 == 0 {
 			o := dialFrom(t, fmt.Sprintf("127.0.41.%d", 1+i), r.http)
 			if status, _ := requestOn(o, fmt.Sprint("other", i), ""); status != 200 {
-				t.Errorf("another terminal: %d", status)
+				t.Errorf("other client: %d", status)
 			}
 			_ = o.Close()
 		}
@@ -159,43 +165,45 @@
 	if answered < 5 || refused < 20 {
 		t.Errorf("%d answered, %d refused", answered, refused)
 	}
-	if f := r.front.admission.Stats(1); f.Refused["too_fast"] == 0 || f.Top[0].Addr != "127.0.40.1" {
-		t.Errorf("%+v", f)
+	if stats := r.front.admission.Stats(1); stats.Refused["too_fast"] == 0 || stats.Top[0].Addr != "127.0.40.1" {
+		t.Errorf("%+v", stats)
 	}
 }
 
-// Fronts by AJP go through the same gate, idle connections make way for others, and one with a request stays.
+// AJP connections pass through the same admission controller as HTTP connections. Idle connections are
+// closed in favour of new ones. A ban closes connections of both kinds and survives a reload of the
+// settings.
 func TestAdmissionOverHTTPAndAJP(t *testing.T) {
 	r, _ := startWithAdmission(t, "open = 200\n")
 	busy := dialFrom(t, "127.0.50.1", r.http)
 	defer busy.Close()
 	var idle []net.Conn
-	for i := range 60 { // more than there are places: the longest idle make way
+	for i := range 60 { // more than the 49 slots: those idle for longest are closed
 		c := dialFrom(t, "127.0.50.2", r.http)
 		idle = append(idle, c)
 		if status, _ := requestOn(c, fmt.Sprint("idle", i), ""); status != 200 {
 			t.Fatalf("%d: %d", i, status)
 		}
 	}
-	front := standin.DialAJP(t, r.ajp)
+	proxy := standin.DialAJP(t, r.ajp)
 	head, body := request("ajp", "", 0)
-	y, err := front.Do("/rate-check", head, body, "secret", "s3cret")
+	y, err := proxy.Do("/rate-check", head, body, "secret", "s3cret")
 	if err != nil || y.Status != 200 {
-		t.Errorf("AJP among idle ones: %+v, %v", y, err)
+		t.Errorf("AJP request with all slots taken by idle connections: %+v, %v", y, err)
 	}
 	r.front.admission.BanOrPin(netip.MustParsePrefix("127.0.0.0/8"), false, time.Minute)
 	z, err := standin.DialAJP(t, r.ajp).Do("/rate-check", head, body, "secret", "s3cret")
 	if err != nil || z.Status != 503 || z.Header["Retry-After"] == "" || z.Reuse {
-		t.Errorf("a banned front: %+v, %v", z, err)
+		t.Errorf("AJP request of a banned address: %+v, %v", z, err)
 	}
-	standin.WaitFor(t, "the end of what rests", func() bool {
-		f := r.front.admission.Stats(1)
-		return f.General+f.Reserve < 5
+	standin.WaitFor(t, "the idle connections to close", func() bool {
+		stats := r.front.admission.Stats(1)
+		return stats.General+stats.Reserve < 5
 	})
 	_, fresh := newFront(t, strings.Replace(reloadedTOML, "ADDR", "127.0.0.1:1", 1))
 	r.front.Reload(fresh)
 	if status, _ := requestOn(dialFrom(t, "127.0.50.9", r.http), "banned", ""); status == 200 {
-		t.Error("a ban did not outlive new settings")
+		t.Error("the ban did not survive a reload of the settings")
 	}
 	r.front.admission.Lift(netip.MustParsePrefix("127.0.0.0/8"))
 	for _, c := range idle {
@@ -206,7 +214,7 @@
 const reloadedTOML = "sockets = 120\n" + listenersTOML + "[admission]\nreserve = 3\n" + classesTOML +
 	"[[server]]\nname = \"a\"\naddress = \"ADDR\"\nform = \"new\"\ncell = 0\n"
 
-// Two clients, one known, race for the very last place again and again: the known one always gets in.
+// A known client and a stranger repeatedly race for the last slot: the known one is always admitted.
 func TestKnownClientGetsLastDescriptor(t *testing.T) {
 	r, _ := startWithAdmission(t, "")
 	var crowd []net.Conn
@@ -220,11 +228,11 @@
 			t.Fatalf("%d", status)
 		}
 	}
-	standin.WaitFor(t, "one place left", func() bool {
-		f := r.front.admission.Stats(1)
-		return f.General+f.Reserve == 48
+	standin.WaitFor(t, "all slots but one to be taken", func() bool {
+		stats := r.front.admission.Stats(1)
+		return stats.General+stats.Reserve == 48
 	})
-	var in atomic.Int64
+	var admitted atomic.Int64
 	for i := range 10 {
 		var wg sync.WaitGroup
 		for _, a := range []string{"127.0.60.2", "127.0.9.8"} {
@@ -234,7 +242,7 @@
 				c := dialFrom(t, a, r.http)
 				status, _ := requestOn(c, fmt.Sprint("race", i, a), "")
 				if known := strings.HasPrefix(a, "127.0.9."); known && status == 200 {
-					in.Add(1)
+					admitted.Add(1)
 				} else if known || status == 200 {
 					t.Errorf("%s: %d", a, status)
 				}
@@ -242,21 +250,21 @@
 			}()
 		}
 		wg.Wait()
-		standin.WaitFor(t, "the place again", func() bool {
-			f := r.front.admission.Stats(1)
-			return f.General+f.Reserve == 48
+		standin.WaitFor(t, "the last slot to be released", func() bool {
+			stats := r.front.admission.Stats(1)
+			return stats.General+stats.Reserve == 48
 		})
 	}
-	if in.Load() != 10 {
-		t.Errorf("the known client got in %d times of 10", in.Load())
+	if admitted.Load() != 10 {
+		t.Errorf("the known client was admitted %d times of 10", admitted.Load())
 	}
 	for _, c := range crowd {
 		_ = c.Close()
 	}
 }
 
-// By TLS: who shows a certificate that the roots have signed is known, from any address; unfinished
-// handshakes hold places of their own, for a while, and never the reserve.
+// With TLS, a client with a certificate signed by one of the roots is known, whatever its address.
+// Connections with an unfinished handshake take separate slots, for a limited time, and never the reserve.
 func TestClientCertificateMakesKnown(t *testing.T) {
 	ca, other := standin.NewAuthority(t), standin.NewAuthority(t)
 	dir := t.TempDir()
@@ -300,41 +308,43 @@
 		status, _ := requestOn(tls.Client(dialFrom(t, addr, at), c), id, "")
 		return status
 	}
-	standin.WaitFor(t, "the first answer", func() bool { return ask("127.0.80.1", "first", nil) == 200 })
+	standin.WaitFor(t, "the first request to be answered", func() bool {
+		return ask("127.0.80.1", "first", nil) == 200
+	})
 	if status := ask("127.0.80.1", "foreign", other); status != 0 {
-		t.Errorf("a certificate that the roots have not signed: %d", status)
+		t.Errorf("certificate not signed by a root: %d", status)
 	}
 	var crowd []net.Conn
-	// Handshakes that never begin; their places come back after a while.
-	standin.WaitFor(t, "the limit", func() bool {
+	// Connections that never begin the handshake. Their slots are released after prove_s.
+	standin.WaitFor(t, "all slots outside the reserve to be taken", func() bool {
 		crowd = append(crowd, dialFrom(t, fmt.Sprintf("127.0.81.%d", 1+len(crowd)%200), at))
-		return f.admission.Stats(1).Refused["unproved"] > 0 // so all places were taken but the reserve
+		return f.admission.Stats(1).Refused["unproved"] > 0 // all slots but the reserve were taken
 	})
 	if got := f.admission.Stats(1); got.Reserve != 0 {
-		t.Errorf("unproved connections hold %d places of the reserve", got.Reserve)
+		t.Errorf("connections without a handshake hold %d slots of the reserve", got.Reserve)
 	}
-	// Their time passes, the places come back, and head office gets in, also with strangers asking all the
-	// while.
-	standin.WaitFor(t, "head office", func() bool {
+	// Their time passes, the slots are released, and a client with a certificate is admitted even while
+	// strangers keep connecting.
+	standin.WaitFor(t, "the client with a certificate to be answered", func() bool {
 		crowd = append(crowd, dialFrom(t, "127.0.82.1", at), dialFrom(t, "127.0.82.2", at))
 		return ask("127.0.83.1", "office", ca) == 200
 	})
 	for _, c := range crowd {
 		_ = c.Close()
 	}
-	standin.WaitFor(t, "the places", func() bool {
-		f := f.admission.Stats(1)
-		return f.General+f.Reserve+f.Proving == 0
+	standin.WaitFor(t, "all slots to be released", func() bool {
+		stats := f.admission.Stats(1)
+		return stats.General+stats.Reserve+stats.Proving == 0
 	})
 }
 
-// Operators see who is there, and ban, pin and lift.
+// The admin endpoints show the admission state, and ban, pin and lift prefixes.
 func TestAdmissionAdminEndpoints(t *testing.T) {
 	r, _ := startWithAdmission(t, "")
-	door := r.coordinator.AdminAddr()
+	admin := r.coordinator.AdminAddr()
 	call := func(method, path, body string, want int) string {
 		t.Helper()
-		x := standin.DoHTTP(t, door, method, path, nil, body)
+		x := standin.DoHTTP(t, admin, method, path, nil, body)
 		if x.Status != want {
 			t.Errorf("%s %s %q: %d %s", method, path, body, x.Status, x.Body)
 		}
@@ -346,38 +356,38 @@
 	call("POST", "/admin/admission/ban", "127.0.70.0/24", 400)
 	call("GET", "/admin/admission/ban", "", 405)
 	if status, _ := requestOn(dialFrom(t, "127.0.70.5", r.http), "b", ""); status == 200 {
-		t.Error("a banned client was answered")
+		t.Error("banned client was answered")
 	}
 	if status, _ := requestOn(dialFrom(t, "127.0.71.1", r.http), "p", ""); status != 200 {
-		t.Errorf("a pinned client: %d", status)
+		t.Errorf("pinned client: %d", status)
 	}
 	shown := call("GET", "/admin/admission", "", 200)
 	for _, want := range []string{`"banned":1`, `"prefix":"127.0.70.0/24"`, `"127.0.71.1"`} {
 		if !strings.Contains(shown, want) {
-			t.Errorf("%s is not in %s", want, shown)
+			t.Errorf("%s is missing in %s", want, shown)
 		}
 	}
 	call("POST", "/admin/admission/lift", "127.0.70.0/24", 200)
 	if status, _ := requestOn(dialFrom(t, "127.0.70.5", r.http), "l", ""); status != 200 {
-		t.Errorf("after the ban: %d", status)
+		t.Errorf("after lifting the ban: %d", status)
 	}
 }
 
-// What the file may not say, each with its line and key.
+// Invalid settings are reported with their line and key.
 func TestAdmissionConfigErrors(t *testing.T) {
 	rule := func(text string) string { return "[[admission.rule]]\nprefix = " + text }
-	ten := rule("\"10.0.0.0/8\"\n")
+	valid := rule("\"10.0.0.0/8\"\n")
 	for text, want := range map[string]string{
-		"[admission]\nopen = 0":              "f:2: admission.open: a cap of nothing",
-		"[admission]\nrate = -1.0":           "f:2: admission.rate: a rate of nothing",
-		"[admission]\nburst = 3.0":           "f:2: admission.burst: is of no use",
-		"[admission]\nreserve = 2000":        "f:2: admission.reserve: reserve and proving are 2000 of the",
-		"[admission]\ntrack = 1":             "f:2: admission.track: 1 is not",
-		rule("\"10.0.0.1/8\""):               "f:2: admission.rule[1].prefix: 10.0.0.1/8 has bits",
-		ten + ten:                            "f:4: admission.rule[2].prefix: 10.0.0.0/8 is there already",
-		ten + "known = true\nrate = 1.0":     "f:4: admission.rule[1].rate: contradicts known",
-		ten + "known = true\ngateway = true": "f:4: admission.rule[1].gateway: contradicts",
-		"[listen_tls]\nclient_roots = \"x\"": "f:2: listen_tls.client_roots: is of no use",
+		"[admission]\nopen = 0":                "f:2: admission.open: a cap of nothing",
+		"[admission]\nrate = -1.0":             "f:2: admission.rate: a rate of nothing",
+		"[admission]\nburst = 3.0":             "f:2: admission.burst: is of no use",
+		"[admission]\nreserve = 2000":          "f:2: admission.reserve: reserve and proving are 2000 of the",
+		"[admission]\ntrack = 1":               "f:2: admission.track: 1 is not",
+		rule("\"10.0.0.1/8\""):                 "f:2: admission.rule[1].prefix: 10.0.0.1/8 has bits",
+		valid + valid:                          "f:4: admission.rule[2].prefix: 10.0.0.0/8 is there already",
+		valid + "known = true\nrate = 1.0":     "f:4: admission.rule[1].rate: contradicts known",
+		valid + "known = true\ngateway = true": "f:4: admission.rule[1].gateway: contradicts",
+		"[listen_tls]\nclient_roots = \"x\"":   "f:2: listen_tls.client_roots: is of no use",
 	} {
 		_, err := ParseConfig("f", text+"\n"+ajpListenerTOML+classesTOML+serverTOML("a", "127.0.0.1:1", "new", 0))
 		if err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/kiosk/bench_test.go
+++ b/internal/kiosk/bench_test.go
@@ -16,7 +16,7 @@
 	"lapislever/internal/standin"
 )
 
-// TestMain is also the nodes' process of the benchmark, so that what they do is not counted.
+// TestMain also serves as the nodes' process of BenchmarkPart, so that the nodes' work is not measured.
 func TestMain(m *testing.M) {
 	if os.Getenv("LAPISLEVER_NODES") == "" {
 		os.Exit(m.Run())
@@ -30,15 +30,15 @@
 	_, _ = bufio.NewReader(os.Stdin).ReadString('\n') // until the benchmark ends
 }
 
-// standaloneTB stands in for a test where there is none.
+// standaloneTB is a testing.TB for use outside a test.
 type standaloneTB struct{ testing.TB }
 
 func (*standaloneTB) Helper()        {}
 func (*standaloneTB) Cleanup(func()) {}
 func (*standaloneTB) Fatal(x ...any) { panic(fmt.Sprint(x...)) }
 
-// BenchmarkPart is what a part costs this process, by the form of its server: a request of the old form with
-// eight parts through front, core, module and backend, over loopback to nodes in another process.
+// BenchmarkPart measures what a part costs this process, by the form of its server: an old-form request with
+// eight parts passes through front, core, module and backend, and over loopback to nodes in another process.
 func BenchmarkPart(b *testing.B) {
 	cmd := exec.Command(os.Args[0])
 	cmd.Env = append(os.Environ(), "LAPISLEVER_NODES=1")
@@ -49,9 +49,9 @@
 	}
 	defer func() { _ = in.Close(); _ = cmd.Wait() }()
 	line, _ := bufio.NewReader(out).ReadString('\n')
-	old, anew, _ := strings.Cut(strings.TrimSpace(line), " ")
+	oldAddr, newAddr, _ := strings.Cut(strings.TrimSpace(line), " ")
 	const parts = 8
-	for form, addr := range map[string]string{OldForm: old, NewForm: anew} {
+	for form, addr := range map[string]string{OldForm: oldAddr, NewForm: newAddr} {
 		b.Run(form, func(b *testing.B) {
 			text := "shards = 8\n" + listenersTOML + classesTOML + serverTOML("a", addr, form, 0) +
 				"[settings.extra]\nplaces = 1\n[settings.bounds]\nmaxOpen = 1000\n"
@@ -61,7 +61,7 @@
 				b.Fatal(err)
 			}
 			defer c.Close()
-			one := func(i int) {
+			do := func(i int) {
 				head, body := request(fmt.Sprint("b", i), "", 0, 1, 2, 3, 4, 5, 6, 7)
 				reply, err := c.Do("POST", "/rate-check", "x", head, []byte(body), time.Now().Add(10*time.Second))
 				if err != nil || reply.Status != 200 {
@@ -69,24 +69,24 @@
 				}
 			}
 			for i := range 50 {
-				one(1_000_000 + i)
+				do(1_000_000 + i)
 			}
 			var before, after syscall.Rusage
-			var m0, m1 runtime.MemStats
-			runtime.ReadMemStats(&m0)
+			var memBefore, memAfter runtime.MemStats
+			runtime.ReadMemStats(&memBefore)
 			_ = syscall.Getrusage(syscall.RUSAGE_SELF, &before)
 			b.ResetTimer()
 			for i := range b.N {
-				one(i)
+				do(i)
 			}
 			b.StopTimer()
 			_ = syscall.Getrusage(syscall.RUSAGE_SELF, &after)
-			runtime.ReadMemStats(&m1)
+			runtime.ReadMemStats(&memAfter)
 			cpu := func(r syscall.Rusage) int64 { return r.Utime.Nano() + r.Stime.Nano() }
 			n := float64(b.N * parts)
 			b.ReportMetric(float64(cpu(after)-cpu(before))/n/1000, "cpu-us/part")
-			b.ReportMetric(float64(m1.Mallocs-m0.Mallocs)/n, "allocs/part")
-			b.ReportMetric(float64(m1.TotalAlloc-m0.TotalAlloc)/n, "B/part")
+			b.ReportMetric(float64(memAfter.Mallocs-memBefore.Mallocs)/n, "allocs/part")
+			b.ReportMetric(float64(memAfter.TotalAlloc-memBefore.TotalAlloc)/n, "B/part")
 			if f := r.outcomeCount("rate-check", core.Failed); f > 0 {
 				b.Errorf("%d failed", f)
 			}
--- a/internal/kiosk/kiosk_test.go
+++ b/internal/kiosk/kiosk_test.go
@@ -35,20 +35,20 @@
 worth = 1.0
 `
 
-// serverTOML is a line of the file.
+// serverTOML returns a [[server]] section; more holds further lines.
 func serverTOML(name, addr, form string, cell int, more ...string) string {
 	return fmt.Sprintf("[[server]]\nname = %q\naddress = %q\nform = %q\ncell = %d\n%s\n", name, addr, form, cell,
 		strings.Join(more, "\n"))
 }
 
-// testFront is a front that serves.
+// testFront is a front that is serving, with the addresses of its listeners.
 type testFront struct {
 	coordinator *platform.Coordinator
 	front       *Front
 	http, ajp   string
 }
 
-// newFront makes a front of a text.
+// newFront makes a front from the text of a configuration file.
 func newFront(t testing.TB, text string) (*platform.Config, *Front) {
 	t.Helper()
 	file, err := ParseConfig("f", text)
@@ -69,6 +69,7 @@
 
 const listenersTOML = "listen = \"127.0.0.1:0\"\n[ajp]\nlisten = \"127.0.0.1:0\"\nsecret = \"s3cret\"\n"
 
+// startFront makes a front, starts it and waits until it is ready.
 func startFront(t testing.TB, text string, edit ...func(*Front)) *testFront {
 	t.Helper()
 	cfg, f := newFront(t, text)
@@ -83,13 +84,12 @@
 	r := &testFront{coordinator: k, front: f}
 	r.http, r.ajp = f.Addrs()
 	standin.WaitFor(t, "readiness", func() bool {
-		return standin.DoHTTP(t, r.http, "GET", "/up", nil,
-			"").Status == 200
+		return standin.DoHTTP(t, r.http, "GET", "/up", nil, "").Status == 200
 	})
 	return r
 }
 
-// request is the old form of a request for some shards.
+// request returns the headers and the body of an old-form request for some shards.
 func request(id, key string, shards ...int) ([][2]string, string) {
 	items := make([]string, len(shards))
 	for i, s := range shards {
@@ -102,33 +102,34 @@
 	return head, fmt.Sprintf(`{"slices":[%s],"filter":"c41e77d0"}`, strings.Join(items, ","))
 }
 
-var calls struct {
+// lastID numbers the requests of post.
+var lastID struct {
 	sync.Mutex
 	n int
 }
 
-// post sends a request by HTTP and returns the reply.
+// post sends a request over HTTP and returns the reply.
 func (r *testFront) post(t testing.TB, class, key string, shards ...int) *lnet.Reply {
 	t.Helper()
-	calls.Lock()
-	calls.n++
-	id := fmt.Sprint("c", calls.n)
-	calls.Unlock()
+	lastID.Lock()
+	lastID.n++
+	id := fmt.Sprint("c", lastID.n)
+	lastID.Unlock()
 	head, body := request(id, key, shards...)
 	return standin.DoHTTP(t, r.http, "POST", "/"+class, head, body)
 }
 
-// answerWithID answers every call with its id.
+// answerWithID answers a call with its id.
 func answerWithID(c standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{Text: "v:" + c.ID} }
 
-// An old terminal is answered by new nodes, by HTTP and by AJP, and beside them by an old one.
+// Old-form clients are answered over HTTP and AJP from two nodes of the new form and one of the old form.
 func TestOldClientsServedByNewNodes(t *testing.T) {
 	a := standin.NewGRPCNode(t, standin.GRPCOptions{}, answerWithID)
 	b := standin.NewGRPCNode(t, standin.GRPCOptions{}, answerWithID)
 	c := standin.NewNode(t, func(p standin.Part) (string, string) { return "S", "v:" + p.ID })
-	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", a.Addr, "new", 0)+serverTOML("b", b.Addr, "new", 1)+
-		serverTOML("c", c.Addr, "old", 2))
-	want := func(by string, status int, body string, id string) {
+	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", a.Addr, "new", 0)+
+		serverTOML("b", b.Addr, "new", 1)+serverTOML("c", c.Addr, "old", 2))
+	want := func(listener string, status int, body string, id string) {
 		t.Helper()
 		var got struct {
 			Entire bool
@@ -139,11 +140,11 @@
 		}
 		if err := json.Unmarshal([]byte(body), &got); err != nil || status != 200 || !got.Entire ||
 			len(got.Items) != 3 {
-			t.Fatalf("%s: %d %s: %v", by, status, body, err)
+			t.Fatalf("%s: %d %s: %v", listener, status, body, err)
 		}
 		for i, x := range got.Items {
 			if x.Slice != i || x.Body != fmt.Sprintf("v:%s.%d", id, i) {
-				t.Errorf("%s: %+v", by, x)
+				t.Errorf("%s: %+v", listener, x)
 			}
 		}
 	}
@@ -173,34 +174,37 @@
 	}
 	for _, n := range []*standin.GRPCNode{a, b} {
 		if n.ConnsOpened() != 1 {
-			t.Errorf("%d connections to a node that needed one", n.ConnsOpened())
+			t.Errorf("%d connections to a node where one suffices", n.ConnsOpened())
 		}
 	}
 }
 
-// What has no equivalent, and each status: a definite answer of the old form, and a count by reason.
+// Each answer without an equivalent in the old form, and each kind of failure, gives a defined reply of the
+// old form and is counted under its reason.
 func TestUntranslatableAnswersFailWithReason(t *testing.T) {
 	raw := standin.TextMessage(0, "x")
 	for name, c := range map[string]struct {
-		do     standin.GRPCReply
+		reply  standin.GRPCReply
 		status int
-		why    string
+		reason string
 		text   string
 	}{
-		"unknown status":  {standin.GRPCReply{Status: "42"}, 502, "unknown_status", "failed: unknown_status"},
-		"no number":       {standin.GRPCReply{Status: "x"}, 502, "unknown_status", "failed: unknown_status"},
-		"unimplemented":   {standin.GRPCReply{Status: "12"}, 502, "never_possible", "failed: never_possible"},
-		"unauthenticated": {standin.GRPCReply{Status: "16"}, 502, "denied", "failed: denied"},
-		"no gRPC":         {standin.GRPCReply{HTTPStatus: 418}, 502, "unreadable_reply", "failed: unreadable_reply"},
-		"other type":      {standin.GRPCReply{ContentType: "text/html"}, 502, "unreadable_reply", "failed: unreadable_reply"},
+		"unknown status":     {standin.GRPCReply{Status: "42"}, 502, "unknown_status", "failed: unknown_status"},
+		"non-numeric status": {standin.GRPCReply{Status: "x"}, 502, "unknown_status", "failed: unknown_status"},
+		"unimplemented":      {standin.GRPCReply{Status: "12"}, 502, "never_possible", "failed: never_possible"},
+		"unauthenticated":    {standin.GRPCReply{Status: "16"}, 502, "denied", "failed: denied"},
+		"no gRPC": {standin.GRPCReply{HTTPStatus: 418}, 502, "unreadable_reply",
+			"failed: unreadable_reply"},
+		"other content type": {standin.GRPCReply{ContentType: "text/html"}, 502, "unreadable_reply",
+			"failed: unreadable_reply"},
 		"garbage": {standin.GRPCReply{Message: []byte{0xff, 0xff}}, 502, "unreadable_reply",
 			"failed: unreadable_reply"},
 		"no value": {standin.GRPCReply{Message: []byte{}}, 502, "value_kind", "failed: value_kind"},
-		"cut message": {standin.GRPCReply{Prefix: []byte{0, 0, 0, 9, 9}}, 502, "unreadable_reply",
+		"truncated message": {standin.GRPCReply{Prefix: []byte{0, 0, 0, 9, 9}}, 502, "unreadable_reply",
 			"failed: unreadable_reply"},
 		"compressed": {standin.GRPCReply{Prefix: []byte{1, 0, 0, 0, byte(len(raw))}}, 502, "compressed",
 			"failed: compressed"},
-		"real": {standin.GRPCReply{Message: append([]byte{0x21}, make([]byte, 8)...)}, 502, "value_kind",
+		"float": {standin.GRPCReply{Message: append([]byte{0x21}, make([]byte, 8)...)}, 502, "value_kind",
 			"failed: value_kind"},
 		"other shard": {standin.GRPCReply{Message: standin.TextMessage(1, "x")}, 502, "wrong_shard",
 			"failed: wrong_shard"},
@@ -209,27 +213,30 @@
 			"failed: too_large"},
 		"far too large": {standin.GRPCReply{Text: strings.Repeat("x", 60<<10)}, 502, "too_large",
 			"failed: too_large"},
-		"internal":     {standin.GRPCReply{Status: "13"}, 503, "failing", "refused"},
-		"unavailable":  {standin.GRPCReply{Status: "14"}, 503, "unavailable", "refused"},
-		"turned away":  {standin.GRPCReply{Status: "8", Unseen: true}, 503, "turned_away", "refused"},
-		"gateway":      {standin.GRPCReply{HTTPStatus: 503}, 503, "unavailable", "refused"},
-		"reset":        {standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}, 503, "unavailable", "refused"},
-		"its deadline": {standin.GRPCReply{Status: "4"}, 503, "deadline", "refused"},
+		"internal":             {standin.GRPCReply{Status: "13"}, 503, "failing", "refused"},
+		"unavailable":          {standin.GRPCReply{Status: "14"}, 503, "unavailable", "refused"},
+		"rejected unprocessed": {standin.GRPCReply{Status: "8", Unseen: true}, 503, "turned_away", "refused"},
+		"gateway":              {standin.GRPCReply{HTTPStatus: 503}, 503, "unavailable", "refused"},
+		"reset": {standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}, 503, "unavailable",
+			"refused"},
+		"server deadline": {standin.GRPCReply{Status: "4"}, 503, "deadline", "refused"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply { return c.do })
+			n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(standin.GRPCCall) standin.GRPCReply {
+				return c.reply
+			})
 			r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 			x := r.post(t, "rate-check", "", 0)
 			if x.Status != c.status || !strings.HasPrefix(string(x.Body), c.text) {
 				t.Errorf("%d %q, want %d %q", x.Status, x.Body, c.status, c.text)
 			}
 			if x.Status == 503 && x.Header.Get("Retry-After") == "" {
-				t.Error("refused without a word on when to come back")
+				t.Error("refused without Retry-After")
 			}
-			if got := r.front.Figures(); got[c.why] == 0 || len(got) > 1 {
-				t.Errorf("counted as %v, want %s", got, c.why)
+			if got := r.front.Figures(); got[c.reason] == 0 || len(got) > 1 {
+				t.Errorf("counted as %v, want %s", got, c.reason)
 			}
-			// The connection is sound after an answer that could not be used.
+			// The connection stays usable after an answer that was rejected.
 			if n.ConnsOpened() > 1 && name != "far too large" {
 				t.Errorf("%d connections", n.ConnsOpened())
 			}
@@ -237,47 +244,47 @@
 	}
 }
 
-// outcomeCount is a class's count.
-func (r *testFront) outcomeCount(class string, e core.QueryOutcome) int64 {
-	return r.front.core.Counts().Class(class).Count(e)
+// outcomeCount returns how many queries of a class ended with an outcome.
+func (r *testFront) outcomeCount(class string, outcome core.QueryOutcome) int64 {
+	return r.front.core.Counts().Class(class).Count(outcome)
 }
 
-// Figures count each request once, in whichever way it came and ended.
+// Each request is counted once under its class, whether it is answered or fails when parsed.
 func TestEachRequestCountedOnce(t *testing.T) {
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answerWithID)
 	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	r.post(t, "rate-check", "", 0)
-	r.post(t, "rate-check", "", 7) // there is no such shard
+	r.post(t, "rate-check", "", 7) // no such shard
 	r.post(t, "none", "", 0)
 	standin.WaitFor(t, "the counts", func() bool {
 		return r.outcomeCount("rate-check", core.Answered) == 1 && r.outcomeCount("rate-check", core.Failed) == 1
 	})
 }
 
-// A client that leaves, and a deadline that passes: the stream is reset, the terminal gets one answer at
-// most.
+// When a client disconnects, and when a deadline passes, the stream to the node is reset. The client whose
+// deadline passed gets an error reply.
 func TestCancelResetsStream(t *testing.T) {
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{},
 		func(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{NoReply: true} })
 	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	head, body := request("gone", "", 0)
-	front := standin.DialAJP(t, r.ajp)
-	front.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/rate-check", append(head,
+	proxy := standin.DialAJP(t, r.ajp)
+	proxy.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/rate-check", append(head,
 		[2]string{"Content-Length", fmt.Sprint(len(body))}), "secret", "s3cret")))
-	front.WriteRaw(standin.AJPPacket(standin.AJPChunk([]byte(body))))
-	standin.WaitFor(t, "the call", func() bool { return len(n.Calls()) == 1 })
-	front.Close()
-	standin.WaitFor(t, "the reset", func() bool { return n.Resets() == 1 })
+	proxy.WriteRaw(standin.AJPPacket(standin.AJPChunk([]byte(body))))
+	standin.WaitFor(t, "the call to reach the node", func() bool { return len(n.Calls()) == 1 })
+	proxy.Close()
+	standin.WaitFor(t, "the first stream to be reset", func() bool { return n.Resets() == 1 })
 	head, body = request("late", "", 0)
 	begun := time.Now()
 	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", append(head, [2]string{"X-Budget", "0.3"}), body)
 	if x.Status != 503 && x.Status != 504 || time.Since(begun) > 5*time.Second {
 		t.Errorf("%d after %v", x.Status, time.Since(begun))
 	}
-	standin.WaitFor(t, "the second reset", func() bool { return n.Resets() >= 2 })
+	standin.WaitFor(t, "the second stream to be reset", func() bool { return n.Resets() >= 2 })
 }
 
-// An old terminal that speaks HTTP/1.0 is answered, and the connection ends as it expects.
+// A client that speaks HTTP/1.0 is answered, and the connection is closed afterwards as it expects.
 func TestHTTP10Client(t *testing.T) {
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, answerWithID)
 	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
@@ -290,15 +297,14 @@
 	fmt.Fprintf(c, "POST /rate-check HTTP/1.0\r\nX-Call-Id: old\r\nContent-Length: %d\r\n\r\n%s", len(body),
 		body)
 	_ = c.SetReadDeadline(time.Now().Add(20 * time.Second))
-	all, err := io.ReadAll(c) // up to the end of the connection
+	all, err := io.ReadAll(c) // until the connection is closed
 	if err != nil || !strings.Contains(string(all), " 200 OK\r\n") || !strings.Contains(string(all),
 		`"v:old.0"`) {
 		t.Errorf("%q, %v", all, err)
 	}
 }
 
-// What was taken is answered through an end: queries that are open on both carriers when it comes get one
-// answer each, the late one too.
+// Queries that are in flight over HTTP and AJP when a shutdown begins are answered before it completes.
 func TestShutdownAnswersAcceptedQueries(t *testing.T) {
 	release := make(chan bool)
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{}, func(c standin.GRPCCall) standin.GRPCReply {
@@ -321,10 +327,12 @@
 		}
 		answers <- y.Status
 	}()
-	standin.WaitFor(t, "both calls", func() bool { return len(n.Calls()) >= 2 })
+	standin.WaitFor(t, "both calls to reach the node", func() bool { return len(n.Calls()) >= 2 })
 	ended := make(chan bool)
 	go func() { r.coordinator.Shutdown(); close(ended) }()
-	standin.WaitFor(t, "the word that it ends", func() bool { return r.front.notReady.Load() })
+	standin.WaitFor(t, "the front to report that it is not ready", func() bool {
+		return r.front.notReady.Load()
+	})
 	time.Sleep(50 * time.Millisecond)
 	close(release)
 	for range 2 {
@@ -333,25 +341,29 @@
 		}
 	}
 	<-ended
-	standin.WaitFor(t, "the end of the calls", func() bool { return r.front.http.OpenConns()+r.front.ajp.OpenConns() == 0 })
+	standin.WaitFor(t, "the clients' connections to close", func() bool {
+		return r.front.http.OpenConns()+r.front.ajp.OpenConns() == 0
+	})
 }
 
-// A terminal's retry is a query of its own, so that the module knows of no window: the guard's is given to
-// whoever writes the frame, also of the old form, and an earlier one of the module's stays.
+// A client's retry is a new query, whose key's window the module does not know. The guard's end of the
+// window is therefore passed to the write loop as StartBy, also for the old form; an earlier StartBy set by
+// the module is kept.
 func TestRetryStartByFollowsKeyWindow(t *testing.T) {
 	n := standin.NewNode(t, func(standin.Part) (string, string) { return "", "" })
 	_, f := newFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "old", 0))
 	r, id := f.router, core.ServerID("a")
 	r.post = func(core.Event) {}
-	r.oldNodes = platform.NewNodes(f.platformConfig, lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{}, r.report)
+	r.oldNodes = platform.NewNodes(f.platformConfig, lnet.NewBudget(10, 0), standin.DiscardLogger(),
+		&core.Counts{}, r.report)
 	r.oldNodes.UpdateHosts([]platform.Host{{Host: "a", Dial: n.Addr, Health: "in_service", Share: 1}}, true)
 	r.setForms(map[balance.ReplicaID]string{id: OldForm})
 	const window = 3 * time.Second
 	rules := &balance.Class{Effect: balance.Keyed, Window: window.Microseconds()}
-	send := func(name string, before time.Time) *core.Attempt {
+	send := func(name string, startBy time.Time) *core.Attempt {
 		t.Helper()
 		a := &core.Attempt{Query: &core.Query{Name: name, Key: "k", Rules: rules}, Replica: id,
-			Timeout: time.Minute, Deadline: time.Now().Add(time.Minute), StartBy: before}
+			Timeout: time.Minute, Deadline: time.Now().Add(time.Minute), StartBy: startBy}
 		sent := len(n.Parts())
 		r.Send(id, []*core.Attempt{a})
 		standin.WaitFor(t, name, func() bool { return len(n.Parts()) > sent })
@@ -360,13 +372,13 @@
 	begun := time.Now()
 	first := send("first", time.Time{})
 	if d := first.StartBy.Sub(begun); d < window || d > window+time.Second {
-		t.Fatalf("the window of a first send ends after %v", d)
+		t.Fatalf("window of the first send ends after %v", d)
 	}
 	if retry := send("retry", time.Time{}); !retry.StartBy.Equal(first.StartBy) {
-		t.Errorf("a retry may begin until %v, its key is forgotten at %v", retry.StartBy, first.StartBy)
+		t.Errorf("retry may start until %v, but its key's window ends at %v", retry.StartBy, first.StartBy)
 	}
 	earlier := first.StartBy.Add(-time.Second)
 	if repeat := send("repeat", earlier); !repeat.StartBy.Equal(earlier) {
-		t.Errorf("the module's own window has become %v, not %v", repeat.StartBy, earlier)
+		t.Errorf("the module's StartBy became %v, want %v", repeat.StartBy, earlier)
 	}
 }
--- a/internal/kiosk/replay_test.go
+++ b/internal/kiosk/replay_test.go
@@ -14,12 +14,12 @@
 	"lapislever/internal/standin"
 )
 
-// The replay: terminals of the old form post cash movements through nodes that lose answers, reset streams
-// after they have executed, refuse streams, go away, and swap their form midway. Counted at the nodes:
-// executions of a key, over all domains. Counted at the terminals: answers of a request.
+// The replay: old-form clients post cash movements through nodes that lose answers, reset streams after
+// executing, refuse streams, send GOAWAY and swap their form midway. The nodes count the executions of each
+// key over all domains; the clients count the answers to each request.
 
-// nodeLedger are what the nodes of one shard know of keys, each form by itself: a repeat is dropped within the
-// window.
+// nodeLedger holds what the nodes of one shard know about keys, separately for each form. It drops a repeat
+// of a key within the window.
 type nodeLedger struct {
 	mu       sync.Mutex
 	window   time.Duration
@@ -29,110 +29,111 @@
 	rng      *rand.Rand
 }
 
-// execution is when a key was executed, and by which form.
+// execution records when a key was executed, and by which form.
 type execution struct {
 	at   time.Time
 	form int
 }
 
-func newBooks(seed uint64, window time.Duration) *nodeLedger {
+func newNodeLedger(seed uint64, window time.Duration) *nodeLedger {
 	return &nodeLedger{window: window, seen: [2]map[string]time.Time{{}, {}}, executed: map[string][]execution{},
 		rng: rand.New(rand.NewPCG(seed, 3))}
 }
 
-// execute is one part as a node of a form takes it.
-func (b *nodeLedger) execute(form int, key string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if at, ok := b.seen[form][key]; ok && time.Since(at) < b.window {
-		b.dropped++
+// execute handles a part with a key, received by a node of a form.
+func (l *nodeLedger) execute(form int, key string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if at, ok := l.seen[form][key]; ok && time.Since(at) < l.window {
+		l.dropped++
 		return
 	}
-	b.seen[form][key] = time.Now()
-	b.executed[key] = append(b.executed[key], execution{time.Now(), form})
+	l.seen[form][key] = time.Now()
+	l.executed[key] = append(l.executed[key], execution{time.Now(), form})
 }
 
-// chance is true for so many in a hundred.
-func (b *nodeLedger) chance(of int) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.rng.IntN(100) < of
+// chance returns true with a probability of percent.
+func (l *nodeLedger) chance(percent int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rng.IntN(100) < percent
 }
 
-// duplicates lists the executions beyond the first of each key.
-func (b *nodeLedger) duplicates() (again []string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for key, all := range b.executed {
+// duplicates describes the executions after the first of each key.
+func (l *nodeLedger) duplicates() (list []string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for key, all := range l.executed {
 		for _, x := range all[1:] {
-			again = append(again, fmt.Sprintf("%s in form %d, %v after form %d", key, x.form, x.at.Sub(all[0].at),
+			list = append(list, fmt.Sprintf("%s in form %d, %v after form %d", key, x.form, x.at.Sub(all[0].at),
 				all[0].form))
 		}
 	}
-	return again
+	return list
 }
 
-// newNode is a node of the new form that keeps the books and fails in every way.
-func (b *nodeLedger) newNode(t *testing.T) *standin.GRPCNode {
+// newNode starts a node of the new form that records executions and fails in every way.
+func (l *nodeLedger) newNode(t *testing.T) *standin.GRPCNode {
 	var mu sync.Mutex
-	heads, served := 0, 0
-	turn := func(every int) func(int, uint32) bool {
+	streams, served := 0, 0
+	everyNth := func(n int) func(int, uint32) bool {
 		return func(int, uint32) bool {
 			mu.Lock()
 			defer mu.Unlock()
-			heads++
-			return heads%every == 0
+			streams++
+			return streams%n == 0
 		}
 	}
-	return standin.NewGRPCNode(t, standin.GRPCOptions{RefuseStream: turn(9), GoAwayBefore: turn(13)},
+	return standin.NewGRPCNode(t, standin.GRPCOptions{RefuseStream: everyNth(9), GoAwayBefore: everyNth(13)},
 		func(c standin.GRPCCall) standin.GRPCReply {
-			b.execute(1, c.Key)
+			l.execute(1, c.Key)
 			mu.Lock()
 			served++
-			way := served // each way to fail has to come, whatever order the draws come in
+			n := served // some faults are tied to a count, so that they occur whatever the random draws are
 			mu.Unlock()
 			switch {
-			case way == 2:
+			case n == 2:
 				return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}
-			case way == 3:
+			case n == 3:
 				return standin.GRPCReply{Status: "99"}
-			case b.chance(25): // executed, and the answer is lost
+			case l.chance(25): // executed, and the answer is lost
 				return standin.GRPCReply{NoReply: true}
-			case b.chance(30):
+			case l.chance(30):
 				return standin.GRPCReply{Reset: standin.ErrCode(http2.ErrCodeInternal)}
-			case b.chance(10):
+			case l.chance(10):
 				return standin.GRPCReply{ResetConn: true}
-			case b.chance(10):
+			case l.chance(10):
 				return standin.GRPCReply{Status: "99"}
-			case b.chance(10):
+			case l.chance(10):
 				return standin.GRPCReply{Text: "v", GoAway: true}
 			}
 			return standin.GRPCReply{Text: "v"}
 		})
 }
 
-// oldNode is one of the old form.
-func (b *nodeLedger) oldNode(t *testing.T) *standin.Node {
+// oldNode starts a node of the old form that records executions, loses answers and reports errors.
+func (l *nodeLedger) oldNode(t *testing.T) *standin.Node {
 	return standin.NewNode(t, func(p standin.Part) (string, string) {
 		_, key, _ := strings.Cut(p.Attrs, "k=")
-		b.execute(0, key)
+		l.execute(0, key)
 		switch {
-		case b.chance(25):
+		case l.chance(25):
 			return "", ""
-		case b.chance(30):
+		case l.chance(30):
 			return "E", ""
 		}
 		return "S", "v"
 	})
 }
 
-// replay posts so many movements, each with two retries of its terminal, and counts.
-func replay(t *testing.T, seed uint64, requests int, guarded bool) (dups []string, answers int,
-	figures map[string]int64) {
+// replay posts movements, each with two retries by its client, while nodes swap their form. It returns the
+// duplicate executions, the number of answers and the failures by reason.
+func replay(t *testing.T, seed uint64, requests int, guarded bool) (duplicates []string, answers int,
+	failures map[string]int64) {
 	const window = time.Second
-	b := newBooks(seed, window+500*time.Millisecond)
-	oldA, oldB := b.oldNode(t), b.oldNode(t)
-	newA, newB, newC := b.newNode(t), b.newNode(t), b.newNode(t)
+	ledger := newNodeLedger(seed, window+500*time.Millisecond)
+	oldA, oldB := ledger.oldNode(t), ledger.oldNode(t)
+	newA, newB, newC := ledger.newNode(t), ledger.newNode(t), ledger.newNode(t)
 	file := func(swapped bool) string {
 		text := "attempts = 6\n" + listenersTOML +
 			strings.NewReplacer("window_s = 3.0", "window_s = 1.0").Replace(classesTOML)
@@ -151,7 +152,7 @@
 	stop := make(chan bool)
 	var wg, swaps sync.WaitGroup
 	swaps.Add(1)
-	go func() { // nodes swap their form, again and again
+	go func() { // reloads the file so that nodes swap their form repeatedly
 		defer swaps.Done()
 		for swapped := true; ; swapped = !swapped {
 			select {
@@ -164,7 +165,7 @@
 		}
 	}()
 	var mu sync.Mutex
-	odd := map[int]int{}
+	unexpected := map[int]int{}
 	for i := range requests {
 		wg.Add(1)
 		go func() {
@@ -172,7 +173,7 @@
 			key := fmt.Sprint("key", i)
 			time.Sleep(time.Duration(i) * 5 * time.Millisecond)
 			for try, pause := range []time.Duration{0, 100 * time.Millisecond, 2200 * time.Millisecond} {
-				time.Sleep(pause) // the last one comes past the window
+				time.Sleep(pause) // the last retry comes after the window
 				head, body := request(fmt.Sprint(key, "-", try), key, 0)
 				if try > 0 {
 					head = append(head, [2]string{"X-Again", "1"})
@@ -189,7 +190,7 @@
 				switch status {
 				case 200, 503, 502, 504, 409:
 				default:
-					odd[status]++
+					unexpected[status]++
 				}
 				mu.Unlock()
 			}
@@ -198,32 +199,34 @@
 	wg.Wait()
 	close(stop)
 	swaps.Wait()
-	if len(odd) > 0 {
-		t.Errorf("answers that no old terminal understands, by status: %v", odd)
+	if len(unexpected) > 0 {
+		t.Errorf("answers with an unexpected status, by status: %v", unexpected)
 	}
-	told := r.outcomeCount("exchange-post", core.Answered) + r.outcomeCount("exchange-post", core.Refused) +
+	counted := r.outcomeCount("exchange-post", core.Answered) + r.outcomeCount("exchange-post", core.Refused) +
 		r.outcomeCount("exchange-post", core.Failed)
-	if told != int64(answers) {
-		t.Errorf("%d answers counted, %d came", told, answers)
+	if counted != int64(answers) {
+		t.Errorf("%d answers counted, %d received", counted, answers)
 	}
-	return b.duplicates(), answers, r.front.Figures()
+	return ledger.duplicates(), answers, r.front.Figures()
 }
 
+// With the guard no key is executed twice and every request gets one answer. Without it the same replay must
+// produce duplicates.
 func TestReplayExecutesKeysOnce(t *testing.T) {
 	const requests = 60
-	dups, answers, figures := replay(t, 1, requests, true)
-	if len(dups) != 0 || answers != 3*requests {
-		t.Errorf("executed once more: %q; %d answers to %d requests", dups, answers, 3*requests)
+	duplicates, answers, failures := replay(t, 1, requests, true)
+	if len(duplicates) != 0 || answers != 3*requests {
+		t.Errorf("duplicate executions: %q; %d answers to %d requests", duplicates, answers, 3*requests)
 	}
-	for _, why := range []string{"unknown_status", "unavailable", "turned_away", "window_over"} {
-		if figures[why] == 0 {
-			t.Errorf("the replay met no %q: %v", why, figures)
+	for _, reason := range []string{"unknown_status", "unavailable", "turned_away", "window_over"} {
+		if failures[reason] == 0 {
+			t.Errorf("no attempt failed with %q: %v", reason, failures)
 		}
 	}
-	t.Logf("guarded: %d duplicates, %d answers, %v", len(dups), answers, figures)
-	dups, answers, figures = replay(t, 1, requests, false)
-	if len(dups) == 0 {
-		t.Error("no duplicate without the guard: the replay shows nothing")
+	t.Logf("with the guard: %d duplicates, %d answers, %v", len(duplicates), answers, failures)
+	duplicates, answers, failures = replay(t, 1, requests, false)
+	if len(duplicates) == 0 {
+		t.Error("no duplicate without the guard: the replay does not test the guard")
 	}
-	t.Logf("without the guard: %d duplicates, %d answers, %v", len(dups), answers, figures)
+	t.Logf("without the guard: %d duplicates, %d answers, %v", len(duplicates), answers, failures)
 }
