--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -269,7 +269,10 @@
 	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(2, "/never", nil)))
 	standin.WaitFor(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.WaitFor(t, "the request to be abandoned", func() bool { _, abandoned := x.count(); return abandoned == 1 })
+	standin.WaitFor(t, "the request to be abandoned", func() bool {
+		_, abandoned := x.count()
+		return abandoned == 1
+	})
 	b := standin.DialAJP(t, x.server.Addr())
 	b.WriteRaw(standin.AJPPacket(validForward())[:30])
 	b.Close()
--- a/internal/ajp/packet.go
+++ b/internal/ajp/packet.go
@@ -48,7 +48,7 @@
 	}
 	n := int(binary.BigEndian.Uint16(header[2:]))
 	if n+headerSize > maxPacket {
-		return 0, protocolError("packet of %d bytes exceeds the limit of %d", n+headerSize, maxPacket)
+		return 0, protocolError("packet of %d bytes exceeds the packet size", n+headerSize)
 	}
 	return n, nil
 }
@@ -174,7 +174,7 @@
 	}
 	n := d.int()
 	if n > maxHeaders {
-		return nil, protocolError("%d headers exceed the limit of %d", n, maxHeaders)
+		return nil, protocolError("too many headers: %d", n)
 	}
 	for range n {
 		var name string
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -422,7 +422,7 @@
 		case len(chunk) == 0:
 			return refuse(400, "the body ends after %d of %d bytes", len(body), length)
 		case length >= 0 && len(body)+len(chunk) > length:
-			return nil, protocolError("body is longer than the announced %d bytes", length)
+			return nil, protocolError("body is longer than announced")
 		case len(body)+len(chunk) > lnet.MaxBody:
 			return refuse(413, "the body is larger than %d bytes", lnet.MaxBody)
 		}
