--- a/internal/ajp/packet.go
+++ b/internal/ajp/packet.go
@@ -48,7 +48,7 @@
 	}
 	n := int(binary.BigEndian.Uint16(header[2:]))
 	if n+headerSize > maxPacket {
-		return 0, protocolError("packet of %d bytes exceeds the packet size", n+headerSize)
+		return 0, protocolError("packet of %d bytes is too large", n+headerSize)
 	}
 	return n, nil
 }
--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -74,7 +74,7 @@
 // Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
 	for {
-		c, err := s.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -83,31 +83,31 @@
 			time.Sleep(pollInterval)
 			continue
 		}
-		k := &conn{server: s, netConn: c, packets: make(chan packet), done: make(chan struct{})}
+		c := &conn{server: s, netConn: netConn, packets: make(chan packet), done: make(chan struct{})}
 		var retryAfter time.Duration
 		if s.Admission != nil {
-			k.admitted, k.hasSlot, retryAfter = s.Admission.Admit(c, s.budget, k.closeIfIdle)
+			c.admitted, c.hasSlot, retryAfter = s.Admission.Admit(netConn, s.budget, c.closeIfIdle)
 		} else {
-			k.hasSlot = s.budget.AcquireClient()
+			c.hasSlot = s.budget.AcquireClient()
 		}
-		if !k.hasSlot {
+		if !c.hasSlot {
 			if s.Admission != nil && s.rejecting.Add(1) <= lnet.MaxOverflow {
-				go k.readLoop()
-				go k.reject(retryAfter)
+				go c.readLoop()
+				go c.reject(retryAfter)
 				continue
 			}
 			if s.Admission != nil {
 				s.rejecting.Add(-1)
 			}
-			s.log.Warn("connection closed: too many connections are open", "client", c.RemoteAddr())
-			_ = c.Close()
+			s.log.Warn("connection closed: too many connections are open", "client", netConn.RemoteAddr())
+			_ = netConn.Close()
 			continue
 		}
 		s.mu.Lock()
-		s.conns[k] = struct{}{}
+		s.conns[c] = struct{}{}
 		s.mu.Unlock()
-		go k.readLoop()
-		go k.serve()
+		go c.readLoop()
+		go c.serve()
 	}
 }
 
@@ -335,8 +335,8 @@
 	}
 	r.ReceivedAt = time.Now()
 	c.server.lastRequest.Store(int64(r.ReceivedAt.Sub(c.server.createdAt)))
-	x, reply := lnet.NewExchange(c.netConn)
-	abandon := c.server.handle(r, x)
+	exchange, reply := lnet.NewExchange(c.netConn)
+	abandon := c.server.handle(r, exchange)
 	abort := func(err error) error {
 		if abandon != nil {
 			abandon()
--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -49,15 +49,15 @@
 
 // requestOn sends a request on a connection and reads the reply. Status 0 means that the connection was
 // closed without one.
-func requestOn(c net.Conn, id, key string) (status int, header http.Header) {
-	head, body := request(id, key, 0)
+func requestOn(c net.Conn, id, key string) (status int, replyHeader http.Header) {
+	header, body := request(id, key, 0)
 	class := "rate-check"
 	if key != "" {
 		class = "exchange-post"
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n", class, len(body))
-	for _, h := range head {
+	for _, h := range header {
 		fmt.Fprintf(&b, "%s: %s\r\n", h[0], h[1])
 	}
 	_ = c.SetDeadline(time.Now().Add(15 * time.Second))
@@ -79,8 +79,8 @@
 	r, n := startWithAdmission(t, "")
 	base := r.front.budget.InUse()
 	var mu sync.Mutex
-	var held []net.Conn
-	keep := func(c net.Conn) { mu.Lock(); held = append(held, c); mu.Unlock() }
+	var open []net.Conn
+	keep := func(c net.Conn) { mu.Lock(); open = append(open, c); mu.Unlock() }
 	var wg sync.WaitGroup
 	for i := range 300 {
 		wg.Add(1)
@@ -111,8 +111,8 @@
 	refused, closed := 0, 0
 	for range 20 {
 		c := dialFrom(t, "127.0.30.1", r.http)
-		switch status, head := requestOn(c, "stranger", ""); {
-		case status == 503 && head.Get("Retry-After") != "":
+		switch status, header := requestOn(c, "stranger", ""); {
+		case status == 503 && header.Get("Retry-After") != "":
 			refused++
 		case status == 0:
 			closed++
@@ -128,7 +128,7 @@
 		t.Errorf("%d calls reached the node for 6 admitted queries", got)
 	}
 	mu.Lock()
-	for _, c := range held {
+	for _, c := range open {
 		_ = c.Close()
 	}
 	mu.Unlock()
@@ -145,10 +145,10 @@
 	answered, refused := 0, 0
 	for i := range 60 {
 		c := dialFrom(t, "127.0.40.1", r.http)
-		switch status, head := requestOn(c, fmt.Sprint("loop", i), ""); {
+		switch status, header := requestOn(c, fmt.Sprint("loop", i), ""); {
 		case status == 200:
 			answered++
-		case status == 503 && head.Get("Retry-After") == "1", status == 0:
+		case status == 503 && header.Get("Retry-After") == "1", status == 0:
 			refused++
 		default:
 			t.Errorf("%d", status)
@@ -186,13 +186,13 @@
 		}
 	}
 	proxy := standin.DialAJP(t, r.ajp)
-	head, body := request("ajp", "", 0)
-	y, err := proxy.Do("/rate-check", head, body, "secret", "s3cret")
+	header, body := request("ajp", "", 0)
+	y, err := proxy.Do("/rate-check", header, body, "secret", "s3cret")
 	if err != nil || y.Status != 200 {
 		t.Errorf("AJP request with all slots taken by idle connections: %+v, %v", y, err)
 	}
 	r.front.admission.BanOrPin(netip.MustParsePrefix("127.0.0.0/8"), false, time.Minute)
-	z, err := standin.DialAJP(t, r.ajp).Do("/rate-check", head, body, "secret", "s3cret")
+	z, err := standin.DialAJP(t, r.ajp).Do("/rate-check", header, body, "secret", "s3cret")
 	if err != nil || z.Status != 503 || z.Header["Retry-After"] == "" || z.Reuse {
 		t.Errorf("AJP request of a banned address: %+v, %v", z, err)
 	}
@@ -268,7 +268,7 @@
 func TestClientCertificateMakesKnown(t *testing.T) {
 	ca, other := standin.NewAuthority(t), standin.NewAuthority(t)
 	dir := t.TempDir()
-	put := func(name string, b []byte) string {
+	writeFile := func(name string, b []byte) string {
 		path := filepath.Join(dir, name)
 		if err := os.WriteFile(path, b, 0o600); err != nil {
 			t.Fatal(err)
@@ -286,38 +286,38 @@
 reserve = 4
 proving = 4
 prove_s = 0.5
-`, put("cert", cert), put("key", key), put("roots", ca.PEM()))+classesTOML+serverTOML("a", n.Addr, "new", 0))
-	k, err := platform.Start(cfg, standin.DiscardLogger(), f)
+`, writeFile("cert", cert), writeFile("key", key), writeFile("roots", ca.PEM()))+classesTOML+serverTOML("a", n.Addr, "new", 0))
+	coordinator, err := platform.Start(cfg, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { k.Close(); f.router.newNodes.Close() })
-	at, _ := f.Addrs()
+	t.Cleanup(func() { coordinator.Close(); f.router.newNodes.Close() })
+	frontAddr, _ := f.Addrs()
 	roots := x509.NewCertPool()
 	roots.AppendCertsFromPEM(ca.PEM())
-	ask := func(addr, id string, by *standin.Authority) int {
+	ask := func(addr, id string, authority *standin.Authority) int {
 		c := &tls.Config{RootCAs: roots, ServerName: "lapislever"}
-		if by != nil {
-			cert, key := by.Issue("head office")
+		if authority != nil {
+			cert, key := authority.Issue("head office")
 			pair, err := tls.X509KeyPair(cert, key)
 			if err != nil {
 				t.Fatal(err)
 			}
 			c.Certificates = []tls.Certificate{pair}
 		}
-		status, _ := requestOn(tls.Client(dialFrom(t, addr, at), c), id, "")
+		status, _ := requestOn(tls.Client(dialFrom(t, addr, frontAddr), c), id, "")
 		return status
 	}
 	standin.WaitFor(t, "the first request to be answered", func() bool {
 		return ask("127.0.80.1", "first", nil) == 200
 	})
 	if status := ask("127.0.80.1", "foreign", other); status != 0 {
-		t.Errorf("certificate not signed by a root: %d", status)
+		t.Errorf("certificate not signed authority a root: %d", status)
 	}
 	var crowd []net.Conn
 	// Connections that never begin the handshake. Their slots are released after prove_s.
 	standin.WaitFor(t, "all slots outside the reserve to be taken", func() bool {
-		crowd = append(crowd, dialFrom(t, fmt.Sprintf("127.0.81.%d", 1+len(crowd)%200), at))
+		crowd = append(crowd, dialFrom(t, fmt.Sprintf("127.0.81.%d", 1+len(crowd)%200), frontAddr))
 		return f.admission.Stats(1).Refused["unproved"] > 0 // all slots but the reserve were taken
 	})
 	if got := f.admission.Stats(1); got.Reserve != 0 {
@@ -326,7 +326,7 @@
 	// Their time passes, the slots are released, and a client with a certificate is admitted even while
 	// strangers keep connecting.
 	standin.WaitFor(t, "the client with a certificate to be answered", func() bool {
-		crowd = append(crowd, dialFrom(t, "127.0.82.1", at), dialFrom(t, "127.0.82.2", at))
+		crowd = append(crowd, dialFrom(t, "127.0.82.1", frontAddr), dialFrom(t, "127.0.82.2", frontAddr))
 		return ask("127.0.83.1", "office", ca) == 200
 	})
 	for _, c := range crowd {
--- a/internal/kiosk/bench_test.go
+++ b/internal/kiosk/bench_test.go
@@ -62,8 +62,8 @@
 			}
 			defer c.Close()
 			do := func(i int) {
-				head, body := request(fmt.Sprint("b", i), "", 0, 1, 2, 3, 4, 5, 6, 7)
-				reply, err := c.Do("POST", "/rate-check", "x", head, []byte(body), time.Now().Add(10*time.Second))
+				header, body := request(fmt.Sprint("b", i), "", 0, 1, 2, 3, 4, 5, 6, 7)
+				reply, err := c.Do("POST", "/rate-check", "x", header, []byte(body), time.Now().Add(10*time.Second))
 				if err != nil || reply.Status != 200 {
 					b.Fatalf("%+v %v", reply, err)
 				}
--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -48,7 +48,7 @@
 	servers        map[string]Server
 }
 
-// New makes a front without starting it. It loads the TLS credentials, so that faults in them show up here.
+// New makes a front without starting it. It loads the TLS credentials, so that it reports errors in them.
 func New(cfg *Config, platformConfig *platform.Config, log *slog.Logger) (*Front, error) {
 	f := &Front{cfg: cfg, platformConfig: platformConfig, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
--- a/internal/kiosk/front_test.go
+++ b/internal/kiosk/front_test.go
@@ -76,12 +76,12 @@
 	for _, e := range edit {
 		e(f)
 	}
-	k, err := platform.Start(cfg, standin.DiscardLogger(), f)
+	coordinator, err := platform.Start(cfg, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { k.Close(); f.router.newNodes.Close() })
-	r := &testFront{coordinator: k, front: f}
+	t.Cleanup(func() { coordinator.Close(); f.router.newNodes.Close() })
+	r := &testFront{coordinator: coordinator, front: f}
 	r.http, r.ajp = f.Addrs()
 	standin.WaitFor(t, "readiness", func() bool {
 		return standin.DoHTTP(t, r.http, "GET", "/up", nil, "").Status == 200
@@ -95,11 +95,11 @@
 	for i, s := range shards {
 		items[i] = fmt.Sprintf(`{"slice":%d,"mass":%g}`, s, 1/float64(len(shards)))
 	}
-	head := [][2]string{{"X-Call-Id", id}}
+	header := [][2]string{{"X-Call-Id", id}}
 	if key != "" {
-		head = append(head, [2]string{"Idempotency-Key", key})
+		header = append(header, [2]string{"Idempotency-Key", key})
 	}
-	return head, fmt.Sprintf(`{"slices":[%s],"filter":"c41e77d0"}`, strings.Join(items, ","))
+	return header, fmt.Sprintf(`{"slices":[%s],"filter":"c41e77d0"}`, strings.Join(items, ","))
 }
 
 // lastID numbers the requests of post.
@@ -115,8 +115,8 @@
 	lastID.n++
 	id := fmt.Sprint("c", lastID.n)
 	lastID.Unlock()
-	head, body := request(id, key, shards...)
-	return standin.DoHTTP(t, r.http, "POST", "/"+class, head, body)
+	header, body := request(id, key, shards...)
+	return standin.DoHTTP(t, r.http, "POST", "/"+class, header, body)
 }
 
 // answerWithID answers a call with its id.
@@ -148,14 +148,14 @@
 			}
 		}
 	}
-	head, body := request("h1", "", 0, 1, 2)
-	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", head, body)
+	header, body := request("h1", "", 0, 1, 2)
+	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", header, body)
 	want("HTTP", x.Status, string(x.Body), "h1")
-	front := standin.DialAJP(t, r.ajp)
+	proxy := standin.DialAJP(t, r.ajp)
 	for i := range 3 { // on one connection
 		id := fmt.Sprint("a", i)
-		head, body := request(id, "", 0, 1, 2)
-		y, err := front.Do("/rate-check", head, body, "secret", "s3cret")
+		header, body := request(id, "", 0, 1, 2)
+		y, err := proxy.Do("/rate-check", header, body, "secret", "s3cret")
 		if err != nil || !y.Reuse {
 			t.Fatalf("%+v %v", y, err)
 		}
@@ -164,13 +164,13 @@
 	got := a.Calls()[0]
 	if got.Class != "rate-check" || got.ID != "h1.0" || got.Filter != "c41e77d0" || got.Timeout == "" ||
 		got.Key != "" {
-		t.Errorf("the node got %+v", got)
+		t.Errorf("node received %+v", got)
 	}
 	if x := r.post(t, "exchange-post", "k1", 1); x.Status != 200 {
 		t.Fatalf("%d %s", x.Status, x.Body)
 	}
 	if got := b.Calls(); got[len(got)-1].Key != "k1" {
-		t.Errorf("the node got %+v", got[len(got)-1])
+		t.Errorf("node received %+v", got[len(got)-1])
 	}
 	for _, n := range []*standin.GRPCNode{a, b} {
 		if n.ConnsOpened() != 1 {
@@ -267,19 +267,19 @@
 	n := standin.NewGRPCNode(t, standin.GRPCOptions{},
 		func(standin.GRPCCall) standin.GRPCReply { return standin.GRPCReply{NoReply: true} })
 	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
-	head, body := request("gone", "", 0)
+	header, body := request("gone", "", 0)
 	proxy := standin.DialAJP(t, r.ajp)
-	proxy.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/rate-check", append(head,
+	proxy.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/rate-check", append(header,
 		[2]string{"Content-Length", fmt.Sprint(len(body))}), "secret", "s3cret")))
 	proxy.WriteRaw(standin.AJPPacket(standin.AJPChunk([]byte(body))))
 	standin.WaitFor(t, "the call to reach the node", func() bool { return len(n.Calls()) == 1 })
 	proxy.Close()
 	standin.WaitFor(t, "the first stream to be reset", func() bool { return n.Resets() == 1 })
-	head, body = request("late", "", 0)
-	begun := time.Now()
-	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", append(head, [2]string{"X-Budget", "0.3"}), body)
-	if x.Status != 503 && x.Status != 504 || time.Since(begun) > 5*time.Second {
-		t.Errorf("%d after %v", x.Status, time.Since(begun))
+	header, body = request("late", "", 0)
+	start := time.Now()
+	x := standin.DoHTTP(t, r.http, "POST", "/rate-check", append(header, [2]string{"X-Budget", "0.3"}), body)
+	if x.Status != 503 && x.Status != 504 || time.Since(start) > 5*time.Second {
+		t.Errorf("%d after %v", x.Status, time.Since(start))
 	}
 	standin.WaitFor(t, "the second stream to be reset", func() bool { return n.Resets() >= 2 })
 }
@@ -314,12 +314,12 @@
 	r := startFront(t, listenersTOML+classesTOML+serverTOML("a", n.Addr, "new", 0))
 	answers := make(chan int, 2)
 	go func() {
-		head, body := request("by-http", "", 0)
-		answers <- standin.DoHTTP(t, r.http, "POST", "/rate-check", head, body).Status
+		header, body := request("by-http", "", 0)
+		answers <- standin.DoHTTP(t, r.http, "POST", "/rate-check", header, body).Status
 	}()
 	go func() {
-		head, body := request("by-ajp", "", 0)
-		y, err := standin.DialAJP(t, r.ajp).Do("/rate-check", head, body, "secret", "s3cret")
+		header, body := request("by-ajp", "", 0)
+		y, err := standin.DialAJP(t, r.ajp).Do("/rate-check", header, body, "secret", "s3cret")
 		if err != nil {
 			t.Error(err)
 			answers <- 0
@@ -369,9 +369,9 @@
 		standin.WaitFor(t, name, func() bool { return len(n.Parts()) > sent })
 		return a
 	}
-	begun := time.Now()
+	start := time.Now()
 	first := send("first", time.Time{})
-	if d := first.StartBy.Sub(begun); d < window || d > window+time.Second {
+	if d := first.StartBy.Sub(start); d < window || d > window+time.Second {
 		t.Fatalf("window of the first send ends after %v", d)
 	}
 	if retry := send("retry", time.Time{}); !retry.StartBy.Equal(first.StartBy) {
--- a/internal/kiosk/replay_test.go
+++ b/internal/kiosk/replay_test.go
@@ -174,14 +174,14 @@
 			time.Sleep(time.Duration(i) * 5 * time.Millisecond)
 			for try, pause := range []time.Duration{0, 100 * time.Millisecond, 2200 * time.Millisecond} {
 				time.Sleep(pause) // the last retry comes after the window
-				head, body := request(fmt.Sprint(key, "-", try), key, 0)
+				header, body := request(fmt.Sprint(key, "-", try), key, 0)
 				if try > 0 {
-					head = append(head, [2]string{"X-Again", "1"})
+					header = append(header, [2]string{"X-Again", "1"})
 				}
 				status := 0
 				if i%2 == 0 {
-					status = standin.DoHTTP(t, r.http, "POST", "/exchange-post", head, body).Status
-				} else if y, err := standin.DialAJP(t, r.ajp).Do("/exchange-post", head, body, "secret",
+					status = standin.DoHTTP(t, r.http, "POST", "/exchange-post", header, body).Status
+				} else if y, err := standin.DialAJP(t, r.ajp).Do("/exchange-post", header, body, "secret",
 					"s3cret"); err == nil {
 					status = y.Status
 				}
