--- a/internal/kiosk/admission_test.go
+++ b/internal/kiosk/admission_test.go
@@ -286,7 +286,8 @@
 reserve = 4
 proving = 4
 prove_s = 0.5
-`, writeFile("cert", cert), writeFile("key", key), writeFile("roots", ca.PEM()))+classesTOML+serverTOML("a", n.Addr, "new", 0))
+`, writeFile("cert", cert), writeFile("key", key), writeFile("roots", ca.PEM()))+classesTOML+
+		serverTOML("a", n.Addr, "new", 0))
 	coordinator, err := platform.Start(cfg, standin.DiscardLogger(), f)
 	if err != nil {
 		t.Fatal(err)
@@ -312,7 +313,7 @@
 		return ask("127.0.80.1", "first", nil) == 200
 	})
 	if status := ask("127.0.80.1", "foreign", other); status != 0 {
-		t.Errorf("certificate not signed authority a root: %d", status)
+		t.Errorf("certificate not signed by a root: %d", status)
 	}
 	var crowd []net.Conn
 	// Connections that never begin the handshake. Their slots are released after prove_s.
