--- a/internal/kiosk/front.go
+++ b/internal/kiosk/front.go
@@ -1,8 +1,8 @@
-// Package kiosk is the front for old terminals: the platform's form of requests over HTTP and AJP, served by
-// nodes of the old form and of the new one side by side. It owns the file of settings, both listeners and the
-// way from an attempt to the backend of its server's form. It must never decide about a query, hold its state
-// or answer it twice: queries go through the core, and what the two forms mean to each other is in
-// internal/translate.
+// Package kiosk is the front for clients of the old form: it accepts the platform's request format over
+// HTTP and AJP, and serves it from nodes of the old and of the new form side by side. It owns its
+// configuration file, both listeners and the routing of each attempt to the backend for its server's form.
+// It must not make decisions on a query, hold its state or answer it twice: queries go through the core.
+// The mapping between the two forms is in internal/translate.
 package kiosk
 
 import (
@@ -23,118 +23,120 @@
 	"lapislever/internal/translate"
 )
 
-// maxValue is what the value of one part may hold: an answer of many parts has to fit into a reply.
-const maxValue = 16 << 10
+// maxValueSize limits the value of one part, so that an answer of many parts fits into a reply.
+const maxValueSize = 16 << 10
 
-// Front is the front.
+// Front implements the front for old-form clients.
 type Front struct {
-	cfg    *Config // of the start; what Adopt took since is in the parts that it concerns
-	base   *platform.Config
-	log    *slog.Logger
-	form   *platform.Front
-	keys   *grpcnode.Credentials
-	tally  translate.FailureCounts
-	router *router
-	keeper *lnet.AdmissionController // nil: the budget alone speaks
-	secure atomic.Pointer[tls.Config]
-	budget *lnet.Budget
-	core   *core.Core
-	http   *lnet.Server
-	ajp    *ajp.Server
-	ending atomic.Bool
-	stop   chan struct{}
-	halted sync.Once
-	mu     sync.Mutex // guards listed
-	listed map[string]Server
+	cfg            *Config // as of the start; Reload applies changes to the components, not here
+	platformConfig *platform.Config
+	log            *slog.Logger
+	parser         *platform.Front
+	credentials    *grpcnode.Credentials
+	failures       translate.FailureCounts
+	router         *router
+	admission      *lnet.AdmissionController // nil if only the budget limits connections
+	listenTLS      atomic.Pointer[tls.Config]
+	budget         *lnet.Budget
+	core           *core.Core
+	http           *lnet.Server
+	ajp            *ajp.Server
+	notReady       atomic.Bool
+	stop           chan struct{}
+	stopOnce       sync.Once
+	mu             sync.Mutex // guards servers
+	servers        map[string]Server
 }
 
-// New checks a file as far as that goes without starting: it reads the keys.
-func New(cfg *Config, base *platform.Config, log *slog.Logger) (*Front, error) {
-	f := &Front{cfg: cfg, base: base, log: log, stop: make(chan struct{})}
+// New makes a front without starting it. It loads the TLS credentials, so that it reports errors in them.
+func New(cfg *Config, platformConfig *platform.Config, log *slog.Logger) (*Front, error) {
+	f := &Front{cfg: cfg, platformConfig: platformConfig, log: log, stop: make(chan struct{})}
 	if cfg.TLS.CA != "" {
 		var err error
-		f.keys, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert, Key: cfg.TLS.Key})
+		f.credentials, err = grpcnode.LoadCredentials(grpcnode.CredentialFiles{CA: cfg.TLS.CA, Cert: cfg.TLS.Cert,
+			Key: cfg.TLS.Key})
 		if err != nil {
 			return nil, fmt.Errorf("tls: %w", err)
 		}
 	}
 	if cfg.Admission != nil {
-		f.keeper = lnet.NewAdmissionController(cfg.Admission.limits())
+		f.admission = lnet.NewAdmissionController(cfg.Admission.toLimits())
 	}
 	if cfg.ListenTLS.Cert != "" {
 		c, err := cfg.ListenTLS.load()
 		if err != nil {
 			return nil, err
 		}
-		f.secure.Store(c)
+		f.listenTLS.Store(c)
 	}
-	f.router = &router{tally: &f.tally, dial: base.DialTimeout, epoch: time.Now(),
-		out:   map[*core.Attempt]flight{},
-		guard: translate.NewGuard(0, seconds(cfg.Keys.Remember).Microseconds(), cfg.Keys.Most)}
-	f.form = platform.NewFront(base, log, f.router)
+	f.router = &router{failures: &f.failures, dialTimeout: platformConfig.DialTimeout, epoch: time.Now(),
+		inFlight: map[*core.Attempt]sentAttempt{},
+		guard:    translate.NewGuard(0, seconds(cfg.Keys.Remember).Microseconds(), cfg.Keys.Most)}
+	f.parser = platform.NewFront(platformConfig, log, f.router)
 	return f, nil
 }
 
-// Backend takes the queries' parts to their servers.
+// Backend returns the backend that sends the queries' parts to their servers.
 func (f *Front) Backend() core.Backend { return f.router }
 
-// Start begins to serve.
+// Start opens the listeners and starts serving.
 func (f *Front) Start(c *core.Core, budget *lnet.Budget) error {
 	f.core, f.budget = c, budget
 	r := f.router
 	r.post = c.Post
-	r.old = platform.NewNodes(f.base, budget, f.log, c.Counts(), r.tell)
-	r.anew = grpcnode.New(f.cfg.bounds(maxValue), f.keys, budget, f.log, c.Counts(), &f.tally, r.tell)
+	r.oldNodes = platform.NewNodes(f.platformConfig, budget, f.log, c.Counts(), r.report)
+	r.newNodes = grpcnode.New(f.cfg.grpcConfig(maxValueSize), f.credentials, budget, f.log, c.Counts(),
+		&f.failures, r.report)
 	var err error
 	if f.cfg.Listen != "" {
-		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.serve); err != nil {
+		if f.http, err = lnet.Listen(f.cfg.Listen, budget, f.log, f.handle); err != nil {
 			return fmt.Errorf("listen: %w", err)
 		}
-		f.http.Admission = f.keeper
-		if f.secure.Load() != nil {
-			f.http.Handshake = lnet.TLSHandshake(f.secure.Load)
+		f.http.Admission = f.admission
+		if f.listenTLS.Load() != nil {
+			f.http.Handshake = lnet.TLSHandshake(f.listenTLS.Load)
 		}
-		f.http.OnRejected = func(r *lnet.Request) { f.count(r, core.Refused) }
+		f.http.OnRejected = func(r *lnet.Request) { f.countOutcome(r, core.Refused) }
 	}
 	if f.cfg.AJP.Listen != "" {
-		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen, ajp.Options{Size: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret},
-			budget,
-			f.log, f.serve)
+		f.ajp, err = ajp.Listen(f.cfg.AJP.Listen,
+			ajp.Options{PacketSize: f.cfg.AJP.Packet, Secret: f.cfg.AJP.Secret}, budget, f.log, f.handle)
 		if err != nil {
 			if f.http != nil {
 				f.http.StopListening()
 			}
 			return fmt.Errorf("ajp.listen: %w", err)
 		}
-		f.ajp.Admission = f.keeper
+		f.ajp.Admission = f.admission
 	}
-	f.list(f.cfg)
+	f.updateServers(f.cfg)
 	if f.http != nil {
 		go f.http.Serve()
 	}
 	if f.ajp != nil {
 		go f.ajp.Serve()
 	}
-	if f.keys != nil {
-		go f.watch()
+	if f.credentials != nil {
+		go f.watchCredentials()
 	}
 	return nil
 }
 
-// list tells of the file's servers: first where they are, then the core.
-func (f *Front) list(cfg *Config) {
+// updateServers passes the configured servers to the backends and then, once these know the addresses, to the
+// core.
+func (f *Front) updateServers(cfg *Config) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	zones := f.base.Zones
+	zones := f.platformConfig.Zones
 	forms := map[balance.ReplicaID]string{}
 	var hosts []platform.Host
 	var targets []grpcnode.Target
 	var replicas []balance.Replica
-	listed := map[string]Server{}
+	servers := map[string]Server{}
 	for _, s := range cfg.Servers {
 		id := core.ServerID(s.Name)
 		forms[id] = s.Form
-		listed[s.Name] = s
+		servers[s.Name] = s
 		if s.Form == NewForm {
 			targets = append(targets, grpcnode.Target{Name: s.Name, Address: s.Address, TLS: s.TLS,
 				ServerName: s.ServerName})
@@ -149,24 +151,24 @@
 		if s.Draining {
 			r.State = balance.Draining
 		}
-		if was, known := f.listed[s.Name]; f.listed != nil && (!known || was.Form != s.Form ||
-			was.Address != s.Address) { // another process than before
+		if old, known := f.servers[s.Name]; f.servers != nil && (!known || old.Form != s.Form ||
+			old.Address != s.Address) { // a new process
 			r.Started = time.Now().UnixMicro()
 		}
 		replicas = append(replicas, r)
 	}
-	f.listed = listed
-	f.router.old.UpdateHosts(hosts, true)
-	f.router.anew.SetTargets(targets)
-	f.router.learn(forms)
+	f.servers = servers
+	f.router.oldNodes.UpdateHosts(hosts, true)
+	f.router.newNodes.SetTargets(targets)
+	f.router.setForms(forms)
 	f.core.Post(core.ListUpdate{Mode: balance.Full, Replicas: replicas, ReceivedAt: time.Now()})
 }
 
-// ServerName is a server's name by its number; false: there is none.
+// ServerName returns the name of the server with an id, or false if there is none.
 func (f *Front) ServerName(id balance.ReplicaID) (string, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for name := range f.listed {
+	for name := range f.servers {
 		if core.ServerID(name) == id {
 			return name, true
 		}
@@ -174,8 +176,9 @@
 	return "", false
 }
 
-// Reload takes in what a file that was read anew says of the servers. It has been checked whole. What takes a
-// restart is named in the log.
+// Reload applies the configuration of fresh, which was made from the re-read file and never started: the
+// servers, the credentials, the admission limits and the listener's certificate. It logs the changes that
+// require a restart.
 func (f *Front) Reload(fresh *Front) {
 	old, cfg := f.cfg, fresh.cfg
 	for _, x := range []struct {
@@ -186,61 +189,62 @@
 		{"new", old.New == cfg.New}, {"keys", old.Keys == cfg.Keys}, {"shards", old.Shards == cfg.Shards},
 		{"tls", old.TLS == cfg.TLS}, {"zone", old.Zone == cfg.Zone}} {
 		if !x.same {
-			f.log.Warn("a change of the file takes a restart", "key", x.key)
+			f.log.Warn("configuration change requires a restart", "key", x.key)
 		}
 	}
-	f.list(cfg)
-	f.rekey()
+	f.updateServers(cfg)
+	f.reloadCredentials()
 	switch {
-	case f.keeper != nil && cfg.Admission != nil:
-		f.keeper.SetLimits(cfg.Admission.limits())
-	case (f.keeper != nil) != (cfg.Admission != nil):
-		f.log.Warn("a change of the file takes a restart", "key", "admission")
+	case f.admission != nil && cfg.Admission != nil:
+		f.admission.SetLimits(cfg.Admission.toLimits())
+	case (f.admission != nil) != (cfg.Admission != nil):
+		f.log.Warn("configuration change requires a restart", "key", "admission")
 	}
-	if c := fresh.secure.Load(); c != nil && f.secure.Load() != nil {
-		f.secure.Store(c) // new handshakes; who is in stays in
+	if c := fresh.listenTLS.Load(); c != nil && f.listenTLS.Load() != nil {
+		f.listenTLS.Store(c) // for new handshakes; open connections are kept
 	}
 }
 
-// ApplySettings takes new settings in: classes and their rules.
+// ApplySettings does nothing: this front keeps no settings of its own.
 func (f *Front) ApplySettings(balance.Settings) {}
 
-// Conform has requests read by the classes of a configuration that was taken in.
-func (f *Front) Conform(base *platform.Config) { f.form.SetConfig(base) }
+// Conform makes the front parse requests by the classes of an applied configuration.
+func (f *Front) Conform(platformConfig *platform.Config) { f.parser.SetConfig(platformConfig) }
 
-// watch looks at the keys now and then.
-func (f *Front) watch() {
+// watchCredentials checks the credential files for changes periodically.
+func (f *Front) watchCredentials() {
 	tick := time.NewTicker(seconds(f.cfg.TLS.Watch))
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			f.rekey()
+			f.reloadCredentials()
 		case <-f.stop:
 			return
 		}
 	}
 }
 
-// rekey reads the keys again. A set that does not hold together is turned down, and the old one stays.
-func (f *Front) rekey() {
-	if f.keys == nil {
+// reloadCredentials re-reads the credential files. If they are invalid or do not match each other, the old
+// credentials stay in use.
+func (f *Front) reloadCredentials() {
+	if f.credentials == nil {
 		return
 	}
-	changed, err := f.keys.Reload()
+	changed, err := f.credentials.Reload()
 	switch {
 	case err != nil:
-		f.log.Error("keys not reloaded: the old ones stay", "err", err)
+		f.log.Error("TLS credentials not reloaded: keeping the old ones", "err", err)
 	case changed:
-		f.log.Info("keys reloaded")
-		f.router.anew.RetireTLSConns()
+		f.log.Info("TLS credentials reloaded")
+		f.router.newNodes.RetireTLSConns()
 	}
 }
 
-// Figures are the attempts that brought nothing, by reason.
-func (f *Front) Figures() map[string]int64 { return f.tally.Figures() }
+// Figures returns the number of failed attempts by reason.
+func (f *Front) Figures() map[string]int64 { return f.failures.NonZero() }
 
-// Addrs are the addresses that terminals reach; empty where there is no listener.
+// Addrs returns the addresses of the listeners for clients; empty for one that is not configured.
 func (f *Front) Addrs() (http, ajp string) {
 	if f.http != nil {
 		http = f.http.Addr()
@@ -251,124 +255,126 @@
 	return http, ajp
 }
 
-// MarkNotReady tells who asks that this front is not ready any more.
-func (f *Front) MarkNotReady() { f.ending.Store(true) }
+// MarkNotReady makes readiness checks fail from now on.
+func (f *Front) MarkNotReady() { f.notReady.Store(true) }
 
-// each calls a function for every listener.
-func (f *Front) each(h func(*lnet.Server), a func(*ajp.Server)) {
+// eachListener calls a function with every listener: onHTTP or onAJP.
+func (f *Front) eachListener(onHTTP func(*lnet.Server), onAJP func(*ajp.Server)) {
 	if f.http != nil {
-		h(f.http)
+		onHTTP(f.http)
 	}
 	if f.ajp != nil {
-		a(f.ajp)
+		onAJP(f.ajp)
 	}
 }
 
 // StopListening closes the listeners.
 func (f *Front) StopListening() {
-	f.each((*lnet.Server).StopListening, (*ajp.Server).StopListening)
+	f.eachListener((*lnet.Server).StopListening, (*ajp.Server).StopListening)
 }
 
-// CloseAfterReply has replies end their connections from now on.
+// CloseAfterReply makes every connection close after its next reply.
 func (f *Front) CloseAfterReply() {
-	f.each((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
+	f.eachListener((*lnet.Server).CloseAfterReply, (*ajp.Server).CloseAfterReply)
 }
 
-// Drain winds, and closes idle connections.
+// Drain calls CloseAfterReply, closes idle connections and stops watching the credentials.
 func (f *Front) Drain() {
-	f.each((*lnet.Server).Drain, (*ajp.Server).Drain)
-	f.halted.Do(func() { close(f.stop) })
+	f.eachListener((*lnet.Server).Drain, (*ajp.Server).Drain)
+	f.stopOnce.Do(func() { close(f.stop) })
 }
 
-// LastRequest is when a request last came.
+// LastRequest returns the time of the latest request on any listener.
 func (f *Front) LastRequest() (last time.Time) {
-	later := func(t time.Time) {
+	update := func(t time.Time) {
 		if t.After(last) {
 			last = t
 		}
 	}
-	f.each(func(s *lnet.Server) { later(s.LastRequest()) }, func(s *ajp.Server) { later(s.LastRequest()) })
+	f.eachListener(func(s *lnet.Server) { update(s.LastRequest()) },
+		func(s *ajp.Server) { update(s.LastRequest()) })
 	return last
 }
 
-// Wait waits until every connection has ended.
-func (f *Front) Wait(most time.Duration) bool {
-	end, all := time.Now().Add(most), true
-	f.each(func(s *lnet.Server) { all = s.Wait(time.Until(end)) },
-		func(s *ajp.Server) { all = s.Wait(time.Until(end)) && all })
-	return all
+// Wait waits until every connection has ended. It returns false if that takes longer than timeout.
+func (f *Front) Wait(timeout time.Duration) bool {
+	deadline, ended := time.Now().Add(timeout), true
+	f.eachListener(func(s *lnet.Server) { ended = s.Wait(time.Until(deadline)) },
+		func(s *ajp.Server) { ended = s.Wait(time.Until(deadline)) && ended })
+	return ended
 }
 
-func (f *Front) count(r *lnet.Request, e core.QueryOutcome) {
-	if class := platform.ClassName(r); slices.Contains(f.base.Classes, class) {
-		f.core.Counts().Class(class).Add(e)
+// countOutcome counts the outcome of a request that does not become a query, if its class exists.
+func (f *Front) countOutcome(r *lnet.Request, outcome core.QueryOutcome) {
+	if class := platform.ClassName(r); slices.Contains(f.platformConfig.Classes, class) {
+		f.core.Counts().Class(class).Add(outcome)
 	}
 }
 
-// serve takes one request, whichever way it came.
-func (f *Front) serve(r *lnet.Request, x *lnet.Exchange) func() {
+// handle handles a request from either listener. The function it returns, if any, abandons the query.
+func (f *Front) handle(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
-		if f.ending.Load() {
+		if f.notReady.Load() {
 			x.Reply(lnet.Response{Status: 503, Body: []byte("ending\n")})
 		} else {
 			x.Reply(lnet.Response{Status: 200, Body: []byte("up\n")})
 		}
 		return nil
 	}
-	q, bad := f.form.Parse(r)
+	q, bad := f.parser.Parse(r)
 	if bad != nil {
 		f.log.Warn("bad request", "path", r.Path, "status", bad.Status, "why", bad.Detail)
-		f.count(r, platform.OutcomeForStatus(bad.Status))
+		f.countOutcome(r, platform.OutcomeForStatus(bad.Status))
 		x.Reply(lnet.Response{Status: bad.Status, Body: []byte(bad.Detail + "\n"), Close: true})
 		return nil
 	}
-	j := &job{f: f, x: x, class: platform.ClassName(r)}
-	if v := f.router.known(q); v != translate.Allowed {
-		f.log.Warn("a keyed request is not taken", "class", j.class, "why", v)
-		f.tally.Add(v.Reason())
-		j.reply(translate.Turn(v), f.core.FullRetryAfter())
+	cq := &clientQuery{front: f, exchange: x, class: platform.ClassName(r)}
+	if d := f.router.checkQuery(q); d != translate.Allowed {
+		f.log.Warn("keyed request rejected", "class", cq.class, "why", d)
+		f.failures.Add(d.Reason())
+		cq.reply(translate.GuardReply(d), f.core.FullRetryAfter())
 		return nil
 	}
-	q.Client, q.Data, q.ClientLeft = j, j, x.ClientLeft
+	q.Client, q.Data, q.ClientLeft = cq, cq, x.ClientLeft
 	if !f.core.Submit(q) {
-		j.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
+		cq.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
 	return func() { f.core.Abandon(q) }
 }
 
-// job is a query's client, and what its attempts met.
-type job struct {
-	f     *Front
-	x     *lnet.Exchange
-	class string
-	why   atomic.Uint32
+// clientQuery connects a query with its client's exchange, and holds the latest failure of its attempts.
+type clientQuery struct {
+	front       *Front
+	exchange    *lnet.Exchange
+	class       string
+	lastFailure atomic.Uint32 // a translate.Reason
 }
 
-// ClassName is the query's class.
-func (j *job) ClassName() string { return j.class }
+// ClassName returns the name of the query's class.
+func (q *clientQuery) ClassName() string { return q.class }
 
-// RecordFailure hears why an attempt brought nothing.
-func (j *job) RecordFailure(why translate.Reason) { j.why.Store(uint32(why)) }
+// RecordFailure stores the reason of a failed attempt.
+func (q *clientQuery) RecordFailure(reason translate.Reason) { q.lastFailure.Store(uint32(reason)) }
 
-// Final replies.
-func (j *job) Final(f core.FinalAnswer) {
+// Final replies to the client with the query's result.
+func (q *clientQuery) Final(f core.FinalAnswer) {
 	if f.Outcome == core.Answered {
-		r := platform.Answer(f, j.f.log)
-		j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-		j.x.Reply(r)
+		r := platform.Answer(f, q.front.log)
+		q.front.core.Counts().Class(q.class).Add(platform.OutcomeForStatus(r.Status))
+		q.exchange.Reply(r)
 		return
 	}
-	j.reply(translate.Failed(f.Outcome == core.Refused, f.Overdue, f.NameTaken, translate.Reason(j.why.Load())),
-		f.RetryAfter)
+	q.reply(translate.FailureReply(f.Outcome == core.Refused, f.Overdue, f.NameTaken,
+		translate.Reason(q.lastFailure.Load())), f.RetryAfter)
 }
 
-// reply words what is no answer, and counts what the terminal is told.
-func (j *job) reply(w translate.Word, after time.Duration) {
-	r := lnet.Response{Status: w.Status, Body: []byte(w.Text + "\n"), Close: w.Close}
-	if w.Refused {
-		r = platform.Refusal(after)
+// reply sends a failure reply and counts it by its status.
+func (q *clientQuery) reply(failure translate.Reply, retryAfter time.Duration) {
+	r := lnet.Response{Status: failure.Status, Body: []byte(failure.Text + "\n"), Close: failure.Close}
+	if failure.Refused {
+		r = platform.Refusal(retryAfter)
 	}
-	j.f.core.Counts().Class(j.class).Add(platform.OutcomeForStatus(r.Status))
-	j.x.Reply(r)
+	q.front.core.Counts().Class(q.class).Add(platform.OutcomeForStatus(r.Status))
+	q.exchange.Reply(r)
 }
--- a/internal/translate/guard.go
+++ b/internal/translate/guard.go
@@ -1,40 +1,40 @@
 package translate
 
-// The guard of keys: what may have run is not sent again past its window, and not to servers that never heard
-// of it. Servers of one domain drop a repeat for as long as the window lasts, counted from the first send
-// that may have run; after that, and in another domain, a repeat would be executed. The guard outlives
-// queries: a client's own retry is a new query with the same key. It has no clock and no goroutine.
+// The idempotency guard keeps a keyed part from being executed twice. Servers of one domain drop repeats of a
+// key for the length of its window, counted from the first send that may have run. After the window, or in
+// another domain, a repeat would be executed again, so the guard rejects such sends. Its state outlives
+// queries, because a client's own retry is a new query with the same key. It has no clock and no goroutine.
 
 import (
 	"lapislever/balance"
 )
 
-// Verdict is the guard's word on a send.
-type Verdict uint8
+// Decision tells whether a send is allowed and, if not, why.
+type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	Allowed   Verdict = iota
-	Past              // the window is over, and an earlier send may have run
-	Elsewhere         // an earlier send may have run in another domain
-	Crowded           // no room for one more key: none is forgotten early
+	Allowed     Decision = iota
+	WindowOver           // an earlier send may have run, and the window has ended
+	OtherDomain          // an earlier send may have run in another domain
+	TooManyKeys          // the table of keys is full; keys are never evicted early
 )
 
-// String is what logs and counts call it.
-func (v Verdict) String() string {
-	return [...]string{"allowed", "window over", "other domain", "too many keys"}[v]
+// String returns the decision's name in logs.
+func (d Decision) String() string {
+	return [...]string{"allowed", "window over", "other domain", "too many keys"}[d]
 }
 
-// guardTick is how late an expired key may be forgotten.
-const guardTick = 20_000
+// expiryTick, in microseconds, bounds how late an expired key is removed.
+const expiryTick = 20_000
 
 type guardKey struct {
 	key   string
 	shard int
 }
 
-// sent is one send that may have run.
-type sent struct {
+// guardSend is a send that may have run.
+type guardSend struct {
 	token  uint64
 	at     balance.Micros
 	domain int
@@ -43,88 +43,89 @@
 type guardEntry struct {
 	guardKey
 	window balance.Micros
-	sends  []sent // in the order in which they were made
-	place  Item[*guardEntry]
+	sends  []guardSend // oldest first
+	timer  Item[*guardEntry]
 }
 
-// Guard is the state of the guard. It is not safe for concurrent use.
+// Guard tracks which keyed parts may have run, where and when. It is not safe for concurrent use.
 type Guard struct {
-	remember balance.Micros
-	most     int
-	keys     map[guardKey]*guardEntry
-	wheel    *Wheel[*guardEntry]
-	token    uint64
-	turned   [Crowded + 1]int64
+	retention balance.Micros
+	maxKeys   int
+	entries   map[guardKey]*guardEntry
+	wheel     *Wheel[*guardEntry]
+	lastToken uint64
+	rejected  [TooManyKeys + 1]int64
 }
 
-// NewGuard returns a guard that starts now. A key is remembered for so long past its window, and there are no
-// more than most keys at a time.
-func NewGuard(now, remember balance.Micros, most int) *Guard {
-	return &Guard{remember: remember, most: most, keys: map[guardKey]*guardEntry{},
-		wheel: NewWheel[*guardEntry](guardTick, now)}
+// NewGuard returns an empty guard whose time starts at now. It keeps a key for retention beyond its window,
+// and at most maxKeys keys at a time.
+func NewGuard(now, retention balance.Micros, maxKeys int) *Guard {
+	return &Guard{retention: retention, maxKeys: maxKeys, entries: map[guardKey]*guardEntry{},
+		wheel: NewWheel[*guardEntry](expiryTick, now)}
 }
 
-// Len is how many keys are remembered.
-func (g *Guard) Len() int { return len(g.keys) }
+// Len returns the number of keys held; each shard of a key counts.
+func (g *Guard) Len() int { return len(g.entries) }
 
-// Turned counts the verdicts of a kind.
-func (g *Guard) Turned(v Verdict) int64 { return g.turned[v] }
+// Rejected returns the number of sends rejected with decision d.
+func (g *Guard) Rejected(d Decision) int64 { return g.rejected[d] }
 
-// look is the word on a send of a key's part to a domain; any domain will do where it is below 0.
-func (g *Guard) look(now balance.Micros, e *guardEntry, domain int) Verdict {
+// check decides on a further send of e's part to domain. A negative domain skips the domain check.
+func (g *Guard) check(now balance.Micros, e *guardEntry, domain int) Decision {
 	switch first := e.sends[0]; {
 	case now >= first.at+e.window:
-		return Past
+		return WindowOver
 	case domain >= 0 && domain != first.domain:
-		return Elsewhere
+		return OtherDomain
 	}
 	return Allowed
 }
 
-// Known is the word on a query before any of it is sent: whether a part of it could still be sent at all.
-func (g *Guard) Known(now balance.Micros, key string, shard int) Verdict {
+// CheckQuery decides, before any part of a query is sent, whether its part for shard could be sent to any
+// domain at all.
+func (g *Guard) CheckQuery(now balance.Micros, key string, shard int) Decision {
 	g.expire(now)
-	if e := g.keys[guardKey{key, shard}]; e != nil {
-		return g.look(now, e, -1)
+	if e := g.entries[guardKey{key, shard}]; e != nil {
+		return g.check(now, e, -1)
 	}
-	if len(g.keys) >= g.most {
-		return Crowded
+	if len(g.entries) >= g.maxKeys {
+		return TooManyKeys
 	}
 	return Allowed
 }
 
-// Ask is called before each send. Where the verdict is Allowed the send counts as one that may run, until
-// Never takes its token back; its last byte must be written before by.
-func (g *Guard) Ask(now balance.Micros, key string, shard, domain int, window balance.Micros) (v Verdict,
-	token uint64, by balance.Micros) {
+// BeginSend must be called before each send. If the decision is Allowed, the send counts as one that may have
+// run until CancelSend is called with its token, and its last byte must be written before writeBy.
+func (g *Guard) BeginSend(now balance.Micros, key string, shard, domain int, window balance.Micros) (
+	d Decision, token uint64, writeBy balance.Micros) {
 	g.expire(now)
 	k := guardKey{key, shard}
-	e := g.keys[k]
+	e := g.entries[k]
 	switch {
 	case e != nil:
-		v = g.look(now, e, domain)
-	case len(g.keys) >= g.most:
-		v = Crowded
+		d = g.check(now, e, domain)
+	case len(g.entries) >= g.maxKeys:
+		d = TooManyKeys
 	}
-	if v != Allowed {
-		g.turned[v]++
-		return v, 0, 0
+	if d != Allowed {
+		g.rejected[d]++
+		return d, 0, 0
 	}
 	if e == nil {
 		e = &guardEntry{guardKey: k, window: window}
-		e.place.Value = e
-		g.keys[k] = e
+		e.timer.Value = e
+		g.entries[k] = e
 	}
-	g.token++
-	e.sends = append(e.sends, sent{g.token, now, domain})
+	g.lastToken++
+	e.sends = append(e.sends, guardSend{g.lastToken, now, domain})
 	g.schedule(e)
-	return Allowed, g.token, e.sends[0].at + e.window
+	return Allowed, g.lastToken, e.sends[0].at + e.window
 }
 
-// Never tells that a send has proved not to have run.
-func (g *Guard) Never(now balance.Micros, key string, shard int, token uint64) {
+// CancelSend removes a send that is known not to have run. Once none is left, the key is free again.
+func (g *Guard) CancelSend(now balance.Micros, key string, shard int, token uint64) {
 	g.expire(now)
-	e := g.keys[guardKey{key, shard}]
+	e := g.entries[guardKey{key, shard}]
 	if e == nil {
 		return
 	}
@@ -134,8 +135,8 @@
 		}
 		e.sends = append(e.sends[:i], e.sends[i+1:]...)
 		if len(e.sends) == 0 {
-			g.wheel.Remove(&e.place)
-			delete(g.keys, e.guardKey)
+			g.wheel.Remove(&e.timer)
+			delete(g.entries, e.guardKey)
 		} else {
 			g.schedule(e)
 		}
@@ -143,10 +144,11 @@
 	}
 }
 
+// schedule sets the entry's expiry: retention after the window of its latest send.
 func (g *Guard) schedule(e *guardEntry) {
-	g.wheel.Add(&e.place, e.sends[len(e.sends)-1].at+e.window+g.remember)
+	g.wheel.Add(&e.timer, e.sends[len(e.sends)-1].at+e.window+g.retention)
 }
 
 func (g *Guard) expire(now balance.Micros) {
-	g.wheel.Advance(now, func(it *Item[*guardEntry]) { delete(g.keys, it.Value.guardKey) })
+	g.wheel.Advance(now, func(it *Item[*guardEntry]) { delete(g.entries, it.Value.guardKey) })
 }
--- a/internal/translate/translate_test.go
+++ b/internal/translate/translate_test.go
@@ -13,8 +13,8 @@
 
 const ms = balance.Micros(1000)
 
-// The wheel against a sorted list, over times on every level and gaps of any length.
-func TestWheelAgainstASortedList(t *testing.T) {
+// Compares the wheel with a reference map, with due times on every level and time steps of any length.
+func TestWheelMatchesReference(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		now := balance.Micros(rng.Int64N(1 << 40))
@@ -29,7 +29,7 @@
 				due[step] = at
 				w.Add(items[step], at)
 			case 3:
-				for id := range items { // any
+				for id := range items { // any one item
 					w.Remove(items[id])
 					w.Remove(items[id])
 					delete(items, id)
@@ -54,7 +54,7 @@
 				})
 				for id, at := range due {
 					if at <= now-10*ms-1 {
-						t.Fatalf("seed %d: item %d is due at %d, and still held at %d", seed, id, at, now)
+						t.Fatalf("seed %d: item %d, due at %d, is still held at %d", seed, id, at, now)
 					}
 				}
 			}
@@ -65,61 +65,61 @@
 	}
 }
 
-// What the guard says, move by move.
-func TestGuard(t *testing.T) {
+// Walks through the guard's decisions step by step.
+func TestGuardDecisions(t *testing.T) {
 	g := NewGuard(0, 10_000*ms, 2)
-	ask := func(now balance.Micros, key string, domain int) (Verdict, uint64) {
-		v, token, by := g.Ask(now, key, 1, domain, 3000*ms)
-		if v == Allowed && by > now+3000*ms {
-			t.Fatalf("may be written until %d", by)
+	ask := func(now balance.Micros, key string, domain int) (Decision, uint64) {
+		d, token, by := g.BeginSend(now, key, 1, domain, 3000*ms)
+		if d == Allowed && by > now+3000*ms {
+			t.Fatalf("may be written until %d, after the end of the window", by)
 		}
-		return v, token
+		return d, token
 	}
-	want := func(what string, got, want Verdict) {
+	want := func(what string, got, want Decision) {
 		t.Helper()
 		if got != want {
 			t.Errorf("%s: %v, want %v", what, got, want)
 		}
 	}
-	v, first := ask(0, "a", 0)
-	want("the first", v, Allowed)
-	v, _ = ask(1000*ms, "a", 1)
-	want("in the other form", v, Elsewhere)
-	v, second := ask(2000*ms, "a", 0)
-	want("a repeat within the window", v, Allowed)
-	v, _ = ask(3000*ms, "a", 0)
-	want("a repeat past it", v, Past)
-	g.Never(3000*ms, "a", 1, first)
-	v, third := ask(3500*ms, "a", 0)
-	want("once the first has proved never to have run", v, Allowed)
-	g.Never(3600*ms, "a", 1, second)
-	g.Never(3600*ms, "a", 1, third)
-	g.Never(3600*ms, "a", 1, third)
+	d, first := ask(0, "a", 0)
+	want("first send", d, Allowed)
+	d, _ = ask(1000*ms, "a", 1)
+	want("send to the other domain", d, OtherDomain)
+	d, second := ask(2000*ms, "a", 0)
+	want("repeat within the window", d, Allowed)
+	d, _ = ask(3000*ms, "a", 0)
+	want("repeat after the window", d, WindowOver)
+	g.CancelSend(3000*ms, "a", 1, first)
+	d, third := ask(3500*ms, "a", 0)
+	want("repeat after the first send proved not to have run", d, Allowed)
+	g.CancelSend(3600*ms, "a", 1, second)
+	g.CancelSend(3600*ms, "a", 1, third)
+	g.CancelSend(3600*ms, "a", 1, third)
 	if g.Len() != 0 {
-		t.Errorf("%d keys held of which nothing may have run", g.Len())
+		t.Errorf("%d keys held although no send may have run", g.Len())
 	}
-	v, _ = ask(4000*ms, "a", 1)
-	want("elsewhere, as nothing has run", v, Allowed)
-	v, _ = ask(4000*ms, "b", 1)
-	want("a second key", v, Allowed)
-	v, _ = ask(4000*ms, "c", 1)
-	want("a third key where two are the most", v, Crowded)
-	want("a query of it", g.Known(4000*ms, "c", 1), Crowded)
-	want("a late retry of a known one", g.Known(8000*ms, "a", 1), Past)
-	want("its other shard", g.Known(8000*ms, "a", 2), Crowded)
-	want("long after", g.Known(4000*ms+13_000*ms+2*guardTick, "a", 1), Allowed)
+	d, _ = ask(4000*ms, "a", 1)
+	want("other domain after all sends proved not to have run", d, Allowed)
+	d, _ = ask(4000*ms, "b", 1)
+	want("second key", d, Allowed)
+	d, _ = ask(4000*ms, "c", 1)
+	want("third key with a limit of two", d, TooManyKeys)
+	want("query with the third key", g.CheckQuery(4000*ms, "c", 1), TooManyKeys)
+	want("late retry of a held key", g.CheckQuery(8000*ms, "a", 1), WindowOver)
+	want("other shard of a held key", g.CheckQuery(8000*ms, "a", 2), TooManyKeys)
+	want("query after the key expired", g.CheckQuery(4000*ms+13_000*ms+2*expiryTick, "a", 1), Allowed)
 	if g.Len() != 0 || g.wheel.Len() != 0 {
 		t.Errorf("%d keys and %d timers are left", g.Len(), g.wheel.Len())
 	}
 }
 
-// Whatever is asked and taken back in whatever order: no key is ever sent to two domains, nor past the window
-// of the first send that may still have run, as counted by a record that forgets nothing.
-func TestGuardOverLongHistories(t *testing.T) {
+// Begins and cancels sends in random order: no key may be sent to two domains, or after the window of the
+// first send that may still have run. A record that keeps every send is the reference.
+func TestGuardRandomHistories(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		window, remember := 300*ms, 2000*ms
-		g := NewGuard(0, remember, 40)
+		window, retention := 300*ms, 2000*ms
+		g := NewGuard(0, retention, 40)
 		type send struct {
 			at     balance.Micros
 			domain int
@@ -128,27 +128,27 @@
 		record := map[string][]send{}
 		allowed := 0
 		for now := balance.Micros(0); now < 60_000*ms; now += rng.Int64N(20 * ms) {
-			key := fmt.Sprint("k", now/(4000*ms), "-", rng.IntN(12)) // each is asked for over four seconds at most
+			key := fmt.Sprint("k", now/(4000*ms), "-", rng.IntN(12)) // each key is used within four seconds
 			if sends := record[key]; len(sends) > 0 && rng.IntN(3) == 0 {
 				i := rng.IntN(len(sends))
-				g.Never(now, key, 0, sends[i].token)
+				g.CancelSend(now, key, 0, sends[i].token)
 				record[key] = slices.Delete(sends, i, i+1)
 				continue
 			}
 			domain := rng.IntN(2)
-			v, token, by := g.Ask(now, key, 0, domain, window)
+			d, token, by := g.BeginSend(now, key, 0, domain, window)
 			sends := record[key]
-			if v == Allowed {
+			if d == Allowed {
 				allowed++
-				if n := len(sends); n > 0 && now >= sends[n-1].at+window+remember {
-					sends = nil // long enough ago to be forgotten
+				if n := len(sends); n > 0 && now >= sends[n-1].at+window+retention {
+					sends = nil // the guard has expired the key
 				}
 				if len(sends) > 0 && (now >= sends[0].at+window || domain != sends[0].domain || by > sends[0].at+window) {
 					t.Fatalf("seed %d: %s sent at %d to %d after %+v", seed, key, now, domain, sends)
 				}
 				record[key] = append(sends, send{now, domain, token})
-			} else if v != Crowded && len(sends) == 0 {
-				t.Fatalf("seed %d: %s turned away (%v) though nothing of it may have run", seed, key, v)
+			} else if d != TooManyKeys && len(sends) == 0 {
+				t.Fatalf("seed %d: %s rejected (%v) although no send of it may have run", seed, key, d)
 			}
 		}
 		if allowed < 100 {
@@ -157,8 +157,9 @@
 	}
 }
 
-// Every status has an outcome and a reason; only the contract's own word makes one that never ran.
-func TestStatuses(t *testing.T) {
+// Every status has an outcome and a reason. Only the service's own statement makes an outcome that proves the
+// call not to have run.
+func TestStatusResults(t *testing.T) {
 	for code := Code(0); code < 40; code++ {
 		for _, unseen := range []bool{false, true} {
 			r := FromStatus(code, unseen)
@@ -183,16 +184,16 @@
 	}
 	for status := 100; status < 600; status++ {
 		if r := FromHTTP(status); r.Outcome == balance.OK || r.Outcome == balance.Busy || r.Reason == None {
-			t.Errorf("HTTP %d without a status of gRPC: %v", status, r)
+			t.Errorf("HTTP %d without a gRPC status: %v", status, r)
 		}
 	}
 }
 
-func TestValues(t *testing.T) {
+func TestAnswerValues(t *testing.T) {
 	for _, c := range []struct {
-		a    Answer
-		want string
-		why  Reason
+		a      Answer
+		want   string
+		reason Reason
 	}{
 		{Answer{Shard: 3, Kind: Text, Text: []byte("5be2")}, "5be2", None},
 		{Answer{Shard: 3, Kind: Text}, "", None},
@@ -204,40 +205,40 @@
 		{Answer{Shard: 3, Kind: Text, Text: []byte{0xff}}, "", InvalidUTF8},
 		{Answer{Shard: 3, Kind: Text, Text: []byte(strings.Repeat("x", 101))}, "", TooLarge},
 	} {
-		got, why := c.a.Value(3, 100)
-		if string(got) != c.want || why != c.why {
-			t.Errorf("%+v: %q, %v", c.a, got, why)
+		got, reason := c.a.Value(3, 100)
+		if string(got) != c.want || reason != c.reason {
+			t.Errorf("%+v: %q, %v", c.a, got, reason)
 		}
 	}
 }
 
-// What an old terminal is told is always one of its words, and never a blank one.
-func TestWords(t *testing.T) {
-	for why := range reasons {
+// Every reply has an error status and a text, and invites a retry only if the query was refused.
+func TestReplies(t *testing.T) {
+	for reason := range numReasons {
 		for i := range 8 {
 			refused, overdue, taken := i&1 > 0, i&2 > 0, i&4 > 0
-			w := Failed(refused, overdue, taken, why)
-			if w.Status == 200 || w.Text == "" || w.Refused != (w.Status == 503) {
-				t.Errorf("%v, %v: %+v", why, i, w)
+			reply := FailureReply(refused, overdue, taken, reason)
+			if reply.Status == 200 || reply.Text == "" || reply.Refused != (reply.Status == 503) {
+				t.Errorf("%v, %v: %+v", reason, i, reply)
 			}
-			if w.Refused && (!refused || why.Untranslatable()) {
-				t.Errorf("%v, %v: told to come again: %+v", why, i, w)
+			if reply.Refused && (!refused || reason.Untranslatable()) {
+				t.Errorf("%v, %v: invited to retry: %+v", reason, i, reply)
 			}
 		}
-		if why > None && why.String() == "" {
-			t.Errorf("reason %d has no name", why)
+		if reason > None && reason.String() == "" {
+			t.Errorf("reason %d has no name", reason)
 		}
 	}
-	for v := Past; v <= Crowded; v++ {
-		if w := Turn(v); w.Refused != (v == Crowded) || w.Status == 200 {
-			t.Errorf("%v: %+v", v, w)
+	for d := WindowOver; d <= TooManyKeys; d++ {
+		if reply := GuardReply(d); reply.Refused != (d == TooManyKeys) || reply.Status == 200 {
+			t.Errorf("%v: %+v", d, reply)
 		}
 	}
 }
 
-// Structures for expiry. The work is a guard's: a key is added, and mostly taken out again before it is due,
-// as its query was refused unseen; the rest expires.
-type expiry interface {
+// Data structures for expiry, compared under the guard's load: most keys are removed before they are due,
+// because their query was rejected without being processed; the others expire.
+type expiryQueue interface {
 	add(i int, due balance.Micros)
 	remove(i int)
 	advance(now balance.Micros) int
@@ -255,7 +256,7 @@
 	return n
 }
 
-// mapExpiry sweeps all it holds, once a tick.
+// mapExpiry scans all items once per tick.
 type mapExpiry struct {
 	m    map[int]balance.Micros
 	last balance.Micros
@@ -264,7 +265,7 @@
 func (x *mapExpiry) add(i int, due balance.Micros) { x.m[i] = due }
 func (x *mapExpiry) remove(i int)                  { delete(x.m, i) }
 func (x *mapExpiry) advance(now balance.Micros) (n int) {
-	if now-x.last < guardTick {
+	if now-x.last < expiryTick {
 		return 0
 	}
 	x.last = now
@@ -279,29 +280,32 @@
 
 type heapItem struct {
 	due balance.Micros
-	i   int
+	id  int
 }
 
 type heapExpiry struct {
-	h  []heapItem
-	at []int // place in the heap, or -1
+	h     []heapItem
+	index []int // position in the heap, or -1
 }
 
 func (x *heapExpiry) Len() int           { return len(x.h) }
 func (x *heapExpiry) Less(i, j int) bool { return x.h[i].due < x.h[j].due }
 func (x *heapExpiry) Swap(i, j int) {
 	x.h[i], x.h[j] = x.h[j], x.h[i]
-	x.at[x.h[i].i], x.at[x.h[j].i] = i, j
+	x.index[x.h[i].id], x.index[x.h[j].id] = i, j
+}
+func (x *heapExpiry) Push(v any) {
+	x.index[v.(heapItem).id] = len(x.h)
+	x.h = append(x.h, v.(heapItem))
 }
-func (x *heapExpiry) Push(v any) { x.at[v.(heapItem).i] = len(x.h); x.h = append(x.h, v.(heapItem)) }
 func (x *heapExpiry) Pop() any {
 	v := x.h[len(x.h)-1]
-	x.h, x.at[v.i] = x.h[:len(x.h)-1], -1
+	x.h, x.index[v.id] = x.h[:len(x.h)-1], -1
 	return v
 }
 func (x *heapExpiry) add(i int, due balance.Micros) { heap.Push(x, heapItem{due, i}) }
 func (x *heapExpiry) remove(i int) {
-	if at := x.at[i]; at >= 0 {
+	if at := x.index[i]; at >= 0 {
 		heap.Remove(x, at)
 	}
 }
@@ -313,20 +317,20 @@
 	return n
 }
 
-// BenchmarkExpiry is one key's life among so many that are held.
+// BenchmarkExpiry measures adding a key and removing or expiring one, by the number of keys held.
 func BenchmarkExpiry(b *testing.B) {
 	for _, held := range []int{1_000, 100_000} {
 		for _, kind := range []string{"wheel", "heap", "map"} {
 			b.Run(fmt.Sprintf("%s/%d", kind, held), func(b *testing.B) {
 				n := 2 * held
-				var x expiry
+				var x expiryQueue
 				switch kind {
 				case "wheel":
-					x = &wheelExpiry{NewWheel[int](guardTick, 0), make([]Item[int], n)}
+					x = &wheelExpiry{NewWheel[int](expiryTick, 0), make([]Item[int], n)}
 				case "heap":
-					h := &heapExpiry{at: make([]int, n)}
-					for i := range h.at {
-						h.at[i] = -1
+					h := &heapExpiry{index: make([]int, n)}
+					for i := range h.index {
+						h.index[i] = -1
 					}
 					x = h
 				case "map":
@@ -336,7 +340,7 @@
 				step := life / balance.Micros(held)
 				rng := rand.New(rand.NewPCG(1, 1))
 				now := balance.Micros(0)
-				turn := func(i int) {
+				addAndRemove := func(i int) {
 					now += step
 					x.advance(now)
 					x.add(i%n, now+life+rng.Int64N(1000*ms))
@@ -345,12 +349,12 @@
 					}
 				}
 				for i := range n {
-					turn(i)
+					addAndRemove(i)
 				}
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
-					turn(i)
+					addAndRemove(i)
 				}
 			})
 		}
