--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,5 +1,5 @@
-// Command rehearse plays scenarios on processes of the program: `lapislever rehearse` hands over to it, so
-// that what it links costs a coordinator nothing.
+// Command rehearse runs load and failure scenarios against coordinator processes. `lapislever rehearse`
+// executes it as a separate binary, so that its dependencies are not linked into the coordinator.
 package main
 
 import (
@@ -12,9 +12,9 @@
 )
 
 func main() {
-	own, err := os.Executable()
+	self, err := os.Executable()
 	if err == nil {
-		err = rehearse.Command(os.Args[1:], os.Stdout, os.Stderr, filepath.Join(filepath.Dir(own), "lapislever"))
+		err = rehearse.Command(os.Args[1:], os.Stdout, os.Stderr, filepath.Join(filepath.Dir(self), "lapislever"))
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "rehearse:", err)
--- a/internal/rehearse/ledger.go
+++ b/internal/rehearse/ledger.go
@@ -7,63 +7,64 @@
 	"time"
 )
 
-// ledger is one emulated data node: so many parts are worked on at a time, so many wait, more are turned
-// away; what has been taken is worked off, whether or not anybody still waits for it.
-type ledger struct {
-	conf    Ledger
-	slots   chan struct{}
-	waiting atomic.Int64
-	mu      sync.Mutex // guards rng, mode and by
-	rng     *rand.Rand
-	mode    string
-	by      float64
+// emulatedNode is an emulated data node with a fixed number of concurrency slots and a bounded queue; parts
+// beyond that are rejected. Accepted parts are processed to the end, even if nobody waits for them any more.
+type emulatedNode struct {
+	cfg        Ledger
+	slots      chan struct{}
+	waiting    atomic.Int64
+	mu         sync.Mutex // guards rng, mode and slowFactor
+	rng        *rand.Rand
+	mode       string
+	slowFactor float64
 
-	full, done atomic.Int64
+	rejected, completed atomic.Int64
 }
 
-func newLedger(conf Ledger, seed uint64) *ledger {
-	return &ledger{conf: conf, slots: make(chan struct{}, conf.Slots), by: 1,
+func newEmulatedNode(cfg Ledger, seed uint64) *emulatedNode {
+	return &emulatedNode{cfg: cfg, slots: make(chan struct{}, cfg.Slots), slowFactor: 1,
 		rng: rand.New(rand.NewPCG(seed, 5))}
 }
 
-// set scripts a failure: slow, fail, deaf or sound.
-func (l *ledger) set(mode string, by float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.mode, l.by = mode, 1; mode == "slow" {
-		l.by = by
+// setMode sets the failure mode: slow, fail, deaf (no replies) or sound (no failure). factor applies to slow.
+func (n *emulatedNode) setMode(mode string, factor float64) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.mode, n.slowFactor = mode, 1; mode == "slow" {
+		n.slowFactor = factor
 	}
 }
 
-// draw is how long a part takes, and what is wrong with the node.
-func (l *ledger) draw() (time.Duration, string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	work := l.conf.WorkMS * l.by
-	if !l.conf.Fixed { // half of it always, the rest spread as waiting for a disk is
-		work *= 0.5 + 0.5*l.rng.ExpFloat64()
+// drawWork returns a random processing time for a part, and the failure mode of the node.
+func (n *emulatedNode) drawWork() (time.Duration, string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	work := n.cfg.WorkMS * n.slowFactor
+	if !n.cfg.FixedWork { // half constant, half exponential, like waiting for a disk
+		work *= 0.5 + 0.5*n.rng.ExpFloat64()
 	}
-	return time.Duration(work * float64(time.Millisecond)), l.mode
+	return time.Duration(work * float64(time.Millisecond)), n.mode
 }
 
-// serve works on a part, and returns the letter that ends it.
-func (l *ledger) serve() string {
-	work, mode := l.draw()
+// serve processes a part and returns its end letter: S (done), B (queue full), E (failed), or an empty string
+// to withhold the reply.
+func (n *emulatedNode) serve() string {
+	work, mode := n.drawWork()
 	switch mode {
 	case "fail":
 		return "E"
 	case "deaf":
 		return ""
 	}
-	if l.waiting.Add(1) > int64(l.conf.Queue+l.conf.Slots) {
-		l.waiting.Add(-1)
-		l.full.Add(1)
+	if n.waiting.Add(1) > int64(n.cfg.Queue+n.cfg.Slots) {
+		n.waiting.Add(-1)
+		n.rejected.Add(1)
 		return "B"
 	}
-	l.slots <- struct{}{}
+	n.slots <- struct{}{}
 	time.Sleep(work)
-	<-l.slots
-	l.waiting.Add(-1)
-	l.done.Add(1)
+	<-n.slots
+	n.waiting.Add(-1)
+	n.completed.Add(1)
 	return "S"
 }
--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	// What the program is made of: so that results that go test has kept do not outlive a change of it.
+	// The packages of the program are imported so that a change in them invalidates cached test results.
 	_ "lapislever/internal/console"
 	_ "lapislever/internal/platform"
 	"lapislever/internal/rig"
@@ -22,17 +22,17 @@
 	os.Exit(code)
 }
 
-// The tool's own scenarios are sound, and every fault of a bad one is told with line and key.
+// The built-in scenarios are valid, and every error in an invalid scenario is reported with its line and key.
 func TestScenarios(t *testing.T) {
-	if len(Names()) < 4 {
-		t.Fatalf("%v", Names())
+	if len(ScenarioNames()) < 4 {
+		t.Fatalf("only %v are built in", ScenarioNames())
 	}
-	for _, name := range Names() {
-		if s, err := Open(name); err != nil || s.Name != name || s.About == "" {
+	for _, name := range ScenarioNames() {
+		if s, err := OpenScenario(name); err != nil || s.Name != name || s.About == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	_, err := Parse("bad.toml", `about = "x"
+	_, err := ParseScenario("bad.toml", `about = "x"
 members = 0
 nodes = 4
 for_s = 10
@@ -60,62 +60,62 @@
 who = ["n9"]
 `)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid scenario was accepted")
 	}
 	for _, want := range []string{"bad.toml:2: members", "bad.toml:6: node.slots", "bad.toml:10: load.rate",
 		"unknown key load.colour", "load.step[1].at_s", "event[1].do", `event[2].who: "n0" can't be told to kill`,
 		`"x" is no member and no node`, `"n9" is no member and no node`, "event[3].by"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s\n%v", want, err)
+			t.Errorf("the error lacks %q:\n%v", want, err)
 		}
 	}
-	if _, err := Open("nowhere"); err == nil || !strings.Contains(err.Error(), "demo") {
-		t.Errorf("%v", err)
+	if _, err := OpenScenario("nowhere"); err == nil || !strings.Contains(err.Error(), "demo") {
+		t.Errorf("error for an unknown scenario: %v", err)
 	}
 }
 
-// An emulated node works on so many parts at a time, keeps so many waiting, turns the others away, and does
-// what its script says.
-func TestLedger(t *testing.T) {
-	l := newLedger(Ledger{Slots: 2, Queue: 3, WorkMS: 100, Fixed: true}, 1)
+// An emulated node bounds its concurrent parts and its queue, rejects further parts, and follows its failure
+// mode.
+func TestEmulatedNode(t *testing.T) {
+	n := newEmulatedNode(Ledger{Slots: 2, Queue: 3, WorkMS: 100, FixedWork: true}, 1)
 	ends := map[string]int{}
 	var mu sync.Mutex
-	var wait sync.WaitGroup
-	begun := time.Now()
+	var pending sync.WaitGroup
+	started := time.Now()
 	for range 9 {
-		wait.Add(1)
+		pending.Add(1)
 		go func() {
-			defer wait.Done()
-			end := l.serve()
+			defer pending.Done()
+			end := n.serve()
 			mu.Lock()
 			ends[end]++
 			mu.Unlock()
 		}()
 	}
-	wait.Wait()
-	if ends["S"] != 5 || ends["B"] != 4 || l.done.Load() != 5 || l.full.Load() != 4 {
-		t.Errorf("%v", ends)
+	pending.Wait()
+	if ends["S"] != 5 || ends["B"] != 4 || n.completed.Load() != 5 || n.rejected.Load() != 4 {
+		t.Errorf("end letters %v, want 5 S and 4 B", ends)
 	}
-	if took := time.Since(begun); took < 300*time.Millisecond { // five of 100 ms, two at a time
-		t.Errorf("all done after %v", took)
+	if took := time.Since(started); took < 300*time.Millisecond { // five parts of 100 ms, two at a time
+		t.Errorf("all parts finished after %v", took)
 	}
-	l.set("fail", 0)
-	if end := l.serve(); end != "E" {
-		t.Errorf("%q of one that fails", end)
+	n.setMode("fail", 0)
+	if end := n.serve(); end != "E" {
+		t.Errorf("end letter %q in mode fail", end)
 	}
-	l.set("deaf", 0)
-	if end := l.serve(); end != "" {
-		t.Errorf("%q of one that is deaf", end)
+	n.setMode("deaf", 0)
+	if end := n.serve(); end != "" {
+		t.Errorf("end letter %q in mode deaf", end)
 	}
-	l.set("slow", 3)
-	begun = time.Now()
-	if end := l.serve(); end != "S" || time.Since(begun) < 300*time.Millisecond {
-		t.Errorf("%q after %v of one that is slow", end, time.Since(begun))
+	n.setMode("slow", 3)
+	started = time.Now()
+	if end := n.serve(); end != "S" || time.Since(started) < 300*time.Millisecond {
+		t.Errorf("end letter %q after %v in mode slow", end, time.Since(started))
 	}
 }
 
-// A difference that is the same at each seed is real, one that is not is noise, and runs that have no partner
-// do not count.
+// A difference that is consistent across seeds is significant, an inconsistent one is not, and runs without a
+// counterpart of the same seed are ignored.
 func TestCompare(t *testing.T) {
 	run := func(seed uint64, goodput, late float64) *Run {
 		return &Run{Seed: seed, Figures: map[string]float64{"goodput": goodput, "late": late}}
@@ -128,31 +128,32 @@
 	}
 	for _, d := range list {
 		switch d.Name {
-		case "goodput": // 6, 4 and 5; t of 2 degrees is 4.303
-			if !d.Real || d.Pairs != 3 || d.Mean != 5 || d.Half < 2.48 || d.Half > 2.49 {
-				t.Errorf("%+v", d)
+		case "goodput": // differences 6, 4 and 5; t is 4.303 with 2 degrees of freedom
+			if !d.Significant || d.Pairs != 3 || d.MeanDiff != 5 || d.HalfWidth < 2.48 || d.HalfWidth > 2.49 {
+				t.Errorf("goodput should differ significantly: %+v", d)
 			}
 		case "late":
-			if d.Real {
-				t.Errorf("%+v", d)
+			if d.Significant {
+				t.Errorf("late should not differ significantly: %+v", d)
 			}
 		}
 	}
 	var out bytes.Buffer
 	if err := WriteDifferences(&out, "x", "y", list); err != nil || !strings.Contains(out.String(), "real") ||
 		!strings.Contains(out.String(), "noise") {
-		t.Errorf("%v %s", err, out.String())
+		t.Errorf("the comparison lacks a verdict, error %v:\n%s", err, out.String())
 	}
 	if _, err := Compare(a[:1], b); err == nil {
-		t.Error("one pair is compared")
+		t.Error("a single pair was compared")
 	}
 }
 
-// A play with real processes: more than twice what the nodes can do for some seconds, in which one process is
-// killed and back and another is cut off from the rest. What can be done is done, what is worth most is
-// served, the level is there and goes, every request has one end, and the run is kept, read and drawn.
-func TestPlay(t *testing.T) {
-	s, err := Parse("short.toml", `about = "a short overload"
+// A run with real processes: for some seconds the load is more than twice the capacity of the nodes, while
+// one process is killed and restarted and another is partitioned from the rest. Goodput must not collapse,
+// requests of higher worth are preferred, the overload level rises, goodput recovers afterwards, every request
+// ends exactly once, and the run can be saved, loaded, compared and drawn.
+func TestRealProcesses(t *testing.T) {
+	s, err := ParseScenario("short.toml", `about = "a short overload"
 members = 3
 nodes = 4
 for_s = 12
@@ -191,18 +192,18 @@
 		t.Fatal(err)
 	}
 	seconds := 0
-	pl := &Player{Progress: func(int, Second) { seconds++ }}
-	r, err := pl.Play(s, 3, "as-is")
+	runner := &Runner{Progress: func(int, Second) { seconds++ }}
+	r, err := runner.Run(s, 3, "as-is")
 	if err != nil {
 		t.Fatal(err)
 	}
-	over, before, after, level := Second{}, Second{}, Second{}, 0
+	overloaded, before, after, level := Second{}, Second{}, Second{}, 0
 	for i, x := range r.Seconds {
-		if x.First != x.InTime+x.Late+x.Refused+x.Lost {
-			t.Errorf("second %d: %d were asked, and %d ended", i, x.First, x.InTime+x.Late+x.Refused+x.Lost)
+		if x.Requests != x.InTime+x.Late+x.Refused+x.Lost {
+			t.Errorf("second %d: %d requests, but %d results", i, x.Requests, x.InTime+x.Late+x.Refused+x.Lost)
 		}
-		level = max(level, x.LevelMax)
-		sum := &over
+		level = max(level, x.MaxLevel)
+		sum := &overloaded
 		switch {
 		case i < 3:
 			sum = &before
@@ -211,7 +212,7 @@
 		case i < 5 || i >= 8:
 			continue
 		}
-		sum.First += x.First
+		sum.Requests += x.Requests
 		sum.InTime += x.InTime
 		sum.Worth += x.Worth
 	}
@@ -220,54 +221,56 @@
 		t.Fatal(err)
 	}
 	t.Logf("\n%s", table.String())
-	// Half of what can be done, on machines that are busy with other tests too: with twice the load there is
-	// no goodput at all where nobody turns anything away.
-	if float64(over.InTime) < 0.5*3*r.Capacity {
-		t.Errorf("%d answered in time in 3 s, where the nodes can do %.0f a second", over.InTime, r.Capacity)
+	// Only half of the capacity is required, because the machine may be busy with other tests. Without load
+	// shedding, twice the load would leave no goodput at all.
+	if float64(overloaded.InTime) < 0.5*3*r.Capacity {
+		t.Errorf("%d requests answered in time in 3 s; the nodes can process %.0f per second",
+			overloaded.InTime, r.Capacity)
 	}
-	if over.Worth < 1.3*float64(over.InTime) {
-		t.Errorf("%d are worth %.0f: what is worth most is not served first", over.InTime, over.Worth)
+	if overloaded.Worth < 1.3*float64(overloaded.InTime) {
+		t.Errorf("%d answered requests have a worth of %.0f: those of higher worth are not preferred",
+			overloaded.InTime, overloaded.Worth)
 	}
 	if level == 0 {
-		t.Error("there was never a level")
+		t.Error("the overload level stayed 0")
 	}
-	if after.InTime < after.First*8/10 {
-		t.Errorf("after it %d of %d are answered in time", after.InTime, after.First)
+	if after.InTime < after.Requests*8/10 {
+		t.Errorf("after the overload, %d of %d requests were answered in time", after.InTime, after.Requests)
 	}
 	if seconds < 8 {
-		t.Errorf("%d looks at how it goes", seconds)
+		t.Errorf("progress was reported %d times", seconds)
 	}
 	dir := filepath.Join(t.TempDir(), "runs")
 	for _, label := range []string{"as-is", "other"} {
 		for seed := range uint64(2) {
-			again := *r
-			again.Label, again.Seed = label, seed
-			if _, err := again.Save(dir); err != nil {
+			relabeled := *r
+			relabeled.Label, relabeled.Seed = label, seed
+			if _, err := relabeled.Save(dir); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	var out bytes.Buffer
-	for _, words := range [][]string{{"compare", "short", "as-is", "other"}, {"report", "short"}, {"list"}} {
-		if err := Command(append(words, "--dir", dir), &out, &out, ""); err != nil {
-			t.Fatalf("%v: %v", words, err)
+	for _, args := range [][]string{{"compare", "short", "as-is", "other"}, {"report", "short"}, {"list"}} {
+		if err := Command(append(args, "--dir", dir), &out, &out, ""); err != nil {
+			t.Fatalf("%v: %v", args, err)
 		}
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "short.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 8 || bytes.Contains(page, []byte("<script")) {
-		t.Errorf("%v: a page of %d bytes", err, len(page))
+		t.Errorf("unexpected report page of %d bytes, error %v", len(page), err)
 	}
-	for _, words := range [][]string{nil, {"dance"}, {"run"}, {"compare", "short", "as-is"}} {
-		if err := Command(words, &out, &out, ""); err == nil {
-			t.Errorf("%v is taken", words)
+	for _, args := range [][]string{nil, {"dance"}, {"run"}, {"compare", "short", "as-is"}} {
+		if err := Command(args, &out, &out, ""); err == nil {
+			t.Errorf("invalid arguments %v were accepted", args)
 		}
 	}
 }
 
-// On virtual time a scenario gives the same run for the same seed, also where processes are killed and links
-// cut, and another one for another seed; every request has one end; what a node can do is done; a scenario
-// that is grown does so many times as much.
-func TestVirtual(t *testing.T) {
+// On virtual time, a scenario gives the same run for the same seed, even with killed processes and cut links,
+// and a different run for another seed. Every request ends exactly once, goodput is near the capacity of the
+// nodes, and goodput grows in proportion with the scale of a scenario.
+func TestVirtualTime(t *testing.T) {
 	const text = `about = "x"
 members = 4
 nodes = 4
@@ -302,49 +305,49 @@
 who = ["n0"]
 by = 3
 `
-	play := func(seed uint64, times int) *Run {
-		s, err := Parse("x.toml", text)
+	run := func(seed uint64, factor int) *Run {
+		s, err := ParseScenario("x.toml", text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.grow(times)
-		r, err := PlayVirtual(s, seed, "x")
+		s.scale(factor)
+		r, err := RunVirtual(s, seed, "x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.At = time.Time{}
+		r.RecordedAt = time.Time{}
 		return r
 	}
-	print := func(r *Run) string {
+	encode := func(r *Run) string {
 		b, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(b)
 	}
-	a := play(1, 1)
-	if print(a) != print(play(1, 1)) {
-		t.Error("the same seed gives another run")
+	a := run(1, 1)
+	if encode(a) != encode(run(1, 1)) {
+		t.Error("the same seed gave a different run")
 	}
-	if print(a) == print(play(2, 1)) {
-		t.Error("another seed gives the same run")
+	if encode(a) == encode(run(2, 1)) {
+		t.Error("another seed gave the same run")
 	}
 	level := 0
 	for i, x := range a.Seconds {
-		if x.First != x.InTime+x.Late+x.Refused+x.Lost {
-			t.Errorf("second %d: %d were asked, and %d ended", i, x.First, x.InTime+x.Late+x.Refused+x.Lost)
+		if x.Requests != x.InTime+x.Late+x.Refused+x.Lost {
+			t.Errorf("second %d: %d requests, but %d results", i, x.Requests, x.InTime+x.Late+x.Refused+x.Lost)
 		}
-		level = max(level, x.LevelMax)
+		level = max(level, x.MaxLevel)
 	}
-	if good := a.Figures["goodput"]; good < 0.75*a.Capacity || good > 1.1*a.Capacity || level == 0 {
-		t.Errorf("%.0f a second of %.0f, level %d", good, a.Capacity, level)
+	if goodput := a.Figures["goodput"]; goodput < 0.75*a.Capacity || goodput > 1.1*a.Capacity || level == 0 {
+		t.Errorf("goodput %.0f per second of a capacity of %.0f, level %d", goodput, a.Capacity, level)
 	}
-	if got, want := play(1, 3).Figures["goodput"], 3*a.Figures["goodput"]; got < 0.85*want || got > 1.15*want {
-		t.Errorf("three times as large: %.0f a second, not some %.0f", got, want)
+	if got, want := run(1, 3).Figures["goodput"], 3*a.Figures["goodput"]; got < 0.85*want || got > 1.15*want {
+		t.Errorf("at three times the scale, goodput is %.0f per second instead of about %.0f", got, want)
 	}
-	s, _ := Parse("x.toml", text)
+	s, _ := ParseScenario("x.toml", text)
 	s.Members = 40
-	if _, err := (&Player{Program: "/nowhere"}).Play(s, 1, "x"); err == nil {
-		t.Error("forty real processes are begun")
+	if _, err := (&Runner{Program: "/nowhere"}).Run(s, 1, "x"); err == nil {
+		t.Error("a run with 40 real processes was started")
 	}
 }
--- a/internal/rehearse/report.go
+++ b/internal/rehearse/report.go
@@ -9,59 +9,61 @@
 	"github.com/wcharczuk/go-chart/v2"
 )
 
-// page is one self-contained page: the charts are in it as SVG.
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+// pageTemplate renders a self-contained HTML page with inline SVG charts.
+var pageTemplate = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:70em}table{border-collapse:collapse;margin:1em 0}
 td,th{padding:.2em .8em;text-align:right;border-bottom:1px solid #ddd}svg{display:block;margin:1em 0}</style>
 <h1>{{.Title}}</h1>
-{{range .Runs}}<h2>{{.Head}}</h2>{{.Chart}}{{.Sends}}
+{{range .Runs}}<h2>{{.Heading}}</h2>{{.RequestChart}}{{.TrafficChart}}
 <table><tr>{{range .Names}}<th>{{.}}</th>{{end}}</tr><tr>{{range .Figures}}<td>{{.}}</td>{{end}}</tr></table>
 {{end}}</html>
 `))
 
-type part struct {
-	Head         string
-	Chart, Sends template.HTML
-	Names        []string
-	Figures      []string
+// runSection is the section of the page for one run.
+type runSection struct {
+	Heading                    string
+	RequestChart, TrafficChart template.HTML
+	Names                      []string
+	Figures                    []string
 }
 
-// Report writes a page with charts and figures of runs.
+// Report writes an HTML page with the charts and figures of runs.
 func Report(out io.Writer, title string, runs []*Run) error {
 	data := struct {
 		Title string
-		Runs  []part
+		Runs  []runSection
 	}{Title: title}
 	for _, r := range runs {
-		x := part{Names: names,
-			Head: fmt.Sprintf("%s, seed %d (%s)", r.Label, r.Seed, r.At.Format("2006-01-02 15:04"))}
+		section := runSection{Names: figureNames,
+			Heading: fmt.Sprintf("%s, seed %d (%s)", r.Label, r.Seed, r.RecordedAt.Format("2006-01-02 15:04"))}
 		var err error
-		if x.Chart, err = r.chart("requests a second", func(s Second) []float64 {
-			return []float64{float64(s.First), float64(s.InTime), float64(s.Refused), float64(s.Late + s.Lost)}
+		if section.RequestChart, err = r.renderChart("requests a second", func(s Second) []float64 {
+			return []float64{float64(s.Requests), float64(s.InTime), float64(s.Refused), float64(s.Late + s.Lost)}
 		}, "asked for", "answered in time", "refused", "late or lost"); err != nil {
 			return err
 		}
-		if x.Sends, err = r.chart("a second", func(s Second) []float64 {
-			return []float64{float64(s.Parts) / 2, float64(s.Full) / 2, float64(s.Tries), float64(s.LevelMax)}
+		if section.TrafficChart, err = r.renderChart("a second", func(s Second) []float64 {
+			return []float64{float64(s.Parts) / 2, float64(s.RejectedParts) / 2, float64(s.Tries), float64(s.MaxLevel)}
 		}, "parts at nodes / 2", "of them turned away", "clients' tries", "level"); err != nil {
 			return err
 		}
-		for _, name := range names {
-			x.Figures = append(x.Figures, fmt.Sprintf("%.3f", r.Figures[name]))
+		for _, name := range figureNames {
+			section.Figures = append(section.Figures, fmt.Sprintf("%.3f", r.Figures[name]))
 		}
-		data.Runs = append(data.Runs, x)
+		data.Runs = append(data.Runs, section)
 	}
-	return page.Execute(out, data)
+	return pageTemplate.Execute(out, data)
 }
 
-// chart draws some figures of each second as SVG.
-func (r *Run) chart(unit string, of func(Second) []float64, titles ...string) (template.HTML, error) {
+// renderChart draws an SVG chart with one series per title. values returns a second's values of all series.
+func (r *Run) renderChart(unit string, values func(Second) []float64,
+	titles ...string) (template.HTML, error) {
 	c := chart.Chart{Width: 900, Height: 320, XAxis: chart.XAxis{Name: "s"}, YAxis: chart.YAxis{Name: unit}}
 	for k, title := range titles {
 		s := chart.ContinuousSeries{Name: title}
 		for i, x := range r.Seconds {
-			s.XValues, s.YValues = append(s.XValues, float64(i)), append(s.YValues, of(x)[k])
+			s.XValues, s.YValues = append(s.XValues, float64(i)), append(s.YValues, values(x)[k])
 		}
 		c.Series = append(c.Series, s)
 	}
--- a/internal/rehearse/result.go
+++ b/internal/rehearse/result.go
@@ -16,60 +16,61 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// names of a run's figures, in the order of tables.
-var names = []string{"goodput", "worth", "late", "refused", "lost", "tries", "parts", "full", "p50_ms",
+// figureNames lists the figures of a run in the order in which they are printed.
+var figureNames = []string{"goodput", "worth", "late", "refused", "lost", "tries", "parts", "full", "p50_ms",
 	"p99_ms"}
 
-// figures are what of a run is compared.
-func (r *Run) figures() map[string]float64 {
+// computeFigures computes the figures of a run by which runs are compared.
+func (r *Run) computeFigures() map[string]float64 {
 	var sum Second
 	for _, x := range r.Seconds {
-		sum.First += x.First
+		sum.Requests += x.Requests
 		sum.Tries += x.Tries
 		sum.InTime += x.InTime
 		sum.Late += x.Late
 		sum.Refused += x.Refused
 		sum.Lost += x.Lost
 		sum.Worth += x.Worth
-		sum.Asked += x.Asked
+		sum.OfferedWorth += x.OfferedWorth
 		sum.Parts += x.Parts
-		sum.Full += x.Full
+		sum.RejectedParts += x.RejectedParts
 	}
-	first := float64(max(1, sum.First))
+	requests := float64(max(1, sum.Requests))
 	return map[string]float64{
-		"goodput": float64(sum.InTime) / float64(len(r.Seconds)), // requests answered in time a second
-		"worth":   sum.Worth / math.Max(1, sum.Asked),            // of what was asked for
-		"late":    float64(sum.Late) / first,
-		"refused": float64(sum.Refused) / first,
-		"lost":    float64(sum.Lost) / first,
-		"tries":   float64(sum.Tries) / first,     // of clients for each request
-		"parts":   float64(sum.Parts) / 2 / first, // at the nodes, for each two that one try needs
-		"full":    float64(sum.Full) / math.Max(1, float64(sum.Parts)),
+		"goodput": float64(sum.InTime) / float64(len(r.Seconds)), // requests answered in time per second
+		"worth":   sum.Worth / math.Max(1, sum.OfferedWorth),     // share of the offered worth
+		"late":    float64(sum.Late) / requests,
+		"refused": float64(sum.Refused) / requests,
+		"lost":    float64(sum.Lost) / requests,
+		"tries":   float64(sum.Tries) / requests,     // client tries per request
+		"parts":   float64(sum.Parts) / 2 / requests, // relative to the two that one try needs
+		"full":    float64(sum.RejectedParts) / math.Max(1, float64(sum.Parts)),
 		"p50_ms":  r.Latency["50"],
 		"p99_ms":  r.Latency["99"],
 	}
 }
 
-// WriteTable prints a run: its figures, and a line for each second.
+// WriteTable prints a run: one line per second, then its figures.
 func (r *Run) WriteTable(out io.Writer) error {
 	fmt.Fprintf(out, "%s, %s, seed %d: the nodes can do %.0f queries a second\n", r.Scenario, r.Label, r.Seed,
 		r.Capacity)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "SECOND\tASKED\tIN TIME\tLATE\tREFUSED\tLOST\tTRIES\tPARTS\tFULL\tLEVEL\t")
 	for i, x := range r.Seconds {
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, x.First, x.InTime, x.Late, x.Refused,
-			x.Lost, x.Tries, x.Parts, x.Full, x.LevelMax)
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", i, x.Requests, x.InTime, x.Late, x.Refused,
+			x.Lost, x.Tries, x.Parts, x.RejectedParts, x.MaxLevel)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	for _, name := range names {
+	for _, name := range figureNames {
 		fmt.Fprintf(out, "%-8s %.3f\n", name, r.Figures[name])
 	}
 	return nil
 }
 
-// Save keeps a run in a folder: as JSON, and in the store by scenario, label and seed.
+// Save writes a run to a directory as a JSON file, and to the store there under its scenario, label and seed.
+// It returns the path of the JSON file.
 func (r *Run) Save(dir string) (string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return "", err
@@ -79,11 +80,11 @@
 		return "", err
 	}
 	path := filepath.Join(dir, fmt.Sprintf("%s-%s-%d-%s.json", r.Scenario, r.Label, r.Seed,
-		r.At.Format("20060102T150405")))
+		r.RecordedAt.Format("20060102T150405")))
 	if err := os.WriteFile(path, append(text, '\n'), 0o644); err != nil {
 		return "", err
 	}
-	db, err := open(dir)
+	db, err := openStore(dir)
 	if err != nil {
 		return "", err
 	}
@@ -97,16 +98,18 @@
 	})
 }
 
-func open(dir string) (*bbolt.DB, error) {
+// openStore opens the database of runs in a directory.
+func openStore(dir string) (*bbolt.DB, error) {
 	return bbolt.Open(filepath.Join(dir, "runs.db"), 0o644, &bbolt.Options{Timeout: 5 * time.Second})
 }
 
-// Runs are the kept ones of a scenario and a label, by seed; the latest of each.
-func Runs(dir, scenario, label string) (runs []*Run, err error) {
+// LoadRuns returns the stored runs of a scenario and a label, ordered by label and seed. The store has only
+// the latest run of each label and seed. An empty label selects all labels.
+func LoadRuns(dir, scenario, label string) (runs []*Run, err error) {
 	if _, err := os.Stat(filepath.Join(dir, "runs.db")); err != nil {
 		return nil, err
 	}
-	db, err := open(dir)
+	db, err := openStore(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -129,20 +132,20 @@
 	})
 }
 
-// Difference is one figure of two labels, paired by seed.
+// Difference compares one figure between the runs of two labels, paired by seed.
 type Difference struct {
-	Name       string
-	A, B       float64 // means
-	Mean, Half float64 // of B - A, and half of the interval's width
-	Pairs      int
-	Real       bool // the interval does not contain 0
+	Name                string
+	MeanA, MeanB        float64
+	MeanDiff, HalfWidth float64 // mean of B - A, and half of the width of its confidence interval
+	Pairs               int
+	Significant         bool // the confidence interval does not contain 0
 }
 
-// confidence of the intervals.
+// confidence is the level of the confidence intervals.
 const confidence = 0.95
 
-// Compare pairs the runs of two labels by seed: a difference is real where its interval by Student's t does
-// not contain 0.
+// Compare pairs the runs of two labels by seed. A difference is significant if its confidence interval, by
+// Student's t-distribution, does not contain 0.
 func Compare(a, b []*Run) (out []Difference, err error) {
 	bySeed := map[uint64]*Run{}
 	for _, r := range a {
@@ -160,16 +163,16 @@
 	}
 	slices.SortFunc(pairs, func(x, y pair) int { return int(x.a.Seed) - int(y.a.Seed) })
 	t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: float64(len(pairs) - 1)}.Quantile(0.5 + confidence/2)
-	for _, name := range names {
+	for _, name := range figureNames {
 		var xs, ys, diffs []float64
 		for _, p := range pairs {
 			x, y := p.a.Figures[name], p.b.Figures[name]
 			xs, ys, diffs = append(xs, x), append(ys, y), append(diffs, y-x)
 		}
 		mean, sd := stat.MeanStdDev(diffs, nil)
-		d := Difference{Name: name, A: stat.Mean(xs, nil), B: stat.Mean(ys, nil), Mean: mean, Pairs: len(pairs),
-			Half: t * sd / math.Sqrt(float64(len(pairs)))}
-		d.Real = math.Abs(d.Mean) > d.Half
+		d := Difference{Name: name, MeanA: stat.Mean(xs, nil), MeanB: stat.Mean(ys, nil), MeanDiff: mean,
+			Pairs: len(pairs), HalfWidth: t * sd / math.Sqrt(float64(len(pairs)))}
+		d.Significant = math.Abs(d.MeanDiff) > d.HalfWidth
 		out = append(out, d)
 	}
 	return out, nil
@@ -180,11 +183,12 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "FIGURE\t%s\t%s\tDIFFERENCE\t95%%\tPAIRS\t\t\n", a, b)
 	for _, d := range list {
-		word := "noise"
-		if d.Real {
-			word = "real"
+		result := "noise"
+		if d.Significant {
+			result = "real"
 		}
-		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.3f\t±%.3f\t%d\t%s\t\n", d.Name, d.A, d.B, d.Mean, d.Half, d.Pairs, word)
+		fmt.Fprintf(w, "%s\t%.3f\t%.3f\t%+.3f\t±%.3f\t%d\t%s\t\n", d.Name, d.MeanA, d.MeanB, d.MeanDiff,
+			d.HalfWidth, d.Pairs, result)
 	}
 	return w.Flush()
 }
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -17,134 +17,135 @@
 )
 
 const (
-	// aim and deadline are those of the rig's settings: what comes after the aim is worth less.
+	// aim and deadline match the rig's settings. An answer after the aim is worth less.
 	aim      = 1500 * time.Millisecond
 	deadline = 2 * time.Second
-	// postWorth is what an answer to an exchange-post is worth; to a rate-check: 1.
+	// postWorth is the worth of an answered exchange-post request; that of a rate-check is 1.
 	postWorth = 4
-	// impatient is when a client comes again that does not heed when it is told to.
-	impatient = 100 * time.Millisecond
-	settle    = 30 * time.Second
-	period    = 200 * time.Millisecond
-	mostConns = 256 // idle ones of clients to a member
+	// defaultRetryDelay applies to clients that ignore Retry-After, and to replies without one.
+	defaultRetryDelay = 100 * time.Millisecond
+	startTimeout      = 30 * time.Second
+	period            = 200 * time.Millisecond
+	maxIdleConns      = 256 // of clients, per member
 )
 
-// Second is what happened in one second of a run. What belongs to a request is booked to the second in which
-// it was first to be sent.
+// Second holds the measurements of one second of a run. Those of a request count in the second in which its
+// first try was due.
 type Second struct {
-	First    int64   `json:"first"`   // first tries
-	Tries    int64   `json:"tries"`   // all tries
-	InTime   int64   `json:"in_time"` // requests answered within the aim of a try
-	Late     int64   `json:"late"`    // and after it
-	Refused  int64   `json:"refused"` // requests whose last try was refused
-	Lost     int64   `json:"lost"`    // or failed, or had no answer
-	Worth    float64 `json:"worth"`   // of those in time
-	Asked    float64 `json:"asked"`   // worth of all
-	Parts    int64   `json:"parts"`   // that data nodes got, by the second in which they came
-	Full     int64   `json:"full"`    // and turned away
-	LevelMax int     `json:"level"`   // greatest level that a door showed
+	Requests      int64   `json:"first"`   // requests, without retries
+	Tries         int64   `json:"tries"`   // tries, including retries
+	InTime        int64   `json:"in_time"` // requests answered within the aim, counted from the last try
+	Late          int64   `json:"late"`    // requests answered after the aim
+	Refused       int64   `json:"refused"` // requests whose last try was refused
+	Lost          int64   `json:"lost"`    // requests whose last try failed or got no answer
+	Worth         float64 `json:"worth"`   // total worth of the requests answered in time
+	OfferedWorth  float64 `json:"asked"`   // total worth of all requests
+	Parts         int64   `json:"parts"`   // parts that arrived at data nodes in this second
+	RejectedParts int64   `json:"full"`    // parts that data nodes rejected in this second
+	MaxLevel      int     `json:"level"`   // highest overload level of any member
 }
 
-// Run is one play of a scenario.
+// Run is the result of running a scenario once.
 type Run struct {
-	Scenario string             `json:"scenario"`
-	Label    string             `json:"label"`
-	Seed     uint64             `json:"seed"`
-	At       time.Time          `json:"at"`
-	Seconds  []Second           `json:"seconds"`
-	Latency  map[string]float64 `json:"latency_ms"` // quantiles of answered requests, from when they were due
-	Capacity float64            `json:"capacity"`   // queries a second that the nodes can do
-	Figures  map[string]float64 `json:"figures"`
-	Virtual  bool               `json:"virtual,omitempty"`
+	Scenario   string             `json:"scenario"`
+	Label      string             `json:"label"`
+	Seed       uint64             `json:"seed"`
+	RecordedAt time.Time          `json:"at"`
+	Seconds    []Second           `json:"seconds"`
+	Latency    map[string]float64 `json:"latency_ms"` // by percentile, of answered requests since their due time
+	Capacity   float64            `json:"capacity"`   // queries per second that the nodes can process
+	Figures    map[string]float64 `json:"figures"`
+	Virtual    bool               `json:"virtual,omitempty"`
 }
 
-// Player plays scenarios with one program.
-type Player struct {
-	Program  string // path; empty: it is built
-	Progress func(second int, s Second)
+// Runner runs scenarios with real processes of one program.
+type Runner struct {
+	Program  string                     // path of the executable; if empty, it is built
+	Progress func(second int, s Second) // if set, called about once a second
 }
 
-type play struct {
-	s       *Scenario
-	rig     *rig.Rig
-	nodes   []*ledger
-	begun   time.Time
-	mu      sync.Mutex // guards what follows
-	seconds []Second
-	hist    *hdrhistogram.Histogram
-	idle    map[string]chan *lnet.Client
-	out     sync.WaitGroup
+// liveRun is the state of a run with real processes.
+type liveRun struct {
+	scenario  *Scenario
+	rig       *rig.Rig
+	nodes     []*emulatedNode
+	started   time.Time
+	mu        sync.Mutex // guards seconds and hist, and started until the load begins
+	seconds   []Second
+	hist      *hdrhistogram.Histogram
+	idleConns map[string]chan *lnet.Client
+	requests  sync.WaitGroup
 }
 
-// Play plays a scenario once.
-func (pl *Player) Play(s *Scenario, seed uint64, label string) (*Run, error) {
-	if s.Members > realMembers || s.Nodes > realNodes {
-		return nil, fmt.Errorf("over %d members or %d nodes: on virtual time only", realMembers, realNodes)
+// Run runs a scenario once.
+func (r *Runner) Run(s *Scenario, seed uint64, label string) (*Run, error) {
+	if s.Members > maxRealMembers || s.Nodes > maxRealNodes {
+		return nil, fmt.Errorf("over %d members or %d nodes: on virtual time only", maxRealMembers, maxRealNodes)
 	}
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	p := &play{s: s, seconds: make([]Second, int(s.For)+1), idle: map[string]chan *lnet.Client{},
-		hist: hdrhistogram.New(1, 60_000_000, 3)}
+	p := &liveRun{scenario: s, seconds: make([]Second, int(s.DurationS)+1),
+		idleConns: map[string]chan *lnet.Client{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	for i := range s.Nodes {
-		p.nodes = append(p.nodes, newLedger(s.Node, seed*1009+uint64(i)))
+		p.nodes = append(p.nodes, newEmulatedNode(s.Node, seed*1009+uint64(i)))
 	}
-	p.rig, err = rig.New(rig.Config{Dir: dir, Program: pl.Program, Members: s.Members, Nodes: s.Nodes,
-		Seed: seed, Period: period, Limits: s.Fleet, Most: s.Members, Alone: s.Alone,
-		Edit: worthEdit(),
-		Answer: func(node int, q standin.Part) (string, string) {
-			p.book(time.Now(), func(x *Second) { x.Parts++ })
+	p.rig, err = rig.New(rig.Config{Dir: dir, Program: r.Program, Members: s.Members, Nodes: s.Nodes,
+		Seed: seed, Period: period, Limits: s.ExtraFleetConfig, Most: s.Members, Alone: s.Standalone,
+		Edit: worthEdits(),
+		Answer: func(node int, part standin.Part) (string, string) {
+			p.record(time.Now(), func(x *Second) { x.Parts++ })
 			end := p.nodes[node].serve()
 			if end == "B" {
-				p.book(time.Now(), func(x *Second) { x.Full++ })
+				p.record(time.Now(), func(x *Second) { x.RejectedParts++ })
 			}
-			return end, "v:" + q.ID
+			return end, "v:" + part.ID
 		}})
 	if err != nil {
 		return nil, err
 	}
 	defer p.rig.Close()
 	for _, m := range p.rig.Members() {
-		p.idle[m.Name] = make(chan *lnet.Client, mostConns)
+		p.idleConns[m.Name] = make(chan *lnet.Client, maxIdleConns)
 		if err := m.Start(); err != nil {
 			return nil, err
 		}
 	}
-	if err := p.ready(); err != nil {
+	if err := p.waitReady(); err != nil {
 		return nil, err
 	}
-	p.mu.Lock() // nodes may have had parts of probes already
-	p.begun = time.Now()
+	p.mu.Lock() // nodes may already have received parts of probes
+	p.started = time.Now()
 	p.mu.Unlock()
 	stop := make(chan struct{})
-	var aside sync.WaitGroup
-	aside.Add(2)
-	go func() { defer aside.Done(); p.watch(stop, pl.Progress) }()
-	go func() { defer aside.Done(); p.script(stop) }()
-	p.load(seed)
-	p.out.Wait()
+	var background sync.WaitGroup
+	background.Add(2)
+	go func() { defer background.Done(); p.sampleLevels(stop, r.Progress) }()
+	go func() { defer background.Done(); p.runEvents(stop) }()
+	p.generateLoad(seed)
+	p.requests.Wait()
 	close(stop)
-	aside.Wait()
-	return s.result(seed, label, p.seconds, p.hist), nil
+	background.Wait()
+	return s.newRun(seed, label, p.seconds, p.hist), nil
 }
 
-// result makes a run of what was counted.
-func (s *Scenario) result(seed uint64, label string, seconds []Second, hist *hdrhistogram.Histogram) *Run {
-	run := &Run{Scenario: s.Name, Label: label, Seed: seed, At: time.Now().UTC(),
-		Seconds: seconds[:int(s.For)], Capacity: s.Capacity(), Latency: map[string]float64{}}
-	for _, q := range []float64{50, 90, 99, 99.9} {
-		run.Latency[strconv.FormatFloat(q, 'g', -1, 64)] = float64(hist.ValueAtQuantile(q)) / 1000
+// newRun builds a run from the measurements.
+func (s *Scenario) newRun(seed uint64, label string, seconds []Second, hist *hdrhistogram.Histogram) *Run {
+	run := &Run{Scenario: s.Name, Label: label, Seed: seed, RecordedAt: time.Now().UTC(),
+		Seconds: seconds[:int(s.DurationS)], Capacity: s.Capacity(), Latency: map[string]float64{}}
+	for _, percentile := range []float64{50, 90, 99, 99.9} {
+		run.Latency[strconv.FormatFloat(percentile, 'g', -1, 64)] = float64(hist.ValueAtQuantile(percentile)) / 1000
 	}
-	run.Figures = run.figures()
+	run.Figures = run.computeFigures()
 	return run
 }
 
-// ready waits until all members serve, and with a fleet see each other.
-func (p *play) ready() error {
-	for end := time.Now().Add(settle); ; time.Sleep(20 * time.Millisecond) {
-		ok := p.s.Alone || rig.Settled(p.rig.Members())
+// waitReady waits until all members are healthy and, unless they are standalone, their views have converged.
+func (p *liveRun) waitReady() error {
+	for end := time.Now().Add(startTimeout); ; time.Sleep(20 * time.Millisecond) {
+		ok := p.scenario.Standalone || rig.Settled(p.rig.Members())
 		for _, m := range p.rig.Members() {
 			if ok {
 				r, err := m.Call("GET", "/admin/health", "")
@@ -155,56 +156,56 @@
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("the members did not all serve within %v", settle)
+			return fmt.Errorf("the members did not all serve within %v", startTimeout)
 		}
 	}
 }
 
-// book changes the figures of the second that a moment lies in.
-func (p *play) book(at time.Time, do func(*Second)) {
+// record updates the measurements of the second that contains the given time.
+func (p *liveRun) record(at time.Time, update func(*Second)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if i := int(at.Sub(p.begun) / time.Second); !p.begun.IsZero() && i >= 0 && i < len(p.seconds) {
-		do(&p.seconds[i])
+	if i := int(at.Sub(p.started) / time.Second); !p.started.IsZero() && i >= 0 && i < len(p.seconds) {
+		update(&p.seconds[i])
 	}
 }
 
-// script does what the scenario says, when it says so.
-func (p *play) script(stop <-chan struct{}) {
-	for _, e := range p.s.Events {
+// runEvents applies the events of the scenario at their times.
+func (p *liveRun) runEvents(stop <-chan struct{}) {
+	for _, e := range p.scenario.Events {
 		select {
-		case <-time.After(time.Until(p.begun.Add(time.Duration(e.At * float64(time.Second))))):
+		case <-time.After(time.Until(p.started.Add(time.Duration(e.At * float64(time.Second))))):
 		case <-stop:
 			return
 		}
-		p.do(e)
+		p.apply(e)
 	}
 }
 
-func (p *play) do(e Event) {
-	if onNodes(e.Do) {
-		for _, who := range e.Who {
+func (p *liveRun) apply(e Event) {
+	if isNodeAction(e.Action) {
+		for _, target := range e.Targets {
 			n := 0
-			_, _ = fmt.Sscanf(who, "n%d", &n)
-			p.nodes[n].set(e.Do, e.By)
+			_, _ = fmt.Sscanf(target, "n%d", &n)
+			p.nodes[n].setMode(e.Action, e.SlowFactor)
 		}
 		return
 	}
-	switch e.Do {
+	switch e.Action {
 	case "cut":
-		p.rig.Cut([][]string{e.Who, e.From})
+		p.rig.Cut([][]string{e.Targets, e.OtherSide})
 		return
 	case "heal":
 		p.rig.Between(rig.Fault{})
 		return
 	}
-	for _, who := range e.Who {
-		m := p.rig.Member(who)
-		switch e.Do {
+	for _, target := range e.Targets {
+		m := p.rig.Member(target)
+		switch e.Action {
 		case "kill":
 			m.Kill()
 		case "start":
-			_ = m.Start() // its log says why, if it does not
+			_ = m.Start() // on failure, the process log has the reason
 		case "stop":
 			m.Stop()
 		case "cont":
@@ -213,8 +214,8 @@
 	}
 }
 
-// watch looks at the doors once a second, and tells how it goes.
-func (p *play) watch(stop <-chan struct{}, tell func(int, Second)) {
+// sampleLevels records the highest overload level once a second, and reports progress.
+func (p *liveRun) sampleLevels(stop <-chan struct{}, progress func(int, Second)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for i := 0; ; i++ {
@@ -223,13 +224,13 @@
 			return
 		case <-tick.C:
 		}
-		level := p.level()
+		level := p.maxLevel()
 		p.mu.Lock()
 		if i < len(p.seconds) {
-			p.seconds[i].LevelMax = level
-			if x := p.seconds[max(0, i-1)]; tell != nil {
+			p.seconds[i].MaxLevel = level
+			if x := p.seconds[max(0, i-1)]; progress != nil {
 				p.mu.Unlock()
-				tell(i, x)
+				progress(i, x)
 				continue
 			}
 		}
@@ -237,83 +238,83 @@
 	}
 }
 
-// load asks by a Poisson process at the rate of the moment. It never waits for an answer: what is late is
-// late (no coordinated omission).
-func (p *play) load(seed uint64) {
+// generateLoad starts requests as a Poisson process at the current rate. It never waits for an answer, so
+// slow answers do not lower the load or the measured latency (no coordinated omission).
+func (p *liveRun) generateLoad(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	number := 0
 	for at := 0.0; ; {
-		rate := p.s.Load.at(at)
+		rate := p.scenario.Load.rateAt(at)
 		if rate <= 0 {
 			at += 0.01
 		} else {
 			at += rng.ExpFloat64() / rate
 		}
-		if at >= p.s.For {
+		if at >= p.scenario.DurationS {
 			return
 		}
-		due := p.begun.Add(time.Duration(at * float64(time.Second)))
+		due := p.started.Add(time.Duration(at * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		if rate <= 0 {
 			continue
 		}
 		number++
 		id := fmt.Sprintf("q%07d", number)
-		post := rng.Float64() < p.s.Load.Posts
+		post := rng.Float64() < p.scenario.Load.PostShare
 		member := rng.Uint64()
-		p.out.Add(1)
+		p.requests.Add(1)
 		go func() {
-			defer p.out.Done()
-			p.ask(id, post, due, member)
+			defer p.requests.Done()
+			p.runRequest(id, post, due, member)
 		}()
 	}
 }
 
-// ask is one client with one request: it tries again, at another member, until it is answered or has had its
-// tries.
-func (p *play) ask(id string, post bool, due time.Time, member uint64) {
+// runRequest sends one request, and retries it at the next member until it is answered or out of retries.
+func (p *liveRun) runRequest(id string, post bool, due time.Time, member uint64) {
 	class, worth := "rate-check", 1.0
 	if post {
 		class, worth = "exchange-post", postWorth
 	}
-	p.book(due, func(x *Second) { x.First++; x.Asked += worth })
+	p.record(due, func(x *Second) { x.Requests++; x.OfferedWorth += worth })
 	status := 0
-	for try := 0; try <= p.s.Load.Retries; try++ {
-		begun := time.Now()
+	for try := 0; try <= p.scenario.Load.Retries; try++ {
+		started := time.Now()
 		if try == 0 {
-			begun = due
+			started = due
 		}
-		p.book(due, func(x *Second) { x.Tries++ })
-		var after time.Duration
-		status, after = p.try(p.rig.Members()[(member+uint64(try))%uint64(p.s.Members)], id, class, try > 0)
-		if took := time.Since(begun); status == 200 {
+		p.record(due, func(x *Second) { x.Tries++ })
+		var retryAfter time.Duration
+		status, retryAfter = p.send(p.rig.Members()[(member+uint64(try))%uint64(p.scenario.Members)], id, class,
+			try > 0)
+		if took := time.Since(started); status == 200 {
 			p.mu.Lock()
 			_ = p.hist.RecordValue(max(1, time.Since(due).Microseconds()))
 			p.mu.Unlock()
 			if took <= aim {
-				p.book(due, func(x *Second) { x.InTime++; x.Worth += worth })
+				p.record(due, func(x *Second) { x.InTime++; x.Worth += worth })
 			} else {
-				p.book(due, func(x *Second) { x.Late++ })
+				p.record(due, func(x *Second) { x.Late++ })
 			}
 			return
 		}
-		if !p.s.Load.Heed || after <= 0 {
-			after = impatient
+		if !p.scenario.Load.HonorRetryAfter || retryAfter <= 0 {
+			retryAfter = defaultRetryDelay
 		}
-		if try < p.s.Load.Retries {
-			time.Sleep(after)
+		if try < p.scenario.Load.Retries {
+			time.Sleep(retryAfter)
 		}
 	}
 	if status == 503 {
-		p.book(due, func(x *Second) { x.Refused++ })
+		p.record(due, func(x *Second) { x.Refused++ })
 	} else {
-		p.book(due, func(x *Second) { x.Lost++ })
+		p.record(due, func(x *Second) { x.Lost++ })
 	}
 }
 
-// level is the greatest that a door shows.
-func (p *play) level() (most int) {
-	if p.s.Alone {
+// maxLevel returns the highest overload level that the admin endpoint of any running member reports.
+func (p *liveRun) maxLevel() (level int) {
+	if p.scenario.Standalone {
 		return 0
 	}
 	for _, m := range p.rig.Members() {
@@ -323,17 +324,17 @@
 		r, err := m.Call("GET", "/admin/overload", "")
 		var v struct{ Level int }
 		if err == nil && json.Unmarshal(r.Body, &v) == nil {
-			most = max(most, v.Level)
+			level = max(level, v.Level)
 		}
 	}
-	return most
+	return level
 }
 
-// try makes one try at a member. Status 0: there was no answer.
-func (p *play) try(m *rig.Member, id, class string, again bool) (status int, after time.Duration) {
+// send sends one try to a member. It returns status 0 if there was no answer.
+func (p *liveRun) send(m *rig.Member, id, class string, retry bool) (status int, retryAfter time.Duration) {
 	var c *lnet.Client
 	var err error
-	idle := p.idle[m.Name]
+	idle := p.idleConns[m.Name]
 	select {
 	case c = <-idle:
 	default:
@@ -341,27 +342,27 @@
 			return 0, 0
 		}
 	}
-	head := [][2]string{{"X-Call-Id", id}, {"Idempotency-Key", "k" + id}}
-	if again {
-		head = append(head, [2]string{"X-Again", "1"})
+	header := [][2]string{{"X-Call-Id", id}, {"Idempotency-Key", "k" + id}}
+	if retry {
+		header = append(header, [2]string{"X-Again", "1"})
 	}
-	r, err := c.Do("POST", "/"+class, m.Front(), head,
+	r, err := c.Do("POST", "/"+class, m.Front(), header,
 		[]byte(`{"slices":[{"slice":0,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"c41e77d0"}`),
 		time.Now().Add(deadline+time.Second))
 	if err != nil {
 		c.Close()
 		return 0, 0
 	}
-	if s, perr := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); perr == nil {
-		after = time.Duration(s * float64(time.Second))
+	if s, parseErr := strconv.ParseFloat(r.Header.Get("Retry-After"), 64); parseErr == nil {
+		retryAfter = time.Duration(s * float64(time.Second))
 	}
 	if c.Reusable() {
 		select {
 		case idle <- c:
-			return r.Status, after
+			return r.Status, retryAfter
 		default:
 		}
 	}
 	c.Close()
-	return r.Status, after
+	return r.Status, retryAfter
 }
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -20,380 +20,390 @@
 	"lapislever/internal/rig"
 )
 
-// Virtual time: the coordinators' cores with their modules and guards, emulated nodes, clients and links, in
-// one goroutine. A scenario with the same seed gives the same run to the byte. Not in it are sockets, the
-// view of the fleet (who is gone or cut off is known after a stated time), limits and evidence.
+// Runs on virtual time simulate the coordinators' cores with their decision modules and overload controllers,
+// the emulated nodes, the clients and the links, all in one goroutine. The same scenario and seed give a
+// byte-identical result. Sockets, limits, evidence and the membership protocol are not simulated: members
+// learn of a crash or a partition after a fixed delay.
 
 const (
-	hop       = 300 * time.Microsecond // of a message, on the mean
-	knownIn   = 12                     // periods after which a death or a cut is known
-	listAfter = 100 * time.Millisecond // of a start
-	mostSteps = 200_000_000
+	meanHopDelay  = 300 * time.Microsecond // mean one-way delay of a message
+	detectPeriods = 12                     // periods until members learn of a crash, a start, a cut or its end
+	listDelay     = 100 * time.Millisecond // from a restart until the list of nodes arrives
+	maxEvents     = 200_000_000
 )
 
-// moment is something that happens.
-type moment struct {
+// scheduled is an event of the simulation.
+type scheduled struct {
 	at  balance.Micros
 	seq int
-	do  func()
+	run func()
 }
 
-type moments []moment
+type eventQueue []scheduled
 
-func (m moments) Len() int { return len(m) }
-func (m moments) Less(i, j int) bool {
-	return m[i].at < m[j].at || m[i].at == m[j].at && m[i].seq < m[j].seq
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
-func (m moments) Swap(i, j int) { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)   { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
-	old := *m
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(scheduled)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	x := old[len(old)-1]
-	old[len(old)-1] = moment{}
-	*m = old[:len(old)-1]
+	old[len(old)-1] = scheduled{}
+	*q = old[:len(old)-1]
 	return x
 }
 
-// world is a virtual run.
-type world struct {
-	s       *Scenario
-	rng     *rand.Rand
-	begin   time.Time
-	now     balance.Micros
-	ends    balance.Micros
-	heap    moments
-	seq     int
-	conf    *platform.Config
-	ranks   []int
-	members []*vmember
-	nodes   map[balance.ReplicaID]*vnode
-	order   []*vnode
-	cuts    [][2]int // pairs of members that do not hear one another
-	seconds []Second
-	hist    *hdrhistogram.Histogram
-	left    int // requests that have no end yet
-	bytes   int64
-}
-
-// vmember is a coordinator.
-type vmember struct {
-	w     *world
-	name  string
-	index int
-	core  *core.Simulated
-	guard *overload.Controller
-	life  int // which process it is
-	up    bool
-	due   balance.Micros // of the Step that is planned; 0: none
-	seen  []bool         // who is alive, as it sees it
-	open  map[*vask]int  // tries that wait here
-}
-
-// vnode is a data node: see ledger.
-type vnode struct {
-	w       *world
-	id      balance.ReplicaID
-	rng     *rand.Rand
-	mode    string
-	by      float64
-	busy    int
-	waiting []func()
-}
-
-func (w *world) at(when balance.Micros, do func()) {
-	w.seq++
-	heap.Push(&w.heap, moment{max(when, w.now), w.seq, do})
-}
-
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d.Microseconds(), do) }
-
-// way is how long one message takes.
-func (w *world) way() time.Duration { return time.Duration((0.5 + w.rng.Float64()) * float64(hop)) }
-
-func (w *world) time(at balance.Micros) time.Time {
-	return w.begin.Add(time.Duration(at-w.begin.UnixMicro()) * time.Microsecond)
-}
-
-func (w *world) book(at balance.Micros, do func(*Second)) {
-	if i := int((at - w.begin.UnixMicro()) / 1_000_000); i >= 0 && i < len(w.seconds) {
-		do(&w.seconds[i])
-	}
-}
-
-// PlayVirtual plays a scenario once on virtual time.
-func PlayVirtual(s *Scenario, seed uint64, label string) (*Run, error) {
-	w := &world{s: s, rng: rand.New(rand.NewPCG(seed, 21)), begin: time.Unix(1_700_000_000, 0),
-		nodes: map[balance.ReplicaID]*vnode{}, seconds: make([]Second, int(s.For)+1),
+// simulation is the state of a run on virtual time.
+type simulation struct {
+	scenario   *Scenario
+	rng        *rand.Rand
+	epoch      time.Time
+	now        balance.Micros
+	end        balance.Micros
+	queue      eventQueue
+	seq        int
+	config     *platform.Config
+	classRanks []int
+	members    []*simMember
+	nodes      map[balance.ReplicaID]*simNode
+	nodeList   []*simNode
+	cuts       [][2]int // links that deliver nothing, as pairs of sender and receiver
+	seconds    []Second
+	hist       *hdrhistogram.Histogram
+	unfinished int // requests without a final result
+	fleetBytes int64
+}
+
+// simMember is a simulated coordinator.
+type simMember struct {
+	sim        *simulation
+	name       string
+	index      int
+	core       *core.Simulated
+	overload   *overload.Controller
+	generation int // incremented when the process starts or is killed
+	running    bool
+	stepAt     balance.Micros      // time of the scheduled Step; 0 if none
+	aliveView  []bool              // members that this one considers alive
+	pending    map[*simRequest]int // numbers of the tries that this member is serving
+}
+
+// simNode is a simulated data node, with the behavior of emulatedNode.
+type simNode struct {
+	sim        *simulation
+	id         balance.ReplicaID
+	rng        *rand.Rand
+	mode       string
+	slowFactor float64
+	busy       int
+	waiting    []func()
+}
+
+func (sim *simulation) schedule(at balance.Micros, run func()) {
+	sim.seq++
+	heap.Push(&sim.queue, scheduled{max(at, sim.now), sim.seq, run})
+}
+
+func (sim *simulation) scheduleAfter(d time.Duration, run func()) {
+	sim.schedule(sim.now+d.Microseconds(), run)
+}
+
+// messageDelay draws the one-way delay of a message.
+func (sim *simulation) messageDelay() time.Duration {
+	return time.Duration((0.5 + sim.rng.Float64()) * float64(meanHopDelay))
+}
+
+func (sim *simulation) timeAt(at balance.Micros) time.Time {
+	return sim.epoch.Add(time.Duration(at-sim.epoch.UnixMicro()) * time.Microsecond)
+}
+
+// record updates the measurements of the second that contains the given time.
+func (sim *simulation) record(at balance.Micros, update func(*Second)) {
+	if i := int((at - sim.epoch.UnixMicro()) / 1_000_000); i >= 0 && i < len(sim.seconds) {
+		update(&sim.seconds[i])
+	}
+}
+
+// RunVirtual runs a scenario once on virtual time.
+func RunVirtual(s *Scenario, seed uint64, label string) (*Run, error) {
+	sim := &simulation{scenario: s, rng: rand.New(rand.NewPCG(seed, 21)), epoch: time.Unix(1_700_000_000, 0),
+		nodes: map[balance.ReplicaID]*simNode{}, seconds: make([]Second, int(s.DurationS)+1),
 		hist: hdrhistogram.New(1, 60_000_000, 3)}
-	w.now = w.begin.UnixMicro()
-	w.ends = w.now + int64(s.For*1e6)
+	sim.now = sim.epoch.UnixMicro()
+	sim.end = sim.now + int64(s.DurationS*1e6)
 	var settings map[string]any
-	text := strings.NewReplacer(worthEdit()...).Replace(rig.Settings)
+	text := strings.NewReplacer(worthEdits()...).Replace(rig.Settings)
 	if err := json.Unmarshal([]byte(text), &settings); err != nil {
 		return nil, err
 	}
 	settings["peersTotal"] = s.Members
 	var err error
-	if w.conf, err = platform.Standalone(settings); err != nil {
+	if sim.config, err = platform.Standalone(settings); err != nil {
 		return nil, err
 	}
 	var worth []float64
-	for _, c := range w.conf.Module.Classes {
+	for _, c := range sim.config.Module.Classes {
 		worth = append(worth, c.Worth)
 	}
-	w.ranks = overload.RankByWorth(worth)
+	sim.classRanks = overload.RankByWorth(worth)
 	for i := range s.Nodes {
-		n := &vnode{w: w, id: core.ServerID(fmt.Sprint("n", i)), by: 1,
+		n := &simNode{sim: sim, id: core.ServerID(fmt.Sprint("n", i)), slowFactor: 1,
 			rng: rand.New(rand.NewPCG(seed*1009+uint64(i), 5))}
-		w.nodes[n.id] = n
-		w.order = append(w.order, n)
+		sim.nodes[n.id] = n
+		sim.nodeList = append(sim.nodeList, n)
 	}
 	for i := range s.Members {
-		m := &vmember{w: w, index: i, name: fmt.Sprintf("m%02d", i), seen: make([]bool, s.Members)}
-		w.members = append(w.members, m)
+		m := &simMember{sim: sim, index: i, name: fmt.Sprintf("m%02d", i), aliveView: make([]bool, s.Members)}
+		sim.members = append(sim.members, m)
 	}
-	for _, m := range w.members {
-		for i := range m.seen {
-			m.seen[i] = true
+	for _, m := range sim.members {
+		for i := range m.aliveView {
+			m.aliveView[i] = true
 		}
 		if err := m.start(0); err != nil {
 			return nil, err
 		}
 	}
 	for _, e := range s.Events {
-		if e.Do == "stop" || e.Do == "cont" {
-			return nil, fmt.Errorf("%s is not played on virtual time", e.Do)
+		if e.Action == "stop" || e.Action == "cont" {
+			return nil, fmt.Errorf("%s is not played on virtual time", e.Action)
 		}
-		w.at(w.begin.UnixMicro()+int64(e.At*1e6), func() { w.do(e) })
+		sim.schedule(sim.epoch.UnixMicro()+int64(e.At*1e6), func() { sim.apply(e) })
 	}
-	w.load(seed)
-	steps := 0
-	for len(w.heap) > 0 {
-		next := heap.Pop(&w.heap).(moment)
-		if w.now = next.at; w.now > w.ends && w.left == 0 {
+	sim.generateLoad(seed)
+	events := 0
+	for len(sim.queue) > 0 {
+		next := heap.Pop(&sim.queue).(scheduled)
+		if sim.now = next.at; sim.now > sim.end && sim.unfinished == 0 {
 			break
 		}
-		next.do()
-		if steps++; steps > mostSteps {
-			return nil, fmt.Errorf("over %d events", mostSteps)
+		next.run()
+		if events++; events > maxEvents {
+			return nil, fmt.Errorf("over %d events", maxEvents)
 		}
 	}
-	run := s.result(seed, label, w.seconds, w.hist)
+	run := s.newRun(seed, label, sim.seconds, sim.hist)
 	run.Virtual = true
-	run.Figures["fleet_bytes"] = float64(w.bytes) / s.For / float64(s.Members)
+	run.Figures["fleet_bytes"] = float64(sim.fleetBytes) / s.DurationS / float64(s.Members)
 	return run, nil
 }
 
-// worthEdit has an exchange-post be worth more.
-func worthEdit() []string {
+// worthEdits returns the edit of the rig's settings that gives exchange-post requests the worth postWorth.
+func worthEdits() []string {
 	return []string{`"windowUs":3000000,"worth":1`, fmt.Sprintf(`"windowUs":3000000,"worth":%d`, postWorth)}
 }
 
-// start starts a process of the member; it has the list after a while.
-func (m *vmember) start(list time.Duration) error {
-	w := m.w
-	m.life++
-	life := m.life
-	m.up, m.due, m.open = true, 0, map[*vask]int{}
-	settings := w.conf.Module
+// start starts the member as a new process, which receives the list of nodes after listAfter.
+func (m *simMember) start(listAfter time.Duration) error {
+	sim := m.sim
+	m.generation++
+	generation := m.generation
+	m.running, m.stepAt, m.pending = true, 0, map[*simRequest]int{}
+	settings := sim.config.Module
 	settings.Number, settings.Zone = m.index, m.index%2
-	cfg := core.Config{Settings: settings, Seed: uint64(m.index)*7919 + uint64(life),
+	cfg := core.Config{Settings: settings, Seed: uint64(m.index)*7919 + uint64(generation),
 		Backends: []core.Backend{m}, Log: slog.New(slog.DiscardHandler)}
-	if settings.CanTell = settings.CanTell && !w.s.Alone; settings.CanTell {
+	if settings.CanTell = settings.CanTell && !sim.scenario.Standalone; settings.CanTell {
 		cfg.Peers = m
 	}
 	cfg.Settings = settings
-	if !w.s.Alone && !strings.Contains(w.s.Fleet, "off = true") {
-		m.guard = overload.NewController(m.name, period.Microseconds())
-		cfg.Admission = gate{m}
+	if !sim.scenario.Standalone && !strings.Contains(sim.scenario.ExtraFleetConfig, "off = true") {
+		m.overload = overload.NewController(m.name, period.Microseconds())
+		cfg.Admission = simAdmission{m}
 	}
 	var err error
-	if m.core, err = core.NewSimulated(cfg, w.time(w.now)); err != nil {
+	if m.core, err = core.NewSimulated(cfg, sim.timeAt(sim.now)); err != nil {
 		return err
 	}
-	w.after(list, func() {
-		if m.life != life {
+	sim.scheduleAfter(listAfter, func() {
+		if m.generation != generation {
 			return
 		}
-		var all []balance.Replica
-		for i, n := range w.order {
-			all = append(all, balance.Replica{ID: n.id, Zone: i / 2 % 2, Cell: i % 2, State: balance.Ready, Size: 1})
+		var list []balance.Replica
+		for i, n := range sim.nodeList {
+			list = append(list, balance.Replica{ID: n.id, Zone: i / 2 % 2, Cell: i % 2, State: balance.Ready,
+				Size: 1})
 		}
-		m.take(core.ListUpdate{Mode: balance.Full, Replicas: all})
+		m.handle(core.ListUpdate{Mode: balance.Full, Replicas: list})
 	})
-	if m.guard != nil {
-		m.tick(life)
+	if m.overload != nil {
+		m.tickOverload(generation)
 	}
 	return nil
 }
 
-// take hands an event in, and plans the Step that it needs.
-func (m *vmember) take(e core.Event) {
-	if m.up {
+// handle passes an event to the core and schedules the next Step.
+func (m *simMember) handle(e core.Event) {
+	if m.running {
 		m.core.Handle(e)
-		m.plan()
+		m.planStep()
 	}
 }
 
-func (m *vmember) plan() {
-	at := m.core.NextStep(m.w.now)
-	if at == 0 || m.due > 0 && m.due <= at {
+func (m *simMember) planStep() {
+	at := m.core.NextStep(m.sim.now)
+	if at == 0 || m.stepAt > 0 && m.stepAt <= at {
 		return
 	}
-	m.due = at
-	life := m.life
-	m.w.at(at, func() {
-		if m.life != life || !m.up || m.due != at {
+	m.stepAt = at
+	generation := m.generation
+	m.sim.schedule(at, func() {
+		if m.generation != generation || !m.running || m.stepAt != at {
 			return
 		}
-		m.due = 0
-		m.core.Step(m.w.now)
-		m.plan()
+		m.stepAt = 0
+		m.core.Step(m.sim.now)
+		m.planStep()
 	})
 }
 
-// tick is a period of the member's guard.
-func (m *vmember) tick(life int) {
-	w := m.w
-	if m.life != life || !m.up || w.now > w.ends {
+// tickOverload ticks the overload controller once a period.
+func (m *simMember) tickOverload(generation int) {
+	sim := m.sim
+	if m.generation != generation || !m.running || sim.now > sim.end {
 		return
 	}
 	var others []string
-	for i, alive := range m.seen {
+	for i, alive := range m.aliveView {
 		if alive && i != m.index {
-			others = append(others, w.members[i].name)
+			others = append(others, sim.members[i].name)
 		}
 	}
-	m.post(m.guard.Tick(w.now, others))
-	w.book(w.now, func(x *Second) { x.LevelMax = max(x.LevelMax, m.guard.Level()) })
-	w.after(period, func() { m.tick(life) })
+	m.sendOverload(m.overload.Tick(sim.now, others))
+	sim.record(sim.now, func(x *Second) { x.MaxLevel = max(x.MaxLevel, m.overload.Level()) })
+	sim.scheduleAfter(period, func() { m.tickOverload(generation) })
 }
 
-// post sends a guard's messages.
-func (m *vmember) post(list []overload.Message) {
-	for _, s := range list {
-		n, _ := strconv.Atoi(s.To[1:])
-		m.w.bytes += int64(len(s.Data))
-		m.w.reach(m.index, n, func(to *vmember) {
-			if to.guard == nil {
+// sendOverload sends messages of the overload controller.
+func (m *simMember) sendOverload(messages []overload.Message) {
+	for _, msg := range messages {
+		n, _ := strconv.Atoi(msg.To[1:])
+		m.sim.fleetBytes += int64(len(msg.Data))
+		m.sim.deliver(m.index, n, func(to *simMember) {
+			if to.overload == nil {
 				return
 			}
-			if out, ok := to.guard.Receive(m.w.now, m.name, s.Data); ok {
-				to.post(out)
+			if out, ok := to.overload.Receive(m.sim.now, m.name, msg.Data); ok {
+				to.sendOverload(out)
 			}
 		})
 	}
 }
 
-// reach does something at another member after a message's way, if the two are not cut off from each other.
-func (w *world) reach(from, to int, do func(*vmember)) {
-	if slices.Contains(w.cuts, [2]int{from, to}) {
+// deliver calls receive on the receiving member after the message delay, unless the link is cut or the
+// receiver is down on arrival.
+func (sim *simulation) deliver(from, to int, receive func(*simMember)) {
+	if slices.Contains(sim.cuts, [2]int{from, to}) {
 		return
 	}
-	w.after(w.way(), func() {
-		if m := w.members[to]; m.up {
-			do(m)
+	sim.scheduleAfter(sim.messageDelay(), func() {
+		if m := sim.members[to]; m.running {
+			receive(m)
 		}
 	})
 }
 
-// Tell takes the module's messages to peers: core.Peers.
-func (m *vmember) Tell(to uint32, text string) {
-	for i := range m.w.members {
-		if i != m.index && (to == balance.AllPeers || int(to)%len(m.w.members) == i) {
-			m.w.reach(m.index, i, func(o *vmember) {
-				o.take(core.PeerMessage{From: uint32(m.index), Data: []byte(text)})
+// Tell implements core.Peers: it delivers the decision module's messages to peers.
+func (m *simMember) Tell(to uint32, text string) {
+	for i := range m.sim.members {
+		if i != m.index && (to == balance.AllPeers || int(to)%len(m.sim.members) == i) {
+			m.sim.deliver(m.index, i, func(peer *simMember) {
+				peer.handle(core.PeerMessage{From: uint32(m.index), Data: []byte(text)})
 			})
 		}
 	}
 }
 
-// Send takes attempts to a node: core.Backend.
-func (m *vmember) Send(to balance.ReplicaID, call []*core.Attempt) bool {
-	n := m.w.nodes[to]
+// Send implements core.Backend: it delivers attempts to a node.
+func (m *simMember) Send(to balance.ReplicaID, call []*core.Attempt) bool {
+	n := m.sim.nodes[to]
 	for _, a := range call {
-		m.w.after(m.w.way(), func() { n.arrive(m, m.life, a) })
+		m.sim.scheduleAfter(m.sim.messageDelay(), func() { n.receive(m, m.generation, a) })
 	}
 	return true
 }
 
-// Cancel gives an attempt up; the node goes on with it.
-func (m *vmember) Cancel(*core.Attempt) bool { return false }
+// Cancel has no effect: the node continues to process the attempt.
+func (m *simMember) Cancel(*core.Attempt) bool { return false }
 
-// Probe looks at a node.
-func (m *vmember) Probe(to balance.ReplicaID) bool {
-	n, life, begun := m.w.nodes[to], m.life, m.w.now
-	m.w.after(m.w.way()+m.w.way(), func() {
-		if m.life == life && n.mode != "deaf" {
-			m.take(core.ProbeDone{Replica: to, Outcome: balance.OK,
-				Elapsed: time.Duration(m.w.now-begun) * time.Microsecond, Report: n.report()})
+// Probe probes a node. A node in mode deaf never answers.
+func (m *simMember) Probe(to balance.ReplicaID) bool {
+	n, generation, sent := m.sim.nodes[to], m.generation, m.sim.now
+	m.sim.scheduleAfter(m.sim.messageDelay()+m.sim.messageDelay(), func() {
+		if m.generation == generation && n.mode != "deaf" {
+			m.handle(core.ProbeDone{Replica: to, Outcome: balance.OK,
+				Elapsed: time.Duration(m.sim.now-sent) * time.Microsecond, Report: n.report()})
 		}
 	})
 	return true
 }
 
-// CloseIdle and Stop have nothing to do here.
-func (m *vmember) CloseIdle(balance.ReplicaID) {}
+// CloseIdle does nothing: the simulation has no connections.
+func (m *simMember) CloseIdle(balance.ReplicaID) {}
 
-// Stop: nothing is queued on the way.
-func (m *vmember) CancelQueued(balance.ReplicaID) []*core.Attempt { return nil }
+// CancelQueued returns nothing: the simulated link has no send queue.
+func (m *simMember) CancelQueued(balance.ReplicaID) []*core.Attempt { return nil }
 
-// Admit, Ended, Send and Over are the gate.
-func (m *vmember) Admit(q *core.Query) (bool, time.Duration, string) {
-	ok, after := m.guard.Admit(overload.Priority(m.w.ranks[q.Class], q.Key), m.w.rng.Uint64(), q.Repeat)
+// Admit asks the overload controller whether to admit a query.
+func (m *simMember) Admit(q *core.Query) (bool, time.Duration, string) {
+	ok, after := m.overload.Admit(overload.Priority(m.sim.classRanks[q.Class], q.Key), m.sim.rng.Uint64(),
+		q.Repeat)
 	return ok, time.Duration(after) * time.Microsecond, "the fleet is overloaded"
 }
 
-// gate is the rest of it: a core's backend has a Send of its own.
-type gate struct{ *vmember }
+// simAdmission is the admission controller of a member. Its remaining methods are declared on simMember.
+type simAdmission struct{ *simMember }
 
-// QueryEnded books how a query ended.
-func (m *vmember) QueryEnded(_ *core.Query, e core.QueryOutcome) {
-	m.guard.Finished(e == core.Answered)
+// QueryEnded reports the outcome of a query to the overload controller.
+func (m *simMember) QueryEnded(_ *core.Query, e core.QueryOutcome) {
+	m.overload.Finished(e == core.Answered)
 }
 
-// AllowSend asks whether an attempt may be sent.
-func (g gate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
-	return g.guard.AllowSend(a.IsFirst()), balance.NotSent
+// AllowSend asks the overload controller whether an attempt may be sent.
+func (g simAdmission) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	return g.overload.AllowSend(a.IsFirst()), balance.NotSent
 }
 
-// AttemptEnded has nothing to do.
-func (g gate) AttemptEnded(*core.Attempt) {}
+// AttemptEnded does nothing.
+func (g simAdmission) AttemptEnded(*core.Attempt) {}
 
-func (n *vnode) report() []float32 { return []float32{0, float32(len(n.waiting))} }
+func (n *simNode) report() []float32 { return []float32{0, float32(len(n.waiting))} }
 
-// arrive is a part that reaches the node.
-func (n *vnode) arrive(from *vmember, life int, a *core.Attempt) {
-	w := n.w
-	w.book(w.now, func(x *Second) { x.Parts++ })
-	end := func(o balance.Outcome, after time.Duration) {
+// receive handles the arrival of a part at the node.
+func (n *simNode) receive(from *simMember, generation int, a *core.Attempt) {
+	sim := n.sim
+	sim.record(sim.now, func(x *Second) { x.Parts++ })
+	reply := func(o balance.Outcome, after time.Duration) {
 		report := n.report()
-		w.after(after+w.way(), func() {
-			if from.life == life {
-				from.take(core.AttemptDone{Attempt: a, Outcome: o, Report: report, Value: core.Value{Body: []byte("v")}})
+		sim.scheduleAfter(after+sim.messageDelay(), func() {
+			if from.generation == generation {
+				from.handle(core.AttemptDone{Attempt: a, Outcome: o, Report: report,
+					Value: core.Value{Body: []byte("v")}})
 			}
 		})
 	}
 	switch {
 	case n.mode == "fail":
-		end(balance.Error, 0)
+		reply(balance.Error, 0)
 		return
 	case n.mode == "deaf":
 		return
-	case n.busy+len(n.waiting) >= w.s.Node.Slots+w.s.Node.Queue:
-		w.book(w.now, func(x *Second) { x.Full++ })
-		end(balance.Busy, 0)
+	case n.busy+len(n.waiting) >= sim.scenario.Node.Slots+sim.scenario.Node.Queue:
+		sim.record(sim.now, func(x *Second) { x.RejectedParts++ })
+		reply(balance.Busy, 0)
 		return
 	}
 	work := func() {
 		n.busy++
-		ms := w.s.Node.WorkMS * n.by
-		if !w.s.Node.Fixed {
+		ms := sim.scenario.Node.WorkMS * n.slowFactor
+		if !sim.scenario.Node.FixedWork {
 			ms *= 0.5 + 0.5*n.rng.ExpFloat64()
 		}
-		w.after(time.Duration(ms*float64(time.Millisecond)), func() {
+		sim.scheduleAfter(time.Duration(ms*float64(time.Millisecond)), func() {
 			n.busy--
-			end(balance.OK, 0)
+			reply(balance.OK, 0)
 			if len(n.waiting) > 0 {
 				next := n.waiting[0]
 				n.waiting = n.waiting[1:]
@@ -401,107 +411,109 @@
 			}
 		})
 	}
-	if n.busy < w.s.Node.Slots {
+	if n.busy < sim.scenario.Node.Slots {
 		work()
 	} else {
 		n.waiting = append(n.waiting, work)
 	}
 }
 
-// do carries out an event of the scenario.
-func (w *world) do(e Event) {
-	index := func(who string) (n int) {
-		n, _ = strconv.Atoi(strings.TrimLeft(who, "mn"))
+// apply applies an event of the scenario.
+func (sim *simulation) apply(e Event) {
+	index := func(target string) (n int) {
+		n, _ = strconv.Atoi(strings.TrimLeft(target, "mn"))
 		return n
 	}
-	known := func(do func()) { w.after(knownIn*period, do) }
+	afterDetection := func(run func()) { sim.scheduleAfter(detectPeriods*period, run) }
 	switch {
-	case onNodes(e.Do):
-		for _, who := range e.Who {
-			n := w.order[index(who)]
-			if n.mode, n.by = e.Do, 1; e.Do == "slow" {
-				n.by = e.By
+	case isNodeAction(e.Action):
+		for _, target := range e.Targets {
+			n := sim.nodeList[index(target)]
+			if n.mode, n.slowFactor = e.Action, 1; e.Action == "slow" {
+				n.slowFactor = e.SlowFactor
 			}
 		}
-	case e.Do == "cut":
-		for _, a := range e.Who {
-			for _, b := range e.From {
+	case e.Action == "cut":
+		for _, a := range e.Targets {
+			for _, b := range e.OtherSide {
 				x, y := index(a), index(b)
-				w.cuts = append(w.cuts, [2]int{x, y}, [2]int{y, x})
-				known(func() { w.see(x, y); w.see(y, x) })
+				sim.cuts = append(sim.cuts, [2]int{x, y}, [2]int{y, x})
+				afterDetection(func() { sim.updateView(x, y); sim.updateView(y, x) })
 			}
 		}
-	case e.Do == "heal":
-		was := w.cuts
-		w.cuts = nil
-		known(func() {
-			for _, c := range was {
-				w.see(c[0], c[1])
+	case e.Action == "heal":
+		healed := sim.cuts
+		sim.cuts = nil
+		afterDetection(func() {
+			for _, link := range healed {
+				sim.updateView(link[0], link[1])
 			}
 		})
 	default:
-		for _, who := range e.Who {
-			m := w.members[index(who)]
-			if e.Do == "kill" {
+		for _, target := range e.Targets {
+			m := sim.members[index(target)]
+			if e.Action == "kill" {
 				m.kill()
-			} else if !m.up {
-				_ = m.start(listAfter)
+			} else if !m.running {
+				_ = m.start(listDelay)
 			}
-			known(func() {
-				for i := range w.members {
-					w.see(i, m.index)
+			afterDetection(func() {
+				for i := range sim.members {
+					sim.updateView(i, m.index)
 				}
 			})
 		}
 	}
 }
 
-// see has a member know what is the case with another.
-func (w *world) see(who, whom int) {
-	w.members[who].seen[whom] = w.members[whom].up && !slices.Contains(w.cuts, [2]int{who, whom})
+// updateView updates whether one member considers another alive, from the current state of the simulation.
+func (sim *simulation) updateView(observer, subject int) {
+	sim.members[observer].aliveView[subject] = sim.members[subject].running &&
+		!slices.Contains(sim.cuts, [2]int{observer, subject})
 }
 
-// kill ends the process: what waits there is cut off.
-func (m *vmember) kill() {
-	m.up = false
-	m.life++
-	var waiting []*vask
-	for a := range m.open {
-		waiting = append(waiting, a)
+// kill kills the process. The tries that it was serving fail.
+func (m *simMember) kill() {
+	m.running = false
+	m.generation++
+	var waiting []*simRequest
+	for r := range m.pending {
+		waiting = append(waiting, r)
 	}
-	slices.SortFunc(waiting, func(a, b *vask) int { return strings.Compare(a.id, b.id) })
-	for _, a := range waiting {
-		a.end(0, 0)
+	slices.SortFunc(waiting, func(a, b *simRequest) int { return strings.Compare(a.id, b.id) })
+	for _, r := range waiting {
+		r.endTry(0, 0)
 	}
-	m.open = nil
+	m.pending = nil
 }
 
-// load plans all first tries.
-func (w *world) load(seed uint64) {
+// generateLoad schedules the first tries of all requests, each one when the previous one is due.
+func (sim *simulation) generateLoad(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	number := 0
 	var next func(at float64)
 	next = func(at float64) {
-		rate := w.s.Load.at(at)
+		rate := sim.scenario.Load.rateAt(at)
 		if rate <= 0 {
 			at += 0.01
 		} else {
 			at += rng.ExpFloat64() / rate
 		}
-		if at >= w.s.For {
+		if at >= sim.scenario.DurationS {
 			return
 		}
-		post, member := rng.Float64() < w.s.Load.Posts, rng.Uint64()
-		w.at(w.begin.UnixMicro()+int64(at*1e6), func() {
+		post, member := rng.Float64() < sim.scenario.Load.PostShare, rng.Uint64()
+		sim.schedule(sim.epoch.UnixMicro()+int64(at*1e6), func() {
 			if rate > 0 {
 				number++
-				a := &vask{w: w, id: fmt.Sprintf("q%07d", number), due: w.now, member: member, class: 0, worth: 1}
+				r := &simRequest{sim: sim, id: fmt.Sprintf("q%07d", number), due: sim.now, member: member,
+					class: 0, worth: 1}
 				if post {
-					a.class, a.worth = 1, postWorth
+					r.class, r.worth = 1, postWorth
 				}
-				w.left++
-				w.book(a.due, func(x *Second) { x.First++; x.Asked += a.worth })
-				a.try()
+				sim.unfinished++
+				sim.record(r.due, func(x *Second) { x.Requests++; x.OfferedWorth += r.worth })
+				r.send()
 			}
 			next(at)
 		})
@@ -509,56 +521,56 @@
 	next(0)
 }
 
-// vask is a client with one request.
-type vask struct {
-	w      *world
-	id     string
-	class  int
-	worth  float64
-	due    balance.Micros
-	begun  balance.Micros
-	member uint64
-	tries  int
-	number int // of the try that waits; answers to others come too late
-}
-
-func (a *vask) try() {
-	w := a.w
-	m := w.members[(a.member+uint64(a.tries))%uint64(len(w.members))]
-	a.tries++
-	a.number++
-	a.begun = w.now
-	w.book(a.due, func(x *Second) { x.Tries++ })
-	number := a.number
-	if !m.up {
-		w.after(w.way(), func() { a.end(0, number) })
+// simRequest is a simulated client with one request.
+type simRequest struct {
+	sim        *simulation
+	id         string
+	class      int
+	worth      float64
+	due        balance.Micros
+	tryStarted balance.Micros
+	member     uint64
+	tries      int
+	currentTry int // number of the pending try; answers to other tries are ignored
+}
+
+func (r *simRequest) send() {
+	sim := r.sim
+	m := sim.members[(r.member+uint64(r.tries))%uint64(len(sim.members))]
+	r.tries++
+	r.currentTry++
+	r.tryStarted = sim.now
+	sim.record(r.due, func(x *Second) { x.Tries++ })
+	number := r.currentTry
+	if !m.running {
+		sim.scheduleAfter(sim.messageDelay(), func() { r.endTry(0, number) })
 		return
 	}
-	life := m.life
-	w.after(w.way(), func() {
-		if m.life != life || !m.up {
-			a.end(0, number)
+	generation := m.generation
+	sim.scheduleAfter(sim.messageDelay(), func() {
+		if m.generation != generation || !m.running {
+			r.endTry(0, number)
 			return
 		}
-		m.open[a] = number
-		rules := &w.conf.Module.Classes[a.class]
-		m.core.Submit(&core.Query{Name: a.id, Class: a.class, Key: "k" + a.id, Repeat: a.tries > 1, Backend: m,
-			Deadline: w.time(w.now + rules.Deadline), Client: vclient{a, m, number},
+		m.pending[r] = number
+		rules := &sim.config.Module.Classes[r.class]
+		m.core.Submit(&core.Query{Name: r.id, Class: r.class, Key: "k" + r.id, Repeat: r.tries > 1, Backend: m,
+			Deadline: sim.timeAt(sim.now + rules.Deadline), Client: simClient{r, m, number},
 			Parts: []core.PartSpec{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
-		m.plan()
+		m.planStep()
 	})
-	w.after(deadline+time.Second, func() { a.end(0, number) })
+	sim.scheduleAfter(deadline+time.Second, func() { r.endTry(0, number) })
 }
 
-// vclient hears the answer of one try.
-type vclient struct {
-	a      *vask
-	m      *vmember
-	number int
+// simClient receives the answer to one try.
+type simClient struct {
+	request *simRequest
+	member  *simMember
+	try     int
 }
 
-// Final is the final answer: core.Client.
-func (c vclient) Final(f core.FinalAnswer) {
+// Final implements core.Client: it receives the final answer.
+func (c simClient) Final(f core.FinalAnswer) {
 	status := 502
 	switch f.Outcome {
 	case core.Answered:
@@ -566,40 +578,43 @@
 	case core.Refused:
 		status = 503
 	}
-	if c.m.open[c.a] == c.number {
-		delete(c.m.open, c.a)
+	if c.member.pending[c.request] == c.try {
+		delete(c.member.pending, c.request)
 	}
-	c.a.w.after(c.a.w.way(), func() { c.a.ended(status, f.RetryAfter, c.number) })
+	c.request.sim.scheduleAfter(c.request.sim.messageDelay(), func() {
+		c.request.endTryAfter(status, f.RetryAfter, c.try)
+	})
 }
 
-func (a *vask) end(status, number int) { a.ended(status, 0, number) }
+func (r *simRequest) endTry(status, number int) { r.endTryAfter(status, 0, number) }
 
-// ended is the end of a try; number 0: whichever waits.
-func (a *vask) ended(status int, after time.Duration, number int) {
+// endTryAfter handles the result of a try, or of the pending one if number is 0. A failed try is repeated
+// after retryAfter if the client honors it, while retries are left.
+func (r *simRequest) endTryAfter(status int, retryAfter time.Duration, number int) {
 	if number == 0 {
-		number = a.number
+		number = r.currentTry
 	}
-	if number != a.number {
+	if number != r.currentTry {
 		return
 	}
-	a.number++ // nothing that comes for this try counts any more
-	w := a.w
+	r.currentTry++ // later results of this try are ignored
+	sim := r.sim
 	if status == 200 {
-		w.left--
-		_ = w.hist.RecordValue(max(1, w.now-a.due))
-		w.book(a.due, func(x *Second) {
-			if w.now-a.begun <= aim.Microseconds() {
+		sim.unfinished--
+		_ = sim.hist.RecordValue(max(1, sim.now-r.due))
+		sim.record(r.due, func(x *Second) {
+			if sim.now-r.tryStarted <= aim.Microseconds() {
 				x.InTime++
-				x.Worth += a.worth
+				x.Worth += r.worth
 			} else {
 				x.Late++
 			}
 		})
 		return
 	}
-	if a.tries > w.s.Load.Retries {
-		w.left--
-		w.book(a.due, func(x *Second) {
+	if r.tries > sim.scenario.Load.Retries {
+		sim.unfinished--
+		sim.record(r.due, func(x *Second) {
 			if status == 503 {
 				x.Refused++
 			} else {
@@ -608,8 +623,8 @@
 		})
 		return
 	}
-	if !w.s.Load.Heed || after <= 0 {
-		after = impatient
+	if !sim.scenario.Load.HonorRetryAfter || retryAfter <= 0 {
+		retryAfter = defaultRetryDelay
 	}
-	w.after(after, a.try)
+	sim.scheduleAfter(retryAfter, r.send)
 }
