--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -1,6 +1,7 @@
-// Package fleetsim runs many members' views on virtual time in one goroutine: what one machine is too small
-// for with processes. The decisions are those of internal/membership, unchanged; only links, clocks and
-// faults are made here. The same seed gives the same run to the byte. It is never linked into serving.
+// Package fleetsim simulates the membership views of many members on virtual time in one goroutine, at sizes
+// for which one machine cannot run enough processes. The protocol code is that of internal/membership,
+// unchanged; only links, clocks and faults are simulated. The same seed gives a byte-identical run. The
+// package must never be linked into the serving program.
 package fleetsim
 
 import (
@@ -19,96 +20,96 @@
 // Period is the simulated fleet's period.
 const Period Micros = 200_000
 
-// overhead is what the seal takes of a datagram: counted, as it goes over the wire.
-const overhead = 30
+// sealOverhead is the size in bytes that authenticated encryption adds to a datagram on the wire.
+const sealOverhead = 30
 
-// Link is what happens to datagrams on one directed link.
+// Link describes how a directed link treats datagrams.
 type Link struct {
-	Loss, Twice float64 // shares that are lost, and that come twice
-	Delay       Micros  // at least
-	Jitter      Micros  // and up to so much more
-	Cut         bool
+	Loss, Duplicate float64 // shares of datagrams that are lost and that are sent twice
+	Delay           Micros  // minimum delay
+	Jitter          Micros  // maximum random delay on top
+	Cut             bool
 }
 
-// Config is what a fleet is made of.
+// Config configures a simulated fleet.
 type Config struct {
-	Members int
-	Seed    uint64
-	Link    Link
-	Join    int // of the first so many all others know the addresses
-	Ablate  membership.Ablation
-	Drift   float64 // clocks run fast or slow by up to this share
-	Warm    bool    // all know one another from the start
-	// Slow are members that take so long over each datagram and act as late.
-	Slow      func(i int) bool
+	Members   int
+	Seed      uint64
+	Link      Link
+	JoinAddrs int // number of members, from the first, that serve as join addresses; at least 1
+	Ablate    membership.Ablation
+	Drift     float64 // maximum relative clock drift, in either direction
+	Warm      bool    // members start with a view of the whole fleet
+	// IsSlow selects members that handle every datagram and tick late by SlowDelay.
+	IsSlow    func(i int) bool
 	SlowDelay Micros
 }
 
 // node is one simulated process.
 type node struct {
-	view    *membership.View
-	cfg     membership.Config
-	addr    netip.AddrPort
-	up      bool
-	stopped bool
-	held    []event // while stopped
-	wake    Micros  // when its tick is queued for
-	gen     int     // of the process: what belongs to an earlier one is void
-	skew    float64
-	slow    Micros
+	view       *membership.View
+	cfg        membership.Config
+	addr       netip.AddrPort
+	up         bool
+	paused     bool
+	heldEvents []event // datagrams received while paused
+	tickAt     Micros  // time of the scheduled tick
+	generation int     // number of the process; ticks of earlier processes are ignored
+	clockRate  float64 // local time per virtual time
+	slowDelay  Micros
 }
 
 type event struct {
-	at   Micros
-	seq  uint64
-	to   int
-	gen  int
-	data []byte // nil: a tick
+	at         Micros
+	seq        uint64
+	to         int
+	generation int
+	data       []byte // datagram; nil for a tick
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
-	o := *e
-	x := o[len(o)-1]
-	*e = o[:len(o)-1]
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
+	old := *e
+	x := old[len(old)-1]
+	*e = old[:len(old)-1]
 	return x
 }
 
-// Seen is a change in one member's view.
-type Seen struct {
-	At Micros
-	By int
+// ViewChange is a change in the view of the member Observer.
+type ViewChange struct {
+	At       Micros
+	Observer int
 	membership.Change
 }
 
 // Fleet is a simulated fleet.
 type Fleet struct {
-	cfg   Config
-	rng   *rand.Rand
-	now   Micros
-	seq   uint64
-	queue events
-	nodes []*node
-	index map[netip.AddrPort]int
-	links map[[2]int]Link
-	sides func(from, to int) bool // whether a datagram may pass
-	Bytes int64                   // over all links, sealed
-	Seen  func(Seen)              // hears every change
+	cfg       Config
+	rng       *rand.Rand
+	now       Micros
+	seq       uint64
+	queue     eventQueue
+	nodes     []*node
+	index     map[netip.AddrPort]int
+	links     map[[2]int]Link
+	reachable func(from, to int) bool // whether the partition lets datagrams pass
+	Bytes     int64                   // total size of all datagrams sent, with sealOverhead
+	OnChange  func(ViewChange)        // called on every view change
 }
 
-// New starts a fleet; all members start within one period.
+// New starts a fleet. The first ticks of the members are spread over one period.
 func New(cfg Config) (*Fleet, error) {
 	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 7)), index: map[netip.AddrPort]int{},
-		links: map[[2]int]Link{}, Seen: func(Seen) {}, sides: func(int, int) bool { return true }}
+		links: map[[2]int]Link{}, OnChange: func(ViewChange) {}, reachable: func(int, int) bool { return true }}
 	for i := range cfg.Members {
-		f.add(i)
+		f.addNode(i)
 	}
 	for i := range f.nodes {
 		if err := f.Start(i); err != nil {
@@ -116,24 +117,24 @@
 		}
 	}
 	if cfg.Warm {
-		return f, f.acquaint()
+		return f, f.introduceAll()
 	}
 	return f, nil
 }
 
-// acquaint has all members go on as if they had long known one another.
-func (f *Fleet) acquaint() error {
+// introduceAll replaces the views of all members by ones that already contain the whole fleet.
+func (f *Fleet) introduceAll() error {
 	for _, n := range f.nodes {
-		s := membership.Snapshot{Birth: n.view.Self().Birth, Incarnation: 1, Joined: true}
-		for _, o := range f.nodes {
-			if x := o.view.Self(); o != n {
-				s.Members = append(s.Members, membership.MemberSnapshot{Name: x.Name, Zone: x.Zone, Addr: x.Addr,
-					Birth: x.Birth, Incarnation: 1, State: membership.Alive, Stamp: 1})
+		snapshot := membership.Snapshot{Birth: n.view.Self().Birth, Incarnation: 1, Joined: true}
+		for _, other := range f.nodes {
+			if m := other.view.Self(); other != n {
+				snapshot.Members = append(snapshot.Members, membership.MemberSnapshot{Name: m.Name, Zone: m.Zone,
+					Addr: m.Addr, Birth: m.Birth, Incarnation: 1, State: membership.Alive, Stamp: 1})
 			}
 		}
 		cfg := n.cfg
 		cfg.Seed++
-		v, err := membership.Resume(cfg, s, f.clock(n, f.now))
+		v, err := membership.Resume(cfg, snapshot, f.localTime(n, f.now))
 		if err != nil {
 			return err
 		}
@@ -142,12 +143,12 @@
 	return nil
 }
 
-func (f *Fleet) add(i int) {
+func (f *Fleet) addNode(i int) {
 	n := &node{addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1 + byte(i>>14), byte(i >> 7 & 127),
 		1 + byte(i&127)}), 7946)}
-	n.skew = 1 + f.cfg.Drift*(2*f.rng.Float64()-1)
-	if f.cfg.Slow != nil && f.cfg.Slow(i) {
-		n.slow = f.cfg.SlowDelay
+	n.clockRate = 1 + f.cfg.Drift*(2*f.rng.Float64()-1)
+	if f.cfg.IsSlow != nil && f.cfg.IsSlow(i) {
+		n.slowDelay = f.cfg.SlowDelay
 	}
 	f.nodes = append(f.nodes, n)
 	f.index[n.addr] = i
@@ -156,7 +157,7 @@
 // Grow adds members and starts them.
 func (f *Fleet) Grow(n int) error {
 	for range n {
-		f.add(len(f.nodes))
+		f.addNode(len(f.nodes))
 		if err := f.Start(len(f.nodes) - 1); err != nil {
 			return err
 		}
@@ -164,36 +165,38 @@
 	return nil
 }
 
-// Name is a member's name.
+// Name returns the name of member i.
 func Name(i int) string { return fmt.Sprintf("m%04d", i) }
 
-// Start starts a member that is down, as a new process that remembers nothing.
+// Start starts a member that is down, as a new process without earlier state.
 func (f *Fleet) Start(i int) error {
 	n := f.nodes[i]
 	var join []netip.AddrPort
-	for j := range max(1, f.cfg.Join) {
+	for j := range max(1, f.cfg.JoinAddrs) {
 		join = append(join, f.nodes[min(j, len(f.nodes)-1)].addr)
 	}
 	zone := fmt.Sprintf("z%d", i%3)
 	n.cfg = membership.Config{Name: Name(i), Zone: zone, Addr: n.addr,
 		Birth: f.rng.Uint64() | 1, Seed: f.rng.Uint64(), Period: Period, Ablate: f.cfg.Ablate,
 		Settings: membership.Settings{Join: join, Most: 4 * max(f.cfg.Members, len(f.nodes)), Stamp: 1}}
-	v, err := membership.New(n.cfg, f.clock(n, f.now))
+	v, err := membership.New(n.cfg, f.localTime(n, f.now))
 	if err != nil {
 		return err
 	}
-	n.view, n.up, n.stopped, n.held = v, true, false, nil
-	n.gen++
-	f.schedule(i, f.now+f.rng.Int64N(Period))
+	n.view, n.up, n.paused, n.heldEvents = v, true, false, nil
+	n.generation++
+	f.scheduleTick(i, f.now+f.rng.Int64N(Period))
 	return nil
 }
 
-// clock is a member's own time.
-func (f *Fleet) clock(n *node, t Micros) Micros { return 1_000_000 + Micros(float64(t)*n.skew) }
+// localTime converts virtual time to the member's clock.
+func (f *Fleet) localTime(n *node, t Micros) Micros {
+	return 1_000_000 + Micros(float64(t)*n.clockRate)
+}
 
-func (f *Fleet) schedule(i int, at Micros) {
-	f.nodes[i].wake = at
-	f.push(event{at: at, to: i, gen: f.nodes[i].gen})
+func (f *Fleet) scheduleTick(i int, at Micros) {
+	f.nodes[i].tickAt = at
+	f.push(event{at: at, to: i, generation: f.nodes[i].generation})
 }
 
 func (f *Fleet) push(e event) {
@@ -202,72 +205,72 @@
 	heap.Push(&f.queue, e)
 }
 
-// Now is the virtual time.
+// Now returns the virtual time.
 func (f *Fleet) Now() Micros { return f.now }
 
-// Kill ends a member without a word.
-func (f *Fleet) Kill(i int) { f.nodes[i].up = false; f.nodes[i].gen++ }
+// Kill stops a member without a message to the others.
+func (f *Fleet) Kill(i int) { f.nodes[i].up = false; f.nodes[i].generation++ }
 
-// Stop and Thaw are SIGSTOP and SIGCONT: what comes meanwhile waits, up to a bound.
-func (f *Fleet) Stop(i int) { f.nodes[i].stopped = true }
+// Pause stops a member like SIGSTOP. Up to 512 datagrams are held for it until Resume.
+func (f *Fleet) Pause(i int) { f.nodes[i].paused = true }
 
-// Thaw lets a stopped member go on.
-func (f *Fleet) Thaw(i int) {
+// Resume continues a paused member like SIGCONT.
+func (f *Fleet) Resume(i int) {
 	n := f.nodes[i]
-	n.stopped = false
-	for _, e := range n.held {
+	n.paused = false
+	for _, e := range n.heldEvents {
 		e.at = f.now
 		f.push(e)
 	}
-	n.held = nil
-	f.schedule(i, f.now)
+	n.heldEvents = nil
+	f.scheduleTick(i, f.now)
 }
 
-// Leave has a member say that it goes; Kill it afterwards.
+// Leave lets a member announce its departure. The caller kills it afterwards.
 func (f *Fleet) Leave(i int) {
 	n := f.nodes[i]
-	n.view.Leave(f.clock(n, f.now))
-	f.collect(i)
+	n.view.Leave(f.localTime(n, f.now))
+	f.dispatchOutput(i)
 }
 
-// SetLink makes one directed link another one.
+// SetLink replaces the properties of one directed link.
 func (f *Fleet) SetLink(from, to int, l Link) { f.links[[2]int{from, to}] = l }
 
-// Cut lets only those datagrams pass for which pass says yes.
-func (f *Fleet) Cut(pass func(from, to int) bool) { f.sides = pass }
+// Partition drops all datagrams between members for which reachable returns false.
+func (f *Fleet) Partition(reachable func(from, to int) bool) { f.reachable = reachable }
 
-// Heal lets all pass.
-func (f *Fleet) Heal() { f.sides = func(int, int) bool { return true } }
+// Heal ends the partition.
+func (f *Fleet) Heal() { f.reachable = func(int, int) bool { return true } }
 
-// SetLoss changes what all links lose.
+// SetLoss sets the loss of all links that SetLink has not replaced.
 func (f *Fleet) SetLoss(p float64) { f.cfg.Link.Loss = p }
 
-// Up tells that a member runs.
-func (f *Fleet) Up(i int) bool { return f.nodes[i].up && !f.nodes[i].stopped }
+// Running reports whether a member is up and not paused.
+func (f *Fleet) Running(i int) bool { return f.nodes[i].up && !f.nodes[i].paused }
 
-// View is a member's view.
+// View returns the view of member i.
 func (f *Fleet) View(i int) *membership.View { return f.nodes[i].view }
 
-// Len is how many members there are, running or not.
+// Len returns the number of members, running or not.
 func (f *Fleet) Len() int { return len(f.nodes) }
 
-// Run goes on for some time.
-func (f *Fleet) Run(d Micros) { f.Until(d, nil) }
+// Run advances the simulation by d.
+func (f *Fleet) Run(d Micros) { f.RunUntil(d, nil) }
 
-// Until goes on until something holds, looked at each tenth of a period, or for the time given. It returns
-// how long that took and whether it held.
-func (f *Fleet) Until(d Micros, holds func() bool) (Micros, bool) {
-	begun, end, look := f.now, f.now+d, f.now
+// RunUntil advances the simulation until a condition holds, but at most by d. The condition is checked every
+// tenth of a period; nil never holds. RunUntil returns the elapsed time and whether the condition held.
+func (f *Fleet) RunUntil(d Micros, condition func() bool) (Micros, bool) {
+	start, end, checkAt := f.now, f.now+d, f.now
 	for {
-		if holds != nil && f.now >= look {
-			if holds() {
-				return f.now - begun, true
+		if condition != nil && f.now >= checkAt {
+			if condition() {
+				return f.now - start, true
 			}
-			look = f.now + Period/10
+			checkAt = f.now + Period/10
 		}
 		if len(f.queue) == 0 || f.queue[0].at > end {
 			f.now = end
-			return d, holds != nil && holds()
+			return d, condition != nil && condition()
 		}
 		e := heap.Pop(&f.queue).(event)
 		f.now = max(f.now, e.at)
@@ -277,74 +280,75 @@
 
 func (f *Fleet) deliver(e event) {
 	n := f.nodes[e.to]
-	if !n.up || e.gen != n.gen && e.data == nil {
+	if !n.up || e.generation != n.generation && e.data == nil {
 		return
 	}
-	if n.stopped {
-		if e.data != nil && len(n.held) < 512 {
-			n.held = append(n.held, e)
+	if n.paused {
+		if e.data != nil && len(n.heldEvents) < 512 {
+			n.heldEvents = append(n.heldEvents, e)
 		}
 		return
 	}
 	if e.data == nil {
-		if e.at != n.wake {
+		if e.at != n.tickAt {
 			return
 		}
-		n.view.Tick(f.clock(n, f.now))
-		next := Micros(float64(n.view.NextTick()-1_000_000)/n.skew) + 1
-		f.schedule(e.to, max(f.now+1, next+n.slow))
+		n.view.Tick(f.localTime(n, f.now))
+		next := Micros(float64(n.view.NextTick()-1_000_000)/n.clockRate) + 1
+		f.scheduleTick(e.to, max(f.now+1, next+n.slowDelay))
 	} else {
-		n.view.Receive(f.clock(n, f.now), e.data)
+		n.view.Receive(f.localTime(n, f.now), e.data)
 	}
-	f.collect(e.to)
+	f.dispatchOutput(e.to)
 }
 
-// collect takes what a view has to say to where it belongs.
-func (f *Fleet) collect(i int) {
-	sends, changes, _ := f.nodes[i].view.TakeOutput()
+// dispatchOutput reports the changes of a view and transmits its datagrams.
+func (f *Fleet) dispatchOutput(i int) {
+	datagrams, changes, _ := f.nodes[i].view.TakeOutput()
 	for _, c := range changes {
-		f.Seen(Seen{At: f.now, By: i, Change: c})
+		f.OnChange(ViewChange{At: f.now, Observer: i, Change: c})
 	}
-	for _, s := range sends {
-		f.carry(i, s)
+	for _, d := range datagrams {
+		f.transmit(i, d)
 	}
 }
 
-func (f *Fleet) carry(from int, s membership.Datagram) {
-	f.Bytes += int64(len(s.Data) + overhead)
-	to, ok := f.index[s.To]
+// transmit schedules the arrivals of a datagram, subject to the link and the partition.
+func (f *Fleet) transmit(from int, d membership.Datagram) {
+	f.Bytes += int64(len(d.Data) + sealOverhead)
+	to, ok := f.index[d.To]
 	if !ok {
 		return
 	}
-	l, own := f.links[[2]int{from, to}]
-	if !own {
-		l = f.cfg.Link
+	link, replaced := f.links[[2]int{from, to}]
+	if !replaced {
+		link = f.cfg.Link
 	}
-	times := 1
-	if f.rng.Float64() < l.Twice {
-		times = 2
+	copies := 1
+	if f.rng.Float64() < link.Duplicate {
+		copies = 2
 	}
-	for range times {
-		lost := f.rng.Float64() < l.Loss
-		wait := l.Delay + f.nodes[to].slow
-		if l.Jitter > 0 {
-			wait += f.rng.Int64N(l.Jitter)
+	for range copies {
+		lost := f.rng.Float64() < link.Loss
+		delay := link.Delay + f.nodes[to].slowDelay
+		if link.Jitter > 0 {
+			delay += f.rng.Int64N(link.Jitter)
 		}
-		if !lost && !l.Cut && f.sides(from, to) {
-			f.push(event{at: f.now + wait, to: to, data: slices.Clone(s.Data)})
+		if !lost && !link.Cut && f.reachable(from, to) {
+			f.push(event{at: f.now + delay, to: to, data: slices.Clone(d.Data)})
 		}
 	}
 }
 
-// Agree tells that all members that run, and for which among says yes, have one digest, and that it shows
-// just those of them that run as alive.
-func (f *Fleet) Agree(among func(i int) bool) bool {
-	digest, first, up := uint64(0), true, 0
+// Converged reports whether all running members selected by include have the same digest, and their view has
+// as many live members as there are running selected ones.
+func (f *Fleet) Converged(include func(i int) bool) bool {
+	digest, first, running := uint64(0), true, 0
 	for i := range f.nodes {
-		if !f.Up(i) || !among(i) {
+		if !f.Running(i) || !include(i) {
 			continue
 		}
-		up++
+		running++
 		if d := f.nodes[i].view.Digest(); first {
 			digest, first = d, false
 		} else if d != digest {
@@ -352,18 +356,18 @@
 		}
 	}
 	for i := range f.nodes {
-		if f.Up(i) && among(i) {
+		if f.Running(i) && include(i) {
 			alive := 0
 			for _, m := range f.nodes[i].view.Members() {
 				if m.State == membership.Alive || m.State == membership.Suspect {
 					alive++
 				}
 			}
-			return alive == up
+			return alive == running
 		}
 	}
 	return true
 }
 
-// All is every member.
+// All selects every member.
 func All(int) bool { return true }
--- a/internal/fleetsim/measure.go
+++ b/internal/fleetsim/measure.go
@@ -9,16 +9,16 @@
 	"lapislever/internal/membership"
 )
 
-// Row is one line of a measurement: what was done, at which size, and what came of it.
+// Row is one line of the measurements: an experiment, its parameters and its results.
 type Row struct {
-	What    string
+	Label   string
 	Members int
 	Loss    float64
 	Seeds   int
 	Values  []Value
 }
 
-// Value is one figure by its name and unit.
+// Value is a measured figure with its name and unit.
 type Value struct {
 	Name, Unit string
 	V          float64
@@ -26,27 +26,27 @@
 
 func (r Row) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-34s %5d members  loss %2.0f%%  %2d seeds ", r.What, r.Members, 100*r.Loss, r.Seeds)
+	fmt.Fprintf(&b, "%-34s %5d members  loss %2.0f%%  %2d seeds ", r.Label, r.Members, 100*r.Loss, r.Seeds)
 	for _, v := range r.Values {
 		fmt.Fprintf(&b, "  %s %.4g %s", v.Name, v.V, v.Unit)
 	}
 	return b.String()
 }
 
-// quantile is a value below which the given share lies.
-func quantile(list []float64, q float64) float64 {
-	if len(list) == 0 {
+// quantile returns the q-quantile of the values, or 0 if there are none.
+func quantile(values []float64, q float64) float64 {
+	if len(values) == 0 {
 		return 0
 	}
-	s := slices.Sorted(slices.Values(list))
-	return s[min(len(s)-1, int(q*float64(len(s))))]
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[min(len(sorted)-1, int(q*float64(len(sorted))))]
 }
 
-// Crashes kills one member after another, in so many fleets, and tells how many periods pass until the first
-// and until the last of the others knows.
-func Crashes(base Config, seeds, kills int) (Row, error) {
+// MeasureCrashes kills members one after another in a fleet per seed. It measures the number of periods until
+// the first and the last of the other members detect each crash.
+func MeasureCrashes(base Config, seeds, kills int) (Row, error) {
 	var first, last []float64
-	unseen := 0
+	undetected := 0
 	for seed := range uint64(seeds) {
 		cfg := base
 		cfg.Seed = seed + 1
@@ -54,44 +54,44 @@
 		if err != nil {
 			return Row{}, err
 		}
-		f.Until(400*Period, func() bool { return f.Agree(All) })
+		f.RunUntil(400*Period, func() bool { return f.Converged(All) })
 		for k := range kills {
 			f.Run(7*Period + Micros(k)*Period/7)
 			victim := f.Len() - 1 - k
-			at, known := f.Now(), map[int]Micros{}
-			f.Seen = func(s Seen) {
-				if s.Member.Name == Name(victim) && s.Member.State == membership.Dead {
-					if _, ok := known[s.By]; !ok {
-						known[s.By] = s.At - at
+			killedAt, detected := f.Now(), map[int]Micros{}
+			f.OnChange = func(c ViewChange) {
+				if c.Member.Name == Name(victim) && c.Member.State == membership.Dead {
+					if _, ok := detected[c.Observer]; !ok {
+						detected[c.Observer] = c.At - killedAt
 					}
 				}
 			}
 			f.Kill(victim)
-			up := 0
+			running := 0
 			for i := range f.Len() {
-				if f.Up(i) {
-					up++
+				if f.Running(i) {
+					running++
 				}
 			}
-			f.Until(100*Period, func() bool { return len(known) >= up })
-			unseen += up - len(known)
-			lo, hi := Micros(1<<62), Micros(0)
-			for _, d := range known {
-				lo, hi = min(lo, d), max(hi, d)
+			f.RunUntil(100*Period, func() bool { return len(detected) >= running })
+			undetected += running - len(detected)
+			minDelay, maxDelay := Micros(1<<62), Micros(0)
+			for _, d := range detected {
+				minDelay, maxDelay = min(minDelay, d), max(maxDelay, d)
 			}
-			first = append(first, float64(lo)/float64(Period))
-			last = append(last, float64(hi)/float64(Period))
+			first = append(first, float64(minDelay)/float64(Period))
+			last = append(last, float64(maxDelay)/float64(Period))
 		}
 	}
-	return Row{What: "crash", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds, Values: []Value{
+	return Row{Label: "crash", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds, Values: []Value{
 		{"first median", "periods", quantile(first, 0.5)}, {"p99", "periods", quantile(first, 0.99)},
 		{"last median", "periods", quantile(last, 0.5)}, {"p99", "periods", quantile(last, 0.99)},
-		{"never known", "members", float64(unseen)}}}, nil
+		{"never known", "members", float64(undetected)}}}, nil
 }
 
-// FalseDeaths runs sound fleets and counts how often one that runs is held to be dead by anybody, and the
-// bytes that it takes.
-func FalseDeaths(base Config, seeds int, each Micros) (Row, error) {
+// MeasureFalseDeaths runs fleets without crashes, each for the given duration. It counts how often any member
+// declares a running one dead, for slow members separately, and measures the traffic.
+func MeasureFalseDeaths(base Config, seeds int, duration Micros) (Row, error) {
 	sound, slow, hours, bytes, seconds := 0, 0, 0.0, 0.0, 0.0
 	for seed := range uint64(seeds) {
 		cfg := base
@@ -100,35 +100,36 @@
 		if err != nil {
 			return Row{}, err
 		}
-		f.Until(400*Period, func() bool { return f.Agree(All) })
+		f.RunUntil(400*Period, func() bool { return f.Converged(All) })
 		dead := map[string]bool{}
-		f.Seen = func(s Seen) {
-			if s.Member.State == membership.Dead {
-				dead[fmt.Sprint(s.Member.Name, " ", s.Member.Birth, s.Member.Incarnation)] = true
+		f.OnChange = func(c ViewChange) {
+			if c.Member.State == membership.Dead {
+				dead[fmt.Sprint(c.Member.Name, " ", c.Member.Birth, c.Member.Incarnation)] = true
 			}
 		}
-		was, begun := f.Bytes, f.Now()
-		f.Run(each)
-		for who := range dead {
+		startBytes, start := f.Bytes, f.Now()
+		f.Run(duration)
+		for id := range dead {
 			var i int
-			if _, _ = fmt.Sscanf(who, "m%04d ", &i); cfg.Slow != nil && cfg.Slow(i) {
+			if _, _ = fmt.Sscanf(id, "m%04d ", &i); cfg.IsSlow != nil && cfg.IsSlow(i) {
 				slow++
 			} else {
 				sound++
 			}
 		}
-		took := float64(f.Now()-begun) / 1e6
-		hours += took / 3600 * float64(base.Members)
-		bytes += float64(f.Bytes-was) / float64(base.Members)
-		seconds += took
+		elapsed := float64(f.Now()-start) / 1e6
+		hours += elapsed / 3600 * float64(base.Members)
+		bytes += float64(f.Bytes-startBytes) / float64(base.Members)
+		seconds += elapsed
 	}
-	return Row{What: "sound fleet", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds, Values: []Value{
+	return Row{Label: "sound fleet", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds, Values: []Value{
 		{"false deaths of sound members", "", float64(sound)}, {"of slow ones", "", float64(slow)},
 		{"in", "member-hours", hours}, {"traffic", "B/s a member", bytes / seconds}}}, nil
 }
 
-// Heals cuts fleets in half until both sides agree, heals them, and tells how long one view takes.
-func Heals(base Config, seeds int) (Row, error) {
+// MeasureHealing starts fleets, partitions each into halves until one half has converged, and heals it. It
+// measures the number of periods until the views converge in each of the three steps.
+func MeasureHealing(base Config, seeds int) (Row, error) {
 	var start, cut, heal []float64
 	failed := 0
 	for seed := range uint64(seeds) {
@@ -138,50 +139,51 @@
 		if err != nil {
 			return Row{}, err
 		}
-		note := func(to *[]float64, most Micros, among func(int) bool) {
-			took, ok := f.Until(most*Period, func() bool { return f.Agree(among) })
+		measure := func(results *[]float64, maxPeriods Micros, include func(int) bool) {
+			elapsed, ok := f.RunUntil(maxPeriods*Period, func() bool { return f.Converged(include) })
 			if !ok {
 				failed++
 			}
-			*to = append(*to, float64(took)/float64(Period))
+			*results = append(*results, float64(elapsed)/float64(Period))
 		}
-		note(&start, 400, All)
+		measure(&start, 400, All)
 		f.Run(5 * Period)
 		half := func(i int) bool { return i%2 == 0 }
-		f.Cut(func(a, b int) bool { return half(a) == half(b) })
-		note(&cut, 400, half)
+		f.Partition(func(a, b int) bool { return half(a) == half(b) })
+		measure(&cut, 400, half)
 		f.Run(20 * Period)
 		f.Heal()
-		note(&heal, 400, All)
+		measure(&heal, 400, All)
 	}
-	return Row{What: "mass start, halves, heal", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds,
+	return Row{Label: "mass start, halves, heal", Members: base.Members, Loss: base.Link.Loss, Seeds: seeds,
 		Values: []Value{{"start", "periods", quantile(start, 0.5)},
 			{"one half agrees", "periods", quantile(cut, 0.5)},
 			{"one view median", "periods", quantile(heal, 0.5)}, {"most", "periods", quantile(heal, 1)},
 			{"failed", "", float64(failed)}}}, nil
 }
 
-// Heartbeats is the plainest baseline: each member sends to all others once a period, and one that was not
-// heard of for so many periods is dead to whoever did not hear it. Links lose datagrams as the fleet's do,
-// and a member that is slow acts and hears late by a time drawn evenly up to its delay.
-func Heartbeats(base Config, seeds, silent int, each Micros) Row {
-	const size = 40 + overhead // a head and a digest, sealed
+// MeasureHeartbeats measures the simplest baseline: every member sends a heartbeat to all others once a
+// period, and a receiver that misses missedLimit of them in a row from one sender declares that sender dead.
+// Links lose datagrams as in the fleet, and the heartbeats of a slow member are late by a uniformly
+// distributed time of up to SlowDelay.
+func MeasureHeartbeats(base Config, seeds, missedLimit int, duration Micros) Row {
+	const size = 40 + sealOverhead // header and digest, sealed
 	deaths, hours := 0, 0.0
 	for seed := range uint64(seeds) {
 		rng := rand.New(rand.NewPCG(seed, 11))
 		n := base.Members
 		missed := make([]uint8, n*n)
-		for range int(each / Period) {
+		for range int(duration / Period) {
 			for from := range n {
-				slow := base.Slow != nil && base.Slow(from)
+				slow := base.IsSlow != nil && base.IsSlow(from)
 				for to := range n {
 					if from == to {
 						continue
 					}
 					m := &missed[from*n+to]
 					if rng.Float64() < base.Link.Loss ||
-						slow && rng.Int64N(base.SlowDelay+1) > Period*Micros(silent-1) {
-						if *m++; int(*m) == silent {
+						slow && rng.Int64N(base.SlowDelay+1) > Period*Micros(missedLimit-1) {
+						if *m++; int(*m) == missedLimit {
 							deaths++
 						}
 					} else {
@@ -190,9 +192,9 @@
 				}
 			}
 		}
-		hours += float64(each) / 1e6 / 3600 * float64(n)
+		hours += float64(duration) / 1e6 / 3600 * float64(n)
 	}
-	return Row{What: fmt.Sprintf("heartbeats to all, %d missed", silent), Members: base.Members,
+	return Row{Label: fmt.Sprintf("heartbeats to all, %d missed", missedLimit), Members: base.Members,
 		Loss: base.Link.Loss, Seeds: seeds, Values: []Value{{"false deaths", "", float64(deaths)},
 			{"in", "member-hours", hours}, {"rate", "a member-hour", float64(deaths) / hours},
 			{"traffic", "B/s a member", float64(base.Members-1) * size * 1e6 / float64(Period)}}}
