--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -150,8 +150,8 @@
 
 // A run with real processes: for some seconds the load is more than twice the capacity of the nodes, while
 // one process is killed and restarted and another is partitioned from the rest. Goodput must not collapse,
-// requests of higher worth are preferred, the overload level rises, goodput recovers afterwards, every request
-// ends exactly once, and the run can be saved, loaded, compared and drawn.
+// requests of higher worth are preferred, the overload level rises, goodput recovers afterwards, every
+// request ends exactly once, and the run can be saved, loaded, compared and drawn.
 func TestRealProcesses(t *testing.T) {
 	s, err := ParseScenario("short.toml", `about = "a short overload"
 members = 3
