--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -93,8 +93,8 @@
 		p.nodes = append(p.nodes, newEmulatedNode(s.Node, seed*1009+uint64(i)))
 	}
 	p.rig, err = rig.New(rig.Config{Dir: dir, Program: r.Program, Members: s.Members, Nodes: s.Nodes,
-		Seed: seed, Period: period, Limits: s.ExtraFleetConfig, Most: s.Members, Alone: s.Standalone,
-		Edit: worthEdits(),
+		Seed: seed, Period: period, ExtraFleetConfig: s.ExtraFleetConfig, MaxMembers: s.Members, Standalone: s.Standalone,
+		SettingsEdits: worthEdits(),
 		Answer: func(node int, part standin.Part) (string, string) {
 			p.record(time.Now(), func(x *Second) { x.Parts++ })
 			end := p.nodes[node].serve()
@@ -145,10 +145,10 @@
 // waitReady waits until all members are healthy and, unless they are standalone, their views have converged.
 func (p *liveRun) waitReady() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(20 * time.Millisecond) {
-		ok := p.scenario.Standalone || rig.Settled(p.rig.Members())
+		ok := p.scenario.Standalone || rig.Converged(p.rig.Members())
 		for _, m := range p.rig.Members() {
 			if ok {
-				r, err := m.Call("GET", "/admin/health", "")
+				r, err := m.CallAdmin("GET", "/admin/health", "")
 				ok = err == nil && r.Status == 200
 			}
 		}
@@ -193,10 +193,10 @@
 	}
 	switch e.Action {
 	case "cut":
-		p.rig.Cut([][]string{e.Targets, e.OtherSide})
+		p.rig.Partition([][]string{e.Targets, e.OtherSide})
 		return
 	case "heal":
-		p.rig.Between(rig.Fault{})
+		p.rig.SetAllLinkFaults(rig.Fault{})
 		return
 	}
 	for _, target := range e.Targets {
@@ -207,9 +207,9 @@
 		case "start":
 			_ = m.Start() // on failure, the process log has the reason
 		case "stop":
-			m.Stop()
+			m.Pause()
 		case "cont":
-			m.Cont()
+			m.Resume()
 		}
 	}
 }
@@ -318,10 +318,10 @@
 		return 0
 	}
 	for _, m := range p.rig.Members() {
-		if !m.Up() {
+		if !m.Running() {
 			continue
 		}
-		r, err := m.Call("GET", "/admin/overload", "")
+		r, err := m.CallAdmin("GET", "/admin/overload", "")
 		var v struct{ Level int }
 		if err == nil && json.Unmarshal(r.Body, &v) == nil {
 			level = max(level, v.Level)
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -134,7 +134,7 @@
 	sim.now = sim.epoch.UnixMicro()
 	sim.end = sim.now + int64(s.DurationS*1e6)
 	var settings map[string]any
-	text := strings.NewReplacer(worthEdits()...).Replace(rig.Settings)
+	text := strings.NewReplacer(worthEdits()...).Replace(rig.SettingsJSON)
 	if err := json.Unmarshal([]byte(text), &settings); err != nil {
 		return nil, err
 	}
