--- a/internal/fleetsim/measure_test.go
+++ b/internal/fleetsim/measure_test.go
@@ -81,7 +81,9 @@
 		})
 	}
 	for _, n := range []int{10, 100, 300, 1000, 3000} {
-		add(func() (Row, error) { return MeasureFalseDeaths(newConfig(n, 0, membership.Ablation{}, 0), 1, 40*Period) })
+		add(func() (Row, error) {
+			return MeasureFalseDeaths(newConfig(n, 0, membership.Ablation{}, 0), 1, 40*Period)
+		})
 	}
 	for k := range 4 { // 1,000 member-hours in total
 		add(withSuffix(", 5% loss", func() (Row, error) {
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -93,8 +93,8 @@
 		p.nodes = append(p.nodes, newEmulatedNode(s.Node, seed*1009+uint64(i)))
 	}
 	p.rig, err = rig.New(rig.Config{Dir: dir, Program: r.Program, Members: s.Members, Nodes: s.Nodes,
-		Seed: seed, Period: period, ExtraFleetConfig: s.ExtraFleetConfig, MaxMembers: s.Members, Standalone: s.Standalone,
-		SettingsEdits: worthEdits(),
+		Seed: seed, Period: period, ExtraFleetConfig: s.ExtraFleetConfig, MaxMembers: s.Members,
+		Standalone: s.Standalone, SettingsEdits: worthEdits(),
 		Answer: func(node int, part standin.Part) (string, string) {
 			p.record(time.Now(), func(x *Second) { x.Parts++ })
 			end := p.nodes[node].serve()
