--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -228,7 +228,7 @@
 			overloaded.InTime, r.Capacity)
 	}
 	if overloaded.Worth < 1.3*float64(overloaded.InTime) {
-		t.Errorf("%d answered requests have a worth of %.0f: those of higher worth are not preferred",
+		t.Errorf("%d answered requests have a worth of %.0f: what is worth most is not preferred",
 			overloaded.InTime, overloaded.Worth)
 	}
 	if level == 0 {
@@ -238,7 +238,7 @@
 		t.Errorf("after the overload, %d of %d requests were answered in time", after.InTime, after.Requests)
 	}
 	if seconds < 8 {
-		t.Errorf("progress was reported %d times", seconds)
+		t.Errorf("progress on how the run goes was reported %d times", seconds)
 	}
 	dir := filepath.Join(t.TempDir(), "runs")
 	for _, label := range []string{"as-is", "other"} {
@@ -258,7 +258,7 @@
 	}
 	page, err := os.ReadFile(filepath.Join(dir, "short.html"))
 	if err != nil || bytes.Count(page, []byte("<svg")) != 8 || bytes.Contains(page, []byte("<script")) {
-		t.Errorf("unexpected report page of %d bytes, error %v", len(page), err)
+		t.Errorf("unexpected report page: error %v, %d bytes", err, len(page))
 	}
 	for _, args := range [][]string{nil, {"dance"}, {"run"}, {"compare", "short", "as-is"}} {
 		if err := Command(args, &out, &out, ""); err == nil {
--- a/internal/rehearse/run.go
+++ b/internal/rehearse/run.go
@@ -87,48 +87,48 @@
 		return nil, err
 	}
 	defer os.RemoveAll(dir)
-	p := &liveRun{scenario: s, seconds: make([]Second, int(s.DurationS)+1),
+	run := &liveRun{scenario: s, seconds: make([]Second, int(s.DurationS)+1),
 		idleConns: map[string]chan *lnet.Client{}, hist: hdrhistogram.New(1, 60_000_000, 3)}
 	for i := range s.Nodes {
-		p.nodes = append(p.nodes, newEmulatedNode(s.Node, seed*1009+uint64(i)))
+		run.nodes = append(run.nodes, newEmulatedNode(s.Node, seed*1009+uint64(i)))
 	}
-	p.rig, err = rig.New(rig.Config{Dir: dir, Program: r.Program, Members: s.Members, Nodes: s.Nodes,
+	run.rig, err = rig.New(rig.Config{Dir: dir, Program: r.Program, Members: s.Members, Nodes: s.Nodes,
 		Seed: seed, Period: period, ExtraFleetConfig: s.ExtraFleetConfig, MaxMembers: s.Members,
 		Standalone: s.Standalone, SettingsEdits: worthEdits(),
 		Answer: func(node int, part standin.Part) (string, string) {
-			p.record(time.Now(), func(x *Second) { x.Parts++ })
-			end := p.nodes[node].serve()
+			run.record(time.Now(), func(x *Second) { x.Parts++ })
+			end := run.nodes[node].serve()
 			if end == "B" {
-				p.record(time.Now(), func(x *Second) { x.RejectedParts++ })
+				run.record(time.Now(), func(x *Second) { x.RejectedParts++ })
 			}
 			return end, "v:" + part.ID
 		}})
 	if err != nil {
 		return nil, err
 	}
-	defer p.rig.Close()
-	for _, m := range p.rig.Members() {
-		p.idleConns[m.Name] = make(chan *lnet.Client, maxIdleConns)
+	defer run.rig.Close()
+	for _, m := range run.rig.Members() {
+		run.idleConns[m.Name] = make(chan *lnet.Client, maxIdleConns)
 		if err := m.Start(); err != nil {
 			return nil, err
 		}
 	}
-	if err := p.waitReady(); err != nil {
+	if err := run.waitReady(); err != nil {
 		return nil, err
 	}
-	p.mu.Lock() // nodes may already have received parts of probes
-	p.started = time.Now()
-	p.mu.Unlock()
+	run.mu.Lock() // nodes may already have received parts of probes
+	run.started = time.Now()
+	run.mu.Unlock()
 	stop := make(chan struct{})
 	var background sync.WaitGroup
 	background.Add(2)
-	go func() { defer background.Done(); p.sampleLevels(stop, r.Progress) }()
-	go func() { defer background.Done(); p.runEvents(stop) }()
-	p.generateLoad(seed)
-	p.requests.Wait()
+	go func() { defer background.Done(); run.sampleLevels(stop, r.Progress) }()
+	go func() { defer background.Done(); run.runEvents(stop) }()
+	run.generateLoad(seed)
+	run.requests.Wait()
 	close(stop)
 	background.Wait()
-	return s.newRun(seed, label, p.seconds, p.hist), nil
+	return s.newRun(seed, label, run.seconds, run.hist), nil
 }
 
 // newRun builds a run from the measurements.
@@ -143,10 +143,10 @@
 }
 
 // waitReady waits until all members are healthy and, unless they are standalone, their views have converged.
-func (p *liveRun) waitReady() error {
+func (run *liveRun) waitReady() error {
 	for end := time.Now().Add(startTimeout); ; time.Sleep(20 * time.Millisecond) {
-		ok := p.scenario.Standalone || rig.Converged(p.rig.Members())
-		for _, m := range p.rig.Members() {
+		ok := run.scenario.Standalone || rig.Converged(run.rig.Members())
+		for _, m := range run.rig.Members() {
 			if ok {
 				r, err := m.CallAdmin("GET", "/admin/health", "")
 				ok = err == nil && r.Status == 200
@@ -162,45 +162,45 @@
 }
 
 // record updates the measurements of the second that contains the given time.
-func (p *liveRun) record(at time.Time, update func(*Second)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if i := int(at.Sub(p.started) / time.Second); !p.started.IsZero() && i >= 0 && i < len(p.seconds) {
-		update(&p.seconds[i])
+func (run *liveRun) record(at time.Time, update func(*Second)) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if i := int(at.Sub(run.started) / time.Second); !run.started.IsZero() && i >= 0 && i < len(run.seconds) {
+		update(&run.seconds[i])
 	}
 }
 
 // runEvents applies the events of the scenario at their times.
-func (p *liveRun) runEvents(stop <-chan struct{}) {
-	for _, e := range p.scenario.Events {
+func (run *liveRun) runEvents(stop <-chan struct{}) {
+	for _, e := range run.scenario.Events {
 		select {
-		case <-time.After(time.Until(p.started.Add(time.Duration(e.At * float64(time.Second))))):
+		case <-time.After(time.Until(run.started.Add(time.Duration(e.At * float64(time.Second))))):
 		case <-stop:
 			return
 		}
-		p.apply(e)
+		run.apply(e)
 	}
 }
 
-func (p *liveRun) apply(e Event) {
+func (run *liveRun) apply(e Event) {
 	if isNodeAction(e.Action) {
 		for _, target := range e.Targets {
 			n := 0
 			_, _ = fmt.Sscanf(target, "n%d", &n)
-			p.nodes[n].setMode(e.Action, e.SlowFactor)
+			run.nodes[n].setMode(e.Action, e.SlowFactor)
 		}
 		return
 	}
 	switch e.Action {
 	case "cut":
-		p.rig.Partition([][]string{e.Targets, e.OtherSide})
+		run.rig.Partition([][]string{e.Targets, e.OtherSide})
 		return
 	case "heal":
-		p.rig.SetAllLinkFaults(rig.Fault{})
+		run.rig.SetAllLinkFaults(rig.Fault{})
 		return
 	}
 	for _, target := range e.Targets {
-		m := p.rig.Member(target)
+		m := run.rig.Member(target)
 		switch e.Action {
 		case "kill":
 			m.Kill()
@@ -215,7 +215,7 @@
 }
 
 // sampleLevels records the highest overload level once a second, and reports progress.
-func (p *liveRun) sampleLevels(stop <-chan struct{}, progress func(int, Second)) {
+func (run *liveRun) sampleLevels(stop <-chan struct{}, progress func(int, Second)) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
 	for i := 0; ; i++ {
@@ -224,100 +224,100 @@
 			return
 		case <-tick.C:
 		}
-		level := p.maxLevel()
-		p.mu.Lock()
-		if i < len(p.seconds) {
-			p.seconds[i].MaxLevel = level
-			if x := p.seconds[max(0, i-1)]; progress != nil {
-				p.mu.Unlock()
+		level := run.maxLevel()
+		run.mu.Lock()
+		if i < len(run.seconds) {
+			run.seconds[i].MaxLevel = level
+			if x := run.seconds[max(0, i-1)]; progress != nil {
+				run.mu.Unlock()
 				progress(i, x)
 				continue
 			}
 		}
-		p.mu.Unlock()
+		run.mu.Unlock()
 	}
 }
 
 // generateLoad starts requests as a Poisson process at the current rate. It never waits for an answer, so
 // slow answers do not lower the load or the measured latency (no coordinated omission).
-func (p *liveRun) generateLoad(seed uint64) {
+func (run *liveRun) generateLoad(seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 77))
 	number := 0
 	for at := 0.0; ; {
-		rate := p.scenario.Load.rateAt(at)
+		rate := run.scenario.Load.rateAt(at)
 		if rate <= 0 {
 			at += 0.01
 		} else {
 			at += rng.ExpFloat64() / rate
 		}
-		if at >= p.scenario.DurationS {
+		if at >= run.scenario.DurationS {
 			return
 		}
-		due := p.started.Add(time.Duration(at * float64(time.Second)))
+		due := run.started.Add(time.Duration(at * float64(time.Second)))
 		time.Sleep(time.Until(due))
 		if rate <= 0 {
 			continue
 		}
 		number++
 		id := fmt.Sprintf("q%07d", number)
-		post := rng.Float64() < p.scenario.Load.PostShare
+		post := rng.Float64() < run.scenario.Load.PostShare
 		member := rng.Uint64()
-		p.requests.Add(1)
+		run.requests.Add(1)
 		go func() {
-			defer p.requests.Done()
-			p.runRequest(id, post, due, member)
+			defer run.requests.Done()
+			run.runRequest(id, post, due, member)
 		}()
 	}
 }
 
 // runRequest sends one request, and retries it at the next member until it is answered or out of retries.
-func (p *liveRun) runRequest(id string, post bool, due time.Time, member uint64) {
+func (run *liveRun) runRequest(id string, post bool, due time.Time, member uint64) {
 	class, worth := "rate-check", 1.0
 	if post {
 		class, worth = "exchange-post", postWorth
 	}
-	p.record(due, func(x *Second) { x.Requests++; x.OfferedWorth += worth })
+	run.record(due, func(x *Second) { x.Requests++; x.OfferedWorth += worth })
 	status := 0
-	for try := 0; try <= p.scenario.Load.Retries; try++ {
+	for try := 0; try <= run.scenario.Load.Retries; try++ {
 		started := time.Now()
 		if try == 0 {
 			started = due
 		}
-		p.record(due, func(x *Second) { x.Tries++ })
+		run.record(due, func(x *Second) { x.Tries++ })
 		var retryAfter time.Duration
-		status, retryAfter = p.send(p.rig.Members()[(member+uint64(try))%uint64(p.scenario.Members)], id, class,
-			try > 0)
+		status, retryAfter = run.send(run.rig.Members()[(member+uint64(try))%uint64(run.scenario.Members)],
+			id, class, try > 0)
 		if took := time.Since(started); status == 200 {
-			p.mu.Lock()
-			_ = p.hist.RecordValue(max(1, time.Since(due).Microseconds()))
-			p.mu.Unlock()
+			run.mu.Lock()
+			_ = run.hist.RecordValue(max(1, time.Since(due).Microseconds()))
+			run.mu.Unlock()
 			if took <= aim {
-				p.record(due, func(x *Second) { x.InTime++; x.Worth += worth })
+				run.record(due, func(x *Second) { x.InTime++; x.Worth += worth })
 			} else {
-				p.record(due, func(x *Second) { x.Late++ })
+				run.record(due, func(x *Second) { x.Late++ })
 			}
 			return
 		}
-		if !p.scenario.Load.HonorRetryAfter || retryAfter <= 0 {
+		if !run.scenario.Load.HonorRetryAfter || retryAfter <= 0 {
 			retryAfter = defaultRetryDelay
 		}
-		if try < p.scenario.Load.Retries {
+		if try < run.scenario.Load.Retries {
 			time.Sleep(retryAfter)
 		}
 	}
 	if status == 503 {
-		p.record(due, func(x *Second) { x.Refused++ })
+		run.record(due, func(x *Second) { x.Refused++ })
 	} else {
-		p.record(due, func(x *Second) { x.Lost++ })
+		run.record(due, func(x *Second) { x.Lost++ })
 	}
 }
 
 // maxLevel returns the highest overload level that the admin endpoint of any running member reports.
-func (p *liveRun) maxLevel() (level int) {
-	if p.scenario.Standalone {
+func (run *liveRun) maxLevel() (level int) {
+	if run.scenario.Standalone {
 		return 0
 	}
-	for _, m := range p.rig.Members() {
+	for _, m := range run.rig.Members() {
 		if !m.Running() {
 			continue
 		}
@@ -331,10 +331,10 @@
 }
 
 // send sends one try to a member. It returns status 0 if there was no answer.
-func (p *liveRun) send(m *rig.Member, id, class string, retry bool) (status int, retryAfter time.Duration) {
+func (run *liveRun) send(m *rig.Member, id, class string, retry bool) (status int, retryAfter time.Duration) {
 	var c *lnet.Client
 	var err error
-	idle := p.idleConns[m.Name]
+	idle := run.idleConns[m.Name]
 	select {
 	case c = <-idle:
 	default:
--- a/internal/rehearse/virtual.go
+++ b/internal/rehearse/virtual.go
@@ -238,11 +238,11 @@
 func (m *simMember) handle(e core.Event) {
 	if m.running {
 		m.core.Handle(e)
-		m.planStep()
+		m.scheduleStep()
 	}
 }
 
-func (m *simMember) planStep() {
+func (m *simMember) scheduleStep() {
 	at := m.core.NextStep(m.sim.now)
 	if at == 0 || m.stepAt > 0 && m.stepAt <= at {
 		return
@@ -255,7 +255,7 @@
 		}
 		m.stepAt = 0
 		m.core.Step(m.sim.now)
-		m.planStep()
+		m.scheduleStep()
 	})
 }
 
@@ -557,7 +557,7 @@
 		m.core.Submit(&core.Query{Name: r.id, Class: r.class, Key: "k" + r.id, Repeat: r.tries > 1, Backend: m,
 			Deadline: sim.timeAt(sim.now + rules.Deadline), Client: simClient{r, m, number},
 			Parts: []core.PartSpec{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}})
-		m.planStep()
+		m.scheduleStep()
 	})
 	sim.scheduleAfter(deadline+time.Second, func() { r.endTry(0, number) })
 }
