--- a/internal/rehearse/rehearse_test.go
+++ b/internal/rehearse/rehearse_test.go
@@ -97,7 +97,7 @@
 		t.Errorf("end letters %v, want 5 S and 4 B", ends)
 	}
 	if took := time.Since(started); took < 300*time.Millisecond { // five parts of 100 ms, two at a time
-		t.Errorf("all parts finished after %v", took)
+		t.Errorf("all parts done after %v", took)
 	}
 	n.setMode("fail", 0)
 	if end := n.serve(); end != "E" {
@@ -200,7 +200,8 @@
 	overloaded, before, after, level := Second{}, Second{}, Second{}, 0
 	for i, x := range r.Seconds {
 		if x.Requests != x.InTime+x.Late+x.Refused+x.Lost {
-			t.Errorf("second %d: %d requests, but %d results", i, x.Requests, x.InTime+x.Late+x.Refused+x.Lost)
+			t.Errorf("second %d: %d requests were asked, but %d ended", i, x.Requests,
+				x.InTime+x.Late+x.Refused+x.Lost)
 		}
 		level = max(level, x.MaxLevel)
 		sum := &overloaded
@@ -335,7 +336,8 @@
 	level := 0
 	for i, x := range a.Seconds {
 		if x.Requests != x.InTime+x.Late+x.Refused+x.Lost {
-			t.Errorf("second %d: %d requests, but %d results", i, x.Requests, x.InTime+x.Late+x.Refused+x.Lost)
+			t.Errorf("second %d: %d requests were asked, but %d ended", i, x.Requests,
+				x.InTime+x.Late+x.Refused+x.Lost)
 		}
 		level = max(level, x.MaxLevel)
 	}
