--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -33,8 +33,8 @@
 	Name string `toml:"-"`
 }
 
-// Ledger configures the emulated data nodes, which are all alike. The type names of a scenario's tables appear
-// in messages about malformed files.
+// Ledger configures the emulated data nodes, which are all alike. The type names of a scenario's tables
+// appear in messages about malformed files.
 type Ledger struct {
 	Slots     int     `toml:"slots"`           // parts processed concurrently
 	Queue     int     `toml:"queue"`           // parts that can wait; further ones are rejected
