--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -80,7 +80,8 @@
 	case "import":
 		flags.StringVar(&importOpts.Listen, "listen", "127.0.0.1:9090", "address that the front listens on")
 		flags.StringVar(&importOpts.Class, "class", "", "class that requests count as")
-		flags.StringVar(&importOpts.Target, "for", importer.TargetPromQL, "what the file is for: promql or translate")
+		flags.StringVar(&importOpts.Target, "for", importer.TargetPromQL,
+			"what the file is for: promql or translate")
 		wantArgs = 1
 	case "admission":
 		flags.StringVar(&admission.addr, "door", "", "address of the operators' door")
@@ -234,8 +235,9 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	front, err := promql.New(file, promql.Environment{Classes: cfg.Classes, Settings: cfg.Module, Zones: cfg.Zones,
-		Shards: cfg.Shards, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle, Standalone: alone, Log: log})
+	front, err := promql.New(file, promql.Environment{Classes: cfg.Classes, Settings: cfg.Module,
+		Zones: cfg.Zones, Shards: cfg.Shards, DialTimeout: cfg.DialTimeout, ConnIdle: cfg.ConnIdle,
+		Standalone: alone, Log: log})
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", files.ranges, err)
 	}
--- a/internal/grpcnode/connread.go
+++ b/internal/grpcnode/connread.go
@@ -38,8 +38,8 @@
 			s := c.streams[streamErr.StreamID]
 			c.mu.Unlock()
 			if s != nil {
-				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil,
-					http2.ErrCodeProtocol)
+				c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply},
+					core.Value{}, nil, http2.ErrCodeProtocol)
 			}
 			continue
 		}
@@ -232,8 +232,8 @@
 		return nil
 	}
 	fail := func(code http2.ErrCode) error {
-		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply}, core.Value{}, nil,
-			code)
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnreadableReply},
+			core.Value{}, nil, code)
 		return nil
 	}
 	if f.Truncated {
@@ -279,8 +279,8 @@
 	}
 	status, known := translate.ParseStatus(code)
 	if !known {
-		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnknownStatus}, core.Value{}, nil,
-			http2.ErrCodeNo)
+		c.finishStream(s, translate.Result{Outcome: balance.Error, Reason: translate.UnknownStatus},
+			core.Value{}, nil, http2.ErrCodeNo)
 		return nil
 	}
 	r, v, report := translate.FromStatus(status, unseen), core.Value{}, []float32(nil)
--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -151,8 +151,8 @@
 
 func newRig(t *testing.T, cfg Config, credentials *Credentials, nodes ...Target) *rig {
 	r := &rig{t: t, outcomes: map[*core.Attempt]core.AttemptDone{}, outcomeCount: map[*core.Attempt]int{}}
-	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{}, &translate.FailureCounts{},
-		func(e core.Event) {
+	r.backend = New(cfg, credentials, lnet.NewBudget(50, 0), standin.DiscardLogger(), &core.Counts{},
+		&translate.FailureCounts{}, func(e core.Event) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
 			switch e := e.(type) {
@@ -218,7 +218,8 @@
 		}
 	})
 	t.Run("left out by GOAWAY", func(t *testing.T) {
-		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: second}, func(standin.GRPCCall) standin.GRPCReply {
+		options := standin.GRPCOptions{GoAwayBefore: second}
+		n := standin.NewGRPCNode(t, options, func(standin.GRPCCall) standin.GRPCReply {
 			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
 		})
 		r := newRig(t, testConfig, nil, target(n))
--- a/internal/platform/noderace_test.go
+++ b/internal/platform/noderace_test.go
@@ -53,8 +53,8 @@
 	t.Helper()
 	outcomes = make(chan core.AttemptDone, 16)
 	edit = append(edit, `"streamsPerConn":2`, `"streamsPerConn":20`) // all on the one that is blocked
-	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
-		func(e core.Event) {
+	n = NewNodes(testConfig(t, newDiscovery(t), edit...), lnet.NewBudget(10, 0), standin.DiscardLogger(),
+		&core.Counts{}, func(e core.Event) {
 			if o, ok := e.(core.AttemptDone); ok {
 				outcomes <- o
 			}
--- a/internal/platform/ordering_test.go
+++ b/internal/platform/ordering_test.go
@@ -78,7 +78,8 @@
 	var k *core.Core
 	n := NewNodes(cfg, lnet.NewBudget(10, 0), standin.DiscardLogger(), &core.Counts{},
 		func(e core.Event) { k.Post(e) })
-	k, err := core.New(core.Config{Settings: cfg.Module, Backends: []core.Backend{n}, Log: standin.DiscardLogger()})
+	k, err := core.New(core.Config{Settings: cfg.Module, Backends: []core.Backend{n},
+		Log: standin.DiscardLogger()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -241,7 +241,9 @@
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.WaitFor(t, "the full budget", func() bool { return successor.upgrade.budget.Capacity() == fullBudget })
+	standin.WaitFor(t, "the full budget", func() bool {
+		return successor.upgrade.budget.Capacity() == fullBudget
+	})
 }
 
 // A process may be taken over from while its own predecessor still shuts down. The three share what one
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -201,7 +201,8 @@
 	both[0].Health = "terminating"
 	calls, down = d.count(), false
 	mu.Unlock()
-	standin.WaitFor(t, "the watch that follows the answer", func() bool { // until then the full list is requested
+	// Until that watch the full list is requested.
+	standin.WaitFor(t, "the watch that follows the answer", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return slices.ContainsFunc(d.seen[calls:], func(q string) bool { return q != "" })
