--- a/internal/grpcnode/backend.go
+++ b/internal/grpcnode/backend.go
@@ -245,7 +245,7 @@
 		return c
 	}
 	if best == nil {
-		b.log.Warn("no file descriptor is left for a connection to a node", "node", n.name)
+		b.log.Warn("no descriptor is left for a node", "node", n.name)
 		return nil
 	}
 	if queued >= b.cfg.QueuePerNode {
--- a/internal/grpcnode/connwrite.go
+++ b/internal/grpcnode/connwrite.go
@@ -134,7 +134,7 @@
 	}
 	for _, d := range dropped {
 		if d.reason != core.NoHold {
-			c.backend.log.Info("attempt not started", "node", c.node.name, "query", d.stream.attempt.Query.Name,
+			c.backend.log.Info("attempt not begun", "node", c.node.name, "query", d.stream.attempt.Query.Name,
 				"shard", d.stream.attempt.Shard, "why", string(d.reason))
 		}
 	}
@@ -143,7 +143,7 @@
 // Abort guarantees that the write loop sends no further byte.
 func (c *conn) Abort() {
 	lnet.Abort(c.raw)
-	c.backend.log.Warn("write aborted: its request has ended and the writer was stuck", "node", c.node.name)
+	c.backend.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
 }
 
 // abortWriteAfter aborts the connection's write if a call's first byte has still not been written after the
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -126,7 +126,7 @@
 			return
 		}
 		if err != nil && spare.rejectOne(s.listener, err) {
-			s.log.Warn("connection closed: out of file descriptors", "err", err)
+			s.log.Warn("connection closed: no descriptor is left", "err", err)
 			continue
 		}
 		if err != nil { // out of descriptors or similar: transient
