--- a/balance/api.go
+++ b/balance/api.go
@@ -62,7 +62,7 @@
 	CallCost  Micros  // work of a call in addition to that of its parts
 	CrossCost float64 // cost of a part sent to another zone, as a share of the worth requested
 	Subscribe bool    // list changes arrive only after Watch or Fetch
-	MustAsk   Micros  // upper bound of the delay before a failed list call is retried; 0: MaxListRetryDelay
+	MustAsk   Micros  // limit on the delay before a failed list call is retried, if < MaxListRetryDelay; 0: none
 
 	DialTimeout   Micros // after this time a connection attempt is given up as NoConnection; 0: unknown
 	MaxOpen       int    // maximum number of queries and parts open at once
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -251,7 +251,7 @@
 		if b.subscribed || b.listBackoff == 0 {
 			b.listBackoff = ListRetryDelay
 		}
-		if b.settings.MustAsk > 0 { // up to four times this may pass after a failed call
+		if b.settings.MustAsk > 0 { // the rules on drains allow up to four times this after a failed call
 			b.listBackoff = min(b.listBackoff, b.settings.MustAsk)
 		}
 		b.nextListCall = b.now + b.listBackoff/2 + b.rng.Int64N(b.listBackoff/2+1)
@@ -509,7 +509,7 @@
 		}
 		c.hedgeDelay = min(c.hedgeDelay, maxHedgeDelay*float64(p.query.rules.Aim))
 		b.recordLatency(r, p.query.class, age/t.load())
-		b.callmates += (float64(t.call.sent-1) - b.callmates) / ewmaParts
+		b.otherCallParts += (float64(t.call.sent-1) - b.otherCallParts) / ewmaParts
 		if !t.overdue {
 			b.recordConnLoss(t, 0)
 			b.lossShare -= b.lossShare / ewmaParts
@@ -541,7 +541,7 @@
 		b.adjustWeight(r, -weightStep*noConnectionPenalty)
 	case Busy: // its queue is full: a part sent now would wait behind all of it
 		b.recordLatency(r, p.query.class, b.minAim)
-		r.peerLatency.add(b.minAim, 1/b.fleetScale-1) // all peers see the same full queue at the same time
+		r.peerLatency.add(b.minAim, 1/b.fleetScale-1) // all peers see the same full queue at once: 1 in total
 		b.adjustWeight(r, -weightStep*busyPenalty)
 	}
 	if t.neverRan = e.Outcome == Busy || e.Outcome == NoConnection || e.Outcome == NotSent; t.neverRan {
@@ -733,7 +733,8 @@
 		leastWait := math.Inf(1)
 		b.forEachHolder(p.shard, func(r *replica) {
 			if b.coldBudgetAllows(r) { // a part that waits for a cold replica would delay the whole query
-				leastWait = min(leastWait, b.expectedLatency(r, q.class)*(float64(r.openParts)+1+b.callmates))
+				leastWait = min(leastWait,
+					b.expectedLatency(r, q.class)*(float64(r.openParts)+1+b.otherCallParts))
 			}
 		})
 		if !math.IsInf(leastWait, 1) {
@@ -748,10 +749,10 @@
 	wait := waits[min(len(waits)-1, int(admitQuantile*floor*float64(len(waits))))]
 	smallness := min(1, smallFleetAdmitPeers/float64(max(1, b.settings.Peers)))
 	share := admitShare + smallFleetAdmitShare*smallness
-	// Rejected parts are sent again and use capacity twice. In a small fleet the own queues reflect that.
+	// Rejected parts are sent again and use capacity twice. In a small fleet this instance's queues show that.
 	share *= 1 - (1-smallness)*min(maxRejectedCut, rejectedCut*b.rejectedShare)
 	// Relative delay of the last required part.
-	tail := math.Log(float64(len(q.parts)) / (1 + b.callmates))
+	tail := math.Log(float64(len(q.parts)) / (1 + b.otherCallParts))
 	if floor < 1-2*weightTolerance {
 		tail = min(tail, -math.Log(1-floor))
 	}
@@ -1006,8 +1007,8 @@
 	}
 }
 
-// AvoidedCount returns the number of replicas that are ready and currently avoided: those that
-// reportChanges logs, but without its delay and hysteresis.
+// AvoidedCount returns the number of replicas that are ready and currently avoided. Unlike reportChanges it
+// has neither delay nor hysteresis, and it counts a replica whose process refused connections.
 func (b *Balancer) AvoidedCount() int {
 	n, mean := 0, b.meanLatency()
 	for _, r := range b.replicas {
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -425,7 +425,7 @@
 }
 
 func TestNewNamesTheField(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, invalidate := range map[string]func(*Settings){
 		"Classes":     func(s *Settings) { s.Classes = nil },
 		"Cells":       func(s *Settings) { s.Cells = 0 },
 		"Reach":       func(s *Settings) { s.Reach = 0 },
@@ -434,7 +434,7 @@
 		"Floor":       func(s *Settings) { s.Classes[0].Floor = 2 },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: error %v", name, err)
 		}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -121,7 +121,7 @@
 		a.balancer.recordLatency(a.balancer.byID[1], 0, 900_000)
 		a.balancer.recordLatency(a.balancer.byID[2], 0, 50_000)
 	}
-	heard := 0
+	messages := 0
 	for range 10 {
 		a.now += gossipInterval
 		for _, m := range ofKind(Tell, a.step(Event{Kind: WakeUp})) {
@@ -130,12 +130,12 @@
 			}
 			b.now = a.now
 			b.step(Event{Kind: Message, From: 0, Data: []byte(m.Text)})
-			heard++
+			messages++
 		}
 	}
 	if slow, quick := b.balancer.expectedLatency(b.balancer.byID[1], 0),
-		b.balancer.expectedLatency(b.balancer.byID[2], 0); heard == 0 || slow < 2*quick {
-		t.Fatalf("after %d messages %v us expected of the slow replica, %v of the other", heard, slow, quick)
+		b.balancer.expectedLatency(b.balancer.byID[2], 0); messages == 0 || slow < 2*quick {
+		t.Fatalf("after %d messages %v us expected of the slow replica, %v of the other", messages, slow, quick)
 	}
 }
 
--- a/balance/input_test.go
+++ b/balance/input_test.go
@@ -97,7 +97,7 @@
 }
 
 func TestContradictingSettingsNameTheField(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Classes":           func(s *Settings) { s.Classes = nil },
 		"Cells":             func(s *Settings) { s.Cells = 0 },
 		"Reach":             func(s *Settings) { s.Reach = -1 },
@@ -115,7 +115,7 @@
 		"Classes[0].Window": func(s *Settings) { s.Classes[0].Effect = Keyed },
 	} {
 		s := settings()
-		spoil(&s)
+		invalidate(&s)
 		want := "balance: Settings." + field + " "
 		if _, err := New(s, 1); err == nil || len(err.Error()) < len(want) || err.Error()[:len(want)] != want {
 			t.Errorf("%s invalid: error %v", field, err)
--- a/balance/late_test.go
+++ b/balance/late_test.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Failed list calls are retried with exponential back-off and jitter, within MustAsk: instances that lost
-// discovery at the same time must not keep calling it at the same times.
+// Failed list calls are retried with exponential back-off and jitter, within MustAsk, the limit of the rules
+// on drains: instances that lost discovery at the same time must not keep calling it at the same times.
 func TestListCallsBackOff(t *testing.T) {
 	for _, must := range []Micros{0, 3000 * ms, 8000 * ms} {
 		var first []Micros
--- a/balance/state.go
+++ b/balance/state.go
@@ -45,7 +45,7 @@
 	warmSize           float64 // total size of the warm replicas, decaying
 	out                []Action
 	maxPatience        float64 // largest share of a class's deadline that a client has waited for a try
-	callmates          float64 // EWMA of the number of other parts in a part's call
+	otherCallParts     float64 // EWMA of the number of other parts in a part's call
 	wakeAt             Micros
 	listPending        bool
 	subscribed         bool
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -55,8 +55,8 @@
 	Cordon(id string, cordoned bool, within time.Duration) error
 }
 
-// Gate is what the endpoint needs of an admission controller.
-type Gate interface {
+// AdmissionController is what the endpoint needs of an admission controller.
+type AdmissionController interface {
 	Stats(n int) any
 	BanOrPin(p netip.Prefix, pinned bool, span time.Duration)
 	Lift(p netip.Prefix)
@@ -89,8 +89,8 @@
 // DelayState is a State with statistics of late actions, to be shown as JSON.
 type DelayState interface{ Delays() any }
 
-// GateState is a State with an admission controller, or nil without one.
-type GateState interface{ Gate() Gate }
+// AdmissionState is a State with an admission controller, or nil without one.
+type AdmissionState interface{ Admission() AdmissionController }
 
 // maxTopAddresses is how many addresses are shown.
 const maxTopAddresses = 20
@@ -105,11 +105,11 @@
 // call.
 func (srv *Server) serveAdmission(r *lnet.Request, x *lnet.Exchange, reply func(int, string)) bool {
 	call, ok := strings.CutPrefix(r.Path, "/admin/admission")
-	s, gated := srv.state.(GateState)
-	if !ok || !gated || s.Gate() == nil {
+	s, gated := srv.state.(AdmissionState)
+	if !ok || !gated || s.Admission() == nil {
 		return false
 	}
-	g := s.Gate()
+	g := s.Admission()
 	switch call {
 	case "":
 		if r.Method != "GET" {
--- a/internal/core/attempt.go
+++ b/internal/core/attempt.go
@@ -38,11 +38,11 @@
 // The reasons why an attempt may not begin. The texts are written to the log.
 const (
 	NoHold         HoldReason = ""
-	HoldExpired    HoldReason = "its deadline has passed"
-	HoldWindow     HoldReason = "the window of its key has passed"
+	HoldExpired    HoldReason = "its time is over"
+	HoldWindow     HoldReason = "the window for repeats of its key is over"
 	HoldClientLeft HoldReason = "its client has left"
-	HoldFinished   HoldReason = "its request has ended"
-	HoldDraining   HoldReason = "its server is draining"
+	HoldFinished   HoldReason = "its request is over"
+	HoldDraining   HoldReason = "its server drains"
 )
 
 // BeginWrite reports whether the attempt's first byte may be written now, and how long the core will wait
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -470,7 +470,7 @@
 	}
 	k.process(ListUpdate{Mode: balance.Full, Replicas: []balance.Replica{{ID: 1, State: balance.Ready, Size: 1},
 		{ID: 2, State: balance.Ready, Size: 1}}})
-	judge := func(id balance.ReplicaID, by CordonSource, out bool, order uint64) {
+	setVerdict := func(id balance.ReplicaID, by CordonSource, out bool, order uint64) {
 		k.process(Cordon{Server: id, Source: by, Cordoned: out, Order: order, AllowUnlisted: true})
 	}
 	states := func(one, two balance.State) {
@@ -479,9 +479,9 @@
 			t.Fatalf("states %d and %d, not %d and %d", a, b, one, two)
 		}
 	}
-	judge(2, ByFleetEvidence, true, 7)
+	setVerdict(2, ByFleetEvidence, true, 7)
 	states(balance.Ready, balance.Draining)
-	judge(1, ByZoneEvidence, true, 9)
+	setVerdict(1, ByZoneEvidence, true, 9)
 	states(balance.Ready, balance.Draining) // the later verdict does not apply: one server must remain
 	k.cordon(1, true)
 	states(balance.Draining, balance.Ready) // an operator's cordon has precedence over evidence
@@ -492,12 +492,12 @@
 	}
 	k.cordon(1, false)
 	states(balance.Ready, balance.Draining)
-	judge(2, ByFleetEvidence, false, 7)
+	setVerdict(2, ByFleetEvidence, false, 7)
 	states(balance.Draining, balance.Ready)
 	if k.applyCordons(k.servers[2]).Started == 0 {
 		t.Error("an uncordoned server counts as warm")
 	}
-	judge(1, ByZoneEvidence, false, 9)
+	setVerdict(1, ByZoneEvidence, false, 9)
 	states(balance.Ready, balance.Ready)
 	if len(k.verdictOrder)+len(k.evidenceCordons) > 0 {
 		t.Errorf("%d orders and %d evidence cordons are kept", len(k.verdictOrder), len(k.evidenceCordons))
--- a/internal/core/events.go
+++ b/internal/core/events.go
@@ -61,7 +61,7 @@
 	Cordoned      bool
 	Source        CordonSource   // a server stays cordoned until each source that cordoned it has uncordoned it
 	At            balance.Micros // when it was requested, in Unix microseconds; 0: now
-	AllowUnlisted bool           // another process of this coordinator knows the server
+	AllowUnlisted bool           // another process or the fleet knows the server: it need not be listed here
 	Order         uint64         // by evidence: precedence when not all servers may be cordoned, lowest first
 	Done          chan<- bool    // receives once whether the server is known; must be buffered; may be nil
 }
--- a/internal/core/starts.go
+++ b/internal/core/starts.go
@@ -12,7 +12,7 @@
 
 // startTimes converts the start times of servers to the module's clock. Lists give them by the wall clock,
 // which may be stepped while this process runs: without the conversion a server that has just started
-// could count as warm for long.
+// could pass for one that has been warm for a long time.
 type startTimes struct {
 	reported map[balance.ReplicaID]balance.Micros // as given by the last list
 	started  map[balance.ReplicaID]balance.Micros // on the module's clock
--- a/internal/core/writebarrier.go
+++ b/internal/core/writebarrier.go
@@ -75,9 +75,9 @@
 // abortWriter aborts the writes of one writer that are in progress.
 func (b *writeBarrier) abortWriter(w Writer) {
 	b.mu.Lock()
-	inside := slices.DeleteFunc(b.active, func(x Writer) bool { return x == w })
-	aborted := len(inside) < len(b.active)
-	b.active = inside
+	remaining := slices.DeleteFunc(b.active, func(x Writer) bool { return x == w })
+	aborted := len(remaining) < len(b.active)
+	b.active = remaining
 	if aborted {
 		w.Abort()
 	}
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// fleetGate checks queries and attempts against the fleet's overload level and limits.
-type fleetGate struct {
+// fleetAdmission checks queries and attempts against the fleet's overload level and limits.
+type fleetAdmission struct {
 	k      *Coordinator
 	cached *atomic.Pointer[classRanks]
 }
@@ -223,7 +223,7 @@
 }
 
 // rank returns the rank of a class by worth.
-func (l fleetGate) rank(cfg *Config, class int) int {
+func (l fleetAdmission) rank(cfg *Config, class int) int {
 	r := l.cached.Load()
 	if r == nil || r.cfg != cfg {
 		worth := make([]float64, len(cfg.Module.Classes))
@@ -237,7 +237,7 @@
 }
 
 // Admit reports whether a query may be admitted.
-func (l fleetGate) Admit(q *core.Query) (bool, time.Duration, string) {
+func (l fleetAdmission) Admit(q *core.Query) (bool, time.Duration, string) {
 	cfg := l.k.front.cfg.Load()
 	class, queryID := cfg.Classes[q.Class], q.Name
 	if q.Key != "" {
@@ -257,7 +257,7 @@
 }
 
 // QueryEnded releases what a query held, and reports its outcome.
-func (l fleetGate) QueryEnded(q *core.Query, e core.QueryOutcome) {
+func (l fleetAdmission) QueryEnded(q *core.Query, e core.QueryOutcome) {
 	l.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
@@ -266,7 +266,7 @@
 }
 
 // AllowSend reports whether an attempt may be sent.
-func (l fleetGate) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+func (l fleetAdmission) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
 	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
 	}
@@ -281,7 +281,7 @@
 }
 
 // AttemptEnded releases what an attempt held.
-func (l fleetGate) AttemptEnded(a *core.Attempt) {
+func (l fleetAdmission) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
 		l.k.fleet.ReleaseTicket(t)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -138,7 +138,7 @@
 		}
 		coreCfg.Peers = k.fleet
 		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.OverloadEnabled() {
-			coreCfg.Admission = fleetGate{k, &atomic.Pointer[classRanks]{}}
+			coreCfg.Admission = fleetAdmission{k, &atomic.Pointer[classRanks]{}}
 		}
 		k.enableEvidence(&coreCfg)
 	}
@@ -337,13 +337,13 @@
 // Delays returns the statistics of actions that were carried out late.
 func (a adminState) Delays() any { return a.k.delays.Stats() }
 
-// Gate returns the admission controller, or nil where only the budget limits connections.
-func (a adminState) Gate() admin.Gate {
+// Admission returns the admission controller, or nil where only the budget limits connections.
+func (a adminState) Admission() admin.AdmissionController {
 	for _, x := range a.k.extras {
 		if g, ok := x.(interface {
 			Gate() *lnet.AdmissionController
 		}); ok && g.Gate() != nil {
-			return admissionGate{g.Gate()}
+			return adminAdmission{g.Gate()}
 		}
 	}
 	return nil
@@ -405,11 +405,11 @@
 	return a.k.fleet.Limits()
 }
 
-// admissionGate adapts an admission controller to the admin endpoint.
-type admissionGate struct{ *lnet.AdmissionController }
+// adminAdmission adapts an admission controller to the admin endpoint.
+type adminAdmission struct{ *lnet.AdmissionController }
 
 // Stats returns the statistics that the admin endpoint shows.
-func (g admissionGate) Stats(n int) any { return g.AdmissionController.Stats(n) }
+func (g adminAdmission) Stats(n int) any { return g.AdmissionController.Stats(n) }
 
 // Cordon cordons or uncordons a data node.
 func (a adminState) Cordon(id string, cordoned bool, within time.Duration) error {
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -29,8 +29,8 @@
 	inFlight int    // at the borrower of concurrency units: requests in flight on it
 }
 
-// loanBook records the loans of one member in one limit.
-type loanBook struct {
+// loanLedger records the loans of one member in one limit.
+type loanLedger struct {
 	limitID  uint64
 	period   Micros
 	hold     Micros // time for which a request admitted on a loan may continue after the loan has ended
@@ -67,7 +67,7 @@
 }
 
 // setWindows sets the times in which this member holds its own lease and those of dead members.
-func (b *loanBook) setWindows(own window, others []window) {
+func (b *loanLedger) setWindows(own window, others []window) {
 	b.leaseWindows = leaseWindows{own, others}
 }
 
@@ -98,22 +98,22 @@
 // useTime is how long the borrower uses a loan at most, lentTime how long the lender counts it as lent at
 // least, and startWait how long a process that does not know its predecessor's loans has to wait. They differ
 // by the clock drift, so that a loan ends at the borrower first.
-func (b *loanBook) useTime() Micros   { return terms(b.period, 1-2*MaxDrift) }
-func (b *loanBook) lentTime() Micros  { return terms(b.period, 1+MaxDrift) + withDrift(b.hold) }
-func (b *loanBook) startWait() Micros { return terms(b.period, 1+3*MaxDrift) + withDrift(b.hold) }
+func (b *loanLedger) useTime() Micros   { return terms(b.period, 1-2*MaxDrift) }
+func (b *loanLedger) lentTime() Micros  { return terms(b.period, 1+MaxDrift) + withDrift(b.hold) }
+func (b *loanLedger) startWait() Micros { return terms(b.period, 1+3*MaxDrift) + withDrift(b.hold) }
 
 // withDrift is the longest time on this clock for a duration measured on another member's clock.
 func withDrift(d Micros) Micros { return Micros(float64(d) * (1 + 3*MaxDrift)) }
 
 // expire removes the loans that have ended. A borrowed loan with requests in flight stays until they finish,
 // but admits no more.
-func (b *loanBook) expire(now Micros) {
+func (b *loanLedger) expire(now Micros) {
 	b.lent = slices.DeleteFunc(b.lent, func(l loan) bool { return l.until <= now })
 	b.borrowed = slices.DeleteFunc(b.borrowed, func(l loan) bool { return l.until <= now && l.inFlight == 0 })
 }
 
 // lentFrom returns how much of a pool is lent.
-func (b *loanBook) lentFrom(p pool) (sum float64) {
+func (b *loanLedger) lentFrom(p pool) (sum float64) {
 	for i := range b.lent {
 		if b.lent[i].pool == p {
 			sum += b.lent[i].amount
@@ -123,7 +123,7 @@
 }
 
 // nextExpiry returns the time at which the next loan ends.
-func (b *loanBook) nextExpiry() Micros {
+func (b *loanLedger) nextExpiry() Micros {
 	at := Micros(math.MaxInt64)
 	for i := range b.lent {
 		at = min(at, b.lent[i].until)
@@ -144,7 +144,7 @@
 	loanMessageSize = 1 + 8 + 8 + 4 + 8
 )
 
-func (b *loanBook) encode(kind byte, l *loan, amount float64) []byte {
+func (b *loanLedger) encode(kind byte, l *loan, amount float64) []byte {
 	d := binary.LittleEndian.AppendUint64([]byte{kind}, b.limitID)
 	d = binary.LittleEndian.AppendUint64(d, l.id)
 	d = binary.LittleEndian.AppendUint32(d, l.seq)
@@ -152,7 +152,7 @@
 }
 
 // decode decodes a message. It returns false if the message is malformed or for another limit.
-func (b *loanBook) decode(from string, data []byte) (kind byte, l loan, amount float64, ok bool) {
+func (b *loanLedger) decode(from string, data []byte) (kind byte, l loan, amount float64, ok bool) {
 	if id, ok := MessageLimitID(data); !ok || id != b.limitID {
 		return 0, loan{}, 0, false
 	}
@@ -170,14 +170,14 @@
 }
 
 // request returns a request for a loan or its renewal.
-func (b *loanBook) request(now Micros, l *loan, amount float64) Message {
+func (b *loanLedger) request(now Micros, l *loan, amount float64) Message {
 	b.seq++
 	l.seq, l.askedAt = b.seq, now
 	return Message{To: l.peer, Data: b.encode(msgRequest, l, amount)}
 }
 
 // renew requests the renewal of loans early enough that a request can be repeated if the answer is lost.
-func (b *loanBook) renew(now Micros) (out []Message) {
+func (b *loanLedger) renew(now Micros) (out []Message) {
 	for i := range b.borrowed {
 		if l := &b.borrowed[i]; now < l.until && l.until-now < terms(b.period, renewBelow) {
 			out = append(out, b.request(now, l, l.amount))
@@ -188,7 +188,7 @@
 
 // borrow asks several members, each for the whole missing amount: most grant little, and an excess is
 // returned later. The number of members asked depends on how many shares are missing.
-func (b *loanBook) borrow(now Micros, missing, share float64, peers []string) (out []Message) {
+func (b *loanLedger) borrow(now Micros, missing, share float64, peers []string) (out []Message) {
 	if len(peers) == 0 {
 		return nil
 	}
@@ -209,13 +209,13 @@
 }
 
 // dropUnanswered removes requests that were not granted in time.
-func (b *loanBook) dropUnanswered(now Micros) {
+func (b *loanLedger) dropUnanswered(now Micros) {
 	b.pending = slices.DeleteFunc(b.pending, func(l loan) bool { return now-l.askedAt > 2*b.period })
 }
 
 // grant grants or renews a loan and returns the messages to send. newLoan returns the amount of a new loan
 // and the pool to lend from; mayRenew reports whether an existing loan from a pool may be renewed.
-func (b *loanBook) grant(now Micros, l loan, newLoan func() (float64, pool),
+func (b *loanLedger) grant(now Micros, l loan, newLoan func() (float64, pool),
 	mayRenew func(p pool) bool) (out []Message) {
 	i := slices.IndexFunc(b.lent, func(x loan) bool { return x.id == l.id && x.peer == l.peer })
 	if i < 0 {
@@ -233,7 +233,7 @@
 }
 
 // acceptGrant handles the grant or renewal of a loan. It reports whether the loan was added or extended.
-func (b *loanBook) acceptGrant(now Micros, l loan, amount float64) bool {
+func (b *loanLedger) acceptGrant(now Micros, l loan, amount float64) bool {
 	same := func(x loan) bool { return x.id == l.id && x.peer == l.peer }
 	if i := slices.IndexFunc(b.borrowed, same); i >= 0 {
 		x := &b.borrowed[i]
@@ -257,7 +257,7 @@
 }
 
 // endLoan handles the return of a loan.
-func (b *loanBook) endLoan(l loan) {
+func (b *loanLedger) endLoan(l loan) {
 	b.lent = slices.DeleteFunc(b.lent, func(x loan) bool { return x.id == l.id && x.peer == l.peer })
 }
 
@@ -271,7 +271,7 @@
 }
 
 // saveLent returns the granted loans for the successor.
-func (b *loanBook) saveLent(now Micros) (lent []SavedLoan) {
+func (b *loanLedger) saveLent(now Micros) (lent []SavedLoan) {
 	for _, l := range b.lent {
 		lent = append(lent, SavedLoan{l.id, l.peer, l.amount, l.until - now, uint8(l.pool)})
 	}
@@ -279,7 +279,7 @@
 }
 
 // restoreLent adds the loans that another process has granted.
-func (b *loanBook) restoreLent(now Micros, lent []SavedLoan) {
+func (b *loanLedger) restoreLent(now Micros, lent []SavedLoan) {
 	for _, l := range lent {
 		b.lent = append(b.lent, loan{id: l.ID, peer: l.Peer, amount: l.Amount, until: now + l.Remaining,
 			pool: min(pool(l.Pool), poolCount-1)})
@@ -287,7 +287,7 @@
 }
 
 // stalest returns the time since the oldest borrowed loan was last granted.
-func (b *loanBook) stalest(now Micros) (age Micros) {
+func (b *loanLedger) stalest(now Micros) (age Micros) {
 	for i := range b.borrowed {
 		age = max(age, now-b.borrowed[i].askedAt)
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -52,7 +52,7 @@
 // Share is one member's share of a rate limit, implemented as a token bucket.
 type Share struct {
 	Limit
-	loanBook
+	loanLedger
 	members int
 
 	usableFrom Micros  // time from which the whole share may be used
@@ -80,7 +80,7 @@
 
 // NewShare returns the share of a member that starts without state from a predecessor.
 func NewShare(l Limit, members int, period Micros, seed uint64, now Micros) *Share {
-	s := &Share{Limit: l, loanBook: loanBook{limitID: l.ID, period: period, rng: rand.NewPCG(seed, 9)},
+	s := &Share{Limit: l, loanLedger: loanLedger{limitID: l.ID, period: period, rng: rand.NewPCG(seed, 9)},
 		members: members, fraction: 1, refilledAt: now, usedSince: now}
 	s.usableFrom = now + s.startWait()
 	s.recompute(now)
--- a/internal/quota/slots.go
+++ b/internal/quota/slots.go
@@ -7,10 +7,10 @@
 
 // Slots is one member's share of a fleet-wide concurrency limit. It owns whole concurrency slots and lends
 // them as a Share lends rates. A request admitted on a borrowed slot may end after the loan, but at most the
-// limit's hold time later: the lender counts the slot as lent for that long (see loanBook.lentTime).
+// limit's hold time later: the lender counts the slot as lent for that long (see loanLedger.lentTime).
 type Slots struct {
 	Limit // Rate is the number of requests in flight
-	loanBook
+	loanLedger
 	members     int
 	rosterIndex int // index in the roster: the first members own the remainder of the division; -1: unknown
 
@@ -40,8 +40,8 @@
 // duration of a request on a slot outside the floor.
 func NewSlots(l Limit, members, rosterIndex int, period, hold Micros, seed uint64, now Micros) *Slots {
 	s := &Slots{Limit: l,
-		loanBook: loanBook{limitID: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
-		members:  members, rosterIndex: rosterIndex, keptBesideSuccessor: -1}
+		loanLedger: loanLedger{limitID: l.ID, period: period, hold: hold, rng: rand.NewPCG(seed, 10)},
+		members:    members, rosterIndex: rosterIndex, keptBesideSuccessor: -1}
 	s.usableFrom = now + s.startWait()
 	s.recompute(now)
 	return s
