--- a/balance/balance.go
+++ b/balance/balance.go
@@ -749,7 +749,7 @@
 	wait := waits[min(len(waits)-1, int(admitQuantile*floor*float64(len(waits))))]
 	smallness := min(1, smallFleetAdmitPeers/float64(max(1, b.settings.Peers)))
 	share := admitShare + smallFleetAdmitShare*smallness
-	// Rejected parts are sent again and use capacity twice. In a small fleet this instance's queues show that.
+	// Rejected parts are sent again and use capacity twice. In a small fleet the queues seen here show that.
 	share *= 1 - (1-smallness)*min(maxRejectedCut, rejectedCut*b.rejectedShare)
 	// Relative delay of the last required part.
 	tail := math.Log(float64(len(q.parts)) / (1 + b.otherCallParts))
--- a/internal/verdict/observer.go
+++ b/internal/verdict/observer.go
@@ -10,7 +10,7 @@
 	Window       = 150 // age after which an observation no longer counts
 	windowSlots  = 50  // slots per window in which good outcomes are counted
 	maxNodes     = 4096
-	recoveryRun  = 6      // consecutive good outcomes that end a episode of bad ones
+	recoveryRun  = 6      // consecutive good outcomes that end an episode of bad ones
 	lateMultiple = 8.0    // an attempt is late above this multiple of its class's median
 	minLate      = 50_000 // microseconds; a shorter attempt is never late
 	// minHedgeWins is the number of attempts that must lose to a hedged one, with none served in between, before
