--- a/internal/rig/build.go
+++ b/internal/rig/build.go
@@ -1,7 +1,8 @@
-// Package rig runs several processes of the program on loopback and puts faults between them: for tests and
-// for tools that measure. Each member has addresses of its own in 127.0.0.0/8, and each directed link between
-// two members, and from a member to a data node or to discovery, runs through a relay. What happened goes
-// into one history. It is never linked into serving, and ends only processes that it has started.
+// Package rig runs several processes of the program on loopback and injects faults between them, for tests
+// and measurement tools. Each member has its own addresses in 127.0.0.0/8. Every directed link between two
+// members, and from a member to a data node or to discovery, runs through a relay. All events go into one
+// history. The package must never be linked into the serving program, and it kills only processes that it has
+// started.
 package rig
 
 import (
@@ -21,9 +22,9 @@
 	err  error
 }
 
-// Program builds the program once for this process and returns its path. Where the race detector watches the
-// caller it watches the program too.
-func Program() (string, error) {
+// BuildProgram builds the program once per test process and returns its path. If the caller is built with the
+// race detector, so is the program.
+func BuildProgram() (string, error) {
 	build.once.Do(func() {
 		dir, err := os.MkdirTemp("", "lapislever-rig-")
 		if err != nil {
@@ -32,7 +33,7 @@
 		}
 		path := filepath.Join(dir, "lapislever")
 		args := []string{"build", "-o", path}
-		if raced {
+		if raceEnabled {
 			args = append(args, "-race")
 		}
 		out, err := exec.Command("go", append(args, "lapislever/cmd/lapislever")...).CombinedOutput()
@@ -44,21 +45,22 @@
 	return build.path, build.err
 }
 
-// Clean removes what Program has built.
+// RemoveProgram removes the program that BuildProgram has built.
 func Clean() {
 	if build.path != "" {
 		_ = os.RemoveAll(filepath.Dir(build.path))
 	}
 }
 
-// starter starts processes from one thread that lives as long as this process: when that ends, however it
-// does, the kernel kills them (PR_SET_PDEATHSIG goes by the thread).
+// starter starts processes from one OS thread that lives as long as this process. PR_SET_PDEATHSIG is bound
+// to the parent thread, so the kernel kills the processes when this process ends, however it ends.
 var starter struct {
 	once sync.Once
 	in   chan func()
 }
 
-func onStarter(f func()) {
+// onStarterThread runs f on the starter's thread and waits for it.
+func onStarterThread(f func()) {
 	starter.once.Do(func() {
 		starter.in = make(chan func())
 		go func() {
@@ -75,24 +77,24 @@
 
 // Proc is one process of the program.
 type Proc struct {
-	cmd  *exec.Cmd
-	log  *os.File
-	Log  string // its log's path
-	done chan struct{}
-	err  error // once done
+	cmd     *exec.Cmd
+	log     *os.File
+	LogPath string
+	done    chan struct{} // closed once the process has exited
+	err     error         // valid once done is closed
 }
 
-// Start starts the program.
+// Start starts the program; its output is appended to the file log.
 func Start(path string, args, env []string, log string) (*Proc, error) {
 	f, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proc{cmd: exec.Command(path, args...), log: f, Log: log, done: make(chan struct{})}
+	p := &Proc{cmd: exec.Command(path, args...), log: f, LogPath: log, done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.Stdout, p.cmd.Stderr = f, f
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	onStarter(func() { err = p.cmd.Start() })
+	onStarterThread(func() { err = p.cmd.Start() })
 	if err != nil {
 		_ = f.Close()
 		return nil, err
@@ -105,11 +107,12 @@
 	return p, nil
 }
 
-// Signal sends a signal to the process, and to no other: it is not reaped before it has ended.
+// Signal sends a signal to the process. It cannot hit another process that reuses the PID, because os.Process
+// sends nothing once the process has been reaped.
 func (p *Proc) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Ended tells that the process is over.
-func (p *Proc) Ended() bool {
+// Exited reports whether the process has exited.
+func (p *Proc) Exited() bool {
 	select {
 	case <-p.done:
 		return true
@@ -118,17 +121,18 @@
 	}
 }
 
-// Wait waits for the process's end, and returns its exit status; -1: a signal has ended it, or it goes on.
-func (p *Proc) Wait(most time.Duration) int {
+// Wait waits up to timeout for the process to exit and returns its exit status. It returns -1 if a signal
+// terminated the process or it is still running.
+func (p *Proc) Wait(timeout time.Duration) int {
 	select {
 	case <-p.done:
 		return p.cmd.ProcessState.ExitCode()
-	case <-time.After(most):
+	case <-time.After(timeout):
 		return -1
 	}
 }
 
-// Kill ends the process at once and waits for that.
+// Kill sends SIGKILL and waits until the process has exited.
 func (p *Proc) Kill() {
 	p.Signal(syscall.SIGKILL)
 	<-p.done
--- a/internal/rig/clock.go
+++ b/internal/rig/clock.go
@@ -1,8 +1,8 @@
 package rig
 
-// Clock faults: the tracer sees each look of the program at a clock, moves the wall clock by steps, and holds
-// threads that have just looked. The kernel lets a process read its clocks without a system call (vDSO); the
-// program is started without that.
+// Clock faults: the tracer intercepts each clock read of the program, steps the wall clock, and holds threads
+// that have just read a clock. A process normally reads its clocks through the vDSO, without a system call;
+// the program is started without the vDSO, so that the tracer sees every read.
 
 import (
 	"encoding/binary"
@@ -13,67 +13,67 @@
 )
 
 const (
-	callEnd = syscall.SIGTRAP | 0x80 // how a thread stops at the end of a call
-	// Entries of a program's auxiliary vector.
-	auxEnd    = 0
-	auxIgnore = 1
-	auxVDSO   = 33
-	wordSize  = 8
-	auxMost   = 64 // entries; a program has some twenty
+	syscallExitStop = syscall.SIGTRAP | 0x80 // stop signal of a thread at the exit of a system call
+	// Entry types of the auxiliary vector.
+	auxvNull       = 0
+	auxvIgnore     = 1
+	auxvVDSO       = 33
+	wordSize       = 8
+	maxAuxvEntries = 64 // bound on the scan; a program has about twenty entries
 )
 
-// clockLook is a look at a clock that is under way.
-type clockLook struct {
+// clockRead is a clock read in progress.
+type clockRead struct {
 	clock uint64
-	at    uintptr // where the kernel writes the time
+	addr  uintptr // where the kernel writes the time
 }
 
-// clockTracer is the part of a tracer that sees clocks.
+// clockTracer intercepts clock reads for a tracer.
 type clockTracer struct {
-	pending map[int]clockLook // by thread
+	pending map[int]clockRead // by thread
 }
 
-// begin takes in that a thread makes a call. It tells whether that is a look at a clock, at whose end the
-// thread is to stop.
-func (c *clockTracer) begin(t *tracer, tid int) bool {
-	info, ok := callInfo(tid)
+// enter handles a thread that enters a system call. It reports whether the call is a clock read, at whose
+// exit the thread must stop.
+func (c *clockTracer) enter(t *tracer, tid int) bool {
+	info, ok := readSyscallInfo(tid)
 	if !ok || info.number != unix.SYS_CLOCK_GETTIME {
 		return false
 	}
-	c.pending[tid] = clockLook{info.args[0], uintptr(info.args[1])}
+	c.pending[tid] = clockRead{info.args[0], uintptr(info.args[1])}
 	return true
 }
 
-// end takes in that a thread has looked at a clock, and tells how long it is to be held.
-func (c *clockTracer) end(t *tracer, tid int) time.Duration {
-	look, ok := c.pending[tid]
+// exit handles a thread that has read a clock, and returns how long to hold the thread.
+func (c *clockTracer) exit(t *tracer, tid int) time.Duration {
+	read, ok := c.pending[tid]
 	delete(c.pending, tid)
-	if !ok || t.begun.IsZero() {
+	if !ok || t.programStart.IsZero() {
 		return 0
 	}
-	age := time.Since(t.begun)
-	if by := t.plan.Clock.stepped(age); by != 0 && look.clock == unix.CLOCK_REALTIME {
-		moveTime(t.plan.PID, look.at, by)
+	age := time.Since(t.programStart)
+	if by := t.plan.Clock.offset(age); by != 0 && read.clock == unix.CLOCK_REALTIME {
+		shiftTime(t.plan.PID, read.addr, by)
 	}
 	f := t.plan.Clock
-	if f.Every > 0 && age%f.Every >= f.For || t.random.Float64() >= f.Share {
+	if f.BurstInterval > 0 && age%f.BurstInterval >= f.BurstLength || t.random.Float64() >= f.Share {
 		return 0
 	}
-	return f.Least + time.Duration(t.random.Int64N(int64(max(1, f.Most-f.Least))))
+	return f.MinHold + time.Duration(t.random.Int64N(int64(max(1, f.MaxHold-f.MinHold))))
 }
 
-// stepped is how far the wall clock is off, so long after the program began.
-func (f *ClockFaults) stepped(age time.Duration) (by time.Duration) {
+// offset returns the wall-clock offset at the given time since the program started.
+func (f *ClockFaults) offset(age time.Duration) (by time.Duration) {
 	for _, s := range f.Steps {
 		if age >= s.After {
-			by = s.By
+			by = s.Offset
 		}
 	}
 	return by
 }
 
-// moveTime changes the time that the kernel has written into the program's memory.
-func moveTime(pid int, at uintptr, by time.Duration) {
+// shiftTime adds by to the timespec that the kernel has written into the program's memory.
+func shiftTime(pid int, at uintptr, by time.Duration) {
 	var b [2 * wordSize]byte
 	if !readMemory(pid, at, b[:]) {
 		return
@@ -85,7 +85,8 @@
 	writeMemory(pid, at, b[:])
 }
 
-// hideVDSO has a program that is about to begin find no vDSO, so that each look at a clock is a system call.
+// hideVDSO removes the vDSO entry from the auxiliary vector of a program that is about to start, so that
+// every clock read is a system call.
 func hideVDSO(pid, tid int) {
 	var regs unix.PtraceRegs
 	if unix.PtraceGetRegs(tid, &regs) != nil {
@@ -100,20 +101,20 @@
 		at += wordSize
 		return binary.LittleEndian.Uint64(word[:])
 	}
-	arguments := next()
-	at += uintptr(arguments+1) * wordSize
-	for next() != 0 { // the environment
+	argc := next()
+	at += uintptr(argc+1) * wordSize
+	for next() != 0 { // skip the environment
 	}
-	for range auxMost {
-		place := at
+	for range maxAuxvEntries {
+		entry := at
 		key := next()
 		next()
 		switch key {
-		case auxEnd:
+		case auxvNull:
 			return
-		case auxVDSO:
-			binary.LittleEndian.PutUint64(word[:], auxIgnore)
-			writeMemory(pid, place, word[:])
+		case auxvVDSO:
+			binary.LittleEndian.PutUint64(word[:], auxvIgnore)
+			writeMemory(pid, entry, word[:])
 			return
 		}
 	}
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -1,7 +1,8 @@
 package rig
 
-// The stand-in for discovery: one list for all members, each of which reaches the nodes over relays of its
-// own and is known by the port that it asks at. A change is told at once to each call that waits.
+// The stand-in for discovery. All members get the same list, except that each reaches the nodes through its
+// own relays; a member is identified by the port that it connects to. A change answers all waiting watches at
+// once.
 
 import (
 	"encoding/json"
@@ -23,7 +24,7 @@
 
 var zones = [2]string{"praha", "brno"}
 
-type host struct {
+type hostRecord struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
 	Site   string  `json:"site"`
@@ -35,39 +36,39 @@
 }
 
 type hostList struct {
-	Seq   int    `json:"seq"`
-	Whole bool   `json:"whole"`
-	Hosts []host `json:"hosts"`
+	Seq   int          `json:"seq"`
+	Whole bool         `json:"whole"`
+	Hosts []hostRecord `json:"hosts"`
 }
 
-// discovery holds the list and who waits for news of it.
+// discovery holds the list and the watches that wait for a change of it.
 type discovery struct {
-	rig     *Rig
-	mu      sync.Mutex // guards what follows
-	seq     int
-	health  []string
-	changed []int // the version in which a node last changed
-	drains  []time.Time
-	waiting map[*waitingCall]struct{}
+	rig           *Rig
+	mu            sync.Mutex // guards the fields below
+	seq           int
+	health        []string
+	changedSeq    []int // sequence number of each node's last change
+	drainingSince []time.Time
+	watches       map[*watch]struct{}
 }
 
-// waitingCall is a watch that has not been answered.
-type waitingCall struct {
+// watch is a long-poll request that has not been answered.
+type watch struct {
 	member, index int
 	exchange      *lnet.Exchange
-	limit         *time.Timer
+	timer         *time.Timer
 }
 
-// openDiscovery starts the stand-in.
+// openDiscovery starts the stand-in, with one listener per possible member.
 func (r *Rig) openDiscovery() error {
-	d := &discovery{rig: r, seq: 1, waiting: map[*waitingCall]struct{}{}, changed: make([]int, len(r.nodes)),
-		drains: make([]time.Time, len(r.nodes))}
+	d := &discovery{rig: r, seq: 1, watches: map[*watch]struct{}{}, changedSeq: make([]int, len(r.nodes)),
+		drainingSince: make([]time.Time, len(r.nodes))}
 	for range r.nodes {
 		d.health = append(d.health, inService)
 	}
-	r.disco = d
-	for i := range mostMembers {
-		l, err := lnet.Listen(r.host(250, portDisco+i), lnet.NewBudget(32, 0), standin.Quiet(),
+	r.discovery = d
+	for i := range maxMembers {
+		l, err := lnet.Listen(r.addr(250, portDiscovery+i), lnet.NewBudget(32, 0), standin.Quiet(),
 			func(q *lnet.Request, x *lnet.Exchange) func() { return d.serve(i, q, x) })
 		if err != nil {
 			return err
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// serve takes one call of a member.
+// serve handles one request of a member.
 func (d *discovery) serve(member int, q *lnet.Request, x *lnet.Exchange) func() {
 	v, _ := url.ParseQuery(q.Query)
 	d.mu.Lock()
@@ -93,36 +94,38 @@
 		return nil
 	}
 	wait, _ := strconv.Atoi(v.Get("wait"))
-	call := &waitingCall{member: member, index: index, exchange: x}
-	call.limit = time.AfterFunc(time.Duration(wait)*time.Millisecond, func() { d.finish(call) })
-	d.waiting[call] = struct{}{}
-	return func() { d.forget(call) }
+	w := &watch{member: member, index: index, exchange: x}
+	w.timer = time.AfterFunc(time.Duration(wait)*time.Millisecond, func() { d.expire(w) })
+	d.watches[w] = struct{}{}
+	return func() { d.cancel(w) }
 }
 
-// finish answers a call whose wait is over.
-func (d *discovery) finish(call *waitingCall) {
+// expire answers a watch whose wait has elapsed.
+func (d *discovery) expire(w *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if _, waits := d.waiting[call]; waits {
-		delete(d.waiting, call)
-		d.reply(call.member, call.index, call.exchange)
+	if _, waiting := d.watches[w]; waiting {
+		delete(d.watches, w)
+		d.reply(w.member, w.index, w.exchange)
 	}
 }
 
-func (d *discovery) forget(call *waitingCall) {
+// cancel removes a watch whose client has disconnected.
+func (d *discovery) cancel(w *watch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	call.limit.Stop()
-	delete(d.waiting, call)
+	w.timer.Stop()
+	delete(d.watches, w)
 }
 
-// reply answers with what has changed since a version; since none: with the whole list. The caller holds mu.
+// reply answers with the changes since a sequence number, or with the full list if since is negative. The
+// caller holds mu.
 func (d *discovery) reply(member, since int, x *lnet.Exchange) {
-	list := hostList{Seq: d.seq, Whole: since < 0, Hosts: []host{}}
+	list := hostList{Seq: d.seq, Whole: since < 0, Hosts: []hostRecord{}}
 	for j, health := range d.health {
-		if d.changed[j] > since {
-			list.Hosts = append(list.Hosts, host{Host: fmt.Sprintf("n%d", j),
-				Dial: d.rig.relayHost(1+member, portNode+1000+j), Site: zones[j/2%2], Block: j % 2, Health: health,
+		if d.changedSeq[j] > since {
+			list.Hosts = append(list.Hosts, hostRecord{Host: fmt.Sprintf("n%d", j),
+				Dial: d.rig.relayAddr(1+member, portNode+1000+j), Site: zones[j/2%2], Block: j % 2, Health: health,
 				Share: 1})
 		}
 	}
@@ -130,34 +133,34 @@
 	x.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: b})
 }
 
-// change tells of a node's new state.
-func (d *discovery) change(node int, health string) {
+// setHealth sets a node's state and answers all waiting watches.
+func (d *discovery) setHealth(node int, health string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.seq++
-	d.health[node], d.changed[node], d.drains[node] = health, d.seq, time.Time{}
+	d.health[node], d.changedSeq[node], d.drainingSince[node] = health, d.seq, time.Time{}
 	if health == terminating {
-		d.drains[node] = time.Now()
+		d.drainingSince[node] = time.Now()
 	}
-	for call := range d.waiting {
-		call.limit.Stop()
-		d.reply(call.member, call.index, call.exchange)
+	for w := range d.watches {
+		w.timer.Stop()
+		d.reply(w.member, w.index, w.exchange)
 	}
-	clear(d.waiting)
+	clear(d.watches)
 }
 
-// Drain has discovery tell that a data node drains, and Restore that it is in service again.
-func (r *Rig) Drain(node int) { r.disco.change(node, terminating) }
+// Drain makes discovery announce a data node as terminating.
+func (r *Rig) Drain(node int) { r.discovery.setHealth(node, terminating) }
 
-// Restore has discovery tell that a data node is in service.
-func (r *Rig) Restore(node int) { r.disco.change(node, inService) }
+// Restore makes discovery announce a data node as in service.
+func (r *Rig) Restore(node int) { r.discovery.setHealth(node, inService) }
 
-// Draining is for how long discovery has told that a node drains; 0: it does not.
-func (r *Rig) Draining(node int) time.Duration {
-	r.disco.mu.Lock()
-	defer r.disco.mu.Unlock()
-	if at := r.disco.drains[node]; !at.IsZero() {
-		return time.Since(at)
+// DrainingFor returns how long ago discovery announced the node as terminating; 0 if it is in service.
+func (r *Rig) DrainingFor(node int) time.Duration {
+	r.discovery.mu.Lock()
+	defer r.discovery.mu.Unlock()
+	if since := r.discovery.drainingSince[node]; !since.IsZero() {
+		return time.Since(since)
 	}
 	return 0
 }
--- a/internal/rig/evidence_test.go
+++ b/internal/rig/evidence_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// judged are the verdicts by evidence at a member's door: kind and what.
-func (m *Member) judged() (out []string) {
+// evidenceVerdicts are the verdicts by evidence at a member's door: kind and what.
+func (m *Member) evidenceVerdicts() (out []string) {
 	reply, err := m.Call("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}
@@ -27,28 +27,28 @@
 	return out
 }
 
-// illRig is five members in two zones before eight data nodes, with a short period, so that an illness is
-// told and over in seconds.
-func illRig(t *testing.T, share float64, seed uint64, edit ...string) *Rig {
+// startEvidenceRig is five members in two zones before eight data nodes, with a short period, so that an
+// illness is told and over in seconds.
+func startEvidenceRig(t *testing.T, share float64, seed uint64, edit ...string) *Rig {
 	t.Helper()
 	r, err := New(Config{Dir: t.TempDir(), Period: period / 2, Members: 5, Nodes: 8, Seed: seed, Rate: 40,
 		Limits: fmt.Sprintf("[fleet.evidence]\nshare = %g\n", share), Edit: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAfter(t, r)
+	closeOnCleanup(t, r)
 	for _, m := range r.Members() {
 		if err := m.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitSettled(t, r, "start")
+	awaitConverged(t, r, "start")
 	return r
 }
 
 // Measured: what sick nodes still get and how long sound ones are out, with verdicts by evidence, without,
 // and without the modules' messages too (each finds out alone). LAPISLEVER_LONG=1 prints the table.
-func TestMeasureEvidence(t *testing.T) {
+func TestMeasureEvidenceVerdicts(t *testing.T) {
 	if os.Getenv("LAPISLEVER_LONG") == "" {
 		t.Skip("a long measurement")
 	}
@@ -60,28 +60,31 @@
 	zone := func(r *Rig, z string, node string, f Fault) {
 		for _, m := range r.Members() {
 			if m.Zone == z {
-				r.Link(m.Name, node, f)
+				r.SetLinkFault(m.Name, node, f)
 			}
 		}
 	}
 	trials := []trial{
-		{"failing for all", func(r *Rig) { r.Sicken(0, Failing) }, []string{"n0"}},
-		{"slow for all", func(r *Rig) { r.Sicken(0, Slow) }, []string{"n0"}},
-		{"deaf for all", func(r *Rig) { r.Sicken(0, Deaf) }, []string{"n0"}},
+		{"failing for all", func(r *Rig) { r.SetNodeFault(0, Failing) }, []string{"n0"}},
+		{"slow for all", func(r *Rig) { r.SetNodeFault(0, Slow) }, []string{"n0"}},
+		{"deaf for all", func(r *Rig) { r.SetNodeFault(0, Unresponsive) }, []string{"n0"}},
 		{"deaf to one zone", func(r *Rig) { zone(r, "praha", "n0", Fault{Cut: true}) }, nil},
 		{"one member's links sick", func(r *Rig) {
 			for i := range 8 {
-				r.Link("m01", fmt.Sprint("n", i), Fault{DelayMS: 600})
+				r.SetLinkFault("m01", fmt.Sprint("n", i), Fault{DelayMS: 600})
 			}
 		}, nil},
-		{"two of a shard", func(r *Rig) { r.Sicken(0, Failing); r.Sicken(2, Deaf) }, []string{"n0", "n2"}},
+		{"two of a shard", func(r *Rig) {
+			r.SetNodeFault(0, Failing)
+			r.SetNodeFault(2, Unresponsive)
+		}, []string{"n0", "n2"}},
 		{"a blink", func(r *Rig) {
-			r.Sicken(0, Deaf)
-			time.AfterFunc(500*time.Millisecond, func() { r.Sicken(0, Sound) })
+			r.SetNodeFault(0, Unresponsive)
+			time.AfterFunc(500*time.Millisecond, func() { r.SetNodeFault(0, Healthy) })
 		}, nil},
 		{"failing, cut in 3 and 2", func(r *Rig) {
-			r.cut([][]string{{"m00", "m01", "m02"}, {"m03", "m04"}}, false, Fault{})
-			r.Sicken(0, Failing)
+			r.partition([][]string{{"m00", "m01", "m02"}, {"m03", "m04"}}, false, Fault{})
+			r.SetNodeFault(0, Failing)
 		}, []string{"n0"}},
 	}
 	mute := []string{`"peers":true`, `"peers":false`}
@@ -93,18 +96,18 @@
 			edit  []string
 		}{{"evidence", 0.25, nil}, {"messages only", 0, nil}, {"alone", 0, mute},
 			{"evidence, no messages", 0.25, mute}} {
-			r := illRig(t, way.share, 61, way.edit...)
+			r := startEvidenceRig(t, way.share, 61, way.edit...)
 			time.Sleep(4 * time.Second)
 			x.begin(r)
-			from := r.History.now()
+			from := r.History.elapsedMS()
 			wrongOut := map[string]float64{} // node-seconds that sound nodes are out by a member's door
 			known := -1.0
 			for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(250 * time.Millisecond) {
 				for _, m := range r.Members() {
-					for _, v := range m.judged() {
+					for _, v := range m.evidenceVerdicts() {
 						wrongOut[v] += 0.25
 						if known < 0 {
-							known = (r.History.now() - from) / 1000
+							known = (r.History.elapsedMS() - from) / 1000
 						}
 					}
 				}
@@ -113,11 +116,11 @@
 			got, in := 0, map[string]float64{}
 			seen := map[string]map[int]int{}
 			for _, e := range r.History.Events() {
-				if e.Kind == KindPart && e.MS > from {
-					if seen[e.Who] == nil {
-						seen[e.Who] = map[int]int{}
+				if e.Kind == KindPart && e.AtMS > from {
+					if seen[e.Subject] == nil {
+						seen[e.Subject] = map[int]int{}
 					}
-					seen[e.Who][int((e.MS-from)/second)]++
+					seen[e.Subject][int((e.AtMS-from)/second)]++
 				}
 			}
 			for i := range 8 {
@@ -136,11 +139,11 @@
 			}
 			late, bad, total := 0, 0, 0
 			for _, e := range r.History.Events() {
-				if e.Kind == KindAnswer && e.MS > from {
+				if e.Kind == KindAnswer && e.AtMS > from {
 					total++
 					if e.Status != 200 {
 						bad++
-					} else if e.Took > 400 {
+					} else if e.TookMS > 400 {
 						late++
 					}
 				}
@@ -152,11 +155,11 @@
 	}
 }
 
-// allJudged tells that all members that run hold just these judgements.
-func allJudged(r *Rig, want ...string) func() bool {
+// allHoldEvidence tells that all members that run hold just these judgements.
+func allHoldEvidence(r *Rig, want ...string) func() bool {
 	return func() bool {
-		for _, m := range r.Running() {
-			if got := m.judged(); !slices.Equal(got, want) {
+		for _, m := range r.RunningMembers() {
+			if got := m.evidenceVerdicts(); !slices.Equal(got, want) {
 				return false
 			}
 		}
@@ -167,66 +170,68 @@
 // A node that fails for all is out at all, nothing more is sent to it, and it is back by itself once its time
 // is over. One that a zone can't reach is out for that zone alone. A member whose own links are sick accuses
 // everybody, and nothing comes of it. An operator's word goes before evidence.
-func TestEvidenceHoldsForTheFleet(t *testing.T) {
-	r := illRig(t, 0.25, 62)
-	if !within(patience, func() bool { return parts(r, "n0", 0, 1e12) > 20 && parts(r, "n1", 0, 1e12) > 20 }) {
-		t.Fatal("the nodes get nothing anyhow")
-	}
-	r.Sicken(0, Failing)
-	if !within(patience, allJudged(r, "node_sick n0")) {
-		t.Fatalf("%v at m00", r.Member("m00").judged())
-	}
-	out := r.History.now()
-	r.Sicken(0, Sound)
+func TestEvidenceVerdictsAcrossFleet(t *testing.T) {
+	r := startEvidenceRig(t, 0.25, 62)
+	if !waitUntil(waitTimeout, func() bool {
+		return partsBetween(r, "n0", 0, 1e12) > 20 && partsBetween(r, "n1", 0, 1e12) > 20
+	}) {
+		t.Fatal("n0 and n1 receive no parts even before the fault")
+	}
+	r.SetNodeFault(0, Failing)
+	if !waitUntil(waitTimeout, allHoldEvidence(r, "node_sick n0")) {
+		t.Fatalf("%v at m00", r.Member("m00").evidenceVerdicts())
+	}
+	out := r.History.elapsedMS()
+	r.SetNodeFault(0, Healthy)
 	time.Sleep(10 * period)
-	if n := parts(r, "n0", out+50, 1e12); n > 0 {
+	if n := partsBetween(r, "n0", out+50, 1e12); n > 0 {
 		t.Errorf("%d parts went to a node that is out", n)
 	}
-	used := func() bool { return parts(r, "n0", out, 1e12) > 10 }
-	if !within(patience, allJudged(r)) || !within(patience, used) {
+	used := func() bool { return partsBetween(r, "n0", out, 1e12) > 10 }
+	if !waitUntil(waitTimeout, allHoldEvidence(r)) || !waitUntil(waitTimeout, used) {
 		t.Fatal("the node is never back")
 	}
 	for _, m := range r.Members() {
 		if m.Zone == "praha" {
-			r.Link(m.Name, "n1", Fault{Cut: true})
+			r.SetLinkFault(m.Name, "n1", Fault{Cut: true})
 		}
 	}
-	if !within(2*patience, allJudged(r, "path_sick n1@praha")) {
+	if !waitUntil(2*waitTimeout, allHoldEvidence(r, "path_sick n1@praha")) {
 		for _, m := range r.Members() {
 			reply, err := m.Call("GET", "/admin/verdicts", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
 		}
 		t.Fatal("n1 is not judged")
 	}
-	at := r.History.now()
-	if !within(patience, func() bool { return parts(r, "n1", at, 1e12) > 10 }) {
+	at := r.History.elapsedMS()
+	if !waitUntil(waitTimeout, func() bool { return partsBetween(r, "n1", at, 1e12) > 10 }) {
 		t.Error("the other zone does not use the node either")
 	}
-	status, s := r.Member("m03").say(t, "uncordon", "n1", "?wait=2s")
+	status, s := r.Member("m03").fleetCall(t, "uncordon", "n1", "?wait=2s")
 	if status != 200 || len(s.Missing) > 0 {
 		t.Errorf("%d %+v", status, s)
 	}
-	if !within(patience, allJudged(r)) {
+	if !waitUntil(waitTimeout, allHoldEvidence(r)) {
 		t.Error("an operator's word does not go before evidence")
 	}
 	for _, m := range r.Members() {
-		r.Link(m.Name, "n1", Fault{})
+		r.SetLinkFault(m.Name, "n1", Fault{})
 	}
 	for i := range 8 {
-		r.Link("m01", fmt.Sprint("n", i), Fault{Cut: true})
+		r.SetLinkFault("m01", fmt.Sprint("n", i), Fault{Cut: true})
 	}
 	for range 40 {
 		time.Sleep(period / 2)
 		for _, m := range r.Members() {
-			if got := m.judged(); len(got) > 0 {
+			if got := m.evidenceVerdicts(); len(got) > 0 {
 				t.Fatalf("%s holds %v: one member's word", m.Name, got)
 			}
 		}
 	}
 	for i := range 8 {
-		r.Link("m01", fmt.Sprint("n", i), Fault{})
+		r.SetLinkFault("m01", fmt.Sprint("n", i), Fault{})
 	}
-	if !r.Quiesce(patience) {
+	if !r.Quiesce(waitTimeout) {
 		t.Error("queries without an answer")
 	}
 	for _, f := range Check(r.History.Events(), false) {
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -21,7 +21,7 @@
 	"lapislever/internal/standin"
 )
 
-// Settings is the settings object of a small deployment on the platform: two cells of one shard each, two
+// SettingsJSON is the platform's settings object for a small deployment: two cells of one shard each, and two
 // classes.
 const Settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":8,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
@@ -35,81 +35,81 @@
   {"name":"exchange-post","goalTimeUs":1500000,"hardLimitUs":2000000,"idempotency":"idempotency_key",
    "windowUs":3000000,"worth":1}]}`
 
-// Config is what a rig is made of.
+// Config configures a rig.
 type Config struct {
-	Dir     string // for logs and files; the caller's to remove
+	Dir     string // for logs and files; the caller removes it
 	Members int
 	Seed    uint64
 	Period  time.Duration
-	Nodes   int     // data nodes; they hold the two cells in turn
-	Rate    float64 // queries a second and member
-	Keys    string  // text of the key file; empty: no keys
-	Limits  string  // [[limit]] tables of the fleet's file, or others
-	Program string  // path of the program; empty: it is built
-	// Answer serves a part at a data node, instead of the rig's own way.
-	Answer func(node int, p standin.Part) (end, value string)
-	Alone  bool     // without the fleet: each by itself
-	Most   int      // members that there may be; 0: 64
-	Roster bool     // the members' names, instead of Most
-	Edit   []string // changes of Settings: old and new text in turn
-	Out    *History
-	// Faults befall the members' system calls from the start of each process on; nil: none. PID is set here.
+	Nodes   int     // number of data nodes; the two cells are assigned to them in turn
+	Rate    float64 // queries per second and member
+	Keys    string  // contents of the key file; empty: no keys
+	Limits  string  // appended to the fleet file, such as [[limit]] tables
+	Program string  // path of the program; empty: build it
+	// Answer handles a part at a data node; nil: the rig's default handler.
+	Answer  func(node int, p standin.Part) (end, value string)
+	Alone   bool     // run the members without --fleet
+	Most    int      // the fleet file's "most"; 0: 64
+	Roster  bool     // write a roster of the members' names instead of "most"
+	Edit    []string // replacements in SettingsJSON: old and new text, alternating
+	History *History
+	// Faults are injected into the members' system calls from process start on; nil: none. The rig sets PID.
 	Faults *SyscallFaults
 }
 
-// mostMembers is more than a rig ever has.
-const mostMembers = 64
+// maxMembers is an upper bound on the members of a rig.
+const maxMembers = 64
 
-// callers is how many tenants ask in turn.
-const callers = 3
+// tenantCount is the number of tenants that send queries in turn.
+const tenantCount = 3
 
 const (
-	portFleet = 7946
-	portDoor  = 9901
-	portFront = 5000
-	portNode  = 5000
-	portDisco = 8500
-	// pollEvery is the time between two looks at a member's view.
-	pollEvery = 40 * time.Millisecond
-	pollLimit = 400 * time.Millisecond
+	portFleet     = 7946
+	portAdmin     = 9901
+	portFront     = 5000
+	portNode      = 5000
+	portDiscovery = 8500
+	// pollInterval is the time between two polls of a member's view.
+	pollInterval = 40 * time.Millisecond
+	pollTimeout  = 400 * time.Millisecond
 )
 
-// Rig is a fleet of processes with what stands around them.
+// Rig is a fleet of member processes with data nodes, discovery and the relays between them.
 type Rig struct {
-	cfg     Config
-	program string
-	net     [2]byte // of 127.a.b.0
-	History *History
-	mu      sync.Mutex // guards members' processes
-	members []*Member
-	links   map[[2]string]func(Fault) // by from and to
-	closers []func()
-	nodes   []*standin.Node
-	disco   *discovery
-	ill     []atomic.Int32 // of nodes: an Illness
-	slowBy  atomic.Int64   // of those that are slow
-	stop    chan struct{}
-	wait    sync.WaitGroup
-	quiet   atomic.Bool  // no new queries
-	busy    atomic.Int64 // queries that are being asked, or may yet be
+	cfg          Config
+	program      string
+	subnet       [2]byte // a and b of 127.a.b.0
+	History      *History
+	mu           sync.Mutex // guards the members' proc and previous
+	members      []*Member
+	links        map[[2]string]func(Fault) // setters by sender and receiver
+	closers      []func()
+	nodes        []*standin.Node
+	discovery    *discovery
+	nodeFaults   []atomic.Int32 // by node: a NodeFault
+	slowDelay    atomic.Int64   // reply delay of slow nodes, in nanoseconds
+	stop         chan struct{}
+	wg           sync.WaitGroup
+	noNewQueries atomic.Bool  // clients send no new queries
+	inFlight     atomic.Int64 // queries in flight or about to be sent
 }
 
 // Member is one coordinator.
 type Member struct {
-	Name, Zone string
-	rig        *Rig
-	index      int
-	proc       *Proc
-	old        *Proc        // while another one takes over from it
-	twin       atomic.Int32 // which of two doors the process in service has
-	up         atomic.Bool
-	downs      atomic.Int64 // times that it was killed, stopped or ended
-	view       atomic.Pointer[View]
-	Mute       atomic.Bool // no queries of its own clients
-	asked      atomic.Int64
-}
-
-// View is what a member's door says of the fleet.
+	Name, Zone  string
+	rig         *Rig
+	index       int
+	proc        *Proc
+	previous    *Proc        // the predecessor, during an upgrade
+	adminSlot   atomic.Int32 // which of the two admin ports the current process uses
+	running     atomic.Bool
+	outages     atomic.Int64 // number of kills, pauses and terminations
+	view        atomic.Pointer[View]
+	NoQueries   atomic.Bool // its clients send no queries
+	queriesSent atomic.Int64
+}
+
+// View is the fleet view that a member's admin endpoint reports.
 type View struct {
 	Self        string
 	Incarnation uint32
@@ -130,8 +130,8 @@
 	}
 }
 
-// State is a member's state in a view; empty: it is not there.
-func (v *View) State(name string) string {
+// StateOf returns a member's state in the view, or "" if the view does not contain the member.
+func (v *View) StateOf(name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
 			return m.State
@@ -140,26 +140,26 @@
 	return ""
 }
 
-// New builds the program and puts up what stands around the members; none is started yet.
+// New builds the program and starts data nodes, discovery and relays. The members are not started yet.
 func New(cfg Config) (*Rig, error) {
 	program, err := cfg.Program, error(nil)
 	if program == "" {
-		if program, err = Program(); err != nil {
+		if program, err = BuildProgram(); err != nil {
 			return nil, err
 		}
 	}
-	if cfg.Out == nil {
-		cfg.Out = NewHistory(nil)
+	if cfg.History == nil {
+		cfg.History = NewHistory(nil)
 	}
-	r := &Rig{cfg: cfg, program: program, History: cfg.Out, links: map[[2]string]func(Fault){},
+	r := &Rig{cfg: cfg, program: program, History: cfg.History, links: map[[2]string]func(Fault){},
 		stop: make(chan struct{})}
-	if err := r.findNet(); err != nil {
+	if err := r.claimSubnet(); err != nil {
 		return nil, err
 	}
-	r.ill = make([]atomic.Int32, cfg.Nodes)
-	r.slowBy.Store(int64(slowBy))
+	r.nodeFaults = make([]atomic.Int32, cfg.Nodes)
+	r.slowDelay.Store(int64(defaultSlowDelay))
 	for i := range cfg.Nodes {
-		n, err := standin.OpenNode(r.host(200+i, portNode), r.answer(i))
+		n, err := standin.OpenNode(r.addr(200+i, portNode), r.nodeHandler(i))
 		if err != nil {
 			r.Close()
 			return nil, err
@@ -173,7 +173,7 @@
 		return nil, err
 	}
 	for range cfg.Members {
-		if _, err := r.Add(); err != nil {
+		if _, err := r.AddMember(); err != nil {
 			r.Close()
 			return nil, err
 		}
@@ -181,113 +181,116 @@
 	return r, nil
 }
 
-// findNet takes a part of 127.0.0.0/8 that no other rig has: the first address of it is held by a socket.
-func (r *Rig) findNet() error {
+// claimSubnet picks a subnet of 127.0.0.0/8 that no other rig uses. A listening socket on one of its
+// addresses marks it as taken.
+func (r *Rig) claimSubnet() error {
 	for range 50 {
-		r.net = [2]byte{byte(16 + rand.IntN(200)), byte(2 * rand.IntN(127))}
-		l, err := net.Listen("tcp", r.host(254, 1999))
+		r.subnet = [2]byte{byte(16 + rand.IntN(200)), byte(2 * rand.IntN(127))}
+		l, err := net.Listen("tcp", r.addr(254, 1999))
 		if err == nil {
 			r.closers = append(r.closers, func() { _ = l.Close() })
 			return nil
 		}
 	}
-	return errors.New("no part of 127.0.0.0/8 is free")
+	return errors.New("no free subnet found in 127.0.0.0/8")
 }
 
-// host is an address of the rig; those of relays lie one net further.
-func (r *Rig) host(last, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", r.net[0], r.net[1], last, port)
+// addr returns an address in the rig's subnet. Relays use the next subnet, see relayAddr.
+func (r *Rig) addr(last, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", r.subnet[0], r.subnet[1], last, port)
 }
 
-func (r *Rig) relayHost(last, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", r.net[0], r.net[1]+1, last, port)
+func (r *Rig) relayAddr(last, port int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", r.subnet[0], r.subnet[1]+1, last, port)
 }
 
-// Illness is what is wrong with a data node.
-type Illness int32
+// NodeFault is a fault of a data node.
+type NodeFault int32
 
-// What may be wrong with a data node.
+// The faults of data nodes.
 const (
-	Sound   Illness = iota
-	Failing         // answers each part with an error
-	Slow            // answers each after slowBy
-	Deaf            // answers none
+	Healthy      NodeFault = iota
+	Failing                // replies to each part with an error
+	Slow                   // replies after a delay
+	Unresponsive           // never replies
 )
 
-// slowBy is how long a slow node takes, where the rig does not say otherwise.
-const slowBy = 700 * time.Millisecond
+// defaultSlowDelay is the reply delay of a slow node unless the rig's slowDelay is changed.
+const defaultSlowDelay = 700 * time.Millisecond
 
-// Sicken has a data node be ill from now on, or sound again.
-func (r *Rig) Sicken(node int, i Illness) {
-	r.History.Note(Event{Kind: KindFault, Who: fmt.Sprintf("n%d", node), What: fmt.Sprint("illness ", i)})
-	r.ill[node].Store(int32(i))
+// SetNodeFault sets the fault of a data node from now on.
+func (r *Rig) SetNodeFault(node int, f NodeFault) {
+	r.History.Record(Event{Kind: KindFault, Subject: fmt.Sprintf("n%d", node),
+		Detail: fmt.Sprint("illness ", f)})
+	r.nodeFaults[node].Store(int32(f))
 }
 
-// answer serves each part with its id, as far as the node is sound.
-func (r *Rig) answer(node int) func(p standin.Part) (string, string) {
+// nodeHandler returns the handler of a data node. By default it replies to each part with the part's ID,
+// subject to the node's fault.
+func (r *Rig) nodeHandler(node int) func(p standin.Part) (string, string) {
 	name := fmt.Sprintf("n%d", node)
 	if r.cfg.Answer != nil {
 		return func(p standin.Part) (string, string) { return r.cfg.Answer(node, p) }
 	}
 	return func(p standin.Part) (string, string) {
-		r.History.Note(Event{Kind: KindPart, Who: name, Query: p.ID})
-		switch Illness(r.ill[node].Load()) {
+		r.History.Record(Event{Kind: KindPart, Subject: name, Query: p.ID})
+		switch NodeFault(r.nodeFaults[node].Load()) {
 		case Failing:
 			return "E", ""
 		case Slow:
-			time.Sleep(time.Duration(r.slowBy.Load()))
-		case Deaf:
+			time.Sleep(time.Duration(r.slowDelay.Load()))
+		case Unresponsive:
 			return "", ""
 		}
 		return "S", "v:" + p.ID
 	}
 }
 
-// Add makes one more member, with its relays; it is not started.
-func (r *Rig) Add() (*Member, error) {
+// AddMember creates one more member, with its relays, without starting it.
+func (r *Rig) AddMember() (*Member, error) {
 	i := len(r.members)
 	m := &Member{Name: fmt.Sprintf("m%02d", i), Zone: zones[i%2], rig: r, index: i}
 	for _, o := range r.members {
 		for _, pair := range [][2]*Member{{m, o}, {o, m}} {
 			from, to := pair[0], pair[1]
-			at, _ := net.ResolveUDPAddr("udp", from.route(to.index))
+			at, _ := net.ResolveUDPAddr("udp", from.routeTo(to.index))
 			dst, _ := net.ResolveUDPAddr("udp", to.fleetAddr())
 			relay, err := newUDPRelay(at, dst, r.cfg.Seed*10_007+uint64(from.index)*101+uint64(to.index))
 			if err != nil {
 				return nil, err
 			}
-			r.links[[2]string{from.Name, to.Name}] = relay.set
+			r.links[[2]string{from.Name, to.Name}] = relay.setFault
 			r.closers = append(r.closers, relay.close)
 		}
 	}
 	tcp := func(at, to, name string) error {
 		relay, err := newTCPRelay(at, to)
 		if err == nil {
-			r.links[[2]string{m.Name, name}] = relay.set
+			r.links[[2]string{m.Name, name}] = relay.setFault
 			r.closers = append(r.closers, relay.close)
 		}
 		return err
 	}
 	for j := range r.nodes {
-		at := r.relayHost(1+i, portNode+1000+j)
-		if err := tcp(at, r.host(200+j, portNode), fmt.Sprintf("n%d", j)); err != nil {
+		at := r.relayAddr(1+i, portNode+1000+j)
+		if err := tcp(at, r.addr(200+j, portNode), fmt.Sprintf("n%d", j)); err != nil {
 			return nil, err
 		}
 	}
-	if err := tcp(r.relayHost(1+i, portDisco), r.host(250, portDisco+i), "discovery"); err != nil {
+	if err := tcp(r.relayAddr(1+i, portDiscovery), r.addr(250, portDiscovery+i), "discovery"); err != nil {
 		return nil, err
 	}
 	r.members = append(r.members, m)
-	r.wait.Add(1)
-	go m.poll()
+	r.wg.Add(1)
+	go m.pollView()
 	if r.cfg.Rate > 0 {
-		r.wait.Add(1)
-		go m.ask()
+		r.wg.Add(1)
+		go m.sendQueries()
 	}
 	return m, nil
 }
 
-// Member is a member by its name.
+// Member returns a member by its name, or nil.
 func (r *Rig) Member(name string) *Member {
 	for _, m := range r.members {
 		if m.Name == name {
@@ -297,30 +300,30 @@
 	return nil
 }
 
-// Members are all.
+// Members returns all members.
 func (r *Rig) Members() []*Member { return r.members }
 
-// Node is a data node.
+// Node returns a data node by its index.
 func (r *Rig) Node(i int) *standin.Node { return r.nodes[i] }
 
-// Link puts a fault on the link from one to another; those are members, data nodes (n0, n1, …) or
-// discovery, and the links of these come from members only.
-func (r *Rig) Link(from, to string, f Fault) {
+// SetLinkFault sets the fault of the link between two endpoints, which are members, data nodes (n0, n1, …) or
+// "discovery". Links to data nodes and to discovery start at members only. Unknown links are ignored.
+func (r *Rig) SetLinkFault(from, to string, f Fault) {
 	if set := r.links[[2]string{from, to}]; set != nil {
 		set(f)
 	}
 }
 
-// Between puts a fault on all links between members.
+// SetAllLinkFaults sets the fault of all links between members.
 func (r *Rig) Between(f Fault) {
 	for _, a := range r.members {
 		for _, b := range r.members {
-			r.Link(a.Name, b.Name, f)
+			r.SetLinkFault(a.Name, b.Name, f)
 		}
 	}
 }
 
-// Close ends all that the rig has started.
+// Close stops everything that the rig has started.
 func (r *Rig) Close() {
 	select {
 	case <-r.stop:
@@ -329,48 +332,48 @@
 	}
 	close(r.stop)
 	for _, m := range r.members {
-		m.up.Store(false)
+		m.running.Store(false)
 		r.mu.Lock()
-		for _, p := range []*Proc{m.proc, m.old} {
+		for _, p := range []*Proc{m.proc, m.previous} {
 			if p != nil {
 				p.Kill()
 			}
 		}
 		r.mu.Unlock()
 	}
-	r.wait.Wait()
+	r.wg.Wait()
 	for _, c := range r.closers {
 		c()
 	}
 }
 
-func (m *Member) fleetAddr() string { return m.rig.host(1+m.index, portFleet) }
-func (m *Member) route(to int) string {
-	return m.rig.relayHost(1+m.index, portFleet+1000+to)
+func (m *Member) fleetAddr() string { return m.rig.addr(1+m.index, portFleet) }
+func (m *Member) routeTo(to int) string {
+	return m.rig.relayAddr(1+m.index, portFleet+1000+to)
 }
 
-// Front is the address that clients reach.
-func (m *Member) Front() string { return m.rig.host(1+m.index, portFront) }
+// Front returns the address for clients.
+func (m *Member) Front() string { return m.rig.addr(1+m.index, portFront) }
 
-// Door is the address of the operators' door of the process in service.
-func (m *Member) Door() string { return m.rig.host(1+m.index, portDoor+int(m.twin.Load())) }
+// AdminAddr returns the admin address of the current process.
+func (m *Member) AdminAddr() string { return m.rig.addr(1+m.index, portAdmin+int(m.adminSlot.Load())) }
 
-// Process is the process in service.
+// Process returns the current process: during an upgrade, the successor.
 func (m *Member) Process() *Proc {
 	m.rig.mu.Lock()
 	defer m.rig.mu.Unlock()
 	return m.proc
 }
 
-// file is the path of one of the member's files.
-func (m *Member) file(name string) string { return filepath.Join(m.rig.cfg.Dir, m.Name+"-"+name) }
+// path returns the path of one of the member's files.
+func (m *Member) path(name string) string { return filepath.Join(m.rig.cfg.Dir, m.Name+"-"+name) }
 
-// LogPath is where the member's processes write their log.
-func (m *Member) LogPath() string { return m.file("log") }
+// LogPath returns the path of the log of the member's processes.
+func (m *Member) LogPath() string { return m.path("log") }
 
-// replace puts a whole file in the place of the one that is there: a process that reads just then has the old
-// text or the new one, and never a part of either.
-func replace(path, text string) error {
+// replaceFile replaces a file atomically: a concurrent reader gets the old or the new text, never a mixture
+// or a part.
+func replaceFile(path, text string) error {
 	f, err := os.CreateTemp(filepath.Dir(path), filepath.Base(path)+".*")
 	if err != nil {
 		return err
@@ -385,8 +388,9 @@
 	return err
 }
 
-// write writes the files that a start of the member reads. edit changes the fleet's file.
-func (m *Member) write(edit ...string) (env []string, err error) {
+// writeFiles writes the files that the member reads at start, and returns the environment of its process.
+// edit holds replacements in the fleet file: old and new text, alternating.
+func (m *Member) writeFiles(edit ...string) (env []string, err error) {
 	r := m.rig
 	var fleet strings.Builder
 	fmt.Fprintf(&fleet, "[fleet]\nname = %q\nzone = %q\nlisten = %q\n", m.Name, m.Zone, m.fleetAddr())
@@ -402,16 +406,16 @@
 	var join, routes []string
 	for _, o := range r.members {
 		if o != m {
-			routes = append(routes, fmt.Sprintf("%s = %q", o.Name, m.route(o.index)))
+			routes = append(routes, fmt.Sprintf("%s = %q", o.Name, m.routeTo(o.index)))
 			if o.index < 3 {
-				join = append(join, fmt.Sprintf("%q", m.route(o.index)))
+				join = append(join, fmt.Sprintf("%q", m.routeTo(o.index)))
 			}
 		}
 	}
 	fmt.Fprintf(&fleet, "join = [%s]\n", strings.Join(join, ", "))
 	if r.cfg.Keys != "" {
 		fleet.WriteString("keys = \"fleet.keys\"\n")
-		if err := replace(filepath.Join(r.cfg.Dir, "fleet.keys"), r.cfg.Keys); err != nil {
+		if err := replaceFile(filepath.Join(r.cfg.Dir, "fleet.keys"), r.cfg.Keys); err != nil {
 			return nil, err
 		}
 	}
@@ -419,37 +423,37 @@
 		r.cfg.Period.Milliseconds())
 	fleet.WriteString(r.cfg.Limits)
 	text := strings.NewReplacer(edit...).Replace(fleet.String())
-	if err := replace(m.file("fleet.toml"), text); err != nil {
+	if err := replaceFile(m.path("fleet.toml"), text); err != nil {
 		return nil, err
 	}
-	tmp := m.file("tmp")
+	tmp := m.path("tmp")
 	if err := os.MkdirAll(tmp, 0o700); err != nil {
 		return nil, err
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"operator":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":400},"settings":%s}`, m.Name, m.Front(),
-		r.relayHost(1+m.index, portDisco), m.Door(), strings.NewReplacer(r.cfg.Edit...).Replace(Settings))
-	if err := replace(m.file("config.json"), conf); err != nil {
+		r.relayAddr(1+m.index, portDiscovery), m.AdminAddr(), strings.NewReplacer(r.cfg.Edit...).Replace(Settings))
+	if err := replaceFile(m.path("config.json"), conf); err != nil {
 		return nil, err
 	}
-	// The race detector would else have each process sleep for a second at its end, behind its last word.
-	return []string{"RELAY_CONFIG=" + m.file("config.json"), "TMPDIR=" + tmp, "GOMAXPROCS=2",
+	// By default, a process built with the race detector sleeps for a second before it exits.
+	return []string{"RELAY_CONFIG=" + m.path("config.json"), "TMPDIR=" + tmp, "GOMAXPROCS=2",
 		"GORACE=atexit_sleep_ms=0"}, nil
 }
 
-// Rewrite writes the member's files anew, as for SIGHUP.
-func (m *Member) Rewrite(edit ...string) error {
-	_, err := m.write(edit...)
+// RewriteFiles writes the member's files again, with replacements in the fleet file, for a reload by SIGHUP.
+func (m *Member) RewriteFiles(edit ...string) error {
+	_, err := m.writeFiles(edit...)
 	return err
 }
 
-// launch writes the member's files and starts a process by them.
+// launch writes the member's files and starts a process with them.
 func (m *Member) launch(edit ...string) (*Proc, error) {
-	env, err := m.write(edit...)
+	env, err := m.writeFiles(edit...)
 	if err != nil {
 		return nil, err
 	}
-	args := []string{"serve", "--fleet", m.file("fleet.toml")}
+	args := []string{"serve", "--fleet", m.path("fleet.toml")}
 	if m.rig.cfg.Alone {
 		args = args[:1]
 	}
@@ -459,7 +463,7 @@
 	return Start(m.rig.program, args, env, m.LogPath())
 }
 
-// Start starts the member; edit changes the fleet's file.
+// Start starts the member; edit holds replacements in the fleet file.
 func (m *Member) Start(edit ...string) error {
 	p, err := m.launch(edit...)
 	if err != nil {
@@ -468,95 +472,97 @@
 	m.rig.mu.Lock()
 	m.proc = p
 	m.rig.mu.Unlock()
-	m.up.Store(true)
-	m.note("start")
+	m.running.Store(true)
+	m.record("start")
 	return nil
 }
 
-func (m *Member) note(what string) {
-	m.rig.History.Note(Event{Kind: KindProcess, Who: m.Name, What: what})
+func (m *Member) record(what string) {
+	m.rig.History.Record(Event{Kind: KindProcess, Subject: m.Name, Detail: what})
 }
 
-// Kill ends the member without a word.
+// Kill kills the member with SIGKILL.
 func (m *Member) Kill() {
-	m.downs.Add(1)
-	m.up.Store(false)
-	m.note("kill")
+	m.outages.Add(1)
+	m.running.Store(false)
+	m.record("kill")
 	m.Process().Kill()
 }
 
-// Stop and Cont are SIGSTOP and SIGCONT.
+// Pause stops the member's process with SIGSTOP.
 func (m *Member) Stop() {
-	m.downs.Add(1)
-	m.up.Store(false)
-	m.note("stop")
+	m.outages.Add(1)
+	m.running.Store(false)
+	m.record("stop")
 	m.Process().Signal(syscall.SIGSTOP)
 }
 
-// Cont lets a stopped member go on.
+// Resume continues a paused member with SIGCONT.
 func (m *Member) Cont() {
-	m.note("cont")
+	m.record("cont")
 	m.Process().Signal(syscall.SIGCONT)
-	m.up.Store(true)
+	m.running.Store(true)
 }
 
-// Term ends the member in order and waits for that; the exit status comes back.
-func (m *Member) Term() int {
-	m.note("term")
+// Terminate shuts the member down with SIGTERM and returns its exit status.
+func (m *Member) Terminate() int {
+	m.record("term")
 	p := m.Process()
 	p.Signal(syscall.SIGTERM)
 	status := p.Wait(15 * time.Second)
-	m.downs.Add(1)
-	m.up.Store(false)
-	m.note(fmt.Sprintf("ended %d", status))
+	m.outages.Add(1)
+	m.running.Store(false)
+	m.record(fmt.Sprintf("ended %d", status))
 	return status
 }
 
-// Hup has the member read its files anew.
-func (m *Member) Hup() { m.note("hup"); m.Process().Signal(syscall.SIGHUP) }
+// Reload makes the member reload its files, with SIGHUP.
+func (m *Member) Reload() { m.record("hup"); m.Process().Signal(syscall.SIGHUP) }
 
-// serves waits until the process in service says that it takes clients: its door is open before.
-func (m *Member) serves(most time.Duration) bool {
-	return within(most, func() bool {
-		c, err := call(m.Door(), "GET", "/admin/health", "")
-		return err == nil && c.Status == 200
+// waitServing waits until the current process reports that it accepts clients. Its admin endpoint is up
+// before that.
+func (m *Member) waitServing(timeout time.Duration) bool {
+	return waitUntil(timeout, func() bool {
+		reply, err := callAdmin(m.AdminAddr(), "GET", "/admin/health", "")
+		return err == nil && reply.Status == 200
 	})
 }
 
-// Upgrade has a new process take over, and ends the old one in order. Only one that serves can be asked for
-// its sockets.
+// Upgrade starts a successor process and then terminates the old one. The old process must be serving,
+// because only then can the successor take over its sockets.
 func (m *Member) Upgrade() error {
 	old := m.Process()
-	if !m.serves(10 * time.Second) {
-		return fmt.Errorf("%s does not serve yet", m.Name)
+	if !m.waitServing(10 * time.Second) {
+		return fmt.Errorf("%s is not serving yet", m.Name)
 	}
-	m.note("upgrade")
-	was := m.Door()
-	m.twin.Store(1 - m.twin.Load())
+	m.record("upgrade")
+	oldAddr := m.AdminAddr()
+	m.adminSlot.Store(1 - m.adminSlot.Load())
 	p, err := m.launch()
 	if err != nil {
 		return err
 	}
 	m.rig.mu.Lock()
-	m.proc, m.old = p, old
+	m.proc, m.previous = p, old
 	m.rig.mu.Unlock()
-	if !m.serves(10 * time.Second) {
-		return fmt.Errorf("the successor of %s at %s never served", m.Name, was)
+	if !m.waitServing(10 * time.Second) {
+		return fmt.Errorf("the successor of %s at %s did not start serving", m.Name, oldAddr)
 	}
 	old.Signal(syscall.SIGTERM)
 	status := old.Wait(15 * time.Second)
-	m.note(fmt.Sprintf("upgraded %d", status))
+	m.record(fmt.Sprintf("upgraded %d", status))
 	m.rig.mu.Lock()
-	m.old = nil
+	m.previous = nil
 	m.rig.mu.Unlock()
 	if status != 0 {
-		return fmt.Errorf("the old process of %s ended with %d", m.Name, status)
+		return fmt.Errorf("the old process of %s exited with status %d", m.Name, status)
 	}
 	return nil
 }
 
-func within(d time.Duration, ok func() bool) bool {
-	for end := time.Now().Add(d); !ok(); time.Sleep(5 * time.Millisecond) {
+// waitUntil polls cond until it holds or d has elapsed, and reports whether it holds.
+func waitUntil(d time.Duration, cond func() bool) bool {
+	for end := time.Now().Add(d); !cond(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -564,44 +570,44 @@
 	return true
 }
 
-// call makes one call to a door.
-func call(addr, method, path, body string) (*lnet.Reply, error) {
-	c, err := lnet.Dial(addr, pollLimit, 4<<20)
+// callAdmin sends one request to an admin endpoint.
+func callAdmin(addr, method, path, body string) (*lnet.Reply, error) {
+	c, err := lnet.Dial(addr, pollTimeout, 4<<20)
 	if err != nil {
 		return nil, err
 	}
 	defer c.Close()
-	return c.Do(method, path, addr, nil, []byte(body), time.Now().Add(pollLimit))
+	return c.Do(method, path, addr, nil, []byte(body), time.Now().Add(pollTimeout))
 }
 
-// Call makes one call to the member's door.
+// CallAdmin sends one request to the member's admin endpoint.
 func (m *Member) Call(method, path, body string) (*lnet.Reply, error) {
-	return call(m.Door(), method, path, body)
+	return callAdmin(m.AdminAddr(), method, path, body)
 }
 
-// View is what the member's door last said; nil: nothing yet, or the member is down.
+// View returns the member's last polled view; nil if there is none yet or the member is down.
 func (m *Member) View() *View {
-	if !m.up.Load() {
+	if !m.running.Load() {
 		return nil
 	}
 	return m.view.Load()
 }
 
-// Up tells that the member runs.
-func (m *Member) Up() bool { return m.up.Load() }
+// Running reports whether the member runs and is not paused.
+func (m *Member) Up() bool { return m.running.Load() }
 
-// poll looks at the member's view, and notes each change.
-func (m *Member) poll() {
-	defer m.rig.wait.Done()
+// pollView polls the member's view and records each change.
+func (m *Member) pollView() {
+	defer m.rig.wg.Done()
 	var last string
 	for {
 		select {
 		case <-m.rig.stop:
 			return
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
-		downs := m.downs.Load()
-		if !m.up.Load() {
+		outages := m.outages.Load()
+		if !m.running.Load() {
 			m.view.Store(nil)
 			last = ""
 			continue
@@ -611,30 +617,30 @@
 			continue
 		}
 		v := &View{}
-		if json.Unmarshal(reply.Body, v) != nil || downs != m.downs.Load() {
+		if json.Unmarshal(reply.Body, v) != nil || outages != m.outages.Load() {
 			continue
 		}
 		m.view.Store(v)
-		e := Event{Kind: KindView, Who: m.Name, Digest: v.Digest, Members: map[string]string{},
-			Incs: map[string]uint32{}}
+		e := Event{Kind: KindView, Subject: m.Name, Digest: v.Digest, Members: map[string]string{},
+			Incarnations: map[string]uint32{}}
 		for _, x := range v.Members {
-			e.Members[x.Name], e.Incs[x.Name] = x.State, x.Incarnation
+			e.Members[x.Name], e.Incarnations[x.Name] = x.State, x.Incarnation
 		}
-		if now := fmt.Sprint(v.Digest, e.Members); now != last {
-			last = now
-			m.rig.History.Note(e)
+		if current := fmt.Sprint(v.Digest, e.Members); current != last {
+			last = current
+			m.rig.History.Record(e)
 		}
 	}
 }
 
-// ask sends queries at the rig's rate, each on the next of a few connections as a client would, and notes how
-// each ended. The rate counts intended sends: one that is late does not hold up the next.
-func (m *Member) ask() {
-	defer m.rig.wait.Done()
+// sendQueries sends queries at the rig's rate over a pool of reused connections, as a client would, and
+// records how each ended. The rate is an arrival rate: a slow query does not delay the next one.
+func (m *Member) sendQueries() {
+	defer m.rig.wg.Done()
 	tick := time.NewTicker(time.Duration(float64(time.Second) / m.rig.cfg.Rate))
 	defer tick.Stop()
-	var out sync.WaitGroup
-	defer out.Wait()
+	var senders sync.WaitGroup
+	defer senders.Wait()
 	idle := make(chan *lnet.Client, 32)
 	for {
 		select {
@@ -643,76 +649,79 @@
 		case <-tick.C:
 		}
 		v := m.View()
-		m.rig.busy.Add(1)
-		if v == nil || m.rig.quiet.Load() || m.Mute.Load() {
-			m.rig.busy.Add(-1)
+		m.rig.inFlight.Add(1)
+		if v == nil || m.rig.noNewQueries.Load() || m.NoQueries.Load() {
+			m.rig.inFlight.Add(-1)
 			continue
 		}
-		out.Add(1)
+		senders.Add(1)
 		go func() {
-			defer out.Done()
-			defer m.rig.busy.Add(-1)
-			m.one(idle)
+			defer senders.Done()
+			defer m.rig.inFlight.Add(-1)
+			m.sendQuery(idle)
 		}()
 	}
 }
 
-// one sends one query. Its one final answer has to be its own, and nothing may follow it.
-func (m *Member) one(idle chan *lnet.Client) {
-	// Each member's queries are of each class in turn, and no two members' have one number.
-	k := m.asked.Add(1)
-	n := 2*(k/2*mostMembers+int64(m.index)) + k%2
+// sendQuery sends one query and records how it ended. The query must get exactly one reply, its own, with
+// nothing after it.
+func (m *Member) sendQuery(idle chan *lnet.Client) {
+	// Each member alternates between the classes, and query numbers are unique across members.
+	k := m.queriesSent.Add(1)
+	n := 2*(k/2*maxMembers+int64(m.index)) + k%2
 	id := fmt.Sprintf("q%06d", n)
 	class := []string{"rate-check", "exchange-post"}[n%2]
 	var c *lnet.Client
 	var err error
-	used := true
-	downs, begun := m.downs.Load(), time.Now()
+	reused := true
+	outages, begun := m.outages.Load(), time.Now()
 	select {
 	case c = <-idle:
 	default:
 		if c, err = lnet.Dial(m.Front(), time.Second, 1<<20); err != nil {
-			return // it was never asked
+			return // not recorded: the query was never sent
 		}
-		used = false
+		reused = false
 	}
-	m.rig.History.Note(Event{Kind: KindQuery, Who: m.Name, Query: id})
+	m.rig.History.Record(Event{Kind: KindQuery, Subject: m.Name, Query: id})
 	head := [][2]string{{"X-Call-Id", id}, {"Idempotency-Key", "k" + id},
-		{"X-Caller", fmt.Sprint("t", n%callers)}}
+		{"X-Caller", fmt.Sprint("t", n%tenantCount)}}
 	do := func() (*lnet.Reply, error) {
 		return c.Do("POST", "/"+class, m.Front(), head,
 			[]byte(`{"slices":[{"slice":0,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"c41e77d0"}`),
 			time.Now().Add(8*time.Second))
 	}
 	reply, err := do()
-	if err != nil && used { // it was closed while nothing was on it: a client asks once more, on a new one
+	if err != nil && reused { // closed while it was idle: a client retries once, on a new connection
 		c.Close()
 		fresh, derr := lnet.Dial(m.Front(), time.Second, 1<<20)
 		if derr != nil {
-			m.rig.History.Note(Event{Kind: KindAnswer, Who: m.Name, Query: id, What: "cut off: nobody listens"})
+			m.rig.History.Record(Event{Kind: KindAnswer, Subject: m.Name, Query: id,
+				Detail: "cut off: nobody listens"})
 			return
 		}
 		c = fresh
 		reply, err = do()
 	}
-	e := Event{Kind: KindAnswer, Who: m.Name, Query: id, Took: float64(time.Since(begun).Microseconds()) / 1000}
+	e := Event{Kind: KindAnswer, Subject: m.Name, Query: id,
+		TookMS: float64(time.Since(begun).Microseconds()) / 1000}
 	switch {
-	case err != nil && (downs != m.downs.Load() || !m.up.Load()):
-		e.What = "cut off with its coordinator"
+	case err != nil && (outages != m.outages.Load() || !m.running.Load()):
+		e.Detail = "cut off with its coordinator"
 	case err != nil:
-		e.What = "none: " + err.Error()
+		e.Detail = "none: " + err.Error()
 	default:
 		e.Status = reply.Status
 		if reply.Status == 503 {
-			e.Why = strings.TrimSpace(string(reply.Body))
+			e.RefusalReason = strings.TrimSpace(string(reply.Body))
 		}
 		want := strings.ReplaceAll(`{"entire":true,"items":[{"slice":0,"body":"v:ID.0"},`+
 			`{"slice":1,"body":"v:ID.1"}]}`, "ID", id)
 		if got := string(reply.Body); reply.Status == 200 && got != want {
-			e.What = "another's: " + got
+			e.Detail = "another's: " + got
 		}
 	}
-	m.rig.History.Note(e)
+	m.rig.History.Record(e)
 	if err == nil && c.Reusable() {
 		select {
 		case idle <- c:
@@ -723,12 +732,13 @@
 	c.Close()
 }
 
-// Running are the members that run.
-func (r *Rig) Running() []*Member {
+// RunningMembers returns the members that run and are not paused.
+func (r *Rig) RunningMembers() []*Member {
 	return slices.DeleteFunc(slices.Clone(r.members), func(m *Member) bool { return !m.Up() })
 }
 
-// Settled tells that all members given see one view, in which just they are alive, and none in doubt.
+// Converged reports whether all given members have the same view, in which exactly they are alive and nobody
+// is suspect.
 func Settled(members []*Member) bool {
 	digest := ""
 	for _, m := range members {
--- a/internal/rig/hold_test.go
+++ b/internal/rig/hold_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	heldBudget = 600 * time.Millisecond // what a client of the test waits for
-	heldLeast  = 1000 * time.Millisecond
-	heldMost   = 1300 * time.Millisecond
-	// onTheWay is what a byte may take from the coordinator through the relay to a data node of the test, and a
-	// final answer to its client, on a busy machine.
-	onTheWay = 250 * time.Millisecond
-	// leftGrace is how long after its client has left an attempt may begin.
-	leftGrace = 100 * time.Millisecond
-	// answerSlack is how long after its time a request may get its final answer.
-	answerSlack = 500 * time.Millisecond
+	heldClientBudget = 600 * time.Millisecond // what a client of the test waits for
+	heldMin          = 1000 * time.Millisecond
+	heldMax          = 1300 * time.Millisecond
+	// deliverySlack is what a byte may take from the coordinator through the relay to a data node of the test,
+	// and a final answer to its client, on a busy machine.
+	deliverySlack = 250 * time.Millisecond
+	// disconnectGrace is how long after its client has left an attempt may begin.
+	disconnectGrace = 100 * time.Millisecond
+	// replySlack is how long after its time a request may get its final answer.
+	replySlack = 500 * time.Millisecond
 )
 
 // arrivals are the moments at which data nodes got parts, by part.
@@ -34,7 +34,7 @@
 	at map[string][]time.Time
 }
 
-func (a *arrivals) note(id string) {
+func (a *arrivals) record(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	query, _, _ := strings.Cut(id, ".")
@@ -53,20 +53,20 @@
 	return n, most
 }
 
-// ending is how one request of the test ended.
-type ending struct {
-	query string
-	at    time.Time
-	left  bool
-	took  time.Duration
-	err   error
+// outcome is how one request of the test ended.
+type outcome struct {
+	query        string
+	at           time.Time
+	disconnected bool
+	took         time.Duration
+	err          error
 }
 
-// askOnce asks one query on a connection of its own. One that leaves closes it early.
-func askOnce(front, query string, budget time.Duration, leave bool) ending {
+// sendOnce asks one query on a connection of its own. One that leaves closes it early.
+func sendOnce(front, query string, budget time.Duration, leave bool) outcome {
 	c, err := lnet.Dial(front, time.Second, 1<<20)
 	if err != nil {
-		return ending{query: query, err: err}
+		return outcome{query: query, err: err}
 	}
 	defer c.Close()
 	wait := budget + 5*time.Second
@@ -78,8 +78,8 @@
 	_, err = c.Do("POST", "/rate-check", front, head,
 		[]byte(`{"slices":[{"slice":0,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"c41e77d0"}`), begun.Add(wait))
 	c.Close()
-	e := ending{query: query, at: time.Now(), took: time.Since(begun)}
-	if e.left = leave && err != nil; !e.left {
+	e := outcome{query: query, at: time.Now(), took: time.Since(begun)}
+	if e.disconnected = leave && err != nil; !e.disconnected {
 		e.err = err
 	}
 	return e
@@ -87,53 +87,53 @@
 
 // Single threads of a coordinator are held in the write of a call, longer than its request lasts. Nothing is
 // sent on for a request that has its answer or whose client has left, and each gets its answer in time.
-func TestAWriteThatIsHeldSendsNothingLate(t *testing.T) {
+func TestHeldWriteSendsNoLateAttempt(t *testing.T) {
 	got := &arrivals{at: map[string][]time.Time{}}
 	var served atomic.Int64
-	r := open(t, Config{Members: 1, Seed: 61, Alone: true,
+	r := startRig(t, Config{Members: 1, Seed: 61, Alone: true,
 		Faults: &SyscallFaults{Seed: 61, Holds: []SyscallHold{
-			{Call: HeldAttempt, Share: 0.12, Least: heldLeast, Most: heldMost}}},
+			{Point: HoldAttemptWrite, Share: 0.12, Min: heldMin, Max: heldMax}}},
 		Answer: func(_ int, p standin.Part) (string, string) {
-			got.note(p.ID)
+			got.record(p.ID)
 			if served.Add(1)%7 == 0 {
 				return "", "" // so that there are hedged requests and retries, too
 			}
 			return "S", "v:" + p.ID
 		}})
 	m := r.Member("m00")
-	if !m.serves(patience) {
+	if !m.waitServing(waitTimeout) {
 		t.Fatal("the coordinator does not serve")
 	}
 	const asked = 150
-	endings := make(chan ending, asked)
+	endings := make(chan outcome, asked)
 	var out sync.WaitGroup
 	for i := range asked {
-		out.Go(func() { endings <- askOnce(m.Front(), fmt.Sprintf("h%03d", i), heldBudget, i%5 == 4) })
+		out.Go(func() { endings <- sendOnce(m.Front(), fmt.Sprintf("h%03d", i), heldClientBudget, i%5 == 4) })
 		time.Sleep(30 * time.Millisecond)
 	}
 	out.Wait()
-	time.Sleep(heldMost + onTheWay) // whatever is held has come by then
+	time.Sleep(heldMax + deliverySlack) // whatever is held has come by then
 	close(endings)
 	answered, left, late := 0, 0, 0
 	for e := range endings {
-		bound := e.at.Add(onTheWay)
+		bound := e.at.Add(deliverySlack)
 		switch {
 		case e.err != nil:
 			t.Errorf("%s: no answer: %v", e.query, e.err)
 			continue
-		case e.left:
+		case e.disconnected:
 			left++
-			bound = bound.Add(leftGrace)
+			bound = bound.Add(disconnectGrace)
 		default:
 			answered++
-			if e.took > heldBudget+answerSlack+onTheWay {
+			if e.took > heldClientBudget+replySlack+deliverySlack {
 				t.Errorf("%s was answered after %v", e.query, e.took)
 			}
 		}
 		if n, most := got.after(e.query, bound); n > 0 {
 			late++
 			t.Errorf("%s: %d attempts came up to %v after its end (client left: %v)", e.query, n,
-				most+bound.Sub(e.at), e.left)
+				most+bound.Sub(e.at), e.disconnected)
 		}
 	}
 	t.Logf("%d answered, %d left, %d with something sent on too late", answered, left, late)
--- a/internal/rig/limit_test.go
+++ b/internal/rig/limit_test.go
@@ -13,20 +13,20 @@
 const (
 	limitRate  = 30.0
 	limitBurst = 6.0
-	// jitter is how much longer one query may be on its way to a data node than another one: so much longer a
-	// window at the nodes may be than that at the coordinators.
-	jitter = 400.0 // ms
+	// pathJitter is how much longer one query may be on its way to a data node than another one: so much longer
+	// a window at the nodes may be than that at the coordinators.
+	pathJitter = 400.0 // ms
 )
 
-const aLimit = "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 30.0\nburst = 6.0\n"
+const ratesLimit = "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 30.0\nburst = 6.0\n"
 
-// letIn are the moments, in ms, at which a query of the limited class first reached a data node.
-func letIn(r *Rig) (at []float64) {
-	return reached(r, func(n int) bool { return n%2 == 0 })
+// admittedAt are the moments, in ms, at which a query of the limited class first reached a data node.
+func admittedAt(r *Rig) (at []float64) {
+	return firstPartTimes(r, func(n int) bool { return n%2 == 0 })
 }
 
-// reached are the moments at which a query that is meant, by its number, first reached a data node.
-func reached(r *Rig, meant func(n int) bool) (at []float64) {
+// firstPartTimes are the moments at which a query that is meant, by its number, first reached a data node.
+func firstPartTimes(r *Rig, meant func(n int) bool) (at []float64) {
 	seen := map[string]bool{}
 	for _, e := range r.History.Events() {
 		id, _, _ := strings.Cut(e.Query, ".")
@@ -34,18 +34,18 @@
 		_, _ = fmt.Sscanf(id, "q%d", &n)
 		if e.Kind == KindPart && meant(n) && !seen[id] {
 			seen[id] = true
-			at = append(at, e.MS)
+			at = append(at, e.AtMS)
 		}
 	}
 	return at
 }
 
-// metByLimit counts the queries of a span that the limit let in at a member, and how many a bucket with nine
-// tenths of the limit would have let in of the same. Where there are always more than that, it is nine tenths
-// of the limit. What the fleet turns away as overloaded, as on a busy machine, never comes to the limit:
-// counted against it, which this test did, it failed with the whole share in hand (75 of 90 let in, 39 turned
-// away before).
-func (r *Rig) metByLimit(member string, from, to float64) (n int, most float64) {
+// limitDecisions counts the queries of a span that the limit let in at a member, and how many a bucket with
+// nine tenths of the limit would have let in of the same. Where there are always more than that, it is nine
+// tenths of the limit. What the fleet turns away as overloaded, as on a busy machine, never comes to the
+// limit: counted against it, which this test did, it failed with the whole share in hand (75 of 90 let in, 39
+// turned away before).
+func (r *Rig) limitDecisions(member string, from, to float64) (n int, most float64) {
 	asked := map[string]float64{}
 	type met struct {
 		at float64
@@ -56,11 +56,11 @@
 		var number int
 		_, _ = fmt.Sscanf(e.Query, "q%d", &number)
 		switch {
-		case e.Who != member || number%2 != 0:
+		case e.Subject != member || number%2 != 0:
 		case e.Kind == KindQuery:
-			asked[e.Query] = e.MS
+			asked[e.Query] = e.AtMS
 		case e.Kind == KindAnswer && asked[e.Query] >= from && asked[e.Query] < to:
-			if in := e.Status == 200; in || strings.Contains(e.Why, "limit") {
+			if in := e.Status == 200; in || strings.Contains(e.RefusalReason, "limit") {
 				all = append(all, met{asked[e.Query], in})
 			}
 		}
@@ -80,30 +80,31 @@
 	return n, most
 }
 
-// endsBetween counts how queries of the limited class ended, by member and status.
-func (r *Rig) endsBetween(from, to float64) map[string]int {
+// outcomesBetween counts how queries of the limited class ended, by member and status.
+func (r *Rig) outcomesBetween(from, to float64) map[string]int {
 	ends := map[string]int{}
 	for _, e := range r.History.Events() {
 		var n int
 		_, _ = fmt.Sscanf(e.Query, "q%d", &n)
-		if e.MS >= from && e.MS < to && n%2 == 0 && (e.Kind == KindAnswer || e.Kind == KindQuery) {
-			ends[strings.TrimSpace(fmt.Sprint(e.Kind, " ", e.Who, " ", e.Status, " ", e.Why))]++
+		if e.AtMS >= from && e.AtMS < to && n%2 == 0 && (e.Kind == KindAnswer || e.Kind == KindQuery) {
+			ends[strings.TrimSpace(fmt.Sprint(e.Kind, " ", e.Subject, " ", e.Status, " ", e.RefusalReason))]++
 		}
 	}
 	return ends
 }
 
-// overLimit names the first window in which more reached the data nodes than the limit and its bound allow.
-func overLimit(at []float64) string { return overRate(at, limitRate, limitBurst) }
+// findLimitViolation names the first window in which more reached the data nodes than the limit and its bound
+// allow.
+func findLimitViolation(at []float64) string { return findRateViolation(at, limitRate, limitBurst) }
 
-func overRate(at []float64, rate, burst float64) string {
+func findRateViolation(at []float64, rate, burst float64) string {
 	for _, span := range []float64{500, 1000, 3000, 10000} {
 		first := 0
 		for i, t := range at {
 			for at[first] <= t-span {
 				first++
 			}
-			if n, most := float64(i-first+1), rate*(span+jitter)/1000+burst; n > most {
+			if n, most := float64(i-first+1), rate*(span+pathJitter)/1000+burst; n > most {
 				return fmt.Sprintf("%.0f in %.0f ms up to %.0f, where %.0f may be", n, span, t, most)
 			}
 		}
@@ -111,8 +112,8 @@
 	return ""
 }
 
-// share is what a member's door says of the limit.
-func (m *Member) share() (share, inDoubt float64) {
+// limitShare is what a member's door says of the limit.
+func (m *Member) limitShare() (share, inDoubt float64) {
 	reply, err := m.Call("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return -1, 0
@@ -133,30 +134,30 @@
 // that is killed and started anew at once does not lend twice, a cut leaves each its own, an upgrade in
 // the middle is one member, a stop longer than a term is waited out; and in no window does more reach the
 // data nodes than the limit.
-func TestOneLimitOverThreeProcesses(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 51, Rate: 100, Limits: aLimit, Most: 3})
-	awaitSettled(t, r, "start")
+func TestLimitAcrossThreeMembers(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 51, Rate: 100, Limits: ratesLimit, Most: 3})
+	awaitConverged(t, r, "start")
 	a, b, c := r.Member("m00"), r.Member("m01"), r.Member("m02")
-	b.Mute.Store(true)
-	c.Mute.Store(true)
-	if !within(patience, func() bool { s, _ := a.share(); return s > 0.9*limitRate }) {
-		s, _ := a.share()
+	b.NoQueries.Store(true)
+	c.NoQueries.Store(true)
+	if !waitUntil(waitTimeout, func() bool { s, _ := a.limitShare(); return s > 0.9*limitRate }) {
+		s, _ := a.limitShare()
 		t.Fatalf("all traffic is at one member, and it has %.1f of %.1f", s, limitRate)
 	}
-	from := r.History.now()
+	from := r.History.elapsedMS()
 	var shares []string // of each member in the course of the 3 s
 	for range 15 {
 		time.Sleep(200 * time.Millisecond)
-		line := fmt.Sprintf("%.0f:", r.History.now()-from)
+		line := fmt.Sprintf("%.0f:", r.History.elapsedMS()-from)
 		for _, m := range r.Members() {
-			s, d := m.share()
+			s, d := m.limitShare()
 			line += fmt.Sprintf(" %.1f-%.1f", s, d)
 		}
 		shares = append(shares, line)
 	}
-	n, most := r.metByLimit("m00", from, from+3000)
+	n, most := r.limitDecisions("m00", from, from+3000)
 	t.Logf("%d let in within 3 s, of %.0f that a bucket of nine tenths would let in; ends %v", n, most,
-		r.endsBetween(from, from+3000))
+		r.outcomesBetween(from, from+3000))
 	if float64(n) < 0.85/0.9*most {
 		t.Errorf("too little of the limit is let in; shares %v", shares)
 	}
@@ -165,33 +166,33 @@
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
-	b.Mute.Store(false)
-	c.Mute.Store(false)
+	b.NoQueries.Store(false)
+	c.NoQueries.Store(false)
 	time.Sleep(20 * period)
 	// Each alone, and whole again.
-	r.cut([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
+	r.partition([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
 	time.Sleep(25 * period)
 	for _, m := range r.Members() {
-		if s, _ := m.share(); s < 0.9*limitRate/3 {
+		if s, _ := m.limitShare(); s < 0.9*limitRate/3 {
 			t.Errorf("%s is cut off and has %.1f of its %.1f", m.Name, s, limitRate/3)
 		}
 	}
-	r.Between(Fault{Loss: 0.3, Twice: 0.3, Reorder: 0.3})
-	a.Mute.Store(true)
+	r.Between(Fault{Loss: 0.3, Duplicate: 0.3, Reorder: 0.3})
+	a.NoQueries.Store(true)
 	time.Sleep(10 * period)
 	if err := c.Upgrade(); err != nil {
 		t.Fatal(err)
 	}
-	a.Mute.Store(false)
+	a.NoQueries.Store(false)
 	b.Stop()
 	time.Sleep(15 * period) // longer than a term
 	b.Cont()
 	time.Sleep(10 * period)
-	if !r.Quiesce(patience) {
+	if !r.Quiesce(waitTimeout) {
 		t.Fatal("queries without an answer")
 	}
-	at := letIn(r)
-	if over := overLimit(at); over != "" {
+	at := admittedAt(r)
+	if over := findLimitViolation(at); over != "" {
 		t.Error(over)
 	}
 	turnedAway := 0
@@ -206,28 +207,28 @@
 	for _, f := range Check(r.History.Events(), false) {
 		t.Error(f)
 	}
-	t.Logf("%d let in within %.0f s, %d refused", len(at), r.History.now()/1000, turnedAway)
+	t.Logf("%d let in within %.0f s, %d refused", len(at), r.History.elapsedMS()/1000, turnedAway)
 }
 
 // The check of windows finds what is over.
-func TestTheLimitCheckFinds(t *testing.T) {
+func TestLimitCheckFindsViolation(t *testing.T) {
 	var at []float64
 	for i := range 400 {
 		at = append(at, float64(i)*1000/limitRate)
 	}
-	if over := overLimit(at); over != "" {
+	if over := findLimitViolation(at); over != "" {
 		t.Error(over)
 	}
 	for i := range at {
 		at[i] *= 0.7
 	}
-	if overLimit(at) == "" {
+	if findLimitViolation(at) == "" {
 		t.Error("four tenths too many are not found")
 	}
 }
 
-// shown is what a member's door says that the limit is, and its share.
-func (m *Member) shown() (limit, share float64) {
+// limitAndShare is what a member's door says that the limit is, and its share.
+func (m *Member) limitAndShare() (limit, share float64) {
 	reply, err := m.Call("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return -1, -1
@@ -243,13 +244,13 @@
 
 // While limits differ, as in a roll-out, the stricter one holds at all, and the door shows who differs; the
 // greater one holds once all have it. Who is turned down because there is no room has nothing.
-func TestTheStricterLimitHoldsInARollOut(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 52, Limits: aLimit, Most: 3})
-	awaitSettled(t, r, "start")
+func TestStricterLimitHoldsDuringRollout(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 52, Limits: ratesLimit, Most: 3})
+	awaitConverged(t, r, "start")
 	all := func(want float64) func() bool {
 		return func() bool {
 			for _, m := range r.Members()[:3] {
-				if limit, share := m.shown(); limit != want || share > want/3 {
+				if limit, share := m.limitAndShare(); limit != want || share > want/3 {
 					return false
 				}
 			}
@@ -258,19 +259,19 @@
 	}
 	change := func(m *Member, to string) {
 		t.Helper()
-		if err := m.Rewrite("rate = 30.0", to); err != nil {
+		if err := m.RewriteFiles("rate = 30.0", to); err != nil {
 			t.Fatal(err)
 		}
-		m.Hup()
+		m.Reload()
 	}
-	if !within(patience, all(30)) {
+	if !waitUntil(waitTimeout, all(30)) {
 		t.Fatal("not 30 everywhere")
 	}
 	change(r.Member("m01"), "rate = 15.0")
-	if !within(sayLimit(3)+2*period+2*pollEvery, all(15)) {
+	if !waitUntil(verdictBound(3)+2*period+2*pollInterval, all(15)) {
 		t.Fatal("the stricter one does not hold everywhere in time")
 	}
-	if !within(patience, func() bool { return len(r.Member("m00").View().Figures.Differ) == 1 }) {
+	if !waitUntil(waitTimeout, func() bool { return len(r.Member("m00").View().Figures.Differ) == 1 }) {
 		t.Error("it is not shown who differs")
 	}
 	for _, name := range []string{"m01", "m00"} {
@@ -281,27 +282,27 @@
 		t.Error("the greater one holds before all have it")
 	}
 	change(r.Member("m02"), "rate = 60.0")
-	if !within(patience, all(60)) {
+	if !waitUntil(waitTimeout, all(60)) {
 		t.Error("all have it, and it does not hold")
 	}
-	extra, err := r.Add()
+	extra, err := r.AddMember()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := extra.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if !within(patience, func() bool { limit, _ := extra.shown(); return limit > 0 }) {
+	if !waitUntil(waitTimeout, func() bool { limit, _ := extra.limitAndShare(); return limit > 0 }) {
 		t.Fatal("the fourth one does not serve")
 	}
 	time.Sleep(5 * period)
-	if _, share := extra.shown(); share != 0 {
+	if _, share := extra.limitAndShare(); share != 0 {
 		t.Errorf("a member for which there is no room has %.1f", share)
 	}
 }
 
 // holds are the members whose rest a member says that it has.
-func (m *Member) tenures() (of []string) {
+func (m *Member) leases() (of []string) {
 	reply, err := m.Call("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
 		return nil
@@ -313,49 +314,49 @@
 
 // The rest of a dead member's share is another's within 3 terms and what its death takes to be known, on the
 // side of a majority; back, the member has it again; and nothing is over, whatever the views are.
-func TestTheDeadsShareIsUsed(t *testing.T) {
+func TestDeadMembersShareIsReused(t *testing.T) {
 	const rate, burst = 50.0, 10.0
-	r := open(t, Config{Members: 5, Seed: 53, Rate: 40, Roster: true,
+	r := startRig(t, Config{Members: 5, Seed: 53, Rate: 40, Roster: true,
 		Limits: "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 50.0\nburst = 10.0\n"})
-	awaitSettled(t, r, "start")
+	awaitConverged(t, r, "start")
 	own := func(but ...string) func() bool {
 		return func() bool {
-			for _, m := range r.Running() {
-				if !slices.Contains(but, m.Name) && !slices.Equal(m.tenures(), []string{m.Name}) {
+			for _, m := range r.RunningMembers() {
+				if !slices.Contains(but, m.Name) && !slices.Equal(m.leases(), []string{m.Name}) {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	if !within(patience, own()) {
-		t.Fatalf("m00 holds %v", r.Member("m00").tenures())
+	if !waitUntil(waitTimeout, own()) {
+		t.Fatalf("m00 holds %v", r.Member("m00").leases())
 	}
 	r.Member("m04").Kill()
 	heir := func() *Member {
-		for _, m := range r.Running() {
-			if slices.Contains(m.tenures(), "m04") {
+		for _, m := range r.RunningMembers() {
+			if slices.Contains(m.leases(), "m04") {
 				return m
 			}
 		}
 		return nil
 	}
 	bound := time.Duration(CrashPeriods(5)+3*10) * period
-	if !within(bound+2*pollEvery, func() bool { return heir() != nil }) {
+	if !waitUntil(bound+2*pollInterval, func() bool { return heir() != nil }) {
 		t.Fatal("nobody has the dead member's rest in time")
 	}
 	time.Sleep(13 * period) // a term and some, until it may be used
-	from := r.History.now()
+	from := r.History.elapsedMS()
 	time.Sleep(4 * time.Second)
 	n := 0
-	for _, at := range letIn(r) {
+	for _, at := range admittedAt(r) {
 		if at >= from && at < from+4000 {
 			n++
 		}
 	}
 	if got := float64(n) / 4; got < 0.82*rate { // of 0.9, and the four alone have 0.8
 		t.Errorf("%.1f of %.0f a second in use without one of five", got, rate)
-		for _, m := range r.Running() {
+		for _, m := range r.RunningMembers() {
 			reply, err := m.Call("GET", "/admin/limits", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
 		}
@@ -363,31 +364,31 @@
 	if err := r.Member("m04").Start(); err != nil {
 		t.Fatal(err)
 	}
-	if !within(patience, own()) {
-		t.Fatalf("m04 is back and holds %v", r.Member("m04").tenures())
+	if !waitUntil(waitTimeout, own()) {
+		t.Fatalf("m04 is back and holds %v", r.Member("m04").leases())
 	}
 	// Two are cut off: nobody has their rest but by votes, and what they have after a term is the floor.
-	r.cut([][]string{{"m00", "m01", "m02"}, {"m03", "m04"}}, false, Fault{})
-	if !within(patience, func() bool {
-		return len(r.Member("m03").tenures())+len(r.Member("m04").tenures()) == 0 &&
-			len(r.Member("m00").tenures())+len(r.Member("m01").tenures())+len(r.Member("m02").tenures()) == 5
+	r.partition([][]string{{"m00", "m01", "m02"}, {"m03", "m04"}}, false, Fault{})
+	if !waitUntil(waitTimeout, func() bool {
+		return len(r.Member("m03").leases())+len(r.Member("m04").leases()) == 0 &&
+			len(r.Member("m00").leases())+len(r.Member("m01").leases())+len(r.Member("m02").leases()) == 5
 	}) {
 		t.Fatal("the majority has not taken over")
 	}
 	time.Sleep(13 * period)
 	for _, name := range []string{"m03", "m04"} {
-		if s, _ := r.Member(name).share(); s > 0.55*rate/5 || s < 0.45*rate/5 {
+		if s, _ := r.Member(name).limitShare(); s > 0.55*rate/5 || s < 0.45*rate/5 {
 			t.Errorf("%s is cut off with one other and has %.1f of its %.1f", name, s, rate/5)
 		}
 	}
 	r.Between(Fault{})
-	if !within(patience, own()) {
+	if !waitUntil(waitTimeout, own()) {
 		t.Fatal("not each its own after the heal")
 	}
-	if !r.Quiesce(patience) {
+	if !r.Quiesce(waitTimeout) {
 		t.Fatal("queries without an answer")
 	}
-	if over := overRate(letIn(r), rate, burst); over != "" {
+	if over := findRateViolation(admittedAt(r), rate, burst); over != "" {
 		t.Error(over)
 	}
 	for _, f := range Check(r.History.Events(), false) {
@@ -395,16 +396,16 @@
 	}
 }
 
-// together is how many parts a node had at the most at a time, if each took at least so long; or, with no
-// node named, how many queries that are meant were open.
-func together(r *Rig, node string, took float64, meant func(n int) bool) (most int) {
+// maxConcurrent is how many parts a node had at the most at a time, if each took at least so long; or, with
+// no node named, how many queries that are meant were open.
+func maxConcurrent(r *Rig, node string, took float64, meant func(n int) bool) (most int) {
 	var at []float64
 	if node == "" {
-		at = reached(r, meant)
+		at = firstPartTimes(r, meant)
 	} else {
 		for _, e := range r.History.Events() {
-			if e.Kind == KindPart && e.Who == node {
-				at = append(at, e.MS)
+			if e.Kind == KindPart && e.Subject == node {
+				at = append(at, e.AtMS)
 			}
 		}
 	}
@@ -420,8 +421,8 @@
 
 // What may be open at a time over the fleet, for a class and at one data node, and a rate for each tenant:
 // through a kill and a start at once, a cut, an upgrade and a stop, as the data nodes saw it.
-func TestLimitsOnWhatIsOpenAndForEach(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 54, Rate: 60, Roster: true, Limits: `[[limit]]
+func TestConcurrencyAndPerTenantLimits(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 54, Rate: 60, Roster: true, Limits: `[[limit]]
 name = "posts"
 class = "exchange-post"
 concurrent = 6
@@ -438,22 +439,22 @@
 longest_ms = 2100
 `})
 	const took = 150
-	r.slowBy.Store(int64(took * time.Millisecond))
+	r.slowDelay.Store(int64(took * time.Millisecond))
 	for i := range 4 {
-		r.Sicken(i, Slow)
+		r.SetNodeFault(i, Slow)
 	}
-	awaitSettled(t, r, "start")
+	awaitConverged(t, r, "start")
 	a, b, c := r.Member("m00"), r.Member("m01"), r.Member("m02")
 	time.Sleep(15 * period)
-	b.Mute.Store(true)
+	b.NoQueries.Store(true)
 	time.Sleep(10 * period)
 	b.Kill()
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
 	}
-	b.Mute.Store(false)
+	b.NoQueries.Store(false)
 	time.Sleep(10 * period)
-	r.cut([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
+	r.partition([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
 	time.Sleep(15 * period)
 	r.Between(Fault{Loss: 0.2})
 	if err := c.Upgrade(); err != nil {
@@ -463,17 +464,18 @@
 	time.Sleep(12 * period)
 	a.Cont()
 	time.Sleep(10 * period)
-	if !r.Quiesce(patience) {
+	if !r.Quiesce(waitTimeout) {
 		t.Fatal("queries without an answer")
 	}
-	posts := together(r, "", took, func(n int) bool { return n%2 == 1 })
-	node := together(r, "n0", took, nil)
+	posts := maxConcurrent(r, "", took, func(n int) bool { return n%2 == 1 })
+	node := maxConcurrent(r, "n0", took, nil)
 	if posts > 6 || posts < 4 || node > 3 || node < 2 {
 		t.Errorf("%d of 6 posts were open at a time, %d of 3 parts at n0", posts, node)
 	}
-	for k := range callers {
-		if over := overRate(reached(r, func(n int) bool { return n%callers == k }), 30, 6); over != "" {
-			t.Errorf("tenant %d: %s", k, over)
+	for k := range tenantCount {
+		times := firstPartTimes(r, func(n int) bool { return n%tenantCount == k })
+		if violation := findRateViolation(times, 30, 6); violation != "" {
+			t.Errorf("tenant %d: %s", k, violation)
 		}
 	}
 	refused := 0
--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -14,35 +14,35 @@
 	"time"
 )
 
-const patience = 30 * time.Second
+const waitTimeout = 30 * time.Second
 
-func awaitSettled(t *testing.T, r *Rig, what string) {
+func awaitConverged(t *testing.T, r *Rig, what string) {
 	t.Helper()
-	if !within(patience, func() bool { return Settled(r.Running()) }) {
+	if !waitUntil(waitTimeout, func() bool { return Settled(r.RunningMembers()) }) {
 		t.Fatalf("no one view: %s", what)
 	}
 }
 
 // A second process of a member's name, at another address, refuses to serve and ends with an error; the
 // first one goes on, both say so, and nobody else notices.
-func TestTheLaterOfTwoRefusesToServe(t *testing.T) {
-	r := open(t, Config{Members: 4, Seed: 21, Rate: 5})
-	awaitSettled(t, r, "start")
+func TestNewerProcessWithDuplicateNameExits(t *testing.T) {
+	r := startRig(t, Config{Members: 4, Seed: 21, Rate: 5})
+	awaitConverged(t, r, "start")
 	elder, later := r.Member("m00"), r.Member("m03")
-	if later.Term() != 0 {
+	if later.Terminate() != 0 {
 		t.Fatal("m03 did not end")
 	}
 	before := len(r.History.Events())
 	if err := later.Start(`name = "m03"`, `name = "m00"`, "\nm00 = ", "\nm03 = "); err != nil {
 		t.Fatal(err)
 	}
-	if status := later.Process().Wait(patience); status != 1 {
+	if status := later.Process().Wait(waitTimeout); status != 1 {
 		t.Fatalf("the later one ended with %d", status)
 	}
-	later.up.Store(false)
+	later.running.Store(false)
 	for who, want := range map[*Member]string{elder: "another process bears this member's name",
 		later: "another process bears this member's name and has run for longer"} {
-		if !within(patience, func() bool {
+		if !waitUntil(waitTimeout, func() bool {
 			log, _ := os.ReadFile(who.LogPath())
 			return strings.Contains(string(log), want)
 		}) {
@@ -50,44 +50,44 @@
 		}
 	}
 	time.Sleep(20 * period)
-	if elder.Process().Ended() || elder.View().Figures.Conflict == "" {
+	if elder.Process().Exited() || elder.View().Figures.Conflict == "" {
 		t.Error("the elder one does not go on, or does not show it")
 	}
 	for _, e := range r.History.Events()[before:] {
 		if e.Kind == KindView && e.Members["m00"] != "alive" {
-			t.Fatalf("%s sees m00 %s", e.Who, e.Members["m00"])
+			t.Fatalf("%s sees m00 %s", e.Subject, e.Members["m00"])
 		}
 	}
 	// At the very same address there can't be two.
-	p, err := Start(r.program, []string{"serve", "--fleet", elder.file("fleet.toml")},
-		[]string{"RELAY_CONFIG=" + later.file("config.json"), "TMPDIR=" + t.TempDir()}, later.file("twin"))
+	p, err := Start(r.program, []string{"serve", "--fleet", elder.path("fleet.toml")},
+		[]string{"RELAY_CONFIG=" + later.path("config.json"), "TMPDIR=" + t.TempDir()}, later.path("twin"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if status := p.Wait(patience); status != 1 {
+	if status := p.Wait(waitTimeout); status != 1 {
 		t.Fatalf("a process at a taken address ended with %d", status)
 	}
 }
 
 // Keys change in service: the new one is added everywhere, then goes first, then the old one goes; and a
 // member with a foreign key sees nobody and is seen by nobody.
-func TestKeysChangeInService(t *testing.T) {
+func TestKeyRotationInService(t *testing.T) {
 	key := func() string {
 		b := make([]byte, 32)
 		_, _ = rand.Read(b)
 		return base64.StdEncoding.EncodeToString(b)
 	}
 	one, two := key(), key()
-	r := open(t, Config{Members: 4, Seed: 22, Rate: 5, Keys: one})
-	awaitSettled(t, r, "start")
+	r := startRig(t, Config{Members: 4, Seed: 22, Rate: 5, Keys: one})
+	awaitConverged(t, r, "start")
 	keys := func(text string) {
 		t.Helper()
 		r.cfg.Keys = text
 		for _, m := range r.Members()[:3] { // the fourth one is forgotten
-			if err := m.Rewrite(); err != nil {
+			if err := m.RewriteFiles(); err != nil {
 				t.Fatal(err)
 			}
-			m.Hup()
+			m.Reload()
 			time.Sleep(3 * period)
 		}
 	}
@@ -97,15 +97,15 @@
 	for _, e := range r.History.Events() {
 		for name, state := range e.Members {
 			if e.Kind == KindView && state == "dead" {
-				t.Fatalf("%s sees %s dead after %.0f ms", e.Who, name, e.MS)
+				t.Fatalf("%s sees %s dead after %.0f ms", e.Subject, name, e.AtMS)
 			}
 		}
 	}
 	keys(two)
 	three := r.Members()[:3]
-	if !within(patience, func() bool {
+	if !waitUntil(waitTimeout, func() bool {
 		for _, m := range three {
-			if v := m.View(); v == nil || v.State("m03") != "dead" || v.Alive != 3 {
+			if v := m.View(); v == nil || v.StateOf("m03") != "dead" || v.Alive != 3 {
 				return false
 			}
 		}
@@ -116,19 +116,19 @@
 	if r.Member("m03").View().Figures.Dropped["key"] == 0 {
 		t.Error("foreign keys are not counted")
 	}
-	if err := r.Member("m03").Rewrite(); err != nil {
+	if err := r.Member("m03").RewriteFiles(); err != nil {
 		t.Fatal(err)
 	}
-	r.Member("m03").Hup()
-	awaitSettled(t, r, "all have the new key")
+	r.Member("m03").Reload()
+	awaitConverged(t, r, "all have the new key")
 }
 
 // All members read one file of keys, and each writes it anew when it starts: a process that has opened it
 // when another one does so reads a whole text. Two that started side by side once had no keys.
-func TestFilesAreReplacedWhole(t *testing.T) {
+func TestReplaceFileIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.keys")
 	for _, text := range []string{"one\n", "two\n"} {
-		if err := replace(path, text); err != nil {
+		if err := replaceFile(path, text); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -137,7 +137,7 @@
 		t.Fatal(err)
 	}
 	defer reader.Close()
-	if err := replace(path, "three\n"); err != nil {
+	if err := replaceFile(path, "three\n"); err != nil {
 		t.Fatal(err)
 	}
 	old, err := io.ReadAll(reader)
@@ -151,15 +151,15 @@
 }
 
 // Members whose rosters differ show that.
-func TestRostersThatDifferAreShown(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 23})
-	awaitSettled(t, r, "start")
+func TestDifferingRostersAreReported(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 23})
+	awaitConverged(t, r, "start")
 	m := r.Member("m01")
-	if err := m.Rewrite("most = 64", "most = 65"); err != nil {
+	if err := m.RewriteFiles("most = 64", "most = 65"); err != nil {
 		t.Fatal(err)
 	}
-	m.Hup()
-	if !within(patience, func() bool {
+	m.Reload()
+	if !waitUntil(waitTimeout, func() bool {
 		a, b := r.Member("m00").View(), m.View()
 		return len(a.Figures.Differ) == 1 && a.Figures.Differ[0] == "m01" && len(b.Figures.Differ) == 2
 	}) {
@@ -168,14 +168,14 @@
 }
 
 // The fleet takes each kind of front, and the door opens with each; the modules hear of one another.
-func TestEveryFrontTakesPart(t *testing.T) {
-	program, err := Program()
+func TestEveryFrontJoinsFleet(t *testing.T) {
+	program, err := BuildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
 	r := &Rig{}
-	if err := r.findNet(); err != nil {
+	if err := r.claimSubnet(); err != nil {
 		t.Fatal(err)
 	}
 	defer r.closers[0]()
@@ -203,15 +203,15 @@
 		front := filepath.Join(dir, fmt.Sprint("front", i))
 		file := filepath.Join(dir, fmt.Sprint("fleet", i))
 		form := "[fleet]\nname = \"f%d\"\nlisten = %q\njoin = [%q]\nroster = [\"f0\", \"f1\", \"f2\"]\n"
-		fleet := fmt.Sprintf(form, i, r.host(1+i, portFleet), r.host(1, portFleet))
-		for path, text := range map[string]string{front: fmt.Sprintf(files[kind], r.host(1+i, portFront)),
+		fleet := fmt.Sprintf(form, i, r.addr(1+i, portFleet), r.addr(1, portFleet))
+		for path, text := range map[string]string{front: fmt.Sprintf(files[kind], r.addr(1+i, portFront)),
 			file: fleet} {
 			if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
 		p, err := Start(program, []string{"serve", "--" + kind, front, "--fleet", file},
-			[]string{"RELAY_CONFIG=", "RELAY_OPERATOR=" + r.host(1+i, portDoor)}, filepath.Join(dir,
+			[]string{"RELAY_CONFIG=", "RELAY_OPERATOR=" + r.addr(1+i, portAdmin)}, filepath.Join(dir,
 				fmt.Sprint("log", i)))
 		if err != nil {
 			t.Fatal(err)
@@ -220,25 +220,25 @@
 		procs = append(procs, p)
 	}
 	for i := range fronts {
-		if !within(patience, func() bool {
-			reply, err := call(r.host(1+i, portDoor), "GET", "/admin/fleet", "")
+		if !waitUntil(waitTimeout, func() bool {
+			reply, err := callAdmin(r.addr(1+i, portAdmin), "GET", "/admin/fleet", "")
 			var v View
 			return err == nil && reply.Status == 200 && json.Unmarshal(reply.Body, &v) == nil && v.Alive == 3
 		}) {
-			log, _ := os.ReadFile(procs[i].Log)
+			log, _ := os.ReadFile(procs[i].LogPath)
 			t.Fatalf("%s does not see all:\n%s", fronts[i], log)
 		}
 	}
 	// Without --fleet there is no socket and no call.
 	p, err := Start(program, []string{"serve", "--promql", filepath.Join(dir, "front0")},
 		[]string{"RELAY_CONFIG=",
-			"RELAY_OPERATOR=" + r.host(9, portDoor)}, filepath.Join(dir, "log9"))
+			"RELAY_OPERATOR=" + r.addr(9, portAdmin)}, filepath.Join(dir, "log9"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Kill()
-	if !within(patience, func() bool {
-		reply, err := call(r.host(9, portDoor), "GET", "/admin/fleet", "")
+	if !waitUntil(waitTimeout, func() bool {
+		reply, err := callAdmin(r.addr(9, portAdmin), "GET", "/admin/fleet", "")
 		return err == nil && reply.Status == 404
 	}) {
 		t.Fatal("a coordinator without --fleet speaks of one")
@@ -246,9 +246,9 @@
 }
 
 // What other coordinators' modules have to say reaches those that are alive, and nothing goes to the dead.
-func TestModulesHearOfOneAnother(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 24, Rate: 40})
-	awaitSettled(t, r, "start")
+func TestModulesExchangeMessages(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 24, Rate: 40})
+	awaitConverged(t, r, "start")
 	figures := func(m *Member) (sent, got int64) {
 		reply, err := m.Call("GET", "/admin/fleet", "")
 		if err != nil {
@@ -263,7 +263,7 @@
 		_ = json.Unmarshal(reply.Body, &v)
 		return v.Figures.Sent, v.Figures.Got
 	}
-	if !within(patience, func() bool {
+	if !waitUntil(waitTimeout, func() bool {
 		for _, m := range r.Members() {
 			if _, got := figures(m); got < 3 {
 				return false
@@ -276,23 +276,23 @@
 }
 
 // A history with a fault in it is found to have one.
-func TestTheCheckerFinds(t *testing.T) {
+func TestCheckFindsViolations(t *testing.T) {
 	view := func(who, digest, state string, inc uint32) Event {
-		return Event{Kind: KindView, Who: who, Digest: digest, Members: map[string]string{"m01": state},
-			Incs: map[string]uint32{"m01": inc}}
+		return Event{Kind: KindView, Subject: who, Digest: digest, Members: map[string]string{"m01": state},
+			Incarnations: map[string]uint32{"m01": inc}}
 	}
-	up := Event{Kind: KindProcess, Who: "m01", What: "start"}
+	up := Event{Kind: KindProcess, Subject: "m01", Detail: "start"}
 	for what, events := range map[string][]Event{
 		"answered 2 times": {{Kind: KindQuery, Query: "q"}, {Kind: KindAnswer, Query: "q"},
 			{Kind: KindAnswer, Query: "q"}},
-		"never answered":     {{Kind: KindQuery, Query: "q"}},
-		"which ran":          {{Kind: KindQuery, Query: "q"}, {Kind: KindAnswer, Query: "q", What: "cut off"}},
-		"which nobody asked": {{Kind: KindPart, Who: "n0", Query: "q.1"}},
+		"never answered":       {{Kind: KindQuery, Query: "q"}},
+		"which was running":    {{Kind: KindQuery, Query: "q"}, {Kind: KindAnswer, Query: "q", Detail: "cut off"}},
+		"which no client sent": {{Kind: KindPart, Subject: "n0", Query: "q.1"}},
 		"another's": {{Kind: KindQuery, Query: "q"}, {Kind: KindAnswer, Query: "q",
-			What: "another's: x"}},
-		"went back from 2 to 1": {up, view("m00", "a", "alive", 2), view("m00", "b", "alive", 1)},
-		"stands for":            {up, view("m00", "a", "alive", 1), view("m02", "a", "left", 1)},
-		"dead, which runs":      {up, view("m00", "a", "dead", 1)},
+			Detail: "another's: x"}},
+		"went back from 2 to 1":    {up, view("m00", "a", "alive", 2), view("m00", "b", "alive", 1)},
+		"maps to both":             {up, view("m00", "a", "alive", 1), view("m02", "a", "left", 1)},
+		"dead while it is running": {up, view("m00", "a", "dead", 1)},
 	} {
 		if got := strings.Join(Check(events, true), "; "); !strings.Contains(got, what) {
 			t.Errorf("%s is not found, but %q", what, got)
@@ -305,7 +305,7 @@
 }
 
 // A scenario that can't be played is told by line and key, all at once.
-func TestBadScenarios(t *testing.T) {
+func TestInvalidScenarios(t *testing.T) {
 	_, err := ParseScenario("s.toml", `members = 99
 rate = -1
 [[step]]
@@ -341,7 +341,7 @@
 		t.Fatal(err)
 	}
 	defer relay.close()
-	src, err := net.Dial("udp", relay.c.LocalAddr().String())
+	src, err := net.Dial("udp", relay.conn.LocalAddr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -369,18 +369,18 @@
 		least, most int
 		damaged     bool
 	}{"sound": {Fault{}, 100, 100, false}, "cut": {Fault{Cut: true}, 0, 0, false},
-		"loss": {Fault{Loss: 0.5}, 30, 70, false}, "twice": {Fault{Twice: 1}, 200, 200, false},
-		"damage": {Fault{Damage: 1}, 100, 100, true}, "late": {Fault{Reorder: 0.5, DelayMS: 5}, 100, 100, false}} {
-		relay.set(c.f)
+		"loss": {Fault{Loss: 0.5}, 30, 70, false}, "twice": {Fault{Duplicate: 1}, 200, 200, false},
+		"damage": {Fault{Corrupt: 1}, 100, 100, true}, "late": {Fault{Reorder: 0.5, DelayMS: 5}, 100, 100, false}} {
+		relay.setFault(c.f)
 		if n, damaged := got(100); n < c.least || n > c.most || c.damaged != (damaged == n && n > 0) {
 			t.Errorf("%s: %d came, %d damaged", what, n, damaged)
 		}
 	}
-	relay.set(Fault{Freeze: true})
+	relay.setFault(Fault{Freeze: true})
 	if n, _ := got(20); n != 0 {
 		t.Errorf("%d passed a frozen link", n)
 	}
-	relay.set(Fault{})
+	relay.setFault(Fault{})
 	if n, _ := got(0); n != 20 {
 		t.Errorf("%d came after the thaw", n)
 	}
--- a/internal/rig/race_off.go
+++ b/internal/rig/race_off.go
@@ -2,4 +2,4 @@
 
 package rig
 
-const raced = false
+const raceEnabled = false
--- a/internal/rig/relay.go
+++ b/internal/rig/relay.go
@@ -1,6 +1,6 @@
 package rig
 
-// Relays: each directed link has one, so that a fault can be put on it alone.
+// Relays: each directed link has its own, so that faults can be injected per link and direction.
 
 import (
 	"errors"
@@ -11,31 +11,31 @@
 	"time"
 )
 
-// Fault is what a link does to what goes over it.
+// Fault says what a link does to its traffic. Loss, Duplicate, Corrupt and Reorder apply to datagrams only.
 type Fault struct {
-	Loss    float64 `toml:"loss,omitempty" json:"loss,omitempty"`       // share that is lost
-	Twice   float64 `toml:"twice,omitempty" json:"twice,omitempty"`     // that comes twice
-	Damage  float64 `toml:"damage,omitempty" json:"damage,omitempty"`   // that comes with a bit turned
-	Reorder float64 `toml:"reorder,omitempty" json:"reorder,omitempty"` // that comes late, behind others
-	DelayMS float64 `toml:"delay_ms,omitempty" json:"delay_ms,omitempty"`
-	Cut     bool    `toml:"cut,omitempty" json:"cut,omitempty"`
-	Freeze  bool    `toml:"freeze,omitempty" json:"freeze,omitempty"` // held until it is over
+	Loss      float64 `toml:"loss,omitempty" json:"loss,omitempty"`       // share of datagrams that are dropped
+	Duplicate float64 `toml:"twice,omitempty" json:"twice,omitempty"`     // share delivered twice
+	Corrupt   float64 `toml:"damage,omitempty" json:"damage,omitempty"`   // share delivered with one bit flipped
+	Reorder   float64 `toml:"reorder,omitempty" json:"reorder,omitempty"` // share delivered late
+	DelayMS   float64 `toml:"delay_ms,omitempty" json:"delay_ms,omitempty"`
+	Cut       bool    `toml:"cut,omitempty" json:"cut,omitempty"`
+	Freeze    bool    `toml:"freeze,omitempty" json:"freeze,omitempty"` // held until the fault ends
 }
 
 const (
-	reorderBy  = 30 * time.Millisecond
-	mostFrozen = 512
+	reorderDelay = 30 * time.Millisecond
+	maxFrozen    = 512
 )
 
-// udpRelay carries datagrams one way.
+// udpRelay forwards datagrams in one direction.
 type udpRelay struct {
-	c      *net.UDPConn
-	to     *net.UDPAddr
-	mu     sync.Mutex // guards what follows
-	rng    *rand.Rand
-	fault  Fault
-	frozen [][]byte
-	passed int
+	conn      *net.UDPConn
+	to        *net.UDPAddr
+	mu        sync.Mutex // guards the fields below
+	rng       *rand.Rand
+	fault     Fault
+	frozen    [][]byte
+	forwarded int
 }
 
 func newUDPRelay(at, to *net.UDPAddr, seed uint64) (*udpRelay, error) {
@@ -43,7 +43,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &udpRelay{c: c, to: to, rng: rand.New(rand.NewPCG(seed, 1))}
+	r := &udpRelay{conn: c, to: to, rng: rand.New(rand.NewPCG(seed, 1))}
 	go r.run()
 	return r, nil
 }
@@ -51,18 +51,19 @@
 func (r *udpRelay) run() {
 	buf := make([]byte, 2048)
 	for {
-		n, _, err := r.c.ReadFromUDP(buf)
+		n, _, err := r.conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err == nil {
-			r.take(append([]byte(nil), buf[:n]...))
+			r.handle(append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-// take decides by the link's own generator, so that datagram k of a link meets the same fate in each run.
-func (r *udpRelay) take(b []byte) {
+// handle applies the fault to one datagram. It draws from the link's own generator, so that datagram k of a
+// link meets the same fate in each run.
+func (r *udpRelay) handle(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	f := r.fault
@@ -72,57 +73,57 @@
 	case f.Cut || draw[0] < f.Loss:
 		return
 	case f.Freeze:
-		if len(r.frozen) < mostFrozen {
+		if len(r.frozen) < maxFrozen {
 			r.frozen = append(r.frozen, b)
 		}
 		return
 	}
-	if draw[1] < f.Damage && len(b) > 0 {
+	if draw[1] < f.Corrupt && len(b) > 0 {
 		b[bit/8] ^= 1 << (bit % 8)
 	}
-	wait := time.Duration(f.DelayMS * float64(time.Millisecond))
+	delay := time.Duration(f.DelayMS * float64(time.Millisecond))
 	if draw[2] < f.Reorder {
-		wait += reorderBy
+		delay += reorderDelay
 	}
-	r.pass(b, wait)
-	if draw[3] < f.Twice {
-		r.pass(b, wait+reorderBy/3)
+	r.forward(b, delay)
+	if draw[3] < f.Duplicate {
+		r.forward(b, delay+reorderDelay/3)
 	}
 }
 
-func (r *udpRelay) pass(b []byte, wait time.Duration) {
-	r.passed++
-	if wait > 0 {
-		time.AfterFunc(wait, func() { _, _ = r.c.WriteToUDP(b, r.to) })
+func (r *udpRelay) forward(b []byte, delay time.Duration) {
+	r.forwarded++
+	if delay > 0 {
+		time.AfterFunc(delay, func() { _, _ = r.conn.WriteToUDP(b, r.to) })
 		return
 	}
-	_, _ = r.c.WriteToUDP(b, r.to)
+	_, _ = r.conn.WriteToUDP(b, r.to)
 }
 
-func (r *udpRelay) set(f Fault) {
+func (r *udpRelay) setFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fault = f
 	if !f.Freeze {
 		for _, b := range r.frozen {
-			r.pass(b, 0)
+			r.forward(b, 0)
 		}
 		r.frozen = nil
 	}
 }
 
-func (r *udpRelay) close() { _ = r.c.Close() }
+func (r *udpRelay) close() { _ = r.conn.Close() }
 
-// tcpRelay carries connections. While it is cut nothing passes, open connections stay open and silent, and
-// new ones come to nothing.
+// tcpRelay forwards TCP connections. While it is cut or frozen, no bytes pass: open connections stay open but
+// silent, and new ones are accepted but not connected to the target.
 type tcpRelay struct {
-	l     net.Listener
-	to    string
-	mu    sync.Mutex // guards what follows
-	open  map[net.Conn]struct{}
-	fault Fault
-	heal  chan struct{} // closed while nothing is cut
-	over  bool
+	listener  net.Listener
+	target    string
+	mu        sync.Mutex // guards the fields below
+	conns     map[net.Conn]struct{}
+	fault     Fault
+	unblocked chan struct{} // closed while traffic may pass
+	closed    bool
 }
 
 func newTCPRelay(at, to string) (*tcpRelay, error) {
@@ -130,8 +131,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &tcpRelay{l: l, to: to, open: map[net.Conn]struct{}{}, heal: make(chan struct{})}
-	close(r.heal)
+	r := &tcpRelay{listener: l, target: to, conns: map[net.Conn]struct{}{}, unblocked: make(chan struct{})}
+	close(r.unblocked)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -144,47 +145,48 @@
 	return r, nil
 }
 
-// gate is closed once something may pass, and how long it is to be delayed.
+// gate returns a channel that is closed once traffic may pass, and the delay to apply to it.
 func (r *tcpRelay) gate() (<-chan struct{}, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.heal, time.Duration(r.fault.DelayMS * float64(time.Millisecond))
+	return r.unblocked, time.Duration(r.fault.DelayMS * float64(time.Millisecond))
 }
 
-func (r *tcpRelay) hold(c net.Conn) bool {
+// track registers an open connection. It closes the connection and returns false if the relay is closed.
+func (r *tcpRelay) track(c net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.over {
+	if r.closed {
 		_ = c.Close()
 		return false
 	}
-	r.open[c] = struct{}{}
+	r.conns[c] = struct{}{}
 	return true
 }
 
-func (r *tcpRelay) drop(c net.Conn) {
+func (r *tcpRelay) untrack(c net.Conn) {
 	_ = c.Close()
 	r.mu.Lock()
-	delete(r.open, c)
+	delete(r.conns, c)
 	r.mu.Unlock()
 }
 
 func (r *tcpRelay) serve(c net.Conn) {
-	if !r.hold(c) {
+	if !r.track(c) {
 		return
 	}
-	defer r.drop(c)
-	wait, _ := r.gate()
-	<-wait
-	to, err := net.DialTimeout("tcp", r.to, 5*time.Second)
+	defer r.untrack(c)
+	unblocked, _ := r.gate()
+	<-unblocked
+	to, err := net.DialTimeout("tcp", r.target, 5*time.Second)
 	if err != nil {
-		_ = c.(*net.TCPConn).SetLinger(0) // nobody listens there: the caller is to hear a reset
+		_ = c.(*net.TCPConn).SetLinger(0) // nothing listens at the target: the caller must get a reset
 		return
 	}
-	if !r.hold(to) {
+	if !r.track(to) {
 		return
 	}
-	defer r.drop(to)
+	defer r.untrack(to)
 	done := make(chan struct{}, 2)
 	go r.copy(to, c, done)
 	go r.copy(c, to, done)
@@ -196,8 +198,8 @@
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		wait, delay := r.gate()
-		<-wait
+		unblocked, delay := r.gate()
+		<-unblocked
 		time.Sleep(delay)
 		if n > 0 {
 			if _, werr := to.Write(buf[:n]); werr != nil {
@@ -213,27 +215,27 @@
 	}
 }
 
-func (r *tcpRelay) set(f Fault) {
+func (r *tcpRelay) setFault(f Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	blocked := f.Cut || f.Freeze
 	if was := r.fault.Cut || r.fault.Freeze; blocked != was {
 		if blocked {
-			r.heal = make(chan struct{})
+			r.unblocked = make(chan struct{})
 		} else {
-			close(r.heal)
+			close(r.unblocked)
 		}
 	}
 	r.fault = f
 }
 
 func (r *tcpRelay) close() {
-	_ = r.l.Close()
-	r.set(Fault{})
+	_ = r.listener.Close()
+	r.setFault(Fault{})
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
-	for c := range r.open {
+	r.closed = true
+	for c := range r.conns {
 		_ = c.Close()
 	}
 }
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -10,48 +10,49 @@
 	"lapislever/internal/settings"
 )
 
-// Scenario is a run written down: the members, what stands around them, and what happens when. Times are in
-// periods of the fleet.
+// Scenario describes a test run: the members, their environment and a sequence of steps. Times are in fleet
+// periods.
 type Scenario struct {
-	About    string  `toml:"about"`
-	Seed     uint64  `toml:"seed"`
-	Members  int     `toml:"members"`
-	Nodes    int     `toml:"nodes,omitempty"`
-	PeriodMS int     `toml:"period_ms,omitempty"`
-	Rate     float64 `toml:"rate,omitempty"`      // queries a second and member
-	NoDeaths bool    `toml:"no_deaths,omitempty"` // nobody that runs may ever be seen dead
-	Link     Fault   `toml:"link,omitempty"`      // on all links between members, from the start
-	Steps    []Step  `toml:"step"`
+	Description string  `toml:"about"`
+	Seed        uint64  `toml:"seed"`
+	Members     int     `toml:"members"`
+	Nodes       int     `toml:"nodes,omitempty"`
+	PeriodMS    int     `toml:"period_ms,omitempty"`
+	Rate        float64 `toml:"rate,omitempty"`      // queries per second and member
+	NoDeaths    bool    `toml:"no_deaths,omitempty"` // no running member may ever be seen dead
+	LinkFault   Fault   `toml:"link,omitempty"`      // of all links between members, from the start
+	Steps       []Step  `toml:"step"`
 }
 
-// Step is one thing that is done or expected.
+// Step is one action or one expectation.
 type Step struct {
-	After    float64    `toml:"after,omitempty"` // waits so long before
-	Do       string     `toml:"do,omitempty"`
-	Who      []string   `toml:"who,omitempty"`
-	Together bool       `toml:"together,omitempty"` // for all of Who at once
-	Sides    [][]string `toml:"sides,omitempty"`    // of a cut; who is on no side sees all
-	OneWay   bool       `toml:"one_way,omitempty"`  // what the first side says to others comes through
-	Fault    Fault      `toml:"fault,omitempty"`    // of do = "link": on links between Who and everybody
-	Expect   string     `toml:"expect,omitempty"`
-	Among    []string   `toml:"among,omitempty"`  // who has to see it; without: all that run
-	Within   float64    `toml:"within,omitempty"` // 0: the bound that holds for what is expected
+	After      float64    `toml:"after,omitempty"` // delay before the step
+	Action     string     `toml:"do,omitempty"`
+	Targets    []string   `toml:"who,omitempty"`
+	Concurrent bool       `toml:"together,omitempty"` // acts on all targets at once
+	Sides      [][]string `toml:"sides,omitempty"`    // of a partition; a member on no side reaches all
+	OneWay     bool       `toml:"one_way,omitempty"`  // traffic from the first side to the others still passes
+	Fault      Fault      `toml:"fault,omitempty"`    // of do = "link": on all links from and to the targets
+	Expect     string     `toml:"expect,omitempty"`
+	Observers  []string   `toml:"among,omitempty"`  // members that must see it; empty: all that run
+	Within     float64    `toml:"within,omitempty"` // 0: the documented bound for the expectation
 }
 
-// What steps may do and expect.
+// The valid actions and expectations of steps.
 var (
-	doings = []string{"kill", "start", "stop", "cont", "term", "restart", "upgrade", "add", "hup", "cut",
+	actions = []string{"kill", "start", "stop", "cont", "term", "restart", "upgrade", "add", "hup", "cut",
 		"heal", "link"}
-	expects = []string{"settled", "dead", "left", "alive"}
+	expectations = []string{"settled", "dead", "left", "alive"}
 )
 
-// SettlePeriods and CrashPeriods are the bounds that docs/FLEET.md states.
+// SettlePeriods is the bound on convergence in periods, as stated in docs/FLEET.md.
 const SettlePeriods = 20
 
-// CrashPeriods is within how many periods all of so many members know of a crash.
+// CrashPeriods returns the bound in periods, as stated in docs/FLEET.md, within which all of the given number
+// of members know of a crash.
 func CrashPeriods(members int) float64 { return 12 + float64(bits.Len(uint(max(1, members-1)))) }
 
-// ParseScenario reads a scenario; all faults are told at once, with line and key.
+// ParseScenario parses a scenario. Its error lists all mistakes, with line and key.
 func ParseScenario(name, text string) (*Scenario, error) {
 	s := &Scenario{}
 	f, err := settings.Parse(name, text, s)
@@ -68,80 +69,81 @@
 	members := s.Members
 	for i, st := range s.Steps {
 		at := fmt.Sprintf("step[%d]", i+1)
-		f.Require((st.Do == "") != (st.Expect == ""), at+".do", "one of do and expect has to be there")
-		f.Require(st.Do == "" || slices.Contains(doings, st.Do), at+".do", "%q is none of %v", st.Do, doings)
-		f.Require(st.Expect == "" || slices.Contains(expects, st.Expect), at+".expect", "%q is none of %v", st.Expect,
-			expects)
+		f.Require((st.Action == "") != (st.Expect == ""), at+".do", "exactly one of do and expect must be set")
+		f.Require(st.Action == "" || slices.Contains(actions, st.Action), at+".do", "%q is none of %v", st.Action,
+			actions)
+		f.Require(st.Expect == "" || slices.Contains(expectations, st.Expect), at+".expect", "%q is none of %v",
+			st.Expect, expectations)
 		f.Require(st.After >= 0 && st.After <= 10_000, at+".after", "%g is not within 0 and 10000", st.After)
-		if st.Do == "add" {
-			members += max(1, len(st.Who))
+		if st.Action == "add" {
+			members += max(1, len(st.Targets))
 		}
 		known := func(key string, list []string) {
 			for _, who := range list {
 				n := -1
 				_, err := fmt.Sscanf(who, "m%02d", &n)
-				f.Require(err == nil && n >= 0 && n < members, at+"."+key, "%q is no member", who)
+				f.Require(err == nil && n >= 0 && n < members, at+"."+key, "there is no member %q", who)
 			}
 		}
-		known("who", st.Who)
-		known("among", st.Among)
+		known("who", st.Targets)
+		known("among", st.Observers)
 		for _, side := range st.Sides {
 			known("sides", side)
 		}
-		f.Require(st.Do != "cut" || len(st.Sides) >= 1, at+".sides", "is missing")
-		f.Require(st.Expect == "" || st.Expect == "settled" || len(st.Who) > 0, at+".who", "is missing")
+		f.Require(st.Action != "cut" || len(st.Sides) >= 1, at+".sides", "is missing")
+		f.Require(st.Expect == "" || st.Expect == "settled" || len(st.Targets) > 0, at+".who", "is missing")
 	}
 	return s, f.Err()
 }
 
-// Result is how a scenario went.
+// Result is the outcome of a scenario.
 type Result struct {
 	History *History
-	Took    map[string]float64 // periods that each expectation took, by step and name
+	Periods map[string]float64 // time that each expectation took, by step and name
 }
 
-// Run plays a scenario on a rig that was made for it, and returns at the first expectation that is not met.
+// Run runs the scenario on a rig that was made for it, and stops at the first expectation that is not met.
 func (s *Scenario) Run(r *Rig) (*Result, error) {
-	res := &Result{History: r.History, Took: map[string]float64{}}
+	res := &Result{History: r.History, Periods: map[string]float64{}}
 	period := r.cfg.Period
-	if s.Link != (Fault{}) {
-		r.Between(s.Link)
+	if s.LinkFault != (Fault{}) {
+		r.Between(s.LinkFault)
 	}
 	for _, m := range r.members {
 		if err := m.Start(); err != nil {
 			return res, err
 		}
 	}
-	if err := s.expect(r, res, 0, Step{Expect: "settled", Within: 3 * SettlePeriods}); err != nil {
-		return res, err // starting processes takes its own time: what counts begins now
+	if err := s.await(r, res, 0, Step{Expect: "settled", Within: 3 * SettlePeriods}); err != nil {
+		return res, err // process start-up takes time; the scenario proper starts here
 	}
 	for i, st := range s.Steps {
 		time.Sleep(time.Duration(st.After * float64(period)))
 		if st.Expect != "" {
-			if err := s.expect(r, res, i+1, st); err != nil {
+			if err := s.await(r, res, i+1, st); err != nil {
 				return res, err
 			}
 			continue
 		}
-		if err := s.do(r, st); err != nil {
-			return res, fmt.Errorf("step %d, %s: %w", i+1, st.Do, err)
+		if err := s.perform(r, st); err != nil {
+			return res, fmt.Errorf("step %d, %s: %w", i+1, st.Action, err)
 		}
 	}
 	if !r.Quiesce(15 * time.Second) {
-		return res, fmt.Errorf("%d queries never got their answer", r.Open())
+		return res, fmt.Errorf("%d queries were never answered", r.Unanswered())
 	}
 	return res, nil
 }
 
-// Quiesce asks no more queries and waits for the answers to those that were; false: some did not come in
-// time.
-func (r *Rig) Quiesce(most time.Duration) bool {
-	r.quiet.Store(true)
-	return within(most, func() bool { return r.busy.Load() == 0 && r.Open() == 0 })
+// Quiesce stops sending queries and waits for the answers to those in flight. It returns false if some do not
+// arrive within the timeout.
+func (r *Rig) Quiesce(timeout time.Duration) bool {
+	r.noNewQueries.Store(true)
+	return waitUntil(timeout, func() bool { return r.inFlight.Load() == 0 && r.Unanswered() == 0 })
 }
 
-// Open counts queries that have had no end yet.
-func (r *Rig) Open() int {
+// Unanswered returns the number of queries in the history without an answer.
+func (r *Rig) Unanswered() int {
 	open := 0
 	for _, e := range r.History.Events() {
 		switch e.Kind {
@@ -154,47 +156,47 @@
 	return open
 }
 
-// do carries out one step.
-func (s *Scenario) do(r *Rig, st Step) error {
-	r.History.Note(Event{Kind: KindStep, What: fmt.Sprintf("%s %v %v", st.Do, st.Who, st.Sides)})
-	switch st.Do {
+// perform runs the action of one step.
+func (s *Scenario) perform(r *Rig, st Step) error {
+	r.History.Record(Event{Kind: KindStep, Detail: fmt.Sprintf("%s %v %v", st.Action, st.Targets, st.Sides)})
+	switch st.Action {
 	case "cut":
-		r.cut(st.Sides, st.OneWay, s.Link)
+		r.partition(st.Sides, st.OneWay, s.LinkFault)
 		return nil
 	case "heal":
-		r.Between(s.Link)
+		r.Between(s.LinkFault)
 		return nil
 	case "add":
-		for range max(1, len(st.Who)) {
-			m, err := r.Add()
+		for range max(1, len(st.Targets)) {
+			m, err := r.AddMember()
 			if err != nil {
 				return err
 			}
 			for _, o := range r.members {
-				r.Link(m.Name, o.Name, s.Link)
-				r.Link(o.Name, m.Name, s.Link)
+				r.SetLinkFault(m.Name, o.Name, s.LinkFault)
+				r.SetLinkFault(o.Name, m.Name, s.LinkFault)
 			}
 		}
 		return nil
 	case "link":
-		for _, who := range st.Who {
+		for _, who := range st.Targets {
 			for _, o := range r.members {
-				r.Link(who, o.Name, st.Fault)
-				r.Link(o.Name, who, st.Fault)
+				r.SetLinkFault(who, o.Name, st.Fault)
+				r.SetLinkFault(o.Name, who, st.Fault)
 			}
 		}
 		return nil
 	}
 	var wait sync.WaitGroup
-	errs := make([]error, len(st.Who))
-	for i, who := range st.Who {
+	errs := make([]error, len(st.Targets))
+	for i, who := range st.Targets {
 		m := r.Member(who)
 		if m == nil {
-			return fmt.Errorf("%s is not there", who)
+			return fmt.Errorf("there is no member %s", who)
 		}
 		wait.Add(1)
-		act := func() { defer wait.Done(); errs[i] = m.act(st.Do) }
-		if st.Together {
+		act := func() { defer wait.Done(); errs[i] = m.perform(st.Action) }
+		if st.Concurrent {
 			go act()
 		} else {
 			act()
@@ -209,9 +211,9 @@
 	return nil
 }
 
-// act does one thing to one member.
-func (m *Member) act(what string) error {
-	switch what {
+// perform runs one action on one member.
+func (m *Member) perform(action string) error {
+	switch action {
 	case "kill":
 		m.Kill()
 	case "start":
@@ -221,28 +223,28 @@
 	case "cont":
 		m.Cont()
 	case "hup":
-		if err := m.Rewrite(); err != nil {
+		if err := m.RewriteFiles(); err != nil {
 			return err
 		}
-		m.Hup()
+		m.Reload()
 	case "upgrade":
 		return m.Upgrade()
 	case "term", "restart":
-		if status := m.Term(); status != 0 {
-			return fmt.Errorf("%s ended with %d", m.Name, status)
+		if status := m.Terminate(); status != 0 {
+			return fmt.Errorf("%s exited with status %d", m.Name, status)
 		}
-		if what == "restart" {
+		if action == "restart" {
 			return m.Start()
 		}
 	}
 	return nil
 }
 
-// Cut separates sides; all other links are sound.
-func (r *Rig) Cut(sides [][]string) { r.cut(sides, false, Fault{}) }
+// Partition cuts the links between the sides and clears the faults of all other links.
+func (r *Rig) Cut(sides [][]string) { r.partition(sides, false, Fault{}) }
 
-// cut separates sides; all other links get the fault given.
-func (r *Rig) cut(sides [][]string, oneWay bool, rest Fault) {
+// partition cuts the links between the sides and sets the fault of all other links to rest.
+func (r *Rig) partition(sides [][]string, oneWay bool, rest Fault) {
 	side := map[string]int{}
 	for i, names := range sides {
 		for _, n := range names {
@@ -256,16 +258,16 @@
 			if x != 0 && y != 0 && x != y && !(oneWay && x == 1) {
 				f = Fault{Cut: true}
 			}
-			r.Link(a.Name, b.Name, f)
+			r.SetLinkFault(a.Name, b.Name, f)
 		}
 	}
 }
 
-// expect waits for what a step expects.
-func (s *Scenario) expect(r *Rig, res *Result, i int, st Step) error {
-	among := r.Running()
-	if len(st.Among) > 0 {
-		among = slices.DeleteFunc(among, func(m *Member) bool { return !slices.Contains(st.Among, m.Name) })
+// await waits for a step's expectation.
+func (s *Scenario) await(r *Rig, res *Result, i int, st Step) error {
+	observers := r.RunningMembers()
+	if len(st.Observers) > 0 {
+		observers = slices.DeleteFunc(observers, func(m *Member) bool { return !slices.Contains(st.Observers, m.Name) })
 	}
 	bound := st.Within
 	if bound == 0 {
@@ -276,12 +278,12 @@
 	}
 	holds := func() bool {
 		if st.Expect == "settled" {
-			return Settled(among)
+			return Settled(observers)
 		}
-		for _, m := range among {
+		for _, m := range observers {
 			v := m.View()
-			for _, who := range st.Who {
-				if v == nil || v.State(who) != st.Expect {
+			for _, who := range st.Targets {
+				if v == nil || v.StateOf(who) != st.Expect {
 					return false
 				}
 			}
@@ -289,16 +291,15 @@
 		return true
 	}
 	begun := time.Now()
-	// Looking takes time too, and the look may come late on a busy machine: that is given on top.
-	ok := within(time.Duration(bound*float64(r.cfg.Period))+2*pollEvery, holds)
+	// Polling takes time, and polls may be late on a busy machine: the bound is extended by two polls.
+	ok := waitUntil(time.Duration(bound*float64(r.cfg.Period))+2*pollInterval, holds)
 	took := float64(time.Since(begun)) / float64(r.cfg.Period)
-	what := fmt.Sprintf("%d %s", i, st.Expect)
-	res.Took[what] = took
-	r.History.Note(Event{Kind: KindStep, What: fmt.Sprintf("expected %s %v: %v after %.1f", st.Expect, st.Who,
-		ok,
-		took)})
+	key := fmt.Sprintf("%d %s", i, st.Expect)
+	res.Periods[key] = took
+	r.History.Record(Event{Kind: KindStep, Detail: fmt.Sprintf("expected %s %v: %v after %.1f", st.Expect,
+		st.Targets, ok, took)})
 	if !ok {
-		return fmt.Errorf("step %d: %s %v not within %.1f periods", i, st.Expect, st.Who, bound)
+		return fmt.Errorf("step %d: %s %v not reached within %.1f periods", i, st.Expect, st.Targets, bound)
 	}
 	return nil
 }
--- a/internal/rig/scenario_test.go
+++ b/internal/rig/scenario_test.go
@@ -28,19 +28,19 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			play(t, s)
+			runScenario(t, s)
 		})
 	}
 }
 
-// oneMember holds that nobody took an upgrade for a restart.
-func oneMember(t *testing.T, r *Rig, events []Event) {
+// checkUpgradesNotRestarts holds that nobody took an upgrade for a restart.
+func checkUpgradesNotRestarts(t *testing.T, r *Rig, events []Event) {
 	t.Helper()
 	upgraded, ended := map[string]bool{}, map[string]bool{}
 	for _, e := range events {
 		if e.Kind == KindProcess {
-			upgraded[e.Who] = upgraded[e.Who] || e.What == "upgrade"
-			ended[e.Who] = ended[e.Who] || e.What == "kill" || e.What == "term"
+			upgraded[e.Subject] = upgraded[e.Subject] || e.Detail == "upgrade"
+			ended[e.Subject] = ended[e.Subject] || e.Detail == "kill" || e.Detail == "term"
 		}
 	}
 	for _, m := range r.Members() {
@@ -59,8 +59,8 @@
 	}
 }
 
-// play runs a scenario and checks its history.
-func play(t *testing.T, s *Scenario) *Rig {
+// runScenario runs a scenario and checks its history.
+func runScenario(t *testing.T, s *Scenario) *Rig {
 	t.Helper()
 	dir := t.TempDir()
 	r, err := New(Config{Dir: dir, Members: s.Members, Seed: s.Seed, Rate: s.Rate, Nodes: max(4, s.Nodes),
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAfter(t, r)
+	closeOnCleanup(t, r)
 	res, err := s.Run(r)
 	if err != nil {
 		t.Errorf("%v", err)
@@ -77,7 +77,7 @@
 	for _, f := range Check(events, s.NoDeaths) {
 		t.Error(f)
 	}
-	oneMember(t, r, events)
+	checkUpgradesNotRestarts(t, r, events)
 	queries, good := 0, 0
 	for _, e := range events {
 		if e.Kind == KindAnswer {
@@ -87,6 +87,6 @@
 			}
 		}
 	}
-	t.Logf("%s %d queries, %d served; periods: %v", s.About, queries, good, res.Took)
+	t.Logf("%s %d queries, %d served; periods: %v", s.Description, queries, good, res.Periods)
 	return r
 }
--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -22,8 +22,8 @@
 // period is the fleet's period in tests on real processes.
 const period = 200 * time.Millisecond
 
-// closeAfter ends the rig with the test, and shows the members' logs if it has failed.
-func closeAfter(t *testing.T, r *Rig) {
+// closeOnCleanup ends the rig with the test, and shows the members' logs if it has failed.
+func closeOnCleanup(t *testing.T, r *Rig) {
 	t.Cleanup(func() {
 		r.Close()
 		if !t.Failed() {
@@ -37,10 +37,10 @@
 	})
 }
 
-// open puts up a rig and starts its members.
-func open(t *testing.T, cfg Config) *Rig {
+// startRig puts up a rig and starts its members.
+func startRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
-	r := openIdle(t, cfg)
+	r := newRig(t, cfg)
 	for _, m := range r.Members() {
 		if err := m.Start(); err != nil {
 			t.Fatal(err)
@@ -49,8 +49,8 @@
 	return r
 }
 
-// openIdle puts up a rig whose members are not started.
-func openIdle(t *testing.T, cfg Config) *Rig {
+// newRig puts up a rig whose members are not started.
+func newRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
 	cfg.Dir, cfg.Period = t.TempDir(), period
 	if cfg.Nodes == 0 {
@@ -60,24 +60,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAfter(t, r)
+	closeOnCleanup(t, r)
 	return r
 }
 
 // Three processes see each other; one is killed, and two say so at their doors.
-func TestThreeProcessesSeeOneDie(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 1, Rate: 10})
-	if !within(30*time.Second, func() bool { return Settled(r.Running()) }) {
+func TestThreeMembersDetectCrash(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 1, Rate: 10})
+	if !waitUntil(30*time.Second, func() bool { return Settled(r.RunningMembers()) }) {
 		t.Fatal("the three never saw each other")
 	}
 	r.Member("m02").Kill()
 	begun := time.Now()
-	if !within(30*time.Second, func() bool { return Settled(r.Running()) }) {
+	if !waitUntil(30*time.Second, func() bool { return Settled(r.RunningMembers()) }) {
 		t.Fatal("the death was not seen")
 	}
 	t.Logf("known to both after %.1f periods", float64(time.Since(begun))/float64(period))
-	for _, m := range r.Running() {
-		if s := m.View().State("m02"); s != "dead" {
+	for _, m := range r.RunningMembers() {
+		if s := m.View().StateOf("m02"); s != "dead" {
 			t.Errorf("%s says that m02 is %s", m.Name, s)
 		}
 	}
--- a/internal/rig/syscalls.go
+++ b/internal/rig/syscalls.go
@@ -1,10 +1,10 @@
 package rig
 
 // System call faults: a tracer (ptrace) holds single threads of the program at the entry of a write, shortens
-// reads and writes, and has calls fail as their manual pages say. The tracer is a process beside the
-// caller's, as whoever traces is also told of the end of what it traces. The program is started by way of
-// this test's own executable, which sets a filter (seccomp) on itself that has the calls in question stop,
-// and then becomes the program: all other calls run at full speed.
+// reads and writes, and makes calls fail with errors that their manual pages document. The tracer is a
+// process of its own, because a tracer also receives the exit notifications of the processes that it traces.
+// The program is started through this test's own executable, which installs a seccomp filter on itself that
+// stops the calls of interest and then execs the program: all other calls run at full speed.
 
 import (
 	"encoding/json"
@@ -24,81 +24,82 @@
 	"golang.org/x/sys/unix"
 )
 
-// SyscallFaults says what befalls the system calls of one process.
+// SyscallFaults is the set of faults injected into the system calls of one process.
 type SyscallFaults struct {
 	PID   int           `json:"pid"`
 	Seed  uint64        `json:"seed"`
 	Holds []SyscallHold `json:"holds"`
-	// ShortShare is the share of reads and writes on which only a part of the bytes is moved.
+	// ShortShare is the share of reads and writes that transfer only a part of the bytes.
 	ShortShare float64        `json:"short_share"`
 	Errors     []SyscallError `json:"errors"`
-	// Clock befalls the process's looks at its clocks; nil: nothing does.
+	// Clock holds the faults of the process's clock reads; nil: none.
 	Clock *ClockFaults `json:"clock"`
 }
 
-// ClockFaults says what befalls a process's looks at its clocks.
+// ClockFaults is the set of faults injected into the clock reads of a process.
 type ClockFaults struct {
-	// Share is the share of looks behind which the thread is held, for Least to Most: it goes on with a time
-	// that is over. Where Every is set that is so for the first For of each such span only.
-	Share float64       `json:"share"`
-	Least time.Duration `json:"least"`
-	Most  time.Duration `json:"most"`
-	Every time.Duration `json:"every"`
-	For   time.Duration `json:"for"`
-	// Steps move the wall clock, one after the other.
+	// Share is the share of clock reads after which the thread is held, for MinHold to MaxHold, so that it
+	// continues with an outdated time. If BurstInterval is set, threads are held only during the first
+	// BurstLength of each interval.
+	Share         float64       `json:"share"`
+	MinHold       time.Duration `json:"least"`
+	MaxHold       time.Duration `json:"most"`
+	BurstInterval time.Duration `json:"every"`
+	BurstLength   time.Duration `json:"for"`
+	// Steps are the steps of the wall clock, in order.
 	Steps []ClockStep `json:"steps"`
 }
 
 // ClockStep is a step of the wall clock.
 type ClockStep struct {
-	After time.Duration `json:"after"` // since the program began
-	By    time.Duration `json:"by"`    // from where the clock would be without any step
+	After  time.Duration `json:"after"` // since the program's start
+	Offset time.Duration `json:"by"`    // from the unstepped clock
 }
 
-// HeldCall is a kind of system call whose thread may be held before it.
-type HeldCall string
+// HoldPoint is a kind of system call before which the calling thread may be held.
+type HoldPoint string
 
-// The kinds of system calls that may be held.
+// The hold points.
 const (
-	HeldAttempt HeldCall = "attempt" // the write of a call to a data node
-	HeldReply   HeldCall = "reply"   // the write of an HTTP reply to a client
-	HeldQuery   HeldCall = "query"   // the write of an HTTP request, as to discovery
-	HeldLog     HeldCall = "log"     // the write of a line to standard error
-	HeldRead    HeldCall = "read"    // any read
-	HeldAccept  HeldCall = "accept"
-	HeldConnect HeldCall = "connect"
-	HeldEvents  HeldCall = "events" // the wait for network events
-	HeldPeek    HeldCall = "peek"   // the look whether a client has left
+	HoldAttemptWrite HoldPoint = "attempt" // write of a call to a data node
+	HoldReplyWrite   HoldPoint = "reply"   // write of an HTTP reply to a client
+	HoldRequestWrite HoldPoint = "query"   // write of an HTTP GET request, such as a query for discovery's list
+	HoldLogWrite     HoldPoint = "log"     // write to standard error
+	HoldRead         HoldPoint = "read"    // any read
+	HoldAccept       HoldPoint = "accept"
+	HoldConnect      HoldPoint = "connect"
+	HoldEpollWait    HoldPoint = "events" // wait for network events
+	HoldPoll         HoldPoint = "peek"   // check whether a client has disconnected
 )
 
-// SyscallHold has a share of the calls of one kind begin late: the thread is held before the call.
+// SyscallHold delays a share of the calls of one kind: the thread is held for Min to Max before the call.
 type SyscallHold struct {
-	Call  HeldCall      `json:"call"`
+	Point HoldPoint     `json:"call"`
 	Share float64       `json:"share"`
-	Least time.Duration `json:"least"`
-	Most  time.Duration `json:"most"`
+	Min   time.Duration `json:"least"`
+	Max   time.Duration `json:"most"`
 }
 
-// SyscallError has a share of the calls of one number fail, without being made.
+// SyscallError makes a share of the system calls with a given number fail without executing them.
 type SyscallError struct {
 	Number uint64        `json:"number"`
 	Errno  syscall.Errno `json:"errno"`
 	Share  float64       `json:"share"`
 }
 
-// These variables make a process of this program's tests a tracer, or one that becomes the program.
+// Environment variables that turn a process of the test executable into a tracer or into the traced program.
 const (
 	tracerEnv  = "LAPISLEVER_RIG_TRACER"
 	programEnv = "LAPISLEVER_RIG_PROGRAM"
-	clockEnv   = "LAPISLEVER_RIG_CLOCK" // set: the tracer sees each look at a clock, too
+	clockEnv   = "LAPISLEVER_RIG_CLOCK" // set: clock reads are traced, too
 )
 
 const (
-	tracerReady = "tracing\n"
-	tracerWait  = 10 * time.Second
+	tracerReady   = "tracing\n"
+	tracerTimeout = 10 * time.Second
 )
 
-// StartTraced starts the program with faults in its system calls. The tracer ends with it.
+// StartTraced starts the program with faults in its system calls. The tracer exits with the program.
 func StartTraced(path string, args, env []string, log string, faults SyscallFaults) (*Proc, error) {
 	self, err := os.Executable()
 	if err != nil {
@@ -120,7 +121,7 @@
 	return p, nil
 }
 
-// startTracer returns once the process is traced.
+// startTracer starts the tracer and returns once it traces the process.
 func startTracer(self string, faults SyscallFaults) error {
 	plan, err := json.Marshal(faults)
 	if err != nil {
@@ -134,12 +135,12 @@
 	if err != nil {
 		return err
 	}
-	onStarter(func() { err = cmd.Start() })
+	onStarterThread(func() { err = cmd.Start() })
 	if err != nil {
 		return err
 	}
-	word := make([]byte, len(tracerReady))
-	_, err = io.ReadFull(out, word)
+	ready := make([]byte, len(tracerReady))
+	_, err = io.ReadFull(out, ready)
 	go func() { _ = cmd.Wait() }()
 	if err != nil {
 		return fmt.Errorf("the tracer did not start: %w", err)
@@ -147,15 +148,15 @@
 	return nil
 }
 
-// RunHelper does what this process was started for, where that is to trace or to become the program, and does
-// not return then. TestMain calls it first.
+// RunHelper runs the tracer or execs the program, and does not return, if the environment says that this
+// process was started for that. TestMain calls it first.
 func RunHelper() {
 	var err error
 	switch plan, program := os.Getenv(tracerEnv), os.Getenv(programEnv); {
 	case plan != "":
 		err = runTracer(plan)
 	case program != "":
-		err = becomeTraced(program)
+		err = execTraced(program)
 	default:
 		return
 	}
@@ -167,7 +168,7 @@
 }
 
 func runTracer(plan string) error {
-	t := &tracer{held: map[int]time.Time{}, clocks: clockTracer{pending: map[int]clockLook{}}}
+	t := &tracer{heldUntil: map[int]time.Time{}, clocks: clockTracer{pending: map[int]clockRead{}}}
 	if err := json.Unmarshal([]byte(plan), &t.plan); err != nil {
 		return err
 	}
@@ -176,13 +177,13 @@
 	return t.run()
 }
 
-// becomeTraced waits for the tracer, has the calls that it looks at stop from now on, and becomes the
+// execTraced waits for the tracer, installs the filter that stops the calls of interest, and execs the
 // program.
-func becomeTraced(program string) error {
+func execTraced(program string) error {
 	runtime.LockOSThread()
-	for end := time.Now().Add(tracerWait); !isTraced(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(tracerTimeout); !isTraced(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			return errors.New("no tracer came")
+			return errors.New("no tracer attached")
 		}
 	}
 	calls := []uint32{unix.SYS_READ, unix.SYS_WRITE, unix.SYS_SOCKET, unix.SYS_CONNECT, unix.SYS_ACCEPT4,
@@ -190,7 +191,7 @@
 	if os.Getenv(clockEnv) != "" {
 		calls = append(calls, unix.SYS_CLOCK_GETTIME)
 	}
-	if err := stopCalls(calls...); err != nil {
+	if err := installFilter(calls...); err != nil {
 		return err
 	}
 	return syscall.Exec(program, append([]string{program}, os.Args[1:]...), os.Environ())
@@ -201,9 +202,10 @@
 	return err == nil && !strings.Contains(string(status), "TracerPid:\t0\n")
 }
 
-// stopCalls has the tracer see these calls of this thread, and of the program that it becomes.
-func stopCalls(numbers ...uint32) error {
-	filter := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // the number comes first
+// installFilter makes the given system calls stop for the tracer, in this thread and in the program that it
+// execs.
+func installFilter(numbers ...uint32) error {
+	filter := []unix.SockFilter{{Code: unix.BPF_LD | unix.BPF_W | unix.BPF_ABS}} // loads the call number
 	for i, n := range numbers {
 		filter = append(filter, unix.SockFilter{Code: unix.BPF_JMP | unix.BPF_JEQ | unix.BPF_K, K: n,
 			Jt: uint8(len(numbers) - i)})
@@ -221,28 +223,29 @@
 	return nil
 }
 
-// tracer is the tracing process; only its locked thread may ask the kernel about the threads that it traces.
+// tracer is the state of the tracing process. Only its locked thread may make ptrace requests for the traced
+// threads.
 type tracer struct {
-	plan   SyscallFaults
-	random *rand.Rand
-	held   map[int]time.Time // threads, and when they are to go on
-	loaded bool              // the process has become the program
-	begun  time.Time         // the program itself runs since then: faults befall it from now on
-	clocks clockTracer
+	plan         SyscallFaults
+	random       *rand.Rand
+	heldUntil    map[int]time.Time // by thread: when it is to be resumed
+	execed       bool              // the process has exec'd the program
+	programStart time.Time         // when the program created its first thread; faults apply from then on
+	clocks       clockTracer
 }
 
 const (
 	ptraceGetSyscallInfo = 0x420e
 	ptraceListen         = 0x4208
-	eventStop            = 128
-	eventSize            = 8 // bytes that an eventfd moves
-	tracerPause          = 50 * time.Microsecond
-	tracerSpin           = 200 * time.Microsecond // calls come in bursts, and a pause is far longer than one
+	ptraceEventStop      = 128
+	eventfdSize          = 8 // bytes that a read or write of an eventfd transfers
+	tracerPollPause      = 50 * time.Microsecond
+	tracerSpinTime       = 200 * time.Microsecond // calls come in bursts; a pause outlasts many
 	tracerOptions        = unix.PTRACE_O_TRACESECCOMP | unix.PTRACE_O_TRACECLONE | unix.PTRACE_O_TRACEEXEC |
 		unix.PTRACE_O_TRACESYSGOOD | unix.PTRACE_O_EXITKILL
 )
 
-// syscallInfo is the kernel's struct ptrace_syscall_info, of a call that a filter stops.
+// syscallInfo is the kernel's struct ptrace_syscall_info for a call that was stopped by a seccomp filter.
 type syscallInfo struct {
 	op      uint8
 	_       [3]byte
@@ -253,14 +256,14 @@
 	padding [2]uint64
 }
 
-// callInfo is what the kernel tells of the call in which a thread has stopped.
-func callInfo(tid int) (info syscallInfo, ok bool) {
+// readSyscallInfo returns the kernel's information on the call in which a thread has stopped.
+func readSyscallInfo(tid int) (info syscallInfo, ok bool) {
 	_, _, errno := unix.Syscall6(unix.SYS_PTRACE, ptraceGetSyscallInfo, uintptr(tid), unsafe.Sizeof(info),
 		uintptr(unsafe.Pointer(&info)), 0, 0)
 	return info, errno == 0
 }
 
-// seize begins to trace all threads; those that are started later follow by themselves.
+// seize starts tracing all threads of the process; threads created later are traced automatically.
 func (t *tracer) seize() error {
 	seen := map[int]bool{}
 	for found := true; found; {
@@ -276,7 +279,7 @@
 			}
 			seen[tid], found = true, true
 			_, _, errno := unix.Syscall6(unix.SYS_PTRACE, unix.PTRACE_SEIZE, uintptr(tid), 0, tracerOptions, 0, 0)
-			// One that is traced already is a child of another one, or it has ended.
+			// A thread that was created by a seized thread is already traced (EPERM); others may have exited (ESRCH).
 			if errno != 0 && errno != unix.EPERM && errno != unix.ESRCH {
 				return fmt.Errorf("seize: %w", errno)
 			}
@@ -285,7 +288,7 @@
 	return nil
 }
 
-// run traces until the process ends.
+// run traces until the process has exited.
 func (t *tracer) run() error {
 	if err := t.seize(); err != nil {
 		return err
@@ -301,59 +304,59 @@
 		case errors.Is(err, unix.EINTR):
 		case err != nil:
 			return fmt.Errorf("wait: %w", err)
-		case tid == 0 && time.Since(last) > tracerSpin:
-			time.Sleep(tracerPause)
+		case tid == 0 && time.Since(last) > tracerSpinTime:
+			time.Sleep(tracerPollPause)
 		case tid != 0:
 			last = time.Now()
-			t.stopped(tid, status)
+			t.handleStop(tid, status)
 		}
-		t.release(time.Now())
+		t.resumeDue(time.Now())
 	}
 }
 
-// release lets threads go on whose time has come.
-func (t *tracer) release(now time.Time) {
-	for tid, until := range t.held {
+// resumeDue resumes the held threads whose hold time has passed.
+func (t *tracer) resumeDue(now time.Time) {
+	for tid, until := range t.heldUntil {
 		if !now.Before(until) {
-			delete(t.held, tid)
+			delete(t.heldUntil, tid)
 			_ = unix.PtraceCont(tid, 0)
 		}
 	}
 }
 
-// stopped takes in why a thread has stopped and lets it go on, unless it is to be held.
-func (t *tracer) stopped(tid int, status unix.WaitStatus) {
+// handleStop handles the stop of a thread and resumes the thread, unless it is to be held.
+func (t *tracer) handleStop(tid int, status unix.WaitStatus) {
 	if !status.Stopped() {
-		delete(t.held, tid)
+		delete(t.heldUntil, tid)
 		return
 	}
 	event := int(uint32(status)>>16) & 0xff
 	signal := 0
 	switch {
 	case event == unix.PTRACE_EVENT_EXEC:
-		t.loaded = true
+		t.execed = true
 		if t.plan.Clock != nil {
 			hideVDSO(t.plan.PID, tid)
 		}
 	case event == unix.PTRACE_EVENT_CLONE:
-		if t.loaded && t.begun.IsZero() {
-			t.begun = time.Now()
+		if t.execed && t.programStart.IsZero() {
+			t.programStart = time.Now()
 		}
-	case event == 0 && status.StopSignal() == callEnd:
-		if hold := t.clocks.end(t, tid); hold > 0 {
-			t.held[tid] = time.Now().Add(hold)
+	case event == 0 && status.StopSignal() == syscallExitStop:
+		if hold := t.clocks.exit(t, tid); hold > 0 {
+			t.heldUntil[tid] = time.Now().Add(hold)
 			return
 		}
-	case event == unix.PTRACE_EVENT_SECCOMP && !t.begun.IsZero():
-		if t.plan.Clock != nil && t.clocks.begin(t, tid) {
-			_ = unix.PtraceSyscall(tid, 0) // to the end of the call
+	case event == unix.PTRACE_EVENT_SECCOMP && !t.programStart.IsZero():
+		if t.plan.Clock != nil && t.clocks.enter(t, tid) {
+			_ = unix.PtraceSyscall(tid, 0) // runs until the exit of the call
 			return
 		}
-		if hold := t.call(tid); hold > 0 {
-			t.held[tid] = time.Now().Add(hold)
+		if hold := t.interceptCall(tid); hold > 0 {
+			t.heldUntil[tid] = time.Now().Add(hold)
 			return
 		}
-	case event == eventStop && status.StopSignal() != unix.SIGTRAP: // stopped by a signal, as a whole
+	case event == ptraceEventStop && status.StopSignal() != unix.SIGTRAP: // group stop, by a signal
 		_, _, _ = unix.Syscall6(unix.SYS_PTRACE, ptraceListen, uintptr(tid), 0, 0, 0, 0)
 		return
 	case event == 0:
@@ -362,84 +365,85 @@
 	_ = unix.PtraceCont(tid, signal)
 }
 
-// call decides on a call that a thread is about to make, and returns how long the thread is to be held.
-func (t *tracer) call(tid int) (hold time.Duration) {
-	info, ok := callInfo(tid)
+// interceptCall applies faults to a call that a thread is about to make, and returns how long to hold the
+// thread.
+func (t *tracer) interceptCall(tid int) (hold time.Duration) {
+	info, ok := readSyscallInfo(tid)
 	if !ok {
 		return 0
 	}
-	moves := info.number == unix.SYS_WRITE || info.number == unix.SYS_READ
-	if moves && info.args[2] == eventSize { // the runtime's own eventfd, which does neither
+	isIO := info.number == unix.SYS_WRITE || info.number == unix.SYS_READ
+	if isIO && info.args[2] == eventfdSize { // the Go runtime's eventfd: never short, never fails
 		return 0
 	}
 	for _, e := range t.plan.Errors {
 		if info.number == e.Number && t.random.Float64() < e.Share {
-			t.edit(tid, func(r *unix.PtraceRegs) { r.Orig_rax, r.Rax = ^uint64(0), uint64(-int64(e.Errno)) })
+			t.editRegisters(tid, func(r *unix.PtraceRegs) { r.Orig_rax, r.Rax = ^uint64(0), uint64(-int64(e.Errno)) })
 			return 0
 		}
 	}
-	if moves && info.args[2] > 1 && t.random.Float64() < t.plan.ShortShare {
-		t.edit(tid, func(r *unix.PtraceRegs) { r.Rdx = 1 + t.random.Uint64N(r.Rdx-1) })
+	if isIO && info.args[2] > 1 && t.random.Float64() < t.plan.ShortShare {
+		t.editRegisters(tid, func(r *unix.PtraceRegs) { r.Rdx = 1 + t.random.Uint64N(r.Rdx-1) })
 	}
-	return t.holdOf(info)
+	return t.drawHold(info)
 }
 
-// holdOf draws how long the thread that makes a call is to be held.
-func (t *tracer) holdOf(info syscallInfo) time.Duration {
+// drawHold draws how long to hold the thread that makes a call.
+func (t *tracer) drawHold(info syscallInfo) time.Duration {
 	if len(t.plan.Holds) == 0 {
 		return 0
 	}
-	kind := t.kindOf(info)
+	point := t.holdPoint(info)
 	for _, h := range t.plan.Holds {
-		if h.Call != kind || t.random.Float64() >= h.Share {
+		if h.Point != point || t.random.Float64() >= h.Share {
 			continue
 		}
-		return h.Least + time.Duration(t.random.Int64N(int64(max(1, h.Most-h.Least))))
+		return h.Min + time.Duration(t.random.Int64N(int64(max(1, h.Max-h.Min))))
 	}
 	return 0
 }
 
-// kindOf tells what a call is for; empty: nothing that may be held.
-func (t *tracer) kindOf(info syscallInfo) HeldCall {
+// holdPoint returns the hold point of a call; empty: the call is never held.
+func (t *tracer) holdPoint(info syscallInfo) HoldPoint {
 	switch info.number {
 	case unix.SYS_READ:
-		return HeldRead
+		return HoldRead
 	case unix.SYS_ACCEPT4:
-		return HeldAccept
+		return HoldAccept
 	case unix.SYS_CONNECT:
-		return HeldConnect
+		return HoldConnect
 	case unix.SYS_EPOLL_PWAIT:
-		return HeldEvents
+		return HoldEpollWait
 	case unix.SYS_POLL:
-		return HeldPeek
+		return HoldPoll
 	case unix.SYS_WRITE:
-		return t.writeKind(info)
+		return t.writeHoldPoint(info)
 	}
 	return ""
 }
 
-// writeKind tells what is being written by its first bytes.
-func (t *tracer) writeKind(info syscallInfo) HeldCall {
+// writeHoldPoint determines the hold point of a write by its first bytes.
+func (t *tracer) writeHoldPoint(info syscallInfo) HoldPoint {
 	var head [5]byte
-	known := readMemory(t.plan.PID, uintptr(info.args[1]), head[:])
+	readable := readMemory(t.plan.PID, uintptr(info.args[1]), head[:])
 	size := uint64(head[0]) | uint64(head[1])<<8 | uint64(head[2])<<16 | uint64(head[3])<<24
 	switch {
 	case info.args[0] == uint64(syscall.Stderr):
-		return HeldLog
-	case !known:
+		return HoldLogWrite
+	case !readable:
 		return ""
 	case head[4] == '1' && size+4 == info.args[2]:
-		return HeldAttempt
+		return HoldAttemptWrite
 	case string(head[:]) == "HTTP/":
-		return HeldReply
+		return HoldReplyWrite
 	case string(head[:]) == "GET /":
-		return HeldQuery
+		return HoldRequestWrite
 	}
 	return ""
 }
 
-// edit changes a stopped thread's registers.
-func (t *tracer) edit(tid int, change func(*unix.PtraceRegs)) {
+// editRegisters modifies the registers of a stopped thread.
+func (t *tracer) editRegisters(tid int, change func(*unix.PtraceRegs)) {
 	var r unix.PtraceRegs
 	if unix.PtraceGetRegs(tid, &r) == nil {
 		change(&r)
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -14,10 +14,10 @@
 
 // Authority signs certificates for tests.
 type Authority struct {
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	n    int64
+	t      testing.TB
+	cert   *x509.Certificate
+	key    *ecdsa.PrivateKey
+	serial int64
 }
 
 // NewAuthority makes one.
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	cert, _ := x509.ParseCertificate(der)
-	return &Authority{t: t, cert: cert, key: key, n: 1}
+	return &Authority{t: t, cert: cert, key: key, serial: 1}
 }
 
 // PEM is its certificate.
@@ -48,8 +48,8 @@
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	a.n++
-	tmpl := &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name},
+	a.serial++
+	tmpl := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name},
 		DNSNames: []string{name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &k.PublicKey, a.key)
--- a/internal/standin/heldlog.go
+++ b/internal/standin/heldlog.go
@@ -12,13 +12,13 @@
 type HeldLog struct {
 	mu       sync.Mutex // guards messages
 	messages []string
-	held     chan string
+	blocked  chan string
 	release  chan struct{}
 }
 
 // NewHeldLog returns such a log.
 func NewHeldLog(t testing.TB, messages ...string) *HeldLog {
-	h := &HeldLog{messages: messages, held: make(chan string, 100), release: make(chan struct{})}
+	h := &HeldLog{messages: messages, blocked: make(chan string, 100), release: make(chan struct{})}
 	t.Cleanup(sync.OnceFunc(func() { close(h.release) }))
 	return h
 }
@@ -34,7 +34,7 @@
 }
 
 // Held hears of each message whose logger is held.
-func (h *HeldLog) Held() <-chan string { return h.held }
+func (h *HeldLog) Held() <-chan string { return h.blocked }
 
 // Enabled tells that all is logged.
 func (h *HeldLog) Enabled(context.Context, slog.Level) bool { return true }
@@ -45,7 +45,7 @@
 	hold := slices.Contains(h.messages, r.Message)
 	h.mu.Unlock()
 	if hold {
-		h.held <- r.Message
+		h.blocked <- r.Message
 		<-h.release
 	}
 	return nil
--- a/internal/standin/newform.go
+++ b/internal/standin/newform.go
@@ -58,16 +58,16 @@
 
 // GRPCNode is a stand-in for a node of the new form, written from RFC 9113 and gRPC's page on HTTP/2.
 type GRPCNode struct {
-	Addr   string
-	o      NewOptions
-	f      func(NewCall) NewDo
-	l      net.Listener
-	mu     sync.Mutex
-	conns  map[net.Conn]bool
-	opened int
-	calls  []NewCall
-	resets int // by the client
-	pings  int
+	Addr        string
+	opts        NewOptions
+	handler     func(NewCall) NewDo
+	listener    net.Listener
+	mu          sync.Mutex
+	conns       map[net.Conn]bool
+	connsOpened int
+	calls       []NewCall
+	resets      int // by the client
+	pings       int
 }
 
 // NewGRPC starts one.
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &GRPCNode{Addr: l.Addr().String(), o: o, f: f, l: l, conns: map[net.Conn]bool{}}
+	n := &GRPCNode{Addr: l.Addr().String(), opts: o, handler: f, listener: l, conns: map[net.Conn]bool{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -85,9 +85,9 @@
 				return
 			}
 			n.mu.Lock()
-			n.opened++
+			n.connsOpened++
 			n.conns[c] = true
-			number := n.opened
+			number := n.connsOpened
 			n.mu.Unlock()
 			go n.serve(c, number)
 		}
@@ -98,7 +98,7 @@
 
 // Close ends it as a dying process does.
 func (n *GRPCNode) Close() {
-	_ = n.l.Close()
+	_ = n.listener.Close()
 	n.Drop()
 }
 
@@ -123,7 +123,7 @@
 }
 
 // Opened counts connections.
-func (n *GRPCNode) Opened() int { n.mu.Lock(); defer n.mu.Unlock(); return n.opened }
+func (n *GRPCNode) Opened() int { n.mu.Lock(); defer n.mu.Unlock(); return n.connsOpened }
 
 // Open counts those that are open.
 func (n *GRPCNode) Open() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) }
@@ -134,17 +134,17 @@
 // Pings counts the client's pings.
 func (n *GRPCNode) Pings() int { n.mu.Lock(); defer n.mu.Unlock(); return n.pings }
 
-// newConn is one connection of a node.
-type newConn struct {
-	n      *GRPCNode
-	c      net.Conn
-	number int
-	mu     sync.Mutex // guards fr's writes, the encoder and what follows
-	fr     *http2.Framer
-	block  bytes.Buffer
-	enc    *hpack.Encoder
-	last   uint32
-	away   bool // has told that it looks at nothing after a stream
+// grpcConn is one connection of a node.
+type grpcConn struct {
+	node       *GRPCNode
+	conn       net.Conn
+	number     int
+	mu         sync.Mutex // guards fr's writes, the encoder and what follows
+	framer     *http2.Framer
+	block      bytes.Buffer
+	encoder    *hpack.Encoder
+	lastStream uint32
+	sentGoAway bool // has told that it looks at nothing after a stream
 }
 
 func (n *GRPCNode) serve(raw net.Conn, number int) {
@@ -155,45 +155,45 @@
 		delete(n.conns, raw)
 		n.mu.Unlock()
 	}()
-	if n.o.TLS != nil {
-		c = tls.Server(raw, n.o.TLS)
+	if n.opts.TLS != nil {
+		c = tls.Server(raw, n.opts.TLS)
 	}
 	preface := make([]byte, len(http2.ClientPreface))
 	if _, err := io.ReadFull(c, preface); err != nil || string(preface) != http2.ClientPreface {
 		return
 	}
-	k := &newConn{n: n, c: c, number: number, fr: http2.NewFramer(c, c)}
-	k.enc = hpack.NewEncoder(&k.block)
-	k.fr.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
-	if !n.o.Mute {
+	k := &grpcConn{node: n, conn: c, number: number, framer: http2.NewFramer(c, c)}
+	k.encoder = hpack.NewEncoder(&k.block)
+	k.framer.ReadMetaHeaders = hpack.NewDecoder(4096, nil)
+	if !n.opts.Mute {
 		var s []http2.Setting
-		if n.o.Streams > 0 {
-			s = append(s, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: n.o.Streams})
+		if n.opts.Streams > 0 {
+			s = append(s, http2.Setting{ID: http2.SettingMaxConcurrentStreams, Val: n.opts.Streams})
 		}
-		if n.o.Window > 0 {
-			s = append(s, http2.Setting{ID: http2.SettingInitialWindowSize, Val: n.o.Window})
+		if n.opts.Window > 0 {
+			s = append(s, http2.Setting{ID: http2.SettingInitialWindowSize, Val: n.opts.Window})
 		}
-		_ = k.fr.WriteSettings(s...)
+		_ = k.framer.WriteSettings(s...)
 	}
 	heads := map[uint32]*NewCall{}
 	bodies := map[uint32][]byte{}
 	for {
-		f, err := k.fr.ReadFrame()
+		f, err := k.framer.ReadFrame()
 		if err != nil {
 			return
 		}
 		switch f := f.(type) {
 		case *http2.SettingsFrame:
-			if !f.IsAck() && !n.o.Mute {
-				k.write(func() { _ = k.fr.WriteSettingsAck() })
+			if !f.IsAck() && !n.opts.Mute {
+				k.write(func() { _ = k.framer.WriteSettingsAck() })
 			}
 		case *http2.PingFrame:
 			if !f.IsAck() {
 				n.mu.Lock()
 				n.pings++
 				n.mu.Unlock()
-				if !n.o.Mute {
-					k.write(func() { _ = k.fr.WritePing(true, f.Data) })
+				if !n.opts.Mute {
+					k.write(func() { _ = k.framer.WritePing(true, f.Data) })
 				}
 			}
 		case *http2.RSTStreamFrame:
@@ -202,18 +202,18 @@
 			n.mu.Unlock()
 		case *http2.MetaHeadersFrame:
 			id := f.StreamID
-			if n.o.Refuse != nil && n.o.Refuse(number, id) {
-				k.write(func() { _ = k.fr.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
+			if n.opts.Refuse != nil && n.opts.Refuse(number, id) {
+				k.write(func() { _ = k.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 				continue
 			}
 			out := false
 			k.write(func() {
-				if out = k.away; !out && n.o.LeaveOut != nil && n.o.LeaveOut(number, id) {
+				if out = k.sentGoAway; !out && n.opts.LeaveOut != nil && n.opts.LeaveOut(number, id) {
 					out = true
 					k.goAway(id - 1)
 				}
 				if !out {
-					k.last = max(k.last, id)
+					k.lastStream = max(k.lastStream, id)
 				}
 			})
 			if out {
@@ -232,11 +232,11 @@
 		case *http2.DataFrame:
 			id := f.StreamID
 			bodies[id] = append(bodies[id], f.Data()...)
-			if !n.o.Stingy && f.Length > 0 {
+			if !n.opts.Stingy && f.Length > 0 {
 				k.write(func() {
-					_ = k.fr.WriteWindowUpdate(0, f.Length)
+					_ = k.framer.WriteWindowUpdate(0, f.Length)
 					if !f.StreamEnded() {
-						_ = k.fr.WriteWindowUpdate(id, f.Length)
+						_ = k.framer.WriteWindowUpdate(id, f.Length)
 					}
 				})
 			}
@@ -244,7 +244,7 @@
 			if !f.StreamEnded() || call == nil {
 				continue
 			}
-			readPart(call, bodies[id])
+			decodePart(call, bodies[id])
 			delete(heads, id)
 			delete(bodies, id)
 			n.mu.Lock()
@@ -257,20 +257,20 @@
 
 // goAway tells that nothing after a stream will be looked at, and from here on nothing is: what the client
 // has sent meanwhile counts as left out (RFC 9113, §6.8). It is called from write.
-func (k *newConn) goAway(last uint32) {
-	k.away = true
-	_ = k.fr.WriteGoAway(last, http2.ErrCodeNo, nil)
+func (k *grpcConn) goAway(last uint32) {
+	k.sentGoAway = true
+	_ = k.framer.WriteGoAway(last, http2.ErrCodeNo, nil)
 }
 
-func (k *newConn) write(f func()) {
+func (k *grpcConn) write(f func()) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	_ = k.c.SetWriteDeadline(time.Now().Add(5 * time.Second))
+	_ = k.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	f()
 }
 
-// readPart reads a call's message.
-func readPart(call *NewCall, b []byte) {
+// decodePart reads a call's message.
+func decodePart(call *NewCall, b []byte) {
 	if len(b) < 5 || int(binary.BigEndian.Uint32(b[1:])) != len(b)-5 {
 		call.ID = "unreadable"
 		return
@@ -313,17 +313,17 @@
 }
 
 // answer does with a call as the script says.
-func (k *newConn) answer(call NewCall) {
-	do := k.n.f(call)
+func (k *grpcConn) answer(call NewCall) {
+	do := k.node.handler(call)
 	time.Sleep(do.Wait)
 	id := call.Stream
 	head := func(end bool, fields ...string) {
 		k.block.Reset()
 		for i := 0; i < len(fields); i += 2 {
-			_ = k.enc.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
+			_ = k.encoder.WriteField(hpack.HeaderField{Name: fields[i], Value: fields[i+1]})
 		}
-		_ = k.fr.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: k.block.Bytes(), EndStream: end,
-			EndHeaders: true})
+		_ = k.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: k.block.Bytes(),
+			EndStream: end, EndHeaders: true})
 	}
 	kind := do.Kind
 	if kind == "" {
@@ -332,12 +332,12 @@
 	k.write(func() {
 		switch {
 		case do.Drop:
-			if t, ok := k.c.(*net.TCPConn); ok {
+			if t, ok := k.conn.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
-			_ = k.c.Close()
+			_ = k.conn.Close()
 		case do.Reset != nil:
-			_ = k.fr.WriteRSTStream(id, *do.Reset)
+			_ = k.framer.WriteRSTStream(id, *do.Reset)
 		case do.Silent:
 		case do.HTTP != 0 && do.Status == "":
 			head(true, ":status", strconv.Itoa(do.HTTP), "content-type", "text/html")
@@ -360,21 +360,21 @@
 			head(false, ":status", "200", "content-type", kind)
 			for all := append(prefix, b...); len(all) > 0; {
 				n := min(len(all), 16<<10)
-				_ = k.fr.WriteData(id, false, all[:n])
+				_ = k.framer.WriteData(id, false, all[:n])
 				all = all[n:]
 			}
 			head(true, "grpc-status", "0")
 		}
 		if do.GoAway {
-			k.goAway(k.last)
+			k.goAway(k.lastStream)
 		}
 	})
 }
 
 // AJP is a front that forwards by AJP, written from the protocol's page: one connection.
 type AJP struct {
-	c net.Conn
-	t testing.TB
+	conn net.Conn
+	t    testing.TB
 }
 
 // DialAJP connects to a listener.
@@ -385,21 +385,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = c.Close() })
-	return &AJP{c: c, t: t}
+	return &AJP{conn: c, t: t}
 }
 
 // Close ends the connection.
-func (a *AJP) Close() { _ = a.c.Close() }
+func (a *AJP) Close() { _ = a.conn.Close() }
 
 // Raw writes bytes as they are.
-func (a *AJP) Raw(b []byte) { _, _ = a.c.Write(b) }
+func (a *AJP) Raw(b []byte) { _, _ = a.conn.Write(b) }
 
 // AJPPacket is a packet towards a container.
 func AJPPacket(payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint16([]byte{0x12, 0x34}, uint16(len(payload))), payload...)
 }
 
-func ajpText(b []byte, s string) []byte {
+func appendAJPString(b []byte, s string) []byte {
 	return append(append(binary.BigEndian.AppendUint16(b, uint16(len(s))), s...), 0)
 }
 
@@ -407,7 +407,7 @@
 func AJPForward(method byte, uri string, header [][2]string, attrs ...string) []byte {
 	b := []byte{2, method}
 	for _, s := range []string{"HTTP/1.1", uri, "10.9.8.7", "", "ledger.example"} {
-		b = ajpText(b, s)
+		b = appendAJPString(b, s)
 	}
 	b = append(binary.BigEndian.AppendUint16(b, 80), 0)
 	b = binary.BigEndian.AppendUint16(b, uint16(len(header)))
@@ -415,18 +415,18 @@
 		if h[0] == "Content-Length" {
 			b = append(b, 0xa0, 0x08)
 		} else {
-			b = ajpText(b, h[0])
+			b = appendAJPString(b, h[0])
 		}
-		b = ajpText(b, h[1])
+		b = appendAJPString(b, h[1])
 	}
 	for i := 0; i < len(attrs); i += 2 {
 		switch attrs[i] {
 		case "secret":
-			b = ajpText(append(b, 12), attrs[i+1])
+			b = appendAJPString(append(b, 12), attrs[i+1])
 		case "query_string":
-			b = ajpText(append(b, 5), attrs[i+1])
+			b = appendAJPString(append(b, 5), attrs[i+1])
 		default:
-			b = ajpText(ajpText(append(b, 10), attrs[i]), attrs[i+1])
+			b = appendAJPString(appendAJPString(append(b, 10), attrs[i]), attrs[i+1])
 		}
 	}
 	return append(b, 0xff)
@@ -445,17 +445,17 @@
 // Read reads a reply; more is asked for the next chunk of the body.
 func (a *AJP) Read(more func(n int) []byte) (*AJPReply, error) {
 	r := &AJPReply{Header: map[string]string{}}
-	_ = a.c.SetReadDeadline(time.Now().Add(20 * time.Second))
+	_ = a.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for {
 		var head [4]byte
-		if _, err := io.ReadFull(a.c, head[:]); err != nil {
+		if _, err := io.ReadFull(a.conn, head[:]); err != nil {
 			return nil, err
 		}
 		if head[0] != 'A' || head[1] != 'B' {
 			return nil, fmt.Errorf("magic % x", head)
 		}
 		b := make([]byte, binary.BigEndian.Uint16(head[2:]))
-		if _, err := io.ReadFull(a.c, b); err != nil {
+		if _, err := io.ReadFull(a.conn, b); err != nil {
 			return nil, err
 		}
 		text := func(b []byte) (string, []byte) {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -44,11 +44,11 @@
 // HTTP is a stand-in server; a reply without a status is withheld. Silent ends tell how many of the clients
 // whose reply was withheld have left.
 type HTTP struct {
-	Addr string
-	l    *lnet.Server
-	mu   sync.Mutex
-	seen []string
-	gone int
+	Addr        string
+	server      *lnet.Server
+	mu          sync.Mutex
+	requests    []string
+	disconnects int
 }
 
 // NewHTTP starts a stand-in server that answers by f. Of a form the parameters are handed over.
@@ -59,14 +59,14 @@
 		func(r *lnet.Request, x *lnet.Exchange) func() {
 			v, _ := url.ParseQuery(r.Query + "&" + string(r.Body))
 			h.mu.Lock()
-			h.seen = append(h.seen, r.Path+"?"+v.Encode())
+			h.requests = append(h.requests, r.Path+"?"+v.Encode())
 			h.mu.Unlock()
 			if status, body := f(r.Path, v); status > 0 {
 				x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: []byte(body)})
 			}
 			return func() {
 				h.mu.Lock()
-				h.gone++
+				h.disconnects++
 				h.mu.Unlock()
 			}
 		})
@@ -75,25 +75,25 @@
 	}
 	go l.Serve()
 	t.Cleanup(l.StopListening)
-	h.l, h.Addr = l, l.Addr()
+	h.server, h.Addr = l, l.Addr()
 	return h
 }
 
 // Open counts the connections that are open.
-func (h *HTTP) Open() int { return h.l.OpenConns() }
+func (h *HTTP) Open() int { return h.server.OpenConns() }
 
 // Seen are the requests so far, as path and sorted parameters.
 func (h *HTTP) Seen() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.seen...)
+	return append([]string(nil), h.requests...)
 }
 
 // Gone counts the clients that left before their reply.
 func (h *HTTP) Gone() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gone
+	return h.disconnects
 }
 
 // Until waits for something that must come, however slow the machine is.
@@ -116,13 +116,13 @@
 // function, which returns the end letter and the value, or no letter to withhold the answer, or the letter
 // Raw and bytes to write as they are.
 type Node struct {
-	Addr   string
-	l      net.Listener
-	mu     sync.Mutex
-	parts  []Part
-	given  []string // ids given up
-	conns  []net.Conn
-	opened int
+	Addr        string
+	listener    net.Listener
+	mu          sync.Mutex
+	parts       []Part
+	cancelled   []string // ids given up
+	conns       []net.Conn
+	connsOpened int
 
 	// Wide has the parts of a connection answered side by side, not one after the other.
 	Wide atomic.Bool
@@ -148,7 +148,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Addr: l.Addr().String(), l: l}
+	n := &Node{Addr: l.Addr().String(), listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -157,8 +157,8 @@
 			}
 			n.mu.Lock()
 			n.conns = append(n.conns, c)
-			n.opened++
-			number := n.opened
+			n.connsOpened++
+			number := n.connsOpened
 			n.mu.Unlock()
 			go n.serve(c, number, f)
 		}
@@ -168,7 +168,7 @@
 
 // Close ends the node as a dying process does.
 func (n *Node) Close() {
-	_ = n.l.Close()
+	_ = n.listener.Close()
 	n.Drop()
 }
 
@@ -194,14 +194,14 @@
 func (n *Node) Given() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.given...)
+	return append([]string(nil), n.cancelled...)
 }
 
 // Opened counts the connections so far.
 func (n *Node) Opened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.opened
+	return n.connsOpened
 }
 
 // Frame writes one frame.
@@ -260,7 +260,7 @@
 			}
 		case '2':
 			n.mu.Lock()
-			n.given = append(n.given, rest)
+			n.cancelled = append(n.cancelled, rest)
 			n.mu.Unlock()
 		case '3':
 			frame("3S")
