--- a/internal/rig/build.go
+++ b/internal/rig/build.go
@@ -46,7 +46,7 @@
 }
 
 // RemoveProgram removes the program that BuildProgram has built.
-func Clean() {
+func RemoveProgram() {
 	if build.path != "" {
 		_ = os.RemoveAll(filepath.Dir(build.path))
 	}
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -68,7 +68,7 @@
 	}
 	r.discovery = d
 	for i := range maxMembers {
-		l, err := lnet.Listen(r.addr(250, portDiscovery+i), lnet.NewBudget(32, 0), standin.Quiet(),
+		l, err := lnet.Listen(r.addr(250, portDiscovery+i), lnet.NewBudget(32, 0), standin.DiscardLogger(),
 			func(q *lnet.Request, x *lnet.Exchange) func() { return d.serve(i, q, x) })
 		if err != nil {
 			return err
--- a/internal/rig/evidence_test.go
+++ b/internal/rig/evidence_test.go
@@ -11,7 +11,7 @@
 
 // evidenceVerdicts are the verdicts by evidence at a member's door: kind and what.
 func (m *Member) evidenceVerdicts() (out []string) {
-	reply, err := m.Call("GET", "/admin/verdicts", "")
+	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}
 	}
@@ -32,7 +32,7 @@
 func startEvidenceRig(t *testing.T, share float64, seed uint64, edit ...string) *Rig {
 	t.Helper()
 	r, err := New(Config{Dir: t.TempDir(), Period: period / 2, Members: 5, Nodes: 8, Seed: seed, Rate: 40,
-		Limits: fmt.Sprintf("[fleet.evidence]\nshare = %g\n", share), Edit: edit})
+		ExtraFleetConfig: fmt.Sprintf("[fleet.evidence]\nshare = %g\n", share), SettingsEdits: edit})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -198,7 +198,7 @@
 	}
 	if !waitUntil(2*waitTimeout, allHoldEvidence(r, "path_sick n1@praha")) {
 		for _, m := range r.Members() {
-			reply, err := m.Call("GET", "/admin/verdicts", "")
+			reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
 		}
 		t.Fatal("n1 is not judged")
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -23,7 +23,7 @@
 
 // SettingsJSON is the platform's settings object for a small deployment: two cells of one shard each, and two
 // classes.
-const Settings = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":8,"quantumUs":5000,
+const SettingsJSON = `{"azs":["praha","brno"],"zone":0,"me":0,"peersTotal":8,"quantumUs":5000,
  "membershipMode":"automatic","callers":{"marksRetry":true},
  "bounds":{"cancel":true,"secondCopies":true,"sendCap":4,"retryAfter":true,"maxRetryAfterUs":2000000,
   "peers":true,"probes":true,"connIdleUs":15000000,"dialTimeoutUs":250000,"streamsPerConn":8,"maxOpen":200},
@@ -37,22 +37,22 @@
 
 // Config configures a rig.
 type Config struct {
-	Dir     string // for logs and files; the caller removes it
-	Members int
-	Seed    uint64
-	Period  time.Duration
-	Nodes   int     // number of data nodes; the two cells are assigned to them in turn
-	Rate    float64 // queries per second and member
-	Keys    string  // contents of the key file; empty: no keys
-	Limits  string  // appended to the fleet file, such as [[limit]] tables
-	Program string  // path of the program; empty: build it
+	Dir              string // for logs and files; the caller removes it
+	Members          int
+	Seed             uint64
+	Period           time.Duration
+	Nodes            int     // number of data nodes; the two cells are assigned to them in turn
+	Rate             float64 // queries per second and member
+	Keys             string  // contents of the key file; empty: no keys
+	ExtraFleetConfig string  // appended to the fleet file, such as [[limit]] tables
+	Program          string  // path of the program; empty: build it
 	// Answer handles a part at a data node; nil: the rig's default handler.
-	Answer  func(node int, p standin.Part) (end, value string)
-	Alone   bool     // run the members without --fleet
-	Most    int      // the fleet file's "most"; 0: 64
-	Roster  bool     // write a roster of the members' names instead of "most"
-	Edit    []string // replacements in SettingsJSON: old and new text, alternating
-	History *History
+	Answer        func(node int, p standin.Part) (end, value string)
+	Standalone    bool     // run the members without --fleet
+	MaxMembers    int      // the fleet file's "most"; 0: 64
+	Roster        bool     // write a roster of the members' names instead of "most"
+	SettingsEdits []string // replacements in SettingsJSON: old and new text, alternating
+	History       *History
 	// Faults are injected into the members' system calls from process start on; nil: none. The rig sets PID.
 	Faults *SyscallFaults
 }
@@ -164,7 +164,7 @@
 			r.Close()
 			return nil, err
 		}
-		n.Wide.Store(true)
+		n.Concurrent.Store(true)
 		r.nodes = append(r.nodes, n)
 		r.closers = append(r.closers, n.Close)
 	}
@@ -315,7 +315,7 @@
 }
 
 // SetAllLinkFaults sets the fault of all links between members.
-func (r *Rig) Between(f Fault) {
+func (r *Rig) SetAllLinkFaults(f Fault) {
 	for _, a := range r.members {
 		for _, b := range r.members {
 			r.SetLinkFault(a.Name, b.Name, f)
@@ -401,7 +401,7 @@
 		}
 		fmt.Fprintf(&fleet, "roster = [%s]\n", strings.Join(names, ", "))
 	} else {
-		fmt.Fprintf(&fleet, "most = %d\n", cmp.Or(r.cfg.Most, 64))
+		fmt.Fprintf(&fleet, "most = %d\n", cmp.Or(r.cfg.MaxMembers, 64))
 	}
 	var join, routes []string
 	for _, o := range r.members {
@@ -421,7 +421,7 @@
 	}
 	fmt.Fprintf(&fleet, "[fleet.route]\n%s\n[fleet.detect]\nperiod_ms = %d\n", strings.Join(routes, "\n"),
 		r.cfg.Period.Milliseconds())
-	fleet.WriteString(r.cfg.Limits)
+	fleet.WriteString(r.cfg.ExtraFleetConfig)
 	text := strings.NewReplacer(edit...).Replace(fleet.String())
 	if err := replaceFile(m.path("fleet.toml"), text); err != nil {
 		return nil, err
@@ -432,7 +432,7 @@
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"operator":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":400},"settings":%s}`, m.Name, m.Front(),
-		r.relayAddr(1+m.index, portDiscovery), m.AdminAddr(), strings.NewReplacer(r.cfg.Edit...).Replace(Settings))
+		r.relayAddr(1+m.index, portDiscovery), m.AdminAddr(), strings.NewReplacer(r.cfg.SettingsEdits...).Replace(SettingsJSON))
 	if err := replaceFile(m.path("config.json"), conf); err != nil {
 		return nil, err
 	}
@@ -454,7 +454,7 @@
 		return nil, err
 	}
 	args := []string{"serve", "--fleet", m.path("fleet.toml")}
-	if m.rig.cfg.Alone {
+	if m.rig.cfg.Standalone {
 		args = args[:1]
 	}
 	if m.rig.cfg.Faults != nil {
@@ -490,7 +490,7 @@
 }
 
 // Pause stops the member's process with SIGSTOP.
-func (m *Member) Stop() {
+func (m *Member) Pause() {
 	m.outages.Add(1)
 	m.running.Store(false)
 	m.record("stop")
@@ -498,7 +498,7 @@
 }
 
 // Resume continues a paused member with SIGCONT.
-func (m *Member) Cont() {
+func (m *Member) Resume() {
 	m.record("cont")
 	m.Process().Signal(syscall.SIGCONT)
 	m.running.Store(true)
@@ -581,7 +581,7 @@
 }
 
 // CallAdmin sends one request to the member's admin endpoint.
-func (m *Member) Call(method, path, body string) (*lnet.Reply, error) {
+func (m *Member) CallAdmin(method, path, body string) (*lnet.Reply, error) {
 	return callAdmin(m.AdminAddr(), method, path, body)
 }
 
@@ -594,7 +594,7 @@
 }
 
 // Running reports whether the member runs and is not paused.
-func (m *Member) Up() bool { return m.running.Load() }
+func (m *Member) Running() bool { return m.running.Load() }
 
 // pollView polls the member's view and records each change.
 func (m *Member) pollView() {
@@ -612,7 +612,7 @@
 			last = ""
 			continue
 		}
-		reply, err := m.Call("GET", "/admin/fleet", "")
+		reply, err := m.CallAdmin("GET", "/admin/fleet", "")
 		if err != nil || reply.Status != 200 {
 			continue
 		}
@@ -734,12 +734,12 @@
 
 // RunningMembers returns the members that run and are not paused.
 func (r *Rig) RunningMembers() []*Member {
-	return slices.DeleteFunc(slices.Clone(r.members), func(m *Member) bool { return !m.Up() })
+	return slices.DeleteFunc(slices.Clone(r.members), func(m *Member) bool { return !m.Running() })
 }
 
 // Converged reports whether all given members have the same view, in which exactly they are alive and nobody
 // is suspect.
-func Settled(members []*Member) bool {
+func Converged(members []*Member) bool {
 	digest := ""
 	for _, m := range members {
 		v := m.View()
--- a/internal/rig/hold_test.go
+++ b/internal/rig/hold_test.go
@@ -90,7 +90,7 @@
 func TestHeldWriteSendsNoLateAttempt(t *testing.T) {
 	got := &arrivals{at: map[string][]time.Time{}}
 	var served atomic.Int64
-	r := startRig(t, Config{Members: 1, Seed: 61, Alone: true,
+	r := startRig(t, Config{Members: 1, Seed: 61, Standalone: true,
 		Faults: &SyscallFaults{Seed: 61, Holds: []SyscallHold{
 			{Point: HoldAttemptWrite, Share: 0.12, Min: heldMin, Max: heldMax}}},
 		Answer: func(_ int, p standin.Part) (string, string) {
--- a/internal/rig/late_test.go
+++ b/internal/rig/late_test.go
@@ -29,7 +29,7 @@
 
 func startLateRun(t *testing.T, seed uint64, budget time.Duration, faults *SyscallFaults) *lateRun {
 	p := &lateRun{t: t, budget: budget, arrivals: &arrivals{at: map[string][]time.Time{}}}
-	p.rig = startRig(t, Config{Members: 1, Seed: seed, Nodes: 6, Alone: true, Faults: faults, Answer: p.answer})
+	p.rig = startRig(t, Config{Members: 1, Seed: seed, Nodes: 6, Standalone: true, Faults: faults, Answer: p.answer})
 	if !p.rig.Member("m00").waitServing(waitTimeout) {
 		t.Fatal("the coordinator does not serve")
 	}
--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -18,7 +18,7 @@
 
 func awaitConverged(t *testing.T, r *Rig, what string) {
 	t.Helper()
-	if !waitUntil(waitTimeout, func() bool { return Settled(r.RunningMembers()) }) {
+	if !waitUntil(waitTimeout, func() bool { return Converged(r.RunningMembers()) }) {
 		t.Fatalf("no one view: %s", what)
 	}
 }
@@ -250,7 +250,7 @@
 	r := startRig(t, Config{Members: 3, Seed: 24, Rate: 40})
 	awaitConverged(t, r, "start")
 	figures := func(m *Member) (sent, got int64) {
-		reply, err := m.Call("GET", "/admin/fleet", "")
+		reply, err := m.CallAdmin("GET", "/admin/fleet", "")
 		if err != nil {
 			return 0, 0
 		}
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -107,7 +107,7 @@
 	res := &Result{History: r.History, Periods: map[string]float64{}}
 	period := r.cfg.Period
 	if s.LinkFault != (Fault{}) {
-		r.Between(s.LinkFault)
+		r.SetAllLinkFaults(s.LinkFault)
 	}
 	for _, m := range r.members {
 		if err := m.Start(); err != nil {
@@ -164,7 +164,7 @@
 		r.partition(st.Sides, st.OneWay, s.LinkFault)
 		return nil
 	case "heal":
-		r.Between(s.LinkFault)
+		r.SetAllLinkFaults(s.LinkFault)
 		return nil
 	case "add":
 		for range max(1, len(st.Targets)) {
@@ -219,9 +219,9 @@
 	case "start":
 		return m.Start()
 	case "stop":
-		m.Stop()
+		m.Pause()
 	case "cont":
-		m.Cont()
+		m.Resume()
 	case "hup":
 		if err := m.RewriteFiles(); err != nil {
 			return err
@@ -241,7 +241,7 @@
 }
 
 // Partition cuts the links between the sides and clears the faults of all other links.
-func (r *Rig) Cut(sides [][]string) { r.partition(sides, false, Fault{}) }
+func (r *Rig) Partition(sides [][]string) { r.partition(sides, false, Fault{}) }
 
 // partition cuts the links between the sides and sets the fault of all other links to rest.
 func (r *Rig) partition(sides [][]string, oneWay bool, rest Fault) {
@@ -278,7 +278,7 @@
 	}
 	holds := func() bool {
 		if st.Expect == "settled" {
-			return Settled(observers)
+			return Converged(observers)
 		}
 		for _, m := range observers {
 			v := m.View()
--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -15,7 +15,7 @@
 func TestMain(m *testing.M) {
 	RunHelper()
 	code := m.Run()
-	Clean()
+	RemoveProgram()
 	os.Exit(code)
 }
 
@@ -67,12 +67,12 @@
 // Three processes see each other; one is killed, and two say so at their doors.
 func TestThreeMembersDetectCrash(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 1, Rate: 10})
-	if !waitUntil(30*time.Second, func() bool { return Settled(r.RunningMembers()) }) {
+	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
 		t.Fatal("the three never saw each other")
 	}
 	r.Member("m02").Kill()
 	begun := time.Now()
-	if !waitUntil(30*time.Second, func() bool { return Settled(r.RunningMembers()) }) {
+	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
 		t.Fatal("the death was not seen")
 	}
 	t.Logf("known to both after %.1f periods", float64(time.Since(begun))/float64(period))
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -27,7 +27,7 @@
 // fleetCall makes a call for the whole fleet at a member's door.
 func (m *Member) fleetCall(t *testing.T, call, body, query string) (status int, s fleetCallReply) {
 	t.Helper()
-	reply, err := m.Call("POST", "/admin/fleet/"+call+query, body)
+	reply, err := m.CallAdmin("POST", "/admin/fleet/"+call+query, body)
 	if err != nil {
 		t.Fatalf("%s at %s: %v", call, m.Name, err)
 	}
@@ -37,7 +37,7 @@
 
 // verdicts tells what a member's door says of verdicts: the things that are out.
 func (m *Member) verdicts() (what []string, told bool) {
-	reply, err := m.Call("GET", "/admin/verdicts", "")
+	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}, false
 	}
@@ -164,7 +164,7 @@
 	}) {
 		t.Fatal("the sides do not hold what was said there")
 	}
-	r.Between(Fault{})
+	r.SetAllLinkFaults(Fault{})
 	if !waitUntil(time.Duration(SettlePeriods)*period+verdictBound(6)+2*pollInterval,
 		allHoldVerdicts(r, "n1", "n2")) {
 		t.Fatal("no one verdict after the heal")
@@ -229,7 +229,7 @@
 func TestVerdictSpreadsDespiteLoss(t *testing.T) {
 	r := startRig(t, Config{Members: 8, Seed: 34, Rate: 5})
 	awaitConverged(t, r, "start")
-	r.Between(Fault{Loss: 0.3, Duplicate: 0.2, Reorder: 0.2})
+	r.SetAllLinkFaults(Fault{Loss: 0.3, Duplicate: 0.2, Reorder: 0.2})
 	for k, who := range []string{"m00", "m05", "m03"} {
 		call, want := "cordon", []string{"n2"}
 		if k == 1 {
