--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -432,7 +432,8 @@
 	}
 	conf := fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"operator":%q,
 		"limits":{"cores":1,"memory_mb":192,"sockets":400},"settings":%s}`, m.Name, m.Front(),
-		r.relayAddr(1+m.index, portDiscovery), m.AdminAddr(), strings.NewReplacer(r.cfg.SettingsEdits...).Replace(SettingsJSON))
+		r.relayAddr(1+m.index, portDiscovery), m.AdminAddr(),
+		strings.NewReplacer(r.cfg.SettingsEdits...).Replace(SettingsJSON))
 	if err := replaceFile(m.path("config.json"), conf); err != nil {
 		return nil, err
 	}
--- a/internal/rig/late_test.go
+++ b/internal/rig/late_test.go
@@ -12,36 +12,38 @@
 	"lapislever/internal/standin"
 )
 
-// drainGrace is how long after discovery's word a server that drains may still get new work.
+// drainGrace is how long after discovery's announcement a draining server may still receive new parts.
 const drainGrace = 550 * time.Millisecond
 
-// lateRun is a play of one coordinator under faults in which every request, client's end and drain is held
-// against the rules.
+// lateRun is a run of one coordinator under faults in which every request, client disconnect and drain is
+// checked.
 type lateRun struct {
 	t         *testing.T
 	rig       *Rig
 	arrivals  *arrivals
 	served    atomic.Int64
 	mu        sync.Mutex
-	budget    time.Duration // what a client waits for
-	lateParts []string      // parts that came to a server behind its grace
+	budget    time.Duration // the clients' deadline
+	lateParts []string      // parts that reached a server after its drain grace
 }
 
 func startLateRun(t *testing.T, seed uint64, budget time.Duration, faults *SyscallFaults) *lateRun {
 	p := &lateRun{t: t, budget: budget, arrivals: &arrivals{at: map[string][]time.Time{}}}
-	p.rig = startRig(t, Config{Members: 1, Seed: seed, Nodes: 6, Standalone: true, Faults: faults, Answer: p.answer})
+	p.rig = startRig(t, Config{Members: 1, Seed: seed, Nodes: 6, Standalone: true, Faults: faults,
+		Answer: p.answer})
 	if !p.rig.Member("m00").waitServing(waitTimeout) {
-		t.Fatal("the coordinator does not serve")
+		t.Fatal("the coordinator does not start serving")
 	}
 	return p
 }
 
-// answer serves a part, but for some that are never answered, so that there are hedged requests and retries.
+// answer answers parts, except for one in seven that it never answers, so that hedges and retries occur.
 func (p *lateRun) answer(node int, part standin.Part) (string, string) {
 	p.arrivals.record(part.ID)
-	if for_ := p.rig.DrainingFor(node); for_ > drainGrace+deliverySlack {
+	if since := p.rig.DrainingFor(node); since > drainGrace+deliverySlack {
 		p.mu.Lock()
-		p.lateParts = append(p.lateParts, fmt.Sprintf("%s at n%d, %v after the word", part.ID, node, for_))
+		p.lateParts = append(p.lateParts, fmt.Sprintf("%s at n%d, %v after the drain was announced", part.ID,
+			node, since))
 		p.mu.Unlock()
 	}
 	if p.served.Add(1)%7 == 0 {
@@ -50,9 +52,9 @@
 	return "S", "v:" + part.ID
 }
 
-// drainRoundRobin has one server drain after the other until it is told to stop.
+// drainRoundRobin drains one server after the other until stop is closed.
 func drainRoundRobin(r *Rig, stop <-chan struct{}, rng *rand.Rand) {
-	for node := 0; ; node = (node + 1) % 4 { // the last two stay, so that each shard has a server
+	for node := 0; ; node = (node + 1) % 4 { // the last two are never drained, so that each shard keeps a server
 		r.Drain(node)
 		select {
 		case <-stop:
@@ -63,55 +65,55 @@
 	}
 }
 
-// run asks a number of requests, some of whose clients leave early, and checks how each ended.
-func (p *lateRun) run(asked int, every, longest time.Duration) {
+// run sends requests, some of whose clients disconnect early, and checks how each ended.
+func (p *lateRun) run(requests int, interval, longestHold time.Duration) {
 	stop := make(chan struct{})
 	var draining sync.WaitGroup
 	draining.Go(func() { drainRoundRobin(p.rig, stop, rand.New(rand.NewPCG(p.rig.cfg.Seed, 5))) })
-	front, endings := p.rig.Member("m00").Front(), make(chan outcome, asked)
-	var out sync.WaitGroup
-	for i := range asked {
-		out.Go(func() { endings <- sendOnce(front, fmt.Sprintf("h%04d", i), p.budget, i%5 == 4) })
-		time.Sleep(every)
+	front, outcomes := p.rig.Member("m00").Front(), make(chan outcome, requests)
+	var senders sync.WaitGroup
+	for i := range requests {
+		senders.Go(func() { outcomes <- sendOnce(front, fmt.Sprintf("h%04d", i), p.budget, i%5 == 4) })
+		time.Sleep(interval)
 	}
-	out.Wait()
+	senders.Wait()
 	close(stop)
 	draining.Wait()
-	time.Sleep(longest + deliverySlack) // whatever is held has come by then
-	close(endings)
-	p.check(endings)
+	time.Sleep(longestHold + deliverySlack) // held writes have been delivered by then
+	close(outcomes)
+	p.check(outcomes)
 }
 
-func (p *lateRun) check(endings <-chan outcome) {
+func (p *lateRun) check(outcomes <-chan outcome) {
 	count := map[string]int{}
-	fault := func(kind, format string, args ...any) {
+	report := func(kind, format string, args ...any) {
 		count[kind]++
 		p.t.Errorf("%s: %s", kind, fmt.Sprintf(format, args...))
 	}
-	for e := range endings {
-		bound := e.at.Add(deliverySlack)
+	for o := range outcomes {
+		bound := o.at.Add(deliverySlack)
 		switch {
-		case e.err != nil:
-			fault("no answer", "%s: %v", e.query, e.err)
+		case o.err != nil:
+			report("no answer", "%s: %v", o.query, o.err)
 			continue
-		case e.disconnected:
-			count["left"]++
+		case o.disconnected:
+			count["disconnected"]++
 			bound = bound.Add(disconnectGrace)
 		default:
 			count["answered"]++
-			if e.took > p.budget+replySlack+deliverySlack {
-				fault("late answer", "%s after %v", e.query, e.took)
+			if o.took > p.budget+replySlack+deliverySlack {
+				report("late answer", "%s after %v", o.query, o.took)
 			}
 		}
-		if n, most := p.arrivals.after(e.query, bound); n > 0 {
-			fault("sent on late", "%s: %d attempts up to %v after its end (client left: %v)", e.query, n,
-				most+bound.Sub(e.at), e.disconnected)
+		if n, latest := p.arrivals.after(o.query, bound); n > 0 {
+			report("late attempts", "%s: %d attempts up to %v after its end (client disconnected: %v)", o.query, n,
+				latest+bound.Sub(o.at), o.disconnected)
 		}
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, text := range p.lateParts {
-		fault("drain", "%s", text)
+		report("part after drain grace", "%s", text)
 	}
 	p.t.Log(count)
 	if p.t.Failed() && os.Getenv("LAPISLEVER_KEEP_LOG") != "" {
@@ -121,29 +123,29 @@
 }
 
 const (
-	shortBudget  = 232 * time.Millisecond // what a client of the incident's class waits for
+	shortBudget  = 232 * time.Millisecond // the clients' deadline in the incident's class
 	lateRequests = 150
 	lateInterval = 30 * time.Millisecond
 )
 
-// Incident 2157b7: a request was refused in time, and its client never heard of it. The thread that writes
-// the reply is held in its system call, for longer than the client waits.
+// Incident 2157b7: a request was refused in time, but the refusal never reached the client. Here the thread
+// that writes the reply is held before its system call for longer than the client's deadline.
 func TestHeldReplyWriteReachesClient(t *testing.T) {
 	p := startLateRun(t, 61, shortBudget, &SyscallFaults{Seed: 61, Holds: []SyscallHold{
 		{Point: HoldReplyWrite, Share: 0.15, Min: heldMin, Max: heldMax}}})
 	p.run(lateRequests, lateInterval, heldMax)
 }
 
-// Threads are held just behind a look at a clock, each for a short time. One that is held must not hold up
-// the others: a process in which only one may run at a time stands still with it.
+// Threads are held briefly just after a clock read. A held thread must not block the others: a process
+// limited to one running thread at a time stands still with it.
 func TestHeldThreadBlocksNoOther(t *testing.T) {
 	p := startLateRun(t, 62, shortBudget, &SyscallFaults{Seed: 62, Clock: &ClockFaults{Share: 0.01,
 		MinHold: 10 * time.Millisecond, MaxHold: 150 * time.Millisecond}})
 	p.run(lateRequests, lateInterval, 150*time.Millisecond)
 }
 
-// Held calls of other kinds break no rule: the query for discovery's list, the log, a connect, the look at a
-// client before an attempt.
+// The rules also hold when other calls are delayed: the request for discovery's list, log writes, connects,
+// and the check before an attempt whether the client has disconnected.
 func TestOtherHeldSyscalls(t *testing.T) {
 	for i, kind := range []HoldPoint{HoldRequestWrite, HoldLogWrite, HoldConnect, HoldPoll} {
 		t.Run(string(kind), func(t *testing.T) {
--- a/internal/rig/limit_test.go
+++ b/internal/rig/limit_test.go
@@ -13,26 +13,27 @@
 const (
 	limitRate  = 30.0
 	limitBurst = 6.0
-	// pathJitter is how much longer one query may be on its way to a data node than another one: so much longer
-	// a window at the nodes may be than that at the coordinators.
+	// pathJitter is the largest difference between the latencies of two queries on their way to a data node. It
+	// extends the windows in which the limit is checked at the nodes.
 	pathJitter = 400.0 // ms
 )
 
 const ratesLimit = "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 30.0\nburst = 6.0\n"
 
-// admittedAt are the moments, in ms, at which a query of the limited class first reached a data node.
+// admittedAt returns the times, in ms, at which queries of the limited class first reached a data node.
 func admittedAt(r *Rig) (at []float64) {
 	return firstPartTimes(r, func(n int) bool { return n%2 == 0 })
 }
 
-// firstPartTimes are the moments at which a query that is meant, by its number, first reached a data node.
-func firstPartTimes(r *Rig, meant func(n int) bool) (at []float64) {
+// firstPartTimes returns the times, in ms, at which the queries whose number is selected first reached a data
+// node.
+func firstPartTimes(r *Rig, selected func(n int) bool) (at []float64) {
 	seen := map[string]bool{}
 	for _, e := range r.History.Events() {
 		id, _, _ := strings.Cut(e.Query, ".")
 		var n int
 		_, _ = fmt.Sscanf(id, "q%d", &n)
-		if e.Kind == KindPart && meant(n) && !seen[id] {
+		if e.Kind == KindPart && selected(n) && !seen[id] {
 			seen[id] = true
 			at = append(at, e.AtMS)
 		}
@@ -40,63 +41,64 @@
 	return at
 }
 
-// limitDecisions counts the queries of a span that the limit let in at a member, and how many a bucket with
-// nine tenths of the limit would have let in of the same. Where there are always more than that, it is nine
-// tenths of the limit. What the fleet turns away as overloaded, as on a busy machine, never comes to the
-// limit: counted against it, which this test did, it failed with the whole share in hand (75 of 90 let in, 39
-// turned away before).
-func (r *Rig) limitDecisions(member string, from, to float64) (n int, most float64) {
-	asked := map[string]float64{}
-	type met struct {
-		at float64
-		in bool
-	}
-	var all []met
+// limitDecisions counts the queries in a time span that the limit admitted at a member, and how many of the
+// same queries a token bucket with nine tenths of the limit would have admitted. If demand always exceeds
+// that, the second number is nine tenths of the limit. Queries that the fleet sheds for overload, as on a
+// busy machine, never reach the limit and do not count: when they did, the test failed although the member
+// held the full share (75 of 90 admitted, 39 shed before the limit).
+func (r *Rig) limitDecisions(member string, from, to float64) (n int, expected float64) {
+	sentAt := map[string]float64{}
+	type decision struct {
+		at       float64
+		admitted bool
+	}
+	var all []decision
 	for _, e := range r.History.Events() {
 		var number int
 		_, _ = fmt.Sscanf(e.Query, "q%d", &number)
 		switch {
 		case e.Subject != member || number%2 != 0:
 		case e.Kind == KindQuery:
-			asked[e.Query] = e.AtMS
-		case e.Kind == KindAnswer && asked[e.Query] >= from && asked[e.Query] < to:
-			if in := e.Status == 200; in || strings.Contains(e.RefusalReason, "limit") {
-				all = append(all, met{asked[e.Query], in})
+			sentAt[e.Query] = e.AtMS
+		case e.Kind == KindAnswer && sentAt[e.Query] >= from && sentAt[e.Query] < to:
+			if admitted := e.Status == 200; admitted || strings.Contains(e.RefusalReason, "limit") {
+				all = append(all, decision{sentAt[e.Query], admitted})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b met) int { return cmp.Compare(a.at, b.at) })
+	slices.SortFunc(all, func(a, b decision) int { return cmp.Compare(a.at, b.at) })
 	tokens, last := 0.0, from
-	for _, x := range all {
-		tokens = min(0.9*limitBurst, tokens+0.9*limitRate*(x.at-last)/1000)
-		if last = x.at; tokens >= 1 {
+	for _, d := range all {
+		tokens = min(0.9*limitBurst, tokens+0.9*limitRate*(d.at-last)/1000)
+		if last = d.at; tokens >= 1 {
 			tokens--
-			most++
+			expected++
 		}
-		if x.in {
+		if d.admitted {
 			n++
 		}
 	}
-	return n, most
+	return n, expected
 }
 
-// outcomesBetween counts how queries of the limited class ended, by member and status.
+// outcomesBetween counts the queries and answers of the limited class in a time span, by member and outcome.
 func (r *Rig) outcomesBetween(from, to float64) map[string]int {
-	ends := map[string]int{}
+	outcomes := map[string]int{}
 	for _, e := range r.History.Events() {
 		var n int
 		_, _ = fmt.Sscanf(e.Query, "q%d", &n)
 		if e.AtMS >= from && e.AtMS < to && n%2 == 0 && (e.Kind == KindAnswer || e.Kind == KindQuery) {
-			ends[strings.TrimSpace(fmt.Sprint(e.Kind, " ", e.Subject, " ", e.Status, " ", e.RefusalReason))]++
+			outcomes[strings.TrimSpace(fmt.Sprint(e.Kind, " ", e.Subject, " ", e.Status, " ", e.RefusalReason))]++
 		}
 	}
-	return ends
+	return outcomes
 }
 
-// findLimitViolation names the first window in which more reached the data nodes than the limit and its bound
-// allow.
+// findLimitViolation describes the first time window in which more queries reached the data nodes than the
+// limit allows; "" if there is none.
 func findLimitViolation(at []float64) string { return findRateViolation(at, limitRate, limitBurst) }
 
+// findRateViolation is findLimitViolation for any rate and burst.
 func findRateViolation(at []float64, rate, burst float64) string {
 	for _, span := range []float64{500, 1000, 3000, 10000} {
 		first := 0
@@ -105,14 +107,14 @@
 				first++
 			}
 			if n, most := float64(i-first+1), rate*(span+pathJitter)/1000+burst; n > most {
-				return fmt.Sprintf("%.0f in %.0f ms up to %.0f, where %.0f may be", n, span, t, most)
+				return fmt.Sprintf("%.0f in the %.0f ms up to %.0f ms, where %.0f are allowed", n, span, t, most)
 			}
 		}
 	}
 	return ""
 }
 
-// limitShare is what a member's door says of the limit.
+// limitShare returns the member's share of the limit, and the doubtful part of it, from its admin endpoint.
 func (m *Member) limitShare() (share, inDoubt float64) {
 	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
@@ -130,10 +132,10 @@
 	return v.Limits[0].Share, v.Limits[0].InDoubt
 }
 
-// One limit over three processes: all traffic at one of them gets nine tenths of it within 3 s, a lender
-// that is killed and started anew at once does not lend twice, a cut leaves each its own, an upgrade in
-// the middle is one member, a stop longer than a term is waited out; and in no window does more reach the
-// data nodes than the limit.
+// One limit across three members. A member that gets all traffic receives nine tenths of the limit within 3
+// s. A lender that is killed and restarted at once does not lend twice. A partition leaves each member its
+// own share. An upgrade counts as one member. A pause longer than a lease term is waited out. In no time
+// window do more queries reach the data nodes than the limit allows.
 func TestLimitAcrossThreeMembers(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 51, Rate: 100, ExtraFleetConfig: ratesLimit, MaxMembers: 3})
 	awaitConverged(t, r, "start")
@@ -142,10 +144,10 @@
 	c.NoQueries.Store(true)
 	if !waitUntil(waitTimeout, func() bool { s, _ := a.limitShare(); return s > 0.9*limitRate }) {
 		s, _ := a.limitShare()
-		t.Fatalf("all traffic is at one member, and it has %.1f of %.1f", s, limitRate)
+		t.Fatalf("the member with all the traffic has a share of %.1f of %.1f", s, limitRate)
 	}
 	from := r.History.elapsedMS()
-	var shares []string // of each member in the course of the 3 s
+	var shares []string // of each member, sampled during the 3 s
 	for range 15 {
 		time.Sleep(200 * time.Millisecond)
 		line := fmt.Sprintf("%.0f:", r.History.elapsedMS()-from)
@@ -155,13 +157,13 @@
 		}
 		shares = append(shares, line)
 	}
-	n, most := r.limitDecisions("m00", from, from+3000)
-	t.Logf("%d let in within 3 s, of %.0f that a bucket of nine tenths would let in; ends %v", n, most,
+	n, expected := r.limitDecisions("m00", from, from+3000)
+	t.Logf("%d admitted within 3 s, %.0f by a bucket of nine tenths of the limit; outcomes %v", n, expected,
 		r.outcomesBetween(from, from+3000))
-	if float64(n) < 0.85/0.9*most {
-		t.Errorf("too little of the limit is let in; shares %v", shares)
+	if float64(n) < 0.85/0.9*expected {
+		t.Errorf("too little of the limit is admitted; shares %v", shares)
 	}
-	// A lender dies, is back at once and wants its own.
+	// A lender crashes, restarts at once and needs its own share.
 	b.Kill()
 	if err := b.Start(); err != nil {
 		t.Fatal(err)
@@ -169,12 +171,12 @@
 	b.NoQueries.Store(false)
 	c.NoQueries.Store(false)
 	time.Sleep(20 * period)
-	// Each alone, and whole again.
+	// Every member is isolated, then the partition heals.
 	r.partition([][]string{{"m00"}, {"m01"}, {"m02"}}, false, Fault{})
 	time.Sleep(25 * period)
 	for _, m := range r.Members() {
 		if s, _ := m.limitShare(); s < 0.9*limitRate/3 {
-			t.Errorf("%s is cut off and has %.1f of its %.1f", m.Name, s, limitRate/3)
+			t.Errorf("%s is isolated and has a share of %.1f instead of %.1f", m.Name, s, limitRate/3)
 		}
 	}
 	r.SetAllLinkFaults(Fault{Loss: 0.3, Duplicate: 0.3, Reorder: 0.3})
@@ -185,49 +187,49 @@
 	}
 	a.NoQueries.Store(false)
 	b.Pause()
-	time.Sleep(15 * period) // longer than a term
+	time.Sleep(15 * period) // longer than a lease term
 	b.Resume()
 	time.Sleep(10 * period)
 	if !r.Quiesce(waitTimeout) {
-		t.Fatal("queries without an answer")
+		t.Fatal("some queries were not answered")
 	}
 	at := admittedAt(r)
-	if over := findLimitViolation(at); over != "" {
-		t.Error(over)
+	if violation := findLimitViolation(at); violation != "" {
+		t.Error(violation)
 	}
-	turnedAway := 0
+	refused := 0
 	for _, e := range r.History.Events() {
 		if e.Kind == KindAnswer && e.Status == 503 {
-			turnedAway++
+			refused++
 		}
 	}
-	if turnedAway == 0 {
-		t.Error("nothing was refused: the limit was never met")
+	if refused == 0 {
+		t.Error("no query was refused: the limit was never reached")
 	}
-	for _, f := range Check(r.History.Events(), false) {
-		t.Error(f)
+	for _, violation := range Check(r.History.Events(), false) {
+		t.Error(violation)
 	}
-	t.Logf("%d let in within %.0f s, %d refused", len(at), r.History.elapsedMS()/1000, turnedAway)
+	t.Logf("%d admitted within %.0f s, %d refused", len(at), r.History.elapsedMS()/1000, refused)
 }
 
-// The check of windows finds what is over.
+// findLimitViolation detects a rate above the limit.
 func TestLimitCheckFindsViolation(t *testing.T) {
 	var at []float64
 	for i := range 400 {
 		at = append(at, float64(i)*1000/limitRate)
 	}
-	if over := findLimitViolation(at); over != "" {
-		t.Error(over)
+	if violation := findLimitViolation(at); violation != "" {
+		t.Error(violation)
 	}
 	for i := range at {
 		at[i] *= 0.7
 	}
 	if findLimitViolation(at) == "" {
-		t.Error("four tenths too many are not found")
+		t.Error("an excess of four tenths is not found")
 	}
 }
 
-// limitAndShare is what a member's door says that the limit is, and its share.
+// limitAndShare returns the limit in force and the member's share, from its admin endpoint.
 func (m *Member) limitAndShare() (limit, share float64) {
 	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
@@ -242,8 +244,9 @@
 	return v.Limits[0].Limit, v.Limits[0].Share
 }
 
-// While limits differ, as in a roll-out, the stricter one holds at all, and the door shows who differs; the
-// greater one holds once all have it. Who is turned down because there is no room has nothing.
+// While the members' limits differ, as during a roll-out, the strictest applies at all members, and the admin
+// endpoint shows who differs; a higher limit applies once all members have it. A member for which the fleet
+// has no room gets no share.
 func TestStricterLimitHoldsDuringRollout(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 52, ExtraFleetConfig: ratesLimit, MaxMembers: 3})
 	awaitConverged(t, r, "start")
@@ -265,25 +268,25 @@
 		m.Reload()
 	}
 	if !waitUntil(waitTimeout, all(30)) {
-		t.Fatal("not 30 everywhere")
+		t.Fatal("the limit is not 30 everywhere")
 	}
 	change(r.Member("m01"), "rate = 15.0")
 	if !waitUntil(verdictBound(3)+2*period+2*pollInterval, all(15)) {
-		t.Fatal("the stricter one does not hold everywhere in time")
+		t.Fatal("the stricter limit does not apply everywhere in time")
 	}
 	if !waitUntil(waitTimeout, func() bool { return len(r.Member("m00").View().Figures.Differ) == 1 }) {
-		t.Error("it is not shown who differs")
+		t.Error("the member that differs is not shown")
 	}
 	for _, name := range []string{"m01", "m00"} {
 		change(r.Member(name), "rate = 60.0")
 	}
 	time.Sleep(10 * period)
 	if !all(30)() {
-		t.Error("the greater one holds before all have it")
+		t.Error("the higher limit applies before all members have it")
 	}
 	change(r.Member("m02"), "rate = 60.0")
 	if !waitUntil(waitTimeout, all(60)) {
-		t.Error("all have it, and it does not hold")
+		t.Error("all members have the higher limit, but it does not apply")
 	}
 	extra, err := r.AddMember()
 	if err != nil {
@@ -293,15 +296,15 @@
 		t.Fatal(err)
 	}
 	if !waitUntil(waitTimeout, func() bool { limit, _ := extra.limitAndShare(); return limit > 0 }) {
-		t.Fatal("the fourth one does not serve")
+		t.Fatal("the fourth member does not start serving")
 	}
 	time.Sleep(5 * period)
 	if _, share := extra.limitAndShare(); share != 0 {
-		t.Errorf("a member for which there is no room has %.1f", share)
+		t.Errorf("a member for which there is no room has a share of %.1f", share)
 	}
 }
 
-// holds are the members whose rest a member says that it has.
+// leases returns the members on whose shares the member holds the leases, from its admin endpoint.
 func (m *Member) leases() (of []string) {
 	reply, err := m.CallAdmin("GET", "/admin/limits", "")
 	if err != nil || reply.Status != 200 {
@@ -312,28 +315,29 @@
 	return v.Holds
 }
 
-// The rest of a dead member's share is another's within 3 terms and what its death takes to be known, on the
-// side of a majority; back, the member has it again; and nothing is over, whatever the views are.
+// On the majority side, another member takes over a dead member's share within the crash detection bound plus
+// 3 lease terms. The member gets its share back when it restarts. The limit is never exceeded, whatever the
+// views are.
 func TestDeadMembersShareIsReused(t *testing.T) {
 	const rate, burst = 50.0, 10.0
 	r := startRig(t, Config{Members: 5, Seed: 53, Rate: 40, Roster: true,
 		ExtraFleetConfig: "[[limit]]\nname = \"rates\"\nclass = \"rate-check\"\nrate = 50.0\nburst = 10.0\n"})
 	awaitConverged(t, r, "start")
-	own := func(but ...string) func() bool {
+	eachHoldsOwn := func(except ...string) func() bool {
 		return func() bool {
 			for _, m := range r.RunningMembers() {
-				if !slices.Contains(but, m.Name) && !slices.Equal(m.leases(), []string{m.Name}) {
+				if !slices.Contains(except, m.Name) && !slices.Equal(m.leases(), []string{m.Name}) {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	if !waitUntil(waitTimeout, own()) {
-		t.Fatalf("m00 holds %v", r.Member("m00").leases())
+	if !waitUntil(waitTimeout, eachHoldsOwn()) {
+		t.Fatalf("m00 holds the leases of %v", r.Member("m00").leases())
 	}
 	r.Member("m04").Kill()
-	heir := func() *Member {
+	newHolder := func() *Member {
 		for _, m := range r.RunningMembers() {
 			if slices.Contains(m.leases(), "m04") {
 				return m
@@ -342,10 +346,10 @@
 		return nil
 	}
 	bound := time.Duration(CrashPeriods(5)+3*10) * period
-	if !waitUntil(bound+2*pollInterval, func() bool { return heir() != nil }) {
-		t.Fatal("nobody has the dead member's rest in time")
+	if !waitUntil(bound+2*pollInterval, func() bool { return newHolder() != nil }) {
+		t.Fatal("no member takes over the dead member's share in time")
 	}
-	time.Sleep(13 * period) // a term and some, until it may be used
+	time.Sleep(13 * period) // more than a lease term, until the share may be used
 	from := r.History.elapsedMS()
 	time.Sleep(4 * time.Second)
 	n := 0
@@ -354,8 +358,8 @@
 			n++
 		}
 	}
-	if got := float64(n) / 4; got < 0.82*rate { // of 0.9, and the four alone have 0.8
-		t.Errorf("%.1f of %.0f a second in use without one of five", got, rate)
+	if got := float64(n) / 4; got < 0.82*rate { // up to 0.9 is expected; the own shares of the four make 0.8
+		t.Errorf("%.1f of %.0f per second used while one of five members is down", got, rate)
 		for _, m := range r.RunningMembers() {
 			reply, err := m.CallAdmin("GET", "/admin/limits", "")
 			t.Logf("%s: %s %v", m.Name, reply.Body, err)
@@ -364,44 +368,45 @@
 	if err := r.Member("m04").Start(); err != nil {
 		t.Fatal(err)
 	}
-	if !waitUntil(waitTimeout, own()) {
-		t.Fatalf("m04 is back and holds %v", r.Member("m04").leases())
+	if !waitUntil(waitTimeout, eachHoldsOwn()) {
+		t.Fatalf("m04 has restarted and holds the leases of %v", r.Member("m04").leases())
 	}
-	// Two are cut off: nobody has their rest but by votes, and what they have after a term is the floor.
+	// Two members are partitioned: their shares are taken over only by votes, and after a lease term they are
+	// left with the floor.
 	r.partition([][]string{{"m00", "m01", "m02"}, {"m03", "m04"}}, false, Fault{})
 	if !waitUntil(waitTimeout, func() bool {
 		return len(r.Member("m03").leases())+len(r.Member("m04").leases()) == 0 &&
 			len(r.Member("m00").leases())+len(r.Member("m01").leases())+len(r.Member("m02").leases()) == 5
 	}) {
-		t.Fatal("the majority has not taken over")
+		t.Fatal("the majority has not taken over the leases")
 	}
 	time.Sleep(13 * period)
 	for _, name := range []string{"m03", "m04"} {
 		if s, _ := r.Member(name).limitShare(); s > 0.55*rate/5 || s < 0.45*rate/5 {
-			t.Errorf("%s is cut off with one other and has %.1f of its %.1f", name, s, rate/5)
+			t.Errorf("%s is on the minority side and has a share of %.1f instead of half of %.1f", name, s, rate/5)
 		}
 	}
 	r.SetAllLinkFaults(Fault{})
-	if !waitUntil(waitTimeout, own()) {
-		t.Fatal("not each its own after the heal")
+	if !waitUntil(waitTimeout, eachHoldsOwn()) {
+		t.Fatal("not every member has its own lease back after the heal")
 	}
 	if !r.Quiesce(waitTimeout) {
-		t.Fatal("queries without an answer")
+		t.Fatal("some queries were not answered")
 	}
-	if over := findRateViolation(admittedAt(r), rate, burst); over != "" {
-		t.Error(over)
+	if violation := findRateViolation(admittedAt(r), rate, burst); violation != "" {
+		t.Error(violation)
 	}
-	for _, f := range Check(r.History.Events(), false) {
-		t.Error(f)
+	for _, violation := range Check(r.History.Events(), false) {
+		t.Error(violation)
 	}
 }
 
-// maxConcurrent is how many parts a node had at the most at a time, if each took at least so long; or, with
-// no node named, how many queries that are meant were open.
-func maxConcurrent(r *Rig, node string, took float64, meant func(n int) bool) (most int) {
+// maxConcurrent returns the largest number of parts that were open at a node at a time, given that each took
+// at least the given number of milliseconds; without a node, the largest number of selected queries.
+func maxConcurrent(r *Rig, node string, took float64, selected func(n int) bool) (most int) {
 	var at []float64
 	if node == "" {
-		at = firstPartTimes(r, meant)
+		at = firstPartTimes(r, selected)
 	} else {
 		for _, e := range r.History.Events() {
 			if e.Kind == KindPart && e.Subject == node {
@@ -419,8 +424,8 @@
 	return most
 }
 
-// What may be open at a time over the fleet, for a class and at one data node, and a rate for each tenant:
-// through a kill and a start at once, a cut, an upgrade and a stop, as the data nodes saw it.
+// Fleet-wide concurrency limits for a class and for one data node, and a rate limit per tenant, hold as
+// measured at the data nodes: through a kill with an immediate restart, a partition, an upgrade and a pause.
 func TestConcurrencyAndPerTenantLimits(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 54, Rate: 60, Roster: true, ExtraFleetConfig: `[[limit]]
 name = "posts"
@@ -465,16 +470,16 @@
 	a.Resume()
 	time.Sleep(10 * period)
 	if !r.Quiesce(waitTimeout) {
-		t.Fatal("queries without an answer")
+		t.Fatal("some queries were not answered")
 	}
 	posts := maxConcurrent(r, "", took, func(n int) bool { return n%2 == 1 })
 	node := maxConcurrent(r, "n0", took, nil)
 	if posts > 6 || posts < 4 || node > 3 || node < 2 {
-		t.Errorf("%d of 6 posts were open at a time, %d of 3 parts at n0", posts, node)
+		t.Errorf("up to %d of 6 posts were open at a time, and %d of 3 parts at n0", posts, node)
 	}
 	for k := range tenantCount {
-		times := firstPartTimes(r, func(n int) bool { return n%tenantCount == k })
-		if violation := findRateViolation(times, 30, 6); violation != "" {
+		if violation := findRateViolation(firstPartTimes(r, func(n int) bool { return n%tenantCount == k }), 30,
+			6); violation != "" {
 			t.Errorf("tenant %d: %s", k, violation)
 		}
 	}
@@ -485,10 +490,10 @@
 		}
 	}
 	if refused == 0 {
-		t.Error("nothing was refused: no limit was ever met")
+		t.Error("no query was refused: no limit was ever reached")
 	}
-	for _, f := range Check(r.History.Events(), false) {
-		t.Error(f)
+	for _, violation := range Check(r.History.Events(), false) {
+		t.Error(violation)
 	}
 	t.Logf("%d of 6 posts, %d of 3 parts at n0 at a time; %d refused", posts, node, refused)
 }
--- a/internal/rig/scenario.go
+++ b/internal/rig/scenario.go
@@ -267,7 +267,9 @@
 func (s *Scenario) await(r *Rig, res *Result, i int, st Step) error {
 	observers := r.RunningMembers()
 	if len(st.Observers) > 0 {
-		observers = slices.DeleteFunc(observers, func(m *Member) bool { return !slices.Contains(st.Observers, m.Name) })
+		observers = slices.DeleteFunc(observers, func(m *Member) bool {
+			return !slices.Contains(st.Observers, m.Name)
+		})
 	}
 	bound := st.Within
 	if bound == 0 {
--- a/internal/rig/scenario_test.go
+++ b/internal/rig/scenario_test.go
@@ -12,7 +12,7 @@
 //go:embed scenarios
 var scenarios embed.FS
 
-// Each scenario's bounds hold, and its history has nothing in it that must not be.
+// Each scenario meets its bounds, and its history violates no invariant.
 func TestScenarios(t *testing.T) {
 	list, err := scenarios.ReadDir("scenarios")
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// checkUpgradesNotRestarts holds that nobody took an upgrade for a restart.
+// checkUpgradesNotRestarts checks that no member took an upgrade for a restart.
 func checkUpgradesNotRestarts(t *testing.T, r *Rig, events []Event) {
 	t.Helper()
 	upgraded, ended := map[string]bool{}, map[string]bool{}
@@ -74,19 +74,19 @@
 		t.Errorf("%v", err)
 	}
 	events := r.History.Events()
-	for _, f := range Check(events, s.NoDeaths) {
-		t.Error(f)
+	for _, violation := range Check(events, s.NoDeaths) {
+		t.Error(violation)
 	}
 	checkUpgradesNotRestarts(t, r, events)
-	queries, good := 0, 0
+	queries, served := 0, 0
 	for _, e := range events {
 		if e.Kind == KindAnswer {
 			queries++
 			if e.Status == 200 {
-				good++
+				served++
 			}
 		}
 	}
-	t.Logf("%s %d queries, %d served; periods: %v", s.Description, queries, good, res.Periods)
+	t.Logf("%s %d queries, %d served; periods: %v", s.Description, queries, served, res.Periods)
 	return r
 }
--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	// What the program is made of: so that results that go test has kept do not outlive a change of it.
+	// The packages of the program, so that go test does not reuse cached results after a change in them.
 	_ "lapislever/internal/console"
 	_ "lapislever/internal/kiosk"
 	_ "lapislever/internal/platform"
@@ -22,7 +22,7 @@
 // period is the fleet's period in tests on real processes.
 const period = 200 * time.Millisecond
 
-// closeOnCleanup ends the rig with the test, and shows the members' logs if it has failed.
+// closeOnCleanup closes the rig at the end of the test and logs the members' logs if the test has failed.
 func closeOnCleanup(t *testing.T, r *Rig) {
 	t.Cleanup(func() {
 		r.Close()
@@ -37,7 +37,7 @@
 	})
 }
 
-// startRig puts up a rig and starts its members.
+// startRig creates a rig and starts its members.
 func startRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
 	r := newRig(t, cfg)
@@ -49,7 +49,7 @@
 	return r
 }
 
-// newRig puts up a rig whose members are not started.
+// newRig creates a rig without starting its members.
 func newRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
 	cfg.Dir, cfg.Period = t.TempDir(), period
@@ -64,21 +64,21 @@
 	return r
 }
 
-// Three processes see each other; one is killed, and two say so at their doors.
+// Three members see each other; one is killed, and the other two report it as dead.
 func TestThreeMembersDetectCrash(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 1, Rate: 10})
 	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
-		t.Fatal("the three never saw each other")
+		t.Fatal("the three members did not converge")
 	}
 	r.Member("m02").Kill()
 	begun := time.Now()
 	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
-		t.Fatal("the death was not seen")
+		t.Fatal("the crash was not detected")
 	}
-	t.Logf("known to both after %.1f periods", float64(time.Since(begun))/float64(period))
+	t.Logf("detected by both after %.1f periods", float64(time.Since(begun))/float64(period))
 	for _, m := range r.RunningMembers() {
 		if s := m.View().StateOf("m02"); s != "dead" {
-			t.Errorf("%s says that m02 is %s", m.Name, s)
+			t.Errorf("%s reports m02 as %s", m.Name, s)
 		}
 	}
 }
--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -19,38 +19,39 @@
 	"lapislever/internal/standin"
 )
 
-// The soak: one coordinator a seed, under faults of its data nodes and of its system calls, signals in series
-// and, on some seeds, a crowd of idle clients. Clients use their connections until the earliest moment at
-// which the coordinator may be killed after SIGTERM. LAPISLEVER_SOAK=FIRST-LAST plays other seeds than CI's.
+// The soak: one coordinator per seed, under faults of its data nodes and of its system calls, bursts of
+// signals and, on some seeds, a crowd of idle clients. Clients use their connections until the earliest time
+// at which the coordinator may be killed after SIGTERM. LAPISLEVER_SOAK=FIRST-LAST runs other seeds than
+// CI's.
 const (
 	soakSeeds     = 16
 	soakAtOnce    = 4
 	soakClients   = 10
 	soakServe     = 4 * time.Second         // before SIGTERM
-	soakKill      = 2700 * time.Millisecond // after it: the longest deadline and 0.7 s
+	soakKill      = 2700 * time.Millisecond // after SIGTERM: the longest deadline plus 0.7 s
 	soakIdleConns = 300
 	soakStop      = 150 * time.Millisecond // the longest SIGSTOP
 	soakNodes     = 6
-	// deadlineSlack is how much longer than what its client has left an attempt may be told to wait.
+	// deadlineSlack is by how much the deadline sent with an attempt may exceed the client's remaining time.
 	deadlineSlack = 150 * time.Millisecond
 )
 
-// soakKind is what befalls a seed's process beside the faults that befall all.
+// soakKind selects the faults of a seed beyond those common to all seeds.
 type soakKind uint64
 
-// The kinds, in turn by seed.
+// The kinds; seeds cycle through them.
 const (
 	soakPlain          soakKind = iota
-	soakHeldClockReads          // threads are held behind looks at a clock
+	soakHeldClockReads          // threads are held after clock reads
 	soakClockSteps              // the wall clock is stepped
-	soakLongHolds               // replies and attempts are held for long
-	soakIOErrors                // reads, writes and looks at sockets fail
+	soakLongHolds               // writes of replies and attempts are held for long
+	soakIOErrors                // reads, writes and polls fail
 	soakKinds
 )
 
 func soakKindOf(seed uint64) soakKind { return soakKind(seed) % soakKinds }
 
-// soakFaults are the faults of one seed.
+// soakFaults returns the faults of one seed.
 func soakFaults(seed uint64) *SyscallFaults {
 	f := commonFaults(seed)
 	switch soakKindOf(seed) {
@@ -75,8 +76,9 @@
 	return f
 }
 
-// commonFaults are the faults of each seed's system calls: a thread held for as long as may be between its
-// clock and its write, short reads and writes, and calls that fail as Linux documents them.
+// commonFaults returns the system call faults common to all seeds: threads held for up to the longest allowed
+// time between their clock read and their write, short reads and writes, and calls that fail with errors that
+// Linux documents.
 func commonFaults(seed uint64) *SyscallFaults {
 	fail := func(number uint64, errno syscall.Errno) SyscallError {
 		return SyscallError{Number: number, Errno: errno, Share: 0.01}
@@ -91,28 +93,28 @@
 		fail(unix.SYS_CONNECT, unix.ETIMEDOUT), fail(unix.SYS_CONNECT, unix.EHOSTUNREACH)}}
 }
 
-// soakRequest is one request and how it ended.
+// soakRequest is one request with its outcome.
 type soakRequest struct {
 	id           string
 	sent, ended  time.Time
 	budget       time.Duration
 	status       int
-	firstOnConn  bool // the first on its connection
-	disconnected bool // its client closed the connection before an answer
+	firstOnConn  bool // the first request on its connection
+	disconnected bool // the client closed the connection before the answer
 	err          error
 	afterTerm    bool // sent after SIGTERM
 }
 
-// soak is one seed's play.
+// soak is the run of one seed.
 type soak struct {
 	t         *testing.T
 	seed      uint64
 	rng       *rand.Rand
 	crowded   bool
 	arrivals  *arrivals
-	deadlines sync.Map // part and arrival to the time that it was told to wait
+	deadlines sync.Map // partDeadline by part and arrival
 	rig       *Rig
-	lateParts atomic.Int64 // parts that came to a server behind its grace
+	lateParts atomic.Int64 // parts that reached a server after its drain grace
 	done      atomic.Bool
 	stopping  atomic.Bool
 	mu        sync.Mutex
@@ -125,7 +127,8 @@
 	s.requests = append(s.requests, q)
 }
 
-// client sends one request after the other, on one connection while that lasts, until the play is over.
+// client sends one request after the other, on one connection as long as it stays usable, until the run is
+// done.
 func (s *soak) client(front string, number int, rng *rand.Rand) {
 	var c *lnet.Client
 	fresh := false
@@ -150,8 +153,8 @@
 		q := soakRequest{id: fmt.Sprintf("s%02d-%04d", number, k), firstOnConn: fresh, afterTerm: s.stopping.Load(),
 			budget: time.Duration(200+rng.IntN(1500)) * time.Millisecond}
 		wait := q.budget + 3*time.Second
-		leaves := rng.IntN(8) == 0
-		if leaves {
+		disconnects := rng.IntN(8) == 0
+		if disconnects {
 			wait = time.Duration(1+rng.IntN(60)) * time.Millisecond
 		}
 		q.sent = time.Now()
@@ -160,14 +163,14 @@
 		body := []byte(`{"slices":[{"slice":0,"mass":0.5},{"slice":1,"mass":0.5}],"filter":"c41e77d0"}`)
 		reply, err := c.Do("POST", "/"+class, front, head, body, q.sent.Add(wait))
 		if err != nil && !fresh && s.mayCloseAfterReply() && !isTimeout(err) {
-			c.Close() // the connection had ended behind the reply before: once more, on a new one
-			if again, dialErr := lnet.Dial(front, 500*time.Millisecond, 1<<20); dialErr == nil {
-				c = again
+			c.Close() // the server had closed it after the previous reply: retry once, on a new connection
+			if newConn, dialErr := lnet.Dial(front, 500*time.Millisecond, 1<<20); dialErr == nil {
+				c = newConn
 				reply, err = c.Do("POST", "/"+class, front, head, body, q.sent.Add(wait))
 			}
 		}
 		q.err, fresh = err, false
-		q.disconnected = leaves && isTimeout(err)
+		q.disconnected = disconnects && isTimeout(err)
 		if err == nil {
 			q.status = reply.Status
 		}
@@ -184,15 +187,16 @@
 	}
 }
 
-// mayCloseAfterReply tells that the coordinator may end a connection behind a reply that does not say so.
+// mayCloseAfterReply reports whether the coordinator may close a connection after a reply without announcing
+// it.
 func (s *soak) mayCloseAfterReply() bool { return soakKindOf(s.seed) == soakLongHolds }
 
 func isTimeout(err error) bool {
-	var late net.Error
-	return errors.As(err, &late) && late.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// openIdleConns opens idle connections and holds them.
+// openIdleConns opens connections that send nothing.
 func (s *soak) openIdleConns(front string) (all []net.Conn) {
 	for range soakIdleConns {
 		if c, err := net.DialTimeout("tcp", front, time.Second); err == nil {
@@ -202,12 +206,12 @@
 	return all
 }
 
-// answer is a data node's way with a part.
+// answer is the handler of the data nodes.
 func (s *soak) answer(node int, p standin.Part) (string, string) {
 	s.arrivals.record(p.ID)
 	if since := s.rig.DrainingFor(node); since > drainGrace+deliverySlack {
 		s.lateParts.Add(1)
-		s.t.Errorf("seed %d: %s came to n%d %v after the word that it drains", s.seed, p.ID, node, since)
+		s.t.Errorf("seed %d: %s reached n%d %v after its drain was announced", s.seed, p.ID, node, since)
 	}
 	var d int64
 	if _, err := fmt.Sscanf(p.Attrs, "d=%d", &d); err == nil {
@@ -227,13 +231,14 @@
 	return "S", "v:" + p.ID
 }
 
+// partDeadline is the remaining time that a part announced to a data node.
 type partDeadline struct {
 	part      string
 	at        time.Time
 	remaining time.Duration
 }
 
-// signals sends signals in series until SIGTERM, and on after it.
+// signals sends bursts of signals before SIGTERM and some more after it.
 func (s *soak) signals(m *Member) {
 	p := m.Process()
 	for end := time.Now().Add(soakServe); time.Now().Before(end); {
@@ -258,14 +263,14 @@
 		p.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[s.rng.IntN(2)])
 	}
 	if status := p.Wait(time.Until(killAt)); status != 0 {
-		s.t.Errorf("seed %d: not ended by itself before it is killed: %d", s.seed, status)
+		s.t.Errorf("seed %d: did not exit with 0 before the time of the kill: status %d", s.seed, status)
 		p.Kill()
 	}
 	m.running.Store(false)
 	s.done.Store(true)
 }
 
-// check holds every request against the rules.
+// check checks every request against the rules.
 func (s *soak) check() {
 	late := 0
 	for _, q := range s.requests {
@@ -279,15 +284,16 @@
 				s.t.Errorf("seed %d: %s was answered after %v of %v", s.seed, q.id, q.ended.Sub(q.sent), q.budget)
 			}
 		case parts > 0:
-			s.t.Errorf("seed %d: %s was sent on and never answered (fresh %v, after SIGTERM %v): %v", s.seed, q.id,
-				q.firstOnConn, q.afterTerm, q.err)
+			s.t.Errorf("seed %d: %s was attempted but never answered (first on its connection %v, "+
+				"after SIGTERM %v): %v", s.seed, q.id, q.firstOnConn, q.afterTerm, q.err)
 		case !q.afterTerm && !s.crowded:
-			s.t.Errorf("seed %d: %s was never answered (fresh %v): %v", s.seed, q.id, q.firstOnConn, q.err)
+			s.t.Errorf("seed %d: %s was never answered (first on its connection %v): %v", s.seed, q.id,
+				q.firstOnConn, q.err)
 		}
-		if n, most := s.arrivals.after(q.id, end); n > 0 {
+		if n, latest := s.arrivals.after(q.id, end); n > 0 {
 			late++
-			s.t.Errorf("seed %d: %s: %d attempts up to %v after its end (client left: %v)", s.seed, q.id, n,
-				most+end.Sub(q.ended), q.disconnected)
+			s.t.Errorf("seed %d: %s: %d attempts up to %v after its end (client disconnected: %v)", s.seed, q.id, n,
+				latest+end.Sub(q.ended), q.disconnected)
 		}
 	}
 	byID := map[string]soakRequest{}
@@ -295,17 +301,18 @@
 		byID[q.id] = q
 	}
 	s.deadlines.Range(func(_, v any) bool {
-		w := v.(partDeadline)
-		id, _, _ := strings.Cut(w.part, ".")
-		if q, ok := byID[id]; ok && w.remaining > q.sent.Add(q.budget).Sub(w.at)+deadlineSlack+deliverySlack {
-			s.t.Errorf("seed %d: %s was told %v, and its client had %v of %v (fresh %v)", s.seed, w.part, w.remaining,
-				q.sent.Add(q.budget).Sub(w.at), q.budget, q.firstOnConn)
+		d := v.(partDeadline)
+		id, _, _ := strings.Cut(d.part, ".")
+		if q, ok := byID[id]; ok && d.remaining > q.sent.Add(q.budget).Sub(d.at)+deadlineSlack+deliverySlack {
+			s.t.Errorf("seed %d: %s was sent with a deadline of %v, but its client had %v of %v left "+
+				"(first on its connection %v)", s.seed, d.part, d.remaining, q.sent.Add(q.budget).Sub(d.at), q.budget,
+				q.firstOnConn)
 		}
 		return true
 	})
 }
 
-// runSoak plays one seed.
+// runSoak runs one seed.
 func runSoak(t *testing.T, seed uint64) {
 	s := &soak{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 23)), crowded: isCrowded(seed),
 		arrivals: &arrivals{at: map[string][]time.Time{}}}
@@ -317,12 +324,12 @@
 		t.Fatal(err)
 	}
 	if !m.waitServing(waitTimeout) {
-		t.Fatalf("seed %d: the coordinator does not serve", seed)
+		t.Fatalf("seed %d: the coordinator does not start serving", seed)
 	}
-	var out sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range soakClients {
 		rng := rand.New(rand.NewPCG(seed, uint64(100+i)))
-		out.Go(func() { s.client(m.Front(), i, rng) })
+		clients.Go(func() { s.client(m.Front(), i, rng) })
 	}
 	stop := make(chan struct{})
 	var draining sync.WaitGroup
@@ -332,7 +339,7 @@
 		idle = s.openIdleConns(m.Front())
 	}
 	s.signals(m)
-	out.Wait()
+	clients.Wait()
 	close(stop)
 	draining.Wait()
 	for _, c := range idle {
@@ -340,58 +347,58 @@
 	}
 	time.Sleep(deliverySlack)
 	s.check()
-	ends := map[string]int{}
+	outcomes := map[string]int{}
 	for _, q := range s.requests {
 		switch {
 		case q.disconnected:
-			ends["left"]++
+			outcomes["disconnected"]++
 		case q.err != nil:
-			ends["closed unread"]++
+			outcomes["closed unread"]++
 		default:
-			ends[fmt.Sprint(q.status)]++
+			outcomes[fmt.Sprint(q.status)]++
 		}
 	}
 	t.Logf("seed %d: kind %d, crowd %v, %d requests: %v", seed, soakKindOf(seed), s.crowded, len(s.requests),
-		ends)
+		outcomes)
 }
 
-// crowdWithHeldClockReads tells of the seeds on which a crowd comes while threads are held behind looks at a
-// clock: a crowd looks so often that as many threads are held at a time as may run.
+// crowdWithHeldClockReads reports whether a seed combines a crowd with threads held after clock reads: a
+// crowd causes so many clock reads that as many threads are held at once as may run.
 func crowdWithHeldClockReads(seed uint64) bool {
 	return soakKindOf(seed) == soakHeldClockReads && isCrowded(seed)
 }
 
 func isCrowded(seed uint64) bool { return seed%4 == 3 }
 
-// runSeeds plays those of the seeds that are wanted.
-func runSeeds(t *testing.T, wanted func(seed uint64) bool) {
+// runSeeds runs the seeds that the filter selects.
+func runSeeds(t *testing.T, selected func(seed uint64) bool) {
 	first, last := uint64(1), uint64(soakSeeds)
 	if span := os.Getenv("LAPISLEVER_SOAK"); span != "" {
 		if _, err := fmt.Sscanf(span, "%d-%d", &first, &last); err != nil {
 			t.Fatalf("LAPISLEVER_SOAK=%q: %v", span, err)
 		}
 	}
-	room := make(chan struct{}, soakAtOnce)
+	slots := make(chan struct{}, soakAtOnce)
 	for seed := first; seed <= last; seed++ {
-		if !wanted(seed) {
+		if !selected(seed) {
 			continue
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			room <- struct{}{}
-			defer func() { <-room }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			runSoak(t, seed)
 		})
 	}
 }
 
-// No request is lost, repeated behind its end or told a time that it has not, whatever of this comes
-// together.
+// No request is lost, attempted after its end or sent with a longer deadline than its client has, under any
+// combination of these faults.
 func TestSoak(t *testing.T) {
 	runSeeds(t, func(seed uint64) bool { return !crowdWithHeldClockReads(seed) })
 }
 
-// The same on the seeds with a crowd behind held looks.
+// The same on the seeds that combine a crowd with threads held after clock reads.
 func TestSoakCrowdBehindHeldLooks(t *testing.T) {
 	runSeeds(t, crowdWithHeldClockReads)
 }
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -119,8 +119,8 @@
 	if other := partsBetween(r, "n2", out, 1e12); other == 0 {
 		t.Fatal("nothing goes to the partner either")
 	}
-	status, s = r.Member("m00").fleetCall(t, "uncordon", "n0", "?wait=2s")
-	if status != 200 || len(s.Missing) != 0 {
+	if status, s = r.Member("m00").fleetCall(t, "uncordon", "n0", "?wait=2s"); status != 200 ||
+		len(s.Missing) != 0 {
 		t.Fatalf("%d %+v", status, s)
 	}
 	back := r.History.elapsedMS()
