--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -16,74 +16,75 @@
 
 const waitTimeout = 30 * time.Second
 
-func awaitConverged(t *testing.T, r *Rig, what string) {
+// awaitConverged waits until all running members have the same view; when names the point in the test.
+func awaitConverged(t *testing.T, r *Rig, when string) {
 	t.Helper()
 	if !waitUntil(waitTimeout, func() bool { return Converged(r.RunningMembers()) }) {
-		t.Fatalf("no one view: %s", what)
+		t.Fatalf("the members' views do not converge: %s", when)
 	}
 }
 
-// A second process of a member's name, at another address, refuses to serve and ends with an error; the
-// first one goes on, both say so, and nobody else notices.
+// A second process with a member's name, at another address, refuses to serve and exits with an error. The
+// first process continues, both log the conflict, and the other members' views do not change.
 func TestNewerProcessWithDuplicateNameExits(t *testing.T) {
 	r := startRig(t, Config{Members: 4, Seed: 21, Rate: 5})
 	awaitConverged(t, r, "start")
-	elder, later := r.Member("m00"), r.Member("m03")
-	if later.Terminate() != 0 {
-		t.Fatal("m03 did not end")
+	older, newer := r.Member("m00"), r.Member("m03")
+	if newer.Terminate() != 0 {
+		t.Fatal("m03 did not exit with 0")
 	}
 	before := len(r.History.Events())
-	if err := later.Start(`name = "m03"`, `name = "m00"`, "\nm00 = ", "\nm03 = "); err != nil {
+	if err := newer.Start(`name = "m03"`, `name = "m00"`, "\nm00 = ", "\nm03 = "); err != nil {
 		t.Fatal(err)
 	}
-	if status := later.Process().Wait(waitTimeout); status != 1 {
-		t.Fatalf("the later one ended with %d", status)
+	if status := newer.Process().Wait(waitTimeout); status != 1 {
+		t.Fatalf("the newer process exited with status %d", status)
 	}
-	later.running.Store(false)
-	for who, want := range map[*Member]string{elder: "another process bears this member's name",
-		later: "another process bears this member's name and has run for longer"} {
+	newer.running.Store(false)
+	for m, want := range map[*Member]string{older: "another process bears this member's name",
+		newer: "another process bears this member's name and has run for longer"} {
 		if !waitUntil(waitTimeout, func() bool {
-			log, _ := os.ReadFile(who.LogPath())
+			log, _ := os.ReadFile(m.LogPath())
 			return strings.Contains(string(log), want)
 		}) {
-			t.Errorf("%s does not say: %s", who.Name, want)
+			t.Errorf("the log of %s does not contain %q", m.Name, want)
 		}
 	}
 	time.Sleep(20 * period)
-	if elder.Process().Exited() || elder.View().Figures.Conflict == "" {
-		t.Error("the elder one does not go on, or does not show it")
+	if older.Process().Exited() || older.View().Figures.Conflict == "" {
+		t.Error("the older process has exited, or does not report the conflict")
 	}
 	for _, e := range r.History.Events()[before:] {
 		if e.Kind == KindView && e.Members["m00"] != "alive" {
 			t.Fatalf("%s sees m00 %s", e.Subject, e.Members["m00"])
 		}
 	}
-	// At the very same address there can't be two.
-	p, err := Start(r.program, []string{"serve", "--fleet", elder.path("fleet.toml")},
-		[]string{"RELAY_CONFIG=" + later.path("config.json"), "TMPDIR=" + t.TempDir()}, later.path("twin"))
+	// A second process at the same address cannot start.
+	p, err := Start(r.program, []string{"serve", "--fleet", older.path("fleet.toml")},
+		[]string{"RELAY_CONFIG=" + newer.path("config.json"), "TMPDIR=" + t.TempDir()}, newer.path("twin"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if status := p.Wait(waitTimeout); status != 1 {
-		t.Fatalf("a process at a taken address ended with %d", status)
+		t.Fatalf("a process at an address in use exited with status %d", status)
 	}
 }
 
-// Keys change in service: the new one is added everywhere, then goes first, then the old one goes; and a
-// member with a foreign key sees nobody and is seen by nobody.
+// Keys are rotated in service: the new key is added everywhere, then becomes the first, then the old key is
+// removed. A member with only a foreign key sees no other member, and no other member sees it alive.
 func TestKeyRotationInService(t *testing.T) {
 	key := func() string {
 		b := make([]byte, 32)
 		_, _ = rand.Read(b)
 		return base64.StdEncoding.EncodeToString(b)
 	}
-	one, two := key(), key()
-	r := startRig(t, Config{Members: 4, Seed: 22, Rate: 5, Keys: one})
+	oldKey, newKey := key(), key()
+	r := startRig(t, Config{Members: 4, Seed: 22, Rate: 5, Keys: oldKey})
 	awaitConverged(t, r, "start")
-	keys := func(text string) {
+	setKeys := func(text string) {
 		t.Helper()
 		r.cfg.Keys = text
-		for _, m := range r.Members()[:3] { // the fourth one is forgotten
+		for _, m := range r.Members()[:3] { // the fourth member is not reloaded
 			if err := m.RewriteFiles(); err != nil {
 				t.Fatal(err)
 			}
@@ -91,9 +92,9 @@
 			time.Sleep(3 * period)
 		}
 	}
-	// Rewrite writes the one file that all read, but only who gets a SIGHUP reads it.
-	keys(one + "\n" + two)
-	keys(two + "\n" + one)
+	// RewriteFiles writes the key file that all members share, but only members that get a SIGHUP read it.
+	setKeys(oldKey + "\n" + newKey)
+	setKeys(newKey + "\n" + oldKey)
 	for _, e := range r.History.Events() {
 		for name, state := range e.Members {
 			if e.Kind == KindView && state == "dead" {
@@ -101,30 +102,31 @@
 			}
 		}
 	}
-	keys(two)
-	three := r.Members()[:3]
+	setKeys(newKey)
+	reloaded := r.Members()[:3]
 	if !waitUntil(waitTimeout, func() bool {
-		for _, m := range three {
+		for _, m := range reloaded {
 			if v := m.View(); v == nil || v.StateOf("m03") != "dead" || v.Alive != 3 {
 				return false
 			}
 		}
 		return r.Member("m03").View().Alive == 1
 	}) {
-		t.Fatal("the member without the new key is still heard")
+		t.Fatal("messages of the member without the new key are still accepted")
 	}
 	if r.Member("m03").View().Figures.Dropped["key"] == 0 {
-		t.Error("foreign keys are not counted")
+		t.Error("messages with foreign keys are not counted as dropped")
 	}
 	if err := r.Member("m03").RewriteFiles(); err != nil {
 		t.Fatal(err)
 	}
 	r.Member("m03").Reload()
-	awaitConverged(t, r, "all have the new key")
+	awaitConverged(t, r, "all members have the new key")
 }
 
-// All members read one file of keys, and each writes it anew when it starts: a process that has opened it
-// when another one does so reads a whole text. Two that started side by side once had no keys.
+// All members share one key file, and the rig writes it again at every start. A process that has the file
+// open while it is replaced must read a complete text: two members that were started at once used to read no
+// keys.
 func TestReplaceFileIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fleet.keys")
 	for _, text := range []string{"one\n", "two\n"} {
@@ -146,11 +148,11 @@
 		t.Errorf("read %q (%v), then %q (%v)", old, err, now, nerr)
 	}
 	if left, _ := filepath.Glob(path + ".*"); left != nil {
-		t.Errorf("left behind: %v", left)
+		t.Errorf("temporary files left behind: %v", left)
 	}
 }
 
-// Members whose rosters differ show that.
+// Members whose rosters differ report it.
 func TestDifferingRostersAreReported(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 23})
 	awaitConverged(t, r, "start")
@@ -163,11 +165,11 @@
 		a, b := r.Member("m00").View(), m.View()
 		return len(a.Figures.Differ) == 1 && a.Figures.Differ[0] == "m01" && len(b.Figures.Differ) == 2
 	}) {
-		t.Fatalf("not shown: %+v", r.Member("m00").View().Figures)
+		t.Fatalf("the difference is not reported: %+v", r.Member("m00").View().Figures)
 	}
 }
 
-// The fleet takes each kind of front, and the door opens with each; the modules hear of one another.
+// Coordinators with any kind of front join the fleet, and the admin endpoint is up with each of them.
 func TestEveryFrontJoinsFleet(t *testing.T) {
 	program, err := BuildProgram()
 	if err != nil {
@@ -226,10 +228,10 @@
 			return err == nil && reply.Status == 200 && json.Unmarshal(reply.Body, &v) == nil && v.Alive == 3
 		}) {
 			log, _ := os.ReadFile(procs[i].LogPath)
-			t.Fatalf("%s does not see all:\n%s", fronts[i], log)
+			t.Fatalf("%s does not see all members:\n%s", fronts[i], log)
 		}
 	}
-	// Without --fleet there is no socket and no call.
+	// Without --fleet there is no fleet socket and no fleet endpoint.
 	p, err := Start(program, []string{"serve", "--promql", filepath.Join(dir, "front0")},
 		[]string{"RELAY_CONFIG=",
 			"RELAY_OPERATOR=" + r.addr(9, portAdmin)}, filepath.Join(dir, "log9"))
@@ -241,48 +243,48 @@
 		reply, err := callAdmin(r.addr(9, portAdmin), "GET", "/admin/fleet", "")
 		return err == nil && reply.Status == 404
 	}) {
-		t.Fatal("a coordinator without --fleet speaks of one")
+		t.Fatal("a coordinator without --fleet serves /admin/fleet")
 	}
 }
 
-// What other coordinators' modules have to say reaches those that are alive, and nothing goes to the dead.
+// The decision modules of the members receive one another's messages.
 func TestModulesExchangeMessages(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 24, Rate: 40})
 	awaitConverged(t, r, "start")
-	figures := func(m *Member) (sent, got int64) {
+	figures := func(m *Member) (sent, received int64) {
 		reply, err := m.CallAdmin("GET", "/admin/fleet", "")
 		if err != nil {
 			return 0, 0
 		}
 		var v struct {
 			Figures struct {
-				Sent int64 `json:"module_messages_sent"`
-				Got  int64 `json:"module_messages_received"`
+				Sent     int64 `json:"module_messages_sent"`
+				Received int64 `json:"module_messages_received"`
 			}
 		}
 		_ = json.Unmarshal(reply.Body, &v)
-		return v.Figures.Sent, v.Figures.Got
+		return v.Figures.Sent, v.Figures.Received
 	}
 	if !waitUntil(waitTimeout, func() bool {
 		for _, m := range r.Members() {
-			if _, got := figures(m); got < 3 {
+			if _, received := figures(m); received < 3 {
 				return false
 			}
 		}
 		return true
 	}) {
-		t.Fatal("the modules do not hear of one another")
+		t.Fatal("the modules do not receive one another's messages")
 	}
 }
 
-// A history with a fault in it is found to have one.
+// Check finds each kind of violation, and none in a correct history.
 func TestCheckFindsViolations(t *testing.T) {
 	view := func(who, digest, state string, inc uint32) Event {
 		return Event{Kind: KindView, Subject: who, Digest: digest, Members: map[string]string{"m01": state},
 			Incarnations: map[string]uint32{"m01": inc}}
 	}
 	up := Event{Kind: KindProcess, Subject: "m01", Detail: "start"}
-	for what, events := range map[string][]Event{
+	for want, events := range map[string][]Event{
 		"answered 2 times": {{Kind: KindQuery, Query: "q"}, {Kind: KindAnswer, Query: "q"},
 			{Kind: KindAnswer, Query: "q"}},
 		"never answered":       {{Kind: KindQuery, Query: "q"}},
@@ -294,17 +296,17 @@
 		"maps to both":             {up, view("m00", "a", "alive", 1), view("m02", "a", "left", 1)},
 		"dead while it is running": {up, view("m00", "a", "dead", 1)},
 	} {
-		if got := strings.Join(Check(events, true), "; "); !strings.Contains(got, what) {
-			t.Errorf("%s is not found, but %q", what, got)
+		if got := strings.Join(Check(events, true), "; "); !strings.Contains(got, want) {
+			t.Errorf("got %q, want a violation with %q", got, want)
 		}
 	}
 	if got := Check([]Event{up, view("m00", "a", "alive", 1), {Kind: KindQuery, Query: "q"},
 		{Kind: KindAnswer, Query: "q"}}, true); len(got) > 0 {
-		t.Errorf("a sound history has %v", got)
+		t.Errorf("violations in a correct history: %v", got)
 	}
 }
 
-// A scenario that can't be played is told by line and key, all at once.
+// The error for an invalid scenario names all mistakes by line and key.
 func TestInvalidScenarios(t *testing.T) {
 	_, err := ParseScenario("s.toml", `members = 99
 rate = -1
@@ -318,18 +320,18 @@
 do = "cut"
 `)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("an invalid scenario is accepted")
 	}
 	for _, want := range []string{"s.toml:1: members", "s.toml:2: rate", "s.toml:4: step[1].do",
 		"s.toml:5: step[1].who",
 		"s.toml:7: step[2].after", "s.toml:8: step[2].expect", "step[3].sides"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("not told: %s in %v", want, err)
+			t.Errorf("%q is missing in the error: %v", want, err)
 		}
 	}
 }
 
-// Relays do what they are told to.
+// Relays inject the faults that are set on them.
 func TestRelayFaults(t *testing.T) {
 	dst, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -346,7 +348,7 @@
 		t.Fatal(err)
 	}
 	defer src.Close()
-	got := func(send int) (n, damaged int) {
+	exchange := func(send int) (n, corrupted int) {
 		for range send {
 			_, _ = src.Write([]byte("datagram"))
 			time.Sleep(100 * time.Microsecond)
@@ -356,32 +358,32 @@
 			_ = dst.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
 			k, err := dst.Read(buf)
 			if err != nil {
-				return n, damaged
+				return n, corrupted
 			}
 			n++
 			if string(buf[:k]) != "datagram" {
-				damaged++
+				corrupted++
 			}
 		}
 	}
-	for what, c := range map[string]struct {
-		f           Fault
-		least, most int
-		damaged     bool
+	for name, c := range map[string]struct {
+		f         Fault
+		min, max  int
+		corrupted bool
 	}{"sound": {Fault{}, 100, 100, false}, "cut": {Fault{Cut: true}, 0, 0, false},
 		"loss": {Fault{Loss: 0.5}, 30, 70, false}, "twice": {Fault{Duplicate: 1}, 200, 200, false},
 		"damage": {Fault{Corrupt: 1}, 100, 100, true}, "late": {Fault{Reorder: 0.5, DelayMS: 5}, 100, 100, false}} {
 		relay.setFault(c.f)
-		if n, damaged := got(100); n < c.least || n > c.most || c.damaged != (damaged == n && n > 0) {
-			t.Errorf("%s: %d came, %d damaged", what, n, damaged)
+		if n, corrupted := exchange(100); n < c.min || n > c.max || c.corrupted != (corrupted == n && n > 0) {
+			t.Errorf("%s: %d received, %d corrupted", name, n, corrupted)
 		}
 	}
 	relay.setFault(Fault{Freeze: true})
-	if n, _ := got(20); n != 0 {
+	if n, _ := exchange(20); n != 0 {
 		t.Errorf("%d passed a frozen link", n)
 	}
 	relay.setFault(Fault{})
-	if n, _ := got(0); n != 20 {
-		t.Errorf("%d came after the thaw", n)
+	if n, _ := exchange(0); n != 20 {
+		t.Errorf("%d of 20 received after the link was unfrozen", n)
 	}
 }
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// verdictBound is within how many periods a verdict holds at every member in reach: docs/VERDICTS.md.
+// verdictBound returns the time within which a verdict holds at every reachable member, as in
+// docs/VERDICTS.md.
 func verdictBound(members int) time.Duration {
 	bits := 0
 	for 1<<bits < members {
@@ -24,18 +25,19 @@
 	Held, Missing []string
 }
 
-// fleetCall makes a call for the whole fleet at a member's door.
-func (m *Member) fleetCall(t *testing.T, call, body, query string) (status int, s fleetCallReply) {
+// fleetCall makes a fleet-wide call at a member's admin endpoint.
+func (m *Member) fleetCall(t *testing.T, call, body, query string) (status int, parsed fleetCallReply) {
 	t.Helper()
 	reply, err := m.CallAdmin("POST", "/admin/fleet/"+call+query, body)
 	if err != nil {
 		t.Fatalf("%s at %s: %v", call, m.Name, err)
 	}
-	_ = json.Unmarshal(reply.Body, &s)
-	return reply.Status, s
+	_ = json.Unmarshal(reply.Body, &parsed)
+	return reply.Status, parsed
 }
 
-// verdicts tells what a member's door says of verdicts: the things that are out.
+// verdicts returns the objects of the verdicts that a member's admin endpoint reports, and whether the member
+// has received the fleet's verdicts.
 func (m *Member) verdicts() (what []string, told bool) {
 	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
@@ -55,14 +57,15 @@
 	return what, v.Told
 }
 
-// awaitServing waits until the member says that it takes clients: the door is open before.
+// awaitServing waits until the member reports that it accepts clients. Its admin endpoint is up before that.
 func (m *Member) awaitServing(t *testing.T) {
 	t.Helper()
 	if !m.waitServing(waitTimeout) {
-		t.Fatalf("%s does not serve", m.Name)
+		t.Fatalf("%s does not start serving", m.Name)
 	}
 }
 
+// allHoldVerdicts returns a condition: all running members hold verdicts on exactly these objects.
 func allHoldVerdicts(r *Rig, want ...string) func() bool {
 	return func() bool {
 		for _, m := range r.RunningMembers() {
@@ -74,7 +77,7 @@
 	}
 }
 
-// partsBetween counts what a data node got between two moments of the history, in milliseconds.
+// partsBetween counts the parts that a data node received in a time span of the history, in milliseconds.
 func partsBetween(r *Rig, node string, from, to float64) (n int) {
 	for _, e := range r.History.Events() {
 		if e.Kind == KindPart && e.Subject == node && e.AtMS >= from && e.AtMS < to {
@@ -84,24 +87,25 @@
 	return n
 }
 
+// elapsedMS returns the time since the start of the history, in milliseconds.
 func (h *History) elapsedMS() float64 { return float64(time.Since(h.start).Microseconds()) / 1000 }
 
-// A call at one of three holds at all; nothing new is sent to the node, as the node counts; each of them is
-// restarted in turn and none forgets; the call back holds at all again.
+// A cordon that is set at one of three members holds at all of them, and the node receives no new parts. It
+// survives the restart of each member in turn. The uncordon holds at all members again.
 func TestCordonSurvivesRestarts(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 31, Rate: 30})
 	awaitConverged(t, r, "start")
 	if !waitUntil(waitTimeout, func() bool { return partsBetween(r, "n0", 0, 1e12) > 10 }) {
-		t.Fatal("n0 gets nothing anyhow")
+		t.Fatal("n0 receives no parts even before the cordon")
 	}
 	status, s := r.Member("m01").fleetCall(t, "cordon", "n0", "?wait=2s")
 	if status != 200 || len(s.Held) != 3 || len(s.Missing) != 0 {
 		t.Fatalf("%d %+v", status, s)
 	}
-	out := r.History.elapsedMS()
+	cordoned := r.History.elapsedMS()
 	for _, m := range r.Members() {
 		if status := m.Terminate(); status != 0 {
-			t.Fatalf("%s ended with %d", m.Name, status)
+			t.Fatalf("%s exited with status %d", m.Name, status)
 		}
 		if err := m.Start(); err != nil {
 			t.Fatal(err)
@@ -113,31 +117,31 @@
 		}
 	}
 	time.Sleep(5 * period)
-	if n := partsBetween(r, "n0", out+5, 1e12); n > 0 { // what was written before may still be on its way
-		t.Fatalf("%d parts went to a node that is out", n)
+	if n := partsBetween(r, "n0", cordoned+5, 1e12); n > 0 { // parts written before may still be in transit
+		t.Fatalf("%d parts were sent to a cordoned node", n)
 	}
-	if other := partsBetween(r, "n2", out, 1e12); other == 0 {
-		t.Fatal("nothing goes to the partner either")
+	if other := partsBetween(r, "n2", cordoned, 1e12); other == 0 {
+		t.Fatal("the other replica receives no parts, either")
 	}
 	if status, s = r.Member("m00").fleetCall(t, "uncordon", "n0", "?wait=2s"); status != 200 ||
 		len(s.Missing) != 0 {
 		t.Fatalf("%d %+v", status, s)
 	}
-	back := r.History.elapsedMS()
-	if !waitUntil(waitTimeout, func() bool { return partsBetween(r, "n0", back, 1e12) > 0 }) {
-		t.Fatal("the node gets nothing after it was put back")
+	uncordoned := r.History.elapsedMS()
+	if !waitUntil(waitTimeout, func() bool { return partsBetween(r, "n0", uncordoned, 1e12) > 0 }) {
+		t.Fatal("the node receives no parts after the uncordon")
 	}
 	for call, want := range map[string]int{"cordon nowhere": 404, "uncordon n0": 404, "cordon ": 400,
 		"cordon n0 fast": 400, "uncordon n0 1s": 400} {
 		name, body, _ := strings.Cut(call, " ")
 		if status, _ := r.Member("m00").fleetCall(t, name, body, ""); status != want {
-			t.Errorf("%s: %d, not %d", call, status, want)
+			t.Errorf("%s: status %d, want %d", call, status, want)
 		}
 	}
 }
 
-// Operators on both sides of a cut say contrary things; after the heal all hold one. While cut, each side's
-// door says who is missing once they are dead to it, and a wait for them is a 202 before.
+// Operators on both sides of a partition make conflicting calls; after the heal all members hold one outcome.
+// A call that waits for members on the other side is answered with 202 and names them as missing.
 func TestConflictingCordonsAcrossPartition(t *testing.T) {
 	r := startRig(t, Config{Members: 6, Seed: 32, Rate: 10})
 	awaitConverged(t, r, "start")
@@ -154,7 +158,7 @@
 	if status, _ = b[0].fleetCall(t, "cordon", "n2", ""); status != 200 {
 		t.Fatal(status)
 	}
-	if status, _ = b[1].fleetCall(t, "cordon", "n1 1h", ""); status != 200 { // later than the other side's word
+	if status, _ = b[1].fleetCall(t, "cordon", "n1 1h", ""); status != 200 { // later than the other side's call
 		t.Fatal(status)
 	}
 	if !waitUntil(waitTimeout, func() bool {
@@ -162,22 +166,23 @@
 		y, _ := b[2].verdicts()
 		return len(x) == 0 && slices.Equal(y, []string{"n1", "n2"})
 	}) {
-		t.Fatal("the sides do not hold what was said there")
+		t.Fatal("the sides do not hold the verdicts of their own calls")
 	}
 	r.SetAllLinkFaults(Fault{})
 	if !waitUntil(time.Duration(SettlePeriods)*period+verdictBound(6)+2*pollInterval,
 		allHoldVerdicts(r, "n1", "n2")) {
-		t.Fatal("no one verdict after the heal")
+		t.Fatal("the members do not agree after the heal")
 	}
 	if !r.Quiesce(waitTimeout) {
-		t.Error("queries without an answer")
+		t.Error("some queries were not answered")
 	}
-	for _, f := range Check(r.History.Events(), false) {
-		t.Error(f)
+	for _, violation := range Check(r.History.Events(), false) {
+		t.Error(violation)
 	}
 }
 
-// A verdict survives the death of all that it was told to but three, an upgrade, and ends when it should.
+// A verdict survives the crash of all members but three and an upgrade. A verdict with an end expires on
+// time.
 func TestVerdictSurvivesMassCrashAndExpires(t *testing.T) {
 	r := startRig(t, Config{Members: 8, Seed: 33, Rate: 8})
 	awaitConverged(t, r, "start")
@@ -190,42 +195,42 @@
 		"?wait=3s"); status != 200 {
 		t.Fatalf("%d %+v", status, s)
 	}
-	herd := r.Members()[3:]
-	for _, m := range herd {
+	crashed := r.Members()[3:]
+	for _, m := range crashed {
 		m.Kill()
 	}
 	if err := r.Member("m00").Upgrade(); err != nil {
 		t.Fatal(err)
 	}
 	if got, _ := r.Member("m00").verdicts(); !slices.Contains(got, "n3") {
-		t.Fatalf("after the upgrade it holds %v", got)
+		t.Fatalf("after its upgrade m00 holds %v", got)
 	}
-	for _, m := range herd {
+	for _, m := range crashed {
 		if err := m.Start(); err != nil {
 			t.Fatal(err)
 		}
 	}
-	awaitConverged(t, r, "the herd is back")
-	for _, m := range herd {
+	awaitConverged(t, r, "the crashed members have restarted")
+	for _, m := range crashed {
 		m.awaitServing(t)
 		if got, told := m.verdicts(); !slices.Contains(got, "n3") || !told {
-			t.Errorf("%s is back and holds %v, told: %v", m.Name, got, told)
+			t.Errorf("%s holds %v after its restart, told: %v", m.Name, got, told)
 		}
 	}
 	if time.Since(begun) < span {
-		if got, _ := herd[0].verdicts(); !slices.Contains(got, "n0") {
-			t.Errorf("n0 is back before its time: %v", got)
+		if got, _ := crashed[0].verdicts(); !slices.Contains(got, "n0") {
+			t.Errorf("the verdict on n0 has ended early: %v", got)
 		}
 	}
 	if !waitUntil(waitTimeout, allHoldVerdicts(r, "n3")) {
-		t.Fatal("the verdict with an end does not end")
+		t.Fatal("the verdict does not expire")
 	}
 	if early := span - time.Since(begun); early > period {
-		t.Fatalf("it ended %v early", early)
+		t.Fatalf("the verdict expired %v early", early)
 	}
 }
 
-// At 30% loss, and with a node that sees the fleet through one member only, a verdict holds in time.
+// At 30% datagram loss, with duplicates and reordering, a verdict holds everywhere in time.
 func TestVerdictSpreadsDespiteLoss(t *testing.T) {
 	r := startRig(t, Config{Members: 8, Seed: 34, Rate: 5})
 	awaitConverged(t, r, "start")
@@ -246,8 +251,8 @@
 	}
 }
 
-// A prefix that is banned at one coordinator is banned at the gates of all, also of one that starts
-// afterwards, and lifted at all.
+// A prefix that is banned at one member is banned by admission at all members, including one that starts
+// later, and is lifted at all of them.
 func TestBanAppliesAtEveryMember(t *testing.T) {
 	program, err := BuildProgram()
 	if err != nil {
@@ -273,7 +278,7 @@
 form = "old"
 cell = 0
 `
-	begin := func(i int) {
+	start := func(i int) {
 		paths := [2]string{filepath.Join(dir, fmt.Sprint("front", i)), filepath.Join(dir, fmt.Sprint("fleet", i))}
 		texts := [2]string{fmt.Sprintf(front, r.addr(1+i, portFront)), fmt.Sprintf(
 			"[fleet]\nname = \"g%d\"\nlisten = %q\njoin = [%q]\nmost = 9\n", i, r.addr(1+i, portFleet),
@@ -298,16 +303,16 @@
 		reply, err := callAdmin(r.addr(1+i, portAdmin), "GET", "/admin/fleet", "")
 		return err == nil && reply.Status == 200
 	}
-	begin(0)
-	begin(1)
+	start(0)
+	start(1)
 	if !waitUntil(waitTimeout, func() bool { return up(0) && up(1) }) {
-		t.Fatal("no start")
+		t.Fatal("the members do not start")
 	}
 	if reply, err := callAdmin(r.addr(1, portAdmin), "POST", "/admin/fleet/ban", "10.9.0.0/16 1h"); err != nil ||
 		reply.Status != 200 {
 		t.Fatalf("%v %+v", err, reply)
 	}
-	begin(2)
+	start(2)
 	if !waitUntil(waitTimeout, func() bool { return banned(0) && banned(1) && banned(2) }) {
 		t.Fatalf("banned at %v %v %v", banned(0), banned(1), banned(2))
 	}
