--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Authority signs certificates for tests.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	t      testing.TB
 	cert   *x509.Certificate
@@ -20,7 +20,7 @@
 	serial int64
 }
 
-// NewAuthority makes one.
+// NewAuthority creates a certificate authority with a self-signed certificate.
 func NewAuthority(t testing.TB) *Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -37,12 +37,12 @@
 	return &Authority{t: t, cert: cert, key: key, serial: 1}
 }
 
-// PEM is its certificate.
+// PEM returns the authority's certificate.
 func (a *Authority) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw})
 }
 
-// Issue makes a pair for a name.
+// Issue creates a certificate for a DNS name and its key, both as PEM.
 func (a *Authority) Issue(name string) (cert, key []byte) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/standin/newform.go
+++ b/internal/standin/newform.go
@@ -18,45 +18,49 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// GRPCCall is one call as a node of the new form got it.
+// GRPCCall is one call as a node of the new protocol received it.
 type GRPCCall struct {
 	ID, Class, Key, Timeout, Filter string
 	Shard                           int
-	Conn                            int // 1 is its first connection
+	Conn                            int // number of the connection, from 1
 	Stream                          uint32
 }
 
-// GRPCReply is what a node of the new form does with a call. The zero NewDo answers with the text "".
+// GRPCReply is what a node of the new protocol does with a call. The zero value answers with the text "".
 type GRPCReply struct {
 	Text        string
-	Message     []byte // of the answer, in place of one made of Text
-	Prefix      []byte // of the message, in place of a true one
-	Status      string // grpc-status; "": 0, or none where HTTP is set
-	Unseen      bool
-	HTTPStatus  int    // status without a status of gRPC
-	ContentType string // content type
-	NoReply     bool   // no answer
-	Reset       *http2.ErrCode
-	ResetConn   bool // the connection breaks
-	GoAway      bool // after the answer
-	Delay       time.Duration
+	Message     []byte         // reply message, instead of one made from Text
+	Prefix      []byte         // message prefix, instead of a correct one
+	Status      string         // grpc-status; "": 0, or no grpc-status if HTTPStatus is set
+	Unseen      bool           // with an error Status: adds lapislever-unseen: 1
+	HTTPStatus  int            // HTTP status of a reply without grpc-status
+	ContentType string         // "": application/grpc
+	NoReply     bool           // sends no reply
+	Reset       *http2.ErrCode // resets the stream with this code
+	ResetConn   bool           // resets the connection
+	GoAway      bool           // sends GOAWAY after the reply
+	Delay       time.Duration  // before the reply
 }
 
-// ErrCode is an error code's address.
+// ErrCode returns a pointer to an error code, for GRPCReply.Reset.
 func ErrCode(c http2.ErrCode) *http2.ErrCode { return &c }
 
-// GRPCOptions are a node's.
+// GRPCOptions configures a GRPCNode.
 type GRPCOptions struct {
-	MaxStreams      uint32 // as it tells; 0: not told
-	StreamWindow    uint32 // of a stream for requests; 0: the default
-	NoWindowUpdates bool   // it gives no windows back
-	NoControlFrames bool   // it sends nothing by itself, its settings neither
+	MaxStreams      uint32 // announced SETTINGS_MAX_CONCURRENT_STREAMS; 0: not announced
+	StreamWindow    uint32 // announced SETTINGS_INITIAL_WINDOW_SIZE; 0: not announced
+	NoWindowUpdates bool   // sends no WINDOW_UPDATE frames
+	NoControlFrames bool   // sends no SETTINGS frames, and no acknowledgements of SETTINGS and PING
 	TLS             *tls.Config
-	RefuseStream    func(conn int, stream uint32) bool // at the head: REFUSED_STREAM
-	GoAwayBefore    func(conn int, stream uint32) bool // at the head: GOAWAY with the stream before it as the last
+	// RefuseStream selects streams that are refused with REFUSED_STREAM when their headers arrive.
+	RefuseStream func(conn int, stream uint32) bool
+	// GoAwayBefore selects streams whose headers make the node send GOAWAY with the preceding stream as the
+	// last.
+	GoAwayBefore func(conn int, stream uint32) bool
 }
 
-// GRPCNode is a stand-in for a node of the new form, written from RFC 9113 and gRPC's page on HTTP/2.
+// GRPCNode is a stand-in for a data node of the new protocol, written from RFC 9113 and the specification of
+// gRPC over HTTP/2.
 type GRPCNode struct {
 	Addr        string
 	opts        GRPCOptions
@@ -66,11 +70,11 @@
 	conns       map[net.Conn]bool
 	connsOpened int
 	calls       []GRPCCall
-	resets      int // by the client
-	pings       int
+	resets      int // RST_STREAM frames from the client
+	pings       int // PING frames from the client
 }
 
-// NewGRPCNode starts one.
+// NewGRPCNode starts a node that handles calls with f, and closes it at the end of the test.
 func NewGRPCNode(t testing.TB, o GRPCOptions, f func(GRPCCall) GRPCReply) *GRPCNode {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -96,13 +100,13 @@
 	return n
 }
 
-// Close ends it as a dying process does.
+// Close closes the node abruptly, as a crashing process does.
 func (n *GRPCNode) Close() {
 	_ = n.listener.Close()
 	n.ResetConns()
 }
 
-// ResetConns resets its connections.
+// ResetConns resets the node's connections.
 func (n *GRPCNode) ResetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,37 +118,36 @@
 	}
 }
 
-// Calls are the calls so far whose last byte came, Opened counts connections, Resets the streams that the
-// client gave up, Pings its pings.
+// Calls returns the calls so far that were received completely.
 func (n *GRPCNode) Calls() []GRPCCall {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]GRPCCall(nil), n.calls...)
 }
 
-// ConnsOpened counts connections.
+// ConnsOpened returns the number of connections accepted so far.
 func (n *GRPCNode) ConnsOpened() int { n.mu.Lock(); defer n.mu.Unlock(); return n.connsOpened }
 
-// OpenConns counts those that are open.
+// OpenConns returns the number of open connections.
 func (n *GRPCNode) OpenConns() int { n.mu.Lock(); defer n.mu.Unlock(); return len(n.conns) }
 
-// Resets counts the streams that the client gave up.
+// Resets returns the number of streams that the client has reset.
 func (n *GRPCNode) Resets() int { n.mu.Lock(); defer n.mu.Unlock(); return n.resets }
 
-// Pings counts the client's pings.
+// Pings returns the number of PING frames from the client.
 func (n *GRPCNode) Pings() int { n.mu.Lock(); defer n.mu.Unlock(); return n.pings }
 
-// grpcConn is one connection of a node.
+// grpcConn is one connection of a GRPCNode.
 type grpcConn struct {
 	node       *GRPCNode
 	conn       net.Conn
 	number     int
-	mu         sync.Mutex // guards fr's writes, the encoder and what follows
+	mu         sync.Mutex // guards writes to framer, and the fields below
 	framer     *http2.Framer
 	block      bytes.Buffer
 	encoder    *hpack.Encoder
 	lastStream uint32
-	sentGoAway bool // has told that it looks at nothing after a stream
+	sentGoAway bool // GOAWAY was sent; new streams are ignored
 }
 
 func (n *GRPCNode) serve(raw net.Conn, number int) {
@@ -175,7 +178,7 @@
 		}
 		_ = k.framer.WriteSettings(s...)
 	}
-	heads := map[uint32]*GRPCCall{}
+	calls := map[uint32]*GRPCCall{}
 	bodies := map[uint32][]byte{}
 	for {
 		f, err := k.framer.ReadFrame()
@@ -206,17 +209,17 @@
 				k.write(func() { _ = k.framer.WriteRSTStream(id, http2.ErrCodeRefusedStream) })
 				continue
 			}
-			out := false
+			ignored := false
 			k.write(func() {
-				if out = k.sentGoAway; !out && n.opts.GoAwayBefore != nil && n.opts.GoAwayBefore(number, id) {
-					out = true
+				if ignored = k.sentGoAway; !ignored && n.opts.GoAwayBefore != nil && n.opts.GoAwayBefore(number, id) {
+					ignored = true
 					k.goAway(id - 1)
 				}
-				if !out {
+				if !ignored {
 					k.lastStream = max(k.lastStream, id)
 				}
 			})
-			if out {
+			if ignored {
 				continue
 			}
 			call := &GRPCCall{Conn: number, Stream: id}
@@ -228,7 +231,7 @@
 					call.Key = h.Value
 				}
 			}
-			heads[id] = call
+			calls[id] = call
 		case *http2.DataFrame:
 			id := f.StreamID
 			bodies[id] = append(bodies[id], f.Data()...)
@@ -240,12 +243,12 @@
 					}
 				})
 			}
-			call := heads[id]
+			call := calls[id]
 			if !f.StreamEnded() || call == nil {
 				continue
 			}
 			decodePart(call, bodies[id])
-			delete(heads, id)
+			delete(calls, id)
 			delete(bodies, id)
 			n.mu.Lock()
 			n.calls = append(n.calls, *call)
@@ -255,8 +258,8 @@
 	}
 }
 
-// goAway tells that nothing after a stream will be looked at, and from here on nothing is: what the client
-// has sent meanwhile counts as left out (RFC 9113, §6.8). It is called from write.
+// goAway sends GOAWAY with the given last stream. Streams that the client has opened in the meantime are
+// ignored (RFC 9113, §6.8). It is called from write.
 func (k *grpcConn) goAway(last uint32) {
 	k.sentGoAway = true
 	_ = k.framer.WriteGoAway(last, http2.ErrCodeNo, nil)
@@ -269,7 +272,7 @@
 	f()
 }
 
-// decodePart reads a call's message.
+// decodePart decodes the message of a call into call.
 func decodePart(call *GRPCCall, b []byte) {
 	if len(b) < 5 || int(binary.BigEndian.Uint32(b[1:])) != len(b)-5 {
 		call.ID = "unreadable"
@@ -303,7 +306,7 @@
 	}
 }
 
-// TextMessage is the message of an answer with a text and a report.
+// TextMessage returns a reply message with a text and a load report.
 func TextMessage(shard int, text string) []byte {
 	b := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), uint64(shard))
 	b = protowire.AppendString(protowire.AppendTag(b, 2, protowire.BytesType), text)
@@ -312,10 +315,10 @@
 	return protowire.AppendBytes(protowire.AppendTag(b, 6, protowire.BytesType), load)
 }
 
-// answer does with a call as the script says.
+// answer sends the handler's reply to a call.
 func (k *grpcConn) answer(call GRPCCall) {
-	do := k.node.handler(call)
-	time.Sleep(do.Delay)
+	reply := k.node.handler(call)
+	time.Sleep(reply.Delay)
 	id := call.Stream
 	head := func(end bool, fields ...string) {
 		k.block.Reset()
@@ -325,39 +328,39 @@
 		_ = k.framer.WriteHeaders(http2.HeadersFrameParam{StreamID: id, BlockFragment: k.block.Bytes(),
 			EndStream: end, EndHeaders: true})
 	}
-	kind := do.ContentType
-	if kind == "" {
-		kind = "application/grpc"
+	contentType := reply.ContentType
+	if contentType == "" {
+		contentType = "application/grpc"
 	}
 	k.write(func() {
 		switch {
-		case do.ResetConn:
+		case reply.ResetConn:
 			if t, ok := k.conn.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
 			}
 			_ = k.conn.Close()
-		case do.Reset != nil:
-			_ = k.framer.WriteRSTStream(id, *do.Reset)
-		case do.NoReply:
-		case do.HTTPStatus != 0 && do.Status == "":
-			head(true, ":status", strconv.Itoa(do.HTTPStatus), "content-type", "text/html")
-		case do.Status != "" && do.Status != "0":
-			fields := []string{":status", "200", "content-type", kind, "grpc-status", do.Status, "grpc-message",
+		case reply.Reset != nil:
+			_ = k.framer.WriteRSTStream(id, *reply.Reset)
+		case reply.NoReply:
+		case reply.HTTPStatus != 0 && reply.Status == "":
+			head(true, ":status", strconv.Itoa(reply.HTTPStatus), "content-type", "text/html")
+		case reply.Status != "" && reply.Status != "0":
+			fields := []string{":status", "200", "content-type", contentType, "grpc-status", reply.Status, "grpc-message",
 				"scripted"}
-			if do.Unseen {
+			if reply.Unseen {
 				fields = append(fields, "lapislever-unseen", "1")
 			}
 			head(true, fields...)
 		default:
-			b := do.Message
+			b := reply.Message
 			if b == nil {
-				b = TextMessage(call.Shard, do.Text)
+				b = TextMessage(call.Shard, reply.Text)
 			}
-			prefix := do.Prefix
+			prefix := reply.Prefix
 			if prefix == nil {
 				prefix = binary.BigEndian.AppendUint32([]byte{0}, uint32(len(b)))
 			}
-			head(false, ":status", "200", "content-type", kind)
+			head(false, ":status", "200", "content-type", contentType)
 			for all := append(prefix, b...); len(all) > 0; {
 				n := min(len(all), 16<<10)
 				_ = k.framer.WriteData(id, false, all[:n])
@@ -365,19 +368,20 @@
 			}
 			head(true, "grpc-status", "0")
 		}
-		if do.GoAway {
+		if reply.GoAway {
 			k.goAway(k.lastStream)
 		}
 	})
 }
 
-// AJPClient is a front that forwards by AJP, written from the protocol's page: one connection.
+// AJPClient is a stand-in for a web server that forwards requests by AJP, on one connection, written from the
+// protocol's specification.
 type AJPClient struct {
 	conn net.Conn
 	t    testing.TB
 }
 
-// DialAJP connects to a listener.
+// DialAJP connects to an AJP listener. The connection is closed at the end of the test.
 func DialAJP(t testing.TB, addr string) *AJPClient {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", addr, 5*time.Second)
@@ -388,13 +392,13 @@
 	return &AJPClient{conn: c, t: t}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (a *AJPClient) Close() { _ = a.conn.Close() }
 
 // WriteRaw writes bytes as they are.
 func (a *AJPClient) WriteRaw(b []byte) { _, _ = a.conn.Write(b) }
 
-// AJPPacket is a packet towards a container.
+// AJPPacket returns a packet from web server to container with the given payload.
 func AJPPacket(payload []byte) []byte {
 	return append(binary.BigEndian.AppendUint16([]byte{0x12, 0x34}, uint16(len(payload))), payload...)
 }
@@ -403,7 +407,7 @@
 	return append(append(binary.BigEndian.AppendUint16(b, uint16(len(s))), s...), 0)
 }
 
-// AJPRequest is the payload of a forwarded request.
+// AJPRequest returns the payload of a forwarded request. attrs holds names and values, alternating.
 func AJPRequest(method byte, uri string, header [][2]string, attrs ...string) []byte {
 	b := []byte{2, method}
 	for _, s := range []string{"HTTP/1.1", uri, "10.9.8.7", "", "ledger.example"} {
@@ -432,18 +436,19 @@
 	return append(b, 0xff)
 }
 
-// AJPReply is a whole reply.
+// AJPReply is a complete reply.
 type AJPReply struct {
 	Status       int
 	Header       map[string]string
 	Body         string
-	Reuse        bool
-	Pong         bool
-	BodyRequests []int // bytes of body that were asked for
+	Reuse        bool  // the connection may be reused
+	Pong         bool  // the reply is a CPong packet
+	BodyRequests []int // sizes of the body chunks that the container has requested
 }
 
-// ReadReply reads a reply; more is asked for the next chunk of the body.
-func (a *AJPClient) ReadReply(more func(n int) []byte) (*AJPReply, error) {
+// ReadReply reads a reply. When the container requests up to n bytes of the body, nextChunk returns the
+// payload to send.
+func (a *AJPClient) ReadReply(nextChunk func(n int) []byte) (*AJPReply, error) {
 	r := &AJPReply{Header: map[string]string{}}
 	_ = a.conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 	for {
@@ -452,7 +457,7 @@
 			return nil, err
 		}
 		if head[0] != 'A' || head[1] != 'B' {
-			return nil, fmt.Errorf("magic % x", head)
+			return nil, fmt.Errorf("wrong AJP magic in header % x", head)
 		}
 		b := make([]byte, binary.BigEndian.Uint16(head[2:]))
 		if _, err := io.ReadFull(a.conn, b); err != nil {
@@ -469,7 +474,7 @@
 		case 6:
 			n := int(binary.BigEndian.Uint16(b[1:]))
 			r.BodyRequests = append(r.BodyRequests, n)
-			a.WriteRaw(AJPPacket(more(n)))
+			a.WriteRaw(AJPPacket(nextChunk(n)))
 		case 4:
 			r.Status = int(binary.BigEndian.Uint16(b[1:]))
 			_, rest := text(b[3:])
@@ -491,12 +496,12 @@
 			r.Reuse = b[1] == 1
 			return r, nil
 		default:
-			return nil, fmt.Errorf("a packet of type %d", b[0])
+			return nil, fmt.Errorf("unexpected AJP packet type %d", b[0])
 		}
 	}
 }
 
-// AJPChunk is the payload of a chunk.
+// AJPChunk returns the payload of a body chunk; an empty chunk has an empty payload.
 func AJPChunk(b []byte) []byte {
 	if len(b) == 0 {
 		return nil
@@ -511,9 +516,9 @@
 	left := []byte(body)
 	next := func(n int) []byte {
 		n = min(n, len(left), 8186)
-		part := AJPChunk(left[:n])
+		chunk := AJPChunk(left[:n])
 		left = left[n:]
-		return part
+		return chunk
 	}
 	if len(body) > 0 {
 		a.WriteRaw(AJPPacket(next(8186)))
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin has the stand-ins that tests talk to on loopback: clients, servers of range queries, data
-// nodes and discovery, written from the public descriptions. Tests alone use it; it must never be linked
-// into the coordinator.
+// Package standin provides test doubles of the outside systems, on loopback: clients, range-query servers,
+// data nodes and discovery, written from the public protocol descriptions. It is for tests only and must
+// never be linked into the coordinator.
 package standin
 
 import (
@@ -19,10 +19,10 @@
 	lnet "lapislever/internal/net"
 )
 
-// DiscardLogger is a log that nobody reads.
+// DiscardLogger returns a logger that discards everything.
 func DiscardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// DoHTTP sends one request on a connection of its own.
+// DoHTTP sends one request on a new connection and returns the reply.
 func DoHTTP(t testing.TB, addr, method, target string, header [][2]string, body string) *lnet.Reply {
 	t.Helper()
 	c, err := lnet.Dial(addr, 5*time.Second, 1<<20)
@@ -41,8 +41,7 @@
 	return r
 }
 
-// HTTPServer is a stand-in server; a reply without a status is withheld. Silent ends tell how many of the clients
-// whose reply was withheld have left.
+// HTTPServer is a stand-in HTTP server. It counts the clients that disconnect while their reply is withheld.
 type HTTPServer struct {
 	Addr        string
 	server      *lnet.Server
@@ -51,7 +50,8 @@
 	disconnects int
 }
 
-// NewHTTPServer starts a stand-in server that answers by f. Of a form the parameters are handed over.
+// NewHTTPServer starts a stand-in server that answers with the status and body that f returns; status 0
+// withholds the reply. f gets the parameters of the URL and of a form body.
 func NewHTTPServer(t testing.TB, f func(path string, v url.Values) (int, string)) *HTTPServer {
 	t.Helper()
 	h := &HTTPServer{}
@@ -79,59 +79,59 @@
 	return h
 }
 
-// OpenConns counts the connections that are open.
+// OpenConns returns the number of open connections.
 func (h *HTTPServer) OpenConns() int { return h.server.OpenConns() }
 
-// Requests are the requests so far, as path and sorted parameters.
+// Requests returns the requests so far, as path and sorted parameters.
 func (h *HTTPServer) Requests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return append([]string(nil), h.requests...)
 }
 
-// Disconnects counts the clients that left before their reply.
+// Disconnects returns the number of clients that disconnected before their reply.
 func (h *HTTPServer) Disconnects() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.disconnects
 }
 
-// WaitFor waits for something that must come, however slow the machine is.
-func WaitFor(t testing.TB, what string, ok func() bool) {
+// WaitFor polls cond until it holds. It fails the test after 30 s, a time that suffices on a slow machine.
+func WaitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Part is one part as a data node got it, on its first connection, its second and so on.
+// Part is one part as a data node received it. Conn is the number of its connection, from 1.
 type Part struct {
 	ID, Attrs, Text string
 	Conn            int
 }
 
-// Node is a stand-in data node. It hands every frame but the parts' to nobody; each part goes to the
-// function, which returns the end letter and the value, or no letter to withhold the answer, or the letter
-// Raw and bytes to write as they are.
+// Node is a stand-in for a data node of the old protocol. Each part goes to the handler, which returns the
+// outcome letter and the value, or no letter to withhold the reply, or RawReply and bytes to write as they
+// are. The handler gets no other frames.
 type Node struct {
 	Addr        string
 	listener    net.Listener
 	mu          sync.Mutex
 	parts       []Part
-	cancelled   []string // ids given up
+	cancelled   []string // IDs of cancelled parts
 	conns       []net.Conn
 	connsOpened int
 
-	// Concurrent has the parts of a connection answered side by side, not one after the other.
+	// Concurrent makes the node handle the parts of a connection concurrently instead of one after the other.
 	Concurrent atomic.Bool
 }
 
-// RawReply stands for an answer that is no frame.
+// RawReply is the outcome for a reply that is written as it is, without a frame.
 const RawReply = "raw"
 
-// NewNode starts a data node.
+// NewNode starts a data node on a free port and closes it at the end of the test.
 func NewNode(t testing.TB, f func(p Part) (end, value string)) *Node {
 	t.Helper()
 	n, err := OpenNode("127.0.0.1:0", f)
@@ -142,7 +142,7 @@
 	return n
 }
 
-// OpenNode starts a data node at an address.
+// OpenNode starts a data node at an address. The caller closes it.
 func OpenNode(addr string, f func(p Part) (end, value string)) (*Node, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -166,13 +166,13 @@
 	return n, nil
 }
 
-// Close ends the node as a dying process does.
+// Close closes the node abruptly, as a crashing process does.
 func (n *Node) Close() {
 	_ = n.listener.Close()
 	n.ResetConns()
 }
 
-// ResetConns resets its connections.
+// ResetConns resets the node's connections.
 func (n *Node) ResetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -183,31 +183,31 @@
 	n.conns = nil
 }
 
-// Parts are the parts so far, Given the ids that were given up, Opened counts connections.
+// Parts returns the parts received so far.
 func (n *Node) Parts() []Part {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Part(nil), n.parts...)
 }
 
-// Cancelled are the ids that were given up.
+// Cancelled returns the IDs of the parts that the client has cancelled.
 func (n *Node) Cancelled() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]string(nil), n.cancelled...)
 }
 
-// ConnsOpened counts the connections so far.
+// ConnsOpened returns the number of connections accepted so far.
 func (n *Node) ConnsOpened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.connsOpened
 }
 
-// WriteFrame writes one frame.
-func WriteFrame(w io.Writer, rest string) {
-	b := binary.LittleEndian.AppendUint32(nil, uint32(len(rest)))
-	_, _ = w.Write(append(b, rest...))
+// WriteFrame writes one frame: the length of the body, then the body.
+func WriteFrame(w io.Writer, body string) {
+	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	_, _ = w.Write(append(b, body...))
 }
 
 func (n *Node) serve(c net.Conn, number int, f func(p Part) (end, value string)) {
@@ -217,16 +217,16 @@
 		defer writing.Unlock()
 		_, _ = io.WriteString(c, text)
 	}
-	frame := func(rest string) {
+	writeFrame := func(body string) {
 		writing.Lock()
 		defer writing.Unlock()
-		WriteFrame(c, rest)
+		WriteFrame(c, body)
 	}
 	answer := func(p Part) {
 		if end, value := f(p); end == RawReply {
 			write(value)
 		} else if end != "" {
-			frame(fmt.Sprintf("5%s %s 1 qps=5,queue=2\n%s", p.ID, end, value))
+			writeFrame(fmt.Sprintf("5%s %s 1 qps=5,queue=2\n%s", p.ID, end, value))
 		}
 	}
 	for {
@@ -245,7 +245,7 @@
 				p := Part{Conn: number}
 				var shard, size int
 				if _, err := fmt.Sscanf(line, "%s %d %s %d", &p.ID, &shard, &p.Attrs, &size); err != nil {
-					frame("Xbad line")
+					writeFrame("Xbad line")
 					return
 				}
 				p.Text, rest = more[:size], more[size:]
@@ -263,7 +263,7 @@
 			n.cancelled = append(n.cancelled, rest)
 			n.mu.Unlock()
 		case '3':
-			frame("3S")
+			writeFrame("3S")
 		}
 	}
 }
