--- a/internal/rig/soak_test.go
+++ b/internal/rig/soak_test.go
@@ -284,11 +284,10 @@
 				s.t.Errorf("seed %d: %s was answered after %v of %v", s.seed, q.id, q.ended.Sub(q.sent), q.budget)
 			}
 		case parts > 0:
-			s.t.Errorf("seed %d: %s was attempted but never answered (first on its connection %v, "+
-				"after SIGTERM %v): %v", s.seed, q.id, q.firstOnConn, q.afterTerm, q.err)
+			s.t.Errorf("seed %d: %s was attempted but never answered (first on conn %v, after SIGTERM %v): %v",
+				s.seed, q.id, q.firstOnConn, q.afterTerm, q.err)
 		case !q.afterTerm && !s.crowded:
-			s.t.Errorf("seed %d: %s was never answered (first on its connection %v): %v", s.seed, q.id,
-				q.firstOnConn, q.err)
+			s.t.Errorf("seed %d: %s was never answered (first on conn %v): %v", s.seed, q.id, q.firstOnConn, q.err)
 		}
 		if n, latest := s.arrivals.after(q.id, end); n > 0 {
 			late++
@@ -304,9 +303,8 @@
 		d := v.(partDeadline)
 		id, _, _ := strings.Cut(d.part, ".")
 		if q, ok := byID[id]; ok && d.remaining > q.sent.Add(q.budget).Sub(d.at)+deadlineSlack+deliverySlack {
-			s.t.Errorf("seed %d: %s was sent with a deadline of %v, but its client had %v of %v left "+
-				"(first on its connection %v)", s.seed, d.part, d.remaining, q.sent.Add(q.budget).Sub(d.at), q.budget,
-				q.firstOnConn)
+			s.t.Errorf("seed %d: %s was sent with deadline %v, but its client had %v of %v left (first on conn %v)",
+				s.seed, d.part, d.remaining, q.sent.Add(q.budget).Sub(d.at), q.budget, q.firstOnConn)
 		}
 		return true
 	})
--- a/internal/standin/newform.go
+++ b/internal/standin/newform.go
@@ -345,8 +345,8 @@
 		case reply.HTTPStatus != 0 && reply.Status == "":
 			head(true, ":status", strconv.Itoa(reply.HTTPStatus), "content-type", "text/html")
 		case reply.Status != "" && reply.Status != "0":
-			fields := []string{":status", "200", "content-type", contentType, "grpc-status", reply.Status, "grpc-message",
-				"scripted"}
+			fields := []string{":status", "200", "content-type", contentType, "grpc-status", reply.Status,
+				"grpc-message", "scripted"}
 			if reply.Unseen {
 				fields = append(fields, "lapislever-unseen", "1")
 			}
