--- a/internal/rig/limit_test.go
+++ b/internal/rig/limit_test.go
@@ -134,8 +134,8 @@
 
 // One limit across three members. A member that gets all traffic receives nine tenths of it within 3 s. A
 // lender that is killed and restarted at once does not lend twice. A partition leaves each member its own
-// share. An upgrade counts as one member. A pause longer than a lease term is waited out. In no time window do
-// more queries reach the data nodes than the limit allows.
+// share. An upgrade counts as one member. A pause longer than a lease term is waited out. In no time window
+// do more queries reach the data nodes than the limit allows.
 func TestLimitAcrossThreeMembers(t *testing.T) {
 	r := startRig(t, Config{Members: 3, Seed: 51, Rate: 100, ExtraFleetConfig: ratesLimit, MaxMembers: 3})
 	awaitConverged(t, r, "start")
