--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	// What the program is made of: so that results that go test has kept do not outlive a change of it.
+	// The packages of the program, so that go test does not reuse cached results after a change in them.
 	_ "lapislever/internal/console"
 	_ "lapislever/internal/kiosk"
 	_ "lapislever/internal/platform"
@@ -22,8 +22,8 @@
 // period is the fleet's period in tests on real processes.
 const period = 200 * time.Millisecond
 
-// closeAfter ends the rig with the test, and shows the members' logs if it has failed.
-func closeAfter(t *testing.T, r *Rig) {
+// closeOnCleanup closes the rig at the end of the test and logs the members' logs if the test has failed.
+func closeOnCleanup(t *testing.T, r *Rig) {
 	t.Cleanup(func() {
 		r.Close()
 		if !t.Failed() {
@@ -37,10 +37,10 @@
 	})
 }
 
-// open puts up a rig and starts its members.
-func open(t *testing.T, cfg Config) *Rig {
+// startRig creates a rig and starts its members.
+func startRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
-	r := openIdle(t, cfg)
+	r := newRig(t, cfg)
 	for _, m := range r.Members() {
 		if err := m.Start(); err != nil {
 			t.Fatal(err)
@@ -49,8 +49,8 @@
 	return r
 }
 
-// openIdle puts up a rig whose members are not started.
-func openIdle(t *testing.T, cfg Config) *Rig {
+// newRig creates a rig without starting its members.
+func newRig(t *testing.T, cfg Config) *Rig {
 	t.Helper()
 	cfg.Dir, cfg.Period = t.TempDir(), period
 	if cfg.Nodes == 0 {
@@ -60,25 +60,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	closeAfter(t, r)
+	closeOnCleanup(t, r)
 	return r
 }
 
-// Three processes see each other; one is killed, and two say so at their doors.
-func TestThreeProcessesSeeOneDie(t *testing.T) {
-	r := open(t, Config{Members: 3, Seed: 1, Rate: 10})
-	if !within(30*time.Second, func() bool { return Converged(r.Running()) }) {
-		t.Fatal("the three never saw each other")
+// Three members see each other; one is killed, and the other two report it as dead.
+func TestThreeMembersDetectCrash(t *testing.T) {
+	r := startRig(t, Config{Members: 3, Seed: 1, Rate: 10})
+	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
+		t.Fatal("the three members did not converge")
 	}
 	r.Member("m02").Kill()
 	begun := time.Now()
-	if !within(30*time.Second, func() bool { return Converged(r.Running()) }) {
-		t.Fatal("the death was not seen")
+	if !waitUntil(30*time.Second, func() bool { return Converged(r.RunningMembers()) }) {
+		t.Fatal("the crash was not detected")
 	}
-	t.Logf("known to both after %.1f periods", float64(time.Since(begun))/float64(period))
-	for _, m := range r.Running() {
-		if s := m.View().State("m02"); s != "dead" {
-			t.Errorf("%s says that m02 is %s", m.Name, s)
+	t.Logf("detected by both after %.1f periods", float64(time.Since(begun))/float64(period))
+	for _, m := range r.RunningMembers() {
+		if s := m.View().StateOf("m02"); s != "dead" {
+			t.Errorf("%s reports m02 as %s", m.Name, s)
 		}
 	}
 }
