--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -19,7 +19,7 @@
 	"lapislever/internal/console"
 	"lapislever/internal/fleet"
 	"lapislever/internal/importer"
-	"lapislever/internal/kiosk"
+	"lapislever/internal/legacyfront"
 	"lapislever/internal/platform"
 	"lapislever/internal/promql"
 )
@@ -171,8 +171,8 @@
 					continue
 				}
 				for i, x := range fronts {
-					if old, ok := x.(*kiosk.Front); ok {
-						old.Reload(freshFronts[i].(*kiosk.Front))
+					if old, ok := x.(*legacyfront.Front); ok {
+						old.Reload(freshFronts[i].(*legacyfront.Front))
 					}
 				}
 			}
@@ -247,7 +247,7 @@
 // loadTranslation reads the file of the front for old terminals.
 func loadTranslation(path, operator string, log *slog.Logger) (*platform.Config, []platform.ExtraFront,
 	error) {
-	file, err := kiosk.LoadConfig(path)
+	file, err := legacyfront.LoadConfig(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -256,7 +256,7 @@
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
 	cfg.Operator, cfg.Limits.Sockets = cmp.Or(file.Operator, operator), file.Sockets
-	front, err := kiosk.New(file, cfg, log)
+	front, err := legacyfront.New(file, cfg, log)
 	if err != nil {
 		return nil, nil, fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/importer/importer.go
+++ b/internal/importer/importer.go
@@ -17,7 +17,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"lapislever/internal/kiosk"
+	"lapislever/internal/legacyfront"
 	"lapislever/internal/promql"
 )
 
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if o.Target == TargetTranslate { // the serve command must accept the generated file
-		_, err = kiosk.ParseConfig("the list that comes of it", b.String())
+		_, err = legacyfront.ParseConfig("the list that comes of it", b.String())
 	} else if _, err = promql.ParseConfig(b.String()); err != nil {
 		err = fmt.Errorf("the list that comes of it is not sound: %w", err)
 	}
@@ -117,15 +117,15 @@
 // translateConfig returns the configuration of the translating front. The workers become nodes of the new
 // form, and the web server that forwarded to them by AJP forwards to the coordinator instead. The operator
 // has to review the class, as only its name is given.
-func (r *reader) translateConfig(o Options) *kiosk.Config {
+func (r *reader) translateConfig(o Options) *legacyfront.Config {
 	listen := o.Listen
-	c := &kiosk.Config{Classes: []kiosk.Class{
+	c := &legacyfront.Config{Classes: []legacyfront.Class{
 		{Name: o.Class, Effect: "unsafe", Aim: classAim, Deadline: classDeadline, Worth: 1}}}
 	c.AJP.Listen, c.AJP.Secret = listen, r.ajpSettings["secret"]
 	c.AJP.Packet, _ = strconv.Atoi(r.ajpSettings["max_packet_size"])
 	for _, s := range r.servers {
-		c.Servers = append(c.Servers, kiosk.Server{Name: s.Name, Address: s.Address, Form: kiosk.NewForm,
-			Cell:  s.Cell,
+		c.Servers = append(c.Servers, legacyfront.Server{Name: s.Name, Address: s.Address,
+			Form: legacyfront.NewForm, Cell: s.Cell,
 			Share: s.Share, Draining: r.draining[s.Name]})
 	}
 	return c
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"lapislever/internal/kiosk"
+	"lapislever/internal/legacyfront"
 	"lapislever/internal/promql"
 )
 
@@ -194,7 +194,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := kiosk.ParseConfig("f", res.File)
+	c, err := legacyfront.ParseConfig("f", res.File)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,8 @@
 		t.Fatalf("%+v", c)
 	}
 	for i, s := range c.Servers {
-		if s.Form != kiosk.NewForm || s.Draining != (i == 1) || s.Address != fmt.Sprintf("10.0.0.%d:8009", i+1) {
+		if s.Form != legacyfront.NewForm || s.Draining != (i == 1) ||
+			s.Address != fmt.Sprintf("10.0.0.%d:8009", i+1) {
 			t.Errorf("%+v", s)
 		}
 	}
--- a/internal/kiosk/admission.go
+++ b/internal/legacyfront/admission.go
@@ -1,4 +1,4 @@
-package kiosk
+package legacyfront
 
 // The [admission] and [listen_tls] sections of the configuration file.
 
--- a/internal/kiosk/admission_test.go
+++ b/internal/legacyfront/admission_test.go
@@ -1,4 +1,4 @@
-package kiosk
+package legacyfront
 
 import (
 	"bufio"
--- a/internal/kiosk/front.go
+++ b/internal/legacyfront/front.go
@@ -1,9 +1,9 @@
-// Package kiosk is the front for clients of the old form: it accepts the platform's request format over
+// Package legacyfront is the front for clients of the old form: it accepts the platform's request format over
 // HTTP and AJP, and serves it from nodes of the old and of the new form side by side. It owns its
 // configuration file, both listeners and the routing of each attempt to the backend for its server's form.
 // It must not make decisions on a query, hold its state or answer it twice: queries go through the core.
 // The mapping between the two forms is in internal/translate.
-package kiosk
+package legacyfront
 
 import (
 	"crypto/tls"
--- a/internal/kiosk/router.go
+++ b/internal/legacyfront/router.go
@@ -1,4 +1,4 @@
-package kiosk
+package legacyfront
 
 // The router sends each attempt to the backend for its server's form, after the idempotency guard has
 // allowed it. It must never choose a server or send anything twice: it either passes on an attempt as the
--- a/internal/rig/smoke_test.go
+++ b/internal/rig/smoke_test.go
@@ -7,7 +7,7 @@
 
 	// The packages of the program, so that go test does not reuse cached results after a change in them.
 	_ "lapislever/internal/console"
-	_ "lapislever/internal/kiosk"
+	_ "lapislever/internal/legacyfront"
 	_ "lapislever/internal/platform"
 	_ "lapislever/internal/promql"
 )
