--- a/internal/rig/race_on.go
+++ b/internal/rig/race_on.go
@@ -2,4 +2,4 @@
 
 package rig
 
-const raced = true
+const raceEnabled = true
