--- a/internal/ajp/server.go
+++ b/internal/ajp/server.go
@@ -99,7 +99,7 @@
 			if s.Admission != nil {
 				s.rejecting.Add(-1)
 			}
-			s.log.Warn("connection closed: too many connections are open", "client", netConn.RemoteAddr())
+			s.log.Warn("connection closed: too many are open", "client", netConn.RemoteAddr())
 			_ = netConn.Close()
 			continue
 		}
--- a/internal/legacyfront/front.go
+++ b/internal/legacyfront/front.go
@@ -189,7 +189,7 @@
 		{"new", old.New == cfg.New}, {"keys", old.Keys == cfg.Keys}, {"shards", old.Shards == cfg.Shards},
 		{"tls", old.TLS == cfg.TLS}, {"zone", old.Zone == cfg.Zone}} {
 		if !x.same {
-			f.log.Warn("configuration change requires a restart", "key", x.key)
+			f.log.Warn("a change of the file takes a restart", "key", x.key)
 		}
 	}
 	f.updateServers(cfg)
@@ -198,7 +198,7 @@
 	case f.admission != nil && cfg.Admission != nil:
 		f.admission.SetLimits(cfg.Admission.toLimits())
 	case (f.admission != nil) != (cfg.Admission != nil):
-		f.log.Warn("configuration change requires a restart", "key", "admission")
+		f.log.Warn("a change of the file takes a restart", "key", "admission")
 	}
 	if c := fresh.listenTLS.Load(); c != nil && f.listenTLS.Load() != nil {
 		f.listenTLS.Store(c) // for new handshakes; open connections are kept
--- a/internal/promql/front.go
+++ b/internal/promql/front.go
@@ -178,7 +178,7 @@
 	listener      *lnet.Server
 	classSettings atomic.Pointer[balance.Class] // current settings of the front's class
 	bufferedBytes atomic.Int64                  // of server replies, bounded by maxBufferedBytes
-	queryCount    atomic.Uint64                 // numbers the queries, for their names in the log
+	queryCount    atomic.Uint64                 // numbers the queries, for their names
 	notReady      atomic.Bool
 	mu            sync.Mutex
 	inFlight      map[*core.Attempt]*roundTrip
@@ -321,7 +321,7 @@
 			return f.submit(q, r, x)
 		}
 	}
-	f.env.Log.Warn("invalid range query", "status", apiErr.status, "why", apiErr.err)
+	f.env.Log.Warn("bad range query", "status", apiErr.status, "why", apiErr.err)
 	reply := errorReply(apiErr)
 	if apiErr.status == 405 {
 		reply.Header = [][2]string{{"Allow", "GET, POST"}}
--- a/internal/promql/servers.go
+++ b/internal/promql/servers.go
@@ -163,7 +163,7 @@
 	}
 	s.mu.Unlock()
 	if !f.budget.AcquireServer() {
-		f.env.Log.Warn("no free descriptor for a connection to a server", "server", s.name)
+		f.env.Log.Warn("no descriptor is left for a server", "server", s.name)
 		return nil
 	}
 	c, err := lnet.Dial(s.addr, timeout, maxReplyBytes)
