--- a/internal/rehearse/scenario.go
+++ b/internal/rehearse/scenario.go
@@ -134,8 +134,8 @@
 }
 
 // isNodeAction reports whether an action applies to data nodes rather than to members.
-func isNodeAction(do string) bool {
-	return slices.Contains([]string{"slow", "fail", "deaf", "sound"}, do)
+func isNodeAction(action string) bool {
+	return slices.Contains([]string{"slow", "fail", "deaf", "sound"}, action)
 }
 
 // OpenScenario loads a built-in scenario by name, or else a scenario file.
