--- a/internal/rig/process_test.go
+++ b/internal/rig/process_test.go
@@ -61,7 +61,7 @@
 	}
 	// A second process at the same address cannot start.
 	p, err := Start(r.program, []string{"serve", "--fleet", older.path("fleet.toml")},
-		[]string{"RELAY_CONFIG=" + newer.path("config.json"), "TMPDIR=" + t.TempDir()}, newer.path("twin"))
+		[]string{"RELAY_CONFIG=" + newer.path("config.json"), "TMPDIR=" + t.TempDir()}, newer.path("duplicate"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rig/verdict_test.go
+++ b/internal/rig/verdict_test.go
@@ -38,7 +38,7 @@
 
 // verdicts returns the objects of the verdicts that a member's admin endpoint reports, and whether the member
 // has received the fleet's verdicts.
-func (m *Member) verdicts() (what []string, told bool) {
+func (m *Member) verdicts() (objects []string, synced bool) {
 	reply, err := m.CallAdmin("GET", "/admin/verdicts", "")
 	if err != nil || reply.Status != 200 {
 		return []string{"?"}, false
@@ -52,9 +52,9 @@
 	}
 	_ = json.Unmarshal(reply.Body, &v)
 	for _, x := range v.Verdicts {
-		what = append(what, x.What)
+		objects = append(objects, x.What)
 	}
-	return what, v.Told
+	return objects, v.Told
 }
 
 // awaitServing waits until the member reports that it accepts clients. Its admin endpoint is up before that.
@@ -112,8 +112,8 @@
 		}
 		awaitConverged(t, r, "restart of "+m.Name)
 		m.awaitServing(t)
-		if got, told := m.verdicts(); !slices.Equal(got, []string{"n0"}) || !told {
-			t.Fatalf("%s holds %v after its restart, told: %v", m.Name, got, told)
+		if got, synced := m.verdicts(); !slices.Equal(got, []string{"n0"}) || !synced {
+			t.Fatalf("%s holds %v after its restart, synced: %v", m.Name, got, synced)
 		}
 	}
 	time.Sleep(5 * period)
@@ -213,8 +213,8 @@
 	awaitConverged(t, r, "the crashed members have restarted")
 	for _, m := range crashed {
 		m.awaitServing(t)
-		if got, told := m.verdicts(); !slices.Contains(got, "n3") || !told {
-			t.Errorf("%s holds %v after its restart, told: %v", m.Name, got, told)
+		if got, synced := m.verdicts(); !slices.Contains(got, "n3") || !synced {
+			t.Errorf("%s holds %v after its restart, synced: %v", m.Name, got, synced)
 		}
 	}
 	if time.Since(begun) < span {
