--- a/internal/fleetsim/fleet_test.go
+++ b/internal/fleetsim/fleet_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// No running and reachable member is declared dead, neither with 30% loss, drifting clocks and duplicated, late
-// and reordered datagrams, nor when only one member connects the two sides of a partition.
+// No running and reachable member is declared dead, neither with 30% loss, drifting clocks and duplicated,
+// late and reordered datagrams, nor when only one member connects the two sides of a partition.
 func TestNoFalseDeaths(t *testing.T) {
 	for name, inject := range map[string]func(f *Fleet){
 		"loss": func(f *Fleet) { f.SetLoss(0.3) },
