--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -192,7 +192,7 @@
 }
 
 // evict closes the client connection that is least useful, so that a flood of connections does not keep
-// others out: first one that only lingers after an error reply, then one that has sent nothing or has
+// others out: first one that only lingers after its last reply, then one that has sent nothing or has
 // stalled in its first request, then the one that has been idle between requests the longest, which the
 // protocol allows to close. It only closes connections of a rank below bound.
 func (s *Server) evict(bound evictionRank) bool {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -305,7 +305,7 @@
 }
 
 // previousClass returns the previous rules of a class while requests may still follow them. It returns nil
-// once that time is over, or where the class is new.
+// once that time is over, or where the class is new or had been dropped.
 func (c *Config) previousClass(class int, now time.Time) *balance.Class {
 	if c.Previous == nil || !now.Before(c.PreviousUntil) || class >= len(c.Previous.Classes) ||
 		c.Previous.Module.Classes[class].Dropped {
--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -288,7 +288,7 @@
 	}
 }
 
-// Failed receives, once, the reason why this process must stop serving.
+// Failed returns a channel that receives, once, the reason why this process must stop serving.
 func (k *Coordinator) Failed() <-chan error { return k.failed }
 
 // takeOverFleet continues as the member that the old process was, once that one has sent its state. If it
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -30,10 +30,10 @@
 	propagationLimit     = 6 * time.Second // stated on the operators' page on the whole fleet
 	watchRetry           = 50 * time.Millisecond
 	discoveryDialTimeout = time.Second
-	maxListBytes         = 4 << 20 // bytes
-	// Where the list is pushed, an overdue call is not abandoned but joined by another one, so that an agent
-	// that recovers is heard at once and a slow one is heard as well.
-	overdueLimit = time.Second // for an overdue call
+	maxListBytes         = 4 << 20
+	// Where the list is pushed, an overdue call is not abandoned at once: another one is made beside it, so
+	// that the answer of an agent that recovers arrives at once, and that of a slow agent is still received.
+	overdueLimit = time.Second // how long after it was due a call is abandoned
 	maxCalls     = 12          // in flight in parallel; beyond that the oldest is cancelled
 )
 
@@ -113,7 +113,7 @@
 	// version like any other; an empty list has no node that could be missing.
 	known := w.cfg.Known != nil && len(w.cfg.Known.Hosts) > 0
 	full, requested := watching || !known || w.besideOld, false
-	failed := 0               // consecutive calls
+	failed := 0               // consecutive calls that failed or are overdue
 	retried := false          // a polling call that fell silent is repeated once before it counts as failed
 	var lastStart time.Time   // start of the last call
 	var idleConn *lnet.Client // idle between calls
@@ -248,7 +248,7 @@
 
 // watchCall is one call to discovery.
 type watchCall struct {
-	mu        sync.Mutex // guards c, cancelled
+	mu        sync.Mutex // guards client, cancelled
 	client    *lnet.Client
 	cancelled bool
 }
