--- a/internal/platform/fleet.go
+++ b/internal/platform/fleet.go
@@ -223,30 +223,30 @@
 }
 
 // rank returns the rank of a class by worth.
-func (l fleetAdmission) rank(cfg *Config, class int) int {
-	r := l.cached.Load()
+func (f fleetAdmission) rank(cfg *Config, class int) int {
+	r := f.cached.Load()
 	if r == nil || r.cfg != cfg {
 		worth := make([]float64, len(cfg.Module.Classes))
 		for i := range worth {
 			worth[i] = cfg.Module.Classes[i].Worth
 		}
 		r = &classRanks{cfg, overload.RankByWorth(worth)}
-		l.cached.Store(r)
+		f.cached.Store(r)
 	}
 	return r.ranks[class]
 }
 
 // Admit reports whether a query may be admitted.
-func (l fleetAdmission) Admit(q *core.Query) (bool, time.Duration, string) {
-	cfg := l.k.front.cfg.Load()
+func (f fleetAdmission) Admit(q *core.Query) (bool, time.Duration, string) {
+	cfg := f.k.front.cfg.Load()
 	class, queryID := cfg.Classes[q.Class], q.Name
 	if q.Key != "" {
 		queryID = q.Key // the same for all retries of the query
 	}
-	if ok, after := l.k.fleet.Admit(l.rank(cfg, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
+	if ok, after := f.k.fleet.Admit(f.rank(cfg, q.Class), class, q.Caller, queryID, q.Repeat); !ok {
 		return false, after, "the fleet is overloaded"
 	}
-	t, ok, after, limit := l.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
+	t, ok, after, limit := f.k.fleet.AllowRequest(class, q.Caller, q.Deadline)
 	if !ok {
 		return false, after, "limit " + limit + " of the fleet"
 	}
@@ -257,23 +257,23 @@
 }
 
 // QueryEnded releases what a query held, and reports its outcome.
-func (l fleetAdmission) QueryEnded(q *core.Query, e core.QueryOutcome) {
-	l.k.fleet.RequestFinished(e == core.Answered)
+func (f fleetAdmission) QueryEnded(q *core.Query, e core.QueryOutcome) {
+	f.k.fleet.RequestFinished(e == core.Answered)
 	if t, ok := q.Ticket.(fleet.Ticket); ok {
 		q.Ticket = nil
-		l.k.fleet.ReleaseTicket(t)
+		f.k.fleet.ReleaseTicket(t)
 	}
 }
 
 // AllowSend reports whether an attempt may be sent.
-func (l fleetAdmission) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
-	if !l.k.fleet.AllowByRetryBudget(a.IsFirst()) {
+func (f fleetAdmission) AllowSend(a *core.Attempt) (bool, balance.Outcome) {
+	if !f.k.fleet.AllowByRetryBudget(a.IsFirst()) {
 		return false, balance.NotSent
 	}
-	if !l.k.fleet.HasServerLimits() {
+	if !f.k.fleet.HasServerLimits() {
 		return true, 0
 	}
-	t, ok := l.k.fleet.AllowAttempt(uint64(a.Replica), time.Now().Add(a.Timeout))
+	t, ok := f.k.fleet.AllowAttempt(uint64(a.Replica), time.Now().Add(a.Timeout))
 	if !t.Empty() {
 		a.Ticket = t
 	}
@@ -281,10 +281,10 @@
 }
 
 // AttemptEnded releases what an attempt held.
-func (l fleetAdmission) AttemptEnded(a *core.Attempt) {
+func (f fleetAdmission) AttemptEnded(a *core.Attempt) {
 	if t, ok := a.Ticket.(fleet.Ticket); ok {
 		a.Ticket = nil
-		l.k.fleet.ReleaseTicket(t)
+		f.k.fleet.ReleaseTicket(t)
 	}
 }
 
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -24,14 +24,14 @@
 	maxLine        = 1024                   // of a data node's answer
 	maxFrame       = lnet.MaxBody + maxLine // a value and its line
 	maxQueuedBytes = 256 << 10              // bytes queued for one connection
-	partOverhead   = 96                     // bytes of a part's line beside its names: numbers and separators
+	partOverhead   = 96                     // bytes of a part's line apart from its names: numbers, separators
 	maxSendTries   = 3                      // closing connections that a call may meet before it is refused
 	writeTimeout   = 300 * time.Millisecond
 	// A frame from a node is complete within 1/frameAimShare of the shortest aim after its first byte.
 	frameAimShare   = 8
 	minFrameTimeout = 50 * time.Millisecond
 	// A connection is silent when it has owed an answer for longer than all but the slowest of the node's
-	// answers take. It gets nothing new as long as another one may be opened beside it.
+	// answers take. It gets nothing new as long as another one may be opened.
 	minSilence     = 30 * time.Millisecond
 	maxSilence     = time.Second
 	maxSilentConns = 3   // at one node; with more, the node is silent and no connection is to blame
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -1,7 +1,7 @@
 package platform
 
 // Assembles one coordinator from its parts, sends and receives the datagrams between coordinators, and
-// defines the order of startup and shutdown. Nothing in this file decides about a query.
+// defines the order of startup and shutdown. This file must never decide about a query.
 
 import (
 	"errors"
@@ -409,7 +409,7 @@
 type adminAdmission struct{ *lnet.AdmissionController }
 
 // Stats returns the statistics that the admin endpoint shows.
-func (g adminAdmission) Stats(n int) any { return g.AdmissionController.Stats(n) }
+func (a adminAdmission) Stats(n int) any { return a.AdmissionController.Stats(n) }
 
 // Cordon cordons or uncordons a data node.
 func (a adminState) Cordon(id string, cordoned bool, within time.Duration) error {
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -38,7 +38,7 @@
 	listTimeout       = 2 * time.Second        // for discovery's list, before a successor serves without it
 	minOwnShare       = 8                      // descriptors that each process may always hold
 	minRefusalSockets = 4                      // for clients that are refused, in each of the two processes
-	minSockets        = 20 + minRefusalSockets // of each process, beside clients, nodes and operators
+	minSockets        = 20 + minRefusalSockets // of each process, apart from clients, nodes and operators
 	heapTenths        = 6                      // tenths of the memory limit that the heap may use
 )
 
@@ -47,7 +47,7 @@
 type linkMessage struct {
 	Listen       string                               `json:"listen,omitempty"`  // new: address that it wants
 	Peers        string                               `json:"peers,omitempty"`   // new: and the one for peers
-	Sockets      []string                             `json:"sockets,omitempty"` // old: the sockets beside it
+	Sockets      []string                             `json:"sockets,omitempty"` // old: sockets sent with it
 	Cordons      map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: cordons, and since when
 	FleetCordons map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: fleet-wide cordons
 	RestoredAt   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: when nodes were restored
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -130,7 +130,7 @@
 		"half head": func(c *net.TCPConn, _ string) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConte"); _ = c.Close() },
 		"without a length, and reset": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", wrong)
-			time.AfterFunc(50*time.Millisecond, func() { resetConn(c) }) // after its bytes are read
+			time.AfterFunc(50*time.Millisecond, func() { resetConn(c) }) // its bytes are read, or the call is over
 		},
 		"without an end": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(wrong), wrong)
