--- a/internal/net/conn.go
+++ b/internal/net/conn.go
@@ -32,7 +32,7 @@
 	// discarded: only a read shows that the client has left, and its request has to be cancelled within 0.1 s.
 	fullRingTimeout = 30 * time.Millisecond
 	fullRingPause   = 10 * time.Millisecond // between checks of a full ring
-	ringMemorySize  = 24 << 20              // all rings together beyond freeRingSize, unless the budget sets less
+	ringMemorySize  = 24 << 20              // all rings together, beyond freeRingSize, unless lowered
 	discardSize     = 16 << 10              // per read of discarded input
 	idleTimeout     = 10 * time.Second      // for a client connection between requests
 	overflowTimeout = time.Second           // for a connection beyond the budget, until it is refused
--- a/internal/net/interleaving_test.go
+++ b/internal/net/interleaving_test.go
@@ -356,15 +356,15 @@
 // A connection is not evicted while a reply or an error may still be in flight.
 func TestNoEvictionWhileReplyInFlight(t *testing.T) {
 	for _, x := range []struct {
-		state connState
-		asked bool
-		age   time.Duration
-		want  evictionRank
+		state      connState
+		hadRequest bool
+		age        time.Duration
+		want       evictionRank
 	}{
 		{stateLingering, true, 0, rankBusy}, {stateLingering, true, 2 * gracePeriod, rankLingering},
 		{stateWaiting, true, 0, rankFresh}, {stateWaiting, true, 2 * gracePeriod, rankIdle},
 	} {
-		c := &serverConn{state: x.state, hadRequest: x.asked, since: time.Now().Add(-x.age), in: NewRing(1)}
+		c := &serverConn{state: x.state, hadRequest: x.hadRequest, since: time.Now().Add(-x.age), in: NewRing(1)}
 		if rank, _ := c.rank(time.Now()); rank != x.want {
 			t.Errorf("%+v: %v", x, rank)
 		}
--- a/internal/net/replywriter_test.go
+++ b/internal/net/replywriter_test.go
@@ -47,9 +47,9 @@
 // exactly once, and the stuck call must send nothing when it resumes.
 func TestStuckReplyIsTakenOverOnce(t *testing.T) {
 	w, client := replyPair(t)
-	piece := &replyChunk{w: w, timeout: time.Second, final: true}
+	chunk := &replyChunk{w: w, timeout: time.Second, final: true}
 	for range 3 {
-		if _, err := piece.Write([]byte("one;")); err != nil {
+		if _, err := chunk.Write([]byte("one;")); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := io.ReadFull(client, make([]byte, 4)); err != nil {
