--- a/internal/grpcnode/credentials.go
+++ b/internal/grpcnode/credentials.go
@@ -15,8 +15,8 @@
 	"time"
 )
 
-// CredentialFiles names the files of the credentials. Cert and Key are optional: the nodes may not require
-// them.
+// CredentialFiles names the files of the credentials. Cert and Key are left out where the nodes require no
+// client certificate.
 type CredentialFiles struct {
 	CA   string // the authority that signs the nodes' certificates
 	Cert string // this client's certificate
@@ -38,8 +38,8 @@
 	return cr, err
 }
 
-// Reload reads the files again and reports whether the credentials have changed. Invalid contents are
-// reported as an error only once.
+// Reload reads the files again and reports whether the credentials have changed. An error in
+// the contents is reported once for each state of the files.
 func (cr *Credentials) Reload() (bool, error) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
