--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -1,5 +1,5 @@
 // Package fleet connects a coordinator to its fleet: it owns the settings file, the UDP socket, the keys that
-// seal datagrams, and the goroutine that owns the membership.View. It makes no decisions on membership.
+// seal datagrams, and the goroutine that owns the membership.View. It must never decide who is a member.
 package fleet
 
 import (
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -368,7 +368,8 @@
 		f.cfg.Period().Microseconds(), f.now())
 }
 
-// rejectionPeriods is the number of periods for which a rejection by another member voids the limits.
+// rejectionPeriods is the number of periods after a rejection by another member in which this member may
+// use nothing of any limit.
 const rejectionPeriods = 10
 
 // reannounceInterval is how often a member announces its settings. They expire after twice that, because the
