--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -187,7 +187,7 @@
 				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), MaxTotal: 3},
 				{Prefix: netip.MustParsePrefix("10.0.0.64/28"), Gateway: true}}}
 		g := New(l)
-		places := 12
+		capacity := 12
 		type in struct {
 			known, busy bool
 			addr        netip.Addr
@@ -218,7 +218,7 @@
 			switch c := open[some]; rng.IntN(9) {
 			case 0, 1, 2, 3:
 				a := addr(rng.IntN(96))
-				d := g.Decide(now, Arrival{Addr: a, Authenticates: rng.IntN(3) == 0, Capacity: places})
+				d := g.Decide(now, Arrival{Addr: a, Authenticates: rng.IntN(3) == 0, Capacity: capacity})
 				known := l.Rules[0].Prefix.Contains(a)
 				switch d.Outcome {
 				case EvictIdle:
@@ -235,9 +235,9 @@
 							unknown++
 						}
 					}
-					if len(open) > places || !known && unknown > max(0, places-l.Reserve) ||
+					if len(open) > capacity || !known && unknown > max(0, capacity-l.Reserve) ||
 						d.Outcome == AdmitReserved && !known {
-						t.Fatalf("seed %d: %d open, %d unknown of %d slots: %+v", seed, len(open), unknown, places, d)
+						t.Fatalf("seed %d: %d open, %d unknown of %d slots: %+v", seed, len(open), unknown, capacity, d)
 					}
 				}
 			case 4:
@@ -267,7 +267,7 @@
 				}
 			case 8:
 				if rng.IntN(20) == 0 {
-					places = 4 + rng.IntN(12) // admitted connections stay
+					capacity = 4 + rng.IntN(12) // admitted connections stay
 				} else if rng.IntN(20) == 0 {
 					g.SetLimits(l)
 				}
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -355,7 +355,7 @@
 		}
 	}
 	if c.kind == kindProving {
-		// Its slot was only for authenticating: it now needs one of another kind.
+		// Its slot was only for authenticating: it now needs one of another kind, or is refused.
 		g.inUse[kindProving]-- // its present slot counts as free for that
 		kind, ok := g.findSlot(g.capacity, c.known, false)
 		g.inUse[kindProving]++
