--- a/cmd/lapislever/main.go
+++ b/cmd/lapislever/main.go
@@ -1,5 +1,5 @@
-// Command lapislever is the coordinator. This file parses the command line and assembles the parts. It
-// contains no logic of its own.
+// Command lapislever is the coordinator. This file parses the command line and assembles the parts. It must
+// never contain logic of its own.
 package main
 
 import (
@@ -294,21 +294,21 @@
 }
 
 // run makes the call and prints its answer.
-func (d admissionCall) run(words []string, stdout io.Writer) error {
+func (a admissionCall) run(args []string, stdout io.Writer) error {
 	method, path, body := "GET", "/admin/admission", ""
 	switch {
-	case d.addr == "":
+	case a.addr == "":
 		return fmt.Errorf("%w: --door is missing", errUsage)
-	case len(words) == 0 || len(words) == 1 && words[0] == "show":
-	case len(words) == 2 && (words[0] == "ban" || words[0] == "pin" || words[0] == "lift"):
-		method, path, body = "POST", path+"/"+words[0], words[1]
-		if words[0] != "lift" {
-			body += " " + d.span.String()
+	case len(args) == 0 || len(args) == 1 && args[0] == "show":
+	case len(args) == 2 && (args[0] == "ban" || args[0] == "pin" || args[0] == "lift"):
+		method, path, body = "POST", path+"/"+args[0], args[1]
+		if args[0] != "lift" {
+			body += " " + a.span.String()
 		}
 	default:
 		return fmt.Errorf("%w: show, or ban, pin or lift with a prefix", errUsage)
 	}
-	reply, err := console.Call(d.addr, method, path, body, nil, 0)
+	reply, err := console.Call(a.addr, method, path, body, nil, 0)
 	if err != nil {
 		return err
 	}
