--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -58,12 +58,12 @@
 }
 
 func TestCapsRatesAndOverrides(t *testing.T) {
-	g := New(Limits{Reserve: 2, MaxTracked: 100, Default: Rule{MaxOpen: 3, Rate: 1, Burst: 2}, Rules: []Rule{
+	ac := New(Limits{Reserve: 2, MaxTracked: 100, Default: Rule{MaxOpen: 3, Rate: 1, Burst: 2}, Rules: []Rule{
 		{Prefix: netip.MustParsePrefix("10.1.0.0/16"), Known: true, MaxOpen: 5},
 		{Prefix: netip.MustParsePrefix("10.2.0.0/16"), MaxOpen: 1, MaxTotal: 2},
 		{Prefix: netip.MustParsePrefix("10.3.0.9/32"), Gateway: true, Rate: 100, Burst: 50}}})
 	at := func(now Micros, a string) Decision {
-		return g.Decide(now, Arrival{Addr: netip.MustParseAddr(a), Capacity: 100})
+		return ac.Decide(now, Arrival{Addr: netip.MustParseAddr(a), Capacity: 100})
 	}
 	want := func(what string, d Decision, v Outcome, r Reason) {
 		t.Helper()
@@ -81,8 +81,8 @@
 	}
 	want("after the retry time", at(d.RetryAfter, "10.0.0.1"), Admit, None)
 	want("fourth open connection", at(5*second, "10.0.0.1"), Refuse, TooMany)
-	g.Remove(first.ID)
-	g.Remove(first.ID)
+	ac.Remove(first.ID)
+	ac.Remove(first.ID)
 	want("after one has ended", at(8*second, "10.0.0.1"), Admit, None)
 	for i := range 5 {
 		want("known clients have no rate limit", at(0, "10.1.2.3"), Admit, None)
@@ -97,14 +97,14 @@
 		want("behind a gateway", at(0, "10.3.0.9"), Admit, None)
 	}
 	want("address next to the gateway", at(0, "10.3.0.8"), Admit, None)
-	g.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*second)
+	ac.Ban(netip.MustParsePrefix("10.0.0.0/24"), 20*second)
 	want("banned", at(10*second, "10.0.0.7"), Refuse, Banned)
-	g.SetLimits(Limits{MaxTracked: 100, Default: Rule{MaxOpen: 3}})
+	ac.SetLimits(Limits{MaxTracked: 100, Default: Rule{MaxOpen: 3}})
 	want("banned, after new limits", at(11*second, "::ffff:10.0.0.7"), Refuse, Banned)
-	g.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*second)
+	ac.Pin(netip.MustParsePrefix("10.0.0.7/32"), 20*second)
 	want("pinned within a banned prefix", at(12*second, "10.0.0.7"), Admit, None)
 	want("after the end of the ban", at(20*second, "10.0.0.8"), Admit, None)
-	if n := len(g.Overrides(20 * second)); n != 0 {
+	if n := len(ac.Overrides(20 * second)); n != 0 {
 		t.Errorf("%d bans and pins in force", n)
 	}
 }
@@ -114,12 +114,12 @@
 // of known clients only for known ones.
 func TestAtCapacity(t *testing.T) {
 	known := netip.MustParsePrefix("10.9.0.0/16")
-	g := New(Limits{Reserve: 2, Proving: 1, ProveTimeout: second, MaxTracked: 100, Rules: []Rule{{Prefix: known,
+	ac := New(Limits{Reserve: 2, Proving: 1, ProveTimeout: second, MaxTracked: 100, Rules: []Rule{{Prefix: known,
 		Known: true}}})
 	n := 0
 	arrive := func(a string, proves bool) Decision {
 		n++
-		return g.Decide(0, Arrival{Addr: netip.MustParseAddr(a), Capacity: 6, Authenticates: proves})
+		return ac.Decide(0, Arrival{Addr: netip.MustParseAddr(a), Capacity: 6, Authenticates: proves})
 	}
 	var ids []uint64
 	for i := range 3 {
@@ -142,29 +142,29 @@
 	if d := arrive("10.9.0.1", false); d.Outcome != AdmitReserved {
 		t.Errorf("known client: %+v", d)
 	}
-	if d := g.Authenticate(second/2, p.ID, "head-office", true); d.Outcome != Admit ||
-		g.inUse[kindReserve] != 2 {
-		t.Errorf("authentication: %+v, %v", d, g.inUse)
+	if d := ac.Authenticate(second/2, p.ID, "head-office", true); d.Outcome != Admit ||
+		ac.inUse[kindReserve] != 2 {
+		t.Errorf("authentication: %+v, %v", d, ac.inUse)
 	}
 	if d := arrive("10.9.0.2", false); d.Outcome != Refuse || d.Reason != Full {
 		t.Errorf("known client with no slot left: %+v", d)
 	}
 	late := arrive("10.0.0.12", true)
-	if over := g.Overdue(2 * second); len(over) != 1 || over[0] != late.ID {
+	if over := ac.Overdue(2 * second); len(over) != 1 || over[0] != late.ID {
 		t.Errorf("overdue: %v", over)
 	}
-	if d := g.Authenticate(2*second, late.ID, "x", true); d.Reason != Unauthenticated {
+	if d := ac.Authenticate(2*second, late.ID, "x", true); d.Reason != Unauthenticated {
 		t.Errorf("late authentication: %+v", d)
 	}
-	g.Remove(late.ID)
-	g.MarkIdle(ids[1])
-	g.MarkIdle(ids[0])
-	g.MarkBusy(ids[1])
-	g.MarkIdle(p.ID)
+	ac.Remove(late.ID)
+	ac.MarkIdle(ids[1])
+	ac.MarkIdle(ids[0])
+	ac.MarkBusy(ids[1])
+	ac.MarkIdle(p.ID)
 	if d := arrive("10.0.0.13", false); d.Outcome != EvictIdle || d.ID != ids[0] {
 		t.Errorf("an unknown client must evict the idle unknown one: %+v", d)
 	}
-	g.Remove(ids[0])
+	ac.Remove(ids[0])
 	if d := arrive("10.0.0.13", false); d.Outcome != Admit {
 		t.Errorf("an unknown client must get the slot of the evicted one: %+v", d)
 	}
@@ -186,7 +186,7 @@
 			Rules: []Rule{{Prefix: netip.MustParsePrefix("10.0.0.0/29"), Known: true},
 				{Prefix: netip.MustParsePrefix("10.0.0.32/28"), MaxTotal: 3},
 				{Prefix: netip.MustParsePrefix("10.0.0.64/28"), Gateway: true}}}
-		g := New(l)
+		ac := New(l)
 		capacity := 12
 		type in struct {
 			known, busy bool
@@ -202,9 +202,10 @@
 					unknown++
 				}
 			}
-			total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
-			if total != len(open) || g.inUse[kindGeneral] < 0 || g.inUse[kindReserve] < 0 || g.inUse[kindProving] < 0 {
-				t.Fatalf("seed %d: counts %v, %d open", seed, g.inUse, len(open))
+			total := ac.inUse[kindGeneral] + ac.inUse[kindReserve] + ac.inUse[kindProving]
+			if total != len(open) || ac.inUse[kindGeneral] < 0 || ac.inUse[kindReserve] < 0 ||
+				ac.inUse[kindProving] < 0 {
+				t.Fatalf("seed %d: counts %v, %d open", seed, ac.inUse, len(open))
 			}
 			_ = unknown
 		}
@@ -218,14 +219,14 @@
 			switch c := open[some]; rng.IntN(9) {
 			case 0, 1, 2, 3:
 				a := addr(rng.IntN(96))
-				d := g.Decide(now, Arrival{Addr: a, Authenticates: rng.IntN(3) == 0, Capacity: capacity})
+				d := ac.Decide(now, Arrival{Addr: a, Authenticates: rng.IntN(3) == 0, Capacity: capacity})
 				known := l.Rules[0].Prefix.Contains(a)
 				switch d.Outcome {
 				case EvictIdle:
 					if open[d.ID].busy || open[d.ID].known && !known {
 						t.Fatalf("seed %d: %+v is to be evicted for %v", seed, open[d.ID], a)
 					}
-					g.Remove(d.ID)
+					ac.Remove(d.ID)
 					delete(open, d.ID)
 				case Admit, AdmitReserved, AdmitUnauthenticated:
 					open[d.ID] = &in{known: known, busy: true, addr: a}
@@ -242,26 +243,26 @@
 				}
 			case 4:
 				if c != nil {
-					g.Remove(some)
-					g.Remove(some)
+					ac.Remove(some)
+					ac.Remove(some)
 					delete(open, some)
 				}
 			case 5:
 				if c != nil {
 					c.busy = false
-					g.MarkIdle(some)
+					ac.MarkIdle(some)
 				}
 			case 6:
 				if c != nil {
 					c.busy = true
-					g.MarkBusy(some)
+					ac.MarkBusy(some)
 				}
 			case 7:
 				if c != nil {
-					if d := g.Authenticate(now, some, fmt.Sprint("id", rng.IntN(5)), rng.IntN(2) == 0); d.Outcome == Admit {
-						c.known = g.conns[some].known
+					if d := ac.Authenticate(now, some, fmt.Sprint("id", rng.IntN(5)), rng.IntN(2) == 0); d.Outcome == Admit {
+						c.known = ac.conns[some].known
 					} else if d.Outcome == Refuse {
-						g.Remove(some)
+						ac.Remove(some)
 						delete(open, some)
 					}
 				}
@@ -269,25 +270,25 @@
 				if rng.IntN(20) == 0 {
 					capacity = 4 + rng.IntN(12) // admitted connections stay
 				} else if rng.IntN(20) == 0 {
-					g.SetLimits(l)
+					ac.SetLimits(l)
 				}
 			}
 			check()
 		}
 		for id := range open {
-			g.Remove(id)
+			ac.Remove(id)
 			delete(open, id)
 		}
 		check()
-		for _, s := range g.addrs.byAddr {
+		for _, s := range ac.addrs.byAddr {
 			if s.open != 0 {
 				t.Fatalf("seed %d: %+v still has open connections", seed, s)
 			}
 		}
-		if len(g.identities) != 0 || g.idle[0].first != nil || g.idle[1].first != nil ||
-			len(g.unauthenticated) != 0 || len(g.addrs.byAddr) > l.MaxTracked {
-			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(g.identities),
-				len(g.addrs.byAddr), len(g.unauthenticated))
+		if len(ac.identities) != 0 || ac.idle[0].first != nil || ac.idle[1].first != nil ||
+			len(ac.unauthenticated) != 0 || len(ac.addrs.byAddr) > l.MaxTracked {
+			t.Fatalf("seed %d: %d identities, %d addresses, %d unauthenticated left", seed, len(ac.identities),
+				len(ac.addrs.byAddr), len(ac.unauthenticated))
 		}
 	}
 }
@@ -295,18 +296,18 @@
 // Under a flood of distinct addresses memory is bounded and no client is refused wrongly. An evicted address
 // gains at most one burst.
 func TestFloodOfAddresses(t *testing.T) {
-	g := New(Limits{MaxTracked: 1000, Default: Rule{Rate: 1, Burst: 2}})
+	ac := New(Limits{MaxTracked: 1000, Default: Rule{Rate: 1, Burst: 2}})
 	now := Micros(0)
 	for i := range 200_000 {
 		now += 10
-		d := g.Decide(now, Arrival{Addr: addr(i), Capacity: 100})
+		d := ac.Decide(now, Arrival{Addr: addr(i), Capacity: 100})
 		if d.Outcome != Admit {
 			t.Fatalf("first connection of address %d: %+v", i, d)
 		}
-		g.Remove(d.ID)
+		ac.Remove(d.ID)
 	}
-	if len(g.addrs.byAddr) > 1000 || g.addrs.evicted != 199_000 {
-		t.Errorf("%d tracked, %d evicted", len(g.addrs.byAddr), g.addrs.evicted)
+	if len(ac.addrs.byAddr) > 1000 || ac.addrs.evicted != 199_000 {
+		t.Errorf("%d tracked, %d evicted", len(ac.addrs.byAddr), ac.addrs.evicted)
 	}
 }
 
@@ -336,11 +337,11 @@
 			for i := range 1000 {
 				l.Rules = append(l.Rules, Rule{Prefix: netip.PrefixFrom(addr(i*1000), 28), MaxOpen: 4})
 			}
-			g, now := New(l), Micros(0)
+			ac, now := New(l), Micros(0)
 			measure(b, func(i int) {
 				now += 100
-				if d := g.Decide(now, Arrival{Addr: addr(i % addresses), Capacity: 1000}); d.Outcome != Refuse {
-					g.Remove(d.ID)
+				if d := ac.Decide(now, Arrival{Addr: addr(i % addresses), Capacity: 1000}); d.Outcome != Refuse {
+					ac.Remove(d.ID)
 				}
 			})
 		})
--- a/internal/admission/controller.go
+++ b/internal/admission/controller.go
@@ -150,28 +150,28 @@
 
 // New returns a controller without connections.
 func New(l Limits) *Controller {
-	g := &Controller{conns: map[uint64]*conn{}, identities: map[string]*tracked{}}
-	g.addrs.byAddr, g.blocks.byAddr = map[netip.Addr]*tracked{}, map[netip.Addr]*tracked{}
-	g.SetLimits(l)
-	return g
+	ac := &Controller{conns: map[uint64]*conn{}, identities: map[string]*tracked{}}
+	ac.addrs.byAddr, ac.blocks.byAddr = map[netip.Addr]*tracked{}, map[netip.Addr]*tracked{}
+	ac.SetLimits(l)
+	return ac
 }
 
 // SetLimits sets new limits. Admitted connections, bans and pins stay.
-func (g *Controller) SetLimits(l Limits) {
-	g.limits, g.rules = l, Trie[ruleState]{}
+func (ac *Controller) SetLimits(l Limits) {
+	ac.limits, ac.rules = l, Trie[ruleState]{}
 	for _, r := range l.Rules {
-		g.rules.Put(r.Prefix, &ruleState{Rule: r})
+		ac.rules.Put(r.Prefix, &ruleState{Rule: r})
 	}
-	for _, c := range g.conns {
-		if c.rule = g.rule(c.addr.addr); c.rule != nil {
+	for _, c := range ac.conns {
+		if c.rule = ac.rule(c.addr.addr); c.rule != nil {
 			c.rule.open++
 		}
 	}
-	g.addrs.maxEntries, g.blocks.maxEntries = max(1, l.MaxTracked), max(1, l.MaxTracked)
+	ac.addrs.maxEntries, ac.blocks.maxEntries = max(1, l.MaxTracked), max(1, l.MaxTracked)
 }
 
 // rule returns the rule of an address, or nil if only the default applies.
-func (g *Controller) rule(a netip.Addr) *ruleState { return g.rules.Find(a) }
+func (ac *Controller) rule(a netip.Addr) *ruleState { return ac.rules.Find(a) }
 
 // blockOf returns the block of an address: its /24 for IPv4, its /64 for IPv6.
 func blockOf(a netip.Addr) netip.Addr {
@@ -204,10 +204,10 @@
 }
 
 // Decide decides on a new connection.
-func (g *Controller) Decide(now Micros, a Arrival) Decision {
+func (ac *Controller) Decide(now Micros, a Arrival) Decision {
 	a.Addr = a.Addr.Unmap()
-	rule, known := g.rule(a.Addr), false
-	effective := g.limits.Default
+	rule, known := ac.rule(a.Addr), false
+	effective := ac.limits.Default
 	if rule != nil {
 		known = rule.Known
 		effective.MaxOpen = cmp.Or(rule.MaxOpen, effective.MaxOpen)
@@ -216,15 +216,15 @@
 		}
 		effective.Gateway = rule.Gateway
 	}
-	addr, block := g.addrs.get(a.Addr), g.blocks.get(blockOf(a.Addr))
+	addr, block := ac.addrs.get(a.Addr), ac.blocks.get(blockOf(a.Addr))
 	refuse := func(reason Reason, retryAfter Micros) Decision {
-		g.refused[reason]++
+		ac.refused[reason]++
 		addr.refused++
-		g.addrs.release(addr)
-		g.blocks.release(block)
+		ac.addrs.release(addr)
+		ac.blocks.release(block)
 		return Decision{Outcome: Refuse, Reason: reason, RetryAfter: max(retryAfter, 1)}
 	}
-	if h := g.override(now, a.Addr); h != nil {
+	if h := ac.override(now, a.Addr); h != nil {
 		if !h.pinned {
 			return refuse(Banned, h.until-now)
 		}
@@ -234,11 +234,11 @@
 		if ok, retryAfter := addr.takeToken(now, effective.Rate, effective.Burst); !ok {
 			return refuse(TooFast, retryAfter)
 		}
-		if ok, retryAfter := block.takeToken(now, g.limits.Block.Rate, g.limits.Block.Burst); !ok &&
+		if ok, retryAfter := block.takeToken(now, ac.limits.Block.Rate, ac.limits.Block.Burst); !ok &&
 			!effective.Gateway {
 			return refuse(BlockCap, retryAfter)
 		}
-		if g.limits.Block.MaxOpen > 0 && block.open >= g.limits.Block.MaxOpen && !effective.Gateway {
+		if ac.limits.Block.MaxOpen > 0 && block.open >= ac.limits.Block.MaxOpen && !effective.Gateway {
 			return refuse(BlockCap, defaultRetryAfter)
 		}
 	} else {
@@ -250,12 +250,12 @@
 	if rule != nil && rule.MaxTotal > 0 && rule.open >= rule.MaxTotal {
 		return refuse(BlockCap, defaultRetryAfter)
 	}
-	g.capacity = a.Capacity
-	kind, ok := g.findSlot(a.Capacity, known, a.Authenticates)
+	ac.capacity = a.Capacity
+	kind, ok := ac.findSlot(a.Capacity, known, a.Authenticates)
 	if !ok {
-		if c := g.evictable(known); c != nil {
-			g.addrs.release(addr)
-			g.blocks.release(block)
+		if c := ac.evictable(known); c != nil {
+			ac.addrs.release(addr)
+			ac.blocks.release(block)
 			addr.tokens++ // the caller asks again, which takes new tokens
 			block.tokens++
 			return Decision{Outcome: EvictIdle, ID: c.id}
@@ -265,16 +265,16 @@
 		}
 		return refuse(Full, defaultRetryAfter)
 	}
-	g.lastID++
-	c := &conn{id: g.lastID, addr: addr, block: block, rule: rule, kind: kind, known: known}
+	ac.lastID++
+	c := &conn{id: ac.lastID, addr: addr, block: block, rule: rule, kind: kind, known: known}
 	if kind == kindProving {
-		c.authDeadline = now + g.limits.ProveTimeout
-		g.unauthenticated = append(g.unauthenticated, c)
+		c.authDeadline = now + ac.limits.ProveTimeout
+		ac.unauthenticated = append(ac.unauthenticated, c)
 	}
-	g.conns[c.id] = c
-	g.inUse[kind]++
-	g.addrs.retain(addr)
-	g.blocks.retain(block)
+	ac.conns[c.id] = c
+	ac.inUse[kind]++
+	ac.addrs.retain(addr)
+	ac.blocks.retain(block)
 	if rule != nil {
 		rule.open++
 	}
@@ -285,19 +285,19 @@
 const defaultRetryAfter = 1_000_000
 
 // findSlot finds the kind of slot for an arrival.
-func (g *Controller) findSlot(capacity int, known, authenticates bool) (kind int, ok bool) {
-	total := g.inUse[kindGeneral] + g.inUse[kindReserve] + g.inUse[kindProving]
+func (ac *Controller) findSlot(capacity int, known, authenticates bool) (kind int, ok bool) {
+	total := ac.inUse[kindGeneral] + ac.inUse[kindReserve] + ac.inUse[kindProving]
 	if total >= capacity {
 		return 0, false
 	}
-	reserved := min(g.limits.Reserve+g.limits.Proving, capacity)
+	reserved := min(ac.limits.Reserve+ac.limits.Proving, capacity)
 	switch {
-	case g.inUse[kindGeneral] < capacity-reserved:
+	case ac.inUse[kindGeneral] < capacity-reserved:
 		return kindGeneral, true
-	case known && g.inUse[kindReserve] < min(g.limits.Reserve, capacity):
+	case known && ac.inUse[kindReserve] < min(ac.limits.Reserve, capacity):
 		return kindReserve, true
-	case authenticates && !known && g.inUse[kindProving] < g.limits.Proving &&
-		g.inUse[kindGeneral]+g.inUse[kindProving] < capacity-g.limits.Reserve:
+	case authenticates && !known && ac.inUse[kindProving] < ac.limits.Proving &&
+		ac.inUse[kindGeneral]+ac.inUse[kindProving] < capacity-ac.limits.Reserve:
 		return kindProving, true
 	}
 	return 0, false
@@ -305,37 +305,37 @@
 
 // evictable returns the connection to close for an arrival, or nil: the longest idle one of an unknown
 // client, or, for an arrival of a known client, of a known one.
-func (g *Controller) evictable(known bool) *conn {
-	if c := g.idle[0].first; c != nil {
+func (ac *Controller) evictable(known bool) *conn {
+	if c := ac.idle[0].first; c != nil {
 		return c
 	}
 	if known {
-		return g.idle[1].first
+		return ac.idle[1].first
 	}
 	return nil
 }
 
 // Authenticate notes that a connection has proved an identity. known means that the listener's client roots
 // vouch for it. It refuses the connection if the identity has too many open, or the time was over.
-func (g *Controller) Authenticate(now Micros, id uint64, identity string, known bool) Decision {
-	c := g.conns[id]
+func (ac *Controller) Authenticate(now Micros, id uint64, identity string, known bool) Decision {
+	c := ac.conns[id]
 	if c == nil {
 		return Decision{Outcome: Refuse, Reason: Unauthenticated, RetryAfter: defaultRetryAfter}
 	}
 	refuse := func(reason Reason) Decision {
-		g.refused[reason]++
+		ac.refused[reason]++
 		return Decision{Outcome: Refuse, Reason: reason, RetryAfter: defaultRetryAfter}
 	}
 	if c.kind == kindProving && now > c.authDeadline {
 		return refuse(Unauthenticated)
 	}
 	if c.identity == nil && identity != "" {
-		s := g.identities[identity]
+		s := ac.identities[identity]
 		if s == nil {
 			s = &tracked{name: identity}
-			g.identities[identity] = s
+			ac.identities[identity] = s
 		}
-		maxOpen := g.limits.Default.MaxOpen
+		maxOpen := ac.limits.Default.MaxOpen
 		if c.rule != nil {
 			maxOpen = cmp.Or(c.rule.MaxOpen, maxOpen)
 		}
@@ -348,35 +348,35 @@
 	}
 	if known && !c.known {
 		wasIdle := c.idle
-		g.removeIdle(c)
+		ac.removeIdle(c)
 		c.known = true
 		if wasIdle {
-			g.addIdle(c)
+			ac.addIdle(c)
 		}
 	}
 	if c.kind == kindProving {
 		// Its slot was only for authenticating: it now needs one of another kind, or is refused.
-		g.inUse[kindProving]-- // its present slot counts as free for that
-		kind, ok := g.findSlot(g.capacity, c.known, false)
-		g.inUse[kindProving]++
+		ac.inUse[kindProving]-- // its present slot counts as free for that
+		kind, ok := ac.findSlot(ac.capacity, c.known, false)
+		ac.inUse[kindProving]++
 		if !ok {
 			return refuse(Full)
 		}
-		g.changeKind(c, kind)
+		ac.changeKind(c, kind)
 	}
 	return Decision{Outcome: Admit, ID: id}
 }
 
-func (g *Controller) changeKind(c *conn, kind int) {
-	g.inUse[c.kind]--
-	g.inUse[kind]++
+func (ac *Controller) changeKind(c *conn, kind int) {
+	ac.inUse[c.kind]--
+	ac.inUse[kind]++
 	c.kind = kind
-	g.unauthenticated = slices.DeleteFunc(g.unauthenticated, func(x *conn) bool { return x == c })
+	ac.unauthenticated = slices.DeleteFunc(ac.unauthenticated, func(x *conn) bool { return x == c })
 }
 
 // Overdue returns the connections that have not authenticated in time. They must be closed.
-func (g *Controller) Overdue(now Micros) (ids []uint64) {
-	for _, c := range g.unauthenticated {
+func (ac *Controller) Overdue(now Micros) (ids []uint64) {
+	for _, c := range ac.unauthenticated {
 		if now > c.authDeadline {
 			ids = append(ids, c.id)
 		}
@@ -385,41 +385,41 @@
 }
 
 // MarkBusy notes that a connection carries a request. Only idle connections are closed to free a slot.
-func (g *Controller) MarkBusy(id uint64) {
-	if c := g.conns[id]; c != nil {
-		g.removeIdle(c)
+func (ac *Controller) MarkBusy(id uint64) {
+	if c := ac.conns[id]; c != nil {
+		ac.removeIdle(c)
 	}
 }
 
 // MarkIdle notes that a connection carries no request.
-func (g *Controller) MarkIdle(id uint64) {
-	if c := g.conns[id]; c != nil {
-		g.addIdle(c)
+func (ac *Controller) MarkIdle(id uint64) {
+	if c := ac.conns[id]; c != nil {
+		ac.addIdle(c)
 	}
 }
 
 // Remove notes that a connection has ended. Further calls have no effect.
-func (g *Controller) Remove(id uint64) {
-	c := g.conns[id]
+func (ac *Controller) Remove(id uint64) {
+	c := ac.conns[id]
 	if c == nil {
 		return
 	}
-	g.removeIdle(c)
-	delete(g.conns, id)
-	g.inUse[c.kind]--
+	ac.removeIdle(c)
+	delete(ac.conns, id)
+	ac.inUse[c.kind]--
 	if c.kind == kindProving {
-		g.unauthenticated = slices.DeleteFunc(g.unauthenticated, func(x *conn) bool { return x == c })
+		ac.unauthenticated = slices.DeleteFunc(ac.unauthenticated, func(x *conn) bool { return x == c })
 	}
 	c.addr.open--
-	g.addrs.release(c.addr)
+	ac.addrs.release(c.addr)
 	c.block.open--
-	g.blocks.release(c.block)
+	ac.blocks.release(c.block)
 	if c.rule != nil {
 		c.rule.open--
 	}
 	if s := c.identity; s != nil {
 		if s.open--; s.open == 0 {
-			delete(g.identities, s.name)
+			delete(ac.identities, s.name)
 		}
 	}
 }
@@ -427,18 +427,18 @@
 // idleList is a list of idle connections, the longest idle first.
 type idleList struct{ first, last *conn }
 
-func (g *Controller) idleListOf(c *conn) *idleList {
+func (ac *Controller) idleListOf(c *conn) *idleList {
 	if c.known {
-		return &g.idle[1]
+		return &ac.idle[1]
 	}
-	return &g.idle[0]
+	return &ac.idle[0]
 }
 
-func (g *Controller) addIdle(c *conn) {
+func (ac *Controller) addIdle(c *conn) {
 	if c.idle {
 		return
 	}
-	l := g.idleListOf(c)
+	l := ac.idleListOf(c)
 	c.idle, c.prev, c.next = true, l.last, nil
 	if l.last != nil {
 		l.last.next = c
@@ -448,11 +448,11 @@
 	l.last = c
 }
 
-func (g *Controller) removeIdle(c *conn) {
+func (ac *Controller) removeIdle(c *conn) {
 	if !c.idle {
 		return
 	}
-	l := g.idleListOf(c)
+	l := ac.idleListOf(c)
 	if c.prev != nil {
 		c.prev.next = c.next
 	} else {
@@ -533,28 +533,28 @@
 }
 
 // override returns the ban or pin that applies to an address, or nil.
-func (g *Controller) override(now Micros, a netip.Addr) *override {
+func (ac *Controller) override(now Micros, a netip.Addr) *override {
 	for {
-		h := g.overrides.Find(a)
+		h := ac.overrides.Find(a)
 		if h == nil || now < h.until {
 			return h
 		}
-		g.overrides.Put(h.prefix, nil)
+		ac.overrides.Put(h.prefix, nil)
 	}
 }
 
 // Ban refuses connections from a prefix until a time.
-func (g *Controller) Ban(p netip.Prefix, until Micros) {
-	g.overrides.Put(p, &override{p.Masked(), false, until})
+func (ac *Controller) Ban(p netip.Prefix, until Micros) {
+	ac.overrides.Put(p, &override{p.Masked(), false, until})
 }
 
 // Pin treats clients of a prefix as known until a time.
-func (g *Controller) Pin(p netip.Prefix, until Micros) {
-	g.overrides.Put(p, &override{p.Masked(), true, until})
+func (ac *Controller) Pin(p netip.Prefix, until Micros) {
+	ac.overrides.Put(p, &override{p.Masked(), true, until})
 }
 
 // Lift withdraws the ban or pin of a prefix.
-func (g *Controller) Lift(p netip.Prefix) { g.overrides.Put(p, nil) }
+func (ac *Controller) Lift(p netip.Prefix) { ac.overrides.Put(p, nil) }
 
 // Override is a ban or a pin of a prefix.
 type Override struct {
@@ -564,8 +564,8 @@
 }
 
 // Overrides returns the bans and pins in force.
-func (g *Controller) Overrides(now Micros) (list []Override) {
-	g.overrides.Each(func(h *override) {
+func (ac *Controller) Overrides(now Micros) (list []Override) {
+	ac.overrides.Each(func(h *override) {
 		if now < h.until {
 			list = append(list, Override{h.prefix, h.pinned, h.until})
 		}
@@ -574,8 +574,8 @@
 }
 
 // ConnsIn returns the connections of a prefix. When the prefix is banned, the idle ones are closed.
-func (g *Controller) ConnsIn(p netip.Prefix) (ids []uint64) {
-	for id, c := range g.conns {
+func (ac *Controller) ConnsIn(p netip.Prefix) (ids []uint64) {
+	for id, c := range ac.conns {
 		if p.Contains(c.addr.addr) {
 			ids = append(ids, id)
 		}
@@ -602,15 +602,15 @@
 }
 
 // Stats returns the statistics with the n busiest addresses.
-func (g *Controller) Stats(n int) Stats {
-	f := Stats{General: g.inUse[kindGeneral], Reserve: g.inUse[kindReserve], Proving: g.inUse[kindProving],
-		Addresses: len(g.addrs.byAddr), Forgotten: g.addrs.evicted, Refused: map[string]int64{}}
+func (ac *Controller) Stats(n int) Stats {
+	f := Stats{General: ac.inUse[kindGeneral], Reserve: ac.inUse[kindReserve], Proving: ac.inUse[kindProving],
+		Addresses: len(ac.addrs.byAddr), Forgotten: ac.addrs.evicted, Refused: map[string]int64{}}
 	for r := None + 1; r < reasonCount; r++ {
-		if g.refused[r] > 0 {
-			f.Refused[r.String()] = g.refused[r]
+		if ac.refused[r] > 0 {
+			f.Refused[r.String()] = ac.refused[r]
 		}
 	}
-	for _, s := range g.addrs.byAddr {
+	for _, s := range ac.addrs.byAddr {
 		f.Top = append(f.Top, Top{s.addr.String(), s.open, s.arrivals, s.refused})
 	}
 	slices.SortFunc(f.Top, func(a, b Top) int {
