--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -201,7 +201,8 @@
 func (f *Fleet) VerdictsSynced() bool { return f.verdicts.Load().Synced }
 
 // IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
-// alive members, for which it waits at most for wait. The timeout applies to the enforcement here.
+// alive members, for which it waits at most for wait. It fails if the verdict is not enforced here within the
+// longer of timeout and wait.
 func (f *Fleet) IssueVerdict(v verdict.Verdict, timeout, wait time.Duration) (VerdictStatus, error) {
 	startedAt := time.Now()
 	var issued verdict.Verdict
