--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -248,8 +248,8 @@
 	return c
 }
 
-// Cancel cancels an attempt. One that has not started is withdrawn from the queue, otherwise the node is
-// told.
+// Cancel cancels an attempt, and reports whether it has certainly never run. One that has not started is
+// withdrawn from the queue. Otherwise the node is told, where the settings allow it.
 func (n *Nodes) Cancel(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
