--- a/internal/grpcnode/grpcnode_test.go
+++ b/internal/grpcnode/grpcnode_test.go
@@ -218,10 +218,10 @@
 		}
 	})
 	t.Run("left out by GOAWAY", func(t *testing.T) {
-		options := standin.GRPCOptions{GoAwayBefore: second}
-		n := standin.NewGRPCNode(t, options, func(standin.GRPCCall) standin.GRPCReply {
-			return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
-		})
+		n := standin.NewGRPCNode(t, standin.GRPCOptions{GoAwayBefore: second},
+			func(standin.GRPCCall) standin.GRPCReply {
+				return standin.GRPCReply{Text: "v", Delay: 300 * time.Millisecond}
+			})
 		r := newRig(t, testConfig, nil, target(n))
 		first := r.send(10, time.Minute)
 		standin.WaitFor(t, "the first call", func() bool { return len(n.Calls()) == 1 })
