--- a/internal/net/budget.go
+++ b/internal/net/budget.go
@@ -26,7 +26,7 @@
 	return b
 }
 
-// LimitRings bounds the total memory of clients' rings beyond their usual size. It must be called before any
+// LimitRings bounds the total memory of clients' rings beyond freeRingSize. It must be called before any
 // ring is in use.
 func (b *Budget) LimitRings(bytes int) {
 	b.ringMemory.available.Store(int64(min(bytes, ringMemorySize)))
--- a/internal/net/replywriter_test.go
+++ b/internal/net/replywriter_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-// The kernel accepts only two bytes at a time: a reply that is taken over must be complete all the same.
+// The kernel accepts at most two bytes at a time: a reply that is taken over must be complete all the same.
 func TestTakenOverReplyIsComplete(t *testing.T) {
 	var got []byte
 	n := writeAll([]byte("reply"), func(b []byte) (int, error) {
