--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,9 +1,10 @@
 package balance
 
-// The decisions of a co-ordinator. api.go in this folder is the interface: read it first.
+// The decisions of a coordinator. The interface is in api.go; read that first.
 //
-// Step books what happened and then advances every open query in order of arrival. Everything follows from
-// the settings, the seed and the events: no clock, no goroutine, nothing ordered by a map.
+// Step records the events and then advances every open query in order of arrival. Decisions depend only on
+// the settings, the seed and the events: there is no clock and no goroutine, and no result depends on the
+// iteration order of a map.
 
 import (
 	"math"
@@ -11,102 +12,108 @@
 	"slices"
 )
 
-// How long a failed call for the list is waited with, in us: at first, and after many failures. What was
-// missed counts as told after 6 s, however the calls ended; the host's own limits on a call come on top.
+// Delay before a failed list call is retried, in us: the initial value and the maximum of its exponential
+// back-off. Missed changes count as announced after 6 s, however the calls ended; the host's own time limit
+// of a call adds to these delays.
 const (
-	AskAgain Micros = 1_000_000
-	AskMost  Micros = 4_000_000
+	ListRetryDelay    Micros = 1_000_000
+	MaxListRetryDelay Micros = 4_000_000
 )
 
 // Tuned constants.
 const (
-	// Weights, as the design has them.
-	minWeight, midWeight, maxWeight = 1.0, 50.0, 100.0
-	weightStep                      = 5.0        // gained by a success, lost x the multipliers below
-	halfLife                        = 10_000_000 // us in which half of a weight's distance to the middle goes
-	lossTimeout, lossError          = 1.0, 2.0   // multipliers of a lost step
-	lossRefused, lossBusy           = 3.0, 0.2
+	// Replica weights.
+	minWeight, midWeight, maxWeight  = 1.0, 50.0, 100.0
+	weightStep                       = 5.0        // gain per success; a failure costs this times its penalty
+	weightHalfLife                   = 10_000_000 // us, half-life of a weight's distance to midWeight
+	timeoutPenalty, errorPenalty     = 1.0, 2.0   // multiples of weightStep
+	noConnectionPenalty, busyPenalty = 3.0, 0.2
 
-	// Time per part, and what goes by it.
-	speedLife      = 4_000_000 // us in which half of what was seen of a replica's speed is forgotten
-	fewPeers       = 4.0       // of more peers, what all have seen comes faster, ages faster and counts more
-	ownTrust       = 3.0       // own outcomes count as so many seen by others
-	classTrust     = 1.0       // and those of the class itself so many times more
-	peerTrust      = 3.0       // what messages have mixed counts as so many, and less the more is seen here
-	lostTime       = 0.5       // share of the shortest aim that a part without an answer counts as
-	hotShare       = 1.3       // times the share, of the time to the aim, for the slowest needed part
-	firstCost      = 0.1       // share of the shortest aim that a part is taken to need at first
-	pacePrior      = 3.0       // the mean of all replicas starts as if from so many parts
-	paceParts      = 30.0      // parts over which the share of lost ones is taken
-	speedPower     = 4.0       // the draw goes by weight over time per part to this power
-	capShare       = 0.25      // share of the shortest aim that a replica may need for what we have out there
-	minCap, maxCap = 0, 16
-	joinShare      = 0.5     // share of the shortest aim that a call may take, for a part to join it
-	crossChance    = 0.25    // of a replica in another zone, in the draw, where crossing has a price
-	callPower      = 2.0     // the draw goes by the parts that could share a call to this power
-	tellGap        = 250_000 // us between messages to a peer drawn at random
-	maxHeard       = 8.0     // a replica's tally from messages is cut to so many parts
-	workGain       = 0.2     // EWMA gain of the parts that a query of a class needs
+	// Latency per part, and the decisions based on it. Plain samples have a weight of 1.
+	latencyHalfLife    = 4_000_000 // us, half-life of samples
+	smallFleet         = 4.0       // peers; with more, shared samples spread and decay faster and weigh more
+	ownSampleWeight    = 3.0       // of this instance's samples
+	classSampleWeight  = 1.0       // multiple of that in addition, for samples of the same class
+	peerSampleWeight   = 3.0       // of shared samples, divided by 1 + the number of own ones
+	lostPartLatency    = 0.5       // share of the shortest aim, recorded for a part without an answer
+	hotShardFactor     = 1.3       // multiple of the admitted share for the slowest required part
+	initialLatency     = 0.1       // share of the shortest aim, assumed for a part before any sample
+	priorSamples       = 3.0       // weight of the initial value in a mean
+	ewmaParts          = 30.0      // parts over which shares and means are smoothed
+	latencyExponent    = 4.0       // draw weights are proportional to 1 / latency to this power
+	slotLatencyShare   = 0.25      // share of the shortest aim that our open calls at a replica may need
+	minSlots, maxSlots = 0, 16     // bounds of the number of those calls
+	joinLatencyShare   = 0.5       // share of the shortest aim that a call may take if more parts join it
+	crossZoneFactor    = 0.25      // on the draw weight of a replica in another zone, if crossing has a cost
+	sharedCallExponent = 2.0       // draw weights grow with the parts that could share a call, to this power
+	gossipInterval     = 250_000   // us between messages, each to a randomly chosen peer
+	maxPeerSamples     = 8.0       // bounds the number of shared samples of a replica
+	workGain           = 0.2       // EWMA gain of the number of parts per query of a class
 
 	// Hedging.
-	firstDelayShare = 0.25      // the delay starts at this share of the aim
-	delayQuantile   = 0.95      // and then tracks this quantile of the class's part latency
-	quantileGain    = 0.1       // relative step of the quantile tracker
-	maxDelayShare   = 0.5       // the delay stays within this share of the aim
-	maxInFlight     = 3         // attempts of one part at a time
-	copyShare       = 0.1       // copies stay under this share of recent parts
-	lateCopyShare   = 0.2       // and those of overdue parts with them under this one
-	copySpare       = 1.0       // and this many more, so that a quiet instance may copy at all
-	copySpan        = 5_000_000 // us that count as recent, where no span is told
-	overdueFactor   = 2.5       // an attempt older than this x the delay counts as a time-out at once
-	overdueShare    = 0.6       // or older than this share of the aim
+	initialHedgeDelay   = 0.25      // share of the aim; from there on
+	hedgeQuantile       = 0.95      // the hedge delay tracks this quantile of the class's part latency
+	quantileStep        = 0.1       // relative step of the quantile tracker
+	maxHedgeDelay       = 0.5       // share of the aim
+	maxParallelAttempts = 3         // attempts of one part in flight
+	hedgeShare          = 0.1       // hedged attempts per recent query or part,
+	overdueHedgeShare   = 0.2       // and if the last attempt is overdue,
+	spareHedges         = 1.0       // plus this number, so that an instance with little traffic can hedge
+	defaultHedgeSpan    = 5_000_000 // us that count as recent if the settings give no ResendSpan
+	overdueFactor       = 2.5       // hedge delays after which an attempt is overdue and counts as timed out,
+	overdueShare        = 0.6       // or share of the aim, whichever is shorter
 
-	// Admission, by the time that parts are expected to take.
-	admitShare, admitAlone = 0.45, 0.25 // the share, and what comes on top while few peers hide what waits
-	admitPeers             = 3.0        // with so many; with more it shrinks
-	admitLeast             = 0.55       // of the share is left for work of no worth
-	admitTail              = 2.6        // times the share, of the time to the aim, for the last needed part
-	hopeShare              = 1.0        // of the time to the aim that a part may be expected to take
-	vainParts              = 60.0       // parts over which the share of those sent in vain is taken
-	vainCut, vainMost      = 3.0, 0.5   // times that share comes off the admitted one, and at the most
-	proveAfter             = 3_000_000  // us of refusals alone; then one query is let in to see (page: 4 s)
-	admitQuantile          = 0.8        // of the needed parts: of few the slowest, of many not the odd one
-	overPart, farOver      = 1.2, 1.8   // times its part of the quotas that a tenant has of the traffic here
-	quotaLeast             = 8.0        // queries of a tenant that tell of its part
-	quotaSpan              = 5_000_000  // us over which a tenant's rate is measured against its quota
+	// Admission, by the expected latency of the parts. The admitted share is the share of the aim that the
+	// required parts may take: admitShare, plus smallFleetAdmitShare with up to smallFleetAdmitPeers peers
+	// and less with more, because the waiting work of many peers is not visible here.
+	admitShare, smallFleetAdmitShare  = 0.45, 0.25
+	smallFleetAdmitPeers              = 3.0
+	minAdmitShare                     = 0.55      // part of the admitted share left for queries without worth
+	tailAllowance                     = 2.6       // multiple of the admitted share for the last required part
+	maxWaitShare                      = 1.0       // share of the time to the aim that a part may take
+	rejectedEWMAParts                 = 60.0      // parts over which the share of rejected ones is smoothed
+	rejectedCut, maxRejectedCut       = 3.0, 0.5  // multiple of that cut from the admitted share; maximum cut
+	trialInterval                     = 3_000_000 // us of refusing all before a trial; documented as 4 s
+	admitQuantile                     = 0.8       // of the required parts: one outlier of many is ignored
+	overQuotaRatio, farOverQuotaRatio = 1.2, 1.8  // share of local traffic / share of quotas, see overQuota
+	minQuotaQueries                   = 8.0       // queries of a tenant that make farOverQuotaRatio apply
+	quotaSpan                         = 5_000_000 // us over which a tenant's rate is compared with its quota
 
 	// Cold replicas.
-	leastCold   = 1e-6       // parts a us from all peers, times the cold share, where nothing is known
-	coldBoost   = 1.0        // share of what the told multiple leaves above 1 that a cold replica may get
-	coldBurst   = 0.6        // share of what the told multiple leaves above the rate that may be saved up
-	gaugeSpan   = 2_000_000  // us over which served parts are counted, at the least
-	gaugeParts  = 64.0       // of fewer, among many peers, the count goes on, less what is chance:
-	gaugeMost   = 8.0        // the largest of small counts is over what is carried; spans at most
-	gaugeCrowd  = 2.0        // times a few peers: from there on
-	carriedLife = 60_000_000 // us after which half of what was carried is forgotten
+	minColdRate        = 1e-6       // parts per us of all peers, times the cold share, if unmeasured
+	coldRateBoost      = 1.0        // share of FallMultiple - 1 by which a cold replica's share is exceeded
+	coldBurst          = 0.6        // tokens that may accumulate, over (FallMultiple - 1) x rate x FallSpan
+	capacitySpan       = 2_000_000  // us over which served parts are counted, at least
+	minCapacityParts   = 64.0       // with fewer, large fleets count on and deduct the standard error:
+	maxCapacitySpans   = 8.0        // the maximum of small counts is biased upwards; limit of spans
+	capacityFleetScale = 2.0        // fleet scale from which this applies, see updateEvidenceScale
+	capacityHalfLife   = 60_000_000 // us, half-life of the measured capacity
 
-	// Idle connections.
-	staleAfter = 300_000    // us without use after which a connection counts as idle
-	reapLoss   = 0.05       // losses on idle connections over this share
-	reapTimes  = 2.0        // and so many times those on connections in use tell that idle ones are dropped
-	reapLife   = 10_000_000 // us in which half of that evidence is forgotten
+	// Idle connections. They are considered dropped while idle if the share of lost sends on them exceeds
+	// idleLossShare plus idleLossRatio times the share lost on connections in use.
+	idleAfter        = 300_000 // us without use
+	idleLossShare    = 0.05
+	idleLossRatio    = 2.0
+	idleLossHalfLife = 10_000_000 // us, half-life of these samples
 
 	// Probes.
-	probeLoss = 0.05      // share of parts without an answer that makes them worth their cost
-	sweepSpan = 3_000_000 // us that one look at all replicas takes
+	probeLossShare = 0.05      // share of unanswered parts above which probes are worth their cost
+	probeRound     = 3_000_000 // us in which all replicas are considered once
 
-	noteSlow, noteWell    = 3.0, 1.5 // times the mean time per part: reported as avoided, as used again
-	sweep                 = 10_000   // us between looks at the open queries
-	advice                = 0.3      // of the shortest aim is the longest advice, half of it the shortest
-	patienceSlack         = 50_000.0 // us that a client's own time may differ from what others wait
-	stepShare, stepDelays = 0.5, 2.0 // of the aim, and hedge delays: the most that is left for a second step
-	aimMargin             = 0.03     // share of the aim kept for the way back to the client
-	tolerance             = 5e-5     // by which a sum of weights may fall short
+	// Multiples of the mean latency at which a replica is reported as avoided and as used again.
+	avoidedRatio, recoveredRatio = 3.0, 1.5
+	scanInterval                 = 10_000   // us between two passes over the open queries
+	maxAdviceShare               = 0.3      // share of the shortest aim; the shortest advice is half of it
+	patienceSlack                = 50_000.0 // us that a first try may wait less than those of other clients
+	// Share of the aim, and number of hedge delays: the most that a first step reserves for the second one.
+	secondStepShare, secondStepDelays = 0.5, 2.0
+	aimMargin                         = 0.03 // share of the aim reserved for the way back to the client
+	weightTolerance                   = 5e-5 // absolute error allowed in a sum of part weights
 )
 
-// New returns an instance that starts now with these settings. The seed must differ between instances.
+// New returns an instance that starts now with the given settings. The seed must differ between instances.
 func New(s Settings, seed uint64) (*Balancer, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
@@ -114,32 +121,32 @@
 		byID: map[ReplicaID]*replica{}, byHash: map[uint32]*replica{},
 		byQuery: map[uint32]*query{}, byNumber: map[float32]*query{}, parts: map[uint32]*part{},
 	}
-	b.adopt(&s)
+	b.applySettings(&s)
 	return b, nil
 }
 
-// Step takes the events of this moment in their order, appends the actions to out and returns it.
+// Step processes the events of this moment in order, appends the resulting actions to out and returns it.
 func (b *Balancer) Step(now Micros, events []Event, out []Action) []Action {
 	b.now, b.out = max(now, b.now), out
 	b.steps++
 	for i := range events {
 		b.handle(&events[i])
 	}
-	if b.s.Subscribe && !b.watching && !b.asked && b.now >= b.askAt {
-		b.asked = true
+	if b.settings.Subscribe && !b.subscribed && !b.listPending && b.now >= b.nextListCall {
+		b.listPending = true
 		b.out = append(b.out, Action{Kind: Watch})
 	}
-	b.gauge()
-	b.tell()
-	b.probe()
+	b.updateCapacity()
+	b.sendGossip()
+	b.sendProbes()
 	for _, q := range b.queries {
 		if !q.ended {
 			b.advance(q)
 		}
 	}
 	b.queries = slices.DeleteFunc(b.queries, func(q *query) bool { return q.ended })
-	if (len(b.queries) > 0 || b.s.Subscribe) && b.wakeAt <= b.now {
-		b.wakeAt = b.now + max(sweep, b.s.Tick)
+	if (len(b.queries) > 0 || b.settings.Subscribe) && b.wakeAt <= b.now {
+		b.wakeAt = b.now + max(scanInterval, b.settings.Tick)
 		b.out = append(b.out, Action{Kind: Wake, After: b.wakeAt - b.now})
 	}
 	out, b.out = b.out, nil
@@ -149,32 +156,32 @@
 func (b *Balancer) handle(e *Event) {
 	switch e.Kind {
 	case Query:
-		b.taken.add(b.now)
-		if e.Class < 0 || e.Class >= len(b.s.Classes) || b.byQuery[e.ID] != nil {
+		b.arrivals.add(b.now)
+		if e.Class < 0 || e.Class >= len(b.settings.Classes) || b.byQuery[e.ID] != nil {
 			return
 		}
-		if e.Tenant >= 0 && e.Tenant < len(b.tenants) {
-			b.tenants[e.Tenant].add(b.now)
+		if e.Tenant >= 0 && e.Tenant < len(b.tenantArrivals) {
+			b.tenantArrivals[e.Tenant].add(b.now)
 		}
 		q := &query{id: e.ID, number: e.Number, class: e.Class, tenant: e.Tenant, deadline: e.Deadline,
-			rules: &b.s.Classes[e.Class], most: b.s.MaxAttempts}
+			rules: &b.settings.Classes[e.Class], maxAttempts: b.settings.MaxAttempts}
 		if e.Rules != nil {
 			q.rules = e.Rules
 		}
-		if e.Most > 0 {
-			q.most = e.Most
+		if e.MaxAttempts > 0 {
+			q.maxAttempts = e.MaxAttempts
 		}
 		c := q.rules
 		q.aim = b.now + Micros((1-aimMargin)*(float64(c.Aim)+c.AimStretch*float64(e.Hint)))
 		q.aim = min(q.aim, e.Deadline)
-		b.age(q, e.Repeat || !b.s.MarksRepeat)
-		b.limit(q)
+		b.detectLateRepeat(q, e.Repeat || !b.settings.MarksRepeat)
+		b.capDeadline(q)
 		b.byQuery[q.id], b.byNumber[q.number] = q, q
 		b.queries = append(b.queries, q)
 	case Part:
-		b.taken.add(b.now)
+		b.arrivals.add(b.now)
 		if q := b.byNumber[e.Number]; q != nil && b.parts[e.ID] == nil {
-			p := &part{id: e.ID, q: q, shard: e.Shard}
+			p := &part{id: e.ID, query: q, shard: e.Shard}
 			if e.Weight > 0 {
 				p.weight = e.Weight
 			}
@@ -183,532 +190,555 @@
 		}
 	case Result:
 		p, i := b.parts[e.ID], e.Attempt
-		if p != nil && i >= 0 && i < len(p.tries) && p.tries[i].live {
-			b.settle(p, &p.tries[i], e)
+		if p != nil && i >= 0 && i < len(p.attempts) && p.attempts[i].pending {
+			b.recordResult(p, &p.attempts[i], e)
 		}
-	case Began:
+	case StreamStarted:
 		if p := b.parts[e.ID]; p != nil {
-			p.q.began = true
+			p.query.streaming = true
 		}
 	case ClientGone:
 		if q := b.byQuery[e.ID]; q != nil {
 			b.end(q)
 		}
 	case List:
-		b.list(e)
+		b.applyList(e)
 	case ProbeResult:
-		b.probeEnd(e)
+		b.recordProbe(e)
 	case Message:
-		b.hear(e.Data)
-	case Changed:
-		if e.Settings.check() == nil && len(e.Settings.Classes) >= len(b.classes) {
-			b.adopt(e.Settings)
+		b.mergeGossip(e.Data)
+	case SettingsChanged:
+		if e.Settings.validate() == nil && len(e.Settings.Classes) >= len(b.classes) {
+			b.applySettings(e.Settings)
 		}
-	case Recalled:
-		b.carried, b.usualSize = e.Memory.Carried, e.Memory.UsualSize
-	case Ending:
-		b.until = max(1, e.Deadline)
+	case Restored:
+		b.warmRate, b.warmSize = e.Memory.Carried, e.Memory.UsualSize
+	case Stopping:
+		b.shutdownAt = max(1, e.Deadline)
 		for _, q := range b.queries {
-			b.limit(q)
+			b.capDeadline(q)
 		}
 	}
 }
 
-// limit keeps a query within the life of an instance that ends: what is not served by then gets its final
-// answer while there is still somebody to give it.
-func (b *Balancer) limit(q *query) {
-	if b.until > 0 {
-		q.deadline, q.aim = min(q.deadline, b.until), min(q.aim, b.until)
+// capDeadline limits the aim and deadline of a query to the shutdown of this instance: a query that is not
+// served by then still gets its final answer while the process exists.
+func (b *Balancer) capDeadline(q *query) {
+	if b.shutdownAt > 0 {
+		q.deadline, q.aim = min(q.deadline, b.shutdownAt), min(q.aim, b.shutdownAt)
 	}
 }
 
-// age finds out whether a query repeats one whose aim has passed, so that it earns its late worth at most.
-// Clients wait the same share of a class's time for each try, or what is left of it: who waits less began
-// earlier.
-func (b *Balancer) age(q *query, repeat bool) {
+// detectLateRepeat finds out whether a query repeats one whose aim has passed, so that it earns at most
+// its late worth. Clients wait the same share of a class's deadline for each try, or what is left of it,
+// so a client that waits less has started earlier.
+func (b *Balancer) detectLateRepeat(q *query, repeat bool) {
 	c := q.rules
 	left := q.deadline - b.now
-	b.patience = min(1, max(b.patience, float64(left)/float64(c.Deadline)))
-	if !repeat || float64(left) > b.patience*float64(c.Deadline)-patienceSlack {
+	b.maxPatience = min(1, max(b.maxPatience, float64(left)/float64(c.Deadline)))
+	if !repeat || float64(left) > b.maxPatience*float64(c.Deadline)-patienceSlack {
 		return
 	}
 	q.late = q.deadline-c.Deadline+c.Aim <= b.now
 }
 
-// list takes in what discovery says of the replicas.
-func (b *Balancer) list(e *Event) {
+// applyList updates the replicas from a List event.
+func (b *Balancer) applyList(e *Event) {
 	if e.Mode != Cached && e.Mode != Local {
-		b.asked = false
-		b.watching = e.Mode != Failed
-		b.askGap = min(2*b.askGap, AskMost) // growing and random: it may be down
-		if b.watching || b.askGap == 0 {
-			b.askGap = AskAgain
+		b.listPending = false
+		b.subscribed = e.Mode != Failed
+		b.listBackoff = min(2*b.listBackoff, MaxListRetryDelay) // back-off with jitter: discovery may be down
+		if b.subscribed || b.listBackoff == 0 {
+			b.listBackoff = ListRetryDelay
 		}
-		if b.s.MustAsk > 0 { // after a failed call four times that may pass
-			b.askGap = min(b.askGap, b.s.MustAsk)
+		if b.settings.MustAsk > 0 { // the rules on drains allow up to four times this after a failed call
+			b.listBackoff = min(b.listBackoff, b.settings.MustAsk)
 		}
-		b.askAt = b.now + b.askGap/2 + b.rng.Int64N(b.askGap/2+1)
+		b.nextListCall = b.now + b.listBackoff/2 + b.rng.Int64N(b.listBackoff/2+1)
 	}
 	if e.Mode == Failed {
 		return
 	}
 	if e.Mode != Delta && e.Mode != Local {
 		for _, r := range b.replicas {
-			r.State = Gone // unless the list names it below
+			r.State = Removed // unless the list contains it, see below
 		}
 	}
-	for _, l := range e.Replicas {
-		if l.Size = min(1e9, l.Size); !(l.Size > 0) { // absent or absurd: no size may break a sum
-			l.Size = 1e-9
+	for _, entry := range e.Replicas {
+		if entry.Size = min(1e9, entry.Size); !(entry.Size > 0) { // sums must stay finite and positive
+			entry.Size = 1e-9
 		}
-		l.Started = min(l.Started, b.now) // a clock ahead of ours means just now
-		r := b.byID[l.ID]
+		entry.Started = min(entry.Started, b.now) // a time in the future, by a clock ahead of ours, means now
+		r := b.byID[entry.ID]
 		if r == nil {
-			r = &replica{classes: make([]tally, len(b.s.Classes))}
-			b.byID[l.ID] = r
+			r = &replica{classLatency: make([]decayingMean, len(b.settings.Classes))}
+			b.byID[entry.ID] = r
 			b.replicas = append(b.replicas, r)
-			b.restart(r, l.Started)
-		} else if l.Started > r.start {
-			b.restart(r, l.Started)
+			b.resetReplica(r, entry.Started)
+		} else if entry.Started > r.startedAt {
+			b.resetReplica(r, entry.Started)
 		}
-		r.Replica = l
+		r.Replica = entry
 	}
 	b.replicas = slices.DeleteFunc(b.replicas, func(r *replica) bool {
-		dead := r.State == Gone && r.calls == 0
-		if dead {
+		unused := r.State == Removed && r.openCalls == 0
+		if unused {
 			delete(b.byID, r.ID)
 		}
-		return dead
+		return unused
 	})
-	b.index()
+	b.reindex()
 }
 
-// restart begins a replica's record anew. What may be sent it while it is cold begins at a random level: many
-// instances that hear of a start together must neither send together at once nor come ripe together later.
-func (b *Balancer) restart(r *replica, at Micros) {
-	r.weight, r.lost, r.down, r.own, r.pool = midWeight, false, false, tally{}, tally{}
-	clear(r.classes)
-	r.start, r.tokens, r.updated, r.refilled = at, b.rng.Float64(), b.now, b.now
+// resetReplica discards what is known of a replica after its restart. Its tokens, which limit the parts it
+// may receive while it is cold, start at a random level: instances that learn of a restart at the same
+// time must neither all send at once nor all accumulate their next token at the same time later.
+func (b *Balancer) resetReplica(r *replica, at Micros) {
+	r.weight, r.unanswered, r.down, r.ownLatency, r.peerLatency =
+		midWeight, false, false, decayingMean{}, decayingMean{}
+	clear(r.classLatency)
+	r.startedAt, r.tokens, r.weightAt, r.refilledAt = at, b.rng.Float64(), b.now, b.now
 }
 
-// saw books the time that a part took at a replica. Where there is no answer it is what it took at the least.
-func (b *Balancer) saw(r *replica, class int, took float64) {
-	b.blame(r, class, took)
-	b.all.decay(b.now, b.life)
-	b.all.add(min(took, b.minAim), 1)
+// recordLatency records the latency of a part at a replica. For a part without an answer it is the time
+// waited so far, a lower bound.
+func (b *Balancer) recordLatency(r *replica, class int, latency float64) {
+	b.recordReplicaLatency(r, class, latency)
+	b.latency.decay(b.now, b.evidenceHalfLife)
+	b.latency.add(min(latency, b.minAim), 1)
 }
 
-// blame books it for the replica alone: what fails at once tells nothing of how long parts take elsewhere.
-func (b *Balancer) blame(r *replica, class int, took float64) {
-	b.fade(r)
-	r.classes[class].add(min(took, b.minAim), 1)
-	r.own.add(min(took, b.minAim), 1)
-	r.pool.add(min(took, b.minAim), 1)
+// recordReplicaLatency records a latency for the replica only, not in the mean of all replicas: immediate
+// failures say nothing about the latency elsewhere.
+func (b *Balancer) recordReplicaLatency(r *replica, class int, latency float64) {
+	b.decayEvidence(r)
+	r.classLatency[class].add(min(latency, b.minAim), 1)
+	r.ownLatency.add(min(latency, b.minAim), 1)
+	r.peerLatency.add(min(latency, b.minAim), 1)
 }
 
-// pace is the mean time per part. Without news it fades: what keeps an instance from sending must not last.
-func (b *Balancer) pace() float64 {
-	b.all.decay(b.now, b.life)
-	return (b.all.sum + pacePrior*firstCost*b.minAim) / (b.all.n + pacePrior)
+// meanLatency returns the mean latency per part over all replicas. Without new samples it decays towards
+// its initial value, because a value that keeps an instance from sending must not persist.
+func (b *Balancer) meanLatency() float64 {
+	b.latency.decay(b.now, b.evidenceHalfLife)
+	return (b.latency.sum + priorSamples*initialLatency*b.minAim) / (b.latency.n + priorSamples)
 }
 
-// mix finds how old evidence may get, and for how many instances' evidence a peer's message stands. Of many
-// instances each meets a replica seldom, but together they meet it often: evidence ages as fast as messages
-// spread it to all of them, and what a message says counts by how many are mixed in it. Where there are so
-// many replicas that messages are no faster than forgetting they bring no news, and all would act on the past
-// together.
-func (b *Balancer) mix() {
-	peers := max(1, float64(b.s.Peers))
-	turn := tellGap * max(1, float64(len(b.replicas))*entrySize/maxMessage) // between messages on one replica
-	b.crowd = max(1, peers/fewPeers)
-	b.life = min(speedLife, max(speedLife/b.crowd, turn*math.Log2(peers)))
-	if b.heed = 1; b.life < speedLife {
-		b.heed = max(1, min(peers, math.Exp2(b.life/turn))/fewPeers)
+// updateEvidenceScale sets the half-life of latency samples, and how many instances' samples a peer's
+// message represents. In a large fleet each instance uses a replica rarely, but together they use it
+// often: samples decay as fast as messages spread them to all instances, and a message weighs by the
+// number of instances mixed into it. With so many replicas that messages spread no faster than samples
+// decay, messages carry no news, and all instances would act together on outdated samples; they then weigh
+// as in a small fleet.
+func (b *Balancer) updateEvidenceScale() {
+	peers := max(1, float64(b.settings.Peers))
+	// Interval between two messages about one replica.
+	interval := gossipInterval * max(1, float64(len(b.replicas))*entrySize/maxMessageSize)
+	b.fleetScale = max(1, peers/smallFleet)
+	b.evidenceHalfLife = min(latencyHalfLife, max(latencyHalfLife/b.fleetScale, interval*math.Log2(peers)))
+	if b.gossipScale = 1; b.evidenceHalfLife < latencyHalfLife {
+		b.gossipScale = max(1, min(peers, math.Exp2(b.evidenceHalfLife/interval))/smallFleet)
 	}
 }
 
-// fade forgets with time what was seen of a replica.
-func (b *Balancer) fade(r *replica) {
-	r.own.decay(b.now, b.life)
-	r.pool.decay(b.now, b.life)
-	for i := range r.classes {
-		r.classes[i].decay(b.now, b.life)
+// decayEvidence decays the latency samples of a replica to the present.
+func (b *Balancer) decayEvidence(r *replica) {
+	r.ownLatency.decay(b.now, b.evidenceHalfLife)
+	r.peerLatency.decay(b.now, b.evidenceHalfLife)
+	for i := range r.classLatency {
+		r.classLatency[i].decay(b.now, b.evidenceHalfLife)
 	}
 }
 
-// expect is the time that a part of a class is expected to take at a replica, waiting included. Own outcomes
-// outrank all else, and those of the class the others: one may be left unanswered while others are served. Of
-// many instances each meets a replica seldom, and its own evidence is old: what they have seen together
-// counts by how many of them it stands for.
-func (b *Balancer) expect(r *replica, class int) float64 {
-	b.fade(r)
-	heed, c := b.heed*peerTrust/(1+r.own.n), r.classes[class]
-	return (b.pace() + ownTrust*(r.own.sum+classTrust*c.sum) + heed*r.pool.sum) /
-		(1 + ownTrust*(r.own.n+classTrust*c.n) + heed*r.pool.n)
+// expectedLatency returns the expected latency of a part of a class at a replica, queueing included. Own
+// samples outweigh all others, and own samples of the class outweigh those of other classes: a replica may
+// serve some classes and leave another unanswered. In a large fleet own samples are few and old, so the
+// samples shared by peers weigh by the number of instances that they represent.
+func (b *Balancer) expectedLatency(r *replica, class int) float64 {
+	b.decayEvidence(r)
+	peerWeight, c := b.gossipScale*peerSampleWeight/(1+r.ownLatency.n), r.classLatency[class]
+	return (b.meanLatency() + ownSampleWeight*(r.ownLatency.sum+classSampleWeight*c.sum) +
+		peerWeight*r.peerLatency.sum) /
+		(1 + ownSampleWeight*(r.ownLatency.n+classSampleWeight*c.n) + peerWeight*r.peerLatency.n)
 }
 
-// probe looks at replicas that we have seen little of lately, while a good share of our parts gets no answer.
-// The fault may lie between us and some of them, and peers' experience then misleads.
-func (b *Balancer) probe() {
-	if !b.s.CanProbe || b.now < b.probeAt || b.lossShare < probeLoss || len(b.replicas) == 0 {
+// sendProbes probes replicas with few recent own samples while a significant share of our parts gets no
+// answer. The fault may be on the path between this instance and some replicas, in which case the peers'
+// samples are misleading.
+func (b *Balancer) sendProbes() {
+	if !b.settings.CanProbe || b.now < b.nextProbe || b.lossShare < probeLossShare || len(b.replicas) == 0 {
 		return
 	}
-	due := int(min(b.now-b.probeAt, sweepSpan/4)*Micros(len(b.replicas))/sweepSpan) + 1
+	due := int(min(b.now-b.nextProbe, probeRound/4)*Micros(len(b.replicas))/probeRound) + 1
 	for ; due > 0; due-- {
-		b.probeNext = (b.probeNext + 1) % len(b.replicas)
-		r := b.replicas[b.probeNext]
-		if b.fade(r); r.State == Ready && r.own.n < 1 {
+		b.probeCursor = (b.probeCursor + 1) % len(b.replicas)
+		r := b.replicas[b.probeCursor]
+		if b.decayEvidence(r); r.State == Ready && r.ownLatency.n < 1 {
 			b.out = append(b.out, Action{Kind: Probe, Replica: r.ID})
 		}
 	}
-	b.probeAt = b.now + sweepSpan/Micros(len(b.replicas))
+	b.nextProbe = b.now + probeRound/Micros(len(b.replicas))
 }
 
-// probeEnd books a probe. A pass counts as what it took, at least as a part that did not wait, and as nothing
-// against parts that went unanswered: it may tell of the path only.
-func (b *Balancer) probeEnd(e *Event) {
+// recordProbe records the result of a probe. A success counts as a sample of its duration, at least that
+// of a part without queueing. It is ignored if the last part decided there went unanswered, because it may
+// show only that the path works.
+func (b *Balancer) recordProbe(e *Event) {
 	r := b.byID[e.Replica]
 	if r == nil {
 		return
 	}
-	b.fade(r)
+	b.decayEvidence(r)
 	switch {
-	case e.Outcome == Spoilt:
+	case e.Outcome == Malformed:
 	case e.Outcome != OK:
-		r.own.add(lostTime*b.minAim, 1)
-	case !r.lost:
-		r.own.add(max(firstCost*b.minAim, float64(e.Elapsed)), 1)
+		r.ownLatency.add(lostPartLatency*b.minAim, 1)
+	case !r.unanswered:
+		r.ownLatency.add(max(initialLatency*b.minAim, float64(e.Elapsed)), 1)
 	}
 }
 
-// tell gives half of the tally of some replicas to a peer drawn at random. That mixes until every instance
-// holds about the mean of what all have seen; a lost message takes weight from all alike, so the mean stands.
-func (b *Balancer) tell() {
-	if !b.s.CanTell || b.s.Peers < 2 || len(b.replicas) == 0 || b.now < b.tellAt {
+// sendGossip sends half of the sample weight of some replicas to a randomly chosen peer. This averages
+// until every instance holds about the mean of all samples. A lost message removes weight from all samples
+// in it alike, so the mean is unaffected.
+func (b *Balancer) sendGossip() {
+	if !b.settings.CanTell || b.settings.Peers < 2 || len(b.replicas) == 0 || b.now < b.nextGossip {
 		return
 	}
-	b.tellAt = b.now + tellGap
-	m := message{most: b.s.TellMost}
+	b.nextGossip = b.now + gossipInterval
+	m := message{limit: b.settings.TellMost}
 	for range b.replicas {
-		b.tellNext = (b.tellNext + 1) % len(b.replicas)
-		r := b.replicas[b.tellNext]
-		b.fade(r)
-		if b.byHash[hash(r.ID)] == r && m.add(hash(r.ID), r.pool.sum/r.pool.n, r.pool.n/2) {
-			r.pool.sum, r.pool.n = r.pool.sum/2, r.pool.n/2
+		b.gossipCursor = (b.gossipCursor + 1) % len(b.replicas)
+		r := b.replicas[b.gossipCursor]
+		b.decayEvidence(r)
+		if b.byHash[replicaHash(r.ID)] == r &&
+			m.add(replicaHash(r.ID), r.peerLatency.sum/r.peerLatency.n, r.peerLatency.n/2) {
+			r.peerLatency.sum, r.peerLatency.n = r.peerLatency.sum/2, r.peerLatency.n/2
 		}
 		if m.full() {
 			break
 		}
 	}
-	if text := m.text(); text != "" {
-		to := b.rng.IntN(b.s.Peers - 1)
-		if to >= b.s.Number {
+	if text := m.encode(); text != "" {
+		to := b.rng.IntN(b.settings.Peers - 1)
+		if to >= b.settings.Number {
 			to++
 		}
 		b.out = append(b.out, Action{Kind: Tell, To: uint32(to), Text: text})
 	}
 }
 
-// hear takes in a peer's message. Whatever it says is bounded, and own outcomes outrank it.
-func (b *Balancer) hear(data []byte) {
-	entries(data, func(h uint32, took, n float64) {
-		if r := b.byHash[h]; r != nil {
-			b.fade(r)
-			r.pool.add(min(b.minAim, took), n)
-			if over := r.pool.n / maxHeard; over > 1 {
-				r.pool.sum, r.pool.n = r.pool.sum/over, r.pool.n/over
+// mergeGossip adds a peer's message to the shared samples. Values and weights are bounded, and own samples
+// outweigh them.
+func (b *Balancer) mergeGossip(data []byte) {
+	forEachEntry(data, func(hash uint32, latency, n float64) {
+		if r := b.byHash[hash]; r != nil {
+			b.decayEvidence(r)
+			r.peerLatency.add(min(b.minAim, latency), n)
+			if excess := r.peerLatency.n / maxPeerSamples; excess > 1 {
+				r.peerLatency.sum, r.peerLatency.n = r.peerLatency.sum/excess, r.peerLatency.n/excess
 			}
 		}
 	})
 }
 
-// chance is a replica's part in the draw: the design's weight, times listed size, over its expected time. It
-// grows with the parts that could share a call there, where calls cost, and falls for other zones, where
-// crossing does.
-func (b *Balancer) chance(r *replica, class int) float64 {
-	c := r.weight * r.Size * math.Pow(b.minAim/max(b.expect(r, class), 1), speedPower)
-	if r.Zone != b.s.Zone && b.s.CrossCost > 0 {
-		c *= crossChance
+// drawWeight returns the weight of a replica in the random draw: its replica weight times its listed size,
+// divided by a power of its expected latency. It grows with the number of parts that could share a call
+// there if calls have a cost, and is reduced for other zones if crossing has a cost.
+func (b *Balancer) drawWeight(r *replica, class int) float64 {
+	c := r.weight * r.Size * math.Pow(b.minAim/max(b.expectedLatency(r, class), 1), latencyExponent)
+	if r.Zone != b.settings.Zone && b.settings.CrossCost > 0 {
+		c *= crossZoneFactor
 	}
-	if b.s.CallCost > 0 && r.wantedAt == b.steps {
-		c *= math.Pow(float64(max(1, min(r.wanted, b.s.BatchMax))), callPower)
+	if b.settings.CallCost > 0 && r.wantedStep == b.steps {
+		c *= math.Pow(float64(max(1, min(r.wantedParts, b.settings.BatchMax))), sharedCallExponent)
 	}
 	return c
 }
 
-// reaped tells that connections are dropped unseen while idle: what is sent on an idle one is lost far more
-// often than on one in use. That is no replica's fault, and closing it before a send opens a sound one. It
-// costs handshakes for a while where a silent replica merely happens to be met on idle connections.
-func (b *Balancer) reaped() bool {
-	b.idle.decay(b.now, reapLife)
-	b.busy.decay(b.now, reapLife)
-	rate := func(t *tally) float64 { return t.sum / (t.n + pacePrior) }
-	return rate(&b.idle) > reapLoss+reapTimes*rate(&b.busy)
+// idleDropsDetected reports whether connections are silently dropped while idle: sends on idle connections
+// are lost far more often than sends on connections in use. The replica is not at fault, and closing the
+// idle connection before a send opens a working one. If a silent replica is merely met on idle connections
+// more often, this costs unnecessary handshakes for a while.
+func (b *Balancer) idleDropsDetected() bool {
+	b.idleLoss.decay(b.now, idleLossHalfLife)
+	b.busyLoss.decay(b.now, idleLossHalfLife)
+	rate := func(t *decayingMean) float64 { return t.sum / (t.n + priorSamples) }
+	return rate(&b.idleLoss) > idleLossShare+idleLossRatio*rate(&b.busyLoss)
 }
 
-// reaps books whether an attempt was lost, and tells whether the connection is to blame for it.
-func (b *Balancer) reaps(t *attempt, lost float64) bool {
-	blame := b.reaped() && t.stale
-	if t.stale {
-		b.idle.add(lost, 1)
+// recordConnLoss records whether an attempt was lost (1) or not (0), and reports whether the connection
+// rather than the replica is to blame for a loss.
+func (b *Balancer) recordConnLoss(t *attempt, lost float64) bool {
+	connBlamed := b.idleDropsDetected() && t.onIdleConn
+	if t.onIdleConn {
+		b.idleLoss.add(lost, 1)
 	} else {
-		b.busy.add(lost, 1)
+		b.busyLoss.add(lost, 1)
 	}
-	return blame
+	return connBlamed
 }
 
-// settle books the end of an attempt.
-func (b *Balancer) settle(p *part, t *attempt, e *Event) {
+// recordResult records the end of an attempt.
+func (b *Balancer) recordResult(p *part, t *attempt, e *Event) {
 	b.release(p, t)
-	r, c := t.r, &b.classes[p.q.class]
+	r, c := t.replica, &b.classes[p.query.class]
 	if e.Outcome != Cancelled && e.Outcome != TimedOut {
-		r.used = b.now
+		r.lastUsed = b.now
 	}
 	age := float64(b.now - t.sent)
 	switch e.Outcome {
 	case OK:
-		b.vain -= b.vain / vainParts
-	case Error, Busy, Spoilt: // silence takes no room that others could have
-		b.vain += (1 - b.vain) / vainParts
+		b.rejectedShare -= b.rejectedShare / rejectedEWMAParts
+	case Error, Busy, Malformed: // time-outs are left out: an unanswered part takes no capacity from others
+		b.rejectedShare += (1 - b.rejectedShare) / rejectedEWMAParts
 	}
 	switch e.Outcome {
 	case OK:
-		if r.down && t.sent >= r.since { // back before the list says so; a full connection table looks alike
-			b.restart(r, b.now)
+		// Restarted before the list says so. A full connection table at the replica looks the same.
+		if r.down && t.sent >= r.downAt {
+			b.resetReplica(r, b.now)
 		}
-		if !b.cold(r) {
-			b.served++
+		if !b.isCold(r) {
+			b.warmServed++
 		}
-		if age > c.delay { // the delay follows a quantile of the class's part latency
-			c.delay *= 1 + quantileGain*delayQuantile
+		if age > c.hedgeDelay { // the hedge delay tracks a quantile of the class's part latency
+			c.hedgeDelay *= 1 + quantileStep*hedgeQuantile
 		} else {
-			c.delay *= 1 - quantileGain*(1-delayQuantile)
+			c.hedgeDelay *= 1 - quantileStep*(1-hedgeQuantile)
 		}
-		c.delay = min(c.delay, maxDelayShare*float64(p.q.rules.Aim))
-		b.saw(r, p.q.class, age/t.load())
-		b.beside += (float64(t.call.sent-1) - b.beside) / paceParts
+		c.hedgeDelay = min(c.hedgeDelay, maxHedgeDelay*float64(p.query.rules.Aim))
+		b.recordLatency(r, p.query.class, age/t.load())
+		b.otherCallParts += (float64(t.call.sent-1) - b.otherCallParts) / ewmaParts
 		if !t.overdue {
-			b.reaps(t, 0)
-			b.lossShare -= b.lossShare / paceParts
-			r.lost = false
-			b.adjust(r, weightStep)
+			b.recordConnLoss(t, 0)
+			b.lossShare -= b.lossShare / ewmaParts
+			r.unanswered = false
+			b.adjustWeight(r, weightStep)
 		}
 	case Cancelled:
-		if age > b.expect(r, p.q.class) { // the other copy was faster, and this one is slow
-			b.saw(r, p.q.class, age/t.load())
+		if age > b.expectedLatency(r, p.query.class) { // slower than the other attempt and than expected
+			b.recordLatency(r, p.query.class, age/t.load())
 		}
 	case Error, Reset:
-		if e.Outcome == Reset && b.reaps(t, 1) {
+		if e.Outcome == Reset && b.recordConnLoss(t, 1) {
 			break
 		}
-		b.blame(r, p.q.class, lostTime*b.minAim)
-		b.adjust(r, -weightStep*lossError)
-	case Spoilt: // tells nothing of how fast it is: of a replica that only ever spoils the weight takes care
-		b.adjust(r, -weightStep*lossTimeout)
+		b.recordReplicaLatency(r, p.query.class, lostPartLatency*b.minAim)
+		b.adjustWeight(r, -weightStep*errorPenalty)
+	case Malformed: // no latency sample; the weight drops for a replica that only sends malformed answers
+		b.adjustWeight(r, -weightStep*timeoutPenalty)
 	case TimedOut:
 		if !t.overdue {
-			b.adjust(r, -weightStep*lossTimeout)
+			b.adjustWeight(r, -weightStep*timeoutPenalty)
 		}
 	case NoConnection:
-		b.blame(r, p.q.class, lostTime*b.minAim)
-		if b.s.DialTimeout <= 0 || b.now-t.sent < b.s.DialTimeout { // refused, so its process is not there
-			r.down, r.since = true, b.now
+		b.recordReplicaLatency(r, p.query.class, lostPartLatency*b.minAim)
+		// Refused rather than timed out: the process is not running.
+		if b.settings.DialTimeout <= 0 || b.now-t.sent < b.settings.DialTimeout {
+			r.down, r.downAt = true, b.now
 		}
-		b.adjust(r, -weightStep*lossRefused)
-	case Busy: // its queue is full: what we send now would wait behind all of that
-		b.saw(r, p.q.class, b.minAim)
-		r.pool.add(b.minAim, 1/b.crowd-1) // all peers meet the same queue at the same moment
-		b.adjust(r, -weightStep*lossBusy)
+		b.adjustWeight(r, -weightStep*noConnectionPenalty)
+	case Busy: // its queue is full: a part sent now would wait behind all of it
+		b.recordLatency(r, p.query.class, b.minAim)
+		r.peerLatency.add(b.minAim, 1/b.fleetScale-1) // all peers see the same full queue at once: 1 in total
+		b.adjustWeight(r, -weightStep*busyPenalty)
 	}
-	if t.never = e.Outcome == Busy || e.Outcome == NoConnection || e.Outcome == NotSent; t.never {
-		p.recount()
+	if t.neverRan = e.Outcome == Busy || e.Outcome == NoConnection || e.Outcome == NotSent; t.neverRan {
+		p.updateFirstRun()
 	}
-	if p.q.ended || p.done {
+	if p.query.ended || p.done {
 		return
 	}
 	if e.Outcome == OK {
 		p.done = true
-		p.q.got += p.weight
-		p.q.in++
-		b.drop(p)
+		p.query.receivedWeight += p.weight
+		p.query.receivedParts++
+		b.cancelAttempts(p)
 	}
 }
 
-// drop withdraws the attempts of a part that are still out: the first success cancels the others.
-func (b *Balancer) drop(p *part) {
-	for i := range p.tries {
-		if p.tries[i].live && b.s.CanCancel {
+// cancelAttempts cancels the attempts of a part that are still in flight.
+func (b *Balancer) cancelAttempts(p *part) {
+	for i := range p.attempts {
+		if p.attempts[i].pending && b.settings.CanCancel {
 			b.out = append(b.out, Action{Kind: Cancel, ID: p.id, Attempt: i})
 		}
 	}
 }
 
-// adjust decays a replica's weight toward the middle and then changes it.
-func (b *Balancer) adjust(r *replica, by float64) {
-	keep := math.Exp2(-float64(b.now-r.updated) / halfLife)
+// adjustWeight decays a replica's weight towards midWeight and then changes it.
+func (b *Balancer) adjustWeight(r *replica, by float64) {
+	keep := math.Exp2(-float64(b.now-r.weightAt) / weightHalfLife)
 	r.weight = midWeight + (r.weight-midWeight)*keep
 	r.weight = min(maxWeight, max(minWeight, r.weight+by))
-	r.updated = b.now
+	r.weightAt = b.now
 }
 
-// slots is the cap on our calls at a replica: what it has lately done in a share of the shortest aim.
-func (b *Balancer) slots(r *replica, class int) int {
-	return int(min(maxCap, max(minCap, capShare*b.minAim/max(b.expect(r, class), 1))))
+// slotLimit returns the maximum number of open calls to a replica: the number of parts that it is expected
+// to serve in slotLatencyShare of the shortest aim.
+func (b *Balancer) slotLimit(r *replica, class int) int {
+	return int(min(maxSlots, max(minSlots, slotLatencyShare*b.minAim/max(b.expectedLatency(r, class), 1))))
 }
 
-// shares returns what a whole answer and any answer need in the present step.
-func (b *Balancer) shares(q *query) (need, floor float64) {
+// thresholds returns the weight required for a complete answer and for any answer in the current step.
+func (b *Balancer) thresholds(q *query) (need, floor float64) {
 	c := q.rules
 	need, floor = c.Need, c.Floor
-	if q.second {
+	if q.inSecondStep {
 		if floor >= need {
 			floor = 1
 		}
 		need = 1
 	}
-	return need - tolerance, floor - tolerance
+	return need - weightTolerance, floor - weightTolerance
 }
 
-// answer gives the answer of this step.
+// answer answers the current step of a query.
 func (b *Balancer) answer(q *query) {
-	need, _ := b.shares(q)
-	whole := q.got >= need && (!q.second || q.whole && q.in == len(q.parts))
-	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Whole: whole})
-	if q.rules.SecondStep > 0 && !q.second {
-		b.close(q)
-		q.second, q.whole, q.got, q.in = true, whole, 0, 0
+	need, _ := b.thresholds(q)
+	complete := q.receivedWeight >= need &&
+		(!q.inSecondStep || q.firstComplete && q.receivedParts == len(q.parts))
+	b.out = append(b.out, Action{Kind: Answer, ID: q.id, Complete: complete})
+	if q.rules.SecondStep > 0 && !q.inSecondStep {
+		b.closeParts(q)
+		q.inSecondStep, q.firstComplete, q.receivedWeight, q.receivedParts = true, complete, 0, 0
 		return
 	}
 	b.end(q)
 }
 
-// giveUp gives the final answer of a query that cannot be served in full: what is in where that is enough,
-// else a refusal where nothing may have run or a repeat is safe, else a failure.
-func (b *Balancer) giveUp(q *query, why string) {
-	_, floor := b.shares(q)
-	if q.got >= floor && q.in > 0 {
+// giveUp gives the final answer of a query that cannot be served completely: a partial answer if enough
+// parts were answered; otherwise a refusal if no part may have run or a repeat is safe, and a failure if not.
+func (b *Balancer) giveUp(q *query, reason string) {
+	_, floor := b.thresholds(q)
+	if q.receivedWeight >= floor && q.receivedParts > 0 {
 		b.answer(q)
 		if q.ended {
 			return
 		}
 	}
-	safe := q.rules.Effect == Safe
-	if !safe && !q.second {
-		safe = true
+	refusable := q.rules.Effect == Safe
+	if !refusable && !q.inSecondStep {
+		refusable = true
 		for _, p := range q.parts {
-			safe = safe && p.ran == 0 && !p.done
+			refusable = refusable && p.firstRun == 0 && !p.done
 		}
 	}
-	a := Action{Kind: Fail, ID: q.id, Text: why}
-	if safe {
+	a := Action{Kind: Fail, ID: q.id, Text: reason}
+	if refusable {
 		a.Kind = Refuse
-		if b.s.CanAdvise {
-			a.After = Micros((1 + b.rng.Float64()) / 2 * min(advice*b.minAim, float64(b.s.MaxRetryAfter)))
+		if b.settings.CanAdvise {
+			a.After = Micros((1 + b.rng.Float64()) / 2 *
+				min(maxAdviceShare*b.minAim, float64(b.settings.MaxRetryAfter)))
 		}
 	}
 	b.out = append(b.out, a)
 	b.end(q)
 }
 
-// advance does what a query needs now.
+// advance takes the next actions for a query.
 func (b *Balancer) advance(q *query) {
-	need, floor := b.shares(q)
+	need, floor := b.thresholds(q)
 	switch {
-	case len(q.parts) > 0 && q.got >= need && (!q.second || q.in == len(q.parts)):
+	case len(q.parts) > 0 && q.receivedWeight >= need && (!q.inSecondStep || q.receivedParts == len(q.parts)):
 		b.answer(q)
 		return
-	case b.now+max(sweep, b.s.Tick) >= q.deadline,
-		b.now >= q.aim && q.got < floor && !b.worthLate(q, floor):
-		b.giveUp(q, WhyLate)
+	case b.now+max(scanInterval, b.settings.Tick) >= q.deadline,
+		b.now >= q.aim && q.receivedWeight < floor && !b.worthContinuing(q, floor):
+		b.giveUp(q, ReasonNoTime)
 		return
-	case q.in > 0 && q.got >= floor && b.now >= b.partialAt(q):
+	case q.receivedParts > 0 && q.receivedWeight >= floor && b.now >= b.partialAnswerAt(q):
 		b.answer(q)
 		return
 	}
 	if !q.admitted && len(q.parts) > 0 {
-		if !q.second && !b.admit(q) {
-			if b.refused++; b.denied == 0 {
-				b.denied = b.now
+		if !q.inSecondStep && !b.admit(q) {
+			if b.refused++; b.refusingSince == 0 {
+				b.refusingSince = b.now
 			}
-			b.giveUp(q, WhyOverload)
+			b.giveUp(q, ReasonOverload)
 			return
 		}
 		q.admitted = true
 		k := &b.classes[q.class]
-		if k.work == 0 {
-			k.work = float64(len(q.parts))
+		if k.meanParts == 0 {
+			k.meanParts = float64(len(q.parts))
 		}
-		k.work += workGain * (float64(len(q.parts)) - k.work)
+		k.meanParts += workGain * (float64(len(q.parts)) - k.meanParts)
 	}
-	b.mark(q)
-	hope, under := 0.0, 0.0 // weight that can still come in, and that is in or well under way
+	b.markOverdue(q)
+	reachable, covered := 0.0, 0.0 // weight that can still arrive; weight that has arrived or is on track
 	for _, p := range q.parts {
-		if p.done || p.live > 0 || len(p.tries) < q.most && b.mayRepeat(p) {
-			hope += p.weight
+		if p.done || p.pending > 0 || len(p.attempts) < q.maxAttempts && b.mayRepeat(p) {
+			reachable += p.weight
 		}
-		if p.done || b.sound(p, need < 1-2*tolerance) {
-			under += p.weight
+		if p.done || b.onTrack(p, need < 1-2*weightTolerance) {
+			covered += p.weight
 		}
 	}
-	if len(q.parts) > 0 && hope < floor {
-		b.giveUp(q, WhyExhausted)
+	if len(q.parts) > 0 && reachable < floor {
+		b.giveUp(q, ReasonNoReplica)
 		return
 	}
-	if b.s.CallCost > 0 && b.s.BatchMax > 1 {
-		b.want(q)
+	if b.settings.CallCost > 0 && b.settings.BatchMax > 1 {
+		b.countWanted(q)
 	}
 	for pass := range 2 {
 		for _, p := range q.parts {
-			if p.done || p.live > 0 || need < 1-2*tolerance && under >= need+p.weight {
+			if p.done || p.pending > 0 || need < 1-2*weightTolerance && covered >= need+p.weight {
 				continue
 			}
-			if pass == 0 && need < 1-2*tolerance && !b.roomy(p) {
-				continue // where not every part is needed, those with a free replica go first
+			if pass == 0 && need < 1-2*weightTolerance && !b.hasFreeReplica(p) {
+				continue // if not every part is required, those with a free replica go first
 			}
-			if len(p.tries) < q.most && b.mayRepeat(p) && b.send(p, false) {
-				under += p.weight
+			if len(p.attempts) < q.maxAttempts && b.mayRepeat(p) && b.send(p, false) {
+				covered += p.weight
 			}
 		}
 	}
 	for _, p := range q.parts {
-		if !p.done && p.live > 0 && (need >= 1-2*tolerance || under < need) {
+		if !p.done && p.pending > 0 && (need >= 1-2*weightTolerance || covered < need) {
 			b.hedge(p)
 		}
 	}
 }
 
-// partialAt is when a query is answered from less than the whole. A first step leaves the second time for a
-// part and its copy: begun at the aim it would fail, and take what the first step earned with it.
-func (b *Balancer) partialAt(q *query) Micros {
-	if c := q.rules; c.SecondStep > 0 && !q.second {
-		return q.aim - Micros(min(stepShare*float64(c.Aim), stepDelays*b.classes[q.class].delay))
+// partialAnswerAt returns when a query is answered partially. A first step leaves the second one time for
+// a part and a hedged attempt: a second step begun at the aim would fail, and the worth of the first step
+// would be lost with it.
+func (b *Balancer) partialAnswerAt(q *query) Micros {
+	if c := q.rules; c.SecondStep > 0 && !q.inSecondStep {
+		return q.aim -
+			Micros(min(secondStepShare*float64(c.Aim), secondStepDelays*b.classes[q.class].hedgeDelay))
 	}
 	return q.aim
 }
 
-// worthLate tells that a query past its aim is worth going on with: its late worth over the parts that it
-// still needs beats what the best class earns a part in time. Given up, it would be asked for again, and late
-// too.
-func (b *Balancer) worthLate(q *query, floor float64) bool {
-	lacks := max(1, (floor-q.got)*float64(len(q.parts)))
-	return q.rules.LateWorth*b.value(q)*b.classes[q.class].work >= lacks
+// worthContinuing reports whether a query past its aim should continue: its late worth per part that it
+// still needs exceeds what the best class earns per part in time. If given up, the client would repeat the
+// query, and the repeat would be late too.
+func (b *Balancer) worthContinuing(q *query, floor float64) bool {
+	missing := max(1, (floor-q.receivedWeight)*float64(len(q.parts)))
+	return q.rules.LateWorth*b.relativeWorth(q)*b.classes[q.class].meanParts >= missing
 }
 
-// admit tells whether a query is to be tried. In overload this keeps queues short: work that cannot earn is
-// turned away before it costs anything, the least worth for its work first. What is expected fades without
-// news, so an instance that turns all away tries again.
+// admit reports whether a query is to be served. Under overload this keeps queues short: work that cannot
+// earn its worth is refused before it costs anything, that of the least worth per work first. Expected
+// latencies decay without new samples, so an instance that refuses everything tries again.
 func (b *Balancer) admit(q *query) bool {
-	_, floor := b.shares(q)
+	_, floor := b.thresholds(q)
 	waits := make([]float64, 0, len(q.parts))
 	for _, p := range q.parts {
-		best := math.Inf(1)
-		b.holders(p.shard, func(r *replica) {
-			if b.admits(r) { // a part held for a cold replica would hold up all the others
-				best = min(best, b.expect(r, q.class)*(float64(r.parts)+1+b.beside))
+		leastWait := math.Inf(1)
+		b.forEachHolder(p.shard, func(r *replica) {
+			if b.coldBudgetAllows(r) { // a part that waits for a cold replica would delay the whole query
+				leastWait = min(leastWait,
+					b.expectedLatency(r, q.class)*(float64(r.openParts)+1+b.otherCallParts))
 			}
 		})
-		if !math.IsInf(best, 1) {
-			waits = append(waits, best)
+		if !math.IsInf(leastWait, 1) {
+			waits = append(waits, leastWait)
 		}
 	}
 	if float64(len(waits)) < floor*float64(len(q.parts)) || len(waits) == 0 ||
@@ -717,47 +747,50 @@
 	}
 	slices.Sort(waits)
 	wait := waits[min(len(waits)-1, int(admitQuantile*floor*float64(len(waits))))]
-	few := min(1, admitPeers/float64(max(1, b.s.Peers)))
-	share := admitShare + admitAlone*few
-	// What was sent in vain is sent again, and takes room twice. Few see that in their own queues.
-	share *= 1 - (1-few)*min(vainMost, vainCut*b.vain)
-	tail := math.Log(float64(len(q.parts)) / (1 + b.beside)) // by which the last needed part is later
-	if floor < 1-2*tolerance {
+	smallness := min(1, smallFleetAdmitPeers/float64(max(1, b.settings.Peers)))
+	share := admitShare + smallFleetAdmitShare*smallness
+	// Rejected parts are sent again and use capacity twice. In a small fleet the queues seen here show that.
+	share *= 1 - (1-smallness)*min(maxRejectedCut, rejectedCut*b.rejectedShare)
+	// Relative delay of the last required part.
+	tail := math.Log(float64(len(q.parts)) / (1 + b.otherCallParts))
+	if floor < 1-2*weightTolerance {
 		tail = min(tail, -math.Log(1-floor))
 	}
-	// Two limits: queues are kept short against the classes' own aims, and a client that waits less than that
-	// is turned away only where it would hardly be served in its time.
+	// There are two limits: queues are kept short relative to the aims of the classes, and a query whose
+	// client waits less than that is refused only if it is unlikely to be served in that time.
 	left := float64(q.aim - b.now)
-	own := max(left, min(b.minAim, float64(q.rules.Aim)))
-	limit := min(share*min(b.minAim, own), admitTail*share*own/(1+tail))
-	last := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // it may be at a hot shard
-	return wait <= hopeShare*left &&
-		max(wait, last*limit/(hotShare*share*own)) <= limit*(admitLeast+(1-admitLeast)*b.value(q)) ||
-		b.denied > 0 && b.now-b.denied >= proveAfter // what peers tell may be old, or of others' way there
+	horizon := max(left, min(b.minAim, float64(q.rules.Aim)))
+	limit := min(share*min(b.minAim, horizon), tailAllowance*share*horizon/(1+tail))
+	lastWait := waits[min(len(waits)-1, int(floor*float64(len(waits))))] // possibly at a hot shard
+	return wait <= maxWaitShare*left &&
+		max(wait, lastWait*limit/(hotShardFactor*share*horizon)) <=
+			limit*(minAdmitShare+(1-minAdmitShare)*b.relativeWorth(q)) ||
+		// A trial: peers' samples may be outdated, or reflect another path.
+		b.refusingSince > 0 && b.now-b.refusingSince >= trialInterval
 }
 
-// value is the worth of a query for its work, as a share of the best class's.
-func (b *Balancer) value(q *query) float64 {
+// relativeWorth returns the worth of a query per unit of work, as a share of that of the best class.
+func (b *Balancer) relativeWorth(q *query) float64 {
 	best, own := 1e-9, 0.0
-	for i := range b.s.Classes {
-		c := &b.s.Classes[i]
+	for i := range b.settings.Classes {
+		c := &b.settings.Classes[i]
 		if i == q.class {
 			c = q.rules
 		}
 		v := c.Worth
-		if !b.s.WorthByWork {
-			v /= max(1, b.classes[i].work)
+		if !b.settings.WorthByWork {
+			v /= max(1, b.classes[i].meanParts)
 		}
-		// Of a class that was not met yet the parts are not known.
-		if i == q.class || !c.Dropped && (b.s.WorthByWork || b.classes[i].work > 0) {
+		// The number of parts of a class is unknown until its first query.
+		if i == q.class || !c.Dropped && (b.settings.WorthByWork || b.classes[i].meanParts > 0) {
 			best = max(best, v)
 		}
 		if i == q.class {
 			own = v
 		}
 	}
-	if b.overShare(q.tenant) {
-		own *= b.s.OverShareWorth
+	if b.overQuota(q.tenant) {
+		own *= b.settings.OverShareWorth
 	}
 	if q.late {
 		own *= q.rules.LateWorth
@@ -765,301 +798,314 @@
 	return own / best
 }
 
-// overShare tells that a tenant asks for more than its quota, as far as one instance can tell. Callers are
-// uneven, so this one's rate times the peers counts only for a tenant that also has more than its part of the
-// traffic here; far more than its part counts by itself. It might hurt where tenants use different instances.
-func (b *Balancer) overShare(tenant int) bool {
-	if tenant < 0 || tenant >= len(b.tenants) || b.s.Tenants[tenant].Quota <= 0 {
+// overQuota reports whether a tenant exceeds its quota, as far as one instance can tell. Callers are
+// distributed unevenly, so the local rate times the number of peers counts only for a tenant that also has
+// more than its share of the local traffic; far more than its share counts by itself. This can be wrong if
+// tenants use different instances.
+func (b *Balancer) overQuota(tenant int) bool {
+	if tenant < 0 || tenant >= len(b.tenantArrivals) || b.settings.Tenants[tenant].Quota <= 0 {
 		return false
 	}
-	since, all, quotas := b.now-quotaSpan, 0.0, 0.0
-	for i := range b.tenants {
-		all += float64(b.tenants[i].count(since))
-		quotas += b.s.Tenants[i].Quota
-	}
-	own, quota := float64(b.tenants[tenant].count(since)), b.s.Tenants[tenant].Quota
-	part := own / all * quotas / quota // its part of the traffic here over its part of the quotas
-	over := own*float64(max(1, b.s.Peers)) > quota*quotaSpan/1e6
-	return part > overPart && over || part > farOver && own > quotaLeast
+	since, total, quotas := b.now-quotaSpan, 0.0, 0.0
+	for i := range b.tenantArrivals {
+		total += float64(b.tenantArrivals[i].count(since))
+		quotas += b.settings.Tenants[i].Quota
+	}
+	own, quota := float64(b.tenantArrivals[tenant].count(since)), b.settings.Tenants[tenant].Quota
+	// The tenant's share of the local traffic over its share of the quotas.
+	relativeShare := own / total * quotas / quota
+	aboveQuota := own*float64(max(1, b.settings.Peers)) > quota*quotaSpan/1e6
+	return relativeShare > overQuotaRatio && aboveQuota ||
+		relativeShare > farOverQuotaRatio && own > minQuotaQueries
 }
 
-// sound tells that a part has an attempt out that is not overdue, or, where other parts may stand in for it
-// and are free of the budget, not even past the hedge delay.
-func (b *Balancer) sound(p *part, strict bool) bool {
-	for i := range p.tries {
-		t := &p.tries[i]
-		if t.live && !t.overdue && (!strict || float64(b.now-t.sent) < b.classes[p.q.class].delay) {
+// onTrack reports whether a part has an attempt in flight that is not overdue. If strict, the attempt must
+// not have reached the hedge delay either: other parts can replace this one, without using the retry
+// budget.
+func (b *Balancer) onTrack(p *part, strict bool) bool {
+	for i := range p.attempts {
+		t := &p.attempts[i]
+		if t.pending && !t.overdue &&
+			(!strict || float64(b.now-t.sent) < b.classes[p.query.class].hedgeDelay) {
 			return true
 		}
 	}
 	return false
 }
 
-// mark finds the attempts that are overdue and counts each as a time-out at once: a replica that takes
-// parts and answers none would else be found only at the deadline.
-func (b *Balancer) mark(q *query) {
-	limit := min(overdueFactor*b.classes[q.class].delay, overdueShare*float64(q.rules.Aim))
+// markOverdue finds the attempts that are overdue and counts each as timed out immediately. Otherwise a
+// replica that accepts parts and answers none would be detected only at the deadline.
+func (b *Balancer) markOverdue(q *query) {
+	limit := min(overdueFactor*b.classes[q.class].hedgeDelay, overdueShare*float64(q.rules.Aim))
 	for _, p := range q.parts {
-		for i := range p.tries {
-			t := &p.tries[i]
-			if t.live && !t.overdue && float64(b.now-t.sent) > limit {
+		for i := range p.attempts {
+			t := &p.attempts[i]
+			if t.pending && !t.overdue && float64(b.now-t.sent) > limit {
 				t.overdue = true
-				if b.reaps(t, 1) {
+				if b.recordConnLoss(t, 1) {
 					continue
 				}
-				b.saw(t.r, q.class, float64(b.now-t.sent)/t.load())
-				b.lossShare += (1 - b.lossShare) / paceParts
-				t.r.lost = true
-				b.adjust(t.r, -weightStep*lossTimeout)
+				b.recordLatency(t.replica, q.class, float64(b.now-t.sent)/t.load())
+				b.lossShare += (1 - b.lossShare) / ewmaParts
+				t.replica.unanswered = true
+				b.adjustWeight(t.replica, -weightStep*timeoutPenalty)
 			}
 		}
 	}
 }
 
-// mayRepeat tells whether the class allows another attempt of a part.
+// mayRepeat reports whether the class allows another attempt of a part.
 func (b *Balancer) mayRepeat(p *part) bool {
-	c := p.q.rules
-	if p.ran == 0 || c.Effect == Safe {
+	c := p.query.rules
+	if p.firstRun == 0 || c.Effect == Safe {
 		return true
 	}
-	return c.Effect == Keyed && b.now < p.ran+c.Window
+	return c.Effect == Keyed && b.now < p.firstRun+c.Window
 }
 
-// hedge copies a part that has waited past the delay.
+// hedge sends another attempt of a part that has waited longer than the hedge delay.
 func (b *Balancer) hedge(p *part) {
-	q := p.q
-	last := p.tries[len(p.tries)-1]
-	if !b.s.CanCopy || q.began || q.rules.Effect == Unsafe || !b.mayRepeat(p) ||
-		p.live >= maxInFlight || len(p.tries) >= q.most ||
-		float64(b.now-last.sent) < b.classes[q.class].delay {
+	q := p.query
+	last := p.attempts[len(p.attempts)-1]
+	if !b.settings.CanCopy || q.streaming || q.rules.Effect == Unsafe || !b.mayRepeat(p) ||
+		p.pending >= maxParallelAttempts || len(p.attempts) >= q.maxAttempts ||
+		float64(b.now-last.sent) < b.classes[q.class].hedgeDelay {
 		return
 	}
-	share := copyShare
+	share := hedgeShare
 	if last.overdue {
-		share = lateCopyShare
+		share = overdueHedgeShare
 	}
-	if float64(b.copies.count(b.now-b.span)+1) > copySpare+share*float64(b.taken.count(b.now-b.span)) {
+	if float64(b.hedges.count(b.now-b.retrySpan)+1) >
+		spareHedges+share*float64(b.arrivals.count(b.now-b.retrySpan)) {
 		return
 	}
 	b.send(p, true)
 }
 
-// budget tells whether one more attempt beyond a part's first keeps the told budget.
-func (b *Balancer) budget() bool {
-	if b.s.ResendSpan <= 0 {
+// withinRetryBudget reports whether the settings' retry budget allows one more attempt beyond a part's
+// first.
+func (b *Balancer) withinRetryBudget() bool {
+	if b.settings.ResendSpan <= 0 {
 		return true
 	}
-	since := b.now - b.s.ResendSpan
-	allowed := b.s.SpareAttempts + b.s.ResendRatio*float64(b.taken.count(since+1))
-	return float64(b.extras.count(since)+1) <= allowed
+	since := b.now - b.settings.ResendSpan
+	allowed := b.settings.SpareAttempts + b.settings.ResendRatio*float64(b.arrivals.count(since+1))
+	return float64(b.retries.count(since)+1) <= allowed
 }
 
-// send starts an attempt of a part if a replica may have it and the budget allows.
-func (b *Balancer) send(p *part, copied bool) bool {
-	if len(p.tries) > 0 {
-		if !b.budget() {
+// send starts an attempt of a part if the budget allows it and a replica is available.
+func (b *Balancer) send(p *part, hedged bool) bool {
+	if len(p.attempts) > 0 {
+		if !b.withinRetryBudget() {
 			return false
 		}
 	}
-	r := b.pick(p, copied)
+	r := b.pickReplica(p, hedged)
 	if r == nil {
 		return false
 	}
-	if len(p.tries) > 0 {
-		b.extras.add(b.now)
+	if len(p.attempts) > 0 {
+		b.retries.add(b.now)
 	}
-	if copied {
-		b.copies.add(b.now)
+	if hedged {
+		b.hedges.add(b.now)
 	}
-	b.denied = 0
-	r.tokens-- // it counts while the replica is cold
-	if !b.joins(r) {
-		r.open = &call{step: b.steps, before: r.parts}
-		r.tokens -= float64(b.s.CallCost) / (firstCost * b.minAim)
-		r.calls++
+	b.refusingSince = 0
+	r.tokens-- // only relevant while the replica is cold
+	if !b.sharesOpenCall(r) {
+		r.openCall = &call{step: b.steps, partsBefore: r.openParts}
+		r.tokens -= float64(b.settings.CallCost) / (initialLatency * b.minAim)
+		r.openCalls++
 	}
-	r.parts++
-	r.open.sent++
-	r.open.live++
-	if b.s.CallCost > 0 {
-		b.holders(p.shard, func(r *replica) { r.wanted-- })
+	r.openParts++
+	r.openCall.sent++
+	r.openCall.pending++
+	if b.settings.CallCost > 0 {
+		b.forEachHolder(p.shard, func(r *replica) { r.wantedParts-- })
 	}
-	stale := r.calls == 1 && b.now-r.used > staleAfter
-	if stale && b.reaped() {
+	onIdleConn := r.openCalls == 1 && b.now-r.lastUsed > idleAfter
+	if onIdleConn && b.idleDropsDetected() {
 		b.out = append(b.out, Action{Kind: Close, Replica: r.ID})
-		stale = false
-	}
-	r.used = b.now
-	t := attempt{r: r, call: r.open, sent: b.now, live: true, stale: stale, domain: r.Domain}
-	p.tries = append(p.tries, t)
-	p.live++
-	c, before := p.q.rules, Micros(0)
-	if p.ran == 0 {
-		p.ran = b.now
+		onIdleConn = false
+	}
+	r.lastUsed = b.now
+	t := attempt{replica: r, call: r.openCall, sent: b.now, pending: true, onIdleConn: onIdleConn,
+		domain: r.Domain}
+	p.attempts = append(p.attempts, t)
+	p.pending++
+	c, startBy := p.query.rules, Micros(0)
+	if p.firstRun == 0 {
+		p.firstRun = b.now
 	} else if c.Effect == Keyed {
-		before = p.ran + c.Window
+		startBy = p.firstRun + c.Window
 	}
-	until := p.q.aim
+	until := p.query.aim
 	if b.now+Micros(c.LateWorth*float64(c.Aim)) > until {
-		until = min(p.q.deadline, b.now+c.Aim)
+		until = min(p.query.deadline, b.now+c.Aim)
 	}
-	after := max(until-b.now, sweep)
-	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: after, Before: before})
+	timeout := max(until-b.now, scanInterval)
+	b.out = append(b.out, Action{Kind: Send, ID: p.id, Replica: r.ID, After: timeout, StartBy: startBy})
 	return true
 }
 
-// cold tells that a replica may still be starting.
-func (b *Balancer) cold(r *replica) bool {
-	return r.start > 0 && b.now-r.start < b.s.Ramp
+// isCold reports whether a replica may still be warming up.
+func (b *Balancer) isCold(r *replica) bool {
+	return r.startedAt > 0 && b.now-r.startedAt < b.settings.Ramp
 }
 
-// gauge remembers what warm replicas have served this instance, per unit of listed size: the guide to what a
-// cold one can take, held well past the present, as after a mass restart there is nothing warm to compare
-// with.
-func (b *Balancer) gauge() {
-	if b.now < b.gaugeAt {
+// updateCapacity tracks how many parts per unit of listed size the warm replicas have served this
+// instance, as an estimate of the capacity of a cold one. It is kept long beyond the present because after
+// a mass restart no warm replica is left to compare with.
+func (b *Balancer) updateCapacity() {
+	if b.now < b.nextCapacityUpdate {
 		return
 	}
 	size := 0.0
 	for _, r := range b.replicas {
-		if r.State == Ready && !b.cold(r) {
+		if r.State == Ready && !b.isCold(r) {
 			size += r.Size
 		}
 	}
-	b.carried *= math.Exp2(-float64(gaugeSpan) / carriedLife)
-	b.usualSize = max(size, b.usualSize*math.Exp2(-float64(gaugeSpan)/carriedLife))
-	n := b.served
-	if n < gaugeParts { // by its root a count differs by chance, which adds up over many peers
-		n -= max(0, 1-gaugeCrowd/b.crowd) * math.Sqrt(n)
+	b.warmRate *= math.Exp2(-float64(capacitySpan) / capacityHalfLife)
+	b.warmSize = max(size, b.warmSize*math.Exp2(-float64(capacitySpan)/capacityHalfLife))
+	n := b.warmServed
+	if n < minCapacityParts { // the standard error of a count is its square root, and adds up over many peers
+		n -= max(0, 1-capacityFleetScale/b.fleetScale) * math.Sqrt(n)
 	}
-	if b.counted++; b.usualSize > 0 {
-		b.carried = max(b.carried, n/float64(b.counted*gaugeSpan)/b.usualSize)
+	if b.capacitySpans++; b.warmSize > 0 {
+		b.warmRate = max(b.warmRate, n/float64(b.capacitySpans*capacitySpan)/b.warmSize)
 	}
-	if b.served >= gaugeParts || float64(b.counted) >= min(gaugeMost, b.crowd/gaugeCrowd) {
-		b.served, b.counted = 0, 0
+	if b.warmServed >= minCapacityParts ||
+		float64(b.capacitySpans) >= min(maxCapacitySpans, b.fleetScale/capacityFleetScale) {
+		b.warmServed, b.capacitySpans = 0, 0
 	}
-	b.gaugeAt = b.now + gaugeSpan
-	b.report()
-	for _, w := range []*window{&b.taken, &b.extras, &b.copies} {
-		w.count(b.now - b.span) // forget what no limit looks at any more
+	b.nextCapacityUpdate = b.now + capacitySpan
+	b.reportChanges()
+	for _, w := range []*slidingWindow{&b.arrivals, &b.retries, &b.hedges} {
+		w.count(b.now - b.retrySpan) // discard what no limit considers any more
 	}
 }
 
-// report writes what operators want to know, in two lines a gauge at most: a replica that is avoided and used
-// again, overload begun and ended.
-func (b *Balancer) report() {
-	if over := b.refused > 0; over != b.overload {
-		b.overload = over
-		b.note("overload: %v (%d queries refused in %d s)", over, b.refused, gaugeSpan/1_000_000)
+// reportChanges logs for operators, with at most two lines per capacity span, that a replica is avoided or
+// used again and that overload has begun or ended.
+func (b *Balancer) reportChanges() {
+	if overloaded := b.refused > 0; overloaded != b.overloadReported {
+		b.overloadReported = overloaded
+		b.note("overload: %v (%d queries refused in %d s)", overloaded, b.refused, capacitySpan/1_000_000)
 	}
 	b.refused = 0
 	for _, r := range b.replicas {
-		took, usual := b.expect(r, 0), b.pace()
-		avoided := took > noteSlow*usual
-		if r.State == Ready && avoided != r.noted && (avoided || took < noteWell*usual) {
-			r.noted = avoided
+		latency, mean := b.expectedLatency(r, 0), b.meanLatency()
+		avoided := latency > avoidedRatio*mean
+		if r.State == Ready && avoided != r.reportedAvoided && (avoided || latency < recoveredRatio*mean) {
+			r.reportedAvoided = avoided
 			b.note("replica %012x avoided: %v (%.0f ms a part, mean %.0f)",
-				uint64(r.ID), avoided, took/1000, usual/1000)
+				uint64(r.ID), avoided, latency/1000, mean/1000)
 			return
 		}
 	}
 }
 
-// Avoided counts the replicas that could get work and are avoided at present: what report tells of, but at
-// once.
-func (b *Balancer) Avoided() int {
-	n, usual := 0, b.pace()
+// AvoidedCount returns the number of replicas that are ready and currently avoided. Unlike reportChanges it
+// has neither delay nor hysteresis, and it counts a replica whose process refused connections.
+func (b *Balancer) AvoidedCount() int {
+	n, mean := 0, b.meanLatency()
 	for _, r := range b.replicas {
-		if r.State == Ready && (r.down || b.expect(r, 0) > noteSlow*usual) {
+		if r.State == Ready && (r.down || b.expectedLatency(r, 0) > avoidedRatio*mean) {
 			n++
 		}
 	}
 	return n
 }
 
-// admits tells whether a cold replica may have one more part: no more than its share of what a like warm one
-// has served this instance. The share climbs from the one told for the start, evenly over the ramp: a replica
-// is never slower than that.
-// Each instance keeps that by itself, so all together they keep it too.
-func (b *Balancer) admits(r *replica) bool {
-	if !b.cold(r) {
+// coldBudgetAllows reports whether a replica that may be cold can receive one more part: at most its share
+// of what a warm one of the same size has served this instance. The share rises linearly over the ramp,
+// from ColdShare; a replica never warms up more slowly than that. Each instance keeps to its own share, so
+// all of them together do too.
+func (b *Balancer) coldBudgetAllows(r *replica) bool {
+	if !b.isCold(r) {
 		return true
 	}
-	boost := 1 + coldBoost*max(0, b.s.FallMultiple-1)
-	share := b.s.ColdShare + (1-b.s.ColdShare)*float64(b.now-r.start)/float64(b.s.Ramp)
-	rate := boost * share * max(leastCold/float64(max(1, b.s.Peers)), r.Size*b.carried)
-	burst := max(1, coldBurst*(b.s.FallMultiple-1)*rate*float64(b.s.FallSpan))
-	r.tokens = min(burst, r.tokens+rate*float64(b.now-r.refilled))
-	r.refilled = b.now
+	boost := 1 + coldRateBoost*max(0, b.settings.FallMultiple-1)
+	share := b.settings.ColdShare +
+		(1-b.settings.ColdShare)*float64(b.now-r.startedAt)/float64(b.settings.Ramp)
+	rate := boost * share * max(minColdRate/float64(max(1, b.settings.Peers)), r.Size*b.warmRate)
+	burst := max(1, coldBurst*(b.settings.FallMultiple-1)*rate*float64(b.settings.FallSpan))
+	r.tokens = min(burst, r.tokens+rate*float64(b.now-r.refilledAt))
+	r.refilledAt = b.now
 	return r.tokens >= 1
 }
 
-// roomy tells that a replica of the part's shard has a free slot.
-func (b *Balancer) roomy(p *part) bool {
+// hasFreeReplica reports whether a replica of the part's shard has a free slot.
+func (b *Balancer) hasFreeReplica(p *part) bool {
 	found := false
-	b.holders(p.shard, func(r *replica) {
-		found = found || r.calls < b.slots(r, p.q.class) && b.admits(r)
+	b.forEachHolder(p.shard, func(r *replica) {
+		found = found || r.openCalls < b.slotLimit(r, p.query.class) && b.coldBudgetAllows(r)
 	})
 	return found
 }
 
-// pick chooses the replica for an attempt: by weight among those with a free slot; when all are full, the
-// one with the fewest of our calls out; last one that has failed this part before.
-func (b *Balancer) pick(p *part, copied bool) *replica {
-	b.free = b.free[:0]
-	var least, last, shared *replica
-	total, soonest := 0.0, 0.0
-	domain, bound := p.bound()
-	b.holders(p.shard, func(r *replica) {
-		if b.adjust(r, 0); bound && r.Domain != domain {
-			return // a repeat would be executed there
+// pickReplica chooses the replica for an attempt: a weighted random one among those with a free slot; if
+// none has one, the one with the shortest expected wait; a replica that has already failed this part only
+// as a last resort.
+func (b *Balancer) pickReplica(p *part, hedged bool) *replica {
+	b.candidates = b.candidates[:0]
+	var soonest, fallback, shared *replica
+	total, leastWait := 0.0, 0.0
+	domain, isBound := p.boundDomain()
+	b.forEachHolder(p.shard, func(r *replica) {
+		if b.adjustWeight(r, 0); isBound && r.Domain != domain {
+			return // a replica of another domain would execute the repeat
 		}
-		failed := false // it has failed this part before
-		for i := range p.tries {
-			if p.tries[i].r == r && (p.tries[i].live || copied) {
+		failed := false // it has already failed this part
+		for i := range p.attempts {
+			if p.attempts[i].replica == r && (p.attempts[i].pending || hedged) {
 				return
 			}
-			failed = failed || p.tries[i].r == r
+			failed = failed || p.attempts[i].replica == r
 		}
-		if !b.admits(r) {
+		if !b.coldBudgetAllows(r) {
 			return
 		}
 		if failed {
-			if last == nil || r.calls < last.calls {
-				last = r
+			if fallback == nil || r.openCalls < fallback.openCalls {
+				fallback = r
 			}
 			return
 		}
-		if b.s.CallCost > 0 && b.joins(r) && b.expect(r, p.q.class)*float64(r.parts+1) <= joinShare*b.minAim {
-			if shared == nil || b.chance(r, p.q.class) > b.chance(shared, p.q.class) {
+		if b.settings.CallCost > 0 && b.sharesOpenCall(r) &&
+			b.expectedLatency(r, p.query.class)*float64(r.openParts+1) <= joinLatencyShare*b.minAim {
+			if shared == nil || b.drawWeight(r, p.query.class) > b.drawWeight(shared, p.query.class) {
 				shared = r
 			}
 		}
-		if r.calls < b.slots(r, p.q.class) {
-			b.free = append(b.free, r)
-			total += b.chance(r, p.q.class)
+		if r.openCalls < b.slotLimit(r, p.query.class) {
+			b.candidates = append(b.candidates, r)
+			total += b.drawWeight(r, p.query.class)
 		}
-		if late := b.expect(r, p.q.class) * float64(r.parts+1); least == nil || late < soonest {
-			least, soonest = r, late
+		if wait := b.expectedLatency(r, p.query.class) * float64(r.openParts+1); soonest == nil ||
+			wait < leastWait {
+			soonest, leastWait = r, wait
 		}
 	})
 	if shared != nil {
-		return shared // it costs the parts there no call of its own
+		return shared // the part needs no call of its own
 	}
-	if len(b.free) > 0 {
+	if len(b.candidates) > 0 {
 		x := b.rng.Float64() * total
-		for _, r := range b.free {
-			if x -= b.chance(r, p.q.class); x < 0 {
+		for _, r := range b.candidates {
+			if x -= b.drawWeight(r, p.query.class); x < 0 {
 				return r
 			}
 		}
-		return b.free[len(b.free)-1]
+		return b.candidates[len(b.candidates)-1]
 	}
-	if copied && !(p.tries[len(p.tries)-1].overdue && soonest <= float64(p.q.aim-b.now)) {
-		return nil // a copy waits behind others only for a part that is else lost: it would just add load
+	if hedged && !(p.attempts[len(p.attempts)-1].overdue && leastWait <= float64(p.query.aim-b.now)) {
+		return nil // queueing a hedged attempt would only add load, unless the part is otherwise lost
 	}
-	if least != nil {
-		return least
+	if soonest != nil {
+		return soonest
 	}
-	return last
+	return fallback
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -6,51 +6,52 @@
 	"testing"
 )
 
-// coldFleet plays instances that know nothing of one another before one replica that starts, and returns the
-// largest use of its budget: what all send it in any FallSpan over N + 2 x root of N + 2, N being
-// FallMultiple x its present capacity x FallSpan by the told climb, in parts of mean work.
+// coldFleet simulates independent instances, without messages between them, around the restart of one
+// replica. It determines the largest utilization of the replica's budget: the number of parts that all
+// instances send it in any FallSpan, divided by N + 2 x sqrt(N) + 2, where N is FallMultiple x its current
+// capacity x FallSpan with the linear climb from ColdShare, in parts of mean work.
 type coldFleet struct {
-	instances int
-	anew      bool // all of them start with the replica: none knows what a warm one carries
-	shift     bool // the traffic moves to other instances while the replica is cold
-	alone     bool // nothing else holds the shard from then on: it gets all that it may
+	instances    int
+	newInstances bool // all instances start together with the replica and have no capacity estimate
+	shiftTraffic bool // the traffic moves to other instances while the replica is cold
+	onlyHolder   bool // from the restart on no other replica holds the shard, so it gets all it may
 }
 
 const (
-	coldWarm  = 4    // warm replicas beside it
-	fullRate  = 13.8 // parts a second of a warm replica
-	loadShare = 0.55 // of that is asked for
-	burstMore = 1.5  // times that, for some seconds
-	hotOne    = 4.0  // times the mean traffic, of one instance in ten
-	servedIn  = 80 * ms
+	warmReplicas      = 4    // warm replicas in addition to the restarted one
+	fullRate          = 13.8 // parts per second that a warm replica can serve
+	baseLoad          = 0.55 // share of that rate that is requested
+	burstFactor       = 1.5  // factor on the load for some seconds after the restart
+	hotInstanceFactor = 4.0  // traffic of one instance in ten, as a multiple of the others'
+	serviceTime       = 80 * ms
 )
 
-func (f coldFleet) play(t *testing.T, seed uint64) (worst float64, sent int) {
+func (f coldFleet) simulate(t *testing.T, seed uint64) (maxUse float64, sent int) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 99))
 	s := settings()
 	s.Peers, s.FallMultiple, s.FallSpan, s.ColdShare, s.Ramp = f.instances, 2.5, 2000*ms, 0.18, 12_000*ms
 	s.Classes[0] = Class{Aim: 1500 * ms, Deadline: 4000 * ms, Worth: 1, Need: 1, Floor: 1}
-	replicas := ready(coldWarm + 1)
-	begun := 20_000 * ms
-	var all []*bench
+	replicas := readyReplicas(warmReplicas + 1)
+	startTime := 20_000 * ms
+	var all []*instance
 	var weights []float64
-	fresh := func(i int, now Micros) *bench {
+	newInstance := func(i int, now Micros) *instance {
 		s.Number = i
 		b, err := New(s, rng.Uint64())
 		if err != nil {
 			t.Fatal(err)
 		}
-		k := &bench{t: t, b: b, now: now}
+		k := &instance{t: t, balancer: b, now: now}
 		k.step(Event{Kind: List, Mode: Full, Replicas: replicas})
 		return k
 	}
 	total := 0.0
 	for i := range f.instances {
-		all = append(all, fresh(i, begun))
+		all = append(all, newInstance(i, startTime))
 		w := 1.0
 		if i%10 == 9 {
-			w = hotOne
+			w = hotInstanceFactor
 		}
 		weights = append(weights, w)
 		total += w
@@ -66,61 +67,61 @@
 	}
 	type due struct {
 		at   Micros
-		k    *bench
+		k    *instance
 		id   uint32
 		to   ReplicaID
 		tryN int
 	}
 	var pending []due
 	var times []Micros
-	started := begun + 15_000*ms
+	restartTime := startTime + 15_000*ms
 	cold := replicas[0].ID
-	book := func(k *bench, acts []Action, now Micros) {
-		for _, a := range of(Send, acts) {
-			pending = append(pending, due{now + servedIn, k, a.ID, a.Replica, 0})
-			if a.Replica == cold && now >= started {
+	recordSends := func(k *instance, acts []Action, now Micros) {
+		for _, a := range ofKind(Send, acts) {
+			pending = append(pending, due{now + serviceTime, k, a.ID, a.Replica, 0})
+			if a.Replica == cold && now >= restartTime {
 				times = append(times, now)
 			}
 		}
 	}
-	for now := begun; now < started+s.Ramp; now += s.Tick {
-		if now == started {
+	for now := startTime; now < restartTime+s.Ramp; now += s.Tick {
+		if now == restartTime {
 			replicas[0].Started = now
 			for i := range replicas[1:] {
-				if f.alone {
-					replicas[i+1].State = Gone
+				if f.onlyHolder {
+					replicas[i+1].State = Removed
 				}
 			}
 			for i, k := range all {
-				if f.anew {
-					all[i] = fresh(i, now)
+				if f.newInstances {
+					all[i] = newInstance(i, now)
 				} else {
 					k.now = now
 					k.step(Event{Kind: List, Mode: Delta, Replicas: replicas})
 				}
 			}
-			if f.anew {
+			if f.newInstances {
 				pending = nil
 			}
 		}
-		rate := loadShare * fullRate * (coldWarm + 1)
-		if burst := now - started; burst >= 1500*ms && burst < 8000*ms {
-			rate *= burstMore
+		rate := baseLoad * fullRate * (warmReplicas + 1)
+		if burst := now - restartTime; burst >= 1500*ms && burst < 8000*ms {
+			rate *= burstFactor
 		}
-		if f.shift && now == started+4000*ms {
+		if f.shiftTraffic && now == restartTime+4000*ms {
 			rng.Shuffle(len(weights), func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
 		}
 		for len(pending) > 0 && pending[0].at <= now {
 			d := pending[0]
 			pending = pending[1:]
 			d.k.now = now
-			book(d.k, d.k.result(d.id, d.tryN, d.to, OK), now)
+			recordSends(d.k, d.k.result(d.id, d.tryN, d.to, OK), now)
 		}
 		for x := rng.ExpFloat64(); x < rate*float64(s.Tick)/1e6; x += rng.ExpFloat64() {
 			k := all[draw()]
 			k.now = now
 			k.query(0, 1)
-			book(k, k.out, now)
+			recordSends(k, k.actions, now)
 		}
 	}
 	for i, from := range times {
@@ -130,11 +131,11 @@
 				n++
 			}
 		}
-		share := s.ColdShare + (1-s.ColdShare)*float64(from-started)/float64(s.Ramp)
+		share := s.ColdShare + (1-s.ColdShare)*float64(from-restartTime)/float64(s.Ramp)
 		allowed := s.FallMultiple * share * fullRate * float64(s.FallSpan) / 1e6
-		worst = max(worst, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
+		maxUse = max(maxUse, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
 	}
-	return worst, len(times)
+	return maxUse, len(times)
 }
 
 func TestColdBudgetHoldsForTheFleet(t *testing.T) {
@@ -147,12 +148,12 @@
 	} {
 		worst, sum := 0.0, 0
 		for seed := range uint64(5) {
-			w, n := f.play(t, seed)
+			w, n := f.simulate(t, seed)
 			worst, sum = max(worst, w), sum+n
 		}
-		t.Logf("%+v: at most %.2f of the budget, %d parts", f, worst, sum/5)
+		t.Logf("%+v: at most %.2f of the budget used, %d parts", f, worst, sum/5)
 		if worst > 1 {
-			t.Errorf("%+v: %.2f of the budget", f, worst)
+			t.Errorf("%+v: %.2f of the budget used", f, worst)
 		}
 	}
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,7 +11,7 @@
 	"lapislever/internal/standin"
 )
 
-// state is a coordinator with fixed figures.
+// state is a coordinator with fixed counters.
 type state struct {
 	ready bool
 	mu    sync.Mutex // guards calls
@@ -19,13 +19,13 @@
 }
 
 func (s *state) Ready() bool { return s.ready }
-func (s *state) Figures() Figures {
-	return Figures{OK: map[string]int64{"C": 812}, Active: 14}
+func (s *state) Counters() Counters {
+	return Counters{OK: map[string]int64{"C": 812}, Active: 14}
 }
 
 func (s *state) Delays() any { return map[string]int{"late": 2} }
 
-// Cordon knows one data node, and one that it gets to too late.
+// Cordon knows one data node, and another one that it cannot handle in time.
 func (s *state) Cordon(id string, out bool, _ time.Duration) error {
 	s.mu.Lock()
 	s.calls = append(s.calls, fmt.Sprint(id, out))
@@ -34,14 +34,14 @@
 	case "s-1":
 		return nil
 	case "late":
-		return ErrLate
+		return ErrTimeout
 	}
 	return ErrUnknown
 }
 
-func open(t *testing.T, s *state) string {
+func listen(t *testing.T, s *state) string {
 	t.Helper()
-	d, err := Open("127.0.0.1:0", s, standin.Quiet())
+	d, err := Listen("127.0.0.1:0", s, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 
 func TestCalls(t *testing.T) {
 	s := &state{}
-	addr := open(t, s)
+	addr := listen(t, s)
 	for _, c := range []struct {
 		method, path, body string
 		status             int
@@ -72,29 +72,30 @@
 		{"POST", "/admin/cordon", "s-1 s-2", 400, ""},
 		{"GET", "/admin/cordon", "", 405, ""},
 	} {
-		r := standin.Call(t, addr, c.method, c.path, nil, c.body)
+		r := standin.DoHTTP(t, addr, c.method, c.path, nil, c.body)
 		if r.Status != c.status || !strings.HasPrefix(string(r.Body), c.want) {
 			t.Errorf("%s %s: %d %s", c.method, c.path, r.Status, r.Body)
 		}
 		if r.Header.Get("Connection") != "close" {
-			t.Errorf("%s %s: the connection goes on", c.method, c.path)
+			t.Errorf("%s %s: the connection stays open", c.method, c.path)
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if got := strings.Join(s.calls, " "); got != "s-1true s-1false s-2true latetrue" {
-		t.Fatalf("the coordinator was told %q", got)
+		t.Fatalf("the coordinator received %q", got)
 	}
 	s.ready = true
-	if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
+	if r := standin.DoHTTP(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
 		t.Fatalf("%d", r.Status)
 	}
 }
 
-// Callers that say nothing or half a call stay for seconds. However many they are, the next one is answered.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	addr := open(t, &state{ready: true})
-	for i := range 3 * callers {
+// Connections without a complete request stay open for seconds. However many there are, the next call is
+// answered.
+func TestSilentClientsDoNotBlockOperators(t *testing.T) {
+	addr := listen(t, &state{ready: true})
+	for i := range 3 * maxConns {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -106,11 +107,11 @@
 	}
 	for range 3 {
 		time.Sleep(400 * time.Millisecond)
-		begun := time.Now()
-		if r := standin.Call(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
+		start := time.Now()
+		if r := standin.DoHTTP(t, addr, "GET", "/admin/health", nil, ""); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
-		if took := time.Since(begun); took > 5*time.Second {
+		if took := time.Since(start); took > 5*time.Second {
 			t.Fatalf("answered after %v", took)
 		}
 	}
--- a/internal/ajp/ajp_test.go
+++ b/internal/ajp/ajp_test.go
@@ -13,7 +13,7 @@
 	"lapislever/internal/standin"
 )
 
-func TestSize(t *testing.T) {
+func TestPayloadSize(t *testing.T) {
 	for _, c := range []struct {
 		head string
 		size int
@@ -21,21 +21,21 @@
 	}{{"\x12\x34\x00\x10", 16, true}, {"\x12\x34\x1f\xfc", 8188, true}, {"\x12\x34\x1f\xfd", 0, false},
 		{"\x12\x35\x00\x10", 0, false}, {"AB\x00\x10", 0, false}, {"GET ", 0, false}, {"\x12\x34\x00\x00", 0,
 			true}} {
-		n, err := Size([]byte(c.head), DefaultSize)
+		n, err := PayloadSize([]byte(c.head), DefaultSize)
 		if n != c.size || (err == nil) != c.ok || err != nil && !errors.Is(err, ErrPacket) {
 			t.Errorf("%q: %d, %v", c.head, n, err)
 		}
 	}
 }
 
-// forward is a good request's payload.
-func forward() []byte {
-	return standin.AJPForward(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
+// validForward returns the payload of a valid request.
+func validForward() []byte {
+	return standin.AJPRequest(4, "/rate-check", [][2]string{{"Content-Length", "7"}, {"X-Call-Id", "c1"}},
 		"secret", "s3cret", "query_string", "a=b", "JK_LB_ACTIVATION", "ACT")
 }
 
 func TestParseForward(t *testing.T) {
-	f, err := ParseForward(forward())
+	f, err := ParseForward(validForward())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,39 +44,39 @@
 		fmt.Sprint(f.Header) != "[[Content-Length 7] [X-Call-Id c1]]" {
 		t.Errorf("%+v", f)
 	}
-	stored := append(standin.AJPForward(0xff, "/x", nil), 0)
+	stored := append(standin.AJPRequest(0xff, "/x", nil), 0)
 	stored = append(stored[:len(stored)-2], 13, 0, 5, 'P', 'A', 'T', 'C', 'H', 0, 0xff)
 	if f, err := ParseForward(stored); err != nil || f.Method != "PATCH" {
-		t.Errorf("a stored method: %+v, %v", f, err)
+		t.Errorf("stored method: %+v, %v", f, err)
 	}
-	good := forward()
-	for cut := range good { // whatever is lacking is seen
+	good := validForward()
+	for cut := range good { // each truncation is detected
 		if _, err := ParseForward(good[:cut]); !errors.Is(err, ErrPacket) {
-			t.Errorf("cut after %d bytes: %v", cut, err)
+			t.Errorf("truncated after %d bytes: %v", cut, err)
 		}
 	}
 	for name, edit := range map[string]func([]byte) []byte{
-		"more behind":      func(b []byte) []byte { return append(b, 0) },
-		"another type":     func(b []byte) []byte { b[0] = 3; return b },
-		"no method":        func(b []byte) []byte { b[1] = 0; return b },
-		"method 28":        func(b []byte) []byte { b[1] = 28; return b },
-		"method not there": func(b []byte) []byte { b[1] = 0xff; return b },
-		"string too long":  func(b []byte) []byte { b[2] = 0x7f; return b },
-		"header code": func(b []byte) []byte {
+		"trailing byte":         func(b []byte) []byte { return append(b, 0) },
+		"wrong type":            func(b []byte) []byte { b[0] = 3; return b },
+		"no method":             func(b []byte) []byte { b[1] = 0; return b },
+		"method 28":             func(b []byte) []byte { b[1] = 28; return b },
+		"stored method missing": func(b []byte) []byte { b[1] = 0xff; return b },
+		"string too long":       func(b []byte) []byte { b[2] = 0x7f; return b },
+		"unknown header code": func(b []byte) []byte {
 			i := bytes.Index(b, []byte{0xa0,
 				0x08})
 			b[i+1] = 0x0f
 			return b
 		},
-		"header null": func(b []byte) []byte {
+		"null header value": func(b []byte) []byte {
 			i := bytes.Index(b, []byte{0xa0, 0x08})
 			b[i+2], b[i+3] = 255,
 				255
 			return b
 		},
-		"attribute": func(b []byte) []byte { b[bytes.LastIndexByte(b, 12)] = 99; return b },
+		"unknown attribute code": func(b []byte) []byte { b[bytes.LastIndexByte(b, 12)] = 99; return b },
 	} {
-		if _, err := ParseForward(edit(forward())); !errors.Is(err, ErrPacket) {
+		if _, err := ParseForward(edit(validForward())); !errors.Is(err, ErrPacket) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -95,10 +95,10 @@
 	}
 }
 
-// Any payload is a request or an error; what was read is never longer than what came.
+// Any payload is either parsed or an ErrPacket, and the parsed strings are no longer than the payload.
 func FuzzForward(f *testing.F) {
-	f.Add(forward())
-	f.Add(standin.AJPForward(2, "/", nil))
+	f.Add(validForward())
+	f.Add(standin.AJPRequest(2, "/", nil))
 	f.Add([]byte{2, 2, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r, err := ParseForward(b)
@@ -119,194 +119,203 @@
 	})
 }
 
-// serve starts a listener that echoes a request's body, and tells who was seen and who has left.
-type seen struct {
-	mu   sync.Mutex
-	reqs []*lnet.Request
-	gone int
-	s    *Server
+// echoServer is a listener that echoes request bodies and records requests and abandoned requests.
+type echoServer struct {
+	mu        sync.Mutex
+	requests  []*lnet.Request
+	abandoned int
+	server    *Server
 }
 
-func (s *seen) count() (reqs, gone int) {
+func (s *echoServer) count() (requests, abandoned int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.reqs), s.gone
+	return len(s.requests), s.abandoned
 }
 
-func serve(t *testing.T, o Options, budget *lnet.Budget) *seen {
-	x := &seen{}
+func startEcho(t *testing.T, o Options, budget *lnet.Budget) *echoServer {
+	x := &echoServer{}
 	var err error
-	x.s, err = Listen("127.0.0.1:0", o, budget, standin.Quiet(), func(r *lnet.Request, e *lnet.Exchange) func() {
+	x.server, err = Listen("127.0.0.1:0", o, budget, standin.DiscardLogger(), func(r *lnet.Request,
+		e *lnet.Exchange) func() {
 		x.mu.Lock()
-		x.reqs = append(x.reqs, r)
+		x.requests = append(x.requests, r)
 		x.mu.Unlock()
 		switch r.Path {
 		case "/never":
 		case "/refused":
 			e.Reply(lnet.Response{Status: 503, Header: [][2]string{{"Retry-After", "0.2"}}, Body: []byte("no")})
 		default:
-			e.Reply(lnet.Response{Status: 200, Type: "application/json", Body: r.Body})
+			e.Reply(lnet.Response{Status: 200, ContentType: "application/json", Body: r.Body})
 		}
 		return func() {
 			x.mu.Lock()
-			x.gone++
+			x.abandoned++
 			x.mu.Unlock()
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	go x.s.Serve()
-	t.Cleanup(func() { x.s.StopListening(); x.s.Finish() })
+	go x.server.Serve()
+	t.Cleanup(func() { x.server.StopListening(); x.server.Drain() })
 	return x
 }
 
-// Requests of all sizes and both kinds of body, CPings between them, on one connection that goes on.
+// One connection serves requests with bodies of all sizes, of announced and unknown length, and CPings
+// between them, until the server closes it after a reply.
 func TestOneConnectionServesManyRequests(t *testing.T) {
 	budget := lnet.NewBudget(10, 0)
-	x := serve(t, Options{Secret: "s3cret"}, budget)
-	a := standin.DialAJP(t, x.s.Addr())
+	x := startEcho(t, Options{Secret: "s3cret"}, budget)
+	a := standin.DialAJP(t, x.server.Addr())
 	ping := func() {
 		t.Helper()
-		a.Raw(standin.AJPPacket([]byte{10}))
-		if r, err := a.Read(nil); err != nil || !r.Pong {
+		a.WriteRaw(standin.AJPPacket([]byte{10}))
+		if r, err := a.ReadReply(nil); err != nil || !r.Pong {
 			t.Fatalf("CPing: %+v, %v", r, err)
 		}
 	}
 	for _, size := range []int{0, 1, 8186, 8187, 20_000, lnet.MaxBody} {
 		ping()
 		body := strings.Repeat("x", size)
-		r, err := a.Call("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
+		r, err := a.Do("/echo", [][2]string{{"X-Call-Id", "c"}}, body, "secret", "s3cret")
 		if err != nil || r.Status != 200 || r.Body != body || !r.Reuse || r.Header["01"] != "application/json" {
 			t.Fatalf("%d bytes: %+v, %v", size, r, err)
 		}
 	}
-	// A body of untold length is asked for, chunk by chunk.
-	a.Raw(standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
+	// A body of unknown length is requested chunk by chunk.
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Transfer-Encoding", "chunked"}},
 		"secret",
 		"s3cret")))
 	chunks := []string{"one", "two", ""}
-	r, err := a.Read(func(int) []byte {
-		b := standin.AJPBody([]byte(chunks[0]))
+	r, err := a.ReadReply(func(int) []byte {
+		b := standin.AJPChunk([]byte(chunks[0]))
 		chunks = chunks[1:]
 		return b
 	})
-	if err != nil || r.Body != "onetwo" || len(r.Asked) != 3 {
+	if err != nil || r.Body != "onetwo" || len(r.BodyRequests) != 3 {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if r, err = a.Call("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
+	if r, err = a.Do("/refused", nil, "", "secret", "s3cret"); err != nil || r.Status != 503 ||
 		r.Header["Retry-After"] != "0.2" || !r.Reuse {
 		t.Fatalf("%+v, %v", r, err)
 	}
-	if x.s.Open() != 1 || budget.Used() != 1 {
-		t.Errorf("%d connections, %d descriptors", x.s.Open(), budget.Used())
+	if x.server.OpenConns() != 1 || budget.InUse() != 1 {
+		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
-	x.s.Wind()
-	if r, err = a.Call("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
-		t.Fatalf("while ending: %+v, %v", r, err)
+	x.server.CloseAfterReply()
+	if r, err = a.Do("/echo", nil, "", "secret", "s3cret"); err != nil || r.Reuse {
+		t.Fatalf("after CloseAfterReply: %+v, %v", r, err)
 	}
-	if !x.s.Wait(5*time.Second) || budget.Used() != 0 {
-		t.Errorf("%d connections, %d descriptors", x.s.Open(), budget.Used())
+	if !x.server.Wait(5*time.Second) || budget.InUse() != 0 {
+		t.Errorf("%d connections, %d descriptors", x.server.OpenConns(), budget.InUse())
 	}
 }
 
-// Each fault has its definite end: an answer and the end of the connection, or the end alone. Others go on.
-func TestFaultsEndTheirConnection(t *testing.T) {
-	head := func(size string) []byte {
-		return standin.AJPPacket(standin.AJPForward(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
+// Each fault closes its connection, with or without an error reply, and leaves other connections usable.
+func TestFaultsCloseConnection(t *testing.T) {
+	withLength := func(size string) []byte {
+		return standin.AJPPacket(standin.AJPRequest(4, "/echo", [][2]string{{"Content-Length", size}}, "secret",
 			"s3cret"))
 	}
 	for name, c := range map[string]struct {
 		send   []byte
-		status int // 0: closed without a word
+		status int // 0: closed without a reply
 		late   bool
 	}{
-		"wrong magic":      {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, false},
-		"oversized":        {[]byte{0x12, 0x34, 0xff, 0xff}, 0, false},
-		"empty":            {[]byte{0x12, 0x34, 0, 0}, 0, false},
-		"unknown type":     {standin.AJPPacket([]byte{99}), 0, false},
-		"shutdown":         {standin.AJPPacket([]byte{7}), 0, false},
-		"long CPing":       {standin.AJPPacket([]byte{10, 0}), 0, false},
-		"truncated":        {standin.AJPPacket(forward()[:20]), 0, false},
-		"no secret":        {standin.AJPPacket(standin.AJPForward(4, "/x", nil)), 403, false},
-		"wrong secret":     {standin.AJPPacket(standin.AJPForward(4, "/x", nil, "secret", "s3creT")), 403, false},
-		"body too large":   {head("65537"), 413, false},
-		"bad length":       {head("-1"), 400, false},
-		"body ends":        {append(head("5"), standin.AJPPacket(nil)...), 400, false},
-		"more than told":   {append(head("2"), standin.AJPPacket(standin.AJPBody([]byte("abc")))...), 0, false},
-		"bad chunk":        {append(head("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
-		"body never comes": {head("5"), 408, true},
-		"two at once": {append(standin.AJPPacket(standin.AJPForward(4, "/never", nil, "secret", "s3cret")),
+		"wrong magic":     {[]byte("GET / HTTP/1.1\r\n\r\n"), 0, false},
+		"oversized":       {[]byte{0x12, 0x34, 0xff, 0xff}, 0, false},
+		"empty":           {[]byte{0x12, 0x34, 0, 0}, 0, false},
+		"unknown type":    {standin.AJPPacket([]byte{99}), 0, false},
+		"shutdown":        {standin.AJPPacket([]byte{7}), 0, false},
+		"long CPing":      {standin.AJPPacket([]byte{10, 0}), 0, false},
+		"truncated":       {standin.AJPPacket(validForward()[:20]), 0, false},
+		"no secret":       {standin.AJPPacket(standin.AJPRequest(4, "/x", nil)), 403, false},
+		"wrong secret":    {standin.AJPPacket(standin.AJPRequest(4, "/x", nil, "secret", "s3creT")), 403, false},
+		"body too large":  {withLength("65537"), 413, false},
+		"bad length":      {withLength("-1"), 400, false},
+		"body ends early": {append(withLength("5"), standin.AJPPacket(nil)...), 400, false},
+		"body too long": {append(withLength("2"),
+			standin.AJPPacket(standin.AJPChunk([]byte("abc")))...), 0, false},
+		"bad chunk":       {append(withLength("5"), standin.AJPPacket([]byte{0, 9, 'a'})...), 0, false},
+		"body never sent": {withLength("5"), 408, true},
+		"early packet": {append(standin.AJPPacket(standin.AJPRequest(4, "/never", nil, "secret", "s3cret")),
 			standin.AJPPacket([]byte{10})...), 0, false},
-		"says nothing": {nil, 0, true},
+		"silent": {nil, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := serve(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
-			a := standin.DialAJP(t, x.s.Addr())
-			a.Raw(c.send)
-			r, err := a.Read(func(int) []byte { return nil })
+			x := startEcho(t, Options{Secret: "s3cret"}, lnet.NewBudget(10, 0))
+			a := standin.DialAJP(t, x.server.Addr())
+			a.WriteRaw(c.send)
+			r, err := a.ReadReply(func(int) []byte { return nil })
 			if c.status == 0 && err == nil || c.status != 0 && (err != nil || r.Status != c.status || r.Reuse) {
 				t.Errorf("%+v, %v", r, err)
 			}
-			standin.Until(t, "its end", func() bool { return x.s.Open() == 0 })
-			b := standin.DialAJP(t, x.s.Addr())
-			if r, err := b.Call("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
-				t.Errorf("the next one: %+v, %v", r, err)
+			standin.WaitFor(t, "the connection to close", func() bool { return x.server.OpenConns() == 0 })
+			b := standin.DialAJP(t, x.server.Addr())
+			if r, err := b.Do("/echo", nil, "x", "secret", "s3cret"); err != nil || r.Status != 200 {
+				t.Errorf("next connection: %+v, %v", r, err)
 			}
 		})
 	}
 }
 
-// A front that leaves takes its request along; one that ends in the middle of a packet has sent none.
-func TestFrontThatLeaves(t *testing.T) {
-	x := serve(t, Options{}, lnet.NewBudget(10, 0))
-	a := standin.DialAJP(t, x.s.Addr())
-	a.Raw(standin.AJPPacket(standin.AJPForward(2, "/never", nil)))
-	standin.Until(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
+// A proxy that disconnects abandons its request. One that disconnects in the middle of a packet has sent no
+// request.
+func TestProxyDisconnects(t *testing.T) {
+	x := startEcho(t, Options{}, lnet.NewBudget(10, 0))
+	a := standin.DialAJP(t, x.server.Addr())
+	a.WriteRaw(standin.AJPPacket(standin.AJPRequest(2, "/never", nil)))
+	standin.WaitFor(t, "the request", func() bool { n, _ := x.count(); return n == 1 })
 	a.Close()
-	standin.Until(t, "the word that it left", func() bool { _, gone := x.count(); return gone == 1 })
-	b := standin.DialAJP(t, x.s.Addr())
-	b.Raw(standin.AJPPacket(forward())[:30])
+	standin.WaitFor(t, "the request to be abandoned", func() bool {
+		_, abandoned := x.count()
+		return abandoned == 1
+	})
+	b := standin.DialAJP(t, x.server.Addr())
+	b.WriteRaw(standin.AJPPacket(validForward())[:30])
 	b.Close()
-	standin.Until(t, "the end", func() bool { return x.s.Open() == 0 })
+	standin.WaitFor(t, "the connections to close", func() bool { return x.server.OpenConns() == 0 })
 	if n, _ := x.count(); n != 1 {
 		t.Errorf("%d requests", n)
 	}
 }
 
-// A connection that carries nothing makes way, or ends with the server: its place is free at once, and not
-// when it would have been idle for too long.
-func TestConnectionThatMakesWayGivesItsPlaceBack(t *testing.T) {
+// A connection closed while idle, in favour of another one or by Drain, releases its slot at once and does
+// not hold it until the idle timeout.
+func TestClosedIdleConnectionReleasesSlot(t *testing.T) {
 	for name, end := range map[string]func(*Server){
-		"makes way": func(s *Server) {
+		"closeIfIdle": func(s *Server) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			for c := range s.conns {
-				if !c.yield() {
-					t.Error("it carries nothing, and does not yield")
+				if !c.closeIfIdle() {
+					t.Error("idle connection was not closed")
 				}
 			}
 		},
-		"ends": (*Server).Finish,
+		"Drain": (*Server).Drain,
 	} {
 		budget := lnet.NewBudget(10, 0)
-		x := serve(t, Options{}, budget)
-		a := standin.DialAJP(t, x.s.Addr())
-		if r, err := a.Call("/echo", nil, "x"); err != nil || r.Status != 200 {
+		x := startEcho(t, Options{}, budget)
+		a := standin.DialAJP(t, x.server.Addr())
+		if r, err := a.Do("/echo", nil, "x"); err != nil || r.Status != 200 {
 			t.Fatalf("%+v, %v", r, err)
 		}
-		standin.Until(t, "rest", func() bool {
-			x.s.mu.Lock()
-			defer x.s.mu.Unlock()
-			for c := range x.s.conns {
+		standin.WaitFor(t, "the connection to be idle", func() bool {
+			x.server.mu.Lock()
+			defer x.server.mu.Unlock()
+			for c := range x.server.conns {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				return !c.begun && !c.busy.Load()
+				return !c.inPacket && !c.busy.Load()
 			}
 			return false
 		})
-		end(x.s)
-		standin.Until(t, name+": the place", func() bool { return x.s.Open() == 0 && budget.Used() == 0 })
+		end(x.server)
+		standin.WaitFor(t, name+": the slot to be released", func() bool {
+			return x.server.OpenConns() == 0 && budget.InUse() == 0
+		})
 	}
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -1,6 +1,6 @@
 package core
 
-// Carrying out what the module says.
+// Execution of the module's actions.
 
 import (
 	"container/heap"
@@ -10,42 +10,42 @@
 	"lapislever/balance"
 )
 
-// carryOut does what the module said, in its order, but for sends: those of this Step to one server go
-// together, in calls of as many parts as one may hold.
-func (c *Core) carryOut() {
+// execute executes the module's actions in order. Sends are collected, so that those of this Step to one
+// server share calls of at most BatchMax parts.
+func (c *Core) execute() {
 	for i := range c.actions {
 		a := &c.actions[i]
 		switch a.Kind {
 		case balance.Send:
 			c.send(a)
 		case balance.Cancel:
-			if p := c.parts[a.ID]; p != nil && a.Attempt >= 0 && a.Attempt < len(p.tries) {
-				if t := p.tries[a.Attempt]; !t.over {
+			if p := c.parts[a.ID]; p != nil && a.Attempt >= 0 && a.Attempt < len(p.attempts) {
+				if t := p.attempts[a.Attempt]; !t.done {
 					o := balance.Cancelled
-					if c.withdraw(t) {
+					if c.cancelAttempt(t) {
 						o = balance.NotSent
 					}
-					c.settle(t, o, nil, nil)
+					c.endAttempt(t, o, nil, nil)
 				}
 			}
 		case balance.Answer:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Answered, Whole: a.Whole}
+				f := FinalAnswer{Outcome: Answered, Complete: a.Complete}
 				for _, p := range q.parts {
 					if p.value != nil {
 						f.Values = append(f.Values, *p.value)
 					}
 				}
-				c.final(q, f)
+				c.finish(q, f)
 			}
 		case balance.Refuse, balance.Fail:
 			if q := c.queries[a.ID]; q != nil {
-				f := Final{Ending: Failed}
+				f := FinalAnswer{Outcome: Failed}
 				if a.Kind == balance.Refuse {
-					f = Final{Ending: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
+					f = FinalAnswer{Outcome: Refused, RetryAfter: time.Duration(a.After) * time.Microsecond}
 				}
-				c.logEnd(q, f.Ending.String(), a.Text)
-				c.final(q, f)
+				c.logEnd(q, f.Outcome.String(), a.Text)
+				c.finish(q, f)
 			}
 		case balance.Probe:
 			sent := false
@@ -61,16 +61,16 @@
 				c.wakeAt = at
 			}
 		case balance.Watch, balance.Unwatch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Watch(a.Kind == balance.Watch)
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Watch(a.Kind == balance.Watch)
 			}
 		case balance.Fetch:
-			if c.cfg.Lister != nil {
-				c.cfg.Lister.Fetch()
+			if c.cfg.Discovery != nil {
+				c.cfg.Discovery.Fetch()
 			}
 		case balance.Note:
 			text := a.Text
-			c.logLater(func() { c.cfg.Log.Info("module", "note", text) })
+			c.deferLog(func() { c.cfg.Log.Info("module", "note", text) })
 		case balance.Tell:
 			if c.cfg.Peers != nil {
 				c.cfg.Peers.Tell(a.To, a.Text)
@@ -81,69 +81,70 @@
 			}
 		}
 	}
-	c.flush()
+	c.flushSends()
 }
 
-// withdraw gives an attempt up. One of this very Step that has not been handed over is just taken out.
-func (c *Core) withdraw(a *Attempt) bool {
+// cancelAttempt cancels an attempt. An attempt of the current Step that has not been passed to its backend
+// is only removed.
+func (c *Core) cancelAttempt(a *Attempt) bool {
 	for i, s := range c.sends {
 		if s == a {
 			c.sends = append(c.sends[:i], c.sends[i+1:]...)
 			return true
 		}
 	}
-	return a.Query.Via.Withdraw(a)
+	return a.Query.Backend.Cancel(a)
 }
 
-// send makes an attempt and keeps it until the Step's other actions are read.
+// send creates an attempt and holds it until the other actions of the Step are executed.
 func (c *Core) send(act *balance.Action) {
 	p := c.parts[act.ID]
-	if p == nil || !p.q.open || p.over {
-		c.cfg.Log.Error("module sent a part that is over", "id", act.ID)
+	if p == nil || !p.query.open || p.answered {
+		c.cfg.Log.Error("module sent a part that is already finished", "id", act.ID)
 		return
 	}
-	after := min(max(act.After, 0), math.MaxInt32)
-	a := &Attempt{Query: p.q, Shard: p.spec.Shard, Replica: act.Replica, p: p, number: len(p.tries), sent: c.now,
-		watch: &c.watch}
-	until := min(c.now+after, p.q.deadline)
-	if after == 0 {
-		until = p.q.deadline
+	timeout := min(max(act.After, 0), math.MaxInt32)
+	a := &Attempt{Query: p.query, Shard: p.spec.Shard, Replica: act.Replica, part: p, number: len(p.attempts),
+		sent: c.now, watchdog: &c.watchdog}
+	deadline := min(c.now+timeout, p.query.deadline)
+	if timeout == 0 {
+		deadline = p.query.deadline
 	}
-	a.Timeout = time.Duration(max(0, until-c.now)) * time.Microsecond
-	a.Until = c.moment(until)
-	if act.Before > 0 {
-		a.Before = c.moment(act.Before)
+	a.Timeout = time.Duration(max(0, deadline-c.now)) * time.Microsecond
+	a.Deadline = c.toTime(deadline)
+	if act.StartBy > 0 {
+		a.StartBy = c.toTime(act.StartBy)
 	}
-	p.tries = append(p.tries, a)
-	p.live++
-	if c.cfg.Gate != nil {
+	p.attempts = append(p.attempts, a)
+	p.pending++
+	if c.cfg.Admission != nil {
 		var otherwise balance.Outcome
-		if a.passed, otherwise = c.cfg.Gate.Send(a); !a.passed {
-			c.settle(a, otherwise, nil, nil)
+		if a.admitted, otherwise = c.cfg.Admission.AllowSend(a); !a.admitted {
+			c.endAttempt(a, otherwise, nil, nil)
 			return
 		}
 	}
-	heap.Push(&c.timers, timer{at: until, a: a})
+	heap.Push(&c.timers, timer{at: deadline, attempt: a})
 	c.sends = append(c.sends, a)
 }
 
-// flush hands the sends of this Step to their backends.
-func (c *Core) flush() {
+// flushSends passes the sends of this Step to their backends.
+func (c *Core) flushSends() {
 	for len(c.sends) > 0 {
 		first := c.sends[0]
 		var call, rest []*Attempt
 		for _, a := range c.sends {
 			if len(call) < max(1, c.cfg.Settings.BatchMax) && a.Replica == first.Replica &&
-				a.Query.Via == first.Query.Via {
+				a.Query.Backend == first.Query.Backend {
 				call = append(call, a)
 			} else {
 				rest = append(rest, a)
 			}
 		}
 		c.sends = rest
-		if !first.Query.Via.Send(first.Replica, call) {
+		if !first.Query.Backend.Send(first.Replica, call) {
 			for _, a := range call {
-				c.settle(a, balance.NoConnection, nil, nil)
+				c.endAttempt(a, balance.NoConnection, nil, nil)
 			}
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,8 +1,8 @@
-// Package core holds the one goroutine that owns the decision module, and with it each query's life and
-// values. Fronts hand it queries and backends hand it outcomes, all through one bounded queue; it steps the
-// module and carries out what the module says. It must never know a wire: what a query looks like to its
-// client and a part to its server is behind the interfaces that this file defines. It must never decide
-// either, beyond the bounds that the settings place on it.
+// Package core runs the single goroutine that owns the decision module and the state of all open queries.
+// Fronts submit queries and backends report outcomes through one bounded queue; the core steps the module
+// and executes its actions. It is independent of any protocol: the interfaces in this file hide the
+// representation of a query towards its client and of a part towards its server. It makes no decisions of
+// its own beyond enforcing limits from the settings.
 package core
 
 import (
@@ -19,134 +19,139 @@
 	"lapislever/internal/watchdog"
 )
 
-// Sizes of the core.
+// Limits and intervals of the core.
 const (
-	queueSize   = 4096
-	maxBatch    = 1024                   // events of one Step
-	guardSlack  = 10 * time.Millisecond  // past its time a query is ended without the module
-	fullAdvice  = 250 * time.Millisecond // when to come back after the queue or the table was full
-	countSpan   = 100 * time.Millisecond // between looks at what the module avoids
-	numberLimit = 1 << 24                // a query's number must be exact as a float32
+	queueSize      = 4096
+	maxStepEvents  = 1024                   // maximum events per Step
+	overdueSlack   = 10 * time.Millisecond  // after its deadline plus this a query is ended without the module
+	fullRetryAfter = 250 * time.Millisecond // retry advice when the queue or the table of queries is full
+	countInterval  = 100 * time.Millisecond // interval for updating the counts of listed and avoided servers
+	numberLimit    = 1 << 24                // query numbers must be exactly representable as a float32
 )
 
-// ServerID is the module's name for a server: the same at every coordinator, as peers name servers by it.
+// ServerID returns the module's ID of a server. It is the same at every coordinator, because messages
+// between peers refer to servers by it.
 func ServerID(name string) balance.ReplicaID {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return balance.ReplicaID(h.Sum64())
 }
 
-// Backend takes attempts to servers. The core's goroutine calls it: no method may block, none may queue an
-// event from inside the call.
+// Backend sends attempts to servers. Its methods are called by the core's goroutine: they must not block
+// and must not call Post.
 type Backend interface {
-	// Send passes on attempts that share a call. It returns false where they cannot even be queued; they
-	// have then never run.
+	// Send sends attempts that share a call. It returns false if they cannot even be queued; they have
+	// then never run.
 	Send(to balance.ReplicaID, call []*Attempt) bool
-	// Withdraw gives an attempt up. It returns true where it is certain that it never ran.
-	Withdraw(a *Attempt) bool
-	// Probe looks at a server; the outcome comes as ProbeDone.
+	// Cancel cancels an attempt. It returns true if the attempt certainly never ran.
+	Cancel(a *Attempt) bool
+	// Probe starts a probe of a server; its outcome is posted as ProbeDone. It returns false if the server
+	// cannot be probed.
 	Probe(to balance.ReplicaID) bool
-	// CloseIdle closes connections that carry nothing.
+	// CloseIdle closes the idle connections to a server.
 	CloseIdle(to balance.ReplicaID)
-	// Stop withdraws what is queued for a server and not begun, and returns it.
-	Stop(to balance.ReplicaID) []*Attempt
+	// CancelQueued removes the attempts that are queued for a server and not yet begun, and returns them.
+	CancelQueued(to balance.ReplicaID) []*Attempt
 }
 
-// Peers carries messages to other coordinators.
+// Peers sends messages to other coordinators.
 type Peers interface {
 	Tell(to uint32, text string)
 }
 
-// Lister asks discovery, where the list does not come by itself.
-type Lister interface {
+// Discovery requests updates from the discovery service, for settings in which the list does not arrive by
+// itself.
+type Discovery interface {
 	Watch(on bool)
 	Fetch()
 }
 
-// Gate limits what is let in and sent beside what the module decides. No method may block.
-type Gate interface {
-	// Admit is asked before a query is queued, from any goroutine: whether it may be let in, and if not after
-	// how long and why. Ended is called once for each that was, when it has its final answer or its client is
-	// gone, which counts as Failed.
+// AdmissionController limits queries and attempts in addition to the decisions of the module. Its methods
+// must not block.
+type AdmissionController interface {
+	// Admit is called before a query is queued, from any goroutine. It returns whether the query is
+	// admitted and, if not, the suggested retry delay and the reason. QueryEnded is called once for each
+	// admitted query, when it has its final answer or its client has left, which counts as Failed.
 	Admit(q *Query) (ok bool, after time.Duration, why string)
-	Ended(q *Query, e Ending)
-	// Send is asked before an attempt is handed to its backend, by the core's goroutine; one that may not be
-	// ends as told. Over is called once for each that may, at its end.
-	Send(a *Attempt) (ok bool, otherwise balance.Outcome)
-	Over(a *Attempt)
+	QueryEnded(q *Query, e QueryOutcome)
+	// AllowSend is called by the core's goroutine before an attempt is passed to its backend. An attempt that is
+	// not allowed ends with the outcome returned. AttemptEnded is called once for each allowed attempt.
+	AllowSend(a *Attempt) (ok bool, otherwise balance.Outcome)
+	AttemptEnded(a *Attempt)
 }
 
-// Seen is how an attempt at a server ended.
-type Seen struct {
-	Replica balance.ReplicaID
-	Class   int
-	Outcome balance.Outcome
-	Took    time.Duration
-	Beaten  bool // it was given up, and an attempt of its part that was sent later has been answered
+// AttemptResult describes how an attempt ended.
+type AttemptResult struct {
+	Replica    balance.ReplicaID
+	Class      int
+	Outcome    balance.Outcome
+	Elapsed    time.Duration
+	Superseded bool // it was cancelled, and a later attempt of the same part has been answered
 }
 
-// Config is what a core is made of.
+// Config configures a core.
 type Config struct {
-	Settings balance.Settings
-	Seed     uint64
-	Backends []Backend
-	Peers    Peers
-	Lister   Lister
-	Log      *slog.Logger
-	Counts   *Counts // where this core's figures go; nil: nowhere
-	// Gate is asked before a query is queued and before an attempt is sent. Nil: all may.
-	Gate Gate
-	// Saw is told how each attempt ended, by the core's goroutine. It must not wait. Nil: nobody is.
-	Saw func(Seen)
-	// Guard chooses which of the servers that are out by evidence, the first to be judged first, may be so.
-	// Nil: none.
-	Guard func(listed []verdict.Holder, sick []uint64) map[uint64]bool
-	// Named is a server's name for the log; nil: its number stands for it.
-	Named func(id balance.ReplicaID) (string, bool)
-	// Listed is called after the first Step that knew a server.
-	Listed func()
-	// Delays hears of Steps that came late; nil: nobody does.
+	Settings  balance.Settings
+	Seed      uint64
+	Backends  []Backend
+	Peers     Peers
+	Discovery Discovery
+	Log       *slog.Logger
+	Counts    *Counts // counters to update; nil: none
+	// Admission limits queries and attempts; nil: no limit.
+	Admission AdmissionController
+	// OnAttemptEnd is called by the core's goroutine at the end of each attempt. It must not block. Nil: not
+	// called.
+	OnAttemptEnd func(AttemptResult)
+	// LimitCordons selects which of the servers with evidence against them, given in the order of their
+	// verdicts, are actually cordoned. Nil: none.
+	LimitCordons func(listed []verdict.ListedNode, sick []uint64) map[uint64]bool
+	// ServerName returns the name of a server for the log; nil: its ID is logged.
+	ServerName func(id balance.ReplicaID) (string, bool)
+	// OnFirstList is called after the first Step with a listed server.
+	OnFirstList func()
+	// Delays records Steps that ran late; nil: not recorded.
 	Delays *delay.Recorder
 }
 
-// Core is the owner of the module.
+// Core owns the decision module and the open queries.
 type Core struct {
-	cfg    Config
-	module *balance.Balancer
-	queue  chan Event
-	done   chan struct{}
-	quit   chan struct{}
-	epoch  time.Time
-	base   balance.Micros
-	watch  watchdog.Watchdog
-	advice atomic.Int64 // the longest that clients follow, a time.Duration; 0: they are told nothing
-
-	// What follows belongs to the goroutine of Run alone.
-	now      balance.Micros
-	logs     []func() // lines put off to the end of the Step
-	events   []balance.Event
-	actions  []balance.Action
-	sends    []*Attempt
-	timers   timers
-	wakeAt   balance.Micros // earliest wake-up that was asked for; 0: none
-	queries  map[uint32]*Query
-	parts    map[uint32]*part
-	names    map[string]*Query
-	numbers  map[float32]bool
-	nextID   uint32
-	nextNum  uint32
-	held     int // queries and parts
-	until    balance.Micros
-	sawList  bool
-	listed   map[balance.ReplicaID]balance.Replica         // as discovery tells
-	outs     [authors]map[balance.ReplicaID]balance.Micros // put out, by whom and when
-	order    map[balance.ReplicaID]uint64                  // of those that are judged
-	judged   map[uint64]bool                               // of those, the ones that are out
-	since    map[balance.ReplicaID]balance.Micros          // put back then: started no earlier
-	starts   startTimes
-	countAt  balance.Micros // when the list's figures are next due
-	idle     chan struct{}  // closed once nothing is open while stopping
-	idleDone bool
+	cfg           Config
+	module        *balance.Balancer
+	queue         chan Event
+	done          chan struct{}
+	quit          chan struct{}
+	epoch         time.Time
+	base          balance.Micros
+	watchdog      watchdog.Watchdog
+	maxRetryAfter atomic.Int64 // longest retry delay that clients follow, a time.Duration; 0: they receive none
+
+	// The following fields are used only by the goroutine of Run.
+	now             balance.Micros
+	deferredLogs    []func() // log lines deferred to the end of the Step
+	events          []balance.Event
+	actions         []balance.Action
+	sends           []*Attempt
+	timers          timers
+	wakeAt          balance.Micros // earliest wake-up requested by the module; 0: none
+	queries         map[uint32]*Query
+	parts           map[uint32]*part
+	byName          map[string]*Query
+	numbers         map[float32]bool
+	nextID          uint32
+	nextNumber      uint32
+	openCount       int // queries and parts
+	shutdownAt      balance.Micros
+	listSeen        bool
+	servers         map[balance.ReplicaID]balance.Replica               // as listed by discovery
+	cordons         [cordonSources]map[balance.ReplicaID]balance.Micros // by source: since when
+	verdictOrder    map[balance.ReplicaID]uint64                        // order of the verdicts by evidence
+	evidenceCordons map[uint64]bool                                     // within LimitCordons
+	restoredAt      map[balance.ReplicaID]balance.Micros                // when uncordoned: counts as a start
+	starts          startTimes
+	nextCount       balance.Micros // when the list counts are next updated
+	drained         chan struct{}  // closed when no query is open during shutdown
+	drainedClosed   bool
 }
 
 // New returns a core whose module starts now.
@@ -161,31 +166,31 @@
 	now := time.Now()
 	c := &Core{
 		cfg: cfg, module: m, queue: make(chan Event, queueSize), done: make(chan struct{}),
-		quit: make(chan struct{}), idle: make(chan struct{}),
+		quit: make(chan struct{}), drained: make(chan struct{}),
 		epoch: now, base: now.UnixMicro(), queries: map[uint32]*Query{}, parts: map[uint32]*part{},
-		names: map[string]*Query{}, numbers: map[float32]bool{}, listed: map[balance.ReplicaID]balance.Replica{},
-		since: map[balance.ReplicaID]balance.Micros{}, starts: newStartTimes(),
-		order: map[balance.ReplicaID]uint64{},
+		byName: map[string]*Query{}, numbers: map[float32]bool{}, servers: map[balance.ReplicaID]balance.Replica{},
+		restoredAt: map[balance.ReplicaID]balance.Micros{}, starts: newStartTimes(),
+		verdictOrder: map[balance.ReplicaID]uint64{},
 	}
-	c.adopt(cfg.Settings)
-	for i := range c.outs {
-		c.outs[i] = map[balance.ReplicaID]balance.Micros{}
+	c.applySettings(cfg.Settings)
+	for i := range c.cordons {
+		c.cordons[i] = map[balance.ReplicaID]balance.Micros{}
 	}
 	return c, nil
 }
 
-// clock is the module's time: Unix microseconds at the start, and monotonic from there.
-func (c *Core) clock(t time.Time) balance.Micros {
+// toMicros converts a time to the module's clock: Unix microseconds at the start, monotonic from there.
+func (c *Core) toMicros(t time.Time) balance.Micros {
 	return c.base + t.Sub(c.epoch).Microseconds()
 }
 
-// moment is the module's time on the clock that clock reads.
-func (c *Core) moment(at balance.Micros) time.Time {
+// toTime is the inverse of toMicros.
+func (c *Core) toTime(at balance.Micros) time.Time {
 	return c.epoch.Add(time.Duration(at-c.base) * time.Microsecond)
 }
 
-// Post queues an event and waits for room in the queue, so that a socket that brings more than the module
-// takes is read no further. It must not be called from inside a Backend's methods.
+// Post queues an event and blocks while the queue is full, so that a socket is not read faster than the
+// module processes its events. It must not be called from a Backend's methods.
 func (c *Core) Post(e Event) {
 	select {
 	case c.queue <- e:
@@ -193,8 +198,8 @@
 	}
 }
 
-// Submit queues a query. It returns false where the queue is full; the query was then not taken. One that a
-// limit turns away has had its final answer by then.
+// Submit queues a query. It returns false if the queue is full; the query was then not accepted. A query
+// that the admission controller refuses has already received its final answer.
 func (c *Core) Submit(q *Query) bool {
 	if !c.admit(q) {
 		return true
@@ -203,67 +208,67 @@
 	case c.queue <- q:
 		return true
 	default:
-		c.left(q, Refused)
+		c.queryEnded(q, Refused)
 		return false
 	}
 }
 
-// Leave tells that the client of a query has left. From here on no attempt of it begins, also where the queue
+// Abandon ends a query whose client has left. From this call on no attempt of it begins, even if the queue
 // is long.
-func (c *Core) Leave(q *Query) {
+func (c *Core) Abandon(q *Query) {
 	q.writes.close(nil)
-	c.Post(Gone{Query: q})
+	c.Post(ClientGone{Query: q})
 }
 
-// admit asks the gate. One that it turns away has had its final answer.
+// admit asks the admission controller, and gives a refused query its final answer.
 func (c *Core) admit(q *Query) bool {
-	c.cfg.Counts.Active.Add(1)
-	if c.cfg.Gate == nil {
+	c.cfg.Counts.ActiveQueries.Add(1)
+	if c.cfg.Admission == nil {
 		return true
 	}
-	ok, after, why := c.cfg.Gate.Admit(q)
+	ok, after, why := c.cfg.Admission.Admit(q)
 	if q.admitted = ok; !ok {
-		c.reply(q, Final{Ending: Refused, RetryAfter: after, Why: why})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: after, Why: why})
 	}
 	return ok
 }
 
-// Counts are this process's figures.
+// Counts returns the counters of this process.
 func (c *Core) Counts() *Counts { return c.cfg.Counts }
 
-// FullAdvice is when to come back where there was no room.
-func (c *Core) FullAdvice() time.Duration { return c.Advise(fullAdvice) }
+// FullRetryAfter returns the retry advice for a request that found the queue or the table of queries full.
+func (c *Core) FullRetryAfter() time.Duration { return c.CapRetryAfter(fullRetryAfter) }
 
-// Advise is what a client may be told of when to come back: no longer than the settings in force say that it
-// follows, and nothing, 0, where they let it hear nothing.
-func (c *Core) Advise(after time.Duration) time.Duration {
-	return min(after, time.Duration(c.advice.Load()))
+// CapRetryAfter limits a retry delay to the longest that clients follow according to the current settings.
+// It returns 0 if clients receive no advice.
+func (c *Core) CapRetryAfter(after time.Duration) time.Duration {
+	return min(after, time.Duration(c.maxRetryAfter.Load()))
 }
 
-// adopt notes the settings in force.
-func (c *Core) adopt(s balance.Settings) {
+// applySettings stores the settings in force.
+func (c *Core) applySettings(s balance.Settings) {
 	c.cfg.Settings = s
-	longest := time.Duration(0)
+	maxDelay := time.Duration(0)
 	if s.CanAdvise {
-		longest = time.Duration(s.MaxRetryAfter) * time.Microsecond
+		maxDelay = time.Duration(s.MaxRetryAfter) * time.Microsecond
 	}
-	c.advice.Store(int64(longest))
+	c.maxRetryAfter.Store(int64(maxDelay))
 }
 
-// Finish tells the module that this instance ends at the time given, and returns a channel that is closed
-// once no query is open.
-func (c *Core) Finish(until time.Time) <-chan struct{} {
-	c.Post(stopping{until: until})
-	return c.idle
+// Shutdown tells the module that this instance shuts down at the given time, and returns a channel that is
+// closed once no query is open.
+func (c *Core) Shutdown(until time.Time) <-chan struct{} {
+	c.Post(shutdown{until: until})
+	return c.drained
 }
 
-// ask queues an event that is answered on done, and waits for that for as long as is given.
-func ask[T any](c *Core, e Event, done <-chan T, within time.Duration) (answer T, inTime bool) {
-	late := time.NewTimer(within)
-	defer late.Stop()
+// request queues an event that is answered on done, and waits up to the given time for the answer.
+func request[T any](c *Core, e Event, done <-chan T, timeout time.Duration) (answer T, inTime bool) {
+	timeoutTimer := time.NewTimer(timeout)
+	defer timeoutTimer.Stop()
 	select {
 	case c.queue <- e:
-	case <-late.C:
+	case <-timeoutTimer.C:
 		return answer, false
 	case <-c.done:
 		return answer, false
@@ -271,20 +276,20 @@
 	select {
 	case answer = <-done:
 		return answer, true
-	case <-late.C:
+	case <-timeoutTimer.C:
 	case <-c.done:
 	}
 	return answer, false
 }
 
-// Close ends Run.
+// Close stops Run.
 func (c *Core) Close() { close(c.quit) }
 
-// timer is a moment at which the core has to look at an attempt or at a query.
+// timer is the time at which an attempt or a query has to be checked.
 type timer struct {
-	at balance.Micros
-	a  *Attempt
-	q  *Query
+	at      balance.Micros
+	attempt *Attempt
+	query   *Query
 }
 
 type timers []timer
@@ -305,64 +310,65 @@
 	return x
 }
 
-// Run owns the module until Close. One Step takes all that is queued, and there is at most one a tick.
+// Run runs the core until Close. Each Step takes all queued events, and there is at most one Step per
+// tick.
 func (c *Core) Run() {
 	defer close(c.done)
 	tick := time.Duration(c.cfg.Settings.Tick) * time.Microsecond
-	alarm := time.NewTimer(time.Hour)
-	defer alarm.Stop()
+	wakeTimer := time.NewTimer(time.Hour)
+	defer wakeTimer.Stop()
 	last := time.Now()
-	// Where the list has to be asked for, the module says so in a Step, and without a list from before nothing
-	// else may ever call for one.
-	c.step(c.clock(last))
+	// If the list has to be requested, the module does so in a Step, and without a cached list no other
+	// event may ever cause one.
+	c.step(c.toMicros(last))
 	for {
-		// Wait for something to do.
+		// Wait for an event or a timer.
 		if len(c.events) == 0 {
 			if at := c.nextTime(); at > 0 {
-				alarm.Reset(time.Duration(at-c.clock(time.Now())) * time.Microsecond)
+				wakeTimer.Reset(time.Duration(at-c.toMicros(time.Now())) * time.Microsecond)
 			} else {
-				alarm.Reset(time.Hour)
+				wakeTimer.Reset(time.Hour)
 			}
 			select {
 			case e := <-c.queue:
-				c.take(e)
-			case <-alarm.C:
+				c.handle(e)
+			case <-wakeTimer.C:
 			case <-c.quit:
 				return
 			}
 		}
-		// At most one Step a tick: what comes until then goes into the same one.
+		// There is at most one Step per tick: events that arrive before it are part of the same Step.
 		if wait := tick - time.Since(last); wait > 0 {
-			alarm.Reset(wait)
+			wakeTimer.Reset(wait)
 			for waiting := true; waiting; {
 				in := c.queue
-				if len(c.events) >= maxBatch {
+				if len(c.events) >= maxStepEvents {
 					in = nil
 				}
 				select {
 				case e := <-in:
-					c.take(e)
-				case <-alarm.C:
+					c.handle(e)
+				case <-wakeTimer.C:
 					waiting = false
 				case <-c.quit:
 					return
 				}
 			}
 		}
-		for more := true; more && len(c.events) < maxBatch; {
+		for more := true; more && len(c.events) < maxStepEvents; {
 			select {
 			case e := <-c.queue:
-				c.take(e)
+				c.handle(e)
 			default:
 				more = false
 			}
 		}
 		last = time.Now()
-		c.step(c.clock(last))
+		c.step(c.toMicros(last))
 	}
 }
 
-// nextTime is the next moment at which there is something to do; 0: none.
+// nextTime returns the time of the next timer or wake-up; 0: none.
 func (c *Core) nextTime() balance.Micros {
 	at := c.wakeAt
 	if len(c.timers) > 0 && (at == 0 || c.timers[0].at < at) {
@@ -371,108 +377,109 @@
 	return at
 }
 
-// take turns what sockets said into the module's events.
-func (c *Core) take(e Event) {
+// handle processes an event, and translates it to events of the module.
+func (c *Core) handle(e Event) {
 	switch e := e.(type) {
 	case *Query:
-		c.begin(e)
-	case Outcome:
-		c.settle(e.Attempt, e.Outcome, e.Report, &e.Value)
-	case Gone:
+		c.openQuery(e)
+	case AttemptDone:
+		c.endAttempt(e.Attempt, e.Outcome, e.Report, &e.Value)
+	case ClientGone:
 		if e.Query.open {
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: e.Query.id})
 			c.logEnd(e.Query, "abandoned", "its client has left")
 			e.Query.writes.close(nil)
-			c.end(e.Query)
-			c.left(e.Query, Failed)
+			c.closeQuery(e.Query)
+			c.queryEnded(e.Query, Failed)
 		}
-	case Listed:
-		c.learn(&e)
-		c.tell(e.Mode, e.Replicas)
+	case ListUpdate:
+		c.applyList(&e)
+		c.notifyModule(e.Mode, e.Replicas)
 	case Cordon:
 		c.cordon(e)
-	case Inherited: // it comes before any list
-		e.shift(e.Now, c.clock(time.Now()))
-		maps.Copy(c.outs[Here], e.Out)
-		maps.Copy(c.outs[ByFleet], e.Barred)
-		maps.Copy(c.since, e.Since)
-		for id, at := range e.Memory.Starts { // some of them the list may not tell yet
-			c.since[id] = max(c.since[id], at)
+	case HandoverState: // arrives before any list
+		e.shift(e.Clock, c.toMicros(time.Now()))
+		maps.Copy(c.cordons[ByOperator], e.Cordons)
+		maps.Copy(c.cordons[ByFleetOperator], e.FleetCordons)
+		maps.Copy(c.restoredAt, e.RestoredAt)
+		for id, at := range e.Memory.Starts { // some may be missing in the list so far
+			c.restoredAt[id] = max(c.restoredAt[id], at)
 		}
-		c.events = append(c.events, balance.Event{Kind: balance.Recalled, Memory: &e.Memory})
-	case Reconfigured:
-		c.adopt(e.Settings)
-		c.events = append(c.events, balance.Event{Kind: balance.Changed, Settings: &e.Settings})
-	case cordons:
-		e.done <- Inherited{Out: maps.Clone(c.outs[Here]), Barred: maps.Clone(c.outs[ByFleet]),
-			Since: maps.Clone(c.since), Memory: c.module.Memory(), Now: c.clock(time.Now())}
-	case knows:
-		_, ok := c.listed[e.server]
+		c.events = append(c.events, balance.Event{Kind: balance.Restored, Memory: &e.Memory})
+	case SettingsChanged:
+		c.applySettings(e.Settings)
+		c.events = append(c.events, balance.Event{Kind: balance.SettingsChanged, Settings: &e.Settings})
+	case handoverRequest:
+		e.done <- HandoverState{Cordons: maps.Clone(c.cordons[ByOperator]),
+			FleetCordons: maps.Clone(c.cordons[ByFleetOperator]), RestoredAt: maps.Clone(c.restoredAt),
+			Memory: c.module.Memory(), Clock: c.toMicros(time.Now())}
+	case isListedRequest:
+		_, ok := c.servers[e.server]
 		e.done <- ok
 	case ProbeDone:
 		c.events = append(c.events, balance.Event{Kind: balance.ProbeResult, Replica: e.Replica,
 			Outcome: e.Outcome, Elapsed: e.Elapsed.Microseconds(), Report: e.Report})
 	case PeerMessage:
 		c.events = append(c.events, balance.Event{Kind: balance.Message, From: e.From, Data: e.Data})
-	case stopping:
-		c.until = c.clock(e.until)
-		c.events = append(c.events, balance.Event{Kind: balance.Ending, Deadline: c.until})
+	case shutdown:
+		c.shutdownAt = c.toMicros(e.until)
+		c.events = append(c.events, balance.Event{Kind: balance.Stopping, Deadline: c.shutdownAt})
 		for _, q := range c.queries {
-			heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
+			heap.Push(&c.timers, timer{at: c.overdueAt(q), query: q})
 		}
 	}
 }
 
-// begin takes a query and gives the module what it needs to know of it.
-func (c *Core) begin(q *Query) {
-	if q.Over() { // its client left while it was queued
-		c.left(q, Failed)
+// openQuery opens a query and passes it to the module.
+func (c *Core) openQuery(q *Query) {
+	if q.Finished() { // the client left while the query was queued
+		c.queryEnded(q, Failed)
 		return
 	}
-	if c.names[q.Name] != nil { // its parts could not be told from those of the other one
-		c.logEnd(q, Failed.String(), "an open query bears the same name")
-		c.reply(q, Final{Ending: Failed, NameTaken: true})
+	if c.byName[q.Name] != nil { // parts of two queries of one name cannot be told apart
+		c.logEnd(q, Failed.String(), "a query with the same name is open")
+		c.reply(q, FinalAnswer{Outcome: Failed, NameTaken: true})
 		return
 	}
-	if most := c.cfg.Settings.MaxOpen; most > 0 && c.held+1+len(q.Parts) > most {
+	if limit := c.cfg.Settings.MaxOpen; limit > 0 && c.openCount+1+len(q.Parts) > limit {
 		c.logEnd(q, Refused.String(), "too many queries are open")
-		c.reply(q, Final{Ending: Refused, RetryAfter: fullAdvice})
+		c.reply(q, FinalAnswer{Outcome: Refused, RetryAfter: fullRetryAfter})
 		return
 	}
-	q.open, q.deadline, q.began = true, c.clock(q.Deadline), c.clock(time.Now())
-	for c.nextNum++; c.numbers[float32(c.nextNum%numberLimit)]; c.nextNum++ {
+	q.open, q.deadline, q.openedAt = true, c.toMicros(q.Deadline), c.toMicros(time.Now())
+	for c.nextNumber++; c.numbers[float32(c.nextNumber%numberLimit)]; c.nextNumber++ {
 	}
-	q.number = float32(c.nextNum % numberLimit)
+	q.number = float32(c.nextNumber % numberLimit)
 	c.numbers[q.number] = true
-	q.id = c.freshID()
-	c.queries[q.id], c.names[q.Name] = q, q
-	total, hints, all := 0.0, balance.Micros(0), true
+	q.id = c.newID()
+	c.queries[q.id], c.byName[q.Name] = q, q
+	total, totalHint, allHinted := 0.0, balance.Micros(0), true
 	for i := range q.Parts {
 		total += q.Parts[i].Weight
-		hints += q.Parts[i].Hint
-		all = all && q.Parts[i].Hint > 0
+		totalHint += q.Parts[i].Hint
+		allHinted = allHinted && q.Parts[i].Hint > 0
 	}
-	if !all {
-		hints = 0
+	if !allHinted {
+		totalHint = 0
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Query, ID: q.id, Number: q.number, Class: q.Class,
-		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: hints, Deadline: q.deadline, Repeat: q.Repeat,
-		Rules: q.Rules, Most: q.Most})
+		Tenant: q.Tenant, Weight: float64(len(q.Parts)), Hint: totalHint, Deadline: q.deadline, Repeat: q.Repeat,
+		Rules: q.Rules, MaxAttempts: q.MaxAttempts})
 	for i := range q.Parts {
 		s := &q.Parts[i]
-		p := &part{q: q, spec: s, id: c.freshID()}
+		p := &part{query: q, spec: s, id: c.newID()}
 		q.parts = append(q.parts, p)
 		c.parts[p.id] = p
 		c.events = append(c.events, balance.Event{Kind: balance.Part, ID: p.id, Number: q.number, Class: q.Class,
 			Tenant: q.Tenant, Shard: s.Shard, Weight: s.Weight / total, Hint: s.Hint, Key: s.Key,
 			Deadline: q.deadline, Repeat: q.Repeat})
 	}
-	c.held += 1 + len(q.Parts)
-	heap.Push(&c.timers, timer{at: c.guardAt(q), q: q})
+	c.openCount += 1 + len(q.Parts)
+	heap.Push(&c.timers, timer{at: c.overdueAt(q), query: q})
 }
 
-// freshID returns an id that nothing open bears.
-func (c *Core) freshID() uint32 {
+// newID returns an ID that no open query or part has.
+func (c *Core) newID() uint32 {
 	for {
 		c.nextID++
 		if c.queries[c.nextID] == nil && c.parts[c.nextID] == nil {
@@ -481,135 +488,140 @@
 	}
 }
 
-// settle books the end of an attempt and tells the module. Only the first end counts: what comes after a
-// time-out or a withdrawal is late, and dropped.
-func (c *Core) settle(a *Attempt, o balance.Outcome, report []float32, v *Value) {
-	if a.over {
+// endAttempt records the end of an attempt and tells the module. Only the first outcome counts: anything
+// after a time-out or a cancellation is late and ignored.
+func (c *Core) endAttempt(a *Attempt, o balance.Outcome, report []float32, v *Value) {
+	if a.done {
 		return
 	}
-	a.over, a.ended, a.outcome = true, c.now, o
-	if a.passed {
-		c.cfg.Gate.Over(a)
+	a.done, a.endedAt, a.outcome = true, c.now, o
+	if a.admitted {
+		c.cfg.Admission.AttemptEnded(a)
 	}
-	if c.cfg.Saw != nil {
-		c.cfg.Saw(Seen{a.Replica, a.Query.Class, o, micros(c.now - a.sent), o == balance.Cancelled && a.beaten()})
+	if c.cfg.OnAttemptEnd != nil {
+		c.cfg.OnAttemptEnd(AttemptResult{a.Replica, a.Query.Class, o, toDuration(c.now - a.sent),
+			o == balance.Cancelled && a.superseded()})
 	}
-	p := a.p
-	p.live--
-	if o == balance.OK && !p.over && v != nil {
+	p := a.part
+	p.pending--
+	if o == balance.OK && !p.answered && v != nil {
 		v.Shard = a.Shard
-		p.value, p.over = v, true
+		p.value, p.answered = v, true
 	}
 	c.events = append(c.events, balance.Event{Kind: balance.Result, ID: p.id, Attempt: a.number,
-		Closed: p.over || !p.q.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent, Report: report})
-	c.forget(p)
+		Closed: p.answered || !p.query.open, Outcome: o, Replica: a.Replica, Elapsed: c.now - a.sent,
+		Report: report})
+	c.dropPart(p)
 }
 
-// forget drops a part that nothing more can come of.
-func (c *Core) forget(p *part) {
-	if !p.q.open && p.live == 0 {
+// dropPart removes a part once its query is closed and none of its attempts is pending.
+func (c *Core) dropPart(p *part) {
+	if !p.query.open && p.pending == 0 {
 		delete(c.parts, p.id)
 	}
 }
 
-// step runs the module once and carries out its actions.
+// step runs the module once and executes its actions.
 func (c *Core) step(now balance.Micros) {
 	var overdue []*Query
-	late := time.Duration(0)
+	delayed := time.Duration(0)
 	if due := c.nextTime(); due > 0 && c.now > 0 {
-		late = micros(now - max(due, c.now))
+		delayed = toDuration(now - max(due, c.now))
 	}
-	c.logLater(func() { c.cfg.Delays.Note(delay.Step, late, "open", len(c.queries)) })
+	c.deferLog(func() { c.cfg.Delays.Record(delay.Step, delayed, "open", len(c.queries)) })
 	c.now = now
 	for len(c.timers) > 0 && c.timers[0].at <= now {
 		t := heap.Pop(&c.timers).(timer)
 		switch {
-		case t.a != nil && !t.a.over:
+		case t.attempt != nil && !t.attempt.done:
 			o := balance.TimedOut
-			if t.a.Query.Via.Withdraw(t.a) {
+			if t.attempt.Query.Backend.Cancel(t.attempt) {
 				o = balance.NotSent
 			}
-			c.settle(t.a, o, nil, nil)
-		case t.q != nil && t.q.open:
-			// The module answers in time by itself; this guards the rule against whatever keeps it from
-			// that, such as a clock that stood still: an overdue query gets its answer all the same.
-			overdue = append(overdue, t.q)
+			c.endAttempt(t.attempt, o, nil, nil)
+		case t.query != nil && t.query.open:
+			// Normally the module answers in time. This ensures a final answer even if something keeps it from
+			// doing so, such as a clock that stood still.
+			overdue = append(overdue, t.query)
 		}
 	}
 	if c.wakeAt > 0 && c.wakeAt <= now {
 		c.wakeAt = 0
-		c.events = append(c.events, balance.Event{Kind: balance.Awake})
+		c.events = append(c.events, balance.Event{Kind: balance.WakeUp})
 	}
 	events := c.events
 	c.actions = c.module.Step(now, events, c.actions[:0])
 	clear(events)
 	c.events = events[:0]
-	c.carryOut()
-	c.countList()
-	if c.sawList && c.cfg.Listed != nil {
-		c.cfg.Listed()
-		c.cfg.Listed = nil
+	c.execute()
+	c.updateListCounts()
+	if c.listSeen && c.cfg.OnFirstList != nil {
+		c.cfg.OnFirstList()
+		c.cfg.OnFirstList = nil
 	}
 	for _, q := range overdue {
 		if q.open {
 			c.logEnd(q, Failed.String(), "no decision in time")
-			c.logLater(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
+			c.deferLog(func() { c.cfg.Log.Error("query ended without a decision", "query", q.Name) })
 			c.events = append(c.events, balance.Event{Kind: balance.ClientGone, ID: q.id})
-			c.final(q, Final{Ending: Failed, Overdue: true})
+			c.finish(q, FinalAnswer{Outcome: Failed, Overdue: true})
 		}
 	}
-	if c.until > 0 && len(c.queries) == 0 && !c.idleDone {
-		c.idleDone = true
-		close(c.idle)
+	if c.shutdownAt > 0 && len(c.queries) == 0 && !c.drainedClosed {
+		c.drainedClosed = true
+		close(c.drained)
 	}
 	c.flushLogs()
 }
 
-func (c *Core) guardAt(q *Query) balance.Micros {
+// overdueAt returns when a query is ended without the module.
+func (c *Core) overdueAt(q *Query) balance.Micros {
 	at := q.deadline
-	if c.until > 0 {
-		at = min(at, c.until)
+	if c.shutdownAt > 0 {
+		at = min(at, c.shutdownAt)
 	}
-	return at + guardSlack.Microseconds()
+	return at + overdueSlack.Microseconds()
 }
 
-// final gives a query its final answer. It is the only place that does, and a query is open only once.
-func (c *Core) final(q *Query, f Final) {
+// finish gives an open query its final answer. Only this function does so, and a query is opened only
+// once.
+func (c *Core) finish(q *Query, f FinalAnswer) {
 	if !q.open {
 		return
 	}
-	c.end(q)
-	f.Decided = c.moment(c.now)
+	c.closeQuery(q)
+	f.Decided = c.toTime(c.now)
 	c.reply(q, f)
 }
 
-// reply hands out the final answer of a query that is not open, or not any more. The client hears it once no
-// write can put out the first byte of an attempt any more: what is sent on for a request that has its answer
-// is a request lost, however long a writer's thread is held up.
-func (c *Core) reply(q *Query, f Final) {
-	c.left(q, f.Ending)
-	f.RetryAfter = c.Advise(f.RetryAfter)
+// reply delivers the final answer of a query that is not open, or no longer open. The client receives it
+// only when no write can send the first byte of an attempt any more: an attempt sent after the final
+// answer would execute a request that has already been reported as ended, however long a writer's thread
+// is held up.
+func (c *Core) reply(q *Query, f FinalAnswer) {
+	c.queryEnded(q, f.Outcome)
+	f.RetryAfter = c.CapRetryAfter(f.RetryAfter)
 	q.writes.close(func() { q.Client.Final(f) })
 }
 
-// left books that a query that was submitted is over.
-func (c *Core) left(q *Query, e Ending) {
-	c.cfg.Counts.Active.Add(-1)
+// queryEnded records that a submitted query has ended.
+func (c *Core) queryEnded(q *Query, e QueryOutcome) {
+	c.cfg.Counts.ActiveQueries.Add(-1)
 	if q.admitted {
 		q.admitted = false
-		c.cfg.Gate.Ended(q, e)
+		c.cfg.Admission.QueryEnded(q, e)
 	}
 }
 
-// end forgets a query. What it still has out is withdrawn by the module or runs into its time-out.
-func (c *Core) end(q *Query) {
+// closeQuery removes a query. Its pending attempts are cancelled by the module or time out.
+func (c *Core) closeQuery(q *Query) {
 	q.open = false
 	delete(c.queries, q.id)
-	delete(c.names, q.Name)
+	delete(c.byName, q.Name)
 	delete(c.numbers, q.number)
-	c.held -= 1 + len(q.parts)
+	c.openCount -= 1 + len(q.parts)
 	for _, p := range q.parts {
 		p.value = nil
-		c.forget(p)
+		c.dropPart(p)
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,150 +21,150 @@
 )
 
 const (
-	// Sockets is how many descriptors the fleet's part may take.
-	Sockets = 3
-	// queueSize is how many datagrams wait for the goroutine that holds the view; more are dropped.
-	queueSize = 1024
-	heardSize = 256
-	// MostMessage is the longest message of the decision module, in bytes.
-	MostMessage = membership.MostApp
-	showEvery   = 100 * time.Millisecond
+	// MaxSockets is the maximum number of file descriptors that a Fleet uses.
+	MaxSockets = 3
+	// queueSize is the number of datagrams that may wait for the owner goroutine; more are dropped.
+	queueSize        = 1024
+	messageQueueSize = 256
+	// MaxMessage is the maximum length of a message of the decision module, in bytes.
+	MaxMessage      = membership.MaxAppMessage
+	publishInterval = 100 * time.Millisecond
 )
 
-// What a message of the layer above is for.
+// The kinds of application messages.
 const (
-	toModule  byte = 1 // between the decision modules
-	toVerdict byte = 2 // between the tables of verdicts
-	toQuota   byte = 3 // between the shares of limits
+	kindModule  byte = 1 // between decision modules
+	kindVerdict byte = 2 // between verdict tables
+	kindQuota   byte = 3 // between limit shares
 
-	toEvidence byte = 4 // between juries
-	toOverload byte = 5 // between guards
+	kindEvidence byte = 4 // between outlier detectors
+	kindOverload byte = 5 // between overload controllers
 )
 
-// Status is what the door shows: the form of GET /admin/fleet.
+// Status is the body of GET /admin/fleet.
 type Status struct {
 	Self        string         `json:"self"`
 	Incarnation uint32         `json:"incarnation"`
 	Digest      string         `json:"digest"`
 	Alive       int            `json:"alive"`
 	Members     []MemberStatus `json:"members"`
-	Figures     Figures        `json:"figures"`
+	Stats       Stats          `json:"figures"`
 }
 
-// MemberStatus is one member as the door shows it.
+// MemberStatus is one member in Status.
 type MemberStatus struct {
 	Name        string `json:"name"`
 	Zone        string `json:"zone"`
 	Addr        string `json:"addr"`
 	State       string `json:"state"`
 	Incarnation uint32 `json:"incarnation"`
-	SinceMS     int64  `json:"since_ms"` // how long it has been in this state
+	SinceMS     int64  `json:"since_ms"` // time in the current state
 }
 
-// Figures are counts since this process's start, and the bounds that hold now, in milliseconds.
-type Figures struct {
-	PeriodMS     int64            `json:"period_ms"`
-	Health       int              `json:"health"`
-	Sent         int64            `json:"sent"`
-	SentBytes    int64            `json:"sent_bytes"`
-	Received     int64            `json:"received"`
-	Dropped      map[string]int64 `json:"dropped"`
-	Probes       int64            `json:"probes"`
-	ProbesFailed int64            `json:"probes_failed"`
-	Votes        int64            `json:"votes"`
-	Refuted      int64            `json:"refuted"`
-	Syncs        int64            `json:"syncs"`
-	Stalls       int64            `json:"stalls"`
-	Rejoins      int64            `json:"rejoins"`
-	TurnedDown   int64            `json:"turned_down"`
-	Told         int64            `json:"module_messages_sent"`
-	ToldUs       int64            `json:"module_messages_received"`
-	SickGiven    int64            `json:"sick_given"`      // verdicts by evidence that this member gave
-	SickHeld     int64            `json:"sick_held_back"`  // and did not, as enough were out (each period)
-	Differ       []string         `json:"settings_differ"` // alive members whose roster differs from this one's
-	Conflict     string           `json:"conflict,omitempty"`
-	CrashKnownMS int64            `json:"crash_known_within_ms"`
-	SettledMS    int64            `json:"settled_within_ms"`
-	ForgottenMS  map[string]int64 `json:"forgotten_after_ms"`
+// Stats are counters since this process's start, and the current protocol bounds in milliseconds.
+type Stats struct {
+	PeriodMS               int64            `json:"period_ms"`
+	Health                 int              `json:"health"`
+	Sent                   int64            `json:"sent"`
+	SentBytes              int64            `json:"sent_bytes"`
+	Received               int64            `json:"received"`
+	Dropped                map[string]int64 `json:"dropped"`
+	Probes                 int64            `json:"probes"`
+	ProbesFailed           int64            `json:"probes_failed"`
+	Votes                  int64            `json:"votes"`
+	Refuted                int64            `json:"refuted"`
+	Syncs                  int64            `json:"syncs"`
+	Stalls                 int64            `json:"stalls"`
+	Rejoins                int64            `json:"rejoins"`
+	Rejections             int64            `json:"turned_down"`
+	ModuleMessagesSent     int64            `json:"module_messages_sent"`
+	ModuleMessagesReceived int64            `json:"module_messages_received"`
+	EvidenceVerdicts       int64            `json:"sick_given"`      // verdicts by evidence issued here
+	EvidenceWithheld       int64            `json:"sick_held_back"`  // withheld as enough were out (each period)
+	SettingsDiffer         []string         `json:"settings_differ"` // alive members with another settings stamp
+	Conflict               string           `json:"conflict,omitempty"`
+	CrashDetectedMS        int64            `json:"crash_known_within_ms"`
+	SettledMS              int64            `json:"settled_within_ms"`
+	ForgottenMS            map[string]int64 `json:"forgotten_after_ms"`
 }
 
-// Bounds that docs/FLEET.md derives, in periods.
+// Protocol bounds in periods, derived in docs/FLEET.md.
 const settlePeriods = 20
 
-func crashPeriods(members int) int { return 12 + bits.Len(uint(max(1, members)-1)) }
+func crashDetectPeriods(members int) int { return 12 + bits.Len(uint(max(1, members)-1)) }
 
-// Fleet is this process's part in the fleet.
+// Fleet is this process's membership in the fleet.
 type Fleet struct {
-	cfg    *Config // of the start: what a reload can't change
-	log    *slog.Logger
-	conn   *net.UDPConn
-	epoch  time.Time
-	keys   atomic.Pointer[keyring]
-	show   atomic.Pointer[Status]
-	alive  atomic.Pointer[[]string] // others that are alive, by name
-	in     chan []byte
-	calls  chan func(*membership.View)
-	heard  chan membership.Heard
-	closed chan struct{}
-	once   sync.Once
-	drops  [9]atomic.Int64 // by openErrors
-	told   atomic.Int64    // messages of the module sent
-	toldUs atomic.Int64    // and received
-
-	mu      sync.Mutex // guards what follows
-	running *run       // nil: another process of this member has the socket
-	kept    *membership.View
-
-	keep     keeper // the view's owner's
-	jurors   jurors
-	shed     shedder
-	host     atomic.Pointer[Host] // of Begin; empty before
-	toApply  chan verdict.Change
-	verdicts atomic.Pointer[Verdicts]
-	limits   []*limiter    // as the file's order is; fixed
-	tenure   *quota.Tenure // the view's owner's; nil: nobody votes
-	holds    atomic.Pointer[[]string]
-
-	conf       atomic.Pointer[Config] // in force
-	turnedDown int64                  // the view's owner's: times that others turned us down
-	turnedAt   membership.Micros      // and when that last grew
-
-	joined  chan struct{} // closed once this member is one
-	refused chan error    // hears once if this process must not serve
+	cfg            *Config // as of the start, for settings that a reload cannot change
+	log            *slog.Logger
+	conn           *net.UDPConn
+	epoch          time.Time
+	keys           atomic.Pointer[keyring]
+	status         atomic.Pointer[Status]
+	aliveOthers    atomic.Pointer[[]string] // names of the other alive members
+	inbound        chan []byte
+	ownerCalls     chan func(*membership.View)
+	messages       chan membership.AppMessage
+	closed         chan struct{}
+	closeOnce      sync.Once
+	dropCounts     [9]atomic.Int64 // indexed as dropErrors
+	moduleSent     atomic.Int64    // messages of the decision module
+	moduleReceived atomic.Int64
+
+	mu         sync.Mutex       // guards what follows
+	running    *session         // nil: another process of this member reads the socket
+	handedOver *membership.View // view of the last session, kept for Reclaim
+
+	store      verdictStore // used by the owner goroutine only
+	evidence   evidenceState
+	overload   overloadState
+	host       atomic.Pointer[Host] // set by Start; empty before
+	toApply    chan verdict.Change
+	verdicts   atomic.Pointer[Verdicts]
+	limits     []*limiter               // in the order of the settings file; fixed after Open
+	leases     *quota.Leases            // used by the owner goroutine only; nil: there is no voting
+	leasesHeld atomic.Pointer[[]string] // as Limits.LeasesHeld
+
+	current    atomic.Pointer[Config] // settings in force, replaced by Configure
+	rejections int64                  // owner goroutine only: times that others rejected this member
+	rejectedAt membership.Micros      // owner goroutine only: time of the last rejection
+
+	joined    chan struct{} // closed once this process has joined
+	nameTaken chan error    // receives one error if this process must not serve
 }
 
-// run is the time in which this process is the one that reads the socket.
-type run struct {
+// session is a time span in which this process reads the socket and owns the view.
+type session struct {
 	stop chan struct{}
 	done sync.WaitGroup
-	view *membership.View // once done
+	view *membership.View // to be used once done
 }
 
-// ErrTaken is the end of a process whose name another one bears.
-var ErrTaken = errors.New("another process bears this member's name and has run for longer")
+// ErrNameTaken reports that another process with this member's name is running.
+var ErrNameTaken = errors.New("another process bears this member's name and has run for longer")
 
-// Open binds the socket, or takes one that is handed over. Nothing is read before Begin.
-func Open(cfg *Config, log *slog.Logger, given *net.UDPConn) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, log: log, conn: given, epoch: time.Now(), in: make(chan []byte, queueSize),
-		calls: make(chan func(*membership.View)), heard: make(chan membership.Heard, heardSize),
-		closed: make(chan struct{}), joined: make(chan struct{}), refused: make(chan error, 1)}
+// Open binds the socket, or uses one that is handed over. Nothing is read before Start.
+func Open(cfg *Config, log *slog.Logger, inherited *net.UDPConn) (*Fleet, error) {
+	f := &Fleet{cfg: cfg, log: log, conn: inherited, epoch: time.Now(), inbound: make(chan []byte, queueSize),
+		ownerCalls: make(chan func(*membership.View)), messages: make(chan membership.AppMessage, messageQueueSize),
+		closed: make(chan struct{}), joined: make(chan struct{}), nameTaken: make(chan error, 1)}
 	f.keys.Store(cfg.keys)
-	f.conf.Store(cfg)
-	f.alive.Store(&[]string{})
-	f.toApply = make(chan verdict.Change, mostPending)
+	f.current.Store(cfg)
+	f.aliveOthers.Store(&[]string{})
+	f.toApply = make(chan verdict.Change, maxPending)
 	f.verdicts.Store(&Verdicts{Verdicts: []VerdictStatus{}})
-	f.keep.Spreader = verdict.NewSpreader(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
-		membership.MostApp)
-	f.jurors.jury = verdict.NewJury(verdict.Voter{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
-		cfg.Period().Microseconds(), membership.MostApp)
-	f.jurors.zones = map[string]string{}
+	f.store.Gossiper = verdict.NewGossiper(verdict.NewTable(cfg.Fleet.Name), f.viewConfig().Seed,
+		membership.MaxAppMessage)
+	f.evidence.detector = verdict.NewOutlierDetector(verdict.Member{Name: cfg.Fleet.Name, Zone: cfg.Fleet.Zone},
+		cfg.Period().Microseconds(), membership.MaxAppMessage)
+	f.evidence.zones = map[string]string{}
 	f.host.Store(&Host{})
-	f.shed.guard = overload.NewGuard(cfg.Fleet.Name, cfg.Period().Microseconds())
-	f.shed.by = map[string]int64{}
-	f.openLimits(given != nil)
-	f.show.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
-	if given == nil {
-		// Without SO_REUSEPORT: a second process of this address is an error, at once.
+	f.overload.controller = overload.NewController(cfg.Fleet.Name, cfg.Period().Microseconds())
+	f.overload.shedCounts = map[string]int64{}
+	f.createLimits(inherited != nil)
+	f.status.Store(&Status{Self: cfg.Fleet.Name, Members: []MemberStatus{}})
+	if inherited == nil {
+		// Without SO_REUSEPORT, so that a second process on this address fails immediately.
 		c, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(cfg.listen))
 		if err != nil {
 			return nil, fmt.Errorf("fleet: %w", err)
@@ -174,10 +174,10 @@
 	return f, nil
 }
 
-// Conn is the socket, to hand it over.
+// Conn returns the socket, for a handover to another process.
 func (f *Fleet) Conn() *net.UDPConn { return f.conn }
 
-// now is the view's time.
+// now returns the current time on the view's clock.
 func (f *Fleet) now() membership.Micros { return 1 + time.Since(f.epoch).Microseconds() }
 
 func (f *Fleet) viewConfig() membership.Config {
@@ -188,15 +188,15 @@
 		Period: f.cfg.Period().Microseconds(), Settings: f.cfg.view}
 }
 
-// Begin starts to take part: as a new process, or from where another process of this member has stopped.
-func (f *Fleet) Begin(from *Handover, host Host) error {
+// Start joins the fleet as a new process, or continues from the state that another process handed over.
+func (f *Fleet) Start(from *Handover, host Host) error {
 	var v *membership.View
 	var err error
 	f.host.Store(&host)
-	f.beginLimits(from)
+	f.startLimits(from)
 	if from != nil {
 		for _, x := range from.Verdicts {
-			f.keep.Merge(f.now(), x.Verdict, x.Age)
+			f.store.Merge(f.now(), x.Verdict, x.Age)
 		}
 		v, err = membership.Resume(f.viewConfig(), from.View, f.now())
 	} else {
@@ -205,12 +205,12 @@
 	if err != nil {
 		return err
 	}
-	go f.apply()
-	f.start(v)
+	go f.applyLoop()
+	f.startSession(v)
 	return nil
 }
 
-func (f *Fleet) start(v *membership.View) {
+func (f *Fleet) startSession(v *membership.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.running != nil {
@@ -221,124 +221,127 @@
 		return
 	default:
 	}
-	r := &run{stop: make(chan struct{}), view: v}
-	r.done.Add(2)
-	f.running = r
+	s := &session{stop: make(chan struct{}), view: v}
+	s.done.Add(2)
+	f.running = s
 	_ = f.conn.SetReadDeadline(time.Time{})
-	go f.read(r)
-	go f.own(r)
+	go f.readLoop(s)
+	go f.ownerLoop(s)
 }
 
-// halt ends the run, if there is one, and returns its view.
-func (f *Fleet) halt() *membership.View {
+// stopSession ends the current session and returns its view, or nil if there is none.
+func (f *Fleet) stopSession() *membership.View {
 	f.mu.Lock()
-	r := f.running
+	s := f.running
 	f.running = nil
 	f.mu.Unlock()
-	if r == nil {
+	if s == nil {
 		return nil
 	}
-	close(r.stop)
-	_ = f.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader; the socket stays
-	r.done.Wait()
-	return r.view
+	close(s.stop)
+	_ = f.conn.SetReadDeadline(time.Unix(1, 0)) // wakes the reader; the socket stays open
+	s.done.Wait()
+	return s.view
 }
 
-// Release stops to read, for the process that goes on in this one's place; the socket stays open, so that
-// Again can take it back. Nil: this process has no part to give.
-func (f *Fleet) Release() *Handover {
-	v := f.halt()
+// HandOver stops reading and returns the state for the successor. The socket stays open, so that Reclaim can
+// continue. It returns nil if this process has no session.
+func (f *Fleet) HandOver() *Handover {
+	v := f.stopSession()
 	if v == nil {
 		return nil
 	}
 	f.mu.Lock()
-	f.kept = v
+	f.handedOver = v
 	f.mu.Unlock()
-	h := &Handover{View: v.Snapshot(), Verdicts: f.keep.Save(f.now())}
-	f.handLimits(h)
+	h := &Handover{View: v.Snapshot(), Verdicts: f.store.Snapshot(f.now())}
+	f.handOverLimits(h)
 	return h
 }
 
-// Again goes on after the process that had taken over is gone.
-func (f *Fleet) Again() {
+// Reclaim continues this process's membership after the successor has ended.
+func (f *Fleet) Reclaim() {
 	f.mu.Lock()
-	v := f.kept
-	f.kept = nil
+	v := f.handedOver
+	f.handedOver = nil
 	f.mu.Unlock()
 	if v != nil {
-		f.againLimits()
-		v.Again(f.now())
-		f.start(v)
+		f.reclaimLimits()
+		v.Reclaim(f.now())
+		f.startSession(v)
 	}
 }
 
-// Joined is closed once this member has been let in, or goes on alone.
+// Joined returns a channel that is closed once this member was admitted, or has started alone.
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
-// Refused hears once if this process must not serve.
-func (f *Fleet) Refused() <-chan error { return f.refused }
+// NameTaken returns a channel that receives one error if this process must not serve.
+func (f *Fleet) NameTaken() <-chan error { return f.nameTaken }
 
-// Heard are messages for the decision module.
-func (f *Fleet) Heard() <-chan membership.Heard { return f.heard }
+// Messages returns the channel of messages for the decision module.
+func (f *Fleet) Messages() <-chan membership.AppMessage { return f.messages }
 
-// Close ends this process's part, without a word to the others.
+// Close ends this process's membership without notifying the others.
 func (f *Fleet) Close() {
-	f.once.Do(func() {
+	f.closeOnce.Do(func() {
 		close(f.closed)
-		f.halt()
+		f.stopSession()
 		_ = f.conn.Close()
 	})
 }
 
-// Leave tells the others that this member goes, and waits until enough of them have heard, or for the time
-// given. It returns whether they have.
-func (f *Fleet) Leave(most time.Duration) bool {
-	end := time.Now().Add(most)
-	known := f.ask(func(v *membership.View) bool { v.Leave(f.now()); return v.LeaveKnown() }, most)
-	for !known && time.Now().Before(end) {
-		time.Sleep(min(5*time.Millisecond, most))
-		known = f.ask((*membership.View).LeaveKnown, time.Until(end))
+// Leave announces that this member leaves and waits until enough members have acknowledged it, for at most
+// the given time. It returns whether they have.
+func (f *Fleet) Leave(timeout time.Duration) bool {
+	end := time.Now().Add(timeout)
+	acked := f.callOwner(func(v *membership.View) bool {
+		v.Leave(f.now())
+		return v.LeaveAcknowledged()
+	}, timeout)
+	for !acked && time.Now().Before(end) {
+		time.Sleep(min(5*time.Millisecond, timeout))
+		acked = f.callOwner((*membership.View).LeaveAcknowledged, time.Until(end))
 	}
-	return known
+	return acked
 }
 
-// ask has the view's owner call a function, and waits for what it returns.
-func (f *Fleet) ask(call func(*membership.View) bool, most time.Duration) bool {
+// callOwner runs a function on the owner goroutine and returns its result, or false after a time-out.
+func (f *Fleet) callOwner(call func(*membership.View) bool, timeout time.Duration) bool {
 	done := make(chan bool, 1)
-	late := time.NewTimer(most)
-	defer late.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case f.calls <- func(v *membership.View) { done <- call(v) }:
+	case f.ownerCalls <- func(v *membership.View) { done <- call(v) }:
 		return <-done
-	case <-late.C:
+	case <-timer.C:
 	case <-f.closed:
 	}
 	return false
 }
 
-// Configure takes in a file that was read anew, and names what of it takes a restart.
-func (f *Fleet) Configure(fresh *Config) (kept []string) {
-	was, is := &f.cfg.Fleet, &fresh.Fleet
-	for name, differs := range map[string]bool{"fleet.name": was.Name != is.Name,
-		"fleet.zone": was.Zone != is.Zone, "fleet.listen": was.Listen != is.Listen,
-		"fleet.detect": was.Detect != is.Detect, "fleet.overload": was.Overload != is.Overload,
-		"fleet.evidence": *was.Evidence.Share != *is.Evidence.Share,
+// Configure applies a reloaded settings file and returns the changed settings that require a restart.
+func (f *Fleet) Configure(fresh *Config) (needRestart []string) {
+	old, updated := &f.cfg.Fleet, &fresh.Fleet
+	for name, differs := range map[string]bool{"fleet.name": old.Name != updated.Name,
+		"fleet.zone": old.Zone != updated.Zone, "fleet.listen": old.Listen != updated.Listen,
+		"fleet.detect": old.Detect != updated.Detect, "fleet.overload": old.Overload != updated.Overload,
+		"fleet.evidence": *old.Evidence.Share != *updated.Evidence.Share,
 		"limit":          !sameLimits(f.cfg.Limits, fresh.Limits)} {
 		if differs {
-			kept = append(kept, name)
+			needRestart = append(needRestart, name)
 		}
 	}
-	slices.Sort(kept)
+	slices.Sort(needRestart)
 	f.keys.Store(fresh.keys)
-	f.conf.Store(fresh)
-	f.ask(func(v *membership.View) bool { v.Configure(fresh.view); return true }, time.Second)
-	return kept
+	f.current.Store(fresh)
+	f.callOwner(func(v *membership.View) bool { v.Configure(fresh.view); return true }, time.Second)
+	return needRestart
 }
 
-// Tell takes a message of the decision module to another member that is alive, by a number that the module
-// draws: core.Peers. It does not wait.
+// Tell sends a message of the decision module to another alive member, selected by a number that the module
+// draws, or to all of them: see core.Peers. It does not block.
 func (f *Fleet) Tell(to uint32, text string) {
-	alive := *f.alive.Load()
+	alive := *f.aliveOthers.Load()
 	if len(alive) == 0 {
 		return
 	}
@@ -348,28 +351,28 @@
 	}
 	call := func(v *membership.View) {
 		for _, name := range names {
-			if v.Say(name, toModule, []byte(text)) {
-				f.told.Add(1)
+			if v.SendApp(name, kindModule, []byte(text)) {
+				f.moduleSent.Add(1)
 			}
 		}
 	}
 	select {
-	case f.calls <- call:
-	default: // the owner is busy: it is lost, as any datagram may be
+	case f.ownerCalls <- call:
+	default: // the owner is busy: the message is lost, as any datagram may be
 	}
 }
 
-// Status is what the door shows.
-func (f *Fleet) Status() *Status { return f.show.Load() }
+// Status returns the status that the admin endpoint shows.
+func (f *Fleet) Status() *Status { return f.status.Load() }
 
-// read opens datagrams and queues them.
-func (f *Fleet) read(r *run) {
-	defer r.done.Done()
+// readLoop unseals datagrams and queues them.
+func (f *Fleet) readLoop(s *session) {
+	defer s.done.Done()
 	buf := make([]byte, maxDatagram+1)
 	for {
 		n, _, err := f.conn.ReadFromUDPAddrPort(buf)
 		select {
-		case <-r.stop:
+		case <-s.stop:
 			return
 		default:
 		}
@@ -382,105 +385,105 @@
 		content, err := f.keys.Load().open(buf[:n])
 		if err == nil {
 			select {
-			case f.in <- slices.Clone(content):
+			case f.inbound <- slices.Clone(content):
 				continue
 			default:
-				err = errFull
+				err = errQueueFull
 			}
 		}
-		f.drop(err)
+		f.countDrop(err)
 	}
 }
 
-// drop counts a datagram that is dropped, by the reason.
-func (f *Fleet) drop(why error) { f.drops[slices.Index(openErrors, why)].Add(1) }
+// countDrop counts a dropped datagram by its reason.
+func (f *Fleet) countDrop(reason error) { f.dropCounts[slices.Index(dropErrors, reason)].Add(1) }
 
-// own holds the view until the run's end.
-func (f *Fleet) own(r *run) {
-	defer r.done.Done()
-	v := r.view
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	var shown time.Time
+// ownerLoop runs the goroutine that owns the view until the session ends.
+func (f *Fleet) ownerLoop(s *session) {
+	defer s.done.Done()
+	v := s.view
+	timer := time.NewTimer(0)
+	defer timer.Stop()
+	var publishedAt time.Time
 	for {
 		select {
-		case <-r.stop:
+		case <-s.stop:
 			return
-		case <-alarm.C:
+		case <-timer.C:
 			v.Tick(f.now())
-		case b := <-f.in:
+		case b := <-f.inbound:
 			v.Receive(f.now(), b)
-			for more := true; more; { // what has queued up meanwhile, before anything is sent
+			for more := true; more; { // drain the queue before anything is sent
 				select {
-				case b = <-f.in:
+				case b = <-f.inbound:
 					v.Receive(f.now(), b)
 				default:
 					more = false
 				}
 			}
-		case call := <-f.calls:
+		case call := <-f.ownerCalls:
 			v.Tick(f.now())
 			call(v)
 		}
-		changed := f.carryOut(v)
-		if changed || time.Since(shown) >= showEvery {
-			shown = time.Now()
+		changed := f.processOutput(v)
+		if changed || time.Since(publishedAt) >= publishInterval {
+			publishedAt = time.Now()
 			f.publish(v)
 		}
-		alarm.Reset(time.Duration(v.Next()-f.now()) * time.Microsecond)
+		timer.Reset(time.Duration(v.NextTick()-f.now()) * time.Microsecond)
 	}
 }
 
-// carryOut sends, logs and passes on what the view has to say.
-func (f *Fleet) carryOut(v *membership.View) (changed bool) {
-	sends, changes, heard := v.Take()
-	for _, h := range heard {
-		f.hear(v, h)
+// processOutput sends the view's datagrams, logs its state changes and dispatches application messages.
+func (f *Fleet) processOutput(v *membership.View) (changed bool) {
+	sends, changes, messages := v.TakeOutput()
+	for _, m := range messages {
+		f.dispatch(v, m)
 	}
-	f.tend(v) // what it says goes out with the rest
-	more, later, _ := v.Take()
-	changes = append(changes, later...)
+	f.tick(v) // its messages are sent together with the others
+	moreSends, moreChanges, _ := v.TakeOutput()
+	changes = append(changes, moreChanges...)
 	keys := f.keys.Load()
-	for _, s := range append(sends, more...) {
+	for _, s := range append(sends, moreSends...) {
 		// A full socket buffer loses the datagram, as the network may.
 		_, _ = f.conn.WriteToUDPAddrPort(keys.seal(s.Data), s.To)
 	}
 	for _, c := range changes {
-		f.tell(c)
+		f.logChange(c)
 	}
 	if v.Joined() {
-		f.mark(f.joined)
+		f.closeIfOpen(f.joined)
 	}
-	if c := v.Refused(); c != nil && c.Refused {
+	if c := v.Conflict(); c != nil && c.MustStop {
 		select {
-		case f.refused <- fmt.Errorf("fleet: %w: %s, at %v", ErrTaken, f.cfg.Fleet.Name, c.Addr):
+		case f.nameTaken <- fmt.Errorf("fleet: %w: %s, at %v", ErrNameTaken, f.cfg.Fleet.Name, c.Addr):
 		default:
 		}
 	}
 	return len(changes) > 0
 }
 
-// hear passes on what another member's layer above has to say.
-func (f *Fleet) hear(v *membership.View, h membership.Heard) {
-	switch h.Kind {
-	case toVerdict:
-		f.hearVerdict(h)
-	case toQuota:
-		f.hearLimit(v, h)
-	case toEvidence:
-		f.hearEvidence(v, h)
-	case toOverload:
-		f.hearOverload(v, h)
-	case toModule:
-		f.toldUs.Add(1)
+// dispatch passes an application message to its receiver.
+func (f *Fleet) dispatch(v *membership.View, msg membership.AppMessage) {
+	switch msg.Kind {
+	case kindVerdict:
+		f.receiveVerdict(msg)
+	case kindQuota:
+		f.receiveLimit(v, msg)
+	case kindEvidence:
+		f.receiveEvidence(v, msg)
+	case kindOverload:
+		f.receiveOverload(v, msg)
+	case kindModule:
+		f.moduleReceived.Add(1)
 		select {
-		case f.heard <- h:
+		case f.messages <- msg:
 		default:
 		}
 	}
 }
 
-func (f *Fleet) mark(c chan struct{}) {
+func (f *Fleet) closeIfOpen(c chan struct{}) {
 	select {
 	case <-c:
 	default:
@@ -488,38 +491,38 @@
 	}
 }
 
-// tell logs a change, once.
-func (f *Fleet) tell(c membership.Change) {
+// logChange logs a membership change.
+func (f *Fleet) logChange(c membership.Change) {
 	m := c.Member
 	switch {
-	case c.Gone:
+	case c.Forgotten:
 		f.log.Info("fleet member forgotten", "member", m.Name, "was", m.State.String())
-	case c.First:
+	case c.Discovered:
 		f.log.Info("fleet member found", "member", m.Name, "zone", m.Zone, "addr", m.Addr,
-			"state", m.State.String(), "incarnation", m.Inc)
-	case c.Was == m.State:
-		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Inc)
+			"state", m.State.String(), "incarnation", m.Incarnation)
+	case c.Previous == m.State:
+		f.log.Info("fleet member restarted", "member", m.Name, "addr", m.Addr, "incarnation", m.Incarnation)
 	default:
 		level := slog.LevelInfo
 		if m.State == membership.Dead {
 			level = slog.LevelWarn
 		}
 		f.log.Log(context.Background(), level, "fleet member changed", "member", m.Name, "state", m.State.String(),
-			"was", c.Was.String(), "incarnation", m.Inc)
+			"was", c.Previous.String(), "incarnation", m.Incarnation)
 	}
 }
 
-// publish makes the view's state what the door shows.
+// publish stores the view's state for the admin endpoint.
 func (f *Fleet) publish(v *membership.View) {
 	now := f.now()
-	self, g := v.Self(), v.Figures()
-	s := &Status{Self: self.Name, Incarnation: self.Inc, Digest: fmt.Sprintf("%016x", v.Digest()),
+	self, stats := v.Self(), v.Stats()
+	s := &Status{Self: self.Name, Incarnation: self.Incarnation, Digest: fmt.Sprintf("%016x", v.Digest()),
 		Members: []MemberStatus{}}
 	var alive []string
 	differ := []string{}
 	for _, m := range v.Members() {
 		s.Members = append(s.Members, MemberStatus{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(),
-			State: m.State.String(), Incarnation: m.Inc, SinceMS: (now - m.Since) / 1000})
+			State: m.State.String(), Incarnation: m.Incarnation, SinceMS: (now - m.Since) / 1000})
 		if m.State > membership.Suspect {
 			continue
 		}
@@ -532,32 +535,34 @@
 		}
 	}
 	period := f.cfg.Period().Milliseconds()
-	s.Figures = Figures{PeriodMS: period, Health: g.Health, Sent: g.Sent, SentBytes: g.SentBytes,
-		Received: g.Received, Dropped: f.dropped(g), Probes: g.Probes, ProbesFailed: g.Failed, Votes: g.Votes,
-		Refuted: g.Refuted, Syncs: g.Syncs, Stalls: g.Stalls, Rejoins: g.Rejoins, TurnedDown: g.TurnedDown,
-		Told: f.told.Load(), ToldUs: f.toldUs.Load(), SickGiven: f.jurors.given, SickHeld: f.jurors.held,
-		Differ: differ, CrashKnownMS: int64(crashPeriods(s.Alive)) * period,
-		SettledMS: settlePeriods * period, ForgottenMS: map[string]int64{
+	s.Stats = Stats{PeriodMS: period, Health: stats.Health, Sent: stats.Sent, SentBytes: stats.SentBytes,
+		Received: stats.Received, Dropped: f.dropped(stats), Probes: stats.Probes,
+		ProbesFailed: stats.ProbesFailed, Votes: stats.Votes, Refuted: stats.Refutations, Syncs: stats.Syncs,
+		Stalls: stats.Stalls, Rejoins: stats.Rejoins, Rejections: stats.Rejections,
+		ModuleMessagesSent: f.moduleSent.Load(), ModuleMessagesReceived: f.moduleReceived.Load(),
+		EvidenceVerdicts: f.evidence.issued, EvidenceWithheld: f.evidence.withheld, SettingsDiffer: differ,
+		CrashDetectedMS: int64(crashDetectPeriods(s.Alive)) * period, SettledMS: settlePeriods * period,
+		ForgottenMS: map[string]int64{
 			"left": membership.ForgetLeft * period, "dead": membership.ForgetDead * period}}
-	if c := v.Refused(); c != nil {
-		s.Figures.Conflict = c.Addr.String()
-		if old := f.show.Load(); old.Figures.Conflict == "" {
+	if c := v.Conflict(); c != nil {
+		s.Stats.Conflict = c.Addr.String()
+		if old := f.status.Load(); old.Stats.Conflict == "" {
 			f.log.Error("another process bears this member's name", "member", self.Name, "addr", c.Addr,
-				"refused", c.Refused)
+				"refused", c.MustStop)
 		}
 	}
-	f.alive.Store(&alive)
-	f.showVerdicts(alive)
-	f.show.Store(s)
+	f.aliveOthers.Store(&alive)
+	f.publishVerdicts(alive)
+	f.status.Store(s)
 }
 
-func (f *Fleet) dropped(g membership.Figures) map[string]int64 {
+func (f *Fleet) dropped(stats membership.Stats) map[string]int64 {
 	out := map[string]int64{}
-	for i, n := range g.Dropped {
-		out[membership.ReasonNames[i]] = n
+	for i, n := range stats.Dropped {
+		out[membership.DropReasonNames[i]] = n
 	}
-	for i, err := range openErrors {
-		out[err.Error()] = f.drops[i].Load()
+	for i, err := range dropErrors {
+		out[err.Error()] = f.dropCounts[i].Load()
 	}
 	return out
 }
--- a/internal/fleet/overload.go
+++ b/internal/fleet/overload.go
@@ -1,7 +1,7 @@
 package fleet
 
-// What the fleet turns away as one, on its way between members, fronts and operators. Who sheds what is the
-// guard's to say: internal/overload.
+// Fleet-wide load shedding: connects members, fronts and operators to the controller of internal/overload,
+// which decides what is shed.
 
 import (
 	"sync"
@@ -13,130 +13,133 @@
 	"lapislever/internal/overload"
 )
 
-// mostNamed is how many classes and tenants are counted by name, and longestNamed how much of a tenant's name
-// is kept: anybody may claim any.
+// maxShedNames bounds the number of classes and tenants that are counted by name, and maxTenantLen the length
+// of a tenant's name, because clients can send arbitrary tenant names.
 const (
-	mostNamed    = 256
-	longestNamed = 64
+	maxShedNames = 256
+	maxTenantLen = 64
 )
 
-// shedder is a guard with its lock: fronts and the core ask from their goroutines.
-type shedder struct {
-	mu    sync.Mutex // guards what follows
-	guard *overload.Guard
-	by    map[string]int64 // turned away, by class and by class/tenant
+// overloadState is the controller with its lock, as fronts and the core call it from their own goroutines.
+type overloadState struct {
+	mu         sync.Mutex // guards what follows
+	controller *overload.Controller
+	shedCounts map[string]int64 // requests shed, by class and by class/tenant
 }
 
-// Sheds tells that the fleet turns away as one.
-func (c *Config) Sheds() bool { return !c.Fleet.Overload.Off }
+// OverloadEnabled reports whether the fleet sheds load by a common level.
+func (c *Config) OverloadEnabled() bool { return !c.Fleet.Overload.Off }
 
-// LetIn asks whether a request of a class of this rank may be let in by the fleet's level. who is what all
-// its tries have in common. If not, it returns after how long it may come back.
-func (f *Fleet) LetIn(rank int, class, tenant, who string, repeat bool) (ok bool, after time.Duration) {
-	if !f.cfg.Sheds() {
+// Admit reports whether a request of a class of the given rank may be admitted at the fleet's overload level.
+// requestID is a string that all tries of the request share. If it is not admitted, Admit returns the time
+// after which to retry.
+func (f *Fleet) Admit(rank int, class, tenant, requestID string, repeat bool) (ok bool,
+	retryAfter time.Duration) {
+	if !f.cfg.OverloadEnabled() {
 		return true, 0
 	}
-	s := &f.shed
-	priority := overload.Priority(rank, who)
+	s := &f.overload
+	priority := overload.Priority(rank, requestID)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ok, wait := s.guard.Admit(priority, xxhash.Sum64String(who)^uint64(f.now()), repeat)
+	ok, wait := s.controller.Admit(priority, xxhash.Sum64String(requestID)^uint64(f.now()), repeat)
 	if ok {
 		return true, 0
 	}
-	for _, name := range []string{class, class + "/" + tenant[:min(len(tenant), longestNamed)]} {
-		if _, known := s.by[name]; (known || len(s.by) < mostNamed) && (tenant != "" || name == class) {
-			s.by[name]++
+	for _, name := range []string{class, class + "/" + tenant[:min(len(tenant), maxTenantLen)]} {
+		if _, known := s.shedCounts[name]; (known || len(s.shedCounts) < maxShedNames) &&
+			(tenant != "" || name == class) {
+			s.shedCounts[name]++
 		}
 	}
 	return false, time.Duration(wait) * time.Microsecond
 }
 
-// HasEnded books how a request that was let in ended. well: answered in time.
-func (f *Fleet) HasEnded(well bool) {
-	f.shed.mu.Lock()
-	f.shed.guard.Ended(well)
-	f.shed.mu.Unlock()
+// RequestFinished records the end of an admitted request. inTime: it was answered in time.
+func (f *Fleet) RequestFinished(inTime bool) {
+	f.overload.mu.Lock()
+	f.overload.controller.Finished(inTime)
+	f.overload.mu.Unlock()
 }
 
-// MaySend asks whether an attempt may be sent by the budget for what is sent again.
-func (f *Fleet) MaySend(first bool) bool {
-	if !f.cfg.Sheds() {
+// AllowByRetryBudget reports whether the retry budget permits an attempt. It always permits first attempts.
+func (f *Fleet) AllowByRetryBudget(first bool) bool {
+	if !f.cfg.OverloadEnabled() {
 		return true
 	}
-	f.shed.mu.Lock()
-	defer f.shed.mu.Unlock()
-	return f.shed.guard.Send(first)
+	f.overload.mu.Lock()
+	defer f.overload.mu.Unlock()
+	return f.overload.controller.AllowSend(first)
 }
 
-// tendOverload has the guard its turn, once a period.
-func (f *Fleet) tendOverload(v *membership.View, now membership.Micros, peers []string) {
-	if !f.cfg.Sheds() {
+// tickOverload runs the controller's periodic work.
+func (f *Fleet) tickOverload(v *membership.View, now membership.Micros, peers []string) {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
-	f.shed.mu.Lock()
-	was := f.shed.guard.Level()
-	sends := f.shed.guard.Tick(now, peers)
-	is := f.shed.guard.Level()
-	f.shed.mu.Unlock()
+	f.overload.mu.Lock()
+	before := f.overload.controller.Level()
+	sends := f.overload.controller.Tick(now, peers)
+	after := f.overload.controller.Level()
+	f.overload.mu.Unlock()
 	for _, s := range sends {
-		v.Say(s.To, toOverload, s.Data)
+		v.SendApp(s.To, kindOverload, s.Data)
 	}
-	if (was == 0) != (is == 0) {
-		f.log.Info("fleet overload", "level", is, "was", was)
+	if (before == 0) != (after == 0) {
+		f.log.Info("fleet overload", "level", after, "was", before)
 	}
 }
 
-// hearOverload takes in another member's message.
-func (f *Fleet) hearOverload(v *membership.View, h membership.Heard) {
-	if !f.cfg.Sheds() {
+// receiveOverload handles another member's overload message.
+func (f *Fleet) receiveOverload(v *membership.View, msg membership.AppMessage) {
+	if !f.cfg.OverloadEnabled() {
 		return
 	}
-	f.shed.mu.Lock()
-	sends, ok := f.shed.guard.Receive(f.now(), h.From, h.Data)
-	f.shed.mu.Unlock()
+	f.overload.mu.Lock()
+	sends, ok := f.overload.controller.Receive(f.now(), msg.From, msg.Data)
+	f.overload.mu.Unlock()
 	if !ok {
-		f.drop(errMessage)
+		f.countDrop(errBadMessage)
 	}
 	for _, s := range sends {
-		v.Say(s.To, toOverload, s.Data)
+		v.SendApp(s.To, kindOverload, s.Data)
 	}
 }
 
-// Overload is the form of GET /admin/overload.
+// Overload is the body of GET /admin/overload.
 type Overload struct {
-	Level   int              `json:"level"` // all below is turned away; of 64
+	Level   int              `json:"level"` // requests with a lower priority are shed; 64 priorities
 	HeardMS int64            `json:"heard_ms"`
-	Shed    map[string]int64 `json:"shed"` // by class, and by class/tenant
+	Shed    map[string]int64 `json:"shed"` // requests shed, by class and by class/tenant
 	Retries struct {
 		Spent   int64 `json:"spent"`
-		Allowed int64 `json:"allowed"` // a tenth of what was sent for the first time, and some to begin with
+		Allowed int64 `json:"allowed"` // a tenth of the first attempts plus an initial budget
 		Denied  int64 `json:"denied"`
 	} `json:"retries"`
 	Duties []Duty `json:"duties"`
 }
 
-// Duty is what one member does for all.
+// Duty is a task that one member performs for the fleet.
 type Duty struct {
 	What    string `json:"what"`
 	Owner   string `json:"owner"`
 	SinceMS int64  `json:"since_ms"`
 }
 
-// Overload is what the door shows.
+// Overload returns the overload state that the admin endpoint shows.
 func (f *Fleet) Overload() Overload {
 	now := f.now()
-	f.shed.mu.Lock()
-	defer f.shed.mu.Unlock()
-	g := f.shed.guard
-	o := Overload{Level: g.Level(), HeardMS: g.Heard(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
-	for name, n := range f.shed.by {
+	f.overload.mu.Lock()
+	defer f.overload.mu.Unlock()
+	c := f.overload.controller
+	o := Overload{Level: c.Level(), HeardMS: c.LevelAge(now) / 1000, Shed: map[string]int64{}, Duties: []Duty{}}
+	for name, n := range f.overload.shedCounts {
 		o.Shed[name] = n
 	}
-	o.Retries.Spent, o.Retries.Denied = g.Spent, g.Denied
-	o.Retries.Allowed = g.Budget()
-	if who, since := g.Keeper(); who != "" {
-		o.Duties = append(o.Duties, Duty{"level", who, (now - since) / 1000})
+	o.Retries.Spent, o.Retries.Denied = c.RetriesSent, c.RetriesDenied
+	o.Retries.Allowed = c.RetryBudget()
+	if owner, since := c.LevelOwner(); owner != "" {
+		o.Duties = append(o.Duties, Duty{"level", owner, (now - since) / 1000})
 	}
 	return o
 }
