--- a/internal/fleet/verdicts.go
+++ b/internal/fleet/verdicts.go
@@ -1,7 +1,7 @@
 package fleet
 
-// Verdicts on the way between members, the core and operators. What holds is the table's to say:
-// internal/verdict.
+// Verdicts: connects members, the core and operators to the verdict table of internal/verdict, which decides
+// which verdicts are in force.
 
 import (
 	"errors"
@@ -13,72 +13,72 @@
 	"lapislever/internal/verdict"
 )
 
-// ErrLate tells that an operator's call was not carried out in time; it may still be.
-var ErrLate = errors.New("not done in time, and may still be: call again")
+// ErrTimeout reports that an operator's call was not completed in time; it may still take effect.
+var ErrTimeout = errors.New("not done in time, and may still be: call again")
 
-// ErrNothing tells that there is nothing to take back.
-var ErrNothing = errors.New("the fleet has no such verdict")
+// ErrNoVerdict reports that there is no verdict to revoke.
+var ErrNoVerdict = errors.New("the fleet has no such verdict")
 
-// Apply carries out at this member that something holds, or does not any more. It returns once that is done,
-// or false if this process ends before.
-type Apply func(verdict.Change) bool
+// ApplyFunc enforces a verdict in this process, or stops enforcing it. It returns once that is done, or false
+// if the process ends first.
+type ApplyFunc func(verdict.Change) bool
 
-// Handover is what the next process of this member needs.
+// Handover is the state that the successor process of this member needs.
 type Handover struct {
-	View     membership.Snapshot `json:"view"`
-	Verdicts []verdict.Saved     `json:"verdicts"`
-	Lent     map[string]Handed   `json:"lent"` // of each limit
-	Tenure   *quota.Held         `json:"tenure,omitempty"`
+	View     membership.Snapshot      `json:"view"`
+	Verdicts []verdict.Saved          `json:"verdicts"`
+	Limits   map[string]LimitHandover `json:"lent"` // by limit name
+	Leases   *quota.LeaseSnapshot     `json:"tenure,omitempty"`
 }
 
-// Verdicts is the form of GET /admin/verdicts.
+// Verdicts is the body of GET /admin/verdicts.
 type Verdicts struct {
-	Verdicts []VerdictStatus `json:"verdicts"`
-	Told     bool            `json:"told"` // this process has taken in what another one knew
-	Seen     []SeenStatus    `json:"seen"` // what this member itself has seen of nodes that may be sick
+	Verdicts []VerdictStatus  `json:"verdicts"`
+	Synced   bool             `json:"told"` // this process has received the verdicts that other members knew
+	Evidence []EvidenceStatus `json:"seen"` // this member's own observations of nodes that may be sick
 }
 
-// SeenStatus is what this member has seen of one data node.
-type SeenStatus struct {
+// EvidenceStatus is this member's observations of one data node.
+type EvidenceStatus struct {
 	Node    string `json:"node"`
-	Good    int    `json:"good"` // attempts that were served in time since the first bad one
-	Bad     int    `json:"bad"`  // that came to nothing
-	Late    int    `json:"late"` // that took far longer than is usual
+	Good    int    `json:"good"` // attempts served in time since the first bad one
+	Bad     int    `json:"bad"`  // attempts that failed
+	Late    int    `json:"late"` // attempts that took far longer than usual
 	SinceMS int64  `json:"since_ms"`
 }
 
-// VerdictStatus is one verdict as the door shows it. Times are in Unix milliseconds by the clock here.
+// VerdictStatus is one verdict in Verdicts. Times are Unix milliseconds by this process's clock.
 type VerdictStatus struct {
 	Kind    string   `json:"kind"`
 	What    string   `json:"what"`
 	By      string   `json:"by"`
 	Reason  string   `json:"reason"`
 	AtMS    int64    `json:"at_ms"`
-	EndsMS  int64    `json:"ends_ms"` // 0: when it is taken back
+	EndsMS  int64    `json:"ends_ms"` // 0: in force until it is revoked
 	Held    []string `json:"held"`
 	Missing []string `json:"missing"`
 }
 
-// keeper is the part of the goroutine that holds the view which holds the table.
-type keeper struct {
-	*verdict.Spreader
-	tickAt  membership.Micros
-	pending []verdict.Change
+// verdictStore is the verdict table with its exchange between members. Only the owner goroutine uses it.
+type verdictStore struct {
+	*verdict.Gossiper
+	nextTickAt membership.Micros
+	pending    []verdict.Change
 }
 
-// mostPending is how many changes may wait for the core beside those that the keeper holds back.
-const mostPending = 64
+// maxPending is the capacity of the queue of changes to the core; further ones wait in verdictStore.pending.
+const maxPending = 64
 
-// apply carries changes out one after the other.
-func (f *Fleet) apply() {
+// applyLoop enforces changes one after the other.
+func (f *Fleet) applyLoop() {
 	for {
 		select {
 		case c := <-f.toApply:
-			if f.host.Load().Carry != nil && !f.host.Load().Carry(c) {
+			if f.host.Load().Apply != nil && !f.host.Load().Apply(c) {
 				return
 			}
-			f.call(func(*membership.View) {
-				f.keep.Applied(c.Verdict)
+			f.postToOwner(func(*membership.View) {
+				f.store.Applied(c.Verdict)
 			}, time.Hour)
 		case <-f.closed:
 			return
@@ -86,95 +86,95 @@
 	}
 }
 
-// call has the view's owner call a function, and waits until it takes it. False: there is no owner any more,
-// or none that takes it within the time.
-func (f *Fleet) call(do func(*membership.View), within time.Duration) bool {
-	late := time.NewTimer(within)
-	defer late.Stop()
+// postToOwner hands a function to the owner goroutine and waits until it is accepted. It returns false if the
+// fleet is closed or the function is not accepted within the given time.
+func (f *Fleet) postToOwner(call func(*membership.View), timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case f.calls <- do:
+	case f.ownerCalls <- call:
 		return true
 	case <-f.closed:
-	case <-late.C:
+	case <-timer.C:
 	}
 	return false
 }
 
-// tend lets the table have its turn: once a period it looks whom to tell.
-func (f *Fleet) tend(v *membership.View) {
-	k := &f.keep
-	if now := f.now(); v.Joined() && now >= k.tickAt {
-		k.tickAt = now + f.cfg.Period().Microseconds()
+// tick runs the periodic work of verdicts, limits, evidence and overload, and sends verdict messages.
+func (f *Fleet) tick(v *membership.View) {
+	store := &f.store
+	if now := f.now(); v.Joined() && now >= store.nextTickAt {
+		store.nextTickAt = now + f.cfg.Period().Microseconds()
 		var peers []verdict.Peer
 		var names []string
 		self := v.Self().Name
 		for _, m := range v.Members() {
 			if m.State <= membership.Suspect && m.Name != self {
-				peers = append(peers, verdict.Peer{Name: m.Name, Sum: m.App})
+				peers = append(peers, verdict.Peer{Name: m.Name, Digest: m.AppTag})
 				names = append(names, m.Name)
 			}
 		}
-		k.Tick(now, peers)
-		f.tendLimits(v, now, names)
-		f.tendJury(v, now)
-		f.tendOverload(v, now, names)
+		store.Tick(now, peers)
+		f.tickLimits(v, now, names)
+		f.tickEvidence(v, now)
+		f.tickOverload(v, now, names)
 	}
-	sends, changes := k.Take()
+	sends, changes := store.TakePending()
 	for _, c := range changes {
-		f.acquit(c)
-		if !f.concerns(&c.Verdict) { // there is nothing to carry out
-			k.Applied(c.Verdict)
+		f.clearEvidence(c)
+		if !f.appliesHere(&c.Verdict) { // there is nothing to enforce
+			store.Applied(c.Verdict)
 		}
 		if c.Verdict.Kind != verdict.Setting {
-			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.Holds,
+			f.log.Info("fleet verdict", "kind", c.Verdict.String(), "what", c.Verdict.What, "holds", c.InForce,
 				"by", c.Verdict.By, "at", c.Verdict.Member, "reason", c.Verdict.Reason)
 		}
-		k.Push(f.now(), c.Verdict)
+		store.Push(f.now(), c.Verdict)
 	}
-	more, _ := k.Take()
+	more, _ := store.TakePending()
 	for _, s := range append(sends, more...) {
-		v.Say(s.To, toVerdict, s.Data)
+		v.SendApp(s.To, kindVerdict, s.Data)
 	}
 	for _, c := range changes {
-		if f.concerns(&c.Verdict) {
-			k.pending = append(k.pending, c)
+		if f.appliesHere(&c.Verdict) {
+			store.pending = append(store.pending, c)
 		}
 	}
-	for len(k.pending) > 0 {
+	for len(store.pending) > 0 {
 		select {
-		case f.toApply <- k.pending[0]:
-			k.pending = k.pending[1:]
+		case f.toApply <- store.pending[0]:
+			store.pending = store.pending[1:]
 			continue
 		default:
 		}
 		break
 	}
-	v.Tell(k.Announce())
+	v.SetAppTag(store.AnnouncedDigest())
 }
 
-// hearVerdict takes in another member's message on verdicts.
-func (f *Fleet) hearVerdict(h membership.Heard) {
-	if !f.keep.Receive(f.now(), h.From, h.Data) {
-		f.drop(errMessage)
+// receiveVerdict handles another member's verdict message.
+func (f *Fleet) receiveVerdict(msg membership.AppMessage) {
+	if !f.store.Receive(f.now(), msg.From, msg.Data) {
+		f.countDrop(errBadMessage)
 	}
 }
 
-// showVerdicts makes the table what the door shows.
-func (f *Fleet) showVerdicts(alive []string) {
-	now, wall := f.now(), time.Now().UnixMilli()
-	out := &Verdicts{Verdicts: []VerdictStatus{}, Told: f.keep.Told()}
-	for _, l := range f.keep.Lines(now) {
+// publishVerdicts stores the verdicts for the admin endpoint.
+func (f *Fleet) publishVerdicts(alive []string) {
+	now, wallMS := f.now(), time.Now().UnixMilli()
+	out := &Verdicts{Verdicts: []VerdictStatus{}, Synced: f.store.Synced()}
+	for _, l := range f.store.InForce(now) {
 		if l.Kind == verdict.Setting {
 			continue
 		}
-		out.Verdicts = append(out.Verdicts, f.status(l, alive, wall))
+		out.Verdicts = append(out.Verdicts, f.verdictStatus(l, alive, wallMS))
 	}
 	f.verdicts.Store(out)
 }
 
-func (f *Fleet) status(l verdict.Line, alive []string, wall int64) VerdictStatus {
-	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.Held,
-		AtMS: wall - l.Age/1000, Missing: []string{}}
+func (f *Fleet) verdictStatus(l verdict.Status, alive []string, wallMS int64) VerdictStatus {
+	s := VerdictStatus{Kind: l.Verdict.String(), What: l.What, By: l.By, Reason: l.Reason, Held: l.HeldBy,
+		AtMS: wallMS - l.Age/1000, Missing: []string{}}
 	if s.Held == nil {
 		s.Held = []string{}
 	}
@@ -182,7 +182,7 @@
 		s.EndsMS = s.AtMS + l.Span/1000
 	}
 	for _, name := range append([]string{f.cfg.Fleet.Name}, alive...) {
-		if !slices.Contains(l.Held, name) {
+		if !slices.Contains(l.HeldBy, name) {
 			s.Missing = append(s.Missing, name)
 		}
 	}
@@ -190,40 +190,41 @@
 	return s
 }
 
-// Verdicts is what the door shows.
+// Verdicts returns the verdicts that the admin endpoint shows.
 func (f *Fleet) Verdicts() *Verdicts {
 	v := *f.verdicts.Load()
-	v.Seen = f.seen()
+	v.Evidence = f.evidenceStatus()
 	return &v
 }
 
-// Told tells that this process has taken in what other members knew.
-func (f *Fleet) Told() bool { return f.verdicts.Load().Told }
+// VerdictsSynced reports whether this process has received the verdicts that other members knew.
+func (f *Fleet) VerdictsSynced() bool { return f.verdicts.Load().Synced }
 
-// Say gives a verdict for the fleet. It returns once that holds here and, for as long as wait says, at all
-// others that are alive.
-func (f *Fleet) Say(v verdict.Verdict, within, wait time.Duration) (VerdictStatus, error) {
-	begun := time.Now()
-	var given verdict.Verdict
+// IssueVerdict issues a verdict for the fleet. It returns once the verdict is enforced here and at all other
+// alive members, for which it waits at most for wait. It fails if the verdict is not enforced here within the
+// longer of timeout and wait.
+func (f *Fleet) IssueVerdict(v verdict.Verdict, timeout, wait time.Duration) (VerdictStatus, error) {
+	startedAt := time.Now()
+	var issued verdict.Verdict
 	var err error
 	done := make(chan struct{})
-	if !f.call(func(*membership.View) {
+	if !f.postToOwner(func(*membership.View) {
 		defer close(done)
 		if !v.On {
-			var ill []verdict.Verdict
+			var revoked []verdict.Verdict
 			if v.Kind == verdict.Node {
-				ill = f.pardon(&v)
+				revoked = f.liftEvidence(&v)
 			}
-			if l, ok := f.keep.Line(f.now(), v.Kind, v.What); !ok || !l.On {
-				if err = ErrNothing; len(ill) > 0 { // by evidence alone, and that is taken back
-					given, err = ill[0], nil
+			if l, ok := f.store.Lookup(f.now(), v.Kind, v.What); !ok || !l.On {
+				if err = ErrNoVerdict; len(revoked) > 0 { // there were only verdicts by evidence, now revoked
+					issued, err = revoked[0], nil
 				}
 				return
 			}
 		}
-		given, err = f.keep.Say(f.now(), time.Now().UnixMilli(), v)
-	}, within) {
-		return VerdictStatus{}, ErrLate
+		issued, err = f.store.Issue(f.now(), time.Now().UnixMilli(), v)
+	}, timeout) {
+		return VerdictStatus{}, ErrTimeout
 	}
 	<-done
 	if err != nil {
@@ -231,38 +232,38 @@
 	}
 	for {
 		var s VerdictStatus
-		looked := make(chan struct{})
-		if !f.call(func(*membership.View) {
-			defer close(looked)
-			l, ok := f.keep.Line(f.now(), given.Kind, given.What)
-			if ok && l.Stamp == given.Stamp && l.Member == given.Member {
-				s = f.status(l, *f.alive.Load(), time.Now().UnixMilli())
-			} else { // another has said otherwise since
+		checked := make(chan struct{})
+		if !f.postToOwner(func(*membership.View) {
+			defer close(checked)
+			l, ok := f.store.Lookup(f.now(), issued.Kind, issued.What)
+			if ok && l.Stamp == issued.Stamp && l.Member == issued.Member {
+				s = f.verdictStatus(l, *f.aliveOthers.Load(), time.Now().UnixMilli())
+			} else { // a newer verdict has replaced it
 				s = VerdictStatus{Held: []string{f.cfg.Fleet.Name}, Missing: []string{}}
 			}
-		}, within) {
-			return s, ErrLate
+		}, timeout) {
+			return s, ErrTimeout
 		}
-		<-looked
-		here := slices.Contains(s.Held, f.cfg.Fleet.Name)
-		took := time.Since(begun)
+		<-checked
+		enforcedHere := slices.Contains(s.Held, f.cfg.Fleet.Name)
+		elapsed := time.Since(startedAt)
 		switch {
-		case here && (len(s.Missing) == 0 || took >= wait):
+		case enforcedHere && (len(s.Missing) == 0 || elapsed >= wait):
 			return s, nil
-		case !here && took >= max(within, wait):
-			return s, ErrLate
+		case !enforcedHere && elapsed >= max(timeout, wait):
+			return s, ErrTimeout
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// pardon takes back what holds of a node by evidence, with an operator's word, and returns that.
-func (f *Fleet) pardon(v *verdict.Verdict) (given []verdict.Verdict) {
-	for _, x := range f.keep.Evidence(f.now(), v.What) {
+// liftEvidence revokes a node's verdicts by evidence on an operator's call, and returns the revocations.
+func (f *Fleet) liftEvidence(v *verdict.Verdict) (revoked []verdict.Verdict) {
+	for _, x := range f.store.SickVerdicts(f.now(), v.What) {
 		x.On, x.By, x.Reason, x.Span = false, v.By, v.Reason, 0
-		if x, err := f.keep.Say(f.now(), time.Now().UnixMilli(), x); err == nil {
-			given = append(given, x)
+		if x, err := f.store.Issue(f.now(), time.Now().UnixMilli(), x); err == nil {
+			revoked = append(revoked, x)
 		}
 	}
-	return given
+	return revoked
 }
--- a/internal/grpcnode/message.go
+++ b/internal/grpcnode/message.go
@@ -1,7 +1,7 @@
 package grpcnode
 
-// The messages of ledger.proto on the wire, and the head of a call. A test compiles the .proto and reads
-// these back.
+// Encoding and decoding of the messages of ledger.proto, and of a call's time-out. A test compiles the
+// .proto and checks them against it.
 
 import (
 	"encoding/binary"
@@ -15,12 +15,12 @@
 	"lapislever/internal/translate"
 )
 
-// Path is the one method's.
-const Path = "/lapislever.ledger.v1.Ledger/Run"
+// MethodPath is the path of the only method.
+const MethodPath = "/lapislever.ledger.v1.Ledger/Run"
 
-const prefixSize = 5 // of a message: whether it is compressed, and its length
+const messagePrefixSize = 5 // of a message: the compressed flag and the length
 
-// Part is a call's message.
+// Part is the request message of a call.
 type Part struct {
 	ID     string
 	Shard  uint32
@@ -30,39 +30,40 @@
 	Term   uint64
 }
 
-// Append appends the message with its prefix.
+// Append appends the encoded message with its prefix.
 func (p *Part) Append(b []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = append(b, 0, 0, 0, 0, 0)
-	text := func(n protowire.Number, v []byte) {
+	appendBytes := func(n protowire.Number, v []byte) {
 		if len(v) > 0 {
 			b = protowire.AppendBytes(protowire.AppendTag(b, n, protowire.BytesType), v)
 		}
 	}
-	number := func(n protowire.Number, v uint64) {
+	appendVarint := func(n protowire.Number, v uint64) {
 		if v != 0 {
 			b = protowire.AppendVarint(protowire.AppendTag(b, n, protowire.VarintType), v)
 		}
 	}
-	text(1, []byte(p.ID))
-	number(2, uint64(p.Shard))
-	text(3, []byte(p.Class))
-	text(4, p.Filter)
-	number(5, p.Micros)
-	number(6, p.Term)
-	binary.BigEndian.PutUint32(b[at+1:], uint32(len(b)-at-prefixSize))
+	appendBytes(1, []byte(p.ID))
+	appendVarint(2, uint64(p.Shard))
+	appendBytes(3, []byte(p.Class))
+	appendBytes(4, p.Filter)
+	appendVarint(5, p.Micros)
+	appendVarint(6, p.Term)
+	binary.BigEndian.PutUint32(b[start+1:], uint32(len(b)-start-messagePrefixSize))
 	return b
 }
 
-// errMessage is a message that cannot be read.
-var errMessage = errors.New("not a message of the service")
+// errMalformed is the error for a message that cannot be decoded.
+var errMalformed = errors.New("malformed message")
 
-// fields calls f for each field of a message; what f does not know it skips.
-func fields(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool) error {
+// walkFields calls f for each field of a message. f ignores unknown fields and returns false for malformed
+// ones.
+func walkFields(b []byte, f func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool) error {
 	for len(b) > 0 {
 		n, t, size := protowire.ConsumeTag(b)
 		if size < 0 {
-			return errMessage
+			return errMalformed
 		}
 		b = b[size:]
 		var v []byte
@@ -78,39 +79,39 @@
 			size = protowire.ConsumeFieldValue(n, t, b)
 		}
 		if size < 0 || !f(n, t, v, x) {
-			return errMessage
+			return errMalformed
 		}
 		b = b[size:]
 	}
 	return nil
 }
 
-// answerTypes are the wire types of an answer's fields.
-var answerTypes = map[protowire.Number]protowire.Type{1: protowire.VarintType, 2: protowire.BytesType,
+// answerWireTypes holds the wire types of an answer's fields.
+var answerWireTypes = map[protowire.Number]protowire.Type{1: protowire.VarintType, 2: protowire.BytesType,
 	3: protowire.VarintType, 4: protowire.Fixed64Type, 5: protowire.BytesType, 6: protowire.BytesType}
 
-// ParseAnswer reads an answer's message, without its prefix. What it returns refers to b.
+// ParseAnswer decodes an answer message without its prefix. The result refers to b.
 func ParseAnswer(b []byte) (translate.Answer, error) {
 	var a translate.Answer
-	err := fields(b, func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool {
-		if w, known := answerTypes[n]; known && w != t {
+	err := walkFields(b, func(n protowire.Number, t protowire.Type, v []byte, x uint64) bool {
+		if w, known := answerWireTypes[n]; known && w != t {
 			return false
 		}
 		switch n {
 		case 1:
 			a.Shard = uint32(x)
-		case 2, 5: // of a oneof the last one counts
+		case 2, 5: // the last field of a oneof counts
 			a.Kind, a.Text = translate.Text, v
 			if n == 5 {
-				a.Kind = translate.Raw
+				a.Kind = translate.Bytes
 			}
 		case 3:
-			a.Kind, a.Whole = translate.Whole, protowire.DecodeZigZag(x)
+			a.Kind, a.Integer = translate.Integer, protowire.DecodeZigZag(x)
 		case 4:
-			a.Kind = translate.Real
+			a.Kind = translate.Float
 		case 6:
-			a.Loaded = true
-			return fields(v, func(n protowire.Number, t protowire.Type, _ []byte, x uint64) bool {
+			a.HasReport = true
+			return walkFields(v, func(n protowire.Number, t protowire.Type, _ []byte, x uint64) bool {
 				switch {
 				case n == 1 && t == protowire.Fixed64Type:
 					a.Rate = math.Float64frombits(x)
@@ -125,8 +126,8 @@
 	return a, err
 }
 
-// timeoutText is a grpc-timeout: at most eight digits and a unit.
-func timeoutText(d time.Duration) string {
+// formatTimeout formats a grpc-timeout header: at most eight digits and a unit.
+func formatTimeout(d time.Duration) string {
 	us := max(1, d.Microseconds())
 	for _, u := range []struct {
 		size int64
--- a/internal/importer/importer_test.go
+++ b/internal/importer/importer_test.go
@@ -6,20 +6,20 @@
 	"strings"
 	"testing"
 
-	"lapislever/internal/kiosk"
+	"lapislever/internal/legacyfront"
 	"lapislever/internal/promql"
 )
 
-// outline writes what an import comes to in one line a server and one a remark.
-func outline(t *testing.T, text string) string {
+// importSummary imports a text and returns one line per server and one per remark.
+func importSummary(t *testing.T, text string) string {
 	t.Helper()
-	res, err := Import(text, Options{Ranges, "127.0.0.1:9090", "day-report"})
+	res, err := Import(text, Options{TargetPromQL, "127.0.0.1:9090", "day-report"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	c, err := promql.ParseConfig(res.File)
 	if err != nil {
-		t.Fatalf("serve does not take it: %v\n%s", err, res.File)
+		t.Fatalf("serve rejects the generated file: %v\n%s", err, res.File)
 	}
 	var b strings.Builder
 	for _, s := range c.Servers {
@@ -31,15 +31,15 @@
 	return b.String()
 }
 
-func check(t *testing.T, text, want string) {
+func checkImport(t *testing.T, text, want string) {
 	t.Helper()
-	if got := outline(t, text); got != strings.TrimLeft(want, "\n") {
+	if got := importSummary(t, text); got != strings.TrimLeft(want, "\n") {
 		t.Errorf("got\n%s\nwant%s", got, want)
 	}
 }
 
-func TestWorkers(t *testing.T) {
-	check(t, `# two balancers, a template
+func TestModJKWorkers(t *testing.T) {
+	checkImport(t, `# two balancers, a template
 hosts=127.0.0
 worker.list=lb1, lb2
 worker.list=jkstatus
@@ -85,8 +85,8 @@
 `)
 }
 
-func TestApache(t *testing.T) {
-	check(t, `# a proxy
+func TestApacheBalancers(t *testing.T) {
+	checkImport(t, `# a proxy
 ProxyPass "/q" "balancer://one" stickysession=J
 <Proxy "balancer://One">
   BalancerMember "http://127.0.0.1:9101" route=n1 loadfactor=2.5
@@ -116,12 +116,12 @@
 `)
 }
 
-// Any text is a list that serve takes, or an error.
+// Any input gives either an error or a file that serve accepts.
 func FuzzImport(f *testing.F) {
 	f.Add("worker.list=l\nworker.l.type=lb\nworker.l.balance_workers=a\nworker.a.port=$(x)1\n")
 	f.Add("<Proxy balancer://x>\nBalancerMember \"http://a:1/p\" route=b loadfactor=2 \\\n status=-D\n</Proxy>")
 	f.Fuzz(func(t *testing.T, text string) {
-		if res, err := Import(text, Options{Ranges, "127.0.0.1:1", "c"}); err == nil {
+		if res, err := Import(text, Options{TargetPromQL, "127.0.0.1:1", "c"}); err == nil {
 			if c, err := promql.ParseConfig(res.File); err != nil || len(c.Servers) == 0 {
 				t.Fatalf("%v\n%s", err, res.File)
 			}
@@ -164,15 +164,15 @@
 		open + "BalancerMember http://a:1 route=\"\"\n</Proxy>\n":          "line 2",
 		"<Proxy a b>\n</Proxy>\nBalancerMember balancer://x http://a:1\n ": "line 1",
 	} {
-		_, err := Import(text, Options{Ranges, "127.0.0.1:9090", "day-report"})
+		_, err := Import(text, Options{TargetPromQL, "127.0.0.1:9090", "day-report"})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %s", text, err, want)
 		}
 	}
 }
 
-// Workers of mod_jk become nodes of the new form; what the front needs to forward to us comes along.
-func TestWorkersForTranslation(t *testing.T) {
+// mod_jk workers become nodes of the new form. The AJP secret and packet size are taken over.
+func TestModJKWorkersForTranslation(t *testing.T) {
 	const text = `worker.list=ledger
 worker.ledger.type=lb
 worker.ledger.balance_workers=a,b,c
@@ -190,11 +190,11 @@
 worker.c.secret=other
 worker.c.socket_timeout=3
 `
-	res, err := Import(text, Options{For: Translation, Listen: "127.0.0.1:8009", Class: "posts"})
+	res, err := Import(text, Options{Target: TargetTranslate, Listen: "127.0.0.1:8009", Class: "posts"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := kiosk.ParseConfig("f", res.File)
+	c, err := legacyfront.ParseConfig("f", res.File)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -204,7 +204,8 @@
 		t.Fatalf("%+v", c)
 	}
 	for i, s := range c.Servers {
-		if s.Form != kiosk.NewForm || s.Draining != (i == 1) || s.Address != fmt.Sprintf("10.0.0.%d:8009", i+1) {
+		if s.Form != legacyfront.NewForm || s.Draining != (i == 1) ||
+			s.Address != fmt.Sprintf("10.0.0.%d:8009", i+1) {
 			t.Errorf("%+v", s)
 		}
 	}
@@ -215,12 +216,12 @@
 	if want := []int{4, 4, 4, 15, 16}; !slices.Equal(lines, want) {
 		t.Errorf("remarks on lines %v, want %v: %+v", lines, want, res.Remarks)
 	}
-	for _, to := range []string{Ranges, Translation} {
-		if _, err := Import(text, Options{For: to, Listen: "127.0.0.1:8009"}); err == nil {
-			t.Errorf("%s: a class was guessed", to)
+	for _, target := range []string{TargetPromQL, TargetTranslate} {
+		if _, err := Import(text, Options{Target: target, Listen: "127.0.0.1:8009"}); err == nil {
+			t.Errorf("%s: imported without a class", target)
 		}
 	}
-	if _, err := Import(text, Options{For: "x", Class: "posts"}); err == nil {
-		t.Error("made for nothing known")
+	if _, err := Import(text, Options{Target: "x", Class: "posts"}); err == nil {
+		t.Error("an unknown target was accepted")
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -1,7 +1,7 @@
 package membership
 
-// The form of a datagram, before it is sealed: a head, what its kind needs, then entries up to the end.
-// Numbers are little-endian.
+// Encoding of a datagram before it is sealed: a header, fixed fields that depend on the kind, then entries up
+// to the end. Integers are little-endian.
 
 import (
 	"encoding/binary"
@@ -10,50 +10,50 @@
 	"lapislever/internal/datagram"
 )
 
-// MaxPlain is the most that a datagram holds before it is sealed, so that 256 bytes are never passed: the
-// seal takes 30.
+// MaxPlain is the maximum size of a datagram before it is sealed. The seal adds 30 bytes; a sealed datagram
+// never exceeds 256 bytes.
 const MaxPlain = 226
 
 // The kinds of datagram.
 const (
-	kindPing    = 1 + iota // id, birth meant: answered by an ack, whoever is there
-	kindAck                // id
-	kindAsk                // id, birth: probe that member for us
-	kindReached            // id, birth and incarnation of the one that answered the helper
-	kindNack               // id: it did not answer the helper
-	kindAccuse             // entries: watch these too
-	kindNews               // entries
-	kindJoin               // id; the first entry is the sender, whole
-	kindWelcome            // id
-	kindSums               // depth, prefix, 16 sums
-	kindRecords            // depth, prefix, flags, entries
-	kindWant               // births: tell us who they are
-	kindClaim              // address meant, age in periods, hops; an entry: the sender, whole
-	kindVerdict            // address meant, hops, birth of the one that must not serve, and of the one meant
-	kindTurned             // turned down: not in the roster
-	kindApp                // of the layer above: a byte and data
-	kinds
+	kindPing        = 1 + iota // id, target's birth: the process at the address sends an ack, whatever its birth
+	kindAck                    // id
+	kindPingReq                // id, birth and incarnation: request to probe that member
+	kindIndirectAck            // id, birth and incarnation of the member that answered the helper
+	kindNack                   // id: the member did not answer the helper
+	kindWatch                  // entries: request to watch these members too
+	kindUpdates                // entries
+	kindJoin                   // id; the first entry is the sender's full record
+	kindWelcome                // id
+	kindSums                   // depth, prefix, 16 sums
+	kindRecords                // depth, prefix, flags, entries
+	kindWhoIs                  // births: request for the full records of these processes
+	kindClaim                  // target address, age in periods, hops; one entry: the sender's full record
+	kindClaimResult            // target address, hops, birth of the process that has to stop, target's birth
+	kindRejected               // the sender does not admit the receiver: not in its roster, or its view is full
+	kindApp                    // application message: kind byte, data
+	kindEnd
 )
 
 const (
-	headSize = 1 + 8 + 4 + 6 + 8 + 4 + 4
-	lowBits  = 1<<32 - 1
-	fullBit  = 0x80
-	typeBits = 0x07
-	ageMost  = 1<<16 - 1
-	backlog  = 8 // pieces of news never sent: more than the probes of a period carry
+	headerSize       = 1 + 8 + 4 + 6 + 8 + 4 + 4
+	voterMask        = 1<<32 - 1
+	fullBit          = 0x80
+	typeMask         = 0x07
+	maxAge           = 1<<16 - 1
+	backlogThreshold = 8 // number of unsent updates from which on the probes of a period cannot carry them all
 )
 
-// What an entry tells.
+// The types of an entry.
 const (
-	isAlive   = byte(Alive)
-	isSuspect = byte(Suspect)
-	isDead    = byte(Dead)
-	isLeft    = byte(Left)
-	isVote    = 4
+	typeAlive   = byte(Alive)
+	typeSuspect = byte(Suspect)
+	typeDead    = byte(Dead)
+	typeLeft    = byte(Left)
+	typeVote    = 4
 )
 
-// record is what is said of one process.
+// record is the state of one process as it is exchanged between members.
 type record struct {
 	name, zone string
 	addr       netip.AddrPort
@@ -62,28 +62,28 @@
 	state      State // Alive, Dead or Left
 }
 
-// above tells that a record is later than another of its name, states apart.
-func (r *record) above(o *record) bool {
+// newerThan reports whether a record supersedes another one of the same name, regardless of their states.
+func (r *record) newerThan(o *record) bool {
 	return r.inc > o.inc || r.inc == o.inc && r.birth > o.birth
 }
 
-// entry is one line of a datagram.
+// entry is one statement about a process in a datagram.
 type entry struct {
 	record
-	full  bool // name, zone and address are there
-	what  byte
-	age   Micros   // periods since one died or left
-	votes []uint32 // of a death or a vote: by whom
+	full  bool // name, zone and address are included
+	typ   byte
+	age   Micros   // periods since the member died or left
+	votes []uint32 // for deaths and votes: the voters
 }
 
 func (e *entry) size() int {
 	n := 1 + 8 + 4
-	switch e.what {
-	case isVote:
+	switch e.typ {
+	case typeVote:
 		n += 4
-	case isDead:
+	case typeDead:
 		n += 3 + 4*len(e.votes)
-	case isLeft:
+	case typeLeft:
 		n += 2
 	}
 	if e.full {
@@ -93,17 +93,17 @@
 }
 
 func (e *entry) append(b []byte) []byte {
-	flag := e.what
+	flag := e.typ
 	if e.full {
 		flag |= fullBit
 	}
 	b = append(b, flag)
 	b = binary.LittleEndian.AppendUint64(b, e.birth)
 	b = binary.LittleEndian.AppendUint32(b, e.inc)
-	if e.what == isDead || e.what == isLeft {
-		b = binary.LittleEndian.AppendUint16(b, uint16(min(ageMost, max(0, e.age))))
+	if e.typ == typeDead || e.typ == typeLeft {
+		b = binary.LittleEndian.AppendUint16(b, uint16(min(maxAge, max(0, e.age))))
 	}
-	if e.what == isDead {
+	if e.typ == typeDead {
 		b = append(b, byte(len(e.votes)))
 	}
 	for _, v := range e.votes {
@@ -119,10 +119,10 @@
 	return b
 }
 
-// reader takes a datagram apart.
+// reader decodes a datagram.
 type reader struct{ datagram.Reader }
 
-func read(b []byte) reader { return reader{datagram.Reader{B: b}} }
+func newReader(b []byte) reader { return reader{datagram.Reader{Rest: b}} }
 
 func (r *reader) addr() netip.AddrPort {
 	n := int(r.U8())
@@ -130,27 +130,27 @@
 		r.Bad = true
 		return netip.AddrPort{}
 	}
-	ip, _ := netip.AddrFromSlice(r.Take(n))
+	ip, _ := netip.AddrFromSlice(r.Bytes(n))
 	return netip.AddrPortFrom(ip, r.U16())
 }
 
 func (r *reader) entry() (e entry) {
 	flag := r.U8()
-	e.full, e.what = flag&fullBit != 0, flag&typeBits
-	if flag&^(fullBit|typeBits) != 0 || e.what > isVote {
+	e.full, e.typ = flag&fullBit != 0, flag&typeMask
+	if flag&^(fullBit|typeMask) != 0 || e.typ > typeVote {
 		r.Bad = true
 	}
 	e.birth, e.inc = r.U64(), r.U32()
 	votes := 0
-	switch e.what {
-	case isDead:
+	switch e.typ {
+	case typeDead:
 		e.state, e.age, votes = Dead, Micros(r.U16()), int(r.U8())
-	case isLeft:
+	case typeLeft:
 		e.state, e.age = Left, Micros(r.U16())
-	case isVote:
+	case typeVote:
 		votes = 1
 	}
-	if votes > votesMost {
+	if votes > maxVotes {
 		r.Bad = true
 		return e
 	}
@@ -165,9 +165,9 @@
 	return e
 }
 
-// entries reads up to the end; none where any is bad, as a datagram is taken whole or not at all.
+// entries reads entries up to the end. If any is malformed it returns none: a datagram is never used in part.
 func (r *reader) entries() (list []entry) {
-	for len(r.B) > 0 && !r.Bad {
+	for len(r.Rest) > 0 && !r.Bad {
 		list = append(list, r.entry())
 	}
 	if r.Bad {
@@ -176,27 +176,27 @@
 	return list
 }
 
-// head is what every datagram begins with.
-type head struct {
+// header is the start of every datagram.
+type header struct {
 	kind   byte
 	birth  uint64
 	inc    uint32
 	seq    uint64
 	digest uint64
 	stamp  uint32
-	app    uint32
+	appTag uint32
 }
 
-func (r *reader) head() (h head) {
+func (r *reader) header() (h header) {
 	h.kind, h.birth, h.inc = r.U8(), r.U64(), r.U32()
 	h.seq = uint64(r.U32()) | uint64(r.U16())<<32
-	h.digest, h.stamp, h.app = r.U64(), r.U32(), r.U32()
-	r.Bad = r.Bad || h.kind == 0 || h.kind >= kinds || h.birth == 0
+	h.digest, h.stamp, h.appTag = r.U64(), r.U32(), r.U32()
+	r.Bad = r.Bad || h.kind == 0 || h.kind >= kindEnd || h.birth == 0
 	return h
 }
 
-// begin starts a datagram.
-func (v *View) begin(kind byte) []byte {
+// newMessage returns a datagram with its header.
+func (v *View) newMessage(kind byte) []byte {
 	b := make([]byte, 0, MaxPlain)
 	b = append(b, kind)
 	b = binary.LittleEndian.AppendUint64(b, v.self.birth)
@@ -206,28 +206,28 @@
 	b = binary.LittleEndian.AppendUint16(b, uint16(v.seq>>32))
 	b = binary.LittleEndian.AppendUint64(b, v.digest)
 	b = binary.LittleEndian.AppendUint32(b, v.cfg.Stamp)
-	return binary.LittleEndian.AppendUint32(b, v.app)
+	return binary.LittleEndian.AppendUint32(b, v.appTag)
 }
 
-// numbered begins a datagram that bears a number.
-func (v *View) numbered(kind byte, id uint32) []byte {
-	return binary.LittleEndian.AppendUint32(v.begin(kind), id)
+// newNumbered returns a datagram with its header and a request ID.
+func (v *View) newNumbered(kind byte, id uint32) []byte {
+	return binary.LittleEndian.AppendUint32(v.newMessage(kind), id)
 }
 
-// me is this member's own entry.
-func (v *View) me() entry {
+// selfEntry returns this member's own entry with its full record.
+func (v *View) selfEntry() entry {
 	e := entry{record: v.self, full: true}
 	if v.left {
-		e.what, e.state = isLeft, Left
+		e.typ, e.state = typeLeft, Left
 	}
 	return e
 }
 
-// entryOf is what is known of a member, as an entry.
+// entryOf returns the entry for a member's current state.
 func (v *View) entryOf(m *member, full bool) entry {
-	e := entry{record: m.record, full: full, what: byte(m.state)}
+	e := entry{record: m.record, full: full, typ: byte(m.state)}
 	if m.state != Alive {
-		e.age = (v.now - m.ended) / v.cfg.Period
+		e.age = (v.now - m.endedAt) / v.cfg.Period
 	}
 	if m.state == Dead {
 		e.votes = m.votes
@@ -235,52 +235,52 @@
 	return e
 }
 
-// put appends an entry where it fits.
-func put(b []byte, e entry) ([]byte, bool) {
+// appendEntry appends an entry if it fits into the datagram.
+func appendEntry(b []byte, e entry) ([]byte, bool) {
 	if len(b)+e.size() > MaxPlain {
 		return b, false
 	}
 	return e.append(b), true
 }
 
-// to is where a member is reached from here.
-func (v *View) to(name string, addr netip.AddrPort) netip.AddrPort {
+// route returns the address at which this process reaches a member.
+func (v *View) route(name string, addr netip.AddrPort) netip.AddrPort {
 	if a, ok := v.cfg.Route[name]; ok {
 		return a
 	}
 	return addr
 }
 
-// send fills a datagram up with news, where it may carry entries, and sends it.
+// send queues a datagram. If fill is set, the remaining space is filled with updates.
 func (v *View) send(to netip.AddrPort, b []byte, fill bool) {
 	if !to.IsValid() {
 		return
 	}
 	if fill && !v.joining {
-		_, trusted := v.alive()
-		b = v.news.fill(b, trusted)
+		_, trusted := v.liveCounts()
+		b = v.updates.fill(b, trusted)
 	}
-	v.figures.Sent++
-	v.figures.SentBytes += int64(len(b))
-	v.out = append(v.out, Send{To: to, Data: b})
+	v.stats.Sent++
+	v.stats.SentBytes += int64(len(b))
+	v.outgoing = append(v.outgoing, Datagram{To: to, Data: b})
 }
 
-// sendTo sends to a member.
-func (v *View) sendTo(m *member, b []byte, fill bool) { v.send(v.to(m.name, m.addr), b, fill) }
+// sendTo queues a datagram to a member.
+func (v *View) sendTo(m *member, b []byte, fill bool) { v.send(v.route(m.name, m.addr), b, fill) }
 
-// item is a piece of news with how often it went out.
-type item struct {
+// queuedUpdate is an update and the number of times it was sent.
+type queuedUpdate struct {
 	entry
 	sent int
 }
 
-// news is what is to be passed on, least sent first.
-type news struct {
-	levels [][]item // by how often they were sent
-	count  int
+// updateQueue holds the updates to gossip, least often sent first.
+type updateQueue struct {
+	bySends [][]queuedUpdate // indexed by the number of times sent
+	count   int
 }
 
-// supersedes tells that one piece of news makes another needless.
+// supersedes reports whether one update makes another redundant.
 func (e *entry) supersedes(o *entry) bool {
 	if e.birth != o.birth {
 		return false
@@ -288,16 +288,16 @@
 	if e.inc != o.inc {
 		return e.inc > o.inc
 	}
-	if e.what == isVote || o.what == isVote {
-		return e.what == isVote && o.what == isVote && e.votes[0] == o.votes[0] || e.what == isDead ||
-			e.what == isLeft
+	if e.typ == typeVote || o.typ == typeVote {
+		return e.typ == typeVote && o.typ == typeVote && e.votes[0] == o.votes[0] || e.typ == typeDead ||
+			e.typ == typeLeft
 	}
-	return e.what >= o.what
+	return e.typ >= o.typ
 }
 
-// add queues news. What it makes needless goes.
-func (n *news) add(e entry) {
-	for l, level := range n.levels {
+// add queues an update and removes those that it supersedes.
+func (n *updateQueue) add(e entry) {
+	for sends, level := range n.bySends {
 		kept := level[:0]
 		for i := range level {
 			if !e.supersedes(&level[i].entry) {
@@ -305,49 +305,49 @@
 			}
 		}
 		n.count -= len(level) - len(kept)
-		n.levels[l] = kept
+		n.bySends[sends] = kept
 	}
-	n.push(item{entry: e})
+	n.insert(queuedUpdate{entry: e})
 }
 
-func (n *news) push(x item) {
-	for len(n.levels) <= x.sent {
-		n.levels = append(n.levels, nil)
+func (n *updateQueue) insert(x queuedUpdate) {
+	for len(n.bySends) <= x.sent {
+		n.bySends = append(n.bySends, nil)
 	}
-	n.levels[x.sent] = append(n.levels[x.sent], x)
+	n.bySends[x.sent] = append(n.bySends[x.sent], x)
 	n.count++
 }
 
-// fill appends news to a datagram. Each goes out newsFactor*log2(n+1) times (SWIM, 4.1).
-func (n *news) fill(b []byte, members int) []byte {
+// fill appends updates to a datagram. Each is sent retransmitFactor*log2(n+1) times (SWIM, 4.1).
+func (n *updateQueue) fill(b []byte, members int) []byte {
 	if n.count == 0 {
 		return b
 	}
-	most := newsFactor * log2up(members+1)
-	var sent []item
-	for l := 0; l < len(n.levels) && MaxPlain-len(b) >= 13; l++ {
-		level, i := n.levels[l], 0
+	maxSends := retransmitFactor * ceilLog2(members+1)
+	var sent []queuedUpdate
+	for sends := 0; sends < len(n.bySends) && MaxPlain-len(b) >= 13; sends++ {
+		level, i := n.bySends[sends], 0
 		for ; i < len(level) && MaxPlain-len(b) >= 13; i++ {
 			var ok bool
-			if b, ok = put(b, level[i].entry); !ok {
+			if b, ok = appendEntry(b, level[i].entry); !ok {
 				break
 			}
 			level[i].sent++
 			sent = append(sent, level[i])
 		}
-		n.levels[l] = append(level[:0], level[i:]...)
+		n.bySends[sends] = append(level[:0], level[i:]...)
 		n.count -= i
 	}
 	for _, x := range sent {
-		if x.sent < most {
-			n.push(x)
+		if x.sent < maxSends {
+			n.insert(x)
 		}
 	}
 	return b
 }
 
-// log2up is the logarithm to base 2, rounded up.
-func log2up(n int) int {
+// ceilLog2 returns the base-2 logarithm, rounded up.
+func ceilLog2(n int) int {
 	l := 0
 	for 1<<l < n {
 		l++
--- a/internal/net/http.go
+++ b/internal/net/http.go
@@ -1,7 +1,7 @@
 package net
 
-// HTTP/1.1 messages on net/textproto, both sides: parsing out of a ring buffer, writing through one, and a
-// client for one connection. This file owns the syntax of messages; it must never know what they are for.
+// HTTP/1.1 messages on net/textproto for both sides: parsing from a ring buffer, writing through one, and a
+// client for a single connection. This file handles message syntax only; it must not know what messages mean.
 
 import (
 	"bufio"
@@ -17,42 +17,42 @@
 	"time"
 )
 
-// BadMessage is a message that cannot be used, with the status that its sender is told.
+// BadMessage is the error for an invalid message, with the status code to reply with.
 type BadMessage struct {
 	Status int
-	What   string
+	Detail string
 }
 
-func (e *BadMessage) Error() string { return e.What }
+func (e *BadMessage) Error() string { return e.Detail }
 
-func bad(status int, format string, args ...any) error {
-	return &BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+func badMessage(status int, format string, args ...any) error {
+	return &BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Request is a whole request. At is when its last byte was read.
+// Request is a complete request. ReceivedAt is when its last byte arrived.
 type Request struct {
-	Method string
-	Path   string
-	Query  string
-	Header textproto.MIMEHeader
-	Body   []byte
-	Close  bool
-	At     time.Time
+	Method     string
+	Path       string
+	Query      string
+	Header     textproto.MIMEHeader
+	Body       []byte
+	Close      bool
+	ReceivedAt time.Time
 }
 
-// Response is a whole reply.
+// Response is a complete reply to a client.
 type Response struct {
-	Status int
-	Type   string // content type; text/plain where empty
-	Header [][2]string
-	Body   []byte
-	Close  bool
-	// Decided is when the answer was given, for the record of replies that are late; zero: nobody says.
-	Decided time.Time
+	Status      int
+	ContentType string // text/plain if empty
+	Header      [][2]string
+	Body        []byte
+	Close       bool
+	// DecidedAt is when the answer was decided, to record late replies; zero: unknown.
+	DecidedAt time.Time
 }
 
-// Reason is the phrase of a status.
-func Reason(status int) string {
+// ReasonPhrase returns the reason phrase of a status code.
+func ReasonPhrase(status int) string {
 	switch status {
 	case 200:
 		return "OK"
@@ -94,85 +94,86 @@
 	return "Status"
 }
 
-// readers are the small buffers that textproto reads heads through. They hold nothing between calls.
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 512) }}
+// headReaders pools the small buffered readers that textproto parses message heads with. They hold no data
+// between calls.
+var headReaders = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, 512) }}
 
-var headEnd = []byte("\r\n\r\n")
+var headTerminator = []byte("\r\n\r\n")
 
-// parseHead reads the first line and the headers out of a head of size bytes, without taking them.
+// parseHead parses the first line and the headers of a head of size bytes without removing it from the ring.
 func parseHead(in *Ring, size int) (string, textproto.MIMEHeader, error) {
 	head := make([]byte, size)
 	in.Peek(head, 0)
-	br := readers.Get().(*bufio.Reader)
-	defer readers.Put(br)
+	br := headReaders.Get().(*bufio.Reader)
+	defer headReaders.Put(br)
 	br.Reset(bytes.NewReader(head))
 	tp := textproto.NewReader(br)
 	line, err := tp.ReadLine()
 	if err != nil {
-		return "", nil, bad(400, "no first line")
+		return "", nil, badMessage(400, "no first line")
 	}
 	h, err := tp.ReadMIMEHeader()
 	if err != nil {
-		return "", nil, bad(400, "malformed headers")
+		return "", nil, badMessage(400, "malformed headers")
 	}
 	return line, h, nil
 }
 
-// lacks tells what a request that is not all there waits for.
-type lacks struct {
-	bytes int  // before the ring holds so many it cannot be whole; 0: not known
-	word  bool // the client waits to be told to go on
+// incomplete describes what is missing from an incomplete request.
+type incomplete struct {
+	minBytes       int  // bytes that a complete request has at least; 0: unknown
+	expectContinue bool // the client waits for a 100 Continue
 }
 
-// parseRequest takes one whole request out of the ring. It returns nil while something is lacking.
-func parseRequest(in *Ring, at time.Time) (req *Request, lack lacks, err error) {
-	for in.Len() >= 2 { // empty lines before a request are to be skipped
-		var two [2]byte
-		if in.Peek(two[:], 0); two != [2]byte{'\r', '\n'} {
+// parseRequest removes one complete request from the ring. It returns a nil request while it is incomplete.
+func parseRequest(in *Ring, at time.Time) (req *Request, missing incomplete, err error) {
+	for in.Len() >= 2 { // skip empty lines before a request
+		var prefix [2]byte
+		if in.Peek(prefix[:], 0); prefix != [2]byte{'\r', '\n'} {
 			break
 		}
 		in.Discard(2)
 	}
-	end := in.Index(headEnd)
-	if end < 0 {
+	headEnd := in.Index(headTerminator)
+	if headEnd < 0 {
 		if in.Len() > MaxHead {
-			return nil, lack, bad(431, "the head is larger than %d bytes", MaxHead)
+			return nil, missing, badMessage(431, "the head is larger than %d bytes", MaxHead)
 		}
-		return nil, lack, nil
+		return nil, missing, nil
 	}
-	if end > MaxHead {
-		return nil, lack, bad(431, "the head is larger than %d bytes", MaxHead)
+	if headEnd > MaxHead {
+		return nil, missing, badMessage(431, "the head is larger than %d bytes", MaxHead)
 	}
-	line, h, err := parseHead(in, end+4)
+	line, h, err := parseHead(in, headEnd+4)
 	if err != nil {
-		return nil, lack, err
+		return nil, missing, err
 	}
 	method, rest, ok1 := strings.Cut(line, " ")
 	target, proto, ok2 := strings.Cut(rest, " ")
 	if !ok1 || !ok2 || method == "" || target == "" || strings.ContainsAny(method, "\t\"(),/:;<=>?@[]{}") {
-		return nil, lack, bad(400, "malformed request line")
+		return nil, missing, badMessage(400, "malformed request line")
 	}
 	if proto != "HTTP/1.1" && proto != "HTTP/1.0" {
 		if strings.HasPrefix(proto, "HTTP/") {
-			return nil, lack, bad(505, "only HTTP/1.1 is spoken here")
+			return nil, missing, badMessage(505, "only HTTP/1.1 is spoken here")
 		}
-		return nil, lack, bad(400, "malformed request line")
+		return nil, missing, badMessage(400, "malformed request line")
 	}
 	if proto == "HTTP/1.1" && len(h["Host"]) != 1 {
-		return nil, lack, bad(400, "one Host header is needed")
+		return nil, missing, badMessage(400, "one Host header is needed")
 	}
-	body, taken, err := parseBody(in, end+4, h, MaxBody)
+	body, size, err := parseBody(in, headEnd+4, h, MaxBody)
 	if err != nil {
-		return nil, lack, err
+		return nil, missing, err
 	}
-	if taken < 0 {
+	if size < 0 {
 		if strings.EqualFold(h.Get("Expect"), "100-continue") {
-			lack.word = true
+			missing.expectContinue = true
 		}
-		lack.bytes = -taken
-		return nil, lack, nil
+		missing.minBytes = -size
+		return nil, missing, nil
 	}
-	in.Discard(taken)
+	in.Discard(size)
 	if i := strings.Index(target, "://"); i > 0 && !strings.HasPrefix(target, "/") { // absolute form
 		if j := strings.IndexByte(target[i+3:], '/'); j >= 0 {
 			target = target[i+3+j:]
@@ -181,12 +182,12 @@
 		}
 	}
 	path, query, _ := strings.Cut(target, "?")
-	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, At: at,
-		Close: closes(h) || proto == "HTTP/1.0"}, lack, nil
+	return &Request{Method: method, Path: path, Query: query, Header: h, Body: body, ReceivedAt: at,
+		Close: wantsClose(h) || proto == "HTTP/1.0"}, missing, nil
 }
 
-// closes tells that the sender ends the connection after this message.
-func closes(h textproto.MIMEHeader) bool {
+// wantsClose reports whether the sender closes the connection after this message.
+func wantsClose(h textproto.MIMEHeader) bool {
 	for _, v := range h["Connection"] {
 		for _, token := range strings.Split(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), "close") {
@@ -197,43 +198,43 @@
 	return false
 }
 
-// parseBody copies the body that begins at place from. taken is where the message ends or, while bytes are
-// lacking, below 0: before there are that many it cannot be whole.
-func parseBody(in *Ring, from int, h textproto.MIMEHeader, most int) (b []byte, taken int, err error) {
+// parseBody copies the body that begins at offset from. size is the size of the whole message. If the message
+// is incomplete, size is negative: the message has at least -size bytes.
+func parseBody(in *Ring, from int, h textproto.MIMEHeader, maxBody int) (body []byte, size int, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
-	case len(codings) > 0 && len(lengths) > 0: // two readers could see two different messages
-		return nil, 0, bad(400, "both a length and a transfer coding")
+	case len(codings) > 0 && len(lengths) > 0: // two parsers could see two different messages
+		return nil, 0, badMessage(400, "both a length and a transfer coding")
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
-			return nil, 0, bad(501, "unknown transfer coding")
+			return nil, 0, badMessage(501, "unknown transfer coding")
 		}
-		return parseChunks(in, from, most)
+		return parseChunks(in, from, maxBody)
 	case len(lengths) > 0:
 		for _, l := range lengths {
 			if l != lengths[0] {
-				return nil, 0, bad(400, "lengths that differ")
+				return nil, 0, badMessage(400, "lengths that differ")
 			}
 		}
 		n, err := strconv.ParseUint(lengths[0], 10, 63)
 		if err != nil {
-			return nil, 0, bad(400, "malformed length")
+			return nil, 0, badMessage(400, "malformed length")
 		}
-		if n > uint64(most) {
-			return nil, 0, bad(413, "the body is larger than %d bytes", most)
+		if n > uint64(maxBody) {
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", maxBody)
 		}
 		if in.Len() < from+int(n) {
 			return nil, -from - int(n), nil
 		}
-		b = make([]byte, n)
-		in.Peek(b, from)
-		return b, from + int(n), nil
+		body = make([]byte, n)
+		in.Peek(body, from)
+		return body, from + int(n), nil
 	}
 	return nil, from, nil
 }
 
-// parseChunks reads a chunked body.
-func parseChunks(in *Ring, from, most int) ([]byte, int, error) {
+// parseChunks parses a chunked body. Its results are those of parseBody.
+func parseChunks(in *Ring, from, maxBody int) ([]byte, int, error) {
 	rest := make([]byte, in.Len()-from)
 	in.Peek(rest, from)
 	size := len(rest)
@@ -242,17 +243,17 @@
 		i := bytes.Index(rest, []byte("\r\n"))
 		if i < 0 {
 			if len(rest) > 1024 {
-				return nil, 0, bad(400, "malformed chunk")
+				return nil, 0, badMessage(400, "malformed chunk")
 			}
 			return nil, -from - size - 1, nil
 		}
 		digits, _, _ := strings.Cut(string(rest[:i]), ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, badMessage(400, "malformed chunk")
 		}
-		if len(body)+int(n) > most {
-			return nil, 0, bad(413, "the body is larger than %d bytes", most)
+		if len(body)+int(n) > maxBody {
+			return nil, 0, badMessage(413, "the body is larger than %d bytes", maxBody)
 		}
 		rest = rest[i+2:]
 		if n == 0 { // trailers, up to an empty line
@@ -260,7 +261,7 @@
 				j := bytes.Index(rest, []byte("\r\n"))
 				if j < 0 {
 					if len(rest) > MaxHead {
-						return nil, 0, bad(431, "the trailers are too large")
+						return nil, 0, badMessage(431, "the trailers are too large")
 					}
 					return nil, -from - size - 1, nil
 				}
@@ -274,23 +275,23 @@
 			return nil, -from - size - (int(n) + 2 - len(rest)), nil
 		}
 		if rest[n] != '\r' || rest[n+1] != '\n' {
-			return nil, 0, bad(400, "malformed chunk")
+			return nil, 0, badMessage(400, "malformed chunk")
 		}
 		body = append(body, rest[:n]...)
 		rest = rest[n+2:]
 	}
 }
 
-// ringWriter writes to a connection through its ring.
+// ringWriter buffers writes to a connection in its ring.
 type ringWriter struct {
-	w io.Writer
-	r *Ring
+	w    io.Writer
+	ring *Ring
 }
 
 func (w *ringWriter) flush() error {
-	for w.r.Len() > 0 {
-		n, err := w.w.Write(w.r.First())
-		w.r.Discard(n)
+	for w.ring.Len() > 0 {
+		n, err := w.w.Write(w.ring.FirstSegment())
+		w.ring.Discard(n)
 		if err != nil {
 			return err
 		}
@@ -300,14 +301,14 @@
 
 func (w *ringWriter) Write(p []byte) (int, error) {
 	for left := p; len(left) > 0; {
-		n := min(len(left), w.r.ceiling-w.r.Len())
+		n := min(len(left), w.ring.limit-w.ring.Len())
 		if n == 0 {
 			if err := w.flush(); err != nil {
 				return len(p) - len(left), err
 			}
 			continue
 		}
-		if _, err := w.r.Write(left[:n]); err != nil {
+		if _, err := w.ring.Write(left[:n]); err != nil {
 			return len(p) - len(left), err
 		}
 		left = left[n:]
@@ -315,24 +316,24 @@
 	return len(p), nil
 }
 
-// writeResponse writes a reply with its length. Of one that was decided on a Step its time is taken: a look
-// at a clock would come between the decision and the reply.
-func writeResponse(to *replyPiece, out *Ring, r Response, end, headOnly bool) error {
-	w := &ringWriter{w: to, r: out}
-	date := r.Decided
+// writeResponse writes a reply with its Content-Length. Its Date is the time of the decision, if known, as
+// reading the clock would delay the reply after the decision.
+func writeResponse(chunk *replyChunk, out *Ring, r Response, closeAfter, headOnly bool) error {
+	w := &ringWriter{w: chunk, ring: out}
+	date := r.DecidedAt
 	if date.IsZero() {
 		date = time.Now()
 	}
-	kind := r.Type
-	if kind == "" {
-		kind = "text/plain; charset=utf-8"
+	contentType := r.ContentType
+	if contentType == "" {
+		contentType = "text/plain; charset=utf-8"
 	}
 	fmt.Fprintf(w, "HTTP/1.1 %d %s\r\nDate: %s\r\nContent-Type: %s\r\nContent-Length: %d\r\n", r.Status,
-		Reason(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), kind, len(r.Body))
+		ReasonPhrase(r.Status), date.UTC().Format("Mon, 02 Jan 2006 15:04:05 GMT"), contentType, len(r.Body))
 	for _, h := range r.Header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
 	}
-	if end {
+	if closeAfter {
 		fmt.Fprint(w, "Connection: close\r\n")
 	}
 	fmt.Fprint(w, "\r\n")
@@ -341,61 +342,63 @@
 			return err
 		}
 	}
-	to.last = true
+	chunk.final = true
 	return w.flush()
 }
 
-// Reply is what a server answered.
+// Reply is a server's reply to a Client.
 type Reply struct {
 	Status int
 	Header textproto.MIMEHeader
 	Body   []byte
 }
 
-// Client is one connection to a server, for one request at a time. It is not safe for concurrent use, but
-// Close may be called at any time and ends a call that is under way.
+// Client is a connection to a server that carries one request at a time. It is not safe for concurrent use,
+// except that Close may be called at any time and ends a request in progress.
 type Client struct {
-	c       net.Conn
-	in, out *Ring
-	most    int
-	sound   bool // may carry another request
-	Idle    time.Time
-	// Grant, if set, is asked before a body grows by so many bytes; where it says no the call fails.
-	Grant func(n int) bool
+	conn      net.Conn
+	in, out   *Ring
+	maxBody   int
+	reusable  bool // the connection may carry another request
+	IdleSince time.Time
+	// ReserveBytes, if set, is called before a body grows by n bytes; if it returns false the request fails.
+	ReserveBytes func(n int) bool
 }
 
-// Dial opens a connection. A reply's body may hold most bytes.
-func Dial(addr string, timeout time.Duration, most int) (*Client, error) {
+// Dial opens a connection. A reply's body may have at most maxBody bytes.
+func Dial(addr string, timeout time.Duration, maxBody int) (*Client, error) {
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return &Client{c: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), most: most, sound: true}, nil
+	return &Client{conn: c, in: NewRing(MaxHead + MaxBody), out: NewRing(MaxBody), maxBody: maxBody,
+		reusable: true}, nil
 }
 
-// Close ends the connection.
-func (c *Client) Close() { Cut(c.c) }
+// Close closes the connection.
+func (c *Client) Close() { AbortAndClose(c.conn) }
 
-// Abort makes it impossible that another byte of a request goes out; whatever is under way fails.
-func (c *Client) Abort() { Abort(c.c) }
+// Abort guarantees that no further byte of a request is sent; a request in progress fails.
+func (c *Client) Abort() { Abort(c.conn) }
 
-// Sound tells that the connection may carry another request.
-func (c *Client) Sound() bool { return c.sound }
+// Reusable reports whether the connection may carry another request.
+func (c *Client) Reusable() bool { return c.reusable }
 
-// Do sends a request and reads its reply until the deadline.
+// Do sends a request and reads its reply, up to the deadline.
 func (c *Client) Do(method, target, host string, header [][2]string, body []byte,
-	until time.Time) (*Reply, error) {
-	if err := c.Write(method, target, host, header, body, until); err != nil {
+	deadline time.Time) (*Reply, error) {
+	if err := c.Write(method, target, host, header, body, deadline); err != nil {
 		return nil, err
 	}
-	return c.Read(until)
+	return c.Read(deadline)
 }
 
-// Write sends a request. If it fails the last byte was not written: the server cannot have acted on it.
-func (c *Client) Write(method, target, host string, header [][2]string, body []byte, until time.Time) error {
-	c.sound = false
-	_ = c.c.SetDeadline(until)
-	w := &ringWriter{w: c.c, r: c.out}
+// Write sends a request. If it fails, the last byte was not written, so the server cannot have acted on it.
+func (c *Client) Write(method, target, host string, header [][2]string, body []byte,
+	deadline time.Time) error {
+	c.reusable = false
+	_ = c.conn.SetDeadline(deadline)
+	w := &ringWriter{w: c.conn, ring: c.out}
 	fmt.Fprintf(w, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, target, host)
 	for _, h := range header {
 		fmt.Fprintf(w, "%s: %s\r\n", h[0], h[1])
@@ -410,27 +413,27 @@
 	return w.flush()
 }
 
-// fill reads once into the ring.
+// fill makes one read into the ring.
 func (c *Client) fill() error {
 	free := c.in.Free()
 	if free == nil {
-		return bad(502, "the reply's head is too large")
+		return badMessage(502, "the reply's head is too large")
 	}
-	n, err := c.c.Read(free)
-	c.in.Grew(n)
+	n, err := c.conn.Read(free)
+	c.in.Commit(n)
 	if n > 0 {
 		return nil
 	}
 	return err
 }
 
-// Read reads the reply to the request that was written, interim ones skipped.
-func (c *Client) Read(until time.Time) (*Reply, error) {
-	_ = c.c.SetDeadline(until)
+// Read reads the reply to the request that was written, and skips interim replies.
+func (c *Client) Read(deadline time.Time) (*Reply, error) {
+	_ = c.conn.SetDeadline(deadline)
 	for {
-		end := c.in.Index(headEnd)
+		end := c.in.Index(headTerminator)
 		if end > MaxHead || end < 0 && c.in.Len() > MaxHead {
-			return nil, bad(502, "the reply's head is too large")
+			return nil, badMessage(502, "the reply's head is too large")
 		}
 		if end < 0 {
 			if err := c.fill(); err != nil {
@@ -447,44 +450,44 @@
 		code, _, _ := strings.Cut(rest, " ")
 		status, err := strconv.Atoi(code)
 		if err != nil || len(code) != 3 || !strings.HasPrefix(proto, "HTTP/1.") {
-			return nil, bad(502, "malformed status line")
+			return nil, badMessage(502, "malformed status line")
 		}
 		if status < 200 {
 			continue
 		}
 		r := &Reply{Status: status, Header: h}
-		lasting := true
+		persistent := true
 		if status != 204 && status != 304 {
-			if r.Body, lasting, err = c.body(h); err != nil {
+			if r.Body, persistent, err = c.readBody(h); err != nil {
 				return nil, err
 			}
 		}
-		c.sound = lasting && proto == "HTTP/1.1" && !closes(h) && c.in.Len() == 0
-		c.Idle = time.Now()
+		c.reusable = persistent && proto == "HTTP/1.1" && !wantsClose(h) && c.in.Len() == 0
+		c.IdleSince = time.Now()
 		return r, nil
 	}
 }
 
-// body reads a reply's body; lasting tells that the connection may go on after it.
-func (c *Client) body(h textproto.MIMEHeader) (b []byte, lasting bool, err error) {
+// readBody reads a reply's body. persistent reports whether the connection may be used after it.
+func (c *Client) readBody(h textproto.MIMEHeader) (b []byte, persistent bool, err error) {
 	codings, lengths := h["Transfer-Encoding"], h["Content-Length"]
-	var left uint64
+	var length uint64
 	switch {
 	case len(codings) > 0:
 		if len(codings) != 1 || !strings.EqualFold(strings.TrimSpace(codings[0]), "chunked") {
-			return nil, false, bad(502, "unknown transfer coding")
+			return nil, false, badMessage(502, "unknown transfer coding")
 		}
-		b, err = c.chunks()
+		b, err = c.readChunks()
 		return b, true, err
 	case len(lengths) > 0:
-		if left, err = strconv.ParseUint(lengths[0], 10, 63); err != nil {
-			return nil, false, bad(502, "malformed length")
+		if length, err = strconv.ParseUint(lengths[0], 10, 63); err != nil {
+			return nil, false, badMessage(502, "malformed length")
 		}
-		b, err = c.take(nil, left)
+		b, err = c.appendBody(nil, length)
 		return b, true, err
 	}
 	for {
-		if b, err = c.take(b, uint64(c.in.Len())); err != nil {
+		if b, err = c.appendBody(b, uint64(c.in.Len())); err != nil {
 			return nil, false, err
 		}
 		if err = c.fill(); errors.Is(err, io.EOF) {
@@ -495,10 +498,10 @@
 	}
 }
 
-// take moves n bytes of the body behind b.
-func (c *Client) take(b []byte, n uint64) ([]byte, error) {
-	if n > uint64(c.most-len(b)) {
-		return nil, bad(502, "the reply is larger than %d bytes", c.most)
+// appendBody appends the next n bytes of the body to b.
+func (c *Client) appendBody(b []byte, n uint64) ([]byte, error) {
+	if n > uint64(c.maxBody-len(b)) {
+		return nil, badMessage(502, "the reply is larger than %d bytes", c.maxBody)
 	}
 	for n > 0 {
 		if c.in.Len() == 0 {
@@ -506,20 +509,20 @@
 				return nil, fmt.Errorf("reading a reply: %w", err)
 			}
 		}
-		part := c.in.First()
-		part = part[:min(uint64(len(part)), n)]
-		if c.Grant != nil && !c.Grant(len(part)) {
-			return nil, bad(502, "no memory is left for the reply")
+		segment := c.in.FirstSegment()
+		segment = segment[:min(uint64(len(segment)), n)]
+		if c.ReserveBytes != nil && !c.ReserveBytes(len(segment)) {
+			return nil, badMessage(502, "no memory is left for the reply")
 		}
-		b = append(b, part...)
-		n -= uint64(len(part))
-		c.in.Discard(len(part))
+		b = append(b, segment...)
+		n -= uint64(len(segment))
+		c.in.Discard(len(segment))
 	}
 	return b, nil
 }
 
-// line takes one short line.
-func (c *Client) line() (string, error) {
+// readLine reads one short line.
+func (c *Client) readLine() (string, error) {
 	for {
 		if i := c.in.Index([]byte("\r\n")); i >= 0 && i <= 1024 {
 			b := make([]byte, i)
@@ -528,7 +531,7 @@
 			return string(b), nil
 		}
 		if c.in.Len() > 1024 {
-			return "", bad(502, "malformed chunk")
+			return "", badMessage(502, "malformed chunk")
 		}
 		if err := c.fill(); err != nil {
 			return "", fmt.Errorf("reading a reply: %w", err)
@@ -536,35 +539,35 @@
 	}
 }
 
-// chunks reads a chunked body piece by piece.
-func (c *Client) chunks() ([]byte, error) {
+// readChunks reads a chunked body.
+func (c *Client) readChunks() ([]byte, error) {
 	var b []byte
 	for {
-		text, err := c.line()
+		text, err := c.readLine()
 		if err != nil {
 			return nil, err
 		}
 		digits, _, _ := strings.Cut(text, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 		if err != nil {
-			return nil, bad(502, "malformed chunk")
+			return nil, badMessage(502, "malformed chunk")
 		}
 		if n == 0 {
 			break
 		}
-		if b, err = c.take(b, n); err != nil {
+		if b, err = c.appendBody(b, n); err != nil {
 			return nil, err
 		}
-		if text, err = c.line(); err != nil || text != "" {
-			return nil, bad(502, "malformed chunk")
+		if text, err = c.readLine(); err != nil || text != "" {
+			return nil, badMessage(502, "malformed chunk")
 		}
 	}
-	for { // trailers
-		if text, err := c.line(); err != nil || text == "" {
+	for { // skip trailers
+		if text, err := c.readLine(); err != nil || text == "" {
 			return b, err
 		}
 	}
 }
 
-// ID is the request's id, as its client gave it.
+// ID returns the request ID set by the client.
 func (r *Request) ID() string { return r.Header.Get("X-Call-Id") }
--- a/internal/net/server.go
+++ b/internal/net/server.go
@@ -1,6 +1,6 @@
 package net
 
-// The server: its listener, who is let in and who makes way, and the end.
+// The server: its listener, admission and eviction of client connections, and shutdown.
 
 import (
 	"context"
@@ -19,259 +19,263 @@
 	"lapislever/internal/watchdog"
 )
 
-// Exchange is one request that waits for its one reply.
+// Exchange is one request that is waiting for its reply.
 type Exchange struct {
-	reply chan Response
-	once  atomic.Bool
-	conn  net.Conn // the client's socket
+	reply   chan Response
+	replied atomic.Bool
+	conn    net.Conn // the client's socket
 }
 
-// NewExchange returns an exchange of a request that came over a socket, and where its reply will come.
+// NewExchange returns an exchange for a request that came over conn, and the channel that receives its reply.
 func NewExchange(conn net.Conn) (*Exchange, <-chan Response) {
 	x := &Exchange{reply: make(chan Response, 1), conn: conn}
 	return x, x.reply
 }
 
-// ClientLeft asks the system whether the client has closed its connection: whoever reads from it may not have
-// come to see that yet.
-func (x *Exchange) ClientLeft() bool { return x.conn != nil && PeerLeft(x.conn) }
+// ClientLeft asks the kernel whether the client has closed its connection, as the goroutine that reads from
+// it may not have noticed yet.
+func (x *Exchange) ClientLeft() bool { return x.conn != nil && PeerClosed(x.conn) }
 
-// Reply hands over the reply. It never blocks; any reply but the first is dropped.
+// Reply delivers the reply. It never blocks; replies after the first are dropped.
 func (x *Exchange) Reply(r Response) {
-	if x.once.CompareAndSwap(false, true) {
+	if x.replied.CompareAndSwap(false, true) {
 		x.reply <- r
 	}
 }
 
-// Handler takes a request and returns what to call should the client be gone before the reply, or nil. It
-// must not block; the reply may come at any time from any goroutine.
-type Handler func(r *Request, x *Exchange) (gone func())
+// Handler takes a request and returns a function to call if the client disconnects before the reply, or nil.
+// It must not block; any goroutine may deliver the reply at any time.
+type Handler func(r *Request, x *Exchange) (onDisconnect func())
 
-// Server accepts clients' connections and serves HTTP/1.1 on them.
+// Server accepts client connections and serves HTTP/1.1 on them.
 type Server struct {
-	l      net.Listener
-	handle Handler
-	budget *Budget
-	log    *slog.Logger
-	mu     sync.Mutex // guards conns, finished
-	conns  map[*serverConn]struct{}
-	// finished: connections end between two requests, also those that were just being accepted.
-	finished bool
-	closing  atomic.Bool
-	// TurnedAway, if set, hears of each request that is refused because too many connections are open.
-	TurnedAway func(r *Request)
-	// Advise, if set, is what such a client may be told of when to come back; 0: nothing.
-	Advise func(after time.Duration) time.Duration
-	// Delays, if set, hears of replies that were written late.
+	listener net.Listener
+	handle   Handler
+	budget   *Budget
+	log      *slog.Logger
+	mu       sync.Mutex // guards conns, draining
+	conns    map[*serverConn]struct{}
+	// draining: connections close between two requests, including those that are just being accepted.
+	draining        bool
+	closeAfterReply atomic.Bool
+	// OnRejected, if set, is called for each request refused because too many connections are open.
+	OnRejected func(r *Request)
+	// CapRetryAfter, if set, adjusts the Retry-After sent to such a client; 0: send none.
+	CapRetryAfter func(after time.Duration) time.Duration
+	// Delays, if set, records replies that were written late.
 	Delays *delay.Recorder
-	// Keeper, if set, says who is let in, and Secure, if set, makes the connection one by TLS. Both are set
-	// before Serve.
-	Keeper *Keeper
-	Secure Secure
-	watch  watchdog.Watchdog
-	begun  time.Time    // when it was made
-	last   atomic.Int64 // when a request last came, in nanoseconds since then
-	spare  atomic.Int64 // connections beyond the budget that are just being refused
+	// Admission, if set, decides which connections are admitted. Handshake, if set, makes the TLS handshake.
+	// Both must be set before Serve is called.
+	Admission   *AdmissionController
+	Handshake   Handshake
+	watchdog    watchdog.Watchdog
+	startedAt   time.Time    // when the server was created
+	lastRequest atomic.Int64 // when the last request was taken, in nanoseconds since startedAt
+	overflow    atomic.Int64 // open connections beyond the budget, each only to be refused
 }
 
-// reusing lets another process listen on the same address: the next version of this program, while this one
-// ends. Where the system refuses that, the address is this process's alone.
-var reusing = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
+// reusePort lets another process listen on the same address: the next version of this program, while this one
+// shuts down. If the kernel refuses the option, this process has the address to itself.
+var reusePort = net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) error {
 	return c.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	})
 }}
 
-// Listen starts to listen on an address and on nothing else.
+// Listen returns a server that listens on addr only.
 func Listen(addr string, budget *Budget, log *slog.Logger, h Handler) (*Server, error) {
-	l, err := reusing.Listen(context.Background(), "tcp", addr)
+	l, err := reusePort.Listen(context.Background(), "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
 	return NewServer(l, budget, log, h), nil
 }
 
-// ListenPacket opens a socket for datagrams.
+// ListenPacket opens a UDP socket.
 func ListenPacket(addr string) (*net.UDPConn, error) {
-	c, err := reusing.ListenPacket(context.Background(), "udp", addr)
+	c, err := reusePort.ListenPacket(context.Background(), "udp", addr)
 	if err != nil {
 		return nil, err
 	}
 	return c.(*net.UDPConn), nil
 }
 
-// NewServer serves on a listener that is there.
+// NewServer returns a server on an existing listener.
 func NewServer(l net.Listener, budget *Budget, log *slog.Logger, h Handler) *Server {
-	s := &Server{l: l, handle: h, budget: budget, log: log, conns: map[*serverConn]struct{}{},
-		begun: time.Now()}
-	budget.spareBy(func() bool { return s.evict(fresh) })
+	s := &Server{listener: l, handle: h, budget: budget, log: log, conns: map[*serverConn]struct{}{},
+		startedAt: time.Now()}
+	budget.addEvictor(func() bool { return s.evict(rankFresh) })
 	return s
 }
 
-// Listener is the listener.
-func (s *Server) Listener() net.Listener { return s.l }
+// Listener returns the server's listener.
+func (s *Server) Listener() net.Listener { return s.listener }
 
-// Addr is the address listened on.
-func (s *Server) Addr() string { return s.l.Addr().String() }
+// Addr returns the address that the server listens on.
+func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (s *Server) Serve() {
-	var hand inHand
-	if s.Keeper != nil {
-		hand.take()
+	var spare spareDescriptor
+	if s.Admission != nil {
+		spare.open()
 	}
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil && hand.turnAway(s.l, err) {
+		if err != nil && spare.rejectOne(s.listener, err) {
 			s.log.Warn("connection closed: no descriptor is left", "err", err)
 			continue
 		}
-		if err != nil { // out of descriptors or the like: it passes
+		if err != nil { // out of descriptors or similar: transient
 			s.log.Warn("accept failed", "err", err)
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		held, place, after := s.admit(c)
-		if !held && s.spare.Add(1) > s.budget.spare.Load() {
-			s.spare.Add(-1)
+		withinBudget, slot, retryAfter := s.admit(c)
+		if !withinBudget && s.overflow.Add(1) > s.budget.maxOverflow.Load() {
+			s.overflow.Add(-1)
 			s.log.Warn("connection closed: too many are open", "client", c.RemoteAddr())
 			_ = c.Close()
 			continue
 		}
-		sc := &serverConn{s: s, raw: c, c: c, in: NewRing(aheadMost), out: NewRing(outRing), held: held,
-			more: make(chan struct{}, 1), since: time.Now(), state: waiting, seat: place, after: after}
-		sc.replies = newReplyWriter(c, &s.watch)
-		sc.in.pool, sc.out.pool = &s.budget.rings, &s.budget.rings
+		sc := &serverConn{server: s, raw: c, conn: c, in: NewRing(maxReadAhead), out: NewRing(replyRingSize),
+			withinBudget: withinBudget, wake: make(chan struct{}, 1), since: time.Now(), state: stateWaiting,
+			slot: slot, retryAfter: retryAfter}
+		sc.replies = newReplyWriter(c, &s.watchdog)
+		sc.in.memory, sc.out.memory = &s.budget.ringMemory, &s.budget.ringMemory
 		s.mu.Lock()
-		sc.parting = s.finished
+		sc.closing = s.draining
 		s.conns[sc] = struct{}{}
 		s.mu.Unlock()
-		if place.k != nil {
-			place.k.hold(place.id, sc.yield)
+		if slot.controller != nil {
+			slot.controller.setCloser(slot.id, sc.closeIfIdle)
 		}
-		if s.Secure != nil {
-			go sc.secure()
+		if s.Handshake != nil {
+			go sc.handshake()
 			continue
 		}
-		go sc.fill()
+		go sc.readLoop()
 		go sc.serve()
 	}
 }
 
-// admit finds a place for a connection, or tells when to come back.
-func (s *Server) admit(c net.Conn) (held bool, place seat, after time.Duration) {
-	if s.Keeper == nil {
-		held = s.budget.TakeClient()
-		if !held && s.evict(kept) {
-			held = s.budget.TakeClient()
+// admit acquires a descriptor for a connection. If it is refused, retryAfter is when the client may come
+// back.
+func (s *Server) admit(c net.Conn) (withinBudget bool, slot admissionSlot, retryAfter time.Duration) {
+	if s.Admission == nil {
+		withinBudget = s.budget.AcquireClient()
+		if !withinBudget && s.evict(rankBusy) {
+			withinBudget = s.budget.AcquireClient()
 		}
-		return held, seat{}, time.Second
+		return withinBudget, admissionSlot{}, time.Second
 	}
-	d := s.Keeper.arrive(c, s.Secure != nil, s.budget.Places())
-	if d.Verdict == admission.Refuse {
-		return false, seat{}, time.Duration(d.After) * time.Microsecond
+	d := s.Admission.decide(c, s.Handshake != nil, s.budget.ClientCapacity())
+	if d.Outcome == admission.Refuse {
+		return false, admissionSlot{}, time.Duration(d.RetryAfter) * time.Microsecond
 	}
-	if !s.budget.takePlace() { // nodes have taken it meanwhile
-		s.Keeper.Leave(d.ID)
-		return false, seat{}, time.Second
+	if !s.budget.acquireAdmitted() { // a node connection has taken it in the meantime
+		s.Admission.Release(d.ID)
+		return false, admissionSlot{}, time.Second
 	}
-	return true, seat{s.Keeper, d.ID}, 0
+	return true, admissionSlot{s.Admission, d.ID}, 0
 }
 
-// forget drops a connection that has ended.
-func (s *Server) forget(c *serverConn) {
+// remove forgets a connection that has ended.
+func (s *Server) remove(c *serverConn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
-	c.giveBack()
+	c.releaseBudget()
 }
 
-// evict closes the client connection that can best be spared, so that a crowd does not keep others out: one
-// that only reads an error yet, one that has asked nothing or has stopped in the middle of its first request,
-// else the one that has been without a request for the longest time, as the protocol allows.
-// Only what can be spared better than the bound is closed.
-func (s *Server) evict(bound connUse) bool {
+// evict closes the client connection that is least useful, so that a flood of connections does not keep
+// others out: first one that only lingers after its last reply, then one that has sent nothing or has
+// stalled in its first request, then the one that has been idle between requests the longest, which the
+// protocol allows to close. It only closes connections of a rank below bound.
+func (s *Server) evict(bound evictionRank) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var spared *serverConn
+	var victim *serverConn
 	var since time.Time
-	worst := bound
-	now := time.Now() // once: a crowd has hundreds of connections
+	lowest := bound
+	now := time.Now() // once, as there may be hundreds of connections
 	for c := range s.conns {
-		if !c.held {
+		if !c.withinBudget {
 			continue
 		}
-		if use, at := c.use(now); use < worst || use == worst && use != bound && at.Before(since) {
-			spared, worst, since = c, use, at
+		if rank, changed := c.rank(now); rank < lowest || rank == lowest && rank != bound && changed.Before(since) {
+			victim, lowest, since = c, rank, changed
 		}
 	}
-	if spared == nil || !spared.spare() {
+	if victim == nil || !victim.evict() {
 		return false
 	}
-	s.log.Info("connection closed to make way", "client", spared.c.RemoteAddr(), "use", int(worst),
+	s.log.Info("connection evicted to free a descriptor", "client", victim.conn.RemoteAddr(), "use", int(lowest),
 		"since", time.Since(since))
-	delete(s.conns, spared)
-	spared.giveBack()
+	delete(s.conns, victim)
+	victim.releaseBudget()
 	return true
 }
 
-// MakeWay closes a connection of which no request is to be expected, if there is one.
-func (s *Server) MakeWay() bool { return s.evict(idle) }
+// EvictStalled closes a connection that no request is expected on, if there is one.
+func (s *Server) EvictStalled() bool { return s.evict(rankIdle) }
 
-// Wind has every reply end its connection from now on. Idle connections stay: a request may be on its way.
-func (s *Server) Wind() { s.closing.Store(true) }
+// CloseAfterReply makes every further reply close its connection. Idle connections stay open, as a request
+// may be on its way.
+func (s *Server) CloseAfterReply() { s.closeAfterReply.Store(true) }
 
-// Finish ends the server: from now on every reply ends its connection, and so do those that are or come to
-// rest. Each connection is ended by the goroutine that takes its requests, between two of them: it says that
-// nothing more will come, and goes on reading until the client has left, so that no reply on its way is lost
-// and no request is read that is not answered.
-func (s *Server) Finish() {
-	s.Wind()
+// Drain shuts the server down: every further reply closes its connection, and connections that are or become
+// idle are closed. The goroutine that serves a connection closes it, between two requests: it shuts down the
+// sending side and keeps reading until the client has left, so that no reply in flight is lost and no
+// request is taken that is not answered.
+func (s *Server) Drain() {
+	s.CloseAfterReply()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finished = true
+	s.draining = true
 	for c := range s.conns {
 		c.mu.Lock()
-		c.parting = true
+		c.closing = true
 		c.mu.Unlock()
 		c.signal()
 	}
 }
 
-// LastRequest is when a request last came.
-func (s *Server) LastRequest() time.Time { return s.begun.Add(time.Duration(s.last.Load())) }
+// LastRequest returns when the last request was taken.
+func (s *Server) LastRequest() time.Time { return s.startedAt.Add(time.Duration(s.lastRequest.Load())) }
 
-// Open counts the connections.
-func (s *Server) Open() int {
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// StopListening closes the listener; connections go on.
-func (s *Server) StopListening() { _ = s.l.Close() }
+// StopListening closes the listener; open connections stay.
+func (s *Server) StopListening() { _ = s.listener.Close() }
 
-// Wait waits until every connection has ended, or until the time is over. After Finish, a request that is not
-// all there shortly before that is turned away. It looks again and again rather than at a sync.WaitGroup: a
-// connection may still be accepted just as the listener closes.
-func (s *Server) Wait(most time.Duration) bool {
-	end := time.Now().Add(most)
+// Wait waits until every connection has ended, for at most the given time, and reports whether they have.
+// After Drain, a request that is still incomplete shortly before the time is over gets an error reply. Wait
+// polls rather than using a sync.WaitGroup, as a connection may still be accepted just as the listener
+// closes.
+func (s *Server) Wait(timeout time.Duration) bool {
+	deadline := time.Now().Add(timeout)
 	s.mu.Lock()
 	for c := range s.conns {
-		if !s.finished {
+		if !s.draining {
 			break
 		}
 		c.mu.Lock()
-		c.until = end.Add(-partLimit)
+		c.requestBy = deadline.Add(-incompleteMargin)
 		c.mu.Unlock()
 		c.signal()
 	}
 	s.mu.Unlock()
-	for ; s.Open() > 0; time.Sleep(waitStep) {
-		if time.Now().After(end) {
+	for ; s.OpenConns() > 0; time.Sleep(pollInterval) {
+		if time.Now().After(deadline) {
 			return false
 		}
 	}
--- a/internal/overload/overload.go
+++ b/internal/overload/overload.go
@@ -1,6 +1,6 @@
-// Package overload decides what the fleet as one turns away when it is asked for more than the servers can
-// do: one level by worth, and a budget for all that is sent again. It does no input or output, reads no clock
-// and starts no goroutine. docs/OVERLOAD.md has the design.
+// Package overload decides which requests the fleet sheds when the load exceeds the capacity of the servers:
+// by one fleet-wide level on the requests' worth, and by a budget for retries. The package does no I/O, reads
+// no clock and starts no goroutine. The design is in docs/OVERLOAD.md.
 package overload
 
 import (
@@ -12,349 +12,361 @@
 	"lapislever/internal/datagram"
 )
 
-// Micros is a time or a span in microseconds, of a clock that only goes forward.
+// Micros is a point in time or a duration in microseconds on a monotonic clock.
 type Micros = int64
 
-// Rules of the level. Times are in periods.
+// Parameters of the level. Durations are in periods.
 const (
-	Ranks      = 8 // of classes by worth
-	Shares     = 8 // of one rank, by request
-	Buckets    = Ranks * Shares
-	Window     = 3          // between two changes of the level
-	fresh      = 2 * Window // a report counts so long
-	high       = 0.25       // of what was let in came to nothing: there is a level
-	low        = 0.03       // and below that it is tried how much more can be done
-	leastIn    = 20         // of a window: with fewer nothing is told from chance
-	margin     = 0.25       // let in beyond what was answered,
-	marginMost = 1          // and at the most
-	slack      = 1          // buckets up that may be chance
-	careful    = 2          // windows in a row with next to nothing in vain, before the margin grows
-	forget     = 0.05       // of what servers were able to, in a window
-	unlearn    = 0.2        // the same while over a quarter comes to nothing
-	harmful    = 0.35       // in vain in a period here: then clients' repeats count against the budget
-	heavy      = 0.4        // in vain of a window: the margin shrinks by steep times what is over
-	steep      = 4
-	stale      = 2 * Window // after which a keeper that is not heard counts as gone
+	Ranks             = 8 // ranks of classes by worth
+	RankDivisions     = 8 // divisions of a rank, by hash of the request
+	Buckets           = Ranks * RankDivisions
+	Window            = 3          // interval between evaluations of the level
+	reportHistory     = 2 * Window // number of reports kept per member
+	highFailures      = 0.25       // fraction of admitted requests that fail above which shedding starts
+	lowFailures       = 0.03       // fraction of failures below which the margin may grow
+	minAdmitted       = 20         // admitted requests in a window below which failures are not significant
+	initialMargin     = 0.25       // fraction admitted beyond the estimated capacity, initially
+	maxMargin         = 1          // and at most
+	levelNoise        = 1          // rise of the level, in buckets, that is treated as noise
+	calmWindows       = 2          // consecutive windows with few failures before the margin grows
+	capacityDecay     = 0.05       // decay of the estimated capacity per window
+	fastCapacityDecay = 0.2        // the same while the fraction of failures is above highFailures
+	retryFailures     = 0.35       // fraction of local failures in a period that limits client retries
+	heavyFailures     = 0.4        // fraction of failures in a window above which the margin shrinks
+	marginCut         = 4          // by this factor on the excess
+	ownerTimeout      = 2 * Window // time without a message after which the owner of the level counts as gone
 )
 
-// Rules of what is sent again.
+// Parameters of the retry budget.
 const (
-	Extra     = 0.1 // of what is sent for the first time
-	extraMost = 20  // that may be saved up
+	RetryRatio     = 0.1 // retries per first send
+	maxRetryTokens = 20  // maximum number of tokens for retries
 )
 
-// Rank is the place of each class by worth, the most worthy last. Classes of equal worth share a rank.
-func Rank(worth []float64) []int {
+// RankByWorth returns the rank of each class by worth, the highest worth last. Classes of equal worth share a
+// rank.
+func RankByWorth(worth []float64) []int {
 	sorted := slices.Clone(worth)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
 	out := make([]int, len(worth))
 	for i, w := range worth {
-		place := slices.Index(sorted, w)
-		out[i] = Ranks - 1 - min(Ranks-1, len(sorted)-1-place)
+		index := slices.Index(sorted, w)
+		out[i] = Ranks - 1 - min(Ranks-1, len(sorted)-1-index)
 	}
 	return out
 }
 
-// Priority is the bucket of a request: by its class's rank, and within that by a hash of what all its tries
-// have in common, so that a try meets the same verdict at any member (DAGOR: Zhou et al., SoCC 2018, §4.2.2
-// and 4.2.3, where it is the user's).
-func Priority(rank int, who string) int {
-	return min(max(rank, 0), Ranks-1)*Shares + int(xxhash.Sum64String(who)%Shares)
+// Priority returns the bucket of a request: by the rank of its class, and within the rank by a hash of a key
+// that all retries of the request share, so that every member decides the same on each retry (DAGOR: Zhou et
+// al., SoCC 2018, §4.2.2 and 4.2.3, where the user is hashed).
+func Priority(rank int, key string) int {
+	return min(max(rank, 0), Ranks-1)*RankDivisions + int(xxhash.Sum64String(key)%RankDivisions)
 }
 
-// Count is what one member has seen since its last report.
-type Count struct {
-	Offered [Buckets]uint16 // asked for the first time, by bucket, as far as clients mark repeats
-	In      uint32          // let in, and ended by now,
-	Bad     uint32          // and of that: refused, failed, or given up by its client
+// Counts are the requests that one member has seen since its last report.
+type Counts struct {
+	Offered  [Buckets]uint16 // requests by bucket, without those that clients mark as retries
+	Admitted uint32          // admitted requests that have ended
+	Failed   uint32          // those of Admitted that were refused, failed or cancelled by the client
 }
 
-func (c *Count) add(o *Count) {
+func (c *Counts) add(o *Counts) {
 	for b := range c.Offered {
 		c.Offered[b] = uint16(min(int(c.Offered[b])+int(o.Offered[b]), 1<<16-1))
 	}
-	c.In += o.In
-	c.Bad += o.Bad
+	c.Admitted += o.Admitted
+	c.Failed += o.Failed
 }
 
-// Send is a message to another member.
-type Send struct {
+// Message is a message to another member.
+type Message struct {
 	To   string
 	Data []byte
 }
 
-// told is what a keeper has of a member.
-type told struct {
-	counts [fresh]Count // by report, in turn
-	at     [fresh]Micros
+// memberReports are the last reports of one member.
+type memberReports struct {
+	counts [reportHistory]Counts // ring buffer
+	at     [reportHistory]Micros
 	next   int
 }
 
-// Guard is one member's part: it lets in by the level, counts, and reports; one of all keeps the level.
-type Guard struct {
-	self   string
-	period Micros
-	level  int
-	keeper string
-	since  Micros // the keeper is that one
-	heard  Micros // the level last came from there
-	now    Count
-	weighs Micros // as the keeper: when the level was last weighed
-	streak int
-	able   float64
-	from   map[string]*told
-	tokens float64
-	busy   bool // what is sent again is bounded
-	harm   bool // most of what is let in comes to nothing: clients' repeats are bounded as well
-
-	Shed   [Buckets]int64 // turned away by the level
-	Spent  int64          // sent again,
-	Denied int64          // and not
-	First  int64          // sent for the first time
+// Controller is one member's overload controller: it admits requests by the level, counts outcomes and
+// reports them. One member, the owner, sets the level for the fleet.
+type Controller struct {
+	self               string
+	period             Micros
+	level              int
+	owner              string
+	ownerSince         Micros // time at which this owner was chosen
+	levelAt            Micros // time at which the owner last sent the level
+	counts             Counts // counts since the last report
+	evaluatedAt        Micros // time at which this member last evaluated the level
+	calmStreak         int    // consecutive windows with few failures
+	capacity           float64
+	reports            map[string]*memberReports
+	retryTokens        float64
+	limitAttempts      bool // attempts that are sent again use the budget
+	limitClientRetries bool // many admitted requests fail: clients' retries use the budget as well
+
+	Shed          [Buckets]int64 // requests shed, by bucket
+	RetriesSent   int64          // attempts and requests sent again
+	RetriesDenied int64          // retries denied by the budget
+	FirstSends    int64          // first sends
 }
 
-// NewGuard returns that of a member that starts.
-func NewGuard(self string, period Micros) *Guard {
-	return &Guard{self: self, period: period, from: map[string]*told{}, tokens: extraMost}
+// NewController returns the controller of a member that starts.
+func NewController(self string, period Micros) *Controller {
+	return &Controller{self: self, period: period, reports: map[string]*memberReports{},
+		retryTokens: maxRetryTokens}
 }
 
-// Level is what is turned away: all below. 0: nothing.
-func (g *Guard) Level() int { return g.level }
+// Level returns the bucket below which requests are shed; 0: none are.
+func (g *Controller) Level() int { return g.level }
 
-// Keeper is who keeps the level, and since when.
-func (g *Guard) Keeper() (string, Micros) { return g.keeper, g.since }
+// LevelOwner returns the member that sets the level, and since when.
+func (g *Controller) LevelOwner() (string, Micros) { return g.owner, g.ownerSince }
 
-// Admit tells whether a request of a priority is let in. If not, after how long it may come back: spread, so
-// that those who are turned away together do not come back together. who is any number of the request's.
-func (g *Guard) Admit(priority int, who uint64, repeat bool) (ok bool, after Micros) {
-	// Repeats are no measure of what will come once they need not be made; counted where they pass, they made
-	// the level swing, as it rose by them and fell without them.
-	if c := &g.now.Offered[priority]; !repeat && *c < 1<<16-1 {
+// Admit reports whether a request of a priority is admitted, and if not, when to retry. Retry times are
+// spread, so that requests that are shed together do not come back together. id is a number that differs by
+// request.
+func (g *Controller) Admit(priority int, id uint64, retry bool) (ok bool, retryAfter Micros) {
+	// Retries are not counted as offered load, as they stop once requests succeed. When they were counted, the
+	// level oscillated: it rose with the retries and fell without them.
+	if c := &g.counts.Offered[priority]; !retry && *c < 1<<16-1 {
 		*c++
 	}
-	if priority >= g.level && (!repeat || !g.harm || g.again()) {
+	if priority >= g.level && (!retry || !g.limitClientRetries || g.allowRetry()) {
 		return true, 0
 	}
 	g.Shed[priority]++
-	return false, g.comeBack(who)
+	return false, g.retryAfter(id)
 }
 
-// comeBack is when to: the later the more is turned away, and any time within that and twice that.
-func (g *Guard) comeBack(who uint64) Micros {
+// retryAfter returns when a shed request may be retried: a time that grows with the level, plus a random part
+// of up to the same length.
+func (g *Controller) retryAfter(id uint64) Micros {
 	base := g.period * Micros(2+g.level/4)
-	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, who))%uint64(base))
+	return base + Micros(xxhash.Sum64(binary.LittleEndian.AppendUint64(nil, id))%uint64(base))
 }
 
-// Ended books how a request that was let in ended. well: answered in time.
-func (g *Guard) Ended(well bool) {
-	if g.now.In++; !well {
-		g.now.Bad++
+// Finished records the end of an admitted request, and whether it was answered in time.
+func (g *Controller) Finished(inTime bool) {
+	if g.counts.Admitted++; !inTime {
+		g.counts.Failed++
 	}
 }
 
-// again takes one from the budget for what is sent again, while that is bounded.
-func (g *Guard) again() bool {
-	if !g.busy {
-		g.Spent++
+// allowRetry takes a token of the retry budget, if the budget applies now.
+func (g *Controller) allowRetry() bool {
+	if !g.limitAttempts {
+		g.RetriesSent++
 		return true
 	}
-	if g.tokens < 1 {
-		g.Denied++
+	if g.retryTokens < 1 {
+		g.RetriesDenied++
 		return false
 	}
-	g.tokens--
-	g.Spent++
+	g.retryTokens--
+	g.RetriesSent++
 	return true
 }
 
-// Send asks whether an attempt may be sent: the first of its part always, another one by the budget, which is
-// a share of first ones. As each member's is a share of its own, all members' together are the same share of
-// all, at any number of members and without a word between them.
-func (g *Guard) Send(first bool) bool {
+// AllowSend reports whether an attempt may be sent: the first attempt of a part always, a further one by the
+// retry budget, which is a fraction of the first attempts. As each member limits itself to this fraction, so
+// does the fleet, with any number of members and without communication.
+func (g *Controller) AllowSend(first bool) bool {
 	if first {
-		g.First++
-		g.tokens = min(extraMost, g.tokens+Extra)
+		g.FirstSends++
+		g.retryTokens = min(maxRetryTokens, g.retryTokens+RetryRatio)
 		return true
 	}
-	return g.again()
+	return g.allowRetry()
 }
 
-// Budget is how many may have been sent again by now, had it been bounded all the time.
-func (g *Guard) Budget() int64 { return extraMost + int64(Extra*float64(g.First)) }
+// RetryBudget returns how many retries would have been allowed by now if the budget had always applied.
+func (g *Controller) RetryBudget() int64 {
+	return maxRetryTokens + int64(RetryRatio*float64(g.FirstSends))
+}
 
-// keeperOf is who keeps the level among those that are alive, by rendezvous hashing.
-func keeperOf(alive []string) (who string) {
-	best := uint64(0)
+// ownerOf returns the member that sets the level, by rendezvous hashing over the living members.
+func ownerOf(alive []string) (owner string) {
+	bestHash := uint64(0)
 	for _, name := range alive {
-		if h := xxhash.Sum64String(name + "\nlevel"); who == "" || h > best {
-			who, best = name, h
+		if h := xxhash.Sum64String(name + "\nlevel"); owner == "" || h > bestHash {
+			owner, bestHash = name, h
 		}
 	}
-	return who
+	return owner
 }
 
-// The kinds of message.
+// Message kinds.
 const (
-	msgReport = 1 + iota // level, then a count
+	msgReport = 1 + iota // level, then counts
 	msgLevel             // level
 )
 
-// Tick is to be called once a period with the others that are alive.
-func (g *Guard) Tick(now Micros, others []string) (out []Send) {
-	if keeper := keeperOf(append([]string{g.self}, others...)); keeper != g.keeper {
-		g.keeper, g.since, g.heard = keeper, now, now
-		clear(g.from)
+// Tick must be called once per period with the other members that are alive.
+func (g *Controller) Tick(now Micros, others []string) (out []Message) {
+	if owner := ownerOf(append([]string{g.self}, others...)); owner != g.owner {
+		g.owner, g.ownerSince, g.levelAt = owner, now, now
+		clear(g.reports)
 	}
-	count := g.now
-	g.now = Count{}
-	g.harm = count.In >= leastIn/4 && float64(count.Bad) > harmful*float64(count.In)
-	g.busy = g.level > 0 || count.In >= leastIn/4 && float64(count.Bad) > high*float64(count.In)
-	if g.keeper != g.self {
-		if now-g.heard > stale*g.period { // by its own evidence, from the level that it heard last
-			g.book(now, g.self, &count)
-			g.due(now)
+	count := g.counts
+	g.counts = Counts{}
+	g.limitClientRetries = count.Admitted >= minAdmitted/4 &&
+		float64(count.Failed) > retryFailures*float64(count.Admitted)
+	g.limitAttempts = g.level > 0 || count.Admitted >= minAdmitted/4 &&
+		float64(count.Failed) > highFailures*float64(count.Admitted)
+	if g.owner != g.self {
+		if now-g.levelAt > ownerTimeout*g.period { // continue from the last known level by the own counts
+			g.record(now, g.self, &count)
+			g.evaluateIfDue(now)
 		}
-		b := append([]byte{msgReport, byte(g.level)}, encode(&count)...)
-		return append(out, Send{To: g.keeper, Data: b})
+		b := append([]byte{msgReport, byte(g.level)}, encodeCounts(&count)...)
+		return append(out, Message{To: g.owner, Data: b})
 	}
-	g.book(now, g.self, &count)
-	for who := range g.from {
-		if who != g.self && !slices.Contains(others, who) {
-			delete(g.from, who)
+	g.record(now, g.self, &count)
+	for member := range g.reports {
+		if member != g.self && !slices.Contains(others, member) {
+			delete(g.reports, member)
 		}
 	}
-	g.due(now)
+	g.evaluateIfDue(now)
 	return out
 }
 
-// due weighs once a window.
-func (g *Guard) due(now Micros) {
-	if now-g.weighs >= Window*g.period {
-		g.weighs = now
-		g.weigh(now)
+// evaluateIfDue evaluates the level once per window.
+func (g *Controller) evaluateIfDue(now Micros) {
+	if now-g.evaluatedAt >= Window*g.period {
+		g.evaluatedAt = now
+		g.evaluate(now)
 	}
 }
 
-func (g *Guard) book(now Micros, who string, c *Count) {
-	t := g.from[who]
+func (g *Controller) record(now Micros, member string, c *Counts) {
+	t := g.reports[member]
 	if t == nil {
-		t = &told{}
-		g.from[who] = t
+		t = &memberReports{}
+		g.reports[member] = t
 	}
-	t.counts[t.next%fresh], t.at[t.next%fresh] = *c, now
+	t.counts[t.next%reportHistory], t.at[t.next%reportHistory] = *c, now
 	t.next++
 }
 
-// weigh sets the level by what all have reported of the last window: down by a part of what is let in while
-// more than a tenth of that comes to nothing, up while next to nothing does (additive and multiplicative as
-// in DAGOR, §4.2.3, with its histogram of what is offered; the evidence is how requests end and not how long
-// they wait, as no coordinator sees a server's queue).
-func (g *Guard) weigh(now Micros) {
-	var sum Count
-	for _, t := range g.from {
+// evaluate sets the level by all members' reports on the last window. It admits less while many of the
+// admitted requests fail, and more while hardly any do (as DAGOR, §4.2.3, with its histogram of the offered
+// load; the signal is how requests end and not how long they wait, as a coordinator does not see the servers'
+// queues). See NextLevel.
+func (g *Controller) evaluate(now Micros) {
+	var sum Counts
+	for _, t := range g.reports {
 		for i := range t.counts {
 			if t.at[i] > 0 && now-t.at[i] < Window*g.period+g.period/2 {
 				sum.add(&t.counts[i])
 			}
 		}
 	}
-	if float64(sum.Bad) < low*float64(sum.In) {
-		g.streak++
+	if float64(sum.Failed) < lowFailures*float64(sum.Admitted) {
+		g.calmStreak++
 	} else {
-		g.streak = 0
+		g.calmStreak = 0
 	}
-	g.able = Able(g.able, &sum)
-	g.level = Next(g.level, g.streak, g.able, &sum)
+	g.capacity = EstimateCapacity(g.capacity, &sum)
+	g.level = NextLevel(g.level, g.calmStreak, g.capacity, &sum)
 }
 
-// Able is how many the servers are known to be able to answer in a window: the most of late, forgotten faster
-// while more is let in than they answer. What one such window has brought says little: where queues have just
-// been full, much of it went into what nobody waited for any more.
-func Able(able float64, sum *Count) float64 {
-	lost := forget
-	if sum.In >= leastIn && float64(sum.Bad) > high*float64(sum.In) {
-		lost = unlearn
+// EstimateCapacity returns how many requests the servers can answer in a window: the recent maximum, which
+// decays faster while more is admitted than they answer. A single overloaded window says little: after queues
+// were full, much of the servers' work goes into requests that nobody waits for any more.
+func EstimateCapacity(capacity float64, sum *Counts) float64 {
+	decay := capacityDecay
+	if sum.Admitted >= minAdmitted && float64(sum.Failed) > highFailures*float64(sum.Admitted) {
+		decay = fastCapacityDecay
 	}
-	return max(float64(sum.In-sum.Bad), able*(1-lost))
+	return max(float64(sum.Admitted-sum.Failed), capacity*(1-decay))
 }
 
-// Next is the level after a window of a level, where so many windows in a row hardly anything came to
-// nothing. It lets in what is worth most, as much as the servers are able to and a margin: the margin is what
-// finds out that more can be done, as the window of TCP does beyond what was acknowledged (Jacobson, SIGCOMM
-// 1988, §1), and doubles while nothing speaks against it. What the margin is too much the members' modules
-// refuse. A first form that lowered what is let in by how much of it was refused (DAGOR, §4.2.3) turned away
-// what the servers could have done: a refusal at once is no harm, and no sign of how much can be done.
-func Next(level, streak int, able float64, sum *Count) int {
-	bad := float64(sum.Bad) / float64(max(1, sum.In))
-	if level == 0 && (sum.In < leastIn || bad <= high) {
+// NextLevel returns the level after a window in which level applied. streak is the number of consecutive
+// windows with few failures. It admits the requests of the highest worth, up to the servers' estimated
+// capacity plus a margin. The margin probes for more capacity, as TCP's window does beyond what was
+// acknowledged (Jacobson, SIGCOMM 1988, §1), and doubles as long as there are few failures. The members'
+// modules refuse what the margin admits in excess. An earlier version that reduced the admitted load by the
+// fraction refused (DAGOR, §4.2.3) shed requests that the servers could have answered: an immediate refusal
+// does no harm and does not show how much capacity there is.
+func NextLevel(level, streak int, capacity float64, sum *Counts) int {
+	failed := float64(sum.Failed) / float64(max(1, sum.Admitted))
+	if level == 0 && (sum.Admitted < minAdmitted || failed <= highFailures) {
 		return 0
 	}
-	more := min(marginMost, margin*float64(int(1)<<min(max(0, streak-careful), 8)))
-	more -= steep * max(0, bad-heavy) // clients' repeats come on top of what is let in, and much is wasted
-	room := max(leastIn, able*(1+more))
-	next, letIn := Buckets, 0.0
-	for next > 0 && letIn+float64(sum.Offered[next-1]) <= room {
+	margin := min(maxMargin, initialMargin*float64(int(1)<<min(max(0, streak-calmWindows), 8)))
+	// Clients' retries add to the admitted load, and much work is wasted.
+	margin -= marginCut * max(0, failed-heavyFailures)
+	room := max(minAdmitted, capacity*(1+margin))
+	next, admitted := Buckets, 0.0
+	for next > 0 && admitted+float64(sum.Offered[next-1]) <= room {
 		next--
-		letIn += float64(sum.Offered[next])
+		admitted += float64(sum.Offered[next])
 	}
-	if next = min(next, Buckets-1); next > level && float64(next-level) <= slack && bad <= high {
-		return level // chance
+	if next = min(next, Buckets-1); next > level && float64(next-level) <= levelNoise && failed <= highFailures {
+		return level // within the noise
 	}
 	return next
 }
 
-// Receive takes in a message of another member. It returns false where that is none.
-func (g *Guard) Receive(now Micros, from string, data []byte) (out []Send, ok bool) {
-	r := &datagram.Reader{B: data}
+// Receive handles a message from another member. It returns the messages to send, and false if the message is
+// malformed.
+func (g *Controller) Receive(now Micros, from string, data []byte) (out []Message, ok bool) {
+	r := &datagram.Reader{Rest: data}
 	switch kind, level := r.U8(), int(r.U8()); {
 	case r.Bad || level >= Buckets:
 		return nil, false
 	case kind == msgReport:
-		c, ok := decode(r)
+		c, ok := decodeCounts(r)
 		if !ok {
 			return nil, false
 		}
-		if g.keeper != g.self {
-			return nil, true // it sees another fleet than this member: soon they see the same
+		if g.owner != g.self {
+			return nil, true // the sender's view of the fleet differs; the views converge soon
 		}
-		if g.from[from] == nil && now-g.since < Window*g.period {
-			g.level = max(g.level, level) // a keeper that is new goes on from the strictest
+		if g.reports[from] == nil && now-g.ownerSince < Window*g.period {
+			g.level = max(g.level, level) // a new owner continues from the strictest level
 		}
-		g.book(now, from, &c)
-		return []Send{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
+		g.record(now, from, &c)
+		return []Message{{To: from, Data: []byte{msgLevel, byte(g.level)}}}, true
 	case kind == msgLevel:
-		if len(r.B) > 0 {
+		if len(r.Rest) > 0 {
 			return nil, false
 		}
-		if from == g.keeper {
-			g.level, g.heard = level, now
+		if from == g.owner {
+			g.level, g.levelAt = level, now
 		}
 		return nil, true
 	}
 	return nil, false
 }
 
-// Heard is how long ago the level last came from who keeps it.
-func (g *Guard) Heard(now Micros) Micros {
-	if g.keeper == g.self {
+// LevelAge returns the time since the owner last sent the level; 0 at the owner itself.
+func (g *Controller) LevelAge(now Micros) Micros {
+	if g.owner == g.self {
 		return 0
 	}
-	return now - g.heard
+	return now - g.levelAt
 }
 
-// encode writes a count: first the buckets that anything was asked of.
-func encode(c *Count) []byte {
-	var set uint64
+// encodeCounts encodes counts. A bit set says which buckets follow, as empty ones are omitted.
+func encodeCounts(c *Counts) []byte {
+	var nonEmpty uint64
 	b := make([]byte, 0, 16+2*Buckets)
-	b = binary.LittleEndian.AppendUint32(b, c.In)
-	b = binary.LittleEndian.AppendUint32(b, c.Bad)
+	b = binary.LittleEndian.AppendUint32(b, c.Admitted)
+	b = binary.LittleEndian.AppendUint32(b, c.Failed)
 	for i, n := range c.Offered {
 		if n > 0 {
-			set |= 1 << i
+			nonEmpty |= 1 << i
 		}
 	}
-	b = binary.LittleEndian.AppendUint64(b, set)
+	b = binary.LittleEndian.AppendUint64(b, nonEmpty)
 	for _, n := range c.Offered {
 		if n > 0 {
 			b = binary.LittleEndian.AppendUint16(b, n)
@@ -363,13 +375,13 @@
 	return b
 }
 
-func decode(r *datagram.Reader) (c Count, ok bool) {
-	c.In, c.Bad = r.U32(), r.U32()
-	set := r.U64()
+func decodeCounts(r *datagram.Reader) (c Counts, ok bool) {
+	c.Admitted, c.Failed = r.U32(), r.U32()
+	nonEmpty := r.U64()
 	for i := range c.Offered {
-		if set>>i&1 == 1 {
+		if nonEmpty>>i&1 == 1 {
 			c.Offered[i] = r.U16()
 		}
 	}
-	return c, !r.Bad && len(r.B) == 0 && c.Bad <= c.In && c.In < 1<<24
+	return c, !r.Bad && len(r.Rest) == 0 && c.Failed <= c.Admitted && c.Admitted < 1<<24
 }
--- a/internal/platform/front.go
+++ b/internal/platform/front.go
@@ -1,8 +1,8 @@
 package platform
 
-// The clients' front: it turns a request into a query for the core and a final answer into a reply. It owns
-// the form of both and nothing else; it must never hold a query's state, answer one by itself once the core
-// has it, or wait.
+// The clients' front: it converts a request to a query for the core, and a final answer to a reply. It
+// defines the format of both and nothing else; it must never hold a query's state, answer a query itself
+// once the core has it, or block.
 
 import (
 	"encoding/json"
@@ -21,35 +21,35 @@
 )
 
 const (
-	maxName  = 128  // of a query's or a key's characters
+	maxName  = 128  // length of a query's name or key
 	maxParts = 1024 // of one query
 
-	massSlack = 0.001 // by which masses that were rounded may miss 1
+	massTolerance = 0.001 // rounding error allowed in the sum of masses
 )
 
 // Front serves clients of the platform.
 type Front struct {
-	conf  atomic.Pointer[Config]
-	log   *slog.Logger
-	core  *core.Core
-	via   core.Backend
-	ready atomic.Bool
+	cfg     atomic.Pointer[Config]
+	log     *slog.Logger
+	core    *core.Core
+	backend core.Backend
+	ready   atomic.Bool
 }
 
-// NewFront returns the form of requests without a core behind it, for another front that speaks it.
-func NewFront(cfg *Config, log *slog.Logger, via core.Backend) *Front {
-	f := &Front{log: log, via: via}
-	f.conf.Store(cfg)
+// NewFront returns a front without a core. It parses requests for another front with the same format.
+func NewFront(cfg *Config, log *slog.Logger, backend core.Backend) *Front {
+	f := &Front{log: log, backend: backend}
+	f.cfg.Store(cfg)
 	return f
 }
 
-// Adopt has requests read by a configuration that was taken in.
-func (f *Front) Adopt(cfg *Config) { f.conf.Store(cfg) }
+// SetConfig sets the configuration that requests are parsed with.
+func (f *Front) SetConfig(cfg *Config) { f.cfg.Store(cfg) }
 
-// Parse turns a request into a query, or says what is wrong with it. The query has no client yet.
+// Parse converts a request to a query, or returns what is wrong with it. The query has no client yet.
 func (f *Front) Parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) { return f.parse(r) }
 
-// Serve takes one request.
+// Serve handles one request.
 func (f *Front) Serve(r *lnet.Request, x *lnet.Exchange) func() {
 	if r.Path == "/up" {
 		switch {
@@ -64,41 +64,42 @@
 	}
 	q, err := f.parse(r)
 	if err != nil {
-		f.countUnasked(r, EndingOf(err.Status))
-		// The end of the connection: what else comes on it is worth as little, and must not cost more.
-		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.What + "\n"), Close: true})
-		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.What)
+		f.countRejected(r, OutcomeForStatus(err.Status))
+		// The connection ends: what follows on it is unlikely to be valid and must not cost more.
+		x.Reply(lnet.Response{Status: err.Status, Body: []byte(err.Detail + "\n"), Close: true})
+		f.log.Warn("bad request", "path", r.Path, "status", err.Status, "why", err.Detail)
 		return nil
 	}
 	q.Client = &client{x: x, log: f.log, count: f.core.Counts().Class(ClassName(r))}
 	q.ClientLeft = x.ClientLeft
 	if !f.core.Submit(q) {
-		q.Client.Final(core.Final{Ending: core.Refused, RetryAfter: f.core.FullAdvice()})
+		q.Client.Final(core.FinalAnswer{Outcome: core.Refused, RetryAfter: f.core.FullRetryAfter()})
 		return nil
 	}
-	return func() { f.core.Leave(q) }
+	return func() { f.core.Abandon(q) }
 }
 
-// TurnAway counts a request that was refused before it came here: too many connections are open.
-func (f *Front) TurnAway(r *lnet.Request) {
-	f.countUnasked(r, core.Refused)
+// CountTurnedAway counts a request that was refused before it reached the front, as too many connections
+// are open.
+func (f *Front) CountTurnedAway(r *lnet.Request) {
+	f.countRejected(r, core.Refused)
 }
 
-// countUnasked counts a reply that the core was not asked for, if the request names a class.
-func (f *Front) countUnasked(r *lnet.Request, e core.Ending) {
-	if class := ClassName(r); f.conf.Load().class(class, r.At) >= 0 {
+// countRejected counts a reply given without the core, if the request names a class.
+func (f *Front) countRejected(r *lnet.Request, e core.QueryOutcome) {
+	if class := ClassName(r); f.cfg.Load().classIndex(class, r.ReceivedAt) >= 0 {
 		f.core.Counts().Class(class).Add(e)
 	}
 }
 
-// ClassName is the class that a request names, known or not.
+// ClassName returns the class that a request names, known or not.
 func ClassName(r *lnet.Request) string {
 	name, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	return name
 }
 
-// EndingOf is what a reply's status means to a client.
-func EndingOf(status int) core.Ending {
+// OutcomeForStatus returns what a reply's status means for the query.
+func OutcomeForStatus(status int) core.QueryOutcome {
 	switch status {
 	case 200:
 		return core.Answered
@@ -119,13 +120,13 @@
 	Filter string `json:"filter"`
 }
 
-// parse turns a request into a query.
+// parse converts a request to a query.
 func (f *Front) parse(r *lnet.Request) (*core.Query, *lnet.BadMessage) {
 	fail := func(status int, format string, args ...any) (*core.Query, *lnet.BadMessage) {
-		return nil, &lnet.BadMessage{Status: status, What: fmt.Sprintf(format, args...)}
+		return nil, &lnet.BadMessage{Status: status, Detail: fmt.Sprintf(format, args...)}
 	}
-	cfg := f.conf.Load()
-	class := cfg.class(ClassName(r), r.At)
+	cfg := f.cfg.Load()
+	class := cfg.classIndex(ClassName(r), r.ReceivedAt)
 	if class < 0 {
 		return fail(404, "unknown class")
 	}
@@ -137,21 +138,21 @@
 			return fail(400, "%s is there more than once", name)
 		}
 	}
-	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Via: f.via,
+	q := &core.Query{Name: r.Header.Get("X-Call-Id"), Class: class, Backend: f.backend,
 		Repeat: r.Header.Get("X-Again") == "1", Key: r.Header.Get("Idempotency-Key"),
 		Caller: r.Header.Get("X-Caller")}
 	if !isToken(q.Name) {
 		return fail(400, "X-Call-Id is missing or malformed")
 	}
-	b := cfg.bind(class, q.Key != "", r.At)
+	rules := cfg.rulesFor(class, q.Key != "", r.ReceivedAt)
 	switch {
-	case b.rules.Effect == balance.Keyed && !isToken(q.Key), b.key && q.Key != "" && !isToken(q.Key):
+	case rules.class.Effect == balance.Keyed && !isToken(q.Key), rules.sendKey && q.Key != "" && !isToken(q.Key):
 		return fail(400, "Idempotency-Key is missing or malformed")
-	case !b.key:
+	case !rules.sendKey:
 		q.Key = ""
 	}
-	q.Rules, q.Most = &b.rules, b.most
-	wait := time.Duration(b.rules.Deadline) * time.Microsecond
+	q.Rules, q.MaxAttempts = &rules.class, rules.maxAttempts
+	wait := time.Duration(rules.class.Deadline) * time.Microsecond
 	if text := r.Header.Get("X-Budget"); text != "" {
 		s, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(s >= 0) || math.IsInf(s, 0) {
@@ -161,9 +162,9 @@
 			wait = time.Duration(s * float64(time.Second))
 		}
 	}
-	q.Deadline = r.At.Add(wait)
+	q.Deadline = r.ReceivedAt.Add(wait)
 	var body queryBody
-	if !utf8.Valid(r.Body) { // what cannot be read would be replaced, and the parts carry it unchanged
+	if !utf8.Valid(r.Body) { // decoding would replace invalid bytes, and the parts would carry the changed text
 		return fail(400, "the body is not UTF-8")
 	}
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -172,14 +173,14 @@
 	if len(body.Slices) == 0 || len(body.Slices) > maxParts {
 		return fail(400, "slices: 1 to %d are needed", maxParts)
 	}
-	q.Text = []byte(body.Filter)
+	q.Payload = []byte(body.Filter)
 	seen, total := map[int]bool{}, 0.0
 	for _, s := range body.Slices {
 		if s.Slice == nil || *s.Slice < 0 || *s.Slice >= cfg.Shards || seen[*s.Slice] {
 			return fail(400, "slices: a slice is missing, unknown or named twice")
 		}
 		seen[*s.Slice] = true
-		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massSlack) {
+		if s.Mass == nil || !(*s.Mass > 0 && *s.Mass <= 1+massTolerance) {
 			return fail(400, "slices: a mass is missing or not possible")
 		}
 		p := core.PartSpec{Shard: *s.Slice, Weight: *s.Mass}
@@ -196,13 +197,13 @@
 		}
 		q.Parts = append(q.Parts, p)
 	}
-	if math.Abs(total-1) > massSlack {
+	if math.Abs(total-1) > massTolerance {
 		return fail(400, "slices: the masses add up to %g, not to 1", total)
 	}
 	return q, nil
 }
 
-// isToken tells that a text can stand in a line of a frame.
+// isToken reports whether a text can be part of a frame's line.
 func isToken(s string) bool {
 	if s == "" || len(s) > maxName {
 		return false
@@ -222,9 +223,9 @@
 	count *core.ClassCount
 }
 
-// reply words the final answer, and counts what the client is told.
+// reply sends a reply and counts its outcome.
 func (c *client) reply(r lnet.Response) {
-	c.count.Add(EndingOf(r.Status))
+	c.count.Add(OutcomeForStatus(r.Status))
 	c.x.Reply(r)
 }
 
@@ -239,16 +240,16 @@
 	Body  string `json:"body"`
 }
 
-// Final replies.
-func (c *client) Final(f core.Final) {
-	switch f.Ending {
+// Final sends the reply.
+func (c *client) Final(f core.FinalAnswer) {
+	switch f.Outcome {
 	case core.Answered:
 		r := Answer(f, c.log)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		c.reply(r)
 	case core.Refused:
 		r := Refusal(f.RetryAfter)
-		r.Decided = f.Decided
+		r.DecidedAt = f.Decided
 		if f.Why != "" {
 			r.Body = []byte("refused for now: " + f.Why + "\n")
 		}
@@ -261,25 +262,25 @@
 		case f.NameTaken:
 			status = 409
 		}
-		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, Decided: f.Decided})
+		c.reply(lnet.Response{Status: status, Body: []byte("failed\n"), Close: f.NameTaken, DecidedAt: f.Decided})
 	}
 }
 
-// Answer is the reply to a query that was answered.
-func Answer(f core.Final, log *slog.Logger) lnet.Response {
-	body := answerBody{Entire: f.Whole, Items: make([]answerItem, 0, len(f.Values))}
+// Answer returns the response to a query that was answered.
+func Answer(f core.FinalAnswer, log *slog.Logger) lnet.Response {
+	body := answerBody{Entire: f.Complete, Items: make([]answerItem, 0, len(f.Values))}
 	for _, v := range f.Values {
 		body.Items = append(body.Items, answerItem{Slice: v.Shard, Body: string(v.Body)})
 	}
 	b, err := json.Marshal(body)
 	if err != nil || len(b) > lnet.MaxBody {
-		log.Warn("an answer is too large", "bytes", len(b), "err", err)
+		log.Warn("answer exceeds the largest reply body", "bytes", len(b), "err", err)
 		return lnet.Response{Status: 502, Body: []byte("the answer is too large\n")}
 	}
-	return lnet.Response{Status: 200, Type: "application/json", Body: b}
+	return lnet.Response{Status: 200, ContentType: "application/json", Body: b}
 }
 
-// Refusal is a reply that tells when to come back.
+// Refusal returns a response that tells the client when to retry.
 func Refusal(after time.Duration) lnet.Response {
 	r := lnet.Response{Status: 503, Body: []byte("refused for now\n")}
 	if after > 0 {
--- a/internal/platform/latency.go
+++ b/internal/platform/latency.go
@@ -1,35 +1,35 @@
 package platform
 
-// How long a data node's answers take.
+// The latency of a data node's answers.
 
 import (
 	"sync"
 	"time"
 )
 
-// latency follows how long a node's answers take, as TCP does its round trips.
+// latency estimates how long a node's answers take, as TCP estimates round-trip times.
 type latency struct {
-	mu          sync.Mutex
-	mean, stray time.Duration
+	mu              sync.Mutex
+	mean, deviation time.Duration
 }
 
 func (l *latency) add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.mean == 0 {
-		l.mean, l.stray = d, d/2
+		l.mean, l.deviation = d, d/2
 		return
 	}
-	l.stray += ((d - l.mean).Abs() - l.stray) / 4
+	l.deviation += ((d - l.mean).Abs() - l.deviation) / 4
 	l.mean += (d - l.mean) / 8
 }
 
-// most is what all but the very latest answers take.
-func (l *latency) most() time.Duration {
+// upperBound returns the time within which all but the slowest answers arrive.
+func (l *latency) upperBound() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.mean == 0 {
-		return silentMost
+		return maxSilence
 	}
-	return min(max(l.mean+4*l.stray, silentLeast), silentMost)
+	return min(max(l.mean+4*l.deviation, minSilence), maxSilence)
 }
--- a/internal/platform/logorder_test.go
+++ b/internal/platform/logorder_test.go
@@ -1,7 +1,7 @@
 package platform
 
-// Incident 2157b7: to log takes looks at the clock and locks, and a thread may be held up there. What is
-// decided is carried out first.
+// Incident 2157b7: logging reads the clock and takes locks, and a thread may be suspended there. So
+// decisions are carried out before they are logged.
 
 import (
 	"net"
@@ -15,45 +15,45 @@
 
 const oneSlice = `{"slices":[{"slice":0,"mass":1}],"filter":"c41e77d0"}`
 
-// runWithLog starts a coordinator that logs by l, with one data node.
-func runWithLog(t *testing.T, l *standin.HeldLog, node *standin.Node) (*Coordinator, *discovery) {
+// runWithLog starts a coordinator with one data node that logs to l.
+func runWithLog(t *testing.T, l *standin.BlockingLog, node *standin.Node) (*Coordinator, *discovery) {
 	t.Helper()
 	d := newDiscovery(t, hostAt("a", node.Addr, 0))
-	k, err := Start(config(t, d), l.Logger())
+	k, err := Start(testConfig(t, d), l.Logger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	standin.Until(t, "readiness", k.front.ready.Load)
+	standin.WaitFor(t, "readiness", k.front.ready.Load)
 	return k, d
 }
 
-// awaitHeld waits until a logger is held.
-func awaitHeld(t *testing.T, l *standin.HeldLog) {
+// awaitHeld waits until a logger is blocked.
+func awaitHeld(t *testing.T, l *standin.BlockingLog) {
 	t.Helper()
 	select {
-	case <-l.Held():
+	case <-l.Blocked():
 	case <-time.After(10 * time.Second):
 		t.Fatal("nothing was logged")
 	}
 }
 
-// The answer is with its client while the line about it is still being logged.
+// The client has its answer while the line about it is still being logged.
 func TestAnAnswerDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "request ended")
+	l := standin.NewBlockingLog(t, "request ended")
 	k, _ := runWithLog(t, l, standin.NewNode(t, func(standin.Part) (string, string) { return "B", "" }))
 	head := [][2]string{{"X-Call-Id", "q1"}, {"X-Budget", "0.3"}}
-	r := standin.Call(t, k.Addr(), "POST", "/rate-check", head, oneSlice)
+	r := standin.DoHTTP(t, k.Addr(), "POST", "/rate-check", head, oneSlice)
 	if r.Status != 503 {
 		t.Fatalf("%d %s", r.Status, r.Body)
 	}
 	awaitHeld(t, l)
 }
 
-// A client leaves: its request is called off while the line about that is still being logged.
+// When a client leaves, its request is cancelled while the line about that is still being logged.
 func TestAClientsEndDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "client left with a request out")
-	node := standin.NewNode(t, silent)
+	l := standin.NewBlockingLog(t, "client left with a request out")
+	node := standin.NewNode(t, answerNone)
 	k, _ := runWithLog(t, l, node)
 	c, err := lnet.Dial(k.Addr(), time.Second, 1<<20)
 	if err != nil {
@@ -64,25 +64,25 @@
 	if err := c.Write("POST", "/rate-check", "a", head, []byte(oneSlice), until); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the part", func() bool { return len(node.Parts()) > 0 })
+	standin.WaitFor(t, "the part", func() bool { return len(node.Parts()) > 0 })
 	c.Close()
 	awaitHeld(t, l)
-	standin.Until(t, "the request's end", func() bool { return k.core.Counts().Active.Load() == 0 })
-	if n := k.core.Counts().Class("rate-check"); n.Of(core.Refused)+n.Of(core.Failed) > 0 {
-		t.Error("it was answered, as if its client were there")
+	standin.WaitFor(t, "the request's end", func() bool { return k.core.Counts().ActiveQueries.Load() == 0 })
+	if n := k.core.Counts().Class("rate-check"); n.Count(core.Refused)+n.Count(core.Failed) > 0 {
+		t.Error("it was answered although its client had left")
 	}
 }
 
-// Discovery tells of a node: the core knows it while the line about it is still being logged.
+// When discovery announces a node, the core knows it while the line about it is still being logged.
 func TestAListDoesNotWaitForTheLog(t *testing.T) {
 	for _, message := range []string{"data node", "list taken in"} {
-		l := standin.NewHeldLog(t)
-		node := standin.NewNode(t, ok)
+		l := standin.NewBlockingLog(t)
+		node := standin.NewNode(t, answerAll)
 		k, d := runWithLog(t, l, node)
-		l.Hold(message)
+		l.Block(message)
 		d.change(t, hostAt("b", node.Addr, 0))
 		awaitHeld(t, l)
-		if !k.core.Knows(core.ServerID("b"), 10*time.Second) {
+		if !k.core.IsListed(core.ServerID("b"), 10*time.Second) {
 			t.Errorf("%s: the core does not know of the node", message)
 		}
 	}
@@ -90,9 +90,9 @@
 
 // A write is aborted before that is logged.
 func TestAnAbortDoesNotWaitForTheLog(t *testing.T) {
-	l := standin.NewHeldLog(t, "write aborted: its request is over and the writer was held")
+	l := standin.NewBlockingLog(t, "write aborted: its request is over and the writer was held")
 	ours, theirs := connPair(t)
-	c := &nodeConn{n: &Nodes{log: l.Logger()}, node: &node{name: "a"}, socket: ours}
+	c := &nodeConn{backend: &Nodes{log: l.Logger()}, node: &node{name: "a"}, writeConn: ours}
 	go c.Abort()
 	awaitHeld(t, l)
 	_ = theirs.SetReadDeadline(time.Now().Add(10 * time.Second))
@@ -103,7 +103,7 @@
 	}
 }
 
-// connPair is a connection and its other side.
+// connPair returns both ends of a connection.
 func connPair(t *testing.T) (ours, theirs net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/platform/nodes.go
+++ b/internal/platform/nodes.go
@@ -1,8 +1,8 @@
 package platform
 
-// The set of data nodes, and which connection a call goes to (nodeconn.go, nodewrite.go, noderead.go). What
-// is here tells the core how each attempt ended, and whether it may have run. It must never retry, choose
-// another node or answer a client.
+// The set of data nodes, and the choice of a connection for a call (nodeconn.go, nodewrite.go,
+// noderead.go). This file reports to the core how each attempt ended and whether it may have run. It must
+// never retry, choose another node or answer a client.
 
 import (
 	"context"
@@ -21,23 +21,23 @@
 )
 
 const (
-	maxLine    = 1024                   // of a data node's answer
-	maxFrame   = lnet.MaxBody + maxLine // a value and its line
-	outLimit   = 256 << 10              // bytes queued for one connection
-	partSlack  = 96                     // bytes of a part's line beside its names: numbers and signs
-	sendTries  = 3                      // connections that are just being closed and are passed over for a call
-	writeLimit = 300 * time.Millisecond
-	// A frame of a node that began comes to its end within this share of the shortest aim.
-	frameShare = 8
-	frameLeast = 50 * time.Millisecond
-	// A connection is silent when it has owed an answer for longer than the node's answers take, all but the
-	// very latest. It gets nothing new as long as another may be opened beside it.
-	silentLeast = 30 * time.Millisecond
-	silentMost  = time.Second
-	silentConns = 3   // at one node; with more the node is silent, and no connection is to blame
-	givenMost   = 256 // answers to what was given up that a connection still waits for
-	// idleShare of the nodes' idle limit is when we retire a connection: a request written to one that its
-	// node is about to close ends as a reset.
+	maxLine        = 1024                   // of a data node's answer
+	maxFrame       = lnet.MaxBody + maxLine // a value and its line
+	maxQueuedBytes = 256 << 10              // bytes queued for one connection
+	partOverhead   = 96                     // bytes of a part's line apart from its names: numbers, separators
+	maxSendTries   = 3                      // closing connections that a call may meet before it is refused
+	writeTimeout   = 300 * time.Millisecond
+	// A frame from a node is complete within 1/frameAimShare of the shortest aim after its first byte.
+	frameAimShare   = 8
+	minFrameTimeout = 50 * time.Millisecond
+	// A connection is silent when it has owed an answer for longer than all but the slowest of the node's
+	// answers take. It gets nothing new as long as another one may be opened.
+	minSilence     = 30 * time.Millisecond
+	maxSilence     = time.Second
+	maxSilentConns = 3   // at one node; with more, the node is silent and no connection is to blame
+	maxAbandoned   = 256 // cancelled parts whose answers a connection remembers to expect
+	// Connections are retired after idleShare of the nodes' idle limit: a request that is written to a
+	// connection which its node is about to close ends as a reset.
 	idleShare = 0.7
 )
 
@@ -50,49 +50,51 @@
 
 // Nodes is the backend of the platform's queries.
 type Nodes struct {
-	conf   atomic.Pointer[Config]
+	cfg    atomic.Pointer[Config]
 	log    *slog.Logger
 	budget *lnet.Budget
 	post   func(core.Event)
-	count  *core.Counts
+	counts *core.Counts
 	delays *delay.Recorder
 	mu     sync.Mutex // guards nodes and each node's address and connections
 	nodes  map[balance.ReplicaID]*node
 }
 
 type node struct {
-	id   balance.ReplicaID
-	name string
-	addr string
-	born float64
-	gone bool // from the list: forgotten with its last connection
-	// unnamed is set while a whole list is read that has not named it so far.
-	unnamed bool
-	health  string // as the list last told
-	// draining tells that the list says the node is to get nothing new, also before the core has heard of it.
+	id      balance.ReplicaID
+	name    string
+	addr    string
+	born    float64
+	removed bool // no longer listed: deleted with its last connection
+	// missing is set while a full list is processed that has not named the node so far.
+	missing bool
+	health  string // as in the last list
+	// draining is set when the list says that the node gets nothing new, even before the core has processed
+	// that.
 	draining atomic.Bool
 	conns    []*nodeConn
-	took     latency
+	latency  latency
 }
 
-// NewNodes returns the way to the nodes; post is the core's queue.
-func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, count *core.Counts,
+// NewNodes returns an empty set of nodes. post queues an event for the core.
+func NewNodes(cfg *Config, budget *lnet.Budget, log *slog.Logger, counts *core.Counts,
 	post func(core.Event)) *Nodes {
-	n := &Nodes{log: log, budget: budget, post: post, count: count, nodes: map[balance.ReplicaID]*node{}}
-	n.conf.Store(cfg)
+	n := &Nodes{log: log, budget: budget, post: post, counts: counts, nodes: map[balance.ReplicaID]*node{}}
+	n.cfg.Store(cfg)
 	return n
 }
 
-// Learn takes in where nodes are; of a whole list, that the others are gone. It must come before the core
-// hears of them. What is gone is forgotten once nothing of it is out: ids never come again, and would else
-// pile up. What is new is returned, to be logged once the core has heard of it.
-func (n *Nodes) Learn(hosts []Host, whole bool) (news []nodeNews) {
+// UpdateHosts takes in the nodes' addresses. A full list implies that other nodes are gone. It must be
+// called before the core learns of the nodes. Nodes that are gone are deleted once nothing is in flight to
+// them: ids are never reused and would accumulate. It returns the changes, to be logged once the core has
+// learnt of them.
+func (n *Nodes) UpdateHosts(hosts []Host, full bool) (changes []nodeChange) {
 	n.mu.Lock()
-	var anew, idle []*nodeConn
+	var stale, retiring []*nodeConn
 	first := len(n.nodes) == 0
 	for _, x := range n.nodes {
-		if whole && !x.gone {
-			x.gone, x.unnamed = true, true
+		if full && !x.removed {
+			x.removed, x.missing = true, true
 		}
 	}
 	for i := range hosts {
@@ -103,49 +105,49 @@
 			x = &node{id: id, name: h.Host}
 			n.nodes[id] = x
 		}
-		if x.unnamed {
-			x.gone, x.unnamed = false, false
+		if x.missing {
+			x.removed, x.missing = false, false
 		}
-		if gone := h.Health == terminated; gone != x.gone || h.Health != x.health || h.Born > x.born {
-			news = append(news, nodeNews{levelOfNews(first), h.Host, id, h.Health, h.Born})
-			x.gone, x.health = gone, h.Health
+		if gone := h.Health == terminated; gone != x.removed || h.Health != x.health || h.Born > x.born {
+			changes = append(changes, nodeChange{changeLevel(first), h.Host, id, h.Health, h.Born})
+			x.removed, x.health = gone, h.Health
 		}
 		x.draining.Store(h.Health != inService)
 		if h.Born > x.born || h.Dial != x.addr {
-			// Another process is there now: what the old one had will not be answered.
+			// A new process runs there now: it will not answer what its predecessor received.
 			for _, c := range x.conns {
-				if h.Dial != x.addr || c.opened.UnixMilli() < int64(h.Born) {
-					anew = append(anew, c)
+				if h.Dial != x.addr || c.openedAt.UnixMilli() < int64(h.Born) {
+					stale = append(stale, c)
 				}
 			}
 		}
 		x.addr, x.born = h.Dial, max(x.born, h.Born)
 	}
 	for id, x := range n.nodes {
-		if x.unnamed {
-			x.unnamed = false
+		if x.missing {
+			x.missing = false
 			x.draining.Store(true)
-			news = append(news, nodeNews{slog.LevelInfo, x.name, id, "not listed any more", x.born})
+			changes = append(changes, nodeChange{slog.LevelInfo, x.name, id, "not listed any more", x.born})
 		}
-		if x.gone {
-			idle = append(idle, x.conns...)
+		if x.removed {
+			retiring = append(retiring, x.conns...)
 			if len(x.conns) == 0 {
 				delete(n.nodes, id)
 			}
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range anew {
-		c.end(fmt.Errorf("the node started anew"))
+	for _, c := range stale {
+		c.close(fmt.Errorf("the node was restarted"))
 	}
-	for _, c := range idle {
+	for _, c := range retiring {
 		c.retire()
 	}
-	return news
+	return changes
 }
 
-// nodeNews is a node's new state.
-type nodeNews struct {
+// nodeChange is a node's new state.
+type nodeChange struct {
 	level  slog.Level
 	name   string
 	id     balance.ReplicaID
@@ -153,23 +155,24 @@
 	born   float64
 }
 
-// logNews logs nodes' new states.
-func (n *Nodes) logNews(news []nodeNews) {
-	for _, x := range news {
+// logChanges logs nodes' new states.
+func (n *Nodes) logChanges(changes []nodeChange) {
+	for _, x := range changes {
 		n.log.Log(context.Background(), x.level, "data node", "node", x.name, "id", fmt.Sprintf("%x", uint64(x.id)),
 			"health", x.health, "born_ms", x.born)
 	}
 }
 
-// levelOfNews is how much a node's state matters to the log: those of a start's first list matter less.
-func levelOfNews(first bool) slog.Level {
+// changeLevel returns the log level for a node's new state. Those of the first list after a start matter
+// less.
+func changeLevel(first bool) slog.Level {
 	if first {
 		return slog.LevelDebug
 	}
 	return slog.LevelInfo
 }
 
-// Name is a node's name by its number; false: there is none.
+// Name returns a node's name by its id, or false if there is no such node.
 func (n *Nodes) Name(id balance.ReplicaID) (string, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -181,79 +184,80 @@
 
 func wireID(a *core.Attempt) string { return a.Query.Name + "." + strconv.Itoa(a.Shard) }
 
-// Send queues one call on a connection that has room for it, or on a new one.
+// Send queues one call on a connection with free capacity, or on a new one.
 func (n *Nodes) Send(to balance.ReplicaID, call []*core.Attempt) bool {
-	return n.queue(to, frame{call: call, size: callSize(call)})
+	return n.enqueue(to, frame{call: call, size: callSize(call)})
 }
 
-// queue passes a frame to a connection that takes it.
-func (n *Nodes) queue(to balance.ReplicaID, f frame) bool {
-	for range sendTries {
-		c := n.conn(to, true)
+// enqueue queues a frame on a connection that accepts it.
+func (n *Nodes) enqueue(to balance.ReplicaID, f frame) bool {
+	for range maxSendTries {
+		c := n.pickConn(to, true)
 		if c == nil {
 			return false
 		}
-		if ok, closing := c.queue(f); ok || !closing {
+		if ok, closing := c.enqueue(f); ok || !closing {
 			return ok
 		}
 	}
 	return false
 }
 
-// conn finds a connection with room for a call, or opens one.
-func (n *Nodes) conn(to balance.ReplicaID, open bool) *nodeConn {
+// pickConn returns a connection with capacity for a call, or opens one.
+func (n *Nodes) pickConn(to balance.ReplicaID, open bool) *nodeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	x := n.nodes[to]
 	if x == nil || x.addr == "" {
 		return nil
 	}
-	var best, mute *nodeConn
-	room, muteRoom, silent := 0, 0, 0
-	limit := x.took.most()
+	var best, silentConn *nodeConn
+	bestFree, silentFree, silentCount := 0, 0, 0
+	silenceLimit := x.latency.upperBound()
 	for _, c := range x.conns {
 		c.mu.Lock()
-		free := n.conf.Load().Streams - c.calls
+		free := n.cfg.Load().StreamsPerConn - c.inFlight
 		switch {
-		case c.dead || c.retired:
-		case !c.owed.IsZero() && time.Since(c.owed) > limit:
-			if silent++; mute == nil || free > muteRoom {
-				mute, muteRoom = c, free
+		case c.closed || c.retired:
+		case !c.owedSince.IsZero() && time.Since(c.owedSince) > silenceLimit:
+			if silentCount++; silentConn == nil || free > silentFree {
+				silentConn, silentFree = c, free
 			}
-		case best == nil || free > room:
-			best, room = c, free
+		case best == nil || free > bestFree:
+			best, bestFree = c, free
 		}
 		c.mu.Unlock()
 	}
-	if mute != nil && best == nil && (silent > silentConns || !open) {
-		best, room = mute, muteRoom
+	if silentConn != nil && best == nil && (silentCount > maxSilentConns || !open) {
+		best, bestFree = silentConn, silentFree
 	}
-	if best != nil && room > 0 || !open {
+	if best != nil && bestFree > 0 || !open {
 		return best
 	}
 	if best == nil {
-		best = mute
+		best = silentConn
 	}
-	if !n.budget.TakeServer() {
-		return best // no descriptor is left: it waits behind others
+	if !n.budget.AcquireServer() {
+		return best // no descriptor is left: the call queues behind others
 	}
-	c := &nodeConn{n: n, node: x, waiting: map[string]*core.Attempt{},
-		given: map[string]time.Time{}, written: map[string]time.Time{}, wake: make(chan struct{}, 1),
-		used: time.Now(), opened: time.Now()}
+	c := &nodeConn{backend: n, node: x, pending: map[string]*core.Attempt{},
+		abandoned: map[string]time.Time{}, writtenAt: map[string]time.Time{}, wake: make(chan struct{}, 1),
+		lastUsed: time.Now(), openedAt: time.Now()}
 	x.conns = append(x.conns, c)
-	go c.write(x.addr)
+	go c.dialAndWrite(x.addr)
 	return c
 }
 
-// Withdraw gives an attempt up: if its frame is not begun it is taken back, else the node is told.
-func (n *Nodes) Withdraw(a *core.Attempt) bool {
+// Cancel cancels an attempt, and reports whether it has certainly never run. One that has not started is
+// withdrawn from the queue. Otherwise the node is told, where the settings allow it.
+func (n *Nodes) Cancel(a *core.Attempt) bool {
 	id := wireID(a)
 	n.mu.Lock()
 	var c *nodeConn
 	if x := n.nodes[a.Replica]; x != nil {
 		for _, k := range x.conns {
 			k.mu.Lock()
-			if k.waiting[id] == a {
+			if k.pending[id] == a {
 				c = k
 			}
 			k.mu.Unlock()
@@ -264,72 +268,72 @@
 		return false
 	}
 	c.mu.Lock()
-	delete(c.waiting, id)
-	delete(c.written, id)
-	if !c.owed.IsZero() && time.Since(c.owed) <= c.node.took.most() {
-		c.expectResponse() // given up for a reason of its own; it may never be answered
+	delete(c.pending, id)
+	delete(c.writtenAt, id)
+	if !c.owedSince.IsZero() && time.Since(c.owedSince) <= c.node.latency.upperBound() {
+		c.updateOwed() // cancelled for another reason than silence; it may never be answered
 	}
-	unsent := c.unqueue(a)
-	if !unsent && !c.dead {
-		c.giveUp(id)
-		if c.isTrying(a) { // given up, it is not to come behind what is sent instead
-			c.abortWrite(core.WriteGrace)
+	unsent := c.dequeue(a)
+	if !unsent && !c.closed {
+		c.markAbandoned(id)
+		if c.isWriting(a) { // once cancelled, it must not be sent behind what replaces it
+			c.abortWriteAfter(core.WriteGrace)
 		}
 	}
 	c.mu.Unlock()
-	if !unsent && n.conf.Load().Module.CanCancel { // where it may not be told the node answers what nobody hears
+	if !unsent && n.cfg.Load().Module.CanCancel { // otherwise the node's answer is discarded
 		b := append([]byte{0, 0, 0, 0, '2'}, id...)
 		binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-		c.queue(frame{text: b, size: len(b)})
+		c.enqueue(frame{payload: b, size: len(b)})
 	}
 	return unsent
 }
 
-// Probe sends a probe, over a connection that is there if possible.
+// Probe sends a probe, over an existing connection if possible.
 func (n *Nodes) Probe(to balance.ReplicaID) bool {
 	text := []byte{1, 0, 0, 0, '3'}
-	return n.queue(to, frame{text: text, size: len(text), probe: &probe{at: time.Now()}})
+	return n.enqueue(to, frame{payload: text, size: len(text), probe: &probe{sentAt: time.Now()}})
 }
 
-// CloseIdle closes the connections to a node that carry nothing.
+// CloseIdle closes the connections to a node that have nothing in flight.
 func (n *Nodes) CloseIdle(to balance.ReplicaID) {
-	for _, c := range n.connsOf(to) {
+	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
-		idle := c.up && len(c.waiting) == 0 && len(c.frames) == 0 && len(c.probes) == 0
+		idle := c.connected && len(c.pending) == 0 && len(c.frames) == 0 && len(c.probes) == 0
 		c.retired = c.retired || idle
 		c.mu.Unlock()
 		if idle {
-			c.end(nil)
+			c.close(nil)
 		}
 	}
 }
 
-// Stop takes back what is queued for a node and not begun: nothing of it may go out any more.
-func (n *Nodes) Stop(to balance.ReplicaID) []*core.Attempt {
-	var back []*core.Attempt
-	for _, c := range n.connsOf(to) {
+// CancelQueued withdraws what is queued for a node and has not started: none of it may be sent any more.
+func (n *Nodes) CancelQueued(to balance.ReplicaID) []*core.Attempt {
+	var withdrawn []*core.Attempt
+	for _, c := range n.connsTo(to) {
 		c.mu.Lock()
 		for _, f := range c.frames {
-			if f.begun && len(f.call) > 0 && c.trying { // the node drains: it may not come late
-				c.abortWrite(core.WriteGrace)
+			if f.started && len(f.call) > 0 && c.writing { // the node drains: it must not arrive late
+				c.abortWriteAfter(core.WriteGrace)
 			}
-			if !f.begun {
+			if !f.started {
 				for _, a := range f.call {
-					if c.waiting[wireID(a)] == a {
-						delete(c.waiting, wireID(a))
-						back = append(back, a)
+					if c.pending[wireID(a)] == a {
+						delete(c.pending, wireID(a))
+						withdrawn = append(withdrawn, a)
 					}
 				}
 			}
 		}
 		c.filterQueue(func(f *frame) bool { return f.call == nil && f.probe == nil })
-		c.calls = c.count()
+		c.inFlight = c.countCalls()
 		c.mu.Unlock()
 	}
-	return back
+	return withdrawn
 }
 
-func (n *Nodes) connsOf(to balance.ReplicaID) []*nodeConn {
+func (n *Nodes) connsTo(to balance.ReplicaID) []*nodeConn {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if x := n.nodes[to]; x != nil {
--- a/internal/platform/nodewrite.go
+++ b/internal/platform/nodewrite.go
@@ -1,7 +1,7 @@
 package platform
 
-// The writer of a connection to a data node: it alone puts bytes out, and knows whether an attempt's last
-// byte went.
+// The write loop of a connection to a data node: only the writer sends bytes and knows whether an
+// attempt's last byte was sent.
 
 import (
 	"encoding/binary"
@@ -15,27 +15,27 @@
 	lnet "lapislever/internal/net"
 )
 
-// heldAttempt is an attempt that may not begin, and why.
+// heldAttempt is an attempt that may not begin, and the reason.
 type heldAttempt struct {
 	attempt *core.Attempt
-	why     core.Hold
+	reason  core.HoldReason
 }
 
-// encodeCall encodes a call as it is at this moment, with those of its parts that are still waited for and
-// may begin. For each of these a write has begun (Attempt.BeginWrite). held are those that may not begin.
+// encodeCall encodes a call as of now, with those of its parts that are still pending and may begin. For
+// each of these a write has begun (Attempt.BeginWrite). It returns as held those that may not begin.
 func (c *nodeConn) encodeCall(b []byte, call []*core.Attempt, now time.Time) (frame []byte,
-	carried []*core.Attempt, held []heldAttempt) {
+	encoded []*core.Attempt, held []heldAttempt) {
 	b = append(b[:0], 0, 0, 0, 0, '1')
 	for _, a := range call {
 		id := wireID(a)
-		if c.waiting[id] != a {
+		if c.pending[id] != a {
 			continue
 		}
 		wait, hold := time.Duration(0), core.HoldDraining
 		if !c.node.draining.Load() {
 			wait, hold = a.BeginWrite(c, now)
 		}
-		if hold != core.MayBegin {
+		if hold != core.NoHold {
 			held = append(held, heldAttempt{a, hold})
 			continue
 		}
@@ -43,63 +43,63 @@
 		if a.Query.Key != "" {
 			b = fmt.Appendf(b, ",k=%s", a.Query.Key)
 		}
-		b = fmt.Appendf(b, " %d\n", len(a.Query.Text))
-		b = append(b, a.Query.Text...)
-		carried = append(carried, a)
+		b = fmt.Appendf(b, " %d\n", len(a.Query.Payload))
+		b = append(b, a.Query.Payload...)
+		encoded = append(encoded, a)
 	}
 	binary.LittleEndian.PutUint32(b, uint32(len(b)-4))
-	return b, carried, held
+	return b, encoded, held
 }
 
-// callSize is what a call takes at most.
+// callSize returns the largest size of an encoded call.
 func callSize(call []*core.Attempt) int {
 	n := 5
 	for _, a := range call {
-		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Text) + partSlack
+		n += len(a.Query.Name) + len(a.Query.Key) + len(a.Query.Payload) + partOverhead
 	}
 	return n
 }
 
-// write dials and then writes.
-func (c *nodeConn) write(addr string) {
-	conn, err := net.DialTimeout("tcp", addr, c.n.conf.Load().DialTimeout)
+// dialAndWrite dials and then runs the write loop.
+func (c *nodeConn) dialAndWrite(addr string) {
+	conn, err := net.DialTimeout("tcp", addr, c.backend.cfg.Load().DialTimeout)
 	if err != nil {
-		c.end(err)
+		c.close(err)
 		return
 	}
 	c.mu.Lock()
-	if c.dead {
+	if c.closed {
 		c.mu.Unlock()
 		_ = conn.Close()
 		return
 	}
-	c.c, c.socket, c.up = conn, conn, true
+	c.conn, c.writeConn, c.connected = conn, conn, true
 	c.mu.Unlock()
-	go c.read(conn)
+	go c.readLoop(conn)
 	c.writeLoop(conn)
 }
 
-// writeLoop writes frame by frame, each within its limit, so that a node that does not read holds up nothing
-// but its own connection.
+// writeLoop writes the frames one by one, each within its time limit, so that a node that does not read
+// only blocks its own connection.
 func (c *nodeConn) writeLoop(conn net.Conn) {
-	limit := time.Duration(idleShare * float64(c.n.conf.Load().ConnIdle))
+	limit := time.Duration(idleShare * float64(c.backend.cfg.Load().ConnIdle))
 	idle := time.NewTimer(limit)
 	defer idle.Stop()
-	w := &frameWriter{c: c}
-	socket := lnet.NewSocket(conn, writeLimit)
+	w := &frameWriter{conn: c}
+	socket := lnet.NewSocket(conn, writeTimeout)
 	for {
 		c.mu.Lock()
-		if c.dead {
+		if c.closed {
 			c.mu.Unlock()
 			return
 		}
 		if len(c.frames) == 0 {
-			quiet := time.Since(c.used)
-			empty := len(c.waiting) == 0 && len(c.probes) == 0
+			quiet := time.Since(c.lastUsed)
+			empty := len(c.pending) == 0 && len(c.probes) == 0
 			if empty && (quiet >= limit || c.retired) {
 				c.retired = true
 				c.mu.Unlock()
-				c.end(nil)
+				c.close(nil)
 				return
 			}
 			c.mu.Unlock()
@@ -111,164 +111,165 @@
 			continue
 		}
 		c.mu.Unlock()
-		err := socket.WriteMessage(w.begin, w.tried)
+		err := socket.WriteMessage(w.begin, w.endWrites)
 		if w.finish(err) {
 			return
 		}
 	}
 }
 
-// frameWriter writes the first frame of a connection's queue. Only its writer goroutine uses it.
+// frameWriter writes the first frame of a connection's queue. Only the writer goroutine uses it.
 type frameWriter struct {
-	c       *nodeConn
-	buf     []byte
-	carried []*core.Attempt // with a write under way
-	began   time.Time       // when these were last found to be allowed to begin
-	held    []heldAttempt   // that may not begin any more, and of which the core has not heard
-	written bool            // begin has found something to write
+	conn      *nodeConn
+	buf       []byte
+	writing   []*core.Attempt // with a write in progress
+	checkedAt time.Time       // when they were last checked and allowed to begin
+	held      []heldAttempt   // may not begin any more, and not reported to the core yet
+	hasFrame  bool            // begin returned something to write
 }
 
-// begin encodes the frame as it is to be at this moment, just before the system call, and begins the writes
-// of its parts. It returns nil where there is nothing to write.
+// begin encodes the frame just before the system call and begins the writes of its parts. It returns nil
+// if there is nothing to write.
 func (w *frameWriter) begin() []byte {
-	c := w.c
+	c := w.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := time.Now() // behind the lock, which may have to be waited for
-	w.carried, w.written, w.began = nil, false, now
-	if c.dead || len(c.frames) == 0 {
+	now := time.Now() // read after the lock, which may be contended
+	w.writing, w.hasFrame, w.checkedAt = nil, false, now
+	if c.closed || len(c.frames) == 0 {
 		return nil
 	}
 	f := &c.frames[0]
 	if f.call != nil {
 		var held []heldAttempt
 		w.buf, f.call, held = c.encodeCall(w.buf, f.call, now)
-		w.carried = f.call
+		w.writing = f.call
 		for _, h := range held {
-			delete(c.waiting, wireID(h.attempt))
+			delete(c.pending, wireID(h.attempt))
 		}
 		w.held = append(w.held, held...)
-		c.calls = c.count()
+		c.inFlight = c.countCalls()
 	} else {
-		w.buf = append(w.buf[:0], f.text...)
+		w.buf = append(w.buf[:0], f.payload...)
 	}
-	if f.begun = len(f.call) > 0 || f.text != nil; !f.begun {
-		c.booked -= f.size
+	if f.started = len(f.call) > 0 || f.payload != nil; !f.started {
+		c.queuedBytes -= f.size
 		c.frames = c.frames[1:]
 		return nil
 	}
-	w.written, c.trying = true, true
-	c.tries++
+	w.hasFrame, c.writing = true, true
+	c.writes++
 	return w.buf
 }
 
-// abortWrite aborts the system call that the writer is in, if it has still not returned after the time given.
-// What is in it must not go out any more by then: its thread may be held up. The caller holds mu.
-func (c *nodeConn) abortWrite(after time.Duration) {
-	call := c.tries
+// abortWriteAfter aborts the writer's current system call if it has not returned after the given time. Its
+// frame must not be sent any later, and its thread may be suspended. The caller holds mu.
+func (c *nodeConn) abortWriteAfter(after time.Duration) {
+	call := c.writes
 	time.AfterFunc(after, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.trying && c.tries == call && !c.dead {
+		if c.writing && c.writes == call && !c.closed {
 			c.Abort()
 		}
 	})
 }
 
-// tried ends the writes of the frame's parts. Where no byte has gone out the frame is as one that was never
-// begun: its parts may be taken back while the system takes nothing.
-func (w *frameWriter) tried(out bool) {
-	for _, a := range w.carried {
-		a.EndWrite(w.c)
+// endWrites ends the writes of the frame's parts. If no byte was sent, the frame counts as not started:
+// its parts may be withdrawn while the socket accepts nothing.
+func (w *frameWriter) endWrites(sent bool) {
+	for _, a := range w.writing {
+		a.EndWrite(w.conn)
 	}
-	w.c.mu.Lock()
-	if w.c.trying = false; !out && len(w.c.frames) > 0 {
-		w.c.frames[0].begun = false
+	w.conn.mu.Lock()
+	if w.conn.writing = false; !sent && len(w.conn.frames) > 0 {
+		w.conn.frames[0].started = false
 	}
-	w.c.mu.Unlock()
-	w.tellHeld()
+	w.conn.mu.Unlock()
+	w.reportHeld()
 }
 
-// tellHeld tells the core of parts that never ran.
-func (w *frameWriter) tellHeld() {
+// reportHeld tells the core of parts that never ran.
+func (w *frameWriter) reportHeld() {
 	for _, h := range w.held {
-		w.c.n.post(core.Outcome{Attempt: h.attempt, Outcome: balance.NotSent})
+		w.conn.backend.post(core.AttemptDone{Attempt: h.attempt, Outcome: balance.NotSent})
 	}
 	for _, h := range w.held {
-		w.c.n.log.Info("attempt not begun", "node", w.c.node.name, "part", wireID(h.attempt), "why", string(h.why))
+		w.conn.backend.log.Info("attempt not begun", "node", w.conn.node.name, "part", wireID(h.attempt),
+			"why", string(h.reason))
 	}
 	w.held = nil
 }
 
-// finish books how the write has ended, and tells whether the connection has.
+// finish records how the write ended, and reports whether the connection has ended.
 func (w *frameWriter) finish(err error) bool {
-	w.tellHeld()
+	w.reportHeld()
 	switch {
 	case err != nil:
-	case w.written:
-		w.c.n.count.Tries.Add(int64(len(w.carried)))
-		w.noteDelay(time.Now())
-	case w.c.ended(): // while the system took nothing
+	case w.hasFrame:
+		w.conn.backend.counts.AttemptsSent.Add(int64(len(w.writing)))
+		w.recordDelay(time.Now())
+	case w.conn.isClosed(): // while the socket accepted nothing
 		err = net.ErrClosed
 	default:
-		return false // what there was to write has been taken back
+		return false // the frame was withdrawn
 	}
-	return w.c.markWritten(err)
+	return w.conn.markWritten(err)
 }
 
-// noteDelay records a call that was written late.
-func (w *frameWriter) noteDelay(now time.Time) {
-	if took := now.Sub(w.began); took >= delay.Notable && len(w.carried) > 0 {
-		w.c.n.delays.Note(delay.Attempt, took, "node", w.c.node.name, "part", wireID(w.carried[0]),
-			"parts", len(w.carried))
+// recordDelay records a call that was written late.
+func (w *frameWriter) recordDelay(now time.Time) {
+	if took := now.Sub(w.checkedAt); took >= delay.Threshold && len(w.writing) > 0 {
+		w.conn.backend.delays.Record(delay.Attempt, took, "node", w.conn.node.name, "part", wireID(w.writing[0]),
+			"parts", len(w.writing))
 	}
 }
 
-func (c *nodeConn) ended() bool {
+func (c *nodeConn) isClosed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead
+	return c.closed
 }
 
-// Abort makes it impossible that the connection's writer puts out another byte.
+// Abort makes sure that the connection's writer sends no further byte.
 func (c *nodeConn) Abort() {
-	lnet.Abort(c.socket)
-	c.n.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
+	lnet.Abort(c.writeConn)
+	c.backend.log.Warn("write aborted: its request is over and the writer was held", "node", c.node.name)
 }
 
-// markWritten books that the frame which the writer has begun is out, or that it never will be, and tells
-// whether the connection has ended. Only the writer knows: while its last byte may just be going out nobody
-// else says whether the frame's parts may have run.
+// markWritten records that the frame which the writer started was sent, or never will be, and reports
+// whether the connection has ended. Only the writer knows: while the last byte may be in transit nobody
+// else can tell whether the frame's parts may have run.
 func (c *nodeConn) markWritten(err error) bool {
 	c.mu.Lock()
-	if c.dead {
-		o := c.broken(err == nil)
-		torn := c.torn
-		c.torn = nil
+	if c.closed {
+		outcome := c.outcomeAfterClose(err == nil)
+		interrupted := c.interrupted
+		c.interrupted = nil
 		c.mu.Unlock()
-		for _, a := range torn {
-			c.n.post(core.Outcome{Attempt: a, Outcome: o})
+		for _, a := range interrupted {
+			c.backend.post(core.AttemptDone{Attempt: a, Outcome: outcome})
 		}
 		return true
 	}
 	if err != nil {
 		if len(c.frames) > 0 {
-			c.frames[0].begun = false
+			c.frames[0].started = false
 		}
 		c.mu.Unlock()
-		c.end(err)
+		c.close(err)
 		return true
 	}
-	c.used = time.Now() // from here on the frame's parts may have run
+	c.lastUsed = time.Now() // from here on the frame's parts may have run
 	for _, a := range c.frames[0].call {
-		if id := wireID(a); c.waiting[id] == a {
-			c.written[id] = c.used
+		if id := wireID(a); c.pending[id] == a {
+			c.writtenAt[id] = c.lastUsed
 		}
-		if c.owed.IsZero() {
-			c.owed = c.used
+		if c.owedSince.IsZero() {
+			c.owedSince = c.lastUsed
 		}
 	}
-	c.booked -= c.frames[0].size
+	c.queuedBytes -= c.frames[0].size
 	c.frames = c.frames[1:]
 	c.mu.Unlock()
 	return false
--- a/internal/platform/reload_test.go
+++ b/internal/platform/reload_test.go
@@ -10,18 +10,20 @@
 	"lapislever/internal/standin"
 )
 
-// added is a further class for the settings, as an edit of theirs.
-var added = []string{`"lanes":[`, `"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
-	`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
+// addedClass is an edit of the settings that adds a class.
+var addedClass = []string{`"lanes":[`,
+	`"lanes":[{"name":"fresh","goalTimeUs":1000000,"hardLimitUs":2000000,` +
+		`"idempotency":"idempotency_key","windowUs":3000000,"worth":2,"lateWorth":0},`}
 
-// A file that lacks a key of the running one, or has it in another form, or whose numbers cannot be, is
-// turned down whole. Parse alone would fill the gaps from the environment and from defaults.
-func TestBrokenFilesAreTurnedDown(t *testing.T) {
+// A file that lacks a key of the running one, has it in another form, or contains impossible numbers, is
+// rejected as a whole. Parse alone would fill gaps from the environment and from defaults.
+func TestInvalidFilesAreRejected(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
-	old := config(t, d)
+	old := testConfig(t, d)
 	old.raw["known"], old.raw["seed"] = map[string]any{"seq": json.Number("1")}, "ab"
-	if _, kept, err := config(t, d, added...).after(old, time.Now()); err != nil || len(kept) != 0 {
-		t.Fatalf("a sound file: %v, takes a restart: %v", err, kept)
+	if _, kept, err := testConfig(t, d, addedClass...).reloadOver(old, time.Now()); err != nil ||
+		len(kept) != 0 {
+		t.Fatalf("a valid file: %v, takes a restart: %v", err, kept)
 	}
 	whole, err := json.Marshal(old.raw)
 	if err != nil {
@@ -53,20 +55,20 @@
 		"an unknown effect": strings.Replace(string(whole), `"read_like"`, `"odd"`, 1),
 	} {
 		if text == string(whole) {
-			t.Errorf("%s: the edit met nothing", name)
+			t.Errorf("%s: the edit changed nothing", name)
 		}
 		c, err := Parse([]byte(text), env)
 		if err == nil {
-			_, _, err = c.after(old, time.Now())
+			_, _, err = c.reloadOver(old, time.Now())
 		}
 		if err == nil {
-			t.Errorf("%s: taken", name)
+			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// Just after a change a request may come by the old rules or by the new ones. What its key does not tell is
-// held to the stricter of both; later the new ones alone bind.
+// Just after a change a request may follow the old rules or the new ones. Where its key does not tell, the
+// stricter of both apply; later only the new ones do.
 func TestBothRulesBindAfterAChange(t *testing.T) {
 	d := &discovery{addr: "127.0.0.1:1"}
 	const safe, keyed, unsafe = `"read_like"`, `"idempotency_key","windowUs":2000000`, `"non_idempotent"`
@@ -75,7 +77,7 @@
 		old, new string
 		key      bool
 		want     balance.Effect
-		sent     bool // the key goes along
+		sent     bool // the key is sent with the parts
 	}{
 		{safe, keyed, false, balance.Safe, false},
 		{safe, keyed, true, balance.Keyed, true},
@@ -86,55 +88,55 @@
 		{keyed, unsafe, true, balance.Unsafe, true},
 		{safe, safe, false, balance.Safe, false},
 	} {
-		old := config(t, d, `"read_like"`, c.old)
-		fresh, _, err := config(t, d, `"read_like"`, c.new, `"sendCap":4`, `"sendCap":2`).after(old, now)
+		old := testConfig(t, d, `"read_like"`, c.old)
+		fresh, _, err := testConfig(t, d, `"read_like"`, c.new, `"sendCap":4`, `"sendCap":2`).reloadOver(old, now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := fresh.bind(0, c.key, now)
-		if b.rules.Effect != c.want || b.key != c.sent || b.most != 2 {
-			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, b)
+		rules := fresh.rulesFor(0, c.key, now)
+		if rules.class.Effect != c.want || rules.sendKey != c.sent || rules.maxAttempts != 2 {
+			t.Errorf("%s to %s, key %v: %+v", c.old, c.new, c.key, rules)
 		}
-		if b.rules.Effect == balance.Keyed && b.rules.Window != 2000000 {
-			t.Errorf("%s to %s: repeats are dropped for %d us", c.old, c.new, b.rules.Window)
+		if rules.class.Effect == balance.Keyed && rules.class.Window != 2000000 {
+			t.Errorf("%s to %s: the window is %d us", c.old, c.new, rules.class.Window)
 		}
-		later := fresh.bind(0, c.key, now.Add(bothBind))
+		later := fresh.rulesFor(0, c.key, now.Add(settingsOverlap))
 		want := fresh.Module.Classes[0].Effect
-		if later.rules.Effect != want || later.key != (want == balance.Keyed) {
+		if later.class.Effect != want || later.sendKey != (want == balance.Keyed) {
 			t.Errorf("%s to %s, later: %+v", c.old, c.new, later)
 		}
 	}
 }
 
-// New settings bind new requests: a class comes and goes, attempts change. What is open keeps its class, and
-// a broken file changes nothing; both are counted.
+// New settings apply to new requests: a class is added and removed, the number of attempts changes. Open
+// requests keep their class, and an invalid file changes nothing. Both kinds of reload are counted.
 func TestReloadChangesTheSettings(t *testing.T) {
-	free := make(chan struct{})
-	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-free; return ok(p) })
-	n := standin.NewNode(t, ok)
+	release := make(chan struct{})
+	slow := standin.NewNode(t, func(p standin.Part) (string, string) { <-release; return answerAll(p) })
+	n := standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", slow.Addr, 0), hostAt("b", n.Addr, 1))
-	k := run(t, door(t, d))
+	k := startReady(t, adminConfig(t, d))
 	if r := post(t, k, "fresh", 1); r.Status != 404 {
-		t.Fatalf("a class that is not there yet: %d", r.Status)
+		t.Fatalf("a class that does not exist yet: %d", r.Status)
 	}
-	held := make(chan int, 1)
-	go func() { held <- post(t, k, "rate-check", 0).Status }()
-	standin.Until(t, "the part", func() bool { return len(slow.Parts()) > 0 })
-	if err := k.Reload(door(t, d, added...)); err != nil {
+	status := make(chan int, 1)
+	go func() { status <- post(t, k, "rate-check", 0).Status }()
+	standin.WaitFor(t, "the part", func() bool { return len(slow.Parts()) > 0 })
+	if err := k.Reload(adminConfig(t, d, addedClass...)); err != nil {
 		t.Fatal(err)
 	}
-	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].List, ",k=") {
+	if r := post(t, k, "fresh", 1); r.Status != 200 || !strings.Contains(n.Parts()[0].Attrs, ",k=") {
 		t.Fatalf("the new class got %d, its part %+v", r.Status, n.Parts()[0])
 	}
-	// rate-check and fresh go
-	if err := k.Reload(door(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
+	// removes rate-check and fresh
+	if err := k.Reload(adminConfig(t, d, `"name":"rate-check"`, `"name":"other"`)); err != nil {
 		t.Fatal(err)
 	}
-	close(free)
-	if got := <-held; got != 200 {
-		t.Errorf("what was open when its class went got %d", got)
+	close(release)
+	if got := <-status; got != 200 {
+		t.Errorf("the request whose class was removed got %d", got)
 	}
-	standin.Until(t, "the end of the class that went", func() bool {
+	standin.WaitFor(t, "the end of the removed class", func() bool {
 		return post(t, k, "rate-check", 1).Status == 404
 	})
 	for _, class := range []string{"other", "exchange-post"} {
@@ -142,17 +144,17 @@
 			t.Errorf("%s: %d", class, r.Status)
 		}
 	}
-	broken := door(t, d)
+	broken := adminConfig(t, d)
 	delete(broken.raw, "limits")
 	err := k.Reload(broken)
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("accepted")
 	}
-	k.Reject(err)
+	k.RejectConfig(err)
 	if r := post(t, k, "other", 1); r.Status != 200 {
-		t.Errorf("after a broken file: %d", r.Status)
+		t.Errorf("after an invalid file: %d", r.Status)
 	}
-	f := figures(t, k)
+	f := counters(t, k)
 	if f.ConfigApplied != 2 || f.ConfigRejected != 1 || f.OK["fresh"] != 1 || f.OK["rate-check"] < 1 {
 		t.Fatalf("%+v", f)
 	}
