--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -1,7 +1,7 @@
 package platform
 
-// One coordinator put together: the watch on discovery, the datagrams, and the order in which all of it
-// starts and ends. This file owns that order; it must never decide about a query.
+// Assembles one coordinator from its parts, sends and receives the datagrams between coordinators, and
+// defines the order of startup and shutdown. This file must never decide about a query.
 
 import (
 	"errors"
@@ -25,91 +25,92 @@
 )
 
 const (
-	maxDatagram = 256
-	ownSockets  = 40 // descriptors for all but clients, nodes and operators
-	nodeShare   = 4  // one in so many descriptors is kept for nodes
-	// leastThreads is how many threads may run at a time, whatever part of a core there is.
-	leastThreads = 4
-	ringShare    = 8 // one in so many bytes of the memory is for large requests that are being read
-
-	// An ending coordinator goes on serving for as long as new connections may still come, and beyond that for
-	// as long as clients use it and there is time; it answers all that it took well before it may be killed.
-	acceptOn   = 600 * time.Millisecond
-	serveLeast = 800 * time.Millisecond // left for what came last
-	lastReply  = 300 * time.Millisecond // the same where a successor serves, and little comes
-	quietOn    = 500 * time.Millisecond // without a request, for clients to count as gone elsewhere
-
-	firstWord = time.Second // that a start waits for discovery before it serves by an older list
+	maxDatagram     = 256
+	reservedSockets = 40 // descriptors for everything except clients, nodes and operators
+	nodeSocketShare = 4  // one in nodeSocketShare descriptors is reserved for nodes
+	// minThreads is how many threads may run in parallel even where the limit on cores is lower.
+	minThreads      = 4
+	ringMemoryShare = 8 // one in ringMemoryShare bytes of memory is for large requests that are being read
+
+	// A coordinator that shuts down keeps serving while new connections may still arrive, and beyond that
+	// while clients use it and time remains. It answers everything it has accepted well before it may be
+	// killed.
+	acceptGrace       = 600 * time.Millisecond
+	finalReplyTime    = 800 * time.Millisecond // reserved for the last requests
+	handoverReplyTime = 300 * time.Millisecond // the same where a successor serves, as few requests arrive then
+	quietPeriod       = 500 * time.Millisecond // clients without a request for this long have moved on
+
+	firstListWait = time.Second // how long a start waits for discovery before it serves with an older list
 )
 
-// Extra is another front on the same core.
-type Extra interface {
-	// Backend takes its queries' parts to their servers.
+// ExtraFront is a further front on the same core.
+type ExtraFront interface {
+	// Backend sends the parts of its queries to their servers.
 	Backend() core.Backend
-	// Start begins to serve; the core runs.
+	// Start begins to serve. The core is running by then.
 	Start(c *core.Core, budget *lnet.Budget) error
-	// Settle tells of new settings, in which classes have kept their places.
-	Settle(s balance.Settings)
-	ender
-}
-
-// ender is a listener with its connections, as far as ending goes.
-type ender interface {
-	Retire()                // tells who asks that it is not ready any more
-	StopListening()         // no new connections
-	Wind()                  // from now on replies end their connections
-	LastRequest() time.Time // when a request last came
-	Finish()                // and idle ones are closed
+	// ApplySettings takes in new settings, in which classes have kept their indexes.
+	ApplySettings(s balance.Settings)
+	drainer
+}
+
+// drainer is a listener with its connections, as far as shutdown needs it.
+type drainer interface {
+	MarkNotReady()          // answers readiness checks with "not ready" from now on
+	StopListening()         // accepts no new connections
+	CloseAfterReply()       // every reply ends its connection from now on
+	LastRequest() time.Time // when the last request arrived
+	Drain()                 // additionally closes idle connections
 	Wait(most time.Duration) bool
 }
 
-// Coordinator is one running coordinator.
+// Coordinator is a running coordinator.
 type Coordinator struct {
-	cfg       *Config
-	log       *slog.Logger
-	core      *core.Core
-	front     *Front
-	server    *lnet.Server
-	nodes     *Nodes
-	delays    *delay.Recorder
-	peers     *peers
-	fleet     *fleet.Fleet // nil: there is none
-	failed    chan error   // hears once why this process must not go on serving
-	extras    []Extra
-	door      *admin.Door
-	ending    atomic.Bool
-	accepting atomic.Bool   // the fronts were started
-	listed    chan struct{} // closed once a list is known
-	upgrade   *upgrade
-
-	mu     sync.Mutex // guards conf, halved
-	conf   *Config    // in force
-	halved bool       // another process serves beside this one
-	stop   chan struct{}
-	halted sync.Once
+	cfg          *Config // the configuration at the start
+	log          *slog.Logger
+	core         *core.Core
+	front        *Front
+	server       *lnet.Server
+	nodes        *Nodes
+	delays       *delay.Recorder
+	peers        *peerSocket
+	fleet        *fleet.Fleet // nil without a fleet
+	failed       chan error   // receives, once, the reason why this process must stop serving
+	extras       []ExtraFront
+	adminServer  *admin.Server
+	shuttingDown atomic.Bool
+	accepting    atomic.Bool   // the fronts have been started
+	listKnown    chan struct{} // closed once a list is known
+	upgrade      *upgrade
+
+	mu       sync.Mutex // guards current, sharing
+	current  *Config    // the configuration in force
+	sharing  bool       // another process serves in parallel
+	stop     chan struct{}
+	stopOnce sync.Once
 
 	watcher *watcher
 }
 
 // ApplyLimits keeps this process within the platform's limits on cores and memory. The limit on cores
-// bounds processor time, not how many threads may run at a time: with a single one, a thread that the
-// system holds up would hold up the whole process.
+// bounds processor time and not the number of threads that may run in parallel: with a single thread, one
+// that the system suspends would block the whole process.
 func (c *Config) ApplyLimits() {
-	runtime.GOMAXPROCS(max(leastThreads, int(c.Limits.Cores)))
+	runtime.GOMAXPROCS(max(minThreads, int(c.Limits.Cores)))
 	debug.SetMemoryLimit(int64(c.Limits.MemoryMB) << 20 * 6 / 10)
 }
 
 // Start starts a coordinator.
-func Start(cfg *Config, log *slog.Logger, extras ...Extra) (*Coordinator, error) {
+func Start(cfg *Config, log *slog.Logger, extras ...ExtraFront) (*Coordinator, error) {
 	k := &Coordinator{cfg: cfg, log: log, extras: extras, stop: make(chan struct{}),
-		listed: make(chan struct{}), conf: cfg, failed: make(chan error, 1)}
-	h, beside := inherit(cfg, log)
-	most := budgetOf(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
-	budget := lnet.NewBudget(most, most/nodeShare)
-	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringShare)
+		listKnown: make(chan struct{}), current: cfg, failed: make(chan error, 1)}
+	received, besideOld := requestSockets(cfg, log)
+	capacity := socketBudget(cfg.Limits.Sockets-cfg.fleetSockets(), cfg.Operator != "")
+	budget := lnet.NewBudget(capacity, capacity/nodeSocketShare)
+	budget.LimitRings(cfg.Limits.MemoryMB << 20 / ringMemoryShare)
 	post := func(e core.Event) { k.core.Post(e) }
 	counts := &core.Counts{}
-	for _, name := range cfg.Classes { // so that each is there from the first look on
+	for _, name := range cfg.Classes { // creates every counter before the first reading
 		counts.Class(name)
 	}
 	k.nodes = NewNodes(cfg, budget, log, counts, post)
@@ -120,98 +121,99 @@
 		backends = append(backends, x.Backend())
 	}
 	k.front = NewFront(cfg, log, k.nodes)
-	conf := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
-		Delays: k.delays,
-		Listed: func() { close(k.listed) },
-		Named:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
+	coreCfg := core.Config{Settings: cfg.Module, Seed: cfg.seed(), Backends: backends, Log: log, Counts: counts,
+		Delays:      k.delays,
+		OnFirstList: func() { close(k.listKnown) },
+		ServerName:  func(id balance.ReplicaID) (string, bool) { return k.nodeName(uint64(id)) }}
 	var err error
-	if cfg.PeerListen != "" && !cfg.fleetCarriesPeers() {
-		if k.peers, err = listenPeers(cfg, log, post, h); err != nil {
+	if cfg.PeerListen != "" && !cfg.fleetSharesPeerSocket() {
+		if k.peers, err = listenPeers(cfg, log, post, received); err != nil {
 			return nil, err
 		}
-		conf.Peers = k.peers
+		coreCfg.Peers = k.peers
 	}
 	if cfg.Fleet != nil {
-		if err = k.joinFleet(h, beside); err != nil {
+		if err = k.openFleet(received, besideOld); err != nil {
 			return nil, err
 		}
-		conf.Peers = k.fleet
-		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.Sheds() {
-			conf.Gate = limits{k, &atomic.Pointer[ranked]{}}
+		coreCfg.Peers = k.fleet
+		if len(cfg.Fleet.Limits) > 0 || cfg.Fleet.OverloadEnabled() {
+			coreCfg.Admission = fleetAdmission{k, &atomic.Pointer[classRanks]{}}
 		}
-		k.judge(&conf)
+		k.enableEvidence(&coreCfg)
 	}
-	w := &watcher{cfg: cfg, log: log, nodes: k.nodes, post: post, on: make(chan bool, 16),
-		fetch: make(chan struct{}, 16), move: make(chan string), stop: k.stop, whole: make(chan struct{}),
-		beside: beside}
+	w := &watcher{cfg: cfg, log: log, nodes: k.nodes, post: post, watching: make(chan bool, 16),
+		fetches: make(chan struct{}, 16), moves: make(chan string), stop: k.stop, gotFullList: make(chan struct{}),
+		besideOld: besideOld}
 	k.watcher = w
 	if cfg.Module.Subscribe {
-		conf.Lister = w
+		coreCfg.Discovery = w
 	}
-	if k.core, err = core.New(conf); err != nil {
+	if k.core, err = core.New(coreCfg); err != nil {
 		return nil, err
 	}
 	k.front.core = k.core
 	switch {
-	case h != nil:
-		k.server = lnet.NewServer(h.listener, budget, log, k.front.Serve)
+	case received != nil:
+		k.server = lnet.NewServer(received.listener, budget, log, k.front.Serve)
 	case cfg.Listen != "":
 		if k.server, err = lnet.Listen(cfg.Listen, budget, log, k.front.Serve); err != nil {
 			return nil, err
 		}
 	}
 	if k.server != nil {
-		k.server.TurnedAway, k.server.Advise = k.front.TurnAway, k.core.Advise
+		k.server.OnRejected, k.server.CapRetryAfter = k.front.CountTurnedAway, k.core.CapRetryAfter
 		k.server.Delays = k.delays
 	}
 	go k.core.Run()
-	k.upgrade = &upgrade{k: k, path: socketPath(cfg), budget: budget, all: most, heard: make(chan struct{}, 1)}
-	if h != nil && h.fleet != nil {
-		k.upgrade.place = make(chan *fleet.Handover, 1)
+	k.upgrade = &upgrade{k: k, socketPath: socketPath(cfg), budget: budget, fullBudget: capacity,
+		acknowledged: make(chan struct{}, 1)}
+	if received != nil && received.fleet != nil {
+		k.upgrade.fleetState = make(chan *fleet.Handover, 1)
 	}
-	if h != nil {
-		k.core.Post(core.Inherited{Out: h.greeting.Out, Barred: h.greeting.Barred, Since: h.greeting.Since,
-			Memory: h.greeting.Memory, Now: h.greeting.Now})
-		k.upgrade.follow(h)
+	if received != nil {
+		k.core.Post(core.HandoverState{Cordons: received.hello.Cordons, FleetCordons: received.hello.FleetCordons,
+			RestoredAt: received.hello.RestoredAt, Memory: received.hello.Memory, Clock: received.hello.Clock})
+		k.upgrade.followPredecessor(received)
 	}
-	if cfg.Known != nil { // what was known before a restart: enough to begin with
+	if cfg.Known != nil { // the list known before a restart is enough to begin with
 		w.seq = cfg.Known.Seq
-		news := k.nodes.Learn(cfg.Known.Hosts, true)
-		k.core.Post(core.Listed{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
-			Heard: time.Now()})
-		k.nodes.logNews(news)
+		changes := k.nodes.UpdateHosts(cfg.Known.Hosts, true)
+		k.core.Post(core.ListUpdate{Mode: balance.Cached, Replicas: cfg.replicas(cfg.Known.Hosts),
+			ReceivedAt: time.Now()})
+		k.nodes.logChanges(changes)
 	}
 	if k.peers != nil {
 		go k.peers.read()
 		go k.peers.write()
 	}
 	if k.fleet != nil {
-		go k.hearFleet()
+		go k.receiveFleet()
 	}
 	if cfg.Discovery != "" {
 		go w.run(!cfg.Module.Subscribe)
 	}
-	if cfg.Operator != "" { // before the fleet, which a start may wait for
-		if k.door, err = admin.Open(cfg.Operator, doorState{k}, log); err != nil {
-			log.Error("the operators' door stays shut: serving without it", "address", cfg.Operator, "err", err)
+	if cfg.Operator != "" { // before joining the fleet, which a start may wait for
+		if k.adminServer, err = admin.Listen(cfg.Operator, adminState{k}, log); err != nil {
+			log.Error("admin endpoint could not be opened: serving without it", "address", cfg.Operator, "err", err)
 		}
 	}
-	if err := k.enterFleet(); err != nil {
-		k.halt()
+	if err := k.startFleet(); err != nil {
+		k.stopAll()
 		return nil, err
 	}
-	if !beside {
-		if err := k.accept(budget); err != nil {
+	if !besideOld {
+		if err := k.startFronts(budget); err != nil {
 			return nil, err
 		}
 	}
-	go k.prepare(beside, budget)
-	log.Info("started", "name", cfg.Name, "listen", k.listening())
+	go k.becomeReady(besideOld, budget)
+	log.Info("started", "name", cfg.Name, "listen", k.listenAddrs())
 	return k, nil
 }
 
-// listening are the addresses that clients reach, on all fronts.
-func (k *Coordinator) listening() string {
+// listenAddrs returns the addresses that clients connect to, on all fronts.
+func (k *Coordinator) listenAddrs() string {
 	var all []string
 	if k.server != nil {
 		all = append(all, k.server.Addr())
@@ -224,8 +226,8 @@
 	return strings.Join(all, ",")
 }
 
-// accept begins to serve clients on all fronts.
-func (k *Coordinator) accept(budget *lnet.Budget) error {
+// startFronts begins to serve clients on all fronts.
+func (k *Coordinator) startFronts(budget *lnet.Budget) error {
 	defer k.accepting.Store(true)
 	for _, x := range k.extras {
 		if err := x.Start(k.core, budget); err != nil {
@@ -238,393 +240,403 @@
 	return nil
 }
 
-// prepare waits for the list and then tells that this process can serve. One that starts beside another,
-// whether or not it could take over from it, waits for discovery's own word, as the old process serves
-// meanwhile and has long heard more than is known here, and takes no client before.
-func (k *Coordinator) prepare(beside bool, budget *lnet.Budget) {
+// becomeReady waits for the list and then reports that this process can serve. A process that starts
+// beside another one waits for discovery's full list and accepts no client before, whether or not it could
+// take over: the old process keeps serving in the meantime and has received more than is known here.
+func (k *Coordinator) becomeReady(besideOld bool, budget *lnet.Budget) {
 	select {
-	case <-k.listed:
+	case <-k.listKnown:
 	case <-k.stop:
 		return
 	}
-	// Where the list is pushed, what the agent has counts as told from the first moment, and what was known
-	// before the start may be old: a client is better served after discovery's own word, if that comes soon.
+	// Where the list is pushed, the agent's state counts as announced from the first moment, and what was
+	// known before the start may be outdated. Clients are served better after discovery's full list if that
+	// arrives soon.
 	wait := time.Duration(0)
 	switch {
-	case beside:
-		wait = listWait
+	case besideOld:
+		wait = listTimeout
 	case k.cfg.Discovery != "" && !k.cfg.Module.Subscribe:
-		wait = firstWord
+		wait = firstListWait
 	}
 	if wait > 0 {
 		select {
-		case <-k.watcher.whole:
+		case <-k.watcher.gotFullList:
 		case <-time.After(wait):
-			k.log.Warn("starting without discovery's word", "beside", beside)
+			k.log.Warn("starting without discovery's full list", "beside", besideOld)
 		case <-k.stop:
 			return
 		}
 	}
-	if beside {
-		k.core.Cordoned(linkWait) // behind the list in the core's queue: once it is back, that is taken in
+	if besideOld {
+		k.core.HandoverState(linkTimeout) // queued behind the list, which has then been taken in
 	}
-	k.upgrade.ready()
-	k.front.ready.Store(!k.ending.Load()) // before a client is heard, who would else be told no
-	if beside {
-		if err := k.accept(budget); err != nil {
-			k.log.Error("a front could not be taken over", "err", err)
+	k.upgrade.announceReady()
+	k.front.ready.Store(!k.shuttingDown.Load()) // before any client is accepted
+	if besideOld {
+		if err := k.startFronts(budget); err != nil {
+			k.log.Error("a front could not be started after the takeover", "err", err)
 		}
-		k.takeFleetOver()
+		k.takeOverFleet()
 	}
 }
 
-// doorSockets is how many descriptors the operators' door needs.
-func (k *Coordinator) doorSockets() int { return doorNeeds(k.cfg.Operator != "") }
+// adminSockets returns how many descriptors the admin endpoint needs.
+func (k *Coordinator) adminSockets() int { return adminSocketCount(k.cfg.Operator != "") }
 
-func doorNeeds(open bool) int {
-	if open {
+func adminSocketCount(enabled bool) int {
+	if enabled {
 		return admin.Sockets
 	}
 	return 0
 }
 
-// budgetOf is how many descriptors clients and nodes share.
-func budgetOf(sockets int, door bool) int { return max(32, sockets-ownSockets-doorNeeds(door)) }
+// socketBudget returns how many descriptors clients and nodes share.
+func socketBudget(sockets int, admin bool) int {
+	return max(32, sockets-reservedSockets-adminSocketCount(admin))
+}
 
-// ClientPlaces is how many clients there can be at most, where the process may hold so many descriptors.
-func ClientPlaces(sockets int, door bool) int {
-	most := budgetOf(sockets, door)
-	return most - most/nodeShare
+// MaxClients returns how many clients can be connected where the process may hold the given number of
+// descriptors.
+func MaxClients(sockets int, admin bool) int {
+	capacity := socketBudget(sockets, admin)
+	return capacity - capacity/nodeSocketShare
 }
 
-// Addr is the address that clients reach.
+// Addr returns the address that clients connect to.
 func (k *Coordinator) Addr() string { return k.server.Addr() }
 
-// Door is the address of the operators' door.
-func (k *Coordinator) Door() string { return k.door.Addr() }
+// AdminAddr returns the address of the admin endpoint.
+func (k *Coordinator) AdminAddr() string { return k.adminServer.Addr() }
 
-// doorState is what the operators' door shows of a coordinator.
-type doorState struct{ k *Coordinator }
+// adminState is the view of a coordinator that the admin endpoint shows.
+type adminState struct{ k *Coordinator }
 
-// Ready tells that this process can serve.
-func (d doorState) Ready() bool { return d.k.front.ready.Load() && !d.k.ending.Load() }
+// Ready reports whether this process can serve.
+func (a adminState) Ready() bool { return a.k.front.ready.Load() && !a.k.shuttingDown.Load() }
 
-// Figures are this process's counts.
-func (d doorState) Figures() admin.Figures {
-	c := d.k.core.Counts()
-	f := admin.Figures{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
-		Tries: c.Tries.Load(), Active: c.Active.Load(), PoolSize: c.Listed.Load(), PoolEjected: c.Avoided.Load(),
-		ConfigApplied: c.Applied.Load(), ConfigRejected: c.Rejected.Load()}
+// Counters returns this process's counters.
+func (a adminState) Counters() admin.Counters {
+	c := a.k.core.Counts()
+	f := admin.Counters{OK: map[string]int64{}, Shed: map[string]int64{}, Errors: map[string]int64{},
+		Tries: c.AttemptsSent.Load(), Active: c.ActiveQueries.Load(), PoolSize: c.ListedServers.Load(),
+		PoolEjected: c.AvoidedServers.Load(), ConfigApplied: c.ConfigsApplied.Load(),
+		ConfigRejected: c.ConfigsRejected.Load()}
 	for name, x := range c.Classes() {
-		f.OK[name], f.Shed[name], f.Errors[name] = x.Of(core.Answered), x.Of(core.Refused), x.Of(core.Failed)
+		f.OK[name], f.Shed[name], f.Errors[name] = x.Count(core.Answered), x.Count(core.Refused),
+			x.Count(core.Failed)
 	}
-	for _, x := range d.k.extras {
-		if t, ok := x.(interface{ Figures() map[string]int64 }); ok {
-			f.Unusable = t.Figures()
+	for _, x := range a.k.extras {
+		if counter, ok := x.(interface{ Figures() map[string]int64 }); ok {
+			f.Unusable = counter.Figures()
 		}
 	}
 	return f
 }
 
-// Delays are the actions that were carried out late.
-func (d doorState) Delays() any { return d.k.delays.Figures() }
+// Delays returns the statistics of actions that were carried out late.
+func (a adminState) Delays() any { return a.k.delays.Stats() }
 
-// Gate says who is let in; nil where only the budget does.
-func (d doorState) Gate() admin.Gate {
-	for _, x := range d.k.extras {
-		if g, ok := x.(interface{ Gate() *lnet.Keeper }); ok && g.Gate() != nil {
-			return gate{g.Gate()}
+// Admission returns the admission controller, or nil where only the budget limits connections.
+func (a adminState) Admission() admin.AdmissionController {
+	for _, x := range a.k.extras {
+		if g, ok := x.(interface {
+			Gate() *lnet.AdmissionController
+		}); ok && g.Gate() != nil {
+			return adminAdmission{g.Gate()}
 		}
 	}
 	return nil
 }
 
-// Fleet is the view of the fleet; nil where there is none.
-func (d doorState) Fleet() any {
-	if d.k.fleet == nil {
+// Fleet returns the view of the fleet, or nil without a fleet.
+func (a adminState) Fleet() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Status()
+	return a.k.fleet.Status()
 }
 
-// Verdicts are what the fleet holds; nil where there is no fleet.
-func (d doorState) Verdicts() any {
-	if d.k.fleet == nil {
+// Verdicts returns the verdicts in force in the fleet, or nil without a fleet.
+func (a adminState) Verdicts() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Verdicts()
+	return a.k.fleet.Verdicts()
 }
 
-// Say puts a data node out or back for the whole fleet.
-func (d doorState) Say(c admin.FleetCall, within time.Duration) (any, bool, error) {
-	v := verdict.Verdict{Kind: verdict.Node, What: c.ID, On: c.Out, By: c.By, Reason: c.Reason,
-		Span: c.Span.Microseconds()}
-	if c.Prefix.IsValid() {
-		v.Kind, v.What = verdict.Prefix, c.Prefix.Masked().String()
-		if c.Pin {
+// ApplyFleetCall cordons or uncordons a data node, or bans, pins or lifts a prefix, for the whole fleet.
+func (a adminState) ApplyFleetCall(call admin.FleetCall, within time.Duration) (any, bool, error) {
+	v := verdict.Verdict{Kind: verdict.Node, What: call.ID, On: call.Set, By: call.By, Reason: call.Reason,
+		Span: call.Duration.Microseconds()}
+	if call.Prefix.IsValid() {
+		v.Kind, v.What = verdict.Prefix, call.Prefix.Masked().String()
+		if call.Pin {
 			v.Word = verdict.Pin
 		}
-	} else if c.Out && !d.k.core.Knows(core.ServerID(c.ID), within) {
+	} else if call.Set && !a.k.core.IsListed(core.ServerID(call.ID), within) {
 		return nil, false, admin.ErrUnknown
 	}
-	s, err := d.k.fleet.Say(v, within, c.Wait)
+	status, err := a.k.fleet.IssueVerdict(v, within, call.Wait)
 	switch {
-	case errors.Is(err, fleet.ErrLate):
-		err = admin.ErrLate
-	case errors.Is(err, fleet.ErrNothing):
+	case errors.Is(err, fleet.ErrTimeout):
+		err = admin.ErrTimeout
+	case errors.Is(err, fleet.ErrNoVerdict):
 		err = admin.ErrUnknown
-	case errors.Is(err, verdict.ErrForm):
-		err = admin.ErrForm
+	case errors.Is(err, verdict.ErrInvalid):
+		err = admin.ErrTooLong
 	}
-	return s, len(s.Missing) == 0, err
+	return status, len(status.Missing) == 0, err
 }
 
-// Overload is what the fleet turns away as one; nil where there is no fleet.
-func (d doorState) Overload() any {
-	if d.k.fleet == nil {
+// Overload returns what the fleet sheds as a whole, or nil without a fleet.
+func (a adminState) Overload() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Overload()
+	return a.k.fleet.Overload()
 }
 
-// Limits are this member's shares of the fleet's limits; nil where there is no fleet.
-func (d doorState) Limits() any {
-	if d.k.fleet == nil {
+// Limits returns this member's shares of the fleet's limits, or nil without a fleet.
+func (a adminState) Limits() any {
+	if a.k.fleet == nil {
 		return nil
 	}
-	return d.k.fleet.Limits()
+	return a.k.fleet.Limits()
 }
 
-// gate is a keeper in the door's terms.
-type gate struct{ *lnet.Keeper }
+// adminAdmission adapts an admission controller to the admin endpoint.
+type adminAdmission struct{ *lnet.AdmissionController }
 
-// Figures are what the door shows.
-func (g gate) Figures(n int) any { return g.Keeper.Figures(n) }
+// Stats returns the statistics that the admin endpoint shows.
+func (a adminAdmission) Stats(n int) any { return a.AdmissionController.Stats(n) }
 
-// Cordon puts a data node out or back.
-func (d doorState) Cordon(id string, out bool, within time.Duration) error {
-	known, inTime := d.k.core.Cordon(core.ServerID(id), out, within)
+// Cordon cordons or uncordons a data node.
+func (a adminState) Cordon(id string, cordoned bool, within time.Duration) error {
+	known, inTime := a.k.core.Cordon(core.ServerID(id), cordoned, within)
 	if known {
-		d.k.upgrade.pass(core.ServerID(id), core.Here, out)
+		a.k.upgrade.forwardCordon(core.ServerID(id), core.ByOperator, cordoned)
 	}
 	switch {
 	case !inTime:
-		return admin.ErrLate
+		return admin.ErrTimeout
 	case !known:
 		return admin.ErrUnknown
 	}
 	return nil
 }
 
-// Reload takes in a configuration that was read anew: the settings, and discovery's address, to where the
-// watch moves at once and begins with the whole list. Queries and known nodes stay. What else differs is
-// named in the log and takes a restart. Of a file that lacks something nothing is taken. It must not be
-// called from two goroutines at once.
+// Reload takes in a configuration that was read again: the settings, and discovery's address, to which the
+// watch moves at once, starting with the full list. Queries and known nodes stay. Other differences are
+// named in the log and take a restart. A file that lacks a key is rejected as a whole. Reload must not be
+// called from two goroutines at the same time.
 func (k *Coordinator) Reload(cfg *Config) error {
 	k.mu.Lock()
-	watched := k.conf.Discovery != "" // else there is no watch: the range-query front runs alone
-	fresh, kept, err := cfg.after(k.conf, time.Now())
+	watched := k.current.Discovery != "" // otherwise there is no watch: the range-query front runs alone
+	merged, needRestart, err := cfg.reloadOver(k.current, time.Now())
 	if err == nil {
-		k.conf = fresh
-		k.settle()
-		for _, name := range fresh.Classes {
+		k.current = merged
+		k.postSettings()
+		for _, name := range merged.Classes {
 			k.core.Counts().Class(name)
 		}
-		k.nodes.conf.Store(fresh)
-		k.front.conf.Store(fresh)
+		k.nodes.cfg.Store(merged)
+		k.front.cfg.Store(merged)
 	}
 	k.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	for _, x := range k.extras {
-		x.Settle(fresh.Module)
-		if c, ok := x.(interface{ Conform(*Config) }); ok {
-			c.Conform(fresh)
+		x.ApplySettings(merged.Module)
+		if f, ok := x.(interface{ Conform(*Config) }); ok {
+			f.Conform(merged)
 		}
 	}
-	for _, name := range kept {
+	for _, name := range needRestart {
 		k.log.Warn("a change of the configuration takes a restart", "field", name)
 	}
-	if k.fleet != nil && fresh.Fleet != nil {
-		for _, name := range k.fleet.Configure(fresh.Fleet) {
+	if k.fleet != nil && merged.Fleet != nil {
+		for _, name := range k.fleet.Configure(merged.Fleet) {
 			k.log.Warn("a change of the configuration takes a restart", "field", name)
 		}
 	}
 	if watched {
-		k.watcher.moveTo(fresh.Discovery)
+		k.watcher.moveTo(merged.Discovery)
 	}
-	k.core.Counts().Applied.Add(1)
-	k.log.Info("configuration reloaded", "discovery", fresh.Discovery, "classes", cfg.Classes)
+	k.core.Counts().ConfigsApplied.Add(1)
+	k.log.Info("configuration reloaded", "discovery", merged.Discovery, "classes", cfg.Classes)
 	return nil
 }
 
-// settle tells the core of the settings in force; the caller holds mu. While two processes serve, each gives
-// a cold node half: what the module keeps to is this coordinator's share, and the two are one.
-func (k *Coordinator) settle() {
-	s := k.conf.Module
-	if k.halved {
+// postSettings sends the settings in force to the core. The caller holds mu. While two processes serve,
+// each gives a cold node half of its share: the module's limit applies to the coordinator, and both
+// processes together are one coordinator.
+func (k *Coordinator) postSettings() {
+	s := k.current.Module
+	if k.sharing {
 		s.ColdShare /= 2
 	}
-	k.core.Post(core.Reconfigured{Settings: s})
+	k.core.Post(core.SettingsChanged{Settings: s})
 }
 
-// halve begins or ends the time in which two processes serve.
-func (k *Coordinator) halve(on bool) {
+// setSharing begins or ends the time in which two processes serve.
+func (k *Coordinator) setSharing(on bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if on != k.halved {
-		k.halved = on
-		k.settle()
+	if on != k.sharing {
+		k.sharing = on
+		k.postSettings()
 	}
 }
 
-// Reject tells that a configuration was turned down: the old one stays, whole.
-func (k *Coordinator) Reject(err error) {
-	k.core.Counts().Rejected.Add(1)
+// RejectConfig records that a configuration was rejected. The old one stays in force as a whole.
+func (k *Coordinator) RejectConfig(err error) {
+	k.core.Counts().ConfigsRejected.Add(1)
 	k.log.Error("configuration not reloaded: the old one stays", "err", err)
 }
 
-// Shutdown ends in order: not ready any more; then, once the clients have gone elsewhere or time is short, no
-// new connections or requests; everything that was taken is answered, and then the end. Until then clients
-// that have no coordinator to go to, as the others may be starting anew just now, are served as ever.
+// Shutdown ends the process in order: it reports "not ready"; once clients have moved to other
+// coordinators, or when time runs short, it accepts no new connections and requests; it answers everything
+// that was accepted, and ends. Until then, clients that have no other coordinator (the others may be
+// restarting at the same time) are served as before.
 func (k *Coordinator) Shutdown() {
-	begun := time.Now()
-	handed := k.upgrade.handedOver()
-	k.log.Info("ending", "successor", handed)
-	k.ending.Store(true)
-	if !handed { // else the coordinator is there as ever, whichever process is asked
+	start := time.Now()
+	handedOver := k.upgrade.handedOver()
+	k.log.Info("ending", "successor", handedOver)
+	k.shuttingDown.Store(true)
+	if !handedOver { // otherwise the coordinator stays available, whichever of its processes is asked
 		k.front.ready.Store(false)
 	}
-	var ends []ender
+	var drainers []drainer
 	if k.server != nil {
-		ends = append(ends, platformEnd{k.server})
+		drainers = append(drainers, platformFront{k.server})
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			ends = append(ends, x)
+			drainers = append(drainers, x)
 		}
 	}
-	for _, x := range ends {
-		x.Retire()
+	for _, x := range drainers {
+		x.MarkNotReady()
 	}
 	k.mu.Lock()
-	answerOn, endingLimit := k.conf.ending()
+	answerLimit, exitLimit := k.current.shutdownTimes()
 	k.mu.Unlock()
-	idle := k.core.Finish(begun.Add(answerOn))
-	if !handed {
-		time.Sleep(acceptOn)
-		for used := true; used && !k.upgrade.handedOver() && time.Since(begun) < answerOn-serveLeast; {
-			used = false
-			for _, x := range ends {
-				used = used || time.Since(x.LastRequest()) < quietOn
+	queriesDone := k.core.Shutdown(start.Add(answerLimit))
+	if !handedOver {
+		time.Sleep(acceptGrace)
+		for inUse := true; inUse && !k.upgrade.handedOver() && time.Since(start) < answerLimit-finalReplyTime; {
+			inUse = false
+			for _, x := range drainers {
+				inUse = inUse || time.Since(x.LastRequest()) < quietPeriod
 			}
-			if used {
-				time.Sleep(quietOn / 10)
+			if inUse {
+				time.Sleep(quietPeriod / 10)
 			}
 		}
 	}
-	if k.upgrade.handedOver() { // before the end was asked for, or since
-		if !handed {
-			k.log.Info("a successor serves now")
+	if k.upgrade.handedOver() { // before the shutdown began, or since
+		if !handedOver {
+			k.log.Info("a successor serves: redirecting clients to it")
 			k.front.ready.Store(true)
 		}
-		k.lead(ends, begun.Add(answerOn-lastReply))
+		k.redirectClients(drainers, start.Add(answerLimit-handoverReplyTime))
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.StopListening()
-		x.Finish()
+		x.Drain()
 	}
 	select {
-	case <-idle:
-	case <-time.After(time.Until(begun.Add(endingLimit))):
-		k.log.Error("ended with queries open")
+	case <-queriesDone:
+	case <-time.After(time.Until(start.Add(exitLimit))):
+		k.log.Error("shutdown time is over with queries still open")
 	}
-	for _, x := range ends {
-		x.Wait(max(50*time.Millisecond, time.Until(begun.Add(endingLimit))))
+	for _, x := range drainers {
+		x.Wait(max(50*time.Millisecond, time.Until(start.Add(exitLimit))))
 	}
-	if !k.upgrade.handedOver() { // else the successor is the member, since whenever
-		k.leaveFleet(begun.Add(endingLimit))
+	if !k.upgrade.handedOver() { // otherwise the successor is the fleet's member
+		k.leaveFleet(start.Add(exitLimit))
 	}
-	k.halt()
-	k.log.Info("ended", "took", time.Since(begun))
+	k.stopAll()
+	k.log.Info("ended", "took", time.Since(start))
 }
 
-// lead has clients go over to the successor: the next reply on a connection ends it. An idle one stays open
-// up to the time given, as a request may be on its way, and closing would cross it.
-func (k *Coordinator) lead(ends []ender, until time.Time) {
+// redirectClients moves clients to the successor: the next reply on a connection ends it. An idle
+// connection stays open until the given time, as a request may be in transit and closing would cross it.
+func (k *Coordinator) redirectClients(drainers []drainer, until time.Time) {
 	if k.peers != nil {
-		_ = k.peers.c.Close() // what comes now is for the successor
+		_ = k.peers.conn.Close() // datagrams are for the successor from now on
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.StopListening()
-		x.Wind()
+		x.CloseAfterReply()
 	}
-	for _, x := range ends {
+	for _, x := range drainers {
 		x.Wait(max(0, time.Until(until)))
 	}
 }
 
-// ending is when all must be answered after SIGTERM, and when the program ends. It is killed after the
-// longest deadline, or 3 s where that is longer, and 0.7 s.
-func (c *Config) ending() (answerOn, limit time.Duration) {
+// shutdownTimes returns how long after SIGTERM everything must be answered and when the program ends. It is
+// killed 0.7 s after the longest deadline, which counts as 3 s at most.
+func (c *Config) shutdownTimes() (answerLimit, exitLimit time.Duration) {
 	longest := time.Duration(0)
 	for _, x := range c.Module.Classes {
 		longest = max(longest, time.Duration(x.Deadline)*time.Microsecond)
 	}
-	killed := min(longest, 3*time.Second) + 700*time.Millisecond
-	return killed - 500*time.Millisecond, killed - 200*time.Millisecond
+	killLimit := min(longest, 3*time.Second) + 700*time.Millisecond
+	return killLimit - 500*time.Millisecond, killLimit - 200*time.Millisecond
 }
 
-// platformEnd is the platform's front as far as ending goes; /up says by itself that it is not ready.
-type platformEnd struct{ *lnet.Server }
+// platformFront is the platform's front as a drainer. /up reports "not ready" without its help.
+type platformFront struct{ *lnet.Server }
 
-// Retire has nothing left to do.
-func (platformEnd) Retire() {}
+// MarkNotReady does nothing.
+func (platformFront) MarkNotReady() {}
 
-// Close ends at once, as a test wants it.
+// Close ends the coordinator at once, for tests.
 func (k *Coordinator) Close() {
 	if k.server != nil {
-		k.server.Finish()
+		k.server.Drain()
 		k.server.StopListening()
 	}
 	for _, x := range k.extras {
 		if k.accepting.Load() {
-			x.Finish()
+			x.Drain()
 			x.StopListening()
 		}
 	}
-	k.halt()
+	k.stopAll()
 }
 
-// halt ends the goroutines that are not connections.
-func (k *Coordinator) halt() {
-	k.halted.Do(func() {
+// stopAll ends the goroutines that don't belong to connections.
+func (k *Coordinator) stopAll() {
+	k.stopOnce.Do(func() {
 		close(k.stop)
 		k.upgrade.close()
-		if k.door != nil {
-			k.door.Close()
+		if k.adminServer != nil {
+			k.adminServer.Close()
 		}
 		k.core.Close()
 		if k.fleet != nil {
 			k.fleet.Close()
 		}
 		if k.peers != nil {
-			_ = k.peers.c.Close()
+			_ = k.peers.conn.Close()
 		}
 	})
 }
 
-// peers carries datagrams between coordinators.
-type peers struct {
-	cfg  *Config
-	log  *slog.Logger
-	post func(core.Event)
-	c    *net.UDPConn
-	to   []*net.UDPAddr
-	all  *net.UDPAddr
-	out  chan datagram
-	from map[string]uint32
+// peerSocket exchanges datagrams with other coordinators.
+type peerSocket struct {
+	cfg         *Config
+	log         *slog.Logger
+	post        func(core.Event)
+	conn        *net.UDPConn
+	addrs       []*net.UDPAddr
+	allAddr     *net.UDPAddr
+	out         chan datagram
+	peerNumbers map[string]uint32
 }
 
 type datagram struct {
@@ -632,46 +644,48 @@
 	text string
 }
 
-func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event), h *inheritance) (*peers, error) {
-	p := &peers{cfg: cfg, log: log, post: post, out: make(chan datagram, 64), from: map[string]uint32{}}
+func listenPeers(cfg *Config, log *slog.Logger, post func(core.Event),
+	received *receivedSockets) (*peerSocket, error) {
+	p := &peerSocket{cfg: cfg, log: log, post: post, out: make(chan datagram, 64),
+		peerNumbers: map[string]uint32{}}
 	var err error
 	for i, text := range cfg.Peers {
 		a, err := net.ResolveUDPAddr("udp", text)
 		if err != nil {
 			return nil, fmt.Errorf("peers: %w", err)
 		}
-		p.to = append(p.to, a)
-		p.from[a.String()] = uint32(i)
+		p.addrs = append(p.addrs, a)
+		p.peerNumbers[a.String()] = uint32(i)
 	}
 	if cfg.PeersAll != "" {
-		if p.all, err = net.ResolveUDPAddr("udp", cfg.PeersAll); err != nil {
+		if p.allAddr, err = net.ResolveUDPAddr("udp", cfg.PeersAll); err != nil {
 			return nil, fmt.Errorf("peers_all: %w", err)
 		}
 	}
-	if h != nil && h.peers != nil {
-		p.c = h.peers
+	if received != nil && received.peers != nil {
+		p.conn = received.peers
 		return p, nil
 	}
 	c, err := lnet.ListenPacket(cfg.PeerListen)
 	if err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
 	}
-	p.c = c
+	p.conn = c
 	return p, nil
 }
 
-// Tell queues a datagram; where the queue is full it is lost, as any may be.
-func (p *peers) Tell(to uint32, text string) {
-	if len(text) == 0 || len(text) > maxDatagram { // a longer one is forbidden
-		p.log.Error("a message to a peer has an impossible length", "bytes", len(text))
+// Tell queues a datagram, or drops it where the queue is full: any datagram may be lost.
+func (p *peerSocket) Tell(peer uint32, text string) {
+	if len(text) == 0 || len(text) > maxDatagram { // the platform forbids longer ones
+		p.log.Error("message to a peer is empty or too long", "bytes", len(text))
 		return
 	}
-	addr := p.all
-	if to != balance.AllPeers {
-		if int64(to) >= int64(len(p.to)) || int(to) == p.cfg.Module.Number {
+	addr := p.allAddr
+	if peer != balance.AllPeers {
+		if int64(peer) >= int64(len(p.addrs)) || int(peer) == p.cfg.Module.Number {
 			return
 		}
-		addr = p.to[to]
+		addr = p.addrs[peer]
 	}
 	if addr == nil {
 		return
@@ -682,32 +696,32 @@
 	}
 }
 
-func (p *peers) write() {
+func (p *peerSocket) write() {
 	for d := range p.out {
-		if _, err := p.c.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
+		if _, err := p.conn.WriteToUDP([]byte(d.text), d.to); errors.Is(err, net.ErrClosed) {
 			return
 		}
 	}
 }
 
-func (p *peers) read() {
+func (p *peerSocket) read() {
 	buf := make([]byte, maxDatagram+1)
 	for {
-		n, from, err := p.c.ReadFromUDP(buf)
+		n, from, err := p.conn.ReadFromUDP(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
 			continue
 		}
-		who, known := p.from[from.String()]
-		if known && int(who) == p.cfg.Module.Number {
-			continue // our own word to all
+		peer, known := p.peerNumbers[from.String()]
+		if known && int(peer) == p.cfg.Module.Number {
+			continue // our own broadcast
 		}
 		if !known || n > maxDatagram {
-			p.log.Warn("bad datagram", "from", from, "bytes", n)
+			p.log.Warn("datagram from an unknown sender or too long", "from", from, "bytes", n)
 			continue
 		}
-		p.post(core.PeerMessage{From: who, Data: append([]byte(nil), buf[:n]...)})
+		p.post(core.PeerMessage{From: peer, Data: append([]byte(nil), buf[:n]...)})
 	}
 }
--- a/internal/platform/upgrade.go
+++ b/internal/platform/upgrade.go
@@ -1,9 +1,9 @@
 package platform
 
 // The upgrade: a new process takes over from one that still serves, over a Unix socket in the platform's
-// temporary directory. This file owns the link between the two, what is said on it and how descriptors and
-// memory are shared out for that time. It must never hold a query's state or keep a process from serving:
-// whatever fails here is logged, and the coordinator starts or goes on without it.
+// temporary directory. This file defines the link between the two, the messages on it, and how they share
+// descriptors and memory in the meantime. It must never hold a query's state or keep a process from
+// serving: failures are logged, and the coordinator starts or continues without the takeover.
 
 import (
 	"bufio"
@@ -31,126 +31,127 @@
 )
 
 const (
-	linkWait     = time.Second            // for the other side's first words
-	linkTries    = 3                      // to be heard by it
-	linkQueue    = 64                     // words that wait for the other side
-	shareEvery   = 100 * time.Millisecond // between looks at what the old process still holds
-	listWait     = 2 * time.Second        // for discovery's list, before a successor serves by what it was told
-	endingSpare  = 8                      // descriptors that a process may always take
-	leastSpare   = 4                      // for clients that are refused, of each of two processes
-	leastSockets = 20 + leastSpare        // of each, beside clients, nodes and operators
-	memoryPart   = 6                      // tenths of the memory that the heap may take
+	linkTimeout       = time.Second            // for the other side's first message
+	linkAttempts      = 3                      // dials before a start gives up
+	linkQueue         = 64                     // messages that wait for the other side
+	shareInterval     = 100 * time.Millisecond // between looks at what the old process still holds
+	listTimeout       = 2 * time.Second        // for discovery's list, before a successor serves without it
+	minOwnShare       = 8                      // descriptors that each process may always hold
+	minRefusalSockets = 4                      // for clients that are refused, in each of the two processes
+	minSockets        = 20 + minRefusalSockets // of each process, apart from clients, nodes and operators
+	heapTenths        = 6                      // tenths of the memory limit that the heap may use
 )
 
-// word is one line on the link. The first one of each side is its greeting; the old process's carries the
-// sockets beside it.
-type word struct {
-	Listen  string                               `json:"listen,omitempty"`  // new: the addresses that it wants
-	Peers   string                               `json:"peers,omitempty"`   //
-	Sockets []string                             `json:"sockets,omitempty"` // old: the sockets that come along
-	Out     map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: what is out, since when
-	Barred  map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: the same by the whole fleet
-	Since   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: and back
-	Memory  balance.Memory                       `json:"memory"`            // old: what its module hands over
-	Now     balance.Micros                       `json:"now,omitempty"`     // old: what its module's clock reads
-	Most    int                                  `json:"most,omitempty"`    // old: descriptors for the new one
-	Ready   bool                                 `json:"ready,omitempty"`   // new: it is about to serve
-	Heard   bool                                 `json:"heard,omitempty"`   // old: it knows that
-	Cordon  *cordonWord                          `json:"cordon,omitempty"`  // both: an operator's call
-	Fleet   *fleet.Handover                      `json:"fleet,omitempty"`   // old: where it stands in the fleet
-}
-
-type cordonWord struct {
-	Server balance.ReplicaID `json:"server"`
-	Out    bool              `json:"out"`
-	By     core.Author       `json:"by,omitempty"`
-	At     balance.Micros    `json:"at"`
-}
-
-// link is one end of the connection between an old process and a new one. What is said on it is queued until
-// the greetings are over, and nobody waits for the other side.
+// linkMessage is one line on the link; "old" and "new" name the process that sends the field. Each side's
+// first message is its hello; the old process's hello carries the sockets as ancillary data.
+type linkMessage struct {
+	Listen       string                               `json:"listen,omitempty"`  // new: address that it wants
+	Peers        string                               `json:"peers,omitempty"`   // new: and the one for peers
+	Sockets      []string                             `json:"sockets,omitempty"` // old: sockets sent with it
+	Cordons      map[balance.ReplicaID]balance.Micros `json:"out,omitempty"`     // old: cordons, and since when
+	FleetCordons map[balance.ReplicaID]balance.Micros `json:"barred,omitempty"`  // old: fleet-wide cordons
+	RestoredAt   map[balance.ReplicaID]balance.Micros `json:"since,omitempty"`   // old: when nodes were restored
+	Memory       balance.Memory                       `json:"memory"`            // old: its module's memory
+	Clock        balance.Micros                       `json:"now,omitempty"`     // old: its module's clock
+	MaxSockets   int                                  `json:"most,omitempty"`    // old: descriptors for the new
+	Ready        bool                                 `json:"ready,omitempty"`   // new: it is about to serve
+	Acknowledged bool                                 `json:"heard,omitempty"`   // old: acknowledges that
+	Cordon       *cordonMessage                       `json:"cordon,omitempty"`  // both: an operator's call
+	Fleet        *fleet.Handover                      `json:"fleet,omitempty"`   // old: its state in the fleet
+}
+
+type cordonMessage struct {
+	Server   balance.ReplicaID `json:"server"`
+	Cordoned bool              `json:"out"`
+	Source   core.CordonSource `json:"by,omitempty"`
+	At       balance.Micros    `json:"at"`
+}
+
+// link is one end of the connection between an old process and a new one. Messages are queued until the
+// hellos are exchanged, and nobody waits for the other side.
 type link struct {
-	c    *net.UnixConn
-	in   *bufio.Reader
-	out  chan word
-	over chan struct{} // closed with the connection
-	once sync.Once
-	log  *slog.Logger
+	conn      *net.UnixConn
+	reader    *bufio.Reader
+	queue     chan linkMessage
+	closed    chan struct{} // closed with the connection
+	closeOnce sync.Once
+	log       *slog.Logger
 }
 
 func newLink(c *net.UnixConn, log *slog.Logger) *link {
-	return &link{c: c, in: bufio.NewReader(c), out: make(chan word, linkQueue), over: make(chan struct{}),
-		log: log}
+	return &link{conn: c, reader: bufio.NewReader(c), queue: make(chan linkMessage, linkQueue),
+		closed: make(chan struct{}), log: log}
 }
 
 // close ends the link.
-func (l *link) close() { l.once.Do(func() { close(l.over); _ = l.c.Close() }) }
+func (l *link) close() { l.closeOnce.Do(func() { close(l.closed); _ = l.conn.Close() }) }
 
-// say queues a word.
-func (l *link) say(w word) {
+// send queues a message.
+func (l *link) send(msg linkMessage) {
 	select {
-	case l.out <- w:
+	case l.queue <- msg:
 	default:
-		l.log.Error("the other process of the upgrade does not listen")
+		l.log.Error("upgrade: the other process does not read: message dropped")
 	}
 }
 
-// talk writes what is said.
-func (l *link) talk() {
+// writeLoop writes the queued messages.
+func (l *link) writeLoop() {
 	for {
 		select {
-		case w := <-l.out:
-			if err := l.write(w); err != nil {
-				l.log.Warn("the other process of the upgrade does not listen", "err", err)
+		case msg := <-l.queue:
+			if err := l.writeMessage(msg); err != nil {
+				l.log.Warn("upgrade: a message to the other process could not be written", "err", err)
 			}
-		case <-l.over:
+		case <-l.closed:
 			return
 		}
 	}
 }
 
-// write writes a word, with descriptors beside it if any are given.
-func (l *link) write(w word, fds ...int) error {
-	b, err := json.Marshal(w)
+// writeMessage writes a message, with the given descriptors as ancillary data.
+func (l *link) writeMessage(msg linkMessage, fds ...int) error {
+	b, err := json.Marshal(msg)
 	if err != nil {
 		return err
 	}
 	b = append(b, '\n')
-	_ = l.c.SetWriteDeadline(time.Now().Add(linkWait))
+	_ = l.conn.SetWriteDeadline(time.Now().Add(linkTimeout))
 	var oob []byte
 	if len(fds) > 0 {
 		oob = unix.UnixRights(fds...)
 	}
-	n, _, err := l.c.WriteMsgUnix(b, oob, nil)
+	n, _, err := l.conn.WriteMsgUnix(b, oob, nil)
 	if err == nil && n < len(b) {
-		_, err = l.c.Write(b[n:])
+		_, err = l.conn.Write(b[n:])
 	}
 	return err
 }
 
-// hear reads words until the other side is gone.
-func (l *link) hear(f func(word)) {
+// readLoop reads messages until the other side closes the link.
+func (l *link) readLoop(handle func(linkMessage)) {
 	for {
-		w, err := l.next()
+		msg, err := l.readMessage()
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				l.log.Warn("the link of the upgrade ended", "err", err)
+				l.log.Warn("upgrade: the link to the other process failed", "err", err)
 			}
 			return
 		}
-		f(w)
+		handle(msg)
 	}
 }
 
-func (l *link) next() (w word, err error) {
-	line, err := l.in.ReadBytes('\n')
+func (l *link) readMessage() (msg linkMessage, err error) {
+	line, err := l.reader.ReadBytes('\n')
 	if err != nil {
-		return w, err
+		return msg, err
 	}
-	return w, json.Unmarshal(line, &w)
+	return msg, json.Unmarshal(line, &msg)
 }
 
-// socketPath is where the process that serves an address can be asked for its sockets; empty: nowhere.
+// socketPath returns the path of the Unix socket on which the process that serves an address can be asked
+// for its sockets. It is empty where there is none.
 func socketPath(cfg *Config) string {
 	if cfg.TempDir == "" || cfg.Listen == "" || strings.HasSuffix(cfg.Listen, ":0") {
 		return ""
@@ -159,19 +160,20 @@
 		".sock")
 }
 
-// inheritance is what a new process gets from the one that it takes over from.
-type inheritance struct {
+// receivedSockets is what a new process receives from the one that it takes over from.
+type receivedSockets struct {
 	link     *link
-	greeting word
+	hello    linkMessage
 	listener net.Listener
 	peers    *net.UDPConn
 	fleet    *net.UDPConn
 }
 
-// inherit asks the process that serves, if there is one, for its sockets, and tells whether one is there. A
-// socket file that nobody listens at is left over from one that died; it says nothing. One that is there but
-// does not answer is asked again: without its word a coordinator would forget what operators have put out.
-func inherit(cfg *Config, log *slog.Logger) (h *inheritance, there bool) {
+// requestSockets asks the process that serves, if there is one, for its sockets, and reports whether there
+// is one. A socket file that nobody listens on is a leftover of a process that died. A process that
+// listens but does not answer is asked again: without its hello the coordinator would forget the
+// operators' cordons.
+func requestSockets(cfg *Config, log *slog.Logger) (received *receivedSockets, exists bool) {
 	path := socketPath(cfg)
 	if path == "" {
 		return nil, false
@@ -179,39 +181,39 @@
 	if _, err := os.Lstat(path); errors.Is(err, fs.ErrNotExist) {
 		return nil, false
 	}
-	for range linkTries {
-		c, err := net.DialTimeout("unix", path, linkWait)
+	for range linkAttempts {
+		c, err := net.DialTimeout("unix", path, linkTimeout)
 		if err != nil {
-			log.Info("no process to take over from", "err", err)
-			return nil, there
+			log.Info("upgrade: there is no process to take over from", "err", err)
+			return nil, exists
 		}
-		there = true
-		h = &inheritance{link: newLink(c.(*net.UnixConn), log)}
-		if err = h.receive(cfg); err == nil {
-			log.Info("taking over", "sockets", h.greeting.Sockets, "out", len(h.greeting.Out), "most",
-				h.greeting.Most)
-			return h, true
+		exists = true
+		received = &receivedSockets{link: newLink(c.(*net.UnixConn), log)}
+		if err = received.receive(cfg); err == nil {
+			log.Info("upgrade: taking over", "sockets", received.hello.Sockets, "out", len(received.hello.Cordons),
+				"most", received.hello.MaxSockets)
+			return received, true
 		}
-		log.Warn("nothing taken over yet", "err", err)
-		h.drop()
+		log.Warn("upgrade: the sockets were not received", "err", err)
+		received.discard()
 	}
-	log.Error("nothing taken over: starting beside the old process")
+	log.Error("upgrade: takeover failed: starting beside the old process")
 	return nil, true
 }
 
-// receive says who asks and takes the old process's greeting with the sockets.
-func (h *inheritance) receive(cfg *Config) error {
-	if err := h.link.write(word{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
+// receive sends this process's hello and reads the old process's hello with the sockets.
+func (r *receivedSockets) receive(cfg *Config) error {
+	if err := r.link.writeMessage(linkMessage{Listen: cfg.Listen, Peers: cfg.PeerListen}); err != nil {
 		return err
 	}
-	_ = h.link.c.SetReadDeadline(time.Now().Add(linkWait))
+	_ = r.link.conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	text, oob := make([]byte, 4096), make([]byte, unix.CmsgSpace(3*4))
-	n, oobn, _, _, err := h.link.c.ReadMsgUnix(text, oob)
+	n, oobn, _, _, err := r.link.conn.ReadMsgUnix(text, oob)
 	if err != nil {
 		return err
 	}
-	h.link.in = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), h.link.c))
-	files, err := received(oob[:oobn])
+	r.link.reader = bufio.NewReader(io.MultiReader(strings.NewReader(string(text[:n])), r.link.conn))
+	files, err := receivedFiles(oob[:oobn])
 	defer func() {
 		for _, f := range files {
 			_ = f.Close()
@@ -220,37 +222,37 @@
 	if err != nil {
 		return err
 	}
-	if h.greeting, err = h.link.next(); err != nil {
+	if r.hello, err = r.link.readMessage(); err != nil {
 		return err
 	}
-	_ = h.link.c.SetReadDeadline(time.Time{})
-	if len(files) != len(h.greeting.Sockets) {
-		return fmt.Errorf("%d sockets came, not %d", len(files), len(h.greeting.Sockets))
+	_ = r.link.conn.SetReadDeadline(time.Time{})
+	if len(files) != len(r.hello.Sockets) {
+		return fmt.Errorf("received %d sockets, expected %d", len(files), len(r.hello.Sockets))
 	}
-	for i, what := range h.greeting.Sockets {
+	for i, what := range r.hello.Sockets {
 		switch what {
 		case "listen":
-			if h.listener, err = net.FileListener(files[i]); err != nil {
+			if r.listener, err = net.FileListener(files[i]); err != nil {
 				return err
 			}
 		case "peers":
-			if h.peers, err = datagrams(files[i]); err != nil {
+			if r.peers, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		case "fleet":
-			if h.fleet, err = datagrams(files[i]); err != nil {
+			if r.fleet, err = packetConn(files[i]); err != nil {
 				return err
 			}
 		}
 	}
-	if h.listener == nil {
-		return errors.New("no listener came")
+	if r.listener == nil {
+		return errors.New("received no listener")
 	}
 	return nil
 }
 
-// datagrams is the socket that a file holds.
-func datagrams(f *os.File) (*net.UDPConn, error) {
+// packetConn returns the UDP socket that a file holds.
+func packetConn(f *os.File) (*net.UDPConn, error) {
 	p, err := net.FilePacketConn(f)
 	if err != nil {
 		return nil, err
@@ -258,13 +260,13 @@
 	u, ok := p.(*net.UDPConn)
 	if !ok {
 		_ = p.Close()
-		return nil, errors.New("a socket came that is none for datagrams")
+		return nil, errors.New("received a socket that is not a UDP socket")
 	}
 	return u, nil
 }
 
-// received are the files that came beside a message.
-func received(oob []byte) (files []*os.File, err error) {
+// receivedFiles returns the files that came with a message as ancillary data.
+func receivedFiles(oob []byte) (files []*os.File, err error) {
 	msgs, err := unix.ParseSocketControlMessage(oob)
 	if err != nil {
 		return nil, err
@@ -282,105 +284,106 @@
 	return files, nil
 }
 
-// drop gives back what was inherited, where nothing comes of it.
-func (h *inheritance) drop() {
-	if h.listener != nil {
-		_ = h.listener.Close()
+// discard closes the received sockets and the link after a takeover that failed.
+func (r *receivedSockets) discard() {
+	if r.listener != nil {
+		_ = r.listener.Close()
 	}
-	for _, c := range []*net.UDPConn{h.peers, h.fleet} {
+	for _, c := range []*net.UDPConn{r.peers, r.fleet} {
 		if c != nil {
 			_ = c.Close()
 		}
 	}
-	h.link.close()
+	r.link.close()
 }
 
-// upgrade is a coordinator's part in taking over and in being taken over from.
+// upgrade handles the takeover from a predecessor and the handover to a successor.
 type upgrade struct {
-	k      *Coordinator
-	path   string
-	budget *lnet.Budget
-	all    int                  // descriptors for clients and nodes, while there is one process
-	place  chan *fleet.Handover // the old process's in the fleet; nil: none is to be taken over
-	heard  chan struct{}        // the old process's word that it knows of this one
+	k            *Coordinator
+	socketPath   string
+	budget       *lnet.Budget
+	fullBudget   int                  // descriptors for clients and nodes while there is one process
+	fleetState   chan *fleet.Handover // receives the predecessor's state in the fleet; nil: none to take over
+	acknowledged chan struct{}        // receives when the predecessor knows of this process
 
-	limiting sync.Mutex // has one at a time bound this process, so that what was found last holds
+	limitMu sync.Mutex // serializes applyLimits, so that the last computed limits hold
 
-	mu        sync.Mutex // guards all below
-	asked     *net.UnixListener
-	old       *link // while this process takes over
-	given     int   // descriptors that the old process leaves to this one, and to whoever follows it
-	successor *link // while another one takes over from this one
-	mine      int   // descriptors that are not for the successor
-	serves    bool  // the successor does
-	closed    bool
+	mu              sync.Mutex // guards all below
+	listener        *net.UnixListener
+	predecessor     *link // set while this process takes over
+	granted         int   // descriptors that the predecessor grants to this process and its successors
+	successor       *link // set while another process takes over from this one
+	ownShare        int   // descriptors that the successor must not use
+	successorServes bool
+	closed          bool
 }
 
-// shared is what two processes may take together for clients and nodes.
-func (u *upgrade) shared() int {
-	return max(4*endingSpare, u.k.cfg.Limits.Sockets-2*(leastSockets+u.k.doorSockets()+u.k.cfg.fleetSockets()))
+// sharedBudget returns how many descriptors two processes may hold together for clients and nodes.
+func (u *upgrade) sharedBudget() int {
+	return max(4*minOwnShare, u.k.cfg.Limits.Sockets-2*(minSockets+u.k.adminSockets()+u.k.cfg.fleetSockets()))
 }
 
-// whole is what this process and its successor may take together: what the one before it leaves them, where
-// that is still there. The caller holds mu.
-func (u *upgrade) whole() int {
-	if u.old != nil {
-		return u.given
+// available returns how many descriptors this process and its successor may hold together: what the
+// predecessor grants them while it exists. The caller holds mu.
+func (u *upgrade) available() int {
+	if u.predecessor != nil {
+		return u.granted
 	}
-	return u.shared()
+	return u.sharedBudget()
 }
 
-// limit bounds this process's descriptors and, while there are others, its memory and what it gives cold
-// nodes, by who is there now.
-func (u *upgrade) limit() {
-	u.limiting.Lock()
-	defer u.limiting.Unlock()
+// applyLimits bounds this process's descriptors, depending on which other processes exist. While others
+// exist it also halves the process's memory limit and its share of the load on cold nodes.
+func (u *upgrade) applyLimits() {
+	u.limitMu.Lock()
+	defer u.limitMu.Unlock()
 	u.mu.Lock()
-	most, alone := u.all, u.old == nil && u.successor == nil
+	sockets, alone := u.fullBudget, u.predecessor == nil && u.successor == nil
 	if !alone {
-		most = u.whole()
+		sockets = u.available()
 	}
 	if u.successor != nil {
-		most = min(most, u.mine)
+		sockets = min(sockets, u.ownShare)
 	}
 	u.mu.Unlock()
-	part, spare := int64(u.k.cfg.Limits.MemoryMB)<<20*memoryPart/10, lnet.SpareMost
+	memory, refusalSockets := int64(u.k.cfg.Limits.MemoryMB)<<20*heapTenths/10, lnet.MaxOverflow
 	if !alone {
-		part, spare = part/2, leastSpare
+		memory, refusalSockets = memory/2, minRefusalSockets
 	}
-	u.budget.Limit(most, most/nodeShare, spare)
-	debug.SetMemoryLimit(part)
-	u.k.halve(!alone)
+	u.budget.SetLimits(sockets, sockets/nodeSocketShare, refusalSockets)
+	debug.SetMemoryLimit(memory)
+	u.k.setSharing(!alone)
 }
 
-// listen makes the socket to ask at, in place of whatever is there: the last process that serves is the one
-// to ask. Nil: this process is over, or the socket is refused.
+// listen creates the socket that successors connect to. It replaces an existing one, as the last process
+// that serves is the one to ask. It returns nil once this process has ended, or where the socket cannot be
+// created.
 func (u *upgrade) listen() *net.UnixListener {
-	u.mu.Lock() // once close is through nothing is made any more
+	u.mu.Lock() // nothing is created after close
 	defer u.mu.Unlock()
-	if u.path == "" || u.closed {
+	if u.socketPath == "" || u.closed {
 		return nil
 	}
-	temp := fmt.Sprintf("%s.%d", u.path, os.Getpid())
+	temp := fmt.Sprintf("%s.%d", u.socketPath, os.Getpid())
 	_ = os.Remove(temp)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temp, Net: "unix"})
 	if err == nil {
 		l.SetUnlinkOnClose(false)
-		if err = os.Rename(temp, u.path); err != nil {
+		if err = os.Rename(temp, u.socketPath); err != nil {
 			_ = l.Close()
 		}
 	}
 	if err != nil {
 		_ = os.Remove(temp)
-		u.k.log.Info("no upgrade without a pause: the socket for it is refused", "err", err)
+		u.k.log.Info("upgrade: the socket could not be created: an upgrade will interrupt service", "err", err)
 		return nil
 	}
-	u.asked = l
+	u.listener = l
 	return l
 }
 
-// open lets a successor ask for the sockets.
-func (u *upgrade) open() {
+// acceptSuccessors lets a successor ask for the sockets.
+func (u *upgrade) acceptSuccessors() {
 	l := u.listen()
 	if l == nil {
 		return
@@ -390,157 +393,162 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors or the like: it passes
-			u.k.log.Warn("a successor could not be heard", "err", err)
-			time.Sleep(shareEvery)
+		if err != nil { // out of descriptors, for example: a temporary failure
+			u.k.log.Warn("upgrade: a successor's connection could not be accepted", "err", err)
+			time.Sleep(shareInterval)
 			continue
 		}
 		u.handOver(newLink(c, u.k.log))
 	}
 }
 
-// close ends this process's part.
+// close ends this process's part in upgrades.
 func (u *upgrade) close() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.closed = true
-	if u.asked != nil {
-		_ = u.asked.Close()
+	if u.listener != nil {
+		_ = u.listener.Close()
 	}
-	for _, l := range []*link{u.old, u.successor} {
+	for _, l := range []*link{u.predecessor, u.successor} {
 		if l != nil {
 			l.close()
 		}
 	}
 }
 
-// handOver serves one successor, until it is gone or this process is.
+// handOver serves one successor until either process ends.
 func (u *upgrade) handOver(l *link) {
 	defer l.close()
-	_ = l.c.SetReadDeadline(time.Now().Add(linkWait))
-	w, err := l.next()
-	if err != nil || w.Listen != u.k.cfg.Listen || w.Peers != u.k.cfg.PeerListen {
-		u.k.log.Warn("a process that asks for the sockets is no successor", "listen", w.Listen, "err", err)
+	_ = l.conn.SetReadDeadline(time.Now().Add(linkTimeout))
+	msg, err := l.readMessage()
+	if err != nil || msg.Listen != u.k.cfg.Listen || msg.Peers != u.k.cfg.PeerListen {
+		u.k.log.Warn("upgrade: the process that asks for the sockets is not a successor", "listen", msg.Listen,
+			"err", err)
 		return
 	}
-	_ = l.c.SetReadDeadline(time.Time{})
-	if err := u.greet(l); err != nil {
-		u.k.log.Warn("the sockets could not be handed over", "err", err)
+	_ = l.conn.SetReadDeadline(time.Time{})
+	if err := u.sendHello(l); err != nil {
+		u.k.log.Warn("upgrade: the sockets could not be sent", "err", err)
 		u.mu.Lock()
 		u.successor = nil
 		u.mu.Unlock()
-		u.limit()
+		u.applyLimits()
 		return
 	}
-	u.k.log.Info("a successor takes over")
-	go l.talk()
-	go u.shareOut(l)
-	l.hear(func(w word) {
-		if w.Ready {
+	u.k.log.Info("upgrade: a successor takes over")
+	go l.writeLoop()
+	go u.shareSockets(l)
+	l.readLoop(func(msg linkMessage) {
+		if msg.Ready {
 			u.mu.Lock()
-			u.serves = true
+			u.successorServes = true
 			u.mu.Unlock()
-			u.k.log.Info("the successor serves")
-			l.say(word{Heard: true})
-			if u.k.fleet != nil { // from now on that one is the member
-				l.say(word{Fleet: u.k.fleet.Release()})
+			u.k.log.Info("upgrade: the successor serves")
+			l.send(linkMessage{Acknowledged: true})
+			if u.k.fleet != nil { // the successor is the fleet's member from now on
+				l.send(linkMessage{Fleet: u.k.fleet.HandOver()})
 			}
 		}
-		u.obey(w)
+		u.applyCordon(msg)
 	})
 	l.close()
 	u.mu.Lock()
-	u.successor, u.serves = nil, false
-	again := !u.closed
-	if again {
-		_ = u.asked.Close()
+	u.successor, u.successorServes = nil, false
+	reopen := !u.closed
+	if reopen {
+		_ = u.listener.Close()
 	}
 	u.mu.Unlock()
-	if again { // it is this process again that is to be asked
-		u.k.log.Warn("the successor is gone")
-		u.limit()
+	if reopen { // this process is the one to ask again
+		u.k.log.Warn("upgrade: the successor is gone")
+		u.applyLimits()
 		if u.k.fleet != nil {
-			u.k.fleet.Again()
+			u.k.fleet.Reclaim()
 		}
-		go u.open()
+		go u.acceptSuccessors()
 	}
 }
 
-// shareOut gives the successor what this process does not hold any more, as it ends, and its part of what the
-// one before this one gives up.
-func (u *upgrade) shareOut(l *link) {
-	tick := time.NewTicker(shareEvery)
+// shareSockets gives the successor the descriptors that this process no longer holds while it shuts down,
+// and the successor's share of what the predecessor releases.
+func (u *upgrade) shareSockets(l *link) {
+	tick := time.NewTicker(shareInterval)
 	defer tick.Stop()
-	for told := 0; ; {
+	for sent := 0; ; {
 		select {
-		case <-l.over:
+		case <-l.closed:
 			return
 		case <-tick.C:
 		}
 		u.mu.Lock()
-		mine := u.whole() / 2
-		if u.k.ending.Load() {
-			mine = min(u.mine, u.budget.Used()+endingSpare)
+		ownShare := u.available() / 2
+		if u.k.shuttingDown.Load() {
+			ownShare = min(u.ownShare, u.budget.InUse()+minOwnShare)
 		}
-		changed := mine != u.mine
-		u.mine = mine
-		most := u.rest()
+		changed := ownShare != u.ownShare
+		u.ownShare = ownShare
+		grant := u.successorShare()
 		u.mu.Unlock()
 		if changed {
-			u.limit()
+			u.applyLimits()
 		}
-		if most != told {
-			told = most
-			l.say(word{Most: most})
+		if grant != sent {
+			sent = grant
+			l.send(linkMessage{MaxSockets: grant})
 		}
 	}
 }
 
-// rest is what the successor may take: what this process neither holds nor may. The caller holds mu.
-func (u *upgrade) rest() int { return max(endingSpare, u.whole()-max(u.mine, u.budget.Used())) }
+// successorShare returns how many descriptors the successor may hold: those that this process neither
+// holds nor may hold. The caller holds mu.
+func (u *upgrade) successorShare() int {
+	return max(minOwnShare, u.available()-max(u.ownShare, u.budget.InUse()))
+}
 
-// greet makes room for a successor and sends it the greeting with the sockets beside it. Their modes stay as
-// they are: both processes poll them. The successor is there to be told before what operators have said is
-// read: a call between the two would else be in neither. It is passed on behind the greeting.
-func (u *upgrade) greet(l *link) error {
+// sendHello makes room for a successor and sends it the hello with the sockets. The sockets' modes don't
+// change, as both processes poll them. The successor is registered before the core is asked for the
+// cordons: otherwise a call between the two steps would reach neither. Such a call is forwarded behind the
+// hello.
+func (u *upgrade) sendHello(l *link) error {
 	u.mu.Lock()
-	u.successor, u.mine = l, u.whole()/2
-	mine := u.mine
+	u.successor, u.ownShare = l, u.available()/2
+	ownShare := u.ownShare
 	u.mu.Unlock()
-	u.limit()
-	for u.budget.Used() > mine && u.k.server.MakeWay() {
+	u.applyLimits()
+	for u.budget.InUse() > ownShare && u.k.server.EvictStalled() {
 	}
-	said, ok := u.k.core.Cordoned(linkWait / 2)
+	state, ok := u.k.core.HandoverState(linkTimeout / 2)
 	if !ok {
 		return errors.New("the core is busy")
 	}
 	u.mu.Lock()
-	most := u.rest()
+	grant := u.successorShare()
 	u.mu.Unlock()
-	w := word{Out: said.Out, Barred: said.Barred, Since: said.Since, Memory: said.Memory, Now: said.Now,
-		Most: most}
-	socks := []any{u.k.server.Listener()}
-	w.Sockets = []string{"listen"}
+	hello := linkMessage{Cordons: state.Cordons, FleetCordons: state.FleetCordons, RestoredAt: state.RestoredAt,
+		Memory: state.Memory, Clock: state.Clock, MaxSockets: grant}
+	sockets := []any{u.k.server.Listener()}
+	hello.Sockets = []string{"listen"}
 	if u.k.peers != nil {
-		socks, w.Sockets = append(socks, u.k.peers.c), append(w.Sockets, "peers")
+		sockets, hello.Sockets = append(sockets, u.k.peers.conn), append(hello.Sockets, "peers")
 	}
 	if u.k.fleet != nil {
-		socks, w.Sockets = append(socks, u.k.fleet.Conn()), append(w.Sockets, "fleet")
+		sockets, hello.Sockets = append(sockets, u.k.fleet.Conn()), append(hello.Sockets, "fleet")
 	}
-	return withFDs(socks, nil, func(fds []int) error { return l.write(w, fds...) })
+	return withFDs(sockets, nil, func(fds []int) error { return l.writeMessage(hello, fds...) })
 }
 
-// withFDs calls f with the descriptors of some sockets.
-func withFDs(socks []any, fds []int, f func(fds []int) error) error {
-	if len(socks) == 0 {
+// withFDs calls f with the descriptors of the given sockets.
+func withFDs(sockets []any, fds []int, f func(fds []int) error) error {
+	if len(sockets) == 0 {
 		return f(fds)
 	}
-	return withFD(socks[0], func(fd int) error { return withFDs(socks[1:], append(fds, fd), f) })
+	return withFD(sockets[0], func(fd int) error { return withFDs(sockets[1:], append(fds, fd), f) })
 }
 
-// withFD calls f with a socket's descriptor, which stays open for as long as f runs.
-func withFD(sock any, f func(fd int) error) error {
-	c, ok := sock.(syscall.Conn)
+// withFD calls f with a socket's descriptor, which stays open while f runs.
+func withFD(socket any, f func(fd int) error) error {
+	c, ok := socket.(syscall.Conn)
 	if !ok {
 		return errors.New("no socket to hand over")
 	}
@@ -554,90 +562,93 @@
 	return err
 }
 
-// follow is a new process's side from the greeting on: it hears the old process until that is gone.
-func (u *upgrade) follow(h *inheritance) {
+// followPredecessor reads the predecessor's messages after its hello, until it is gone.
+func (u *upgrade) followPredecessor(received *receivedSockets) {
 	u.mu.Lock()
-	u.old, u.given = h.link, h.greeting.Most
+	u.predecessor, u.granted = received.link, received.hello.MaxSockets
 	u.mu.Unlock()
-	u.limit()
-	go h.link.talk()
+	u.applyLimits()
+	go received.link.writeLoop()
 	go func() {
-		h.link.hear(func(w word) {
-			if w.Most > 0 {
+		received.link.readLoop(func(msg linkMessage) {
+			if msg.MaxSockets > 0 {
 				u.mu.Lock()
-				u.given = w.Most
+				u.granted = msg.MaxSockets
 				u.mu.Unlock()
-				u.limit()
+				u.applyLimits()
 			}
-			if w.Heard {
+			if msg.Acknowledged {
 				select {
-				case u.heard <- struct{}{}:
+				case u.acknowledged <- struct{}{}:
 				default:
 				}
 			}
-			if w.Fleet != nil && u.place != nil {
+			if msg.Fleet != nil && u.fleetState != nil {
 				select {
-				case u.place <- w.Fleet:
+				case u.fleetState <- msg.Fleet:
 				default:
 				}
 			}
-			u.obey(w)
+			u.applyCordon(msg)
 		})
-		h.link.close()
+		received.link.close()
 		u.mu.Lock()
-		u.old = nil
+		u.predecessor = nil
 		u.mu.Unlock()
-		u.limit()
-		u.k.log.Info("the old process is gone")
+		u.applyLimits()
+		u.k.log.Info("upgrade: the old process is gone")
 		if u.k.fleet != nil {
-			u.k.fleet.Alone()
+			u.k.fleet.PredecessorGone()
 		}
 	}()
 }
 
-// ready tells the old process that this one is about to serve, and takes its place as the one to ask. It
-// comes back once the old process knows: whoever hears this one's yes may tell the old one to end at once,
-// and how that ends depends on it. One of an older version says nothing, and is waited for up to linkWait.
-func (u *upgrade) ready() {
+// announceReady tells the predecessor that this process is about to serve, and takes its place on the
+// upgrade socket. It returns once the predecessor has acknowledged: whoever sees this process ready may
+// stop the predecessor at once, and its shutdown depends on knowing the successor. A predecessor of an
+// older version does not acknowledge; it is waited for up to linkTimeout.
+func (u *upgrade) announceReady() {
 	u.mu.Lock()
-	old := u.old
+	predecessor := u.predecessor
 	u.mu.Unlock()
-	if old != nil {
-		old.say(word{Ready: true})
+	if predecessor != nil {
+		predecessor.send(linkMessage{Ready: true})
 		select {
-		case <-u.heard:
-		case <-old.over:
-		case <-time.After(linkWait):
-			u.k.log.Warn("the old process has not said that it knows of this one")
+		case <-u.acknowledged:
+		case <-predecessor.closed:
+		case <-time.After(linkTimeout):
+			u.k.log.Warn("upgrade: the old process did not acknowledge this one in time")
 		case <-u.k.stop:
 		}
 	}
-	go u.open()
+	go u.acceptSuccessors()
 }
 
-// obey carries out an operator's call that the other process has had.
-func (u *upgrade) obey(w word) {
-	if c := w.Cordon; c != nil {
-		// Its moment is by the other process's clock, and the wall clock may have been stepped: now is as good.
-		u.k.core.Post(core.Cordon{Server: c.Server, Out: c.Out, By: c.By, Sure: true})
+// applyCordon applies an operator's call that the other process received.
+func (u *upgrade) applyCordon(msg linkMessage) {
+	if c := msg.Cordon; c != nil {
+		// The call's time is by the other process's clock, and the wall clock may have been stepped. Now is as
+		// good.
+		u.k.core.Post(core.Cordon{Server: c.Server, Cordoned: c.Cordoned, Source: c.Source, AllowUnlisted: true})
 	}
 }
 
-// pass tells the other process, if there is one, of an operator's call, or of the fleet's word.
-func (u *upgrade) pass(id balance.ReplicaID, by core.Author, out bool) {
+// forwardCordon sends an operator's call, or a fleet-wide cordon, to the other process if there is one.
+func (u *upgrade) forwardCordon(id balance.ReplicaID, source core.CordonSource, cordoned bool) {
 	u.mu.Lock()
-	links := [2]*link{u.old, u.successor}
+	links := [2]*link{u.predecessor, u.successor}
 	u.mu.Unlock()
 	for _, l := range links {
 		if l != nil {
-			l.say(word{Cordon: &cordonWord{Server: id, Out: out, By: by, At: time.Now().UnixMicro()}})
+			l.send(linkMessage{Cordon: &cordonMessage{Server: id, Cordoned: cordoned, Source: source,
+				At: time.Now().UnixMicro()}})
 		}
 	}
 }
 
-// handedOver tells that a successor serves.
+// handedOver reports whether a successor serves.
 func (u *upgrade) handedOver() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.serves
+	return u.successorServes
 }
--- a/internal/platform/upgrade_test.go
+++ b/internal/platform/upgrade_test.go
@@ -13,9 +13,9 @@
 	"lapislever/internal/standin"
 )
 
-// together makes a configuration of a coordinator that may be upgraded: an address of its own and a place for
-// both processes to meet.
-func together(t *testing.T, c *Config) *Config {
+// upgradeConfig prepares a configuration for an upgrade: a fixed address, and a directory where both
+// processes meet.
+func upgradeConfig(t *testing.T, c *Config) *Config {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -27,274 +27,281 @@
 	return c
 }
 
-// askable waits until a successor can ask the process that serves.
-func askable(t *testing.T, cfg *Config) {
+// awaitUpgradeSocket waits until a successor can ask the process that serves.
+func awaitUpgradeSocket(t *testing.T, cfg *Config) {
 	t.Helper()
-	standin.Until(t, "the socket to ask at", func() bool {
+	standin.WaitFor(t, "the upgrade socket", func() bool {
 		_, err := os.Lstat(socketPath(cfg))
 		return err == nil
 	})
 }
 
-// kept asks on a connection that stays, and tells whether it may be used again.
-func kept(t *testing.T, c *lnet.Client, name string) bool {
+// staysOpen sends a request on an existing connection, and reports whether the connection can be used
+// again.
+func staysOpen(t *testing.T, c *lnet.Client, name string) bool {
 	t.Helper()
 	r, err := c.Do("POST", "/rate-check", "x", [][2]string{{"X-Call-Id", name}},
 		[]byte(`{"slices":[{"slice":0,"mass":1}],"filter":"f"}`), time.Now().Add(20*time.Second))
 	if err != nil || r.Status != 200 {
 		t.Fatalf("%s: %v %v", name, r, err)
 	}
-	return c.Sound()
+	return c.Reusable()
 }
 
-// A new process takes the address over while clients come: nobody is turned away, a connection to the old
-// process is served once more and then ended, and what operators said holds in both.
+// A new process takes over an address while clients connect: no client is refused, a connection to the old
+// process is served once more and then ended, and the operators' cordons hold in both processes.
 func TestSuccessorTakesOver(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	d := newDiscovery(t, hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0))
-	cfg := together(t, door(t, d))
+	cfg := upgradeConfig(t, adminConfig(t, d))
 	cfg.PeerListen, cfg.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", "127.0.0.1:2"}
-	old := run(t, cfg)
-	askable(t, cfg)
-	say := func(k *Coordinator, name string) {
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
+	call := func(k *Coordinator, name string) {
 		t.Helper()
-		if r := standin.Call(t, k.Door(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
+		if r := standin.DoHTTP(t, k.AdminAddr(), "POST", "/admin/"+name, nil, "a"); r.Status != 200 {
 			t.Fatalf("%s: %d %s", name, r.Status, r.Body)
 		}
 	}
-	say(old, "cordon")
+	call(old, "cordon")
 	before := len(a.Parts())
 	c, err := lnet.Dial(cfg.Listen, time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	kept(t, c, "first")
+	staysOpen(t, c, "first")
 
-	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	newCfg := *cfg
+	successor, err := Start(&newCfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
-	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+	t.Cleanup(successor.Close)
+	standin.WaitFor(t, "the successor's readiness", func() bool {
+		return standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
 	if !old.upgrade.handedOver() {
-		t.Error("the successor says yes before the old process knows of it")
+		t.Error("the successor is ready before the old process knows of it")
 	}
-	if fresh.peers.c.LocalAddr().String() != old.peers.c.LocalAddr().String() {
-		t.Error("datagrams come to another address")
+	if successor.peers.conn.LocalAddr().String() != old.peers.conn.LocalAddr().String() {
+		t.Error("the successor has another address for datagrams")
 	}
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end of the old process's yes", func() bool { return old.ending.Load() })
-	if r := standin.Call(t, old.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
-		t.Errorf("the old process says %d", r.Status)
+	standin.WaitFor(t, "the shutdown of the old process", func() bool { return old.shuttingDown.Load() })
+	if r := standin.DoHTTP(t, old.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+		t.Errorf("the old process answers %d", r.Status)
 	}
 	for range 20 {
-		if r := post(t, fresh, "rate-check", 0); r.Status != 200 {
+		if r := post(t, successor, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
-		if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
-			t.Fatalf("/up says %d", r.Status)
+		if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+			t.Fatalf("/up answers %d", r.Status)
 		}
 	}
 	if n := len(a.Parts()) - before; n != 0 {
-		t.Fatalf("%d parts went to a node that is out", n)
+		t.Fatalf("%d parts went to a cordoned node", n)
 	}
-	if kept(t, c, "second") {
-		t.Error("a connection to the old process goes on")
+	if staysOpen(t, c, "second") {
+		t.Error("a connection to the old process stays open")
 	}
-	say(old, "uncordon")
-	standin.Until(t, "the call at the old process to hold in the new one", func() bool {
-		post(t, fresh, "rate-check", 0)
+	call(old, "uncordon")
+	standin.WaitFor(t, "the uncordon at the old process to take effect in the new one", func() bool {
+		post(t, successor, "rate-check", 0)
 		return len(a.Parts()) > before
 	})
 	<-ended
 
-	last := *cfg // and the next one asks the one that serves now
-	if h, _ := inherit(&last, standin.Quiet()); h == nil {
-		t.Fatal("nobody to take over from")
+	nextCfg := *cfg // the next one asks the process that serves now
+	if received, _ := requestSockets(&nextCfg, standin.DiscardLogger()); received == nil {
+		t.Fatal("no process to take over from")
 	} else {
-		h.drop()
+		received.discard()
 	}
-	standin.Until(t, "the socket again, as that successor is gone", func() bool {
-		h, _ := inherit(&last, standin.Quiet())
-		if h != nil {
-			h.drop()
+	standin.WaitFor(t, "the socket again after that successor is gone", func() bool {
+		received, _ := requestSockets(&nextCfg, standin.DiscardLogger())
+		if received != nil {
+			received.discard()
 		}
-		return h != nil
+		return received != nil
 	})
 }
 
-// Who hears a successor's yes may end the old process at once: until that one has said that it knows of the
-// successor, there is no yes, neither at the door nor for clients.
-func TestYesWaitsUntilTheOldProcessKnows(t *testing.T) {
-	cfg := together(t, door(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+// Whoever sees a successor ready may stop the old process at once. So the successor is not ready, neither
+// at the admin endpoint nor for clients, before the old process has acknowledged it.
+func TestReadinessWaitsForThePredecessor(t *testing.T) {
+	cfg := upgradeConfig(t, adminConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	clients, err := net.Listen("tcp", cfg.Listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer clients.Close()
-	asked, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
+	upgradeSocket, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer asked.Close()
-	told := make(chan *link)
-	go func() { // an old process by the script
-		defer close(told)
-		c, err := asked.AcceptUnix()
+	defer upgradeSocket.Close()
+	ready := make(chan *link)
+	go func() { // a scripted old process
+		defer close(ready)
+		c, err := upgradeSocket.AcceptUnix()
 		if err != nil {
 			return
 		}
-		l := newLink(c, standin.Quiet())
-		if _, err := l.next(); err != nil {
+		l := newLink(c, standin.DiscardLogger())
+		if _, err := l.readMessage(); err != nil {
 			return
 		}
 		_ = withFD(clients, func(fd int) error {
-			return l.write(word{Sockets: []string{"listen"}, Most: 40}, fd)
+			return l.writeMessage(linkMessage{Sockets: []string{"listen"}, MaxSockets: 40}, fd)
 		})
-		if w, err := l.next(); err == nil && w.Ready {
-			told <- l
+		if msg, err := l.readMessage(); err == nil && msg.Ready {
+			ready <- l
 		}
 	}()
-	fresh, err := Start(cfg, standin.Quiet())
+	successor, err := Start(cfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
-	l := <-told
+	t.Cleanup(successor.Close)
+	l := <-ready
 	if l == nil {
-		t.Fatal("the old process heard nothing")
+		t.Fatal("the old process received nothing")
 	}
 	defer l.close()
-	if r := standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, ""); r.Status != 503 {
-		t.Errorf("the door says %d", r.Status)
+	if r := standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, ""); r.Status != 503 {
+		t.Errorf("the admin endpoint answers %d", r.Status)
 	}
-	if fresh.accepting.Load() {
-		t.Error("clients are taken, and would be told no")
+	if successor.accepting.Load() {
+		t.Error("clients are accepted, and would be refused")
 	}
-	if err := l.write(word{Heard: true}); err != nil {
+	if err := l.writeMessage(linkMessage{Acknowledged: true}); err != nil {
 		t.Fatal(err)
 	}
-	standin.Until(t, "the yes", func() bool {
-		return standin.Call(t, fresh.Door(), "GET", "/admin/health", nil, "").Status == 200
+	standin.WaitFor(t, "the successor's readiness", func() bool {
+		return standin.DoHTTP(t, successor.AdminAddr(), "GET", "/admin/health", nil, "").Status == 200
 	})
-	if r := standin.Call(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
-		t.Errorf("/up says %d", r.Status)
+	if r := standin.DoHTTP(t, cfg.Listen, "GET", "/up", nil, ""); r.Status != 200 {
+		t.Errorf("/up answers %d", r.Status)
 	}
 }
 
-// SIGTERM may come before the successor serves. Once it does, the old process leads its clients over.
+// SIGTERM may come before the successor serves. Once it does, the old process redirects its clients.
 func TestSuccessorServesWhileTheOldProcessEnds(t *testing.T) {
-	n := standin.NewNode(t, ok)
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
-	old := run(t, cfg)
-	askable(t, cfg)
-	now := *cfg
-	h, _ := inherit(&now, standin.Quiet())
-	if h == nil {
+	n := standin.NewNode(t, answerAll)
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
+	newCfg := *cfg
+	received, _ := requestSockets(&newCfg, standin.DiscardLogger())
+	if received == nil {
 		t.Fatal("nothing to take over")
 	}
-	defer h.drop()
-	go h.link.talk()
+	defer received.discard()
+	go received.link.writeLoop()
 	c, err := lnet.Dial(cfg.Listen, time.Second, 1<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	kept(t, c, "before")
+	staysOpen(t, c, "before")
 	ended := make(chan struct{})
 	go func() { old.Shutdown(); close(ended) }()
-	standin.Until(t, "the end to begin", func() bool { return !old.front.ready.Load() })
-	if !kept(t, c, "sigterm") {
-		t.Error("a connection is ended while there is nobody else to serve")
-	}
-	h.link.say(word{Ready: true})
-	standin.Until(t, "the yes for both", func() bool { return old.front.ready.Load() })
-	standin.Until(t, "the clients to be led over", func() bool {
-		return old.server.Open() == 0 || !kept(t, c, "then")
+	standin.WaitFor(t, "the shutdown to begin", func() bool { return !old.front.ready.Load() })
+	if !staysOpen(t, c, "sigterm") {
+		t.Error("a connection is ended while no other process serves")
+	}
+	received.link.send(linkMessage{Ready: true})
+	standin.WaitFor(t, "both processes' readiness", func() bool { return old.front.ready.Load() })
+	standin.WaitFor(t, "the clients to be redirected", func() bool {
+		return old.server.OpenConns() == 0 || !staysOpen(t, c, "then")
 	})
 	<-ended
 }
 
-// Descriptors are shared out: two processes never hold more than one may, and what the old one gives up is
-// the new one's, in full once it is alone.
-func TestDescriptorsAreSharedOut(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
-	old := run(t, cfg)
-	askable(t, cfg)
+// Descriptors are shared: two processes together never hold more than one may. The new process gets what
+// the old one releases, and everything once it is alone.
+func TestDescriptorsAreShared(t *testing.T) {
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+	old := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
 	u := old.upgrade
-	whole := u.all
-	now := *cfg
-	fresh, err := Start(&now, standin.Quiet())
+	fullBudget := u.fullBudget
+	newCfg := *cfg
+	successor, err := Start(&newCfg, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(fresh.Close)
-	standin.Until(t, "its word to the old one", u.handedOver)
-	if sum := u.budget.Most() + fresh.upgrade.budget.Most() + 2*leastSockets; sum > cfg.Limits.Sockets {
+	t.Cleanup(successor.Close)
+	standin.WaitFor(t, "the old process to know of it", u.handedOver)
+	if sum := u.budget.Capacity() + successor.upgrade.budget.Capacity() +
+		2*minSockets; sum > cfg.Limits.Sockets {
 		t.Errorf("%d descriptors together, of %d", sum, cfg.Limits.Sockets)
 	}
 	old.Shutdown()
-	standin.Until(t, "all for one", func() bool { return fresh.upgrade.budget.Most() == whole })
+	standin.WaitFor(t, "the full budget", func() bool {
+		return successor.upgrade.budget.Capacity() == fullBudget
+	})
 }
 
-// A process may be taken over from while the one before it still ends: the three share what one may hold, and
-// the end of the first does not have the second take all.
+// A process may be taken over from while its own predecessor still shuts down. The three share what one
+// may hold, and the end of the first does not let the second use everything.
 func TestThreeProcessesShareDescriptors(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
-	first := run(t, cfg)
-	askable(t, cfg)
-	follow := func(before *Coordinator) *Coordinator {
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+	first := startReady(t, cfg)
+	awaitUpgradeSocket(t, cfg)
+	startSuccessor := func(predecessor *Coordinator) *Coordinator {
 		t.Helper()
-		now := *cfg
-		k, err := Start(&now, standin.Quiet())
+		newCfg := *cfg
+		k, err := Start(&newCfg, standin.DiscardLogger())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(k.Close)
-		standin.Until(t, "its word to the one before", before.upgrade.handedOver)
+		standin.WaitFor(t, "the predecessor to know of it", predecessor.upgrade.handedOver)
 		return k
 	}
-	all := func(of ...*Coordinator) (sum int) {
+	capacity := func(of ...*Coordinator) (sum int) {
 		for _, k := range of {
-			sum += k.upgrade.budget.Most()
+			sum += k.upgrade.budget.Capacity()
 		}
 		return sum
 	}
-	second := follow(first)
-	standin.Until(t, "the second to be the one to ask", func() bool {
+	second := startSuccessor(first)
+	standin.WaitFor(t, "the second one's upgrade socket", func() bool {
 		second.upgrade.mu.Lock()
 		defer second.upgrade.mu.Unlock()
-		return second.upgrade.asked != nil
+		return second.upgrade.listener != nil
 	})
-	third := follow(second)
-	if sum := all(first, second, third); sum > first.upgrade.shared() {
-		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.shared())
+	third := startSuccessor(second)
+	if sum := capacity(first, second, third); sum > first.upgrade.sharedBudget() {
+		t.Errorf("three processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 	}
 	first.Shutdown()
-	standin.Until(t, "what the first one held", func() bool {
-		return all(second, third) == first.upgrade.shared()
+	standin.WaitFor(t, "the descriptors of the first", func() bool {
+		return capacity(second, third) == first.upgrade.sharedBudget()
 	})
-	for range 3 { // it stays so
-		time.Sleep(shareEvery)
-		if sum := all(second, third); sum > first.upgrade.shared() {
-			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.shared())
+	for range 3 { // and it stays so
+		time.Sleep(shareInterval)
+		if sum := capacity(second, third); sum > first.upgrade.sharedBudget() {
+			t.Fatalf("two processes may hold %d, of %d", sum, first.upgrade.sharedBudget())
 		}
 	}
 	second.Shutdown()
-	standin.Until(t, "all for one", func() bool { return third.upgrade.budget.Most() == third.upgrade.all })
+	standin.WaitFor(t, "the full budget", func() bool {
+		return third.upgrade.budget.Capacity() == third.upgrade.fullBudget
+	})
 }
 
-// Where there is nobody to take over from, or no place to meet, a coordinator starts and serves all the same.
-func TestNoSuccessionIsHarmless(t *testing.T) {
-	n := standin.NewNode(t, ok)
-	for name, spoil := range map[string]func(cfg *Config) error{
-		"no place": func(cfg *Config) error { cfg.TempDir = filepath.Join(cfg.TempDir, "none"); return nil },
-		"left over": func(cfg *Config) error {
+// If there is no process to take over from, or no directory to meet in, a coordinator starts and serves
+// all the same.
+func TestFailedTakeoverIsHarmless(t *testing.T) {
+	n := standin.NewNode(t, answerAll)
+	for name, prepare := range map[string]func(cfg *Config) error{
+		"no directory": func(cfg *Config) error { cfg.TempDir = filepath.Join(cfg.TempDir, "none"); return nil },
+		"leftover socket": func(cfg *Config) error {
 			l, err := net.ListenUnix("unix", &net.UnixAddr{Name: socketPath(cfg), Net: "unix"})
 			if err != nil {
 				return err
@@ -302,14 +309,14 @@
 			l.SetUnlinkOnClose(false)
 			return l.Close()
 		},
-		"mute": func(cfg *Config) error {
+		"silent": func(cfg *Config) error {
 			l, err := net.Listen("unix", socketPath(cfg))
 			if err == nil {
 				t.Cleanup(func() { _ = l.Close() })
 			}
 			return err
 		},
-		"no word": func(cfg *Config) error {
+		"malformed hello": func(cfg *Config) error {
 			l, err := net.Listen("unix", socketPath(cfg))
 			if err != nil {
 				return err
@@ -317,18 +324,18 @@
 			t.Cleanup(func() { _ = l.Close() })
 			go func() {
 				if c, err := l.Accept(); err == nil {
-					fmt.Fprintln(c, "not a word")
+					fmt.Fprintln(c, "not a message")
 				}
 			}()
 			return nil
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			cfg := together(t, config(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
-			if err := spoil(cfg); err != nil {
+			cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", n.Addr, 0))))
+			if err := prepare(cfg); err != nil {
 				t.Fatal(err)
 			}
-			k := run(t, cfg)
+			k := startReady(t, cfg)
 			if r := post(t, k, "rate-check", 0); r.Status != 200 {
 				t.Fatalf("%d", r.Status)
 			}
@@ -336,9 +343,10 @@
 	}
 }
 
-// A call while the greeting is written is not in it, and must not be lost: the successor hears it behind.
-func TestCallDuringTheGreetingIsPassedOn(t *testing.T) {
-	k := run(t, together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0)))))
+// A cordon that arrives while the hello is written is not part of it and must not be lost: it is forwarded
+// behind it.
+func TestCordonDuringTheHelloIsForwarded(t *testing.T) {
+	k := startReady(t, upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0)))))
 	path := filepath.Join(t.TempDir(), "pair")
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -353,35 +361,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, fresh := newLink(ours, standin.Quiet()), newLink(theirs, standin.Quiet())
+	old, fresh := newLink(ours, standin.DiscardLogger()), newLink(theirs, standin.DiscardLogger())
 	defer old.close()
 	defer fresh.close()
-	if err := k.upgrade.greet(old); err != nil {
+	if err := k.upgrade.sendHello(old); err != nil {
 		t.Fatal(err)
 	}
-	k.upgrade.pass(7, core.Here, true)
-	go old.talk()
+	k.upgrade.forwardCordon(7, core.ByOperator, true)
+	go old.writeLoop()
 	_ = theirs.SetReadDeadline(time.Now().Add(20 * time.Second))
-	if w, err := fresh.next(); err != nil || w.Sockets[0] != "listen" {
-		t.Fatalf("%+v %v", w, err)
+	if msg, err := fresh.readMessage(); err != nil || msg.Sockets[0] != "listen" {
+		t.Fatalf("%+v %v", msg, err)
 	}
-	if w, err := fresh.next(); err != nil || w.Cordon == nil || w.Cordon.Server != 7 || !w.Cordon.Out {
-		t.Fatalf("%+v %v", w, err)
+	if msg, err := fresh.readMessage(); err != nil || msg.Cordon == nil || msg.Cordon.Server != 7 ||
+		!msg.Cordon.Cordoned {
+		t.Fatalf("%+v %v", msg, err)
 	}
 }
 
-// A process that is there may be too busy for the first question. It is asked again: without its word what
-// operators have put out would be forgotten. And who starts beside it waits for discovery's list, for what is
-// known from before may be long out of date.
-func TestBusyProcessIsAskedAgain(t *testing.T) {
-	cfg := together(t, config(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
+// An existing process may be too busy to answer the first request. It is asked again, as the operators'
+// cordons would be lost without its hello. A process that starts beside it waits for discovery's list, as
+// the list known from before may be outdated.
+func TestHelloToABusyProcessIsRetried(t *testing.T) {
+	cfg := upgradeConfig(t, testConfig(t, newDiscovery(t, hostAt("a", "127.0.0.1:1", 0))))
 	cfg.Known = &hostList{Hosts: []host{hostAt("a", "127.0.0.1:1", 0), hostAt("old", "127.0.0.1:1", 0)}}
 	l, err := net.Listen("unix", socketPath(cfg))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	asked := make(chan struct{}, 10)
+	connected := make(chan struct{}, 10)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -389,14 +398,14 @@
 				return
 			}
 			_ = c.Close()
-			asked <- struct{}{}
+			connected <- struct{}{}
 		}
 	}()
-	k := run(t, cfg)
-	standin.Until(t, "each question", func() bool { return len(asked) == linkTries })
+	k := startReady(t, cfg)
+	standin.WaitFor(t, "all tries", func() bool { return len(connected) == linkAttempts })
 	select {
-	case <-k.watcher.whole:
+	case <-k.watcher.gotFullList:
 	default:
-		t.Error("ready without discovery's word")
+		t.Error("ready without discovery's list")
 	}
 }
--- a/internal/platform/watch.go
+++ b/internal/platform/watch.go
@@ -1,15 +1,15 @@
 package platform
 
-// The watch on discovery. This file owns the calls for the list and when they are made; it must never decide
+// The watch on discovery. This file makes the calls for the list and decides when; it must never decide
 // what a list means.
 //
-// A change counts as told 6 s (toldAfter) after discovery had it and could be reached, whatever became of a
-// call; where the list is pushed what the agent has counts at once, but for what a watch that has fallen
-// silent misses, which counts 6 s after that. So, with the times below:
+// A change counts as announced 6 s (propagationLimit) after discovery had it and was reachable, whatever
+// became of a call. Where the list is pushed, the agent's state counts at once, except for changes that a
+// watch misses because it has fallen silent: those count 6 s later. So, with the times below:
 //
-//	silence + limit <= toldAfter                                       pushed: 1.2 s; 0.1 s after an outage
-//	silence + limit <= toldAfter                                       asked for: 5.5 s
-//	balance.AskMost + limit <= toldAfter                               asked for, after many failures: 5.5 s
+//	undetectedSilence + limit <= propagationLimit               pushed: 1.2 s; 0.1 s after an outage
+//	undetectedSilence + limit <= propagationLimit               polled: 5.5 s
+//	balance.MaxListRetryDelay + limit <= propagationLimit       polled, after many failures: 5.5 s
 
 import (
 	"encoding/json"
@@ -27,217 +27,220 @@
 )
 
 const (
-	toldAfter  = 6 * time.Second // the operators' page on the whole fleet
-	watchRetry = 50 * time.Millisecond
-	dialMost   = time.Second
-	maxList    = 4 << 20 // bytes
-	// Where the list is pushed a call that is overdue is not given up: another one is made beside it, so that an
-	// agent that comes back is heard at once, and one that is slow is heard all the same.
-	patientLimit = time.Second // an overdue call's
-	mostCalls    = 12          // that are out at a time; the oldest goes
+	propagationLimit     = 6 * time.Second // stated on the operators' page on the whole fleet
+	watchRetry           = 50 * time.Millisecond
+	discoveryDialTimeout = time.Second
+	maxListBytes         = 4 << 20
+	// Where the list is pushed, an overdue call is not abandoned at once: another one is made beside it, so
+	// that the answer of an agent that recovers arrives at once, and that of a slow agent is still received.
+	overdueLimit = time.Second // how long after it was due a call is abandoned
+	maxCalls     = 12          // in flight in parallel; beyond that the oldest is cancelled
 )
 
 // watcher follows discovery.
 type watcher struct {
-	cfg   *Config
-	log   *slog.Logger
-	nodes *Nodes
-	post  func(core.Event)
-	on    chan bool
-	fetch chan struct{}
-	move  chan string
-	stop  chan struct{}
-	whole chan struct{} // closed once discovery has given the whole list
-	seq   int64
-	// beside is set where another process of this coordinator serves and has long heard more than is known here.
-	beside bool
+	cfg         *Config
+	log         *slog.Logger
+	nodes       *Nodes
+	post        func(core.Event)
+	watching    chan bool
+	fetches     chan struct{}
+	moves       chan string
+	stop        chan struct{}
+	gotFullList chan struct{} // closed once discovery has sent the full list
+	seq         int64
+	// besideOld is set where another process of this coordinator serves, which has received more than is
+	// known here.
+	besideOld bool
 }
 
-// Watch is the module's wish to hear of changes.
+// Watch is called by the module to start or stop listening to changes.
 func (w *watcher) Watch(on bool) {
 	select {
-	case w.on <- on:
+	case w.watching <- on:
 	default:
 	}
 }
 
-// Fetch is the module's wish for the whole list.
+// Fetch is called by the module to request the full list.
 func (w *watcher) Fetch() {
 	select {
-	case w.fetch <- struct{}{}:
+	case w.fetches <- struct{}{}:
 	default:
 	}
 }
 
-// moveTo makes discovery's address another one.
+// moveTo changes discovery's address.
 func (w *watcher) moveTo(addr string) {
 	select {
-	case w.move <- addr:
+	case w.moves <- addr:
 	case <-w.stop:
 	}
 }
 
-// terms are the times of one kind of watch.
-type terms struct {
-	wait  time.Duration // that a call asks discovery to wait for news
-	limit time.Duration // for an answer that is due, the dialling included; then it is overdue
-	give  time.Duration // and so long after it was due it is given up
+// callTimes are the times of one kind of watch.
+type callTimes struct {
+	wait  time.Duration // how long a call asks discovery to wait for changes
+	limit time.Duration // for an answer that is due, dialling included; then the call is overdue
+	grace time.Duration // after it was due, before the call is abandoned
 }
 
-// The terms where the agent on this machine is sent the list, and where each call is work for discovery,
-// which takes up to a second: what the answer to a call that was given up would have told counts as told all
-// the same.
+// The times where the agent on this machine receives the list by push, and where each call is work for
+// discovery, which takes up to a second. In the second case, what the answer to an abandoned call would
+// have reported counts as announced all the same.
 var (
-	pushed = terms{wait: time.Second, limit: 100 * time.Millisecond, give: patientLimit}
-	asking = terms{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond, give: 1500 * time.Millisecond}
+	pushTimes = callTimes{wait: time.Second, limit: 100 * time.Millisecond, grace: overdueLimit}
+	pollTimes = callTimes{wait: 2500 * time.Millisecond, limit: 1500 * time.Millisecond,
+		grace: 1500 * time.Millisecond}
 )
 
-// silence is how long a watch that has fallen silent passes for a sound one.
-func (t terms) silence() time.Duration { return t.wait + t.limit }
+// undetectedSilence returns how long a watch that has fallen silent can pass for a working one.
+func (t callTimes) undetectedSilence() time.Duration { return t.wait + t.limit }
 
-// run keeps the list up to date. Each next call follows the last answer at once, so that the watch goes on.
-// A call runs beside this loop: one that waits, or still dials, must not hold up a move to another address.
+// run keeps the list up to date. Each call follows the last answer at once, so that the watch is
+// continuous. Calls run in their own goroutines: one that waits or still dials must not delay a move to
+// another address.
 func (w *watcher) run(watching bool) {
 	addr := w.cfg.Discovery
-	asked := !watching // by the module, which wants to hear of a failure
-	t := pushed
-	if asked {
-		t = asking
+	polling := !watching // by the module, which must be told of failures
+	times := pushTimes
+	if polling {
+		times = pollTimes
 	}
-	// The whole list is asked for at the start where it costs nothing. Where a call is work for discovery, a
-	// watch goes on from the list that was known before the start: many coordinators that start together would
-	// else ask for more lines than discovery can give, and none of them would hear of anything. Version 0 is one
-	// like any other; a list without a node tells of none that it might be missing.
+	// The full list is requested at the start where that is cheap. Where a call is work for discovery, a
+	// watch continues from the list known before the start: otherwise many coordinators that start together
+	// would request more entries than discovery can deliver, and none would receive changes. Version 0 is a
+	// version like any other; an empty list has no node that could be missing.
 	known := w.cfg.Known != nil && len(w.cfg.Known.Hosts) > 0
-	whole, wanted := watching || !known || w.beside, false
-	failed := 0         // calls in a row
-	renewed := false    // after silence a call that is asked for is made anew at once, and only then given up
-	var begun time.Time // of the last call
-	var c *lnet.Client  // at rest between calls
-	var out []*watchCall
-	results := make(chan watchResult, 2*mostCalls)
-	var again, overdue <-chan time.Time // after a failure; of the last call
-	abandon := func() {
-		for _, k := range out {
-			k.cancel()
+	full, requested := watching || !known || w.besideOld, false
+	failed := 0               // consecutive calls that failed or are overdue
+	retried := false          // a polling call that fell silent is repeated once before it counts as failed
+	var lastStart time.Time   // start of the last call
+	var idleConn *lnet.Client // idle between calls
+	var inFlight []*watchCall
+	results := make(chan watchResult, 2*maxCalls)
+	var retry, overdue <-chan time.Time // back-off after a failure; time-out of the last call
+	cancelAll := func() {
+		for _, call := range inFlight {
+			call.cancel()
 		}
-		out, overdue = nil, nil
-		if c != nil {
-			c.Close()
-			c = nil
+		inFlight, overdue = nil, nil
+		if idleConn != nil {
+			idleConn.Close()
+			idleConn = nil
 		}
 	}
-	for due := false; ; {
-		if (out == nil || due) && again == nil && (watching || wanted) {
-			wanted, due = false, false
+	for addCall := false; ; {
+		if (inFlight == nil || addCall) && retry == nil && (watching || requested) {
+			requested, addCall = false, false
 			target, wait := "/discovery/hosts", time.Duration(0)
-			if !whole {
-				wait = t.wait
+			if !full {
+				wait = times.wait
 				target = fmt.Sprintf("/discovery/hosts?index=%d&wait=%d", w.seq, wait.Milliseconds())
 			}
-			if len(out) == mostCalls {
-				out[0].cancel()
-				out = out[1:]
+			if len(inFlight) == maxCalls {
+				inFlight[0].cancel()
+				inFlight = inFlight[1:]
 			}
-			begun = time.Now()
-			k := &watchCall{c: c}
-			c = nil
-			out = append(out, k)
-			go k.run(addr, target, wait+t.give, results)
-			if t.limit < t.give {
-				overdue = time.After(wait + t.limit)
+			lastStart = time.Now()
+			call := &watchCall{client: idleConn}
+			idleConn = nil
+			inFlight = append(inFlight, call)
+			go call.run(addr, target, wait+times.grace, results)
+			if times.limit < times.grace {
+				overdue = time.After(wait + times.limit)
 			}
 		}
 		select {
-		case watching = <-w.on:
+		case watching = <-w.watching:
 			if !watching {
-				abandon()
+				cancelAll()
 			}
-		case <-w.fetch:
-			abandon()
-			whole, wanted, again = true, true, nil
-		case <-again:
-			again = nil
+		case <-w.fetches:
+			cancelAll()
+			full, requested, retry = true, true, nil
+		case <-retry:
+			retry = nil
 		case <-overdue:
 			overdue = nil
-			whole, due = true, true
+			full, addCall = true, true
 			if failed++; failed == 1 {
 				w.log.Warn("discovery did not answer in time", "address", addr)
 			}
-		case addr = <-w.move:
-			// What a call to the old address would still bring is in the new one's whole list.
-			abandon()
-			failed, whole, again = 0, true, nil
+		case addr = <-w.moves:
+			// The full list from the new address contains whatever a call to the old one would still bring.
+			cancelAll()
+			failed, full, retry = 0, true, nil
 		case <-w.stop:
-			abandon()
+			cancelAll()
 			return
 		case r := <-results:
-			i := slices.Index(out, r.of)
+			i := slices.Index(inFlight, r.call)
 			if i < 0 { // it was abandoned
-				if r.c != nil {
-					r.c.Close()
+				if r.client != nil {
+					r.client.Close()
 				}
 				continue
 			}
-			if out = slices.Delete(out, i, i+1); len(out) == 0 {
-				out, overdue = nil, nil
+			if inFlight = slices.Delete(inFlight, i, i+1); len(inFlight) == 0 {
+				inFlight, overdue = nil, nil
 			}
 			if r.err == nil {
-				told := w.take(r.list)
-				abandon()
-				c = r.c
+				changed := w.applyList(r.list)
+				cancelAll()
+				idleConn = r.client
 				if failed > 0 {
 					w.log.Info("discovery answers again", "address", addr, "failed", failed)
 				}
-				failed, whole, renewed, due = 0, false, false, false
-				if told {
-					w.log.Info("list taken in", "version", r.list.Seq, "whole", r.list.Whole, "entries",
-						len(r.list.Hosts), "asked", time.Since(begun))
+				failed, full, retried, addCall = 0, false, false, false
+				if changed {
+					w.log.Info("list taken in", "version", r.list.Seq, "whole", r.list.Complete, "entries",
+						len(r.list.Hosts), "asked", time.Since(lastStart))
 				}
-				if !told && time.Since(begun) < watchRetry {
-					again = time.After(watchRetry) // it does not wait for news
+				if !changed && time.Since(lastStart) < watchRetry {
+					retry = time.After(watchRetry) // discovery does not wait for changes
 				}
 				continue
 			}
 			if failed++; failed == 1 {
 				w.log.Warn("discovery did not answer", "address", addr, "err", r.err)
 			}
-			if late := (net.Error)(nil); asked && !renewed && errors.As(r.err, &late) && late.Timeout() {
-				renewed = true
+			if netErr := (net.Error)(nil); polling && !retried && errors.As(r.err, &netErr) && netErr.Timeout() {
+				retried = true
 				continue
 			}
-			renewed = false
-			if asked {
+			retried = false
+			if polling {
 				watching = false
-				w.post(core.Listed{Mode: balance.Failed})
+				w.post(core.ListUpdate{Mode: balance.Failed})
 				continue
 			}
-			whole = true // what the watch has missed costs nothing
-			if out == nil {
-				due, again = false, time.After(watchRetry)
+			full = true // after a missed change the full list is cheap
+			if inFlight == nil {
+				addCall, retry = false, time.After(watchRetry)
 			}
 		}
 	}
 }
 
-// take hands a list on. An answer without changes says nothing.
-func (w *watcher) take(list *hostList) (told bool) {
+// applyList passes a list on, and reports whether it changes anything.
+func (w *watcher) applyList(list *hostList) (changed bool) {
 	w.seq = list.Seq
-	if !list.Whole && len(list.Hosts) == 0 {
+	if !list.Complete && len(list.Hosts) == 0 {
 		return false
 	}
 	mode := balance.Delta
-	if list.Whole {
+	if list.Complete {
 		mode = balance.Full
 	}
-	news := w.nodes.Learn(list.Hosts, list.Whole)
-	w.post(core.Listed{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), Heard: time.Now()})
-	w.nodes.logNews(news)
-	if list.Whole {
+	changes := w.nodes.UpdateHosts(list.Hosts, list.Complete)
+	w.post(core.ListUpdate{Mode: mode, Replicas: w.cfg.replicas(list.Hosts), ReceivedAt: time.Now()})
+	w.nodes.logChanges(changes)
+	if list.Complete {
 		select {
-		case <-w.whole:
+		case <-w.gotFullList:
 		default:
-			close(w.whole)
+			close(w.gotFullList)
 		}
 	}
 	return true
@@ -245,59 +248,59 @@
 
 // watchCall is one call to discovery.
 type watchCall struct {
-	mu   sync.Mutex // guards c, over
-	c    *lnet.Client
-	over bool
+	mu        sync.Mutex // guards client, cancelled
+	client    *lnet.Client
+	cancelled bool
 }
 
-// watchResult is how a call ended; the connection, if it can carry the next one, comes along.
+// watchResult is the result of a call, with its connection if that can be reused.
 type watchResult struct {
-	of   *watchCall
-	list *hostList
-	c    *lnet.Client
-	err  error
+	call   *watchCall
+	list   *hostList
+	client *lnet.Client
+	err    error
 }
 
-// cancel ends a call that nobody waits for any more, also one that still dials.
+// cancel ends a call whose result is no longer needed, also while it dials.
 func (k *watchCall) cancel() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.over = true
-	if k.c != nil {
-		k.c.Close()
+	k.cancelled = true
+	if k.client != nil {
+		k.client.Close()
 	}
 }
 
 func (k *watchCall) run(addr, target string, limit time.Duration, results chan<- watchResult) {
 	list, err := k.call(addr, target, limit)
 	k.mu.Lock()
-	c := k.c
-	if k.over || c != nil && (err != nil || !c.Sound()) {
+	c := k.client
+	if k.cancelled || c != nil && (err != nil || !c.Reusable()) {
 		if c != nil {
 			c.Close()
 		}
 		c = nil
 	}
 	k.mu.Unlock()
-	results <- watchResult{of: k, list: list, c: c, err: err}
+	results <- watchResult{call: k, list: list, client: c, err: err}
 }
 
 func (k *watchCall) call(addr, target string, limit time.Duration) (*hostList, error) {
-	until := time.Now().Add(limit)
-	if k.c == nil {
-		c, err := lnet.Dial(addr, min(limit, dialMost), maxList)
+	deadline := time.Now().Add(limit)
+	if k.client == nil {
+		c, err := lnet.Dial(addr, min(limit, discoveryDialTimeout), maxListBytes)
 		if err != nil {
 			return nil, err
 		}
 		k.mu.Lock()
-		k.c = c
-		over := k.over
+		k.client = c
+		cancelled := k.cancelled
 		k.mu.Unlock()
-		if over {
+		if cancelled {
 			return nil, net.ErrClosed
 		}
 	}
-	reply, err := k.c.Do("GET", target, addr, nil, nil, until)
+	reply, err := k.client.Do("GET", target, addr, nil, nil, deadline)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/platform/watch_test.go
+++ b/internal/platform/watch_test.go
@@ -1,7 +1,7 @@
 package platform
 
-// The watch in its narrow moments. Discovery is a script: it has each call in its hands, and says when and
-// how much of an answer goes out.
+// Races and failures of the watch. The stand-in for discovery is scripted: a test receives each call and
+// decides when, and how much of, an answer is sent.
 
 import (
 	"bufio"
@@ -20,22 +20,22 @@
 	"lapislever/internal/standin"
 )
 
-// scripted is a stand-in for discovery that hands each call to a function, with the connection that it came
-// on.
-type scripted struct {
+// scriptedDiscovery is a stand-in for discovery that passes each call to a function, with the connection
+// that it came on.
+type scriptedDiscovery struct {
 	addr string
 	mu   sync.Mutex
 	seen []string
 }
 
-func newScripted(t *testing.T, f func(n int, query string, c *net.TCPConn)) *scripted {
+func newScripted(t *testing.T, f func(n int, query string, c *net.TCPConn)) *scriptedDiscovery {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	d := &scripted{addr: l.Addr().String()}
+	d := &scriptedDiscovery{addr: l.Addr().String()}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -61,75 +61,76 @@
 	return d
 }
 
-func (d *scripted) count() int { return len(d.queries()) }
+func (d *scriptedDiscovery) count() int { return len(d.queries()) }
 
-// queries are those of the calls so far.
-func (d *scripted) queries() []string {
+// queries returns the query strings of all calls so far.
+func (d *scriptedDiscovery) queries() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.seen...)
 }
 
-// list is an answer's body.
-func list(seq int, whole bool, hosts ...host) string {
-	b, _ := json.Marshal(hostList{Seq: int64(seq), Whole: whole, Hosts: hosts})
+// listBody returns the body of an answer.
+func listBody(seq int, whole bool, hosts ...host) string {
+	b, _ := json.Marshal(hostList{Seq: int64(seq), Complete: whole, Hosts: hosts})
 	return string(b)
 }
 
-// tell writes a sound answer.
-func tell(c net.Conn, body string) {
+// writeList writes a complete answer.
+func writeList(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// reset ends a connection without an end.
-func reset(c *net.TCPConn) {
+// resetConn ends a connection by a reset.
+func resetConn(c *net.TCPConn) {
 	_ = c.SetLinger(0)
 	_ = c.Close()
 }
 
-// getsNothing tells that queries are answered, and no part of them goes to a node that drains.
-func getsNothing(t *testing.T, k *Coordinator, drains *standin.Node) {
+// expectNoParts checks that queries are answered and that no part of them goes to a node that drains.
+func expectNoParts(t *testing.T, k *Coordinator, draining *standin.Node) {
 	t.Helper()
-	before := len(drains.Parts())
+	before := len(draining.Parts())
 	for range 20 {
 		if r := post(t, k, "rate-check", 0); r.Status != 200 {
 			t.Fatalf("%d %s", r.Status, r.Body)
 		}
 	}
-	if n := len(drains.Parts()) - before; n != 0 {
+	if n := len(draining.Parts()) - before; n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
 }
 
-// With each time limit the change that a call has missed is heard before it counts as told.
-func TestWatchHearsBeforeItCountsAsTold(t *testing.T) {
+// With the chosen time limits, a change that one call misses is received before it counts as announced.
+func TestWatchTimesKeepThePropagationLimit(t *testing.T) {
 	us := func(m balance.Micros) time.Duration { return time.Duration(m) * time.Microsecond }
 	for name, worst := range map[string]time.Duration{
-		"pushed, fallen silent":    pushed.silence() + pushed.limit,
-		"asked for, fallen silent": asking.silence() + asking.limit,
-		"asked for, after many":    us(balance.AskMost) + asking.limit,
+		"pushed, fallen silent":       pushTimes.undetectedSilence() + pushTimes.limit,
+		"polled, fallen silent":       pollTimes.undetectedSilence() + pollTimes.limit,
+		"polled, after many failures": us(balance.MaxListRetryDelay) + pollTimes.limit,
 	} {
-		if worst > toldAfter {
-			t.Errorf("%s: heard after %v, told after %v", name, worst, toldAfter)
+		if worst > propagationLimit {
+			t.Errorf("%s: received after %v, announced after %v", name, worst, propagationLimit)
 		}
 	}
 }
 
-// However a call ends that tells nothing, the whole list is asked for anew, and what it does not name is
-// gone, also where it still answers. What came before a reset, or of an answer that never ends, is no answer.
-func TestWatchThatEndsWithoutTelling(t *testing.T) {
+// However a call ends without an answer, the full list is requested again, and nodes that it does not name
+// are gone even if they still answer. Data before a reset, or of an answer without an end, is not an
+// answer.
+func TestWatchThatEndsWithoutAnAnswer(t *testing.T) {
 	for name, end := range map[string]func(c *net.TCPConn, wrong string){
 		"silent": func(*net.TCPConn, string) {},
 		"closed": func(c *net.TCPConn, _ string) { _ = c.Close() },
-		"reset":  func(c *net.TCPConn, _ string) { reset(c) },
+		"reset":  func(c *net.TCPConn, _ string) { resetConn(c) },
 		"500": func(c *net.TCPConn, _ string) {
 			fmt.Fprint(c, "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n")
 		},
-		"no JSON":   func(c *net.TCPConn, _ string) { tell(c, "{") },
+		"no JSON":   func(c *net.TCPConn, _ string) { writeList(c, "{") },
 		"half head": func(c *net.TCPConn, _ string) { fmt.Fprint(c, "HTTP/1.1 200 OK\r\nConte"); _ = c.Close() },
 		"without a length, and reset": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n%s", wrong)
-			time.AfterFunc(50*time.Millisecond, func() { reset(c) }) // its bytes have been read, or the call is over
+			time.AfterFunc(50*time.Millisecond, func() { resetConn(c) }) // its bytes are read, or the call is over
 		},
 		"without an end": func(c *net.TCPConn, wrong string) {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(wrong), wrong)
@@ -137,29 +138,29 @@
 	} {
 		t.Run(strings.ReplaceAll(name, " ", "_"), func(t *testing.T) {
 			t.Parallel()
-			a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+			a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 			both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-			var over atomic.Bool
+			var ended atomic.Bool
 			d := newScripted(t, func(n int, query string, c *net.TCPConn) {
 				switch {
 				case n == 1:
-					tell(c, list(1, true, both...))
-				case query != "" && over.CompareAndSwap(false, true):
-					end(c, list(2, true, hostAt("wrong", a.Addr, 0)))
+					writeList(c, listBody(1, true, both...))
+				case query != "" && ended.CompareAndSwap(false, true):
+					end(c, listBody(2, true, hostAt("wrong", a.Addr, 0)))
 				case query == "":
 					var indented strings.Builder
 					e := json.NewEncoder(&indented)
 					e.SetIndent("", "    ")
-					_ = e.Encode(hostList{Seq: 3, Whole: true, Hosts: both[1:]})
-					tell(c, indented.String())
+					_ = e.Encode(hostList{Seq: 3, Complete: true, Hosts: both[1:]})
+					writeList(c, indented.String())
 				}
 			})
-			k := run(t, config(t, &discovery{addr: d.addr}))
-			standin.Until(t, "the whole list", func() bool { return k.core.Counts().Listed.Load() == 1 })
+			k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
+			standin.WaitFor(t, "the full list", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 			d.mu.Lock()
 			for _, query := range d.seen {
 				if strings.HasPrefix(query, "index=2&") {
-					t.Error("a list without an end was taken")
+					t.Error("a list without an end was accepted")
 				}
 			}
 			d.mu.Unlock()
@@ -176,10 +177,10 @@
 	}
 }
 
-// Discovery is silent and then answers again: calls were made all the while, so that the first one it can
-// answer tells of what has changed.
-func TestWatchGoesOnAskingWhileDiscoveryIsDown(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+// Discovery is silent and then answers again. Calls continue in the meantime, so that the first one that
+// it can answer reports the changes.
+func TestWatchKeepsCallingWhileDiscoveryIsDown(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	var mu sync.Mutex
 	down := false
@@ -187,135 +188,136 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if !down && query == "" {
-			tell(c, list(n, true, both...))
+			writeList(c, listBody(n, true, both...))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}))
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
 	mu.Lock()
 	down = true
 	mu.Unlock()
-	asked := d.count()
-	standin.Until(t, "calls to a silent discovery", func() bool { return d.count() > asked+8 })
+	calls := d.count()
+	standin.WaitFor(t, "calls to a silent discovery", func() bool { return d.count() > calls+8 })
 	mu.Lock()
 	both[0].Health = "terminating"
-	asked, down = d.count(), false
+	calls, down = d.count(), false
 	mu.Unlock()
-	standin.Until(t, "the watch that follows the answer", func() bool { // until then the whole list is asked for
+	// Until that watch the full list is requested.
+	standin.WaitFor(t, "the watch that follows the answer", func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return slices.ContainsFunc(d.seen[asked:], func(q string) bool { return q != "" })
+		return slices.ContainsFunc(d.seen[calls:], func(q string) bool { return q != "" })
 	})
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
-// A new process knows a list that has become old. What discovery has counts from its first moment: nobody is
-// sent here before that has been heard, and then by that alone.
-func TestStartWaitsForDiscoverysWord(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+// A new process knows an outdated list. Discovery's state counts from the first moment, so no client is
+// sent here before the full list has arrived, and afterwards only that list counts.
+func TestStartWaitsForDiscovery(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := []host{both[0], both[1]}
-	drains[0].Health = "terminating"
-	asked, free := make(chan struct{}, 100), make(chan struct{})
+	draining := []host{both[0], both[1]}
+	draining[0].Health = "terminating"
+	called, release := make(chan struct{}, 100), make(chan struct{})
 	d := newScripted(t, func(n int, query string, c *net.TCPConn) {
-		asked <- struct{}{}
+		called <- struct{}{}
 		if query == "" {
-			<-free
-			tell(c, list(9, true, drains...))
+			<-release
+			writeList(c, listBody(9, true, draining...))
 		}
 	})
-	c := config(t, &discovery{addr: d.addr})
-	c.Known = &hostList{Seq: 7, Whole: true, Hosts: both}
-	k, err := Start(c, standin.Quiet())
+	c := testConfig(t, &discovery{addr: d.addr})
+	c.Known = &hostList{Seq: 7, Complete: true, Hosts: both}
+	k, err := Start(c, standin.DiscardLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(k.Close)
-	<-asked
-	<-k.listed // the old list is taken in
+	<-called
+	<-k.listKnown // the old list has been taken in
 	if k.front.ready.Load() {
-		t.Fatal("ready by an old list alone")
+		t.Fatal("ready with an old list only")
 	}
-	close(free)
-	standin.Until(t, "readiness", k.front.ready.Load)
-	standin.Until(t, "the list", func() bool { _, open := <-k.watcher.whole; return !open })
-	getsNothing(t, k, a)
+	close(release)
+	standin.WaitFor(t, "readiness", k.front.ready.Load)
+	standin.WaitFor(t, "the list", func() bool { _, open := <-k.watcher.gotFullList; return !open })
+	expectNoParts(t, k, a)
 	if n := len(a.Parts()); n != 0 {
 		t.Fatalf("%d parts went to a node that drains", n)
 	}
 }
 
-// Where the list is asked for, a call that has fallen silent is made anew at once, by the version that is
-// known; a refusal is the module's to wait with. Either way the change is heard.
-func TestAskedWatchIsRenewedAfterSilence(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+// Where the list is polled, a call that fell silent is repeated at once, from the known version. After a
+// refusal the module decides how long to wait. Either way the change is received.
+func TestPolledWatchIsRenewedAfterSilence(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := both[0]
-	drains.Health = "terminating"
-	at := make(chan time.Time, 2)
+	draining := both[0]
+	draining.Health = "terminating"
+	times := make(chan time.Time, 2)
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		switch n {
 		case 1:
-			tell(c, list(1, true, both...))
+			writeList(c, listBody(1, true, both...))
 		case 2: // silent
-			at <- time.Now()
+			times <- time.Now()
 		case 3:
-			at <- time.Now()
-			tell(c, list(2, false, drains))
+			times <- time.Now()
+			writeList(c, listBody(2, false, draining))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`,
 		`"membershipMode":"subscribe"`))
-	standin.Until(t, "the next call", func() bool { return d.count() >= 4 })
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 4 })
 	seen := d.queries()
 	if seen[2] != "index=1&wait=2500" || seen[3] != "index=2&wait=2500" {
 		t.Fatalf("%q", seen)
 	}
-	silent, anew := <-at, <-at
-	if gap := anew.Sub(silent); gap < asking.silence()-50*time.Millisecond {
-		t.Fatalf("the call was given up after %v", gap)
+	silent, repeated := <-times, <-times
+	if gap := repeated.Sub(silent); gap < pollTimes.undetectedSilence()-50*time.Millisecond {
+		t.Fatalf("the call was abandoned after %v", gap)
 	}
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
-// A list that is known is gone on from, whatever its version: 0 is one like any other. Thirty coordinators
-// that asked for the whole list at their start kept discovery from telling any of them what changed then.
-func TestAskedWatchGoesOnFromAKnownList(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+// The watch continues from a known list of any version, 0 included. Thirty coordinators that requested the
+// full list at their start kept discovery from sending any of them the changes of that time.
+func TestPolledWatchContinuesFromAKnownList(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
-	drains := both[0]
-	drains.Health = "terminating"
+	draining := both[0]
+	draining.Health = "terminating"
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		if n == 1 {
-			tell(c, list(1, false, drains))
+			writeList(c, listBody(1, false, draining))
 		}
 	})
-	c := config(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
-	c.Known = &hostList{Seq: 0, Whole: true, Hosts: both}
-	k := run(t, c)
-	standin.Until(t, "the next call", func() bool { return d.count() >= 2 })
+	c := testConfig(t, &discovery{addr: d.addr}, `"membershipMode":"automatic"`, `"membershipMode":"subscribe"`)
+	c.Known = &hostList{Seq: 0, Complete: true, Hosts: both}
+	k := startReady(t, c)
+	standin.WaitFor(t, "the next call", func() bool { return d.count() >= 2 })
 	seen := d.queries()
 	if seen[0] != "index=0&wait=2500" || seen[1] != "index=1&wait=2500" {
 		t.Fatalf("%q", seen)
 	}
-	getsNothing(t, k, a)
+	expectNoParts(t, k, a)
 }
 
-// A call that is overdue is not given up for the next one: whichever is answered first counts. An agent that
-// comes back answers new calls only, and one that is slow the old ones.
-func TestOverdueCallStaysOutBesideTheNext(t *testing.T) {
-	a, b := standin.NewNode(t, ok), standin.NewNode(t, ok)
+// An overdue call is not cancelled for the next one: whichever is answered first counts. An agent that
+// recovers only answers new calls, and a slow one answers the old ones.
+func TestOverdueCallStaysInFlightBesideTheNext(t *testing.T) {
+	a, b := standin.NewNode(t, answerAll), standin.NewNode(t, answerAll)
 	both := []host{hostAt("a", a.Addr, 0), hostAt("b", b.Addr, 0)}
 	overdue := make(chan *net.TCPConn, 1)
 	d := newScripted(t, func(n int, _ string, c *net.TCPConn) {
 		switch n {
 		case 1:
-			tell(c, list(1, true, both...))
+			writeList(c, listBody(1, true, both...))
 		case 3: // the first after a silent watch
 			overdue <- c
 		case 4: // made while that one waits, and never answered
-			tell(<-overdue, list(2, true, both[1:]...))
+			writeList(<-overdue, listBody(2, true, both[1:]...))
 		}
 	})
-	k := run(t, config(t, &discovery{addr: d.addr}))
-	standin.Until(t, "the overdue answer", func() bool { return k.core.Counts().Listed.Load() == 1 })
+	k := startReady(t, testConfig(t, &discovery{addr: d.addr}))
+	standin.WaitFor(t, "the overdue answer", func() bool { return k.core.Counts().ListedServers.Load() == 1 })
 }
--- a/internal/quota/keys_test.go
+++ b/internal/quota/keys_test.go
@@ -7,39 +7,40 @@
 	"testing"
 )
 
-// keyed are members with a limit for each key, links that lose nothing, and a count of what each key got.
-type keyed struct {
-	now   Micros
-	procs []*Keys
-	let   map[uint64][]Micros
-	limit Limit
+// keyedFleet simulates members with a limit for each key and reliable links, and records the admitted
+// requests by key.
+type keyedFleet struct {
+	now      Micros
+	procs    []*KeyedShares
+	admitted map[uint64][]Micros
+	limit    Limit
 }
 
-func newKeyed(n int) *keyed {
-	x := &keyed{now: 1, let: map[uint64][]Micros{},
+func newKeyedFleet(n int) *keyedFleet {
+	x := &keyedFleet{now: 1, admitted: map[uint64][]Micros{},
 		limit: Limit{Name: "t", ID: LimitID("t"), Rate: 30, Burst: 9}}
 	for i := range n {
-		x.procs = append(x.procs, NewKeys(x.limit, n, period, uint64(i+1), 1))
+		x.procs = append(x.procs, NewKeyedShares(x.limit, n, period, uint64(i+1), 1))
 	}
 	return x
 }
 
-func (x *keyed) ask(i int, key string) bool {
+func (x *keyedFleet) ask(i int, key string) bool {
 	id := KeyID(x.limit.ID, key)
 	ok, _ := x.procs[i].Take(x.now, id)
 	if ok {
-		x.let[id] = append(x.let[id], x.now)
+		x.admitted[id] = append(x.admitted[id], x.now)
 	}
 	return ok
 }
 
-// tick is a period's end: all messages arrive at once.
-func (x *keyed) tick() {
-	type letter struct {
+// tick ends a period: all messages arrive immediately.
+func (x *keyedFleet) tick() {
+	type envelope struct {
 		from int
-		Send
+		Message
 	}
-	var post []letter
+	var queue []envelope
 	for i, k := range x.procs {
 		var peers []string
 		for j := range x.procs {
@@ -48,23 +49,23 @@
 			}
 		}
 		for _, s := range k.Tick(x.now, peers) {
-			post = append(post, letter{i, s})
+			queue = append(queue, envelope{i, s})
 		}
 	}
-	for len(post) > 0 {
-		l := post[0]
-		post = post[1:]
+	for len(queue) > 0 {
+		e := queue[0]
+		queue = queue[1:]
 		var to int
-		_, _ = fmt.Sscanf(l.To, "m%d", &to)
-		for _, s := range x.procs[to].Receive(x.now, fmt.Sprint("m", l.from), l.Data) {
-			post = append(post, letter{to, s})
+		_, _ = fmt.Sscanf(e.To, "m%d", &to)
+		for _, s := range x.procs[to].Receive(x.now, fmt.Sprint("m", e.from), e.Data) {
+			queue = append(queue, envelope{to, s})
 		}
 	}
 }
 
-// over names a key that got more in a window than its rate and burst allow.
-func (x *keyed) over() string {
-	for id, at := range x.let {
+// exceededKey describes a key that got more in a time window than its rate and burst allow, or returns "".
+func (x *keyedFleet) exceededKey() string {
+	for id, at := range x.admitted {
 		for _, span := range []Micros{100_000, 1_000_000, 5_000_000} {
 			first := 0
 			for i, t := range at {
@@ -72,7 +73,7 @@
 					first++
 				}
 				if n, most := float64(i-first+1), x.limit.Rate*float64(span)/1e6+x.limit.Burst; n > most {
-					return fmt.Sprintf("key %x got %.0f in %d us, where %.0f may be", id, n, span, most)
+					return fmt.Sprintf("key %x got %.0f in %d us, limit %.0f", id, n, span, most)
 				}
 			}
 		}
@@ -80,10 +81,11 @@
 	return ""
 }
 
-// Each of many keys has the rate for itself: one that is heavy at one member gets nine tenths of it there,
-// small ones are let in beside it, a key that moves to and fro between sketch and share is never over.
-func TestEachKeyHasItsOwn(t *testing.T) {
-	x := newKeyed(3)
+// Each key has the rate for itself: a heavy key at one member gets nine tenths of the rate there, small keys
+// are admitted beside it, and a key that alternates between the sketch and its own share never exceeds the
+// limit.
+func TestEachKeyIsLimitedSeparately(t *testing.T) {
+	x := newKeyedFleet(3)
 	rng := rand.New(rand.NewPCG(1, 1))
 	small, smallIn := 0, 0
 	from := Micros(0)
@@ -94,7 +96,7 @@
 				x.ask(0, "heavy")
 				x.ask(0, "heavy")
 			}
-			if p%40 < 20 { // now and then
+			if p%40 < 20 { // intermittent demand
 				for range 3 {
 					x.ask(rng.IntN(3), "moody")
 				}
@@ -112,56 +114,55 @@
 		x.tick()
 	}
 	n := 0
-	for _, at := range x.let[KeyID(x.limit.ID, "heavy")] {
+	for _, at := range x.admitted[KeyID(x.limit.ID, "heavy")] {
 		if at > from {
 			n++
 		}
 	}
 	if got := float64(n) / (float64(x.now-from) / 1e6); got < 0.88*x.limit.Rate {
-		t.Errorf("the heavy key gets %.1f of %.0f a second", got, x.limit.Rate)
+		t.Errorf("the heavy key gets %.1f requests per second of %.0f", got, x.limit.Rate)
 	}
 	if float64(smallIn) < 0.98*float64(small) {
-		t.Errorf("%d of %d of small keys are let in", smallIn, small)
+		t.Errorf("%d of %d requests of small keys are admitted", smallIn, small)
 	}
-	if over := x.over(); over != "" {
+	if over := x.exceededKey(); over != "" {
 		t.Error(over)
 	}
 	if n := x.procs[0].Len(); n > 40 {
-		t.Errorf("%d keys have a share of their own", n)
+		t.Errorf("%d keys have their own share", n)
 	}
 }
 
-// Ten thousand heavy keys have shares of their own and one more does not; those that stop asking give their
-// room up.
+// Ten thousand heavy keys get their own shares and further ones do not. Keys without requests lose theirs.
 func TestKeysAreBounded(t *testing.T) {
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
-	for i := range MostKeys + 50 {
+	for i := range MaxKeys + 50 {
 		for range 8 {
 			x.ask(0, fmt.Sprint(i))
 		}
 	}
-	if n := x.procs[0].Len(); n != MostKeys || x.procs[0].Crowded == 0 {
-		t.Fatalf("%d keys, crowded %d", n, x.procs[0].Crowded)
+	if n := x.procs[0].Len(); n != MaxKeys || x.procs[0].Overflows == 0 {
+		t.Fatalf("%d keys, %d overflows", n, x.procs[0].Overflows)
 	}
 	for range 400 {
 		x.now += period
 		x.tick()
 	}
 	if a, b := x.procs[0].Len(), x.procs[1].Len(); a+b > 0 {
-		t.Errorf("%d and %d keys still have shares of their own", a, b)
+		t.Errorf("%d and %d keys still have their own share", a, b)
 	}
 	if len(x.procs[0].order) > 0 {
-		t.Error("the order is kept")
+		t.Error("the order of the keys still has entries")
 	}
 }
 
-// What the sketch costs: small keys that are turned away although alone they would not be, by how many there
-// are, against a plain map of buckets, and the memory of both.
-func TestTheTailAgainstAPlainMap(t *testing.T) {
+// Compares the sketch with a plain map of buckets: the fraction of requests that it refuses although their
+// key is within its limit, by the number of keys, and the memory of keyed shares.
+func TestSketchAgainstPlainMap(t *testing.T) {
 	for _, x := range []struct {
 		keys int
-		most float64 // share of wrong refusals
+		most float64 // allowed fraction of wrong refusals
 	}{{1_000, 0.0001}, {10_000, 0.001}, {100_000, 0.05}} {
 		rng := rand.New(rand.NewPCG(7, 7))
 		tail := &sketch{}
@@ -193,35 +194,35 @@
 		}
 		share := float64(wrong) / float64(asked)
 		if over > 0 || share > x.most {
-			t.Errorf("%d keys: %d let in that a map would not, %.4f of %d turned away for nothing", x.keys, over,
+			t.Errorf("%d keys: %d admitted that a map would refuse, %.4f of %d refused wrongly", x.keys, over,
 				share, asked)
 		}
-		t.Logf("%d keys: %.5f of %d turned away for nothing", x.keys, share, asked)
+		t.Logf("%d keys: %.5f of %d refused wrongly", x.keys, share, asked)
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
-	for i := range MostKeys {
+	for i := range MaxKeys {
 		for range 6 {
 			x.ask(0, fmt.Sprint(i))
 		}
 	}
-	clear(x.let)
+	clear(x.admitted)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("%d keys of their own and the sketch: %.1f MB", x.procs[0].Len(),
+	t.Logf("%d keys with their own share, and the sketch: %.1f MB", x.procs[0].Len(),
 		float64(after.HeapAlloc-before.HeapAlloc)/1e6)
 	if n := after.HeapAlloc - before.HeapAlloc; n > 12<<20 {
-		t.Errorf("%d bytes", n)
+		t.Errorf("keyed shares use %d bytes", n)
 	}
 	runtime.KeepAlive(x)
 }
 
-// BenchmarkKeyTake is one decision among 10,000 keys, a tenth of them with a share of their own.
+// BenchmarkKeyTake measures one decision among 10,000 keys, a tenth of which have their own share.
 func BenchmarkKeyTake(b *testing.B) {
-	x := newKeyed(2)
+	x := newKeyedFleet(2)
 	x.now += 20 * period
 	ids := make([]uint64, 10_000)
 	for i := range ids {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads files of TOML and says of each fault in which line it stands and at which key. It
-// owns the form of those messages; what a value may be its users say. A file is taken whole or not at all:
-// all faults are told at once, and none is passed over.
+// Package settings reads TOML files and reports each error with its line and key. It defines the form of
+// those messages; the users of the package decide which values are valid. A file is accepted or rejected
+// as a whole, and all errors are reported together.
 package settings
 
 import (
@@ -14,20 +14,20 @@
 	"github.com/BurntSushi/toml"
 )
 
-// File is a file that is being checked.
+// File is a file that is being validated.
 type File struct {
-	name   string
-	lines  map[string]int // of keys, with the index of their table where there are several
-	plain  map[string][]int
-	faults []fault
+	name       string
+	lines      map[string]int // of keys, with the index of their table in an array of tables
+	plainLines map[string][]int
+	errs       []lineError
 }
 
-type fault struct {
+type lineError struct {
 	line int
 	text string
 }
 
-// Load reads a file into a value. What is returned collects the faults that the caller finds.
+// Load reads a file into a value. The returned File collects the errors that the caller finds.
 func Load(path string, into any) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -36,43 +36,44 @@
 	return Parse(path, string(text), into)
 }
 
-// Parse reads a text into a value. Keys that the value has no place for are faults, as a misspelt one would
-// else be lost unseen.
+// Parse reads a text into a value. Keys without a field in the value are errors, as a misspelt key would
+// otherwise go unnoticed.
 func Parse(name, text string, into any) (*File, error) {
-	f := &File{name: name, lines: map[string]int{}, plain: map[string][]int{}}
+	f := &File{name: name, lines: map[string]int{}, plainLines: map[string][]int{}}
 	f.scan(text)
 	meta, err := toml.Decode(text, into)
-	var bad toml.ParseError
-	if errors.As(err, &bad) {
-		at := bad.Position.Line
+	var parseErr toml.ParseError
+	if errors.As(err, &parseErr) {
+		line := parseErr.Position.Line
 		key := ""
-		if bad.LastKey != "" {
-			key = bad.LastKey + ": "
+		if parseErr.LastKey != "" {
+			key = parseErr.LastKey + ": "
 		}
-		return nil, fmt.Errorf("%s:%d: %s%s", name, at, key, bad.Message)
+		return nil, fmt.Errorf("%s:%d: %s%s", name, line, key, parseErr.Message)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	told := map[string]bool{}
+	reported := map[string]bool{}
 	for _, k := range meta.Undecoded() {
 		key := strings.Join(k, ".")
-		if told[key] || free(reflect.TypeOf(into), k) {
+		if reported[key] || acceptsAnyKey(reflect.TypeOf(into), k) {
 			continue
 		}
-		told[key] = true
-		for _, line := range f.plain[key] {
-			f.faults = append(f.faults, fault{line, "unknown key " + key})
+		reported[key] = true
+		for _, line := range f.plainLines[key] {
+			f.errs = append(f.errs, lineError{line, "unknown key " + key})
 		}
-		if len(f.plain[key]) == 0 {
-			f.faults = append(f.faults, fault{0, "unknown key " + key})
+		if len(f.plainLines[key]) == 0 {
+			f.errs = append(f.errs, lineError{0, "unknown key " + key})
 		}
 	}
 	return f, nil
 }
 
-// free tells that a key lies in a table that takes any: the library counts what is deeper there as not taken.
-func free(t reflect.Type, key []string) bool {
+// acceptsAnyKey reports whether a key is inside a table of free form. The library counts deeper keys there
+// as undecoded.
+func acceptsAnyKey(t reflect.Type, key []string) bool {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
 	}
@@ -83,42 +84,42 @@
 		for i := range t.NumField() {
 			name, _, _ := strings.Cut(t.Field(i).Tag.Get("toml"), ",")
 			if len(key) > 1 && name == key[0] {
-				return free(t.Field(i).Type, key[1:])
+				return acceptsAnyKey(t.Field(i).Type, key[1:])
 			}
 		}
 	}
 	return false
 }
 
-// scan finds the line of each key. It only has to follow what toml.Decode takes.
+// scan finds the line of each key. It only has to handle what toml.Decode accepts.
 func (f *File) scan(text string) {
 	table, plain, quote, depth := "", "", "", 0
 	counts := map[string]int{}
 	for i, line := range strings.Split(text, "\n") {
 		rest := strings.TrimSpace(line)
-		inside := quote != "" || depth > 0
-		if !inside && strings.HasPrefix(rest, "[") {
+		open := quote != "" || depth > 0
+		if !open && strings.HasPrefix(rest, "[") {
 			name, _, _ := strings.Cut(strings.Trim(rest, "["), "]")
 			name = strings.TrimSpace(name)
 			table, plain = name, name
 			if strings.HasPrefix(rest, "[[") {
 				counts[name]++
 				table = fmt.Sprintf("%s[%d]", name, counts[name])
-			} else if parent, child, ok := cutLast(name); ok && counts[parent] > 0 { // of the last of several
+			} else if parent, child, ok := cutLast(name); ok && counts[parent] > 0 { // in the last
 				table = fmt.Sprintf("%s[%d].%s", parent, counts[parent], child)
 			}
-			f.note(table, plain, i+1)
+			f.addLine(table, plain, i+1)
 			continue
 		}
-		if key, _, ok := strings.Cut(rest, "="); ok && !inside && !strings.HasPrefix(rest, "#") {
+		if key, _, ok := strings.Cut(rest, "="); ok && !open && !strings.HasPrefix(rest, "#") {
 			key = strings.Trim(strings.TrimSpace(key), `"'`)
 			at, short := key, key
 			if table != "" {
 				at, short = table+"."+key, plain+"."+key
 			}
-			f.note(at, short, i+1)
+			f.addLine(at, short, i+1)
 		}
-		quote, depth = follow(rest, quote, depth)
+		quote, depth = trackOpen(rest, quote, depth)
 	}
 }
 
@@ -130,8 +131,8 @@
 	return name[:i], name[i+1:], true
 }
 
-// follow tells whether a line leaves a text or a list open.
-func follow(line, quote string, depth int) (string, int) {
+// trackOpen updates the state of strings and lists that a line leaves open.
+func trackOpen(line, quote string, depth int) (string, int) {
 	for i := 0; i < len(line); i++ {
 		rest := line[i:]
 		if quote != "" {
@@ -158,18 +159,18 @@
 			depth--
 		}
 	}
-	if len(quote) == 1 { // it does not reach over lines
+	if len(quote) == 1 { // such a string cannot span lines
 		quote = ""
 	}
 	return quote, depth
 }
 
-func (f *File) note(at, plain string, line int) {
+func (f *File) addLine(at, plain string, line int) {
 	f.lines[at] = line
-	f.plain[plain] = append(f.plain[plain], line)
+	f.plainLines[plain] = append(f.plainLines[plain], line)
 }
 
-// Line is where a key stands, or the table that it would stand in; 0 where there is neither.
+// Line returns the line of a key, or of the table that it belongs to, or 0 if there is neither.
 func (f *File) Line(key string) int {
 	for {
 		if line, ok := f.lines[key]; ok {
@@ -183,27 +184,27 @@
 	}
 }
 
-// Fault notes what is wrong at a key. Of the tables of a list the key bears the number, from 1:
-// server[2].name.
-func (f *File) Fault(key, format string, args ...any) {
-	f.faults = append(f.faults, fault{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
+// AddError records an error at a key. A key in an array of tables contains the table's number, counted
+// from 1: server[2].name.
+func (f *File) AddError(key, format string, args ...any) {
+	f.errs = append(f.errs, lineError{f.Line(key), key + ": " + fmt.Sprintf(format, args...)})
 }
 
-// Check notes a fault unless something holds.
-func (f *File) Check(holds bool, key, format string, args ...any) {
+// Require records an error unless a condition holds.
+func (f *File) Require(holds bool, key, format string, args ...any) {
 	if !holds {
-		f.Fault(key, format, args...)
+		f.AddError(key, format, args...)
 	}
 }
 
-// Err is all that is wrong, in the order of the lines.
+// Err returns all errors in the order of their lines.
 func (f *File) Err() error {
-	if len(f.faults) == 0 {
+	if len(f.errs) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f.faults, func(a, b fault) int { return a.line - b.line })
-	list := make([]error, len(f.faults))
-	for i, x := range f.faults {
+	slices.SortStableFunc(f.errs, func(a, b lineError) int { return a.line - b.line })
+	list := make([]error, len(f.errs))
+	for i, x := range f.errs {
 		if x.line > 0 {
 			list[i] = fmt.Errorf("%s:%d: %s", f.name, x.line, x.text)
 		} else {
@@ -213,15 +214,15 @@
 	return errors.Join(list...)
 }
 
-// Overlay lays the settings of one object over another's.
-func Overlay(under, over map[string]any) {
-	for k, v := range over {
-		a, ok1 := under[k].(map[string]any)
+// Overlay merges the settings of one object over those of another.
+func Overlay(base, override map[string]any) {
+	for k, v := range override {
+		a, ok1 := base[k].(map[string]any)
 		b, ok2 := v.(map[string]any)
 		if ok1 && ok2 {
 			Overlay(a, b)
 		} else {
-			under[k] = v
+			base[k] = v
 		}
 	}
 }
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -12,15 +12,15 @@
 	"time"
 )
 
-// Authority signs certificates for tests.
+// Authority is a certificate authority for tests.
 type Authority struct {
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	n    int64
+	t      testing.TB
+	cert   *x509.Certificate
+	key    *ecdsa.PrivateKey
+	serial int64
 }
 
-// NewAuthority makes one.
+// NewAuthority creates a certificate authority with a self-signed certificate.
 func NewAuthority(t testing.TB) *Authority {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -34,22 +34,22 @@
 		t.Fatal(err)
 	}
 	cert, _ := x509.ParseCertificate(der)
-	return &Authority{t: t, cert: cert, key: key, n: 1}
+	return &Authority{t: t, cert: cert, key: key, serial: 1}
 }
 
-// PEM is its certificate.
+// PEM returns the authority's certificate.
 func (a *Authority) PEM() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.cert.Raw})
 }
 
-// Issue makes a pair for a name.
+// Issue creates a certificate for a DNS name and its key, both as PEM.
 func (a *Authority) Issue(name string) (cert, key []byte) {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	a.n++
-	tmpl := &x509.Certificate{SerialNumber: big.NewInt(a.n), Subject: pkix.Name{CommonName: name},
+	a.serial++
+	tmpl := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: name},
 		DNSNames: []string{name}, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
 	der, err := x509.CreateCertificate(rand.Reader, tmpl, a.cert, &k.PublicKey, a.key)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -1,6 +1,6 @@
-// Package standin has the stand-ins that tests talk to on loopback: clients, servers of range queries, data
-// nodes and discovery, written from the public descriptions. Tests alone use it; it must never be linked
-// into the coordinator.
+// Package standin provides test doubles of the outside systems, on loopback: clients, range-query servers,
+// data nodes and discovery, written from the public protocol descriptions. It is for tests only and must
+// never be linked into the coordinator.
 package standin
 
 import (
@@ -19,11 +19,11 @@
 	lnet "lapislever/internal/net"
 )
 
-// Quiet is a log that nobody reads.
-func Quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+// DiscardLogger returns a logger that discards everything.
+func DiscardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// Call sends one request on a connection of its own.
-func Call(t testing.TB, addr, method, target string, header [][2]string, body string) *lnet.Reply {
+// DoHTTP sends one request on a new connection and returns the reply.
+func DoHTTP(t testing.TB, addr, method, target string, header [][2]string, body string) *lnet.Reply {
 	t.Helper()
 	c, err := lnet.Dial(addr, 5*time.Second, 1<<20)
 	if err != nil {
@@ -41,32 +41,32 @@
 	return r
 }
 
-// HTTP is a stand-in server; a reply without a status is withheld. Silent ends tell how many of the clients
-// whose reply was withheld have left.
-type HTTP struct {
-	Addr string
-	l    *lnet.Server
-	mu   sync.Mutex
-	seen []string
-	gone int
+// HTTPServer is a stand-in HTTP server. It counts the clients that disconnect while their reply is withheld.
+type HTTPServer struct {
+	Addr        string
+	server      *lnet.Server
+	mu          sync.Mutex
+	requests    []string
+	disconnects int
 }
 
-// NewHTTP starts a stand-in server that answers by f. Of a form the parameters are handed over.
-func NewHTTP(t testing.TB, f func(path string, v url.Values) (int, string)) *HTTP {
+// NewHTTPServer starts a stand-in server that answers with the status and body that f returns; status 0
+// withholds the reply. f gets the parameters of the URL and of a form body.
+func NewHTTPServer(t testing.TB, f func(path string, v url.Values) (int, string)) *HTTPServer {
 	t.Helper()
-	h := &HTTP{}
-	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(100, 0), Quiet(),
+	h := &HTTPServer{}
+	l, err := lnet.Listen("127.0.0.1:0", lnet.NewBudget(100, 0), DiscardLogger(),
 		func(r *lnet.Request, x *lnet.Exchange) func() {
 			v, _ := url.ParseQuery(r.Query + "&" + string(r.Body))
 			h.mu.Lock()
-			h.seen = append(h.seen, r.Path+"?"+v.Encode())
+			h.requests = append(h.requests, r.Path+"?"+v.Encode())
 			h.mu.Unlock()
 			if status, body := f(r.Path, v); status > 0 {
-				x.Reply(lnet.Response{Status: status, Type: "application/json", Body: []byte(body)})
+				x.Reply(lnet.Response{Status: status, ContentType: "application/json", Body: []byte(body)})
 			}
 			return func() {
 				h.mu.Lock()
-				h.gone++
+				h.disconnects++
 				h.mu.Unlock()
 			}
 		})
@@ -75,63 +75,63 @@
 	}
 	go l.Serve()
 	t.Cleanup(l.StopListening)
-	h.l, h.Addr = l, l.Addr()
+	h.server, h.Addr = l, l.Addr()
 	return h
 }
 
-// Open counts the connections that are open.
-func (h *HTTP) Open() int { return h.l.Open() }
+// OpenConns returns the number of open connections.
+func (h *HTTPServer) OpenConns() int { return h.server.OpenConns() }
 
-// Seen are the requests so far, as path and sorted parameters.
-func (h *HTTP) Seen() []string {
+// Requests returns the requests so far, as path and sorted parameters.
+func (h *HTTPServer) Requests() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]string(nil), h.seen...)
+	return append([]string(nil), h.requests...)
 }
 
-// Gone counts the clients that left before their reply.
-func (h *HTTP) Gone() int {
+// Disconnects returns the number of clients that disconnected before their reply.
+func (h *HTTPServer) Disconnects() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.gone
+	return h.disconnects
 }
 
-// Until waits for something that must come, however slow the machine is.
-func Until(t testing.TB, what string, ok func() bool) {
+// WaitFor polls cond until it holds. It fails the test after 30 s, a time that suffices on a slow machine.
+func WaitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(30 * time.Second); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(30 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
 
-// Part is one part as a data node got it, on its first connection, its second and so on.
+// Part is one part as a data node received it. Conn is the number of its connection, from 1.
 type Part struct {
-	ID, List, Text string
-	Conn           int
+	ID, Attrs, Text string
+	Conn            int
 }
 
-// Node is a stand-in data node. It hands every frame but the parts' to nobody; each part goes to the
-// function, which returns the end letter and the value, or no letter to withhold the answer, or the letter
-// Raw and bytes to write as they are.
+// Node is a stand-in for a data node of the old protocol. Each part goes to the handler, which returns the
+// outcome letter and the value, or no letter to withhold the reply, or RawReply and bytes to write as they
+// are. The handler gets no other frames.
 type Node struct {
-	Addr   string
-	l      net.Listener
-	mu     sync.Mutex
-	parts  []Part
-	given  []string // ids given up
-	conns  []net.Conn
-	opened int
+	Addr        string
+	listener    net.Listener
+	mu          sync.Mutex
+	parts       []Part
+	cancelled   []string // IDs of cancelled parts
+	conns       []net.Conn
+	connsOpened int
 
-	// Wide has the parts of a connection answered side by side, not one after the other.
-	Wide atomic.Bool
+	// Concurrent makes the node handle the parts of a connection concurrently instead of one after the other.
+	Concurrent atomic.Bool
 }
 
-// Raw stands for an answer that is no frame.
-const Raw = "raw"
+// RawReply is the outcome for a reply that is written as it is, without a frame.
+const RawReply = "raw"
 
-// NewNode starts a data node.
+// NewNode starts a data node on a free port and closes it at the end of the test.
 func NewNode(t testing.TB, f func(p Part) (end, value string)) *Node {
 	t.Helper()
 	n, err := OpenNode("127.0.0.1:0", f)
@@ -142,13 +142,13 @@
 	return n
 }
 
-// OpenNode starts a data node at an address.
+// OpenNode starts a data node at an address. The caller closes it.
 func OpenNode(addr string, f func(p Part) (end, value string)) (*Node, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Addr: l.Addr().String(), l: l}
+	n := &Node{Addr: l.Addr().String(), listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -157,8 +157,8 @@
 			}
 			n.mu.Lock()
 			n.conns = append(n.conns, c)
-			n.opened++
-			number := n.opened
+			n.connsOpened++
+			number := n.connsOpened
 			n.mu.Unlock()
 			go n.serve(c, number, f)
 		}
@@ -166,14 +166,14 @@
 	return n, nil
 }
 
-// Close ends the node as a dying process does.
+// Close closes the node abruptly, as a crashing process does.
 func (n *Node) Close() {
-	_ = n.l.Close()
-	n.Drop()
+	_ = n.listener.Close()
+	n.ResetConns()
 }
 
-// Drop resets its connections.
-func (n *Node) Drop() {
+// ResetConns resets the node's connections.
+func (n *Node) ResetConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, c := range n.conns {
@@ -183,31 +183,31 @@
 	n.conns = nil
 }
 
-// Parts are the parts so far, Given the ids that were given up, Opened counts connections.
+// Parts returns the parts received so far.
 func (n *Node) Parts() []Part {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return append([]Part(nil), n.parts...)
 }
 
-// Given are the ids that were given up.
-func (n *Node) Given() []string {
+// Cancelled returns the IDs of the parts that the client has cancelled.
+func (n *Node) Cancelled() []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return append([]string(nil), n.given...)
+	return append([]string(nil), n.cancelled...)
 }
 
-// Opened counts the connections so far.
-func (n *Node) Opened() int {
+// ConnsOpened returns the number of connections accepted so far.
+func (n *Node) ConnsOpened() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.opened
+	return n.connsOpened
 }
 
-// Frame writes one frame.
-func Frame(w io.Writer, rest string) {
-	b := binary.LittleEndian.AppendUint32(nil, uint32(len(rest)))
-	_, _ = w.Write(append(b, rest...))
+// WriteFrame writes one frame: the length of the body, then the body.
+func WriteFrame(w io.Writer, body string) {
+	b := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	_, _ = w.Write(append(b, body...))
 }
 
 func (n *Node) serve(c net.Conn, number int, f func(p Part) (end, value string)) {
@@ -217,16 +217,16 @@
 		defer writing.Unlock()
 		_, _ = io.WriteString(c, text)
 	}
-	frame := func(rest string) {
+	writeFrame := func(body string) {
 		writing.Lock()
 		defer writing.Unlock()
-		Frame(c, rest)
+		WriteFrame(c, body)
 	}
 	answer := func(p Part) {
-		if end, value := f(p); end == Raw {
+		if end, value := f(p); end == RawReply {
 			write(value)
 		} else if end != "" {
-			frame(fmt.Sprintf("5%s %s 1 qps=5,queue=2\n%s", p.ID, end, value))
+			writeFrame(fmt.Sprintf("5%s %s 1 qps=5,queue=2\n%s", p.ID, end, value))
 		}
 	}
 	for {
@@ -244,15 +244,15 @@
 				line, more, _ := strings.Cut(rest, "\n")
 				p := Part{Conn: number}
 				var shard, size int
-				if _, err := fmt.Sscanf(line, "%s %d %s %d", &p.ID, &shard, &p.List, &size); err != nil {
-					frame("Xbad line")
+				if _, err := fmt.Sscanf(line, "%s %d %s %d", &p.ID, &shard, &p.Attrs, &size); err != nil {
+					writeFrame("Xbad line")
 					return
 				}
 				p.Text, rest = more[:size], more[size:]
 				n.mu.Lock()
 				n.parts = append(n.parts, p)
 				n.mu.Unlock()
-				if n.Wide.Load() {
+				if n.Concurrent.Load() {
 					go answer(p)
 				} else {
 					answer(p)
@@ -260,10 +260,10 @@
 			}
 		case '2':
 			n.mu.Lock()
-			n.given = append(n.given, rest)
+			n.cancelled = append(n.cancelled, rest)
 			n.mu.Unlock()
 		case '3':
-			frame("3S")
+			writeFrame("3S")
 		}
 	}
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	second = 1_000_000
-	most   = 190
+	second     = 1_000_000
+	maxMessage = 190
 )
 
-func node(what string, on bool) Verdict { return Verdict{Kind: Node, What: what, On: on} }
+func nodeVerdict(what string, on bool) Verdict { return Verdict{Kind: Node, What: what, On: on} }
 
-// picture is what of a table has to be equal at all who know the same.
-func picture(t *Table, now Micros) (s string) {
+// summary describes the part of a table that must be equal at all members with the same knowledge.
+func summary(t *Table, now Micros) (s string) {
 	for _, e := range t.entries {
-		s += fmt.Sprintf("%s %v %d %s ends %v; ", e.What, e.On, e.Stamp, e.Member, e.holds(now-e.born))
+		s += fmt.Sprintf("%s %v %d %s ends %v; ", e.What, e.On, e.Stamp, e.Member, e.inForce(now-e.issuedAt))
 	}
 	return s
 }
 
-// The same entries in any order, split and repeated anyhow, give the same table: the merge is commutative,
+// The same entries in any order and with repetitions give the same table: the merge is commutative,
 // associative and idempotent.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -35,10 +35,10 @@
 		}
 		var items []item
 		for range rapid.IntRange(1, 12).Draw(t, "n") {
-			v := node(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "what"), rapid.Bool().Draw(t, "on"))
+			v := nodeVerdict(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "what"), rapid.Bool().Draw(t, "on"))
 			v.Stamp, v.Member = rapid.Uint64Range(1, 6).Draw(t, "stamp"), rapid.SampledFrom([]string{"x",
 				"y"}).Draw(t, "m")
-			v.On = v.Stamp%2 == 0 // one stamp of one member says one thing
+			v.On = v.Stamp%2 == 0 // entries with the same stamp and member are equal
 			v.Span = Micros(v.Stamp%3) * second
 			items = append(items, item{v, rapid.Int64Range(0, 4*second).Draw(t, "age")})
 		}
@@ -47,7 +47,7 @@
 			for _, x := range order {
 				table.Merge(10*second, x.v, x.age)
 			}
-			return picture(table, 10*second)
+			return summary(table, 10*second)
 		}
 		twice := rapid.Permutation(append(slices.Clone(items), items...)).Draw(t, "twice")
 		if a, b := merge(items), merge(twice); a != b {
@@ -56,34 +56,34 @@
 	})
 }
 
-// All interleavings of three members and two contradicting verdicts on one thing: each member hears the
-// two in either order, or from another that has merged them, and all end with the same one. A merge that
-// takes what came last is found to differ.
-func TestEveryInterleavingOfTwoContraryVerdicts(t *testing.T) {
-	run := func(planted bool) (differ int) {
-		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two who speak
+// All interleavings of two contradicting verdicts on one subject at three members: each member receives the
+// two in either order, and possibly one of them twice, and all end with the same one. With an injected fault,
+// a merge that keeps the last arrival, they differ.
+func TestInterleavingsOfContraryVerdicts(t *testing.T) {
+	run := func(injectFault bool) (differ int) {
+		for _, gap := range []int64{-90_000, 0, 90_000} { // ms between the clocks of the two issuers
 			for order := range 1 << 6 {
 				tables := []*Table{NewTable("a"), NewTable("b"), NewTable("c")}
-				one, _ := tables[0].Say(0, 1_000_000, node("n", true))
-				two, _ := tables[1].Say(0, 1_000_000+gap, node("n", false))
+				one, _ := tables[0].Issue(0, 1_000_000, nodeVerdict("n", true))
+				two, _ := tables[1].Issue(0, 1_000_000+gap, nodeVerdict("n", false))
 				for i, table := range tables {
 					list := []Verdict{one, two}
 					if order>>i&1 == 1 {
 						list = []Verdict{two, one}
 					}
-					if order>>(3+i)&1 == 1 { // and once more
+					if order>>(3+i)&1 == 1 { // receive the first one again
 						list = append(list, list[0])
 					}
 					for _, v := range list {
-						if planted {
+						if injectFault {
 							v.Stamp += uint64(table.Len()) + table.clock
 						}
 						table.Merge(0, v, 0)
 					}
 				}
 				for _, table := range tables[1:] {
-					if l, _ := table.Line(0, Node, "n"); l.On != func() bool {
-						x, _ := tables[0].Line(0, Node,
+					if l, _ := table.Lookup(0, Node, "n"); l.On != func() bool {
+						x, _ := tables[0].Lookup(0, Node,
 							"n")
 						return x.On
 					}() {
@@ -98,144 +98,146 @@
 		t.Fatalf("%d interleavings end in different verdicts", n)
 	}
 	if run(true) == 0 {
-		t.Fatal("a merge by arrival is not found out")
+		t.Fatal("the fault of a merge by order of arrival is not detected")
 	}
 }
 
-// Who has seen a verdict has the last word, although their clock is minutes behind, or has jumped back.
-func TestTheLastWordIsTheLast(t *testing.T) {
+// A verdict issued with knowledge of another one supersedes it, even if the issuer's clock is far behind or
+// has jumped back.
+func TestLaterVerdictWins(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v, _ := a.Say(0, 9_000_000, node("n", true))
+	v, _ := a.Issue(0, 9_000_000, nodeVerdict("n", true))
 	b.Merge(0, v, 0)
-	w, _ := b.Say(0, 1_000, node("n", false)) // its clock is far behind
+	w, _ := b.Issue(0, 1_000, nodeVerdict("n", false)) // b's clock is far behind
 	if !a.Merge(0, w, 0) {
-		t.Fatal("the later word is not taken")
+		t.Fatal("the later verdict is not merged")
 	}
-	x, _ := a.Say(0, 500, node("n", true)) // a's clock has jumped
-	if !b.Merge(0, x, 0) || !x.after(&w) {
-		t.Fatal("a clock that jumped back has the last word no more")
+	x, _ := a.Issue(0, 500, nodeVerdict("n", true)) // a's clock has jumped back
+	if !b.Merge(0, x, 0) || !x.supersedes(&w) {
+		t.Fatal("a verdict issued after a clock jumped back does not supersede the earlier one")
 	}
 }
 
-// A verdict ends by its age, whatever links and clocks do, is not brought back by what is late, and is
-// forgotten after its time.
-func TestEnds(t *testing.T) {
+// A verdict ends by its age, independently of delays and of the time of its arrival. A late message does not
+// bring it back, and it is removed after the retention time.
+func TestVerdictsExpire(t *testing.T) {
 	a, b := NewTable("a"), NewTable("b")
-	v := node("n", true)
+	v := nodeVerdict("n", true)
 	v.Span = 10 * second
-	v, _ = a.Say(0, 1, v)
+	v, _ = a.Issue(0, 1, v)
 	b.Merge(4*second, v, 4*second)
-	a.Take()
-	b.Take()
+	a.TakeChanges()
+	b.TakeChanges()
 	for _, table := range []*Table{a, b} {
 		table.Expire(9 * second)
-		if len(table.Take()) > 0 || len(table.Lines(9*second)) != 1 {
-			t.Fatal("it ends early")
+		if len(table.TakeChanges()) > 0 || len(table.InForce(9*second)) != 1 {
+			t.Fatal("the verdict ends early")
 		}
 		table.Expire(10 * second)
-		if c := table.Take(); len(c) != 1 || c[0].Holds || len(table.Lines(10*second)) != 0 {
+		if c := table.TakeChanges(); len(c) != 1 || c[0].InForce || len(table.InForce(10*second)) != 0 {
 			t.Fatalf("%+v", c)
 		}
-		if table.Merge(11*second, v, second) || len(table.Lines(11*second)) > 0 {
-			t.Fatal("a late datagram brings it back")
+		if table.Merge(11*second, v, second) || len(table.InForce(11*second)) > 0 {
+			t.Fatal("a late message brings the verdict back")
 		}
-		table.Expire(10*second + KeepEnded)
+		table.Expire(10*second + RetainEnded)
 		if table.Len() != 0 {
-			t.Fatal("it is never forgotten")
+			t.Fatal("the verdict is not removed")
 		}
-		if table.Merge(0, v, 10*second+KeepEnded) {
-			t.Fatal("what all have forgotten is taken in")
+		if table.Merge(0, v, 10*second+RetainEnded) {
+			t.Fatal("an outdated verdict is merged")
 		}
 	}
 }
 
-func TestTheTableIsBounded(t *testing.T) {
+func TestTableIsBounded(t *testing.T) {
 	table := NewTable("a")
-	for i := range Most {
-		if _, err := table.Say(0, 0, node(fmt.Sprint("n", i), i > 0)); err != nil {
+	for i := range MaxEntries {
+		if _, err := table.Issue(0, 0, nodeVerdict(fmt.Sprint("n", i), i > 0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := table.Say(0, 0, node("one more", true)); err != nil {
-		t.Fatal("the one that was taken back did not make way:", err)
+	if _, err := table.Issue(0, 0, nodeVerdict("one more", true)); err != nil {
+		t.Fatal("the withdrawn verdict was not evicted:", err)
 	}
-	if _, err := table.Say(0, 0, node("and one", true)); err == nil || table.Len() != Most {
+	if _, err := table.Issue(0, 0, nodeVerdict("and one", true)); err == nil || table.Len() != MaxEntries {
 		t.Fatalf("%d entries", table.Len())
 	}
-	if _, err := table.Say(0, 0, node("", true)); err == nil {
-		t.Fatal("a verdict on nothing")
+	if _, err := table.Issue(0, 0, nodeVerdict("", true)); err == nil {
+		t.Fatal("a verdict without a subject was issued")
 	}
 }
 
-// net is some members whose messages get lost now and then.
-type net struct {
-	now   Micros
-	all   []*Spreader
-	rng   *rand.Rand
-	loss  float64
-	sent  int
-	sides func(i, j int) bool
+// gossipNet simulates members with lossy links.
+type gossipNet struct {
+	now       Micros
+	members   []*Gossiper
+	rng       *rand.Rand
+	loss      float64
+	sent      int
+	connected func(i, j int) bool
 }
 
-func newNet(n int, loss float64, seed uint64) *net {
-	w := &net{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss, sides: func(int, int) bool { return true }}
+func newGossipNet(n int, loss float64, seed uint64) *gossipNet {
+	w := &gossipNet{rng: rand.New(rand.NewPCG(seed, 5)), loss: loss,
+		connected: func(int, int) bool { return true }}
 	for i := range n {
-		w.all = append(w.all, NewSpreader(NewTable(name(i)), seed+uint64(i), most))
+		w.members = append(w.members, NewGossiper(NewTable(memberName(i)), seed+uint64(i), maxMessage))
 	}
 	return w
 }
 
-func name(i int) string { return fmt.Sprintf("m%04d", i) }
+func memberName(i int) string { return fmt.Sprintf("m%04d", i) }
 
-// round is one period: each looks at the sums of a few others, as their probes tell them.
-func (w *net) round() {
+// round simulates one period: each member learns the digests of a few others, as from their probes.
+func (w *gossipNet) round() {
 	w.now += second / 5
-	for i, s := range w.all {
+	for i, s := range w.members {
 		var peers []Peer
-		for j, o := range w.all {
-			if i == j || !w.sides(i, j) {
+		for j, o := range w.members {
+			if i == j || !w.connected(i, j) {
 				continue
 			}
-			p := Peer{Name: name(j)}
+			p := Peer{Name: memberName(j)}
 			for _, known := range s.peers {
 				if known.Name == p.Name {
-					p.Sum = known.Sum
+					p.Digest = known.Digest
 				}
 			}
-			if w.rng.IntN(len(w.all)) < 3 { // heard lately
-				p.Sum = o.Announce()
+			if w.rng.IntN(len(w.members)) < 3 { // probed in this period
+				p.Digest = o.AnnouncedDigest()
 			}
 			peers = append(peers, p)
 		}
 		s.Tick(w.now, peers)
 	}
-	for more := true; more; {
-		more = false
-		for i, s := range w.all {
-			sends, changes := s.Take()
+	for active := true; active; {
+		active = false
+		for i, s := range w.members {
+			messages, changes := s.TakePending()
 			for _, c := range changes {
 				s.Applied(c.Verdict)
 				s.Push(w.now, c.Verdict)
-				more = true
+				active = true
 			}
-			for _, m := range sends {
+			for _, m := range messages {
 				var j int
 				_, _ = fmt.Sscanf(m.To, "m%04d", &j)
 				w.sent += len(m.Data)
-				if len(m.Data) > most {
-					panic("a message is too long")
+				if len(m.Data) > maxMessage {
+					panic("a message exceeds the maximum size")
 				}
-				if w.rng.Float64() >= w.loss && w.sides(i, j) {
-					w.all[j].Receive(w.now, name(i), m.Data)
+				if w.rng.Float64() >= w.loss && w.connected(i, j) {
+					w.members[j].Receive(w.now, memberName(i), m.Data)
 				}
-				more = true
+				active = true
 			}
 		}
 	}
 }
 
-func (w *net) until(most int, ok func() bool) int {
-	for n := range most {
+func (w *gossipNet) runUntil(maxRounds int, ok func() bool) int {
+	for n := range maxRounds {
 		if ok() {
 			return n
 		}
@@ -244,35 +246,35 @@
 	return -1
 }
 
-func (w *net) agree() bool {
-	for _, s := range w.all {
-		if s.Digest() != w.all[0].Digest() || s.Len() != w.all[0].Len() {
+func (w *gossipNet) agree() bool {
+	for _, s := range w.members {
+		if s.Digest() != w.members[0].Digest() || s.Len() != w.members[0].Len() {
 			return false
 		}
 	}
 	return true
 }
 
-// A verdict reaches all within its bound at 30% loss, its giver knows who holds it, and one who starts from
-// nothing is told by others than the giver.
-func TestSpreading(t *testing.T) {
+// With 30% loss a verdict reaches all members within the bound, its issuer learns which members have it, and
+// an issuer that restarts without state gets it back from the others.
+func TestGossip(t *testing.T) {
 	sizes := []int{3, 12, 100}
 	if os.Getenv("LAPISLEVER_LONG") != "" {
 		sizes = append(sizes, 300, 1000)
 	}
 	for _, n := range sizes {
-		w := newNet(n, 0.3, uint64(n))
-		if w.until(200, func() bool {
-			for _, s := range w.all {
-				if !s.Told() {
+		w := newGossipNet(n, 0.3, uint64(n))
+		if w.runUntil(200, func() bool {
+			for _, s := range w.members {
+				if !s.Synced() {
 					return false
 				}
 			}
 			return true
 		}) < 0 {
-			t.Fatal("a fleet that starts anew never finds that there is nothing to be told")
+			t.Fatal("a new fleet does not become synced")
 		}
-		v, err := w.all[0].Say(w.now, 1, node("n", true))
+		v, err := w.members[0].Issue(w.now, 1, nodeVerdict("n", true))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -280,114 +282,120 @@
 		for 1<<((limit-4)/2) < n {
 			limit += 2
 		}
-		took := w.until(limit, func() bool {
-			for _, s := range w.all {
-				if len(s.Lines(w.now)) != 1 {
+		took := w.runUntil(limit, func() bool {
+			for _, s := range w.members {
+				if len(s.InForce(w.now)) != 1 {
 					return false
 				}
 			}
 			return true
 		})
 		if took < 0 {
-			t.Fatalf("%d members: not within %d periods", n, limit)
+			t.Fatalf("%d members: the verdict did not reach all within %d periods", n, limit)
 		}
 		t.Logf("%d members: %d periods", n, took)
-		if w.until(20*limit, func() bool { l, _ := w.all[0].Line(w.now, Node, "n"); return len(l.Held) == n }) < 0 {
-			t.Fatal("its giver never learns who holds it")
+		if w.runUntil(20*limit, func() bool {
+			l, _ := w.members[0].Lookup(w.now, Node, "n")
+			return len(l.HeldBy) == n
+		}) < 0 {
+			t.Fatal("the issuer does not learn which members have the verdict")
 		}
-		w.all[0] = NewSpreader(NewTable(name(0)), 99, most) // the giver starts anew
-		if w.until(limit+4, func() bool { return len(w.all[0].Lines(w.now)) == 1 && w.all[0].Told() }) < 0 {
-			t.Fatal("who starts from nothing is not told")
+		w.members[0] = NewGossiper(NewTable(memberName(0)), 99, maxMessage) // the issuer restarts
+		if w.runUntil(limit+4, func() bool {
+			return len(w.members[0].InForce(w.now)) == 1 && w.members[0].Synced()
+		}) < 0 {
+			t.Fatal("a member that restarts without state does not get the verdict")
 		}
-		if w.all[0].entries[0].Stamp != v.Stamp {
-			t.Fatal("told something else")
+		if w.members[0].entries[0].Stamp != v.Stamp {
+			t.Fatal("the restarted member got a different verdict")
 		}
 	}
 }
 
-// Of many that start from nothing at once none passes for one that knows: they are told by the one that does,
-// and where nobody does, each goes on after a few periods.
-func TestTheUntoldDoNotTellEachOther(t *testing.T) {
-	w := newNet(6, 0, 9)
-	if w.until(30, func() bool { return w.all[5].Told() }) < untoldFor {
-		t.Fatal("told at once, by those who know nothing")
+// Members that restart without state at the same time do not sync with each other but with the one that has
+// the table. If no member has it, each becomes synced after a few periods.
+func TestUnsyncedMembersDoNotSyncEachOther(t *testing.T) {
+	w := newGossipNet(6, 0, 9)
+	if w.runUntil(30, func() bool { return w.members[5].Synced() }) < unsyncedPeriods {
+		t.Fatal("synced immediately by members without a table")
 	}
 	for range 10 {
 		w.round()
 	}
-	if _, err := w.all[0].Say(w.now, 1, node("n", true)); err != nil {
+	if _, err := w.members[0].Issue(w.now, 1, nodeVerdict("n", true)); err != nil {
 		t.Fatal(err)
 	}
 	w.round()
 	for i := 1; i < 6; i++ {
-		w.all[i] = NewSpreader(NewTable(name(i)), uint64(50+i), most)
+		w.members[i] = NewGossiper(NewTable(memberName(i)), uint64(50+i), maxMessage)
 	}
 	for range 20 {
 		w.round()
-		for _, s := range w.all {
-			if s.Told() && len(s.Lines(w.now)) != 1 {
-				t.Fatal("held to be told, and knows nothing")
+		for _, s := range w.members {
+			if s.Synced() && len(s.InForce(w.now)) != 1 {
+				t.Fatal("a member is synced without having the verdict")
 			}
 		}
 	}
-	if !w.all[5].Told() {
-		t.Fatal("never told")
+	if !w.members[5].Synced() {
+		t.Fatal("a restarted member does not become synced")
 	}
 }
 
-// A thousand at once arrive at all, in bounded messages a period; and so do those of both sides of a cut.
-func TestManyAtOnce(t *testing.T) {
-	w := newNet(8, 0.1, 7)
+// A thousand verdicts at once reach all members with a bounded number of messages per period, and after a
+// partition so do the verdicts of both sides.
+func TestManyVerdictsAtOnce(t *testing.T) {
+	w := newGossipNet(8, 0.1, 7)
 	for range 40 {
 		w.round()
 	}
 	for i := range 1000 {
-		if _, err := w.all[i%3].Say(w.now, 1, node(fmt.Sprintf("node-%04d", i), true)); err != nil {
+		if _, err := w.members[i%3].Issue(w.now, 1, nodeVerdict(fmt.Sprintf("node-%04d", i), true)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	took := w.until(400, w.agree)
-	if took < 0 || w.all[5].Len() != 1000 {
-		t.Fatalf("%d of 1000 after 400 periods", w.all[5].Len())
+	took := w.runUntil(400, w.agree)
+	if took < 0 || w.members[5].Len() != 1000 {
+		t.Fatalf("%d of 1000 verdicts after 400 periods", w.members[5].Len())
 	}
-	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes a member and period", took, w.sent/8/max(1, took))
-	w.sides = func(i, j int) bool { return (i < 4) == (j < 4) }
+	t.Logf("1000 verdicts at 8 members: %d periods, %d bytes per member and period", took, w.sent/8/max(1, took))
+	w.connected = func(i, j int) bool { return (i < 4) == (j < 4) }
 	for i := range 60 {
-		_, _ = w.all[0].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i), false))
-		_, _ = w.all[7].Say(w.now, 5, node(fmt.Sprintf("node-%04d", i+30), false))
+		_, _ = w.members[0].Issue(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i), false))
+		_, _ = w.members[7].Issue(w.now, 5, nodeVerdict(fmt.Sprintf("node-%04d", i+30), false))
 		w.round()
 	}
-	w.sides = func(int, int) bool { return true }
-	if w.until(100, w.agree) < 0 {
-		t.Fatal("no one table after the heal")
+	w.connected = func(int, int) bool { return true }
+	if w.runUntil(100, w.agree) < 0 {
+		t.Fatal("the tables differ after the partition has healed")
 	}
 }
 
 func FuzzReceive(f *testing.F) {
-	w := newNet(2, 0, 3)
+	w := newGossipNet(2, 0, 3)
 	w.round()
-	_, _ = w.all[0].Say(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
+	_, _ = w.members[0].Issue(w.now, 1, Verdict{Kind: Node, What: "n", On: true, By: "ops", Reason: "disk",
 		Span: 60 * second})
-	for _, s := range w.all {
-		s.Tick(w.now, []Peer{{Name: name(0), Sum: 5}, {Name: name(1), Sum: 7}})
-		sends, _ := s.Take()
+	for _, s := range w.members {
+		s.Tick(w.now, []Peer{{Name: memberName(0), Digest: 5}, {Name: memberName(1), Digest: 7}})
+		sends, _ := s.TakePending()
 		for _, m := range sends {
 			f.Add(m.Data)
 		}
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		s := NewSpreader(NewTable("z"), 1, most)
-		s.Tick(0, []Peer{{Name: "y", Sum: 9}})
-		_, _ = s.Say(0, 1, node("n", true))
+		s := NewGossiper(NewTable("z"), 1, maxMessage)
+		s.Tick(0, []Peer{{Name: "y", Digest: 9}})
+		_, _ = s.Issue(0, 1, nodeVerdict("n", true))
 		s.Receive(second, "y", data)
-		sends, _ := s.Take()
+		sends, _ := s.TakePending()
 		for _, m := range sends {
-			if len(m.Data) > most {
-				t.Fatalf("%d bytes", len(m.Data))
+			if len(m.Data) > maxMessage {
+				t.Fatalf("a message of %d bytes", len(m.Data))
 			}
 		}
 		if s.Len() > 1+len(data)/34 {
-			t.Fatalf("%d entries of %d bytes", s.Len(), len(data))
+			t.Fatalf("%d entries from a message of %d bytes", s.Len(), len(data))
 		}
 	})
 }
@@ -395,9 +403,9 @@
 func BenchmarkMerge(b *testing.B) {
 	table := NewTable("a")
 	for i := range 1000 {
-		_, _ = table.Say(0, 0, node(fmt.Sprintf("node-%04d", i), true))
+		_, _ = table.Issue(0, 0, nodeVerdict(fmt.Sprintf("node-%04d", i), true))
 	}
-	v := node("node-0500", true)
+	v := nodeVerdict("node-0500", true)
 	v.Member = "b"
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
