--- a/balance/balance.go
+++ b/balance/balance.go
@@ -20,7 +20,8 @@
 	MaxListRetryDelay Micros = 4_000_000
 )
 
-// Tuned constants.
+// Parameters of the decisions, grouped by what they govern; the last group holds the rest. Times marked us
+// are in microseconds.
 const (
 	// Replica weights.
 	minWeight, midWeight, maxWeight  = 1.0, 50.0, 100.0
--- a/balance/state.go
+++ b/balance/state.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 )
 
-// The state of an instance and its bookkeeping. Decisions and tuned constants are in balance.go.
+// The state of an instance and its bookkeeping. Decisions and their parameters are in balance.go.
 
 // Balancer makes the decisions of one coordinator. It is not safe for concurrent use.
 type Balancer struct {
